--- a/orchidgap/__main__.py
+++ b/orchidgap/__main__.py
@@ -85,7 +85,9 @@
         try:
             from orchidgap.trial import command
         except ModuleNotFoundError as trouble:
-            sys.exit(f"orchidgap: {trouble.name} is missing; `make tools` installs what this command needs")
+            sys.exit(
+                f"orchidgap: {trouble.name} is missing; `make tools` installs what this command needs"
+            )
         sys.exit(command.main(told))
     if told["drill"]:
         from orchidgap.drill import command as drills
@@ -109,10 +111,12 @@
         parts_of(station)
     except start.BadStart as trouble:
         sys.exit(f"orchidgap: {trouble}")
-    print(f"balancer {station.name} on {station.listen[0]}:{station.listen[1]}, list from "
-          f"{station.discovery[0]}:{station.discovery[1]}, {len(station.known[2])} hosts known, "
-          f"rule sets {', '.join(station.terms.rule_sets)}, "
-          f"{station.sockets} descriptors, {station.memory_mb} MB")
+    print(
+        f"balancer {station.name} on {station.listen[0]}:{station.listen[1]}, list from "
+        f"{station.discovery[0]}:{station.discovery[1]}, {len(station.known[2])} hosts known, "
+        f"rule sets {', '.join(station.terms.rule_sets)}, "
+        f"{station.sockets} descriptors, {station.memory_mb} MB"
+    )
 
 
 def admin(act: str, address: str | None, path: str | None) -> int | str:
@@ -122,9 +126,15 @@
 
     try:
         address = address or (None if path else os.environ.get("GW_ADMIN_ADDR"))
-        where = address_of(address) if address else start.read(path or os.environ.get("GW_CONFIG")).admin
+        where = (
+            address_of(address)
+            if address
+            else start.read(path or os.environ.get("GW_CONFIG")).admin
+        )
         if where is None:
-            return "orchidgap: no operators' address: give --addr, or admin_addr in the configuration"
+            return (
+                "orchidgap: no operators' address: give --addr, or admin_addr in the configuration"
+            )
         done, said = call(where, act)
     except (OSError, ValueError, start.BadStart) as trouble:
         return f"orchidgap: {trouble}"
--- a/orchidgap/admin/client.py
+++ b/orchidgap/admin/client.py
@@ -6,7 +6,7 @@
 
 from orchidgap.net.connection import Address
 
-WITHIN = 5.0   # seconds for the answer
+WITHIN = 5.0  # seconds for the answer
 MOST = 1 << 12  # bytes of it
 
 
--- a/orchidgap/admin/door.py
+++ b/orchidgap/admin/door.py
@@ -8,9 +8,9 @@
 from orchidgap.net.connection import Address, Connection, listener_at
 from orchidgap.net.loop import READ, Loop
 
-MOST = 12               # calls at once; the descriptors are set aside by the node
-MOST_LINE = 256         # bytes of a call
-PATIENCE = 10_000_000   # for a call to come whole, where nobody else waits to be let in
+MOST = 12  # calls at once; the descriptors are set aside by the node
+MOST_LINE = 256  # bytes of a call
+PATIENCE = 10_000_000  # for a call to come whole, where nobody else waits to be let in
 BACKLOG = 512
 
 Act = Callable[[], tuple[bool, str]]  # whether it was done, and one plain word on it
@@ -29,7 +29,7 @@
         pass
 
     def received(self, view: memoryview) -> None:
-        self.line += bytes(view[:MOST_LINE + 1])
+        self.line += bytes(view[: MOST_LINE + 1])
         line, end, _ = self.line.partition(b"\n")
         if end and len(line) <= MOST_LINE:
             self.answer(*self.door.call(line))
@@ -56,7 +56,9 @@
     def __init__(self, loop: Loop, acts: dict[str, Act]) -> None:
         self.loop, self.acts = loop, acts
         self.open: dict[Call, None] = {}
-        self.waiting: dict[Call, None] = {}  # of these: yet to bring a whole call; the longest first
+        self.waiting: dict[
+            Call, None
+        ] = {}  # of these: yet to bring a whole call; the longest first
         self.listener: socket.socket | None = None
 
     def listen(self, address: Address) -> None:
@@ -70,7 +72,9 @@
                 sock, _ = self.listener.accept()
             except BlockingIOError:
                 return
-            except OSError:  # gone before it was let in, or no descriptor left: the oldest makes way
+            except (
+                OSError
+            ):  # gone before it was let in, or no descriptor left: the oldest makes way
                 if not self.shed():
                     return
                 continue
--- a/orchidgap/control/calls.py
+++ b/orchidgap/control/calls.py
@@ -13,10 +13,10 @@
 from orchidgap.net.connection import Address, Connection, Fault, dial, listener_at
 from orchidgap.net.loop import READ, Loop, Timer
 
-AT_ONCE = 4            # calls that may be out to one address
-MOST = 1 << 22         # bytes of a call or an answer
-MOST_CLIENTS = 4_096   # connections that one control process holds
-IDLE = 60_000_000      # after which one that asks nothing is closed
+AT_ONCE = 4  # calls that may be out to one address
+MOST = 1 << 22  # bytes of a call or an answer
+MOST_CLIENTS = 4_096  # connections that one control process holds
+IDLE = 60_000_000  # after which one that asks nothing is closed
 Heard = Callable[[Any], None]  # with the answer, None where there was none
 
 
@@ -34,8 +34,10 @@
         self.heard = heard
         self.reader.reset()
         self.timer = self.calls.loop.later(self.calls.within, self.ended, "silence")
-        self.conn.send(b"%b %b HTTP/1.1\r\nHost: control\r\nContent-Length: %d\r\n\r\n%b" % (
-            method.encode(), path.encode(), len(body), body))
+        self.conn.send(
+            b"%b %b HTTP/1.1\r\nHost: control\r\nContent-Length: %d\r\n\r\n%b"
+            % (method.encode(), path.encode(), len(body), body)
+        )
 
     def opened(self) -> None:
         pass
@@ -155,9 +157,16 @@
                 told = orjson.loads(message.body) if message.size else {}
                 act = self.server.acts.get(path)
                 if act is None or not isinstance(told, dict):
-                    return self.answer(404 if act is None else 400, {"why": f"no such call: {path}"})
+                    return self.answer(
+                        404 if act is None else 400, {"why": f"no such call: {path}"}
+                    )
                 act(told, self.done)
-            except (ValueError, KeyError, TypeError, httptools.HttpParserInvalidURLError) as trouble:
+            except (
+                ValueError,
+                KeyError,
+                TypeError,
+                httptools.HttpParserInvalidURLError,
+            ) as trouble:
                 self.answer(400, {"why": f"bad call: {trouble!r}"[:200]})
 
     def done(self, said: Any) -> None:
@@ -184,7 +193,9 @@
 class Server:
     """Takes calls by their paths: each act is told what came and whom to call with the answer, once."""
 
-    def __init__(self, loop: Loop, acts: dict[str, Callable[[dict[str, Any], Heard], None]]) -> None:
+    def __init__(
+        self, loop: Loop, acts: dict[str, Callable[[dict[str, Any], Heard], None]]
+    ) -> None:
         self.loop, self.acts = loop, acts
         self.callers: dict[Caller, None] = {}
         self.listener: socket.socket | None = None
--- a/orchidgap/control/client.py
+++ b/orchidgap/control/client.py
@@ -16,8 +16,8 @@
 from orchidgap.net.loop import Loop
 from orchidgap.net.places import address_of
 
-WITHIN = 3_000_000   # for control to answer, who may have to ask the others
-EACH = 0.1           # seconds between looks at how far a change is
+WITHIN = 3_000_000  # for control to answer, who may have to ask the others
+EACH = 0.1  # seconds between looks at how far a change is
 DECIDED, BAD, NOWHERE, UNKNOWN = 0, 1, 2, 3
 
 
@@ -68,8 +68,11 @@
 
 
 def unknown(as_json: bool) -> int:
-    show({"state": "unknown", "why": "control does not answer"}, as_json,
-         "not known: control does not answer, or too few of its processes do; ask again")
+    show(
+        {"state": "unknown", "why": "control does not answer"},
+        as_json,
+        "not known: control does not answer, or too few of its processes do; ask again",
+    )
     return UNKNOWN
 
 
@@ -77,14 +80,21 @@
     said = shell.any("/check", {"doc": doc})
     if said is None:
         return unknown(as_json)
-    show(said, as_json, f"cannot be: {said['why']}" if said["why"] else
-         "can be proposed; each balancer looks closer then")
+    show(
+        said,
+        as_json,
+        f"cannot be: {said['why']}"
+        if said["why"]
+        else "can be proposed; each balancer looks closer then",
+    )
     return NOWHERE if said["why"] else DECIDED
 
 
 def waited_for(said: Any) -> str:
-    return ", ".join(f"{name} ({f'{left / 1e6:.1f} s at most' if left else 'until it is back or struck off'})"
-                     for name, left in said["late"])
+    return ", ".join(
+        f"{name} ({f'{left / 1e6:.1f} s at most' if left else 'until it is back or struck off'})"
+        for name, left in said["late"]
+    )
 
 
 def propose(shell: Shell, id: str, doc: Any, again: bool, wait: float, as_json: bool) -> int:
@@ -96,9 +106,17 @@
         # whether this may be about this call, and not an earlier one of the same name
         mine = after >= 0 and (bool(shown) or shell.lost)
         if state == "decided" and (mine or not again or said["now"] == said["n"]):
-            since = f"; {said['now']} counts now, --again decides it anew" if said["now"] != said["n"] else ""
-            show({"id": id, **said}, as_json, f"{id} decided as version {said['n']}, in force everywhere "
-                                              f"within {said['lease'] / 1e6:g} s{since}")
+            since = (
+                f"; {said['now']} counts now, --again decides it anew"
+                if said["now"] != said["n"]
+                else ""
+            )
+            show(
+                {"id": id, **said},
+                as_json,
+                f"{id} decided as version {said['n']}, in force everywhere "
+                f"within {said['lease'] / 1e6:g} s{since}",
+            )
             return DECIDED
         if state == "unfit" or state == "busy" and after >= 0 or state == "nowhere" and mine:
             show({"id": id, **said}, as_json, f"{id} holds nowhere: {said['why']}")
@@ -135,9 +153,14 @@
     said = shell.any("/strike", {"name": name, "life": life}) if life else {"struck": False}
     if said is None:
         return unknown(as_json)
-    show(said, as_json, f"{name} struck off: no change waits for it. Make sure that it serves no client: it "
-         "goes on under the old version until it hears of control" if said["struck"] else
-         f"{name} is not among those that stay alone; a lease runs out by itself")
+    show(
+        said,
+        as_json,
+        f"{name} struck off: no change waits for it. Make sure that it serves no client: it "
+        "goes on under the old version until it hears of control"
+        if said["struck"]
+        else f"{name} is not among those that stay alone; a lease runs out by itself",
+    )
     return DECIDED if said["struck"] else NOWHERE
 
 
@@ -160,10 +183,18 @@
         if one["try"] == newest["try"]:
             late.update(dict(one["late"]))
             refused.update(dict(one["refused"]))
-    said = {"n": newest["n"], "id": newest["id"], "next": newest["next"], "late": late, "refused": refused,
-            "control": {"of": count, "up": up, "decides": up > count // 2}, "lease": newest["lease"],
-            "balancers": sorted(rows.values(), key=lambda row: (row["name"], row["life"])),
-            "stay": newest["stay"], "past": newest["past"]}
+    said = {
+        "n": newest["n"],
+        "id": newest["id"],
+        "next": newest["next"],
+        "late": late,
+        "refused": refused,
+        "control": {"of": count, "up": up, "decides": up > count // 2},
+        "lease": newest["lease"],
+        "balancers": sorted(rows.values(), key=lambda row: (row["name"], row["life"])),
+        "stay": newest["stay"],
+        "past": newest["past"],
+    }
     if as_json:
         print(json.dumps(said))
         return 0
@@ -171,16 +202,22 @@
         for n, id, word, why in newest["past"]:
             print(f"{id:<14} {word if not n else f'version {n}'}{': ' + why if why else ''}")
         return 0
-    print(f"version {said['n']} {said['id']} counts; control: {up} of {count} answer"
-          + ("" if up > count // 2 else ", too few: leases run out, nothing can be decided"))
+    print(
+        f"version {said['n']} {said['id']} counts; control: {up} of {count} answer"
+        + ("" if up > count // 2 else ", too few: leases run out, nothing can be decided")
+    )
     if said["next"]:
-        print(f"proposed as version {said['next']['n']}: {said['next']['id']}; waits for "
-              + (waited_for({"late": late.items()}) or "the decision"))
+        print(
+            f"proposed as version {said['next']['n']}: {said['next']['id']}; waits for "
+            + (waited_for({"late": late.items()}) or "the decision")
+        )
     for name, why in refused.items():
         print(f"refused by {name}: {why}")
     print(f"{'balancer':<16} {'version':>7} {'promised':>8} {'alone':>6} {'heard':>8} {'lease':>8}")
     for row in said["balancers"]:
         left = "none" if row["until"] <= 0 else f"{row['until'] / 1e6:.1f} s"
-        print(f"{row['name']:<16} {row['runs']:>7} {row['promised'] or '':>8} {row['alone']:>6} "
-              f"{row['heard'] / 1e6:>6.1f} s {left:>8}")
+        print(
+            f"{row['name']:<16} {row['runs']:>7} {row['promised'] or '':>8} {row['alone']:>6} "
+            f"{row['heard'] / 1e6:>6.1f} s {left:>8}"
+        )
     return 0
--- a/orchidgap/control/server.py
+++ b/orchidgap/control/server.py
@@ -32,15 +32,18 @@
 
 Turn = Callable[[Acceptor, Heard], None]
 
-WITHIN = 500_000       # for a control process to answer another, or itself
-HOLD = 30.0            # seconds for a process before this one to end
+WITHIN = 500_000  # for a control process to answer another, or itself
+HOLD = 30.0  # seconds for a process before this one to end
 TICK = 100_000
-TRIES = 6              # rounds for one change, before its caller is told that it is not known
-QUEUE = 256            # changes of the register that may wait here
-RANK = 1_000_000       # so much later each further control process drives what another one began
+TRIES = 6  # rounds for one change, before its caller is told that it is not known
+QUEUE = 256  # changes of the register that may wait here
+RANK = 1_000_000  # so much later each further control process drives what another one began
 # one call of a balancer, as reckoned for how often they may come while something is proposed
 CALL_US = 2_500
-SOONEST, LEASE_PART = 50_000, 4  # how often balancers call: at most, and in a lease while nothing is proposed
+SOONEST, LEASE_PART = (
+    50_000,
+    4,
+)  # how often balancers call: at most, and in a lease while nothing is proposed
 
 
 def kept_of(found: Any) -> Kept:
@@ -50,33 +53,63 @@
 
 
 class Control:
-    def __init__(self, loop: Loop, name: str, peers: Mapping[str, Address], lease: int, give_up: int,
-                 files: Files, log: Log, rng: Random, clock: Callable[[], int] = boot_clock) -> None:
-        self.loop, self.name, self.files, self.log, self.rng, self.clock = loop, name, files, log, rng, clock
+    def __init__(
+        self,
+        loop: Loop,
+        name: str,
+        peers: Mapping[str, Address],
+        lease: int,
+        give_up: int,
+        files: Files,
+        log: Log,
+        rng: Random,
+        clock: Callable[[], int] = boot_clock,
+    ) -> None:
+        self.loop, self.name, self.files, self.log, self.rng, self.clock = (
+            loop,
+            name,
+            files,
+            log,
+            rng,
+            clock,
+        )
         self.names = sorted(peers)
-        self.others = {other: Calls(loop, peers[other], WITHIN) for other in self.names if other != name}
+        self.others = {
+            other: Calls(loop, peers[other], WITHIN) for other in self.names if other != name
+        }
         self.lease, self.give_up = lease, give_up
         self.leases = Leases(lease, clock())
         self.acceptor: Acceptor | None = None  # none while it has lost its disk and is not back yet
-        self.highest = 0            # count of any ballot seen
-        self.ballot = NONE          # of the round of its own that ended last
+        self.highest = 0  # count of any ballot seen
+        self.ballot = NONE  # of the round of its own that ended last
         self.queue: deque[tuple[Callable[[Value], Value], Heard, bool]] = deque()
-        self.shared = 1             # how many of them the round under way is for
-        self.running = False        # a round of this process
+        self.shared = 1  # how many of them the round under way is for
+        self.running = False  # a round of this process
         self.disk = Beside(loop, files)
         # what its own acceptor is asked, one write after another: when, what, who hears
         self.turns: deque[tuple[int, Turn, Heard]] = deque()
-        self.writes = 0             # since when it writes, 0 for not now
-        self.disk_state = ""        # slow or fails
-        self.seen = (0, 0)          # the try that is proposed, and since when it is known here
-        self.own = 0                # the try that was proposed here
+        self.writes = 0  # since when it writes, 0 for not now
+        self.disk_state = ""  # slow or fails
+        self.seen = (0, 0)  # the try that is proposed, and since when it is known here
+        self.own = 0  # the try that was proposed here
         self.driving = False
-        self.server = Server(loop, {
-            "/lease": self.on_lease, "/part": self.on_part, "/prepare": self.on_prepare,
-            "/accept": self.on_accept, "/waits": self.on_waits, "/join": self.on_join,
-            "/settle": self.on_settle,
-            "/propose": self.on_propose, "/change": self.on_change, "/strike": self.on_strike,
-            "/status": self.on_status, "/check": self.on_check})
+        self.server = Server(
+            loop,
+            {
+                "/lease": self.on_lease,
+                "/part": self.on_part,
+                "/prepare": self.on_prepare,
+                "/accept": self.on_accept,
+                "/waits": self.on_waits,
+                "/join": self.on_join,
+                "/settle": self.on_settle,
+                "/propose": self.on_propose,
+                "/change": self.on_change,
+                "/strike": self.on_strike,
+                "/status": self.on_status,
+                "/check": self.on_check,
+            },
+        )
 
     @property
     def value(self) -> Value:
@@ -160,19 +193,41 @@
     def on_lease(self, told: dict[str, Any], done: Heard) -> None:
         if self.acceptor is None:
             return done(None)
-        row = Row(str(told["name"])[:100], str(told["life"])[:40], str(told["alone"])[:5], int(told["runs"]),
-                  int(told["promised"]), int(told["refused"]), str(told["why"])[:500], 0, 0)
+        row = Row(
+            str(told["name"])[:100],
+            str(told["life"])[:40],
+            str(told["alone"])[:5],
+            int(told["runs"]),
+            int(told["promised"]),
+            int(told["refused"]),
+            str(told["why"])[:500],
+            0,
+            0,
+        )
         now = self.clock()
         grants = self.leases.hear(row, now, int(told["heard"]))
         value, new = self.value, self.value["next"]
-        said = {"ballot": self.acceptor.kept.ballot, "grants": grants, "at": now, "lease": self.lease,
-                "again": self.again(), "size": len(self.names), "n": value["n"], "id": value["id"],
-                "try": value["try"], "stay": {row.name: value["stay"].get(row.name)}, "next": None}
+        said = {
+            "ballot": self.acceptor.kept.ballot,
+            "grants": grants,
+            "at": now,
+            "lease": self.lease,
+            "again": self.again(),
+            "size": len(self.names),
+            "n": value["n"],
+            "id": value["id"],
+            "try": value["try"],
+            "stay": {row.name: value["stay"].get(row.name)},
+            "next": None,
+        }
         if value["n"] > row.runs:
             said["doc"] = value["doc"]
         if new:
-            said["next"] = new if new["try"] not in (row.promised, row.refused) else {
-                "try": new["try"], "n": new["n"], "id": new["id"]}
+            said["next"] = (
+                new
+                if new["try"] not in (row.promised, row.refused)
+                else {"try": new["try"], "n": new["n"], "id": new["id"]}
+            )
         done(said)
 
     def again(self) -> int:
@@ -186,13 +241,18 @@
         name, life = str(told["name"]), str(told["life"])
         self.leases.part(name, life)
         if self.value["stay"].get(name) == life:
-            self.cas(lambda value: change.struck(value, name, life) or value, lambda value: None, True)
+            self.cas(
+                lambda value: change.struck(value, name, life) or value, lambda value: None, True
+            )
         done({})
 
     def on_join(self, told: dict[str, Any], done: Heard) -> None:
         name, life = str(told["name"]), str(told["life"])
-        self.cas(lambda value: change.joined(value, name, life) or value,
-                 lambda value: done(value and {}), True)
+        self.cas(
+            lambda value: change.joined(value, name, life) or value,
+            lambda value: done(value and {}),
+            True,
+        )
 
     def on_settle(self, told: dict[str, Any], done: Heard) -> None:
         """Somebody is told different things by different control processes."""
@@ -243,8 +303,11 @@
     def waits(self) -> dict[str, Any]:
         """Of what is proposed, as far as this process knows: who is waited for, who refused."""
         now, new = self.clock(), self.value["next"]
-        return {"try": new["try"] if new else 0, "late": self.leases.waits(self.value, now),
-                "refused": self.leases.refusals(self.value, now)}
+        return {
+            "try": new["try"] if new else 0,
+            "late": self.leases.waits(self.value, now),
+            "refused": self.leases.refusals(self.value, now),
+        }
 
     # --- a change of the register
 
@@ -322,6 +385,7 @@
     def come_back(self) -> None:
         """Its disk was lost, and with it what it had promised: a round of all others, under a ballot higher
         than any that it may have had a part in, and only what that finds is taken up."""
+
         def back(value: Value | None) -> None:
             if value is None or self.acceptor:
                 return
@@ -379,7 +443,12 @@
         done({"why": fit(told["doc"])})
 
     def on_propose(self, told: dict[str, Any], done: Heard) -> None:
-        id, doc, again, after = str(told["id"]), told["doc"], bool(told["again"]), int(told["after"])
+        id, doc, again, after = (
+            str(told["id"]),
+            told["doc"],
+            bool(told["again"]),
+            int(told["after"]),
+        )
         if why := fit(doc):
             return done({"state": "unfit", "why": why})
 
@@ -415,18 +484,34 @@
     def on_strike(self, told: dict[str, Any], done: Heard) -> None:
         """Of one life only: a call that comes late must not strike off who has come back."""
         name, life = str(told["name"]), str(told["life"])
-        self.cas(lambda value: change.struck(value, name, life) or value,
-                 lambda value: done(value and {"struck": value["stay"].get(name) != life}), True)
+        self.cas(
+            lambda value: change.struck(value, name, life) or value,
+            lambda value: done(value and {"struck": value["stay"].get(name) != life}),
+            True,
+        )
 
     def on_status(self, told: dict[str, Any], done: Heard) -> None:
         now, value, new = self.clock(), self.value, self.value["next"]
-        done({"name": self.name, "controls": self.names, "lost": self.acceptor is None, "lease": self.lease,
-              "disk": self.disk_state,
-              "ballot": self.acceptor.kept.ballot if self.acceptor else NONE,
-              "n": value["n"], "id": value["id"], "stay": value["stay"], "past": value["past"],
-              "next": new and {"id": new["id"], "n": new["n"], "try": new["try"]}, **self.waits(),
-              "rows": [row._replace(heard=now - row.heard, until=row.until - now)._asdict()
-                       for row in self.leases.rows.values()]})
+        done(
+            {
+                "name": self.name,
+                "controls": self.names,
+                "lost": self.acceptor is None,
+                "lease": self.lease,
+                "disk": self.disk_state,
+                "ballot": self.acceptor.kept.ballot if self.acceptor else NONE,
+                "n": value["n"],
+                "id": value["id"],
+                "stay": value["stay"],
+                "past": value["past"],
+                "next": new and {"id": new["id"], "n": new["n"], "try": new["try"]},
+                **self.waits(),
+                "rows": [
+                    row._replace(heard=now - row.heard, until=row.until - now)._asdict()
+                    for row in self.leases.rows.values()
+                ],
+            }
+        )
 
 
 class Attempt:
@@ -447,7 +532,9 @@
             if self.round.prepared(name, tuple(said["ballot"]), said["value"]):
                 value, ballot = self.round.value, self.round.ballot
                 assert value is not None
-                return self.control.call_all("/accept", {"ballot": ballot, "value": value}, self.accepted)
+                return self.control.call_all(
+                    "/accept", {"ballot": ballot, "value": value}, self.accepted
+                )
         if self.heard == len(self.control.names) and self.round.value is None:
             self.end(None)
 
@@ -487,7 +574,10 @@
         raise BadStart("--config names no file")
     try:
         told = orjson.loads(Path(path).read_bytes())
-        name, peers = str(told["name"]), {str(one): address_of(at) for one, at in told["control"].items()}
+        name, peers = (
+            str(told["name"]),
+            {str(one): address_of(at) for one, at in told["control"].items()},
+        )
         lease, folder = int(told.get("lease-ms", 10_000)) * 1000, str(told["dir"])
         give_up = int(told.get("give-up-ms", lease // 1000 * 6)) * 1000
         beyond = told.get("beyond-loopback", False)
@@ -504,8 +594,10 @@
     if not 1_000_000 <= lease <= 600_000_000 or give_up < lease:
         raise BadStart(f"{path}: lease-ms goes from 1000 to 600000, and give-up-ms is no less")
     if not ipaddress.IPv4Address(peers[name][0]).is_loopback and beyond is not True:
-        raise BadStart(f"{path}: {text_of(peers[name])} is beyond loopback; set beyond-loopback to true, as "
-                       "whoever reaches it can change the policy")
+        raise BadStart(
+            f"{path}: {text_of(peers[name])} is beyond loopback; set beyond-loopback to true, as "
+            "whoever reaches it can change the policy"
+        )
     log = Log(name)
     loop = Loop(trouble=log.trouble)
     try:
@@ -520,7 +612,13 @@
     except OSError as trouble:
         raise BadStart(f"cannot listen on {text_of(peers[name])}: {trouble.strerror}") from None
     bell = heed(loop, (signal.SIGTERM, signal.SIGINT), lambda told: setattr(loop, "running", False))
-    log("control", listen=text_of(peers[name]), of=len(peers), n=control.value["n"], lease_ms=lease // 1000)
+    log(
+        "control",
+        listen=text_of(peers[name]),
+        of=len(peers),
+        n=control.value["n"],
+        lease_ms=lease // 1000,
+    )
     loop.run()
     bell.close()
     log("stopped")
--- a/orchidgap/control/tenure.py
+++ b/orchidgap/control/tenure.py
@@ -22,12 +22,12 @@
 from orchidgap.state.beside import Beside
 from orchidgap.state.files import Damaged, Files
 
-WITHIN = 500_000       # for control to answer a call
-FIRST = 100_000        # between calls until control has said how often
-LONGEST = 2_000_000    # of the back-off
+WITHIN = 500_000  # for control to answer a call
+FIRST = 100_000  # between calls until control has said how often
+LONGEST = 2_000_000  # of the back-off
 # told to clients that are denied because there is no lease; half as much more or less by chance
 COMEBACK = 1_000_000
-PARTING = 300_000      # for control to hear that this process ends
+PARTING = 300_000  # for control to hear that this process ends
 
 
 class HeldNode(Node):
@@ -43,11 +43,25 @@
         # without a right it must not tell by a 404 what its version says, which may count no more
         return not self.keeper.may() or super().knows(rule_set)
 
-    def take(self, caller: Answered, id: bytes, rule_set: str, left: int, write: bool, key: bytes,
-             tenant: str, head: bytes, body: bytes, slot: int = -1, flow: Upload | None = None) -> None:
+    def take(
+        self,
+        caller: Answered,
+        id: bytes,
+        rule_set: str,
+        left: int,
+        write: bool,
+        key: bytes,
+        tenant: str,
+        head: bytes,
+        body: bytes,
+        slot: int = -1,
+        flow: Upload | None = None,
+    ) -> None:
         if not self.keeper.may():
             return caller.answer(503, pause=self.keeper.comeback())
-        if rule_set not in self.station.terms.rule_sets:  # the right came back between the two questions
+        if (
+            rule_set not in self.station.terms.rule_sets
+        ):  # the right came back between the two questions
             return caller.answer(503, pause=self.keeper.comeback())
         super().take(caller, id, rule_set, left, write, key, tenant, head, body, slot, flow)
 
@@ -56,10 +70,25 @@
     """Calls control again and again, and does what its `Tenure` says. Opens the door once it holds a
     lease."""
 
-    def __init__(self, path: str | None, loop: Loop, station: start.Station, log: Log, files: Files,
-                 rng: Random, clock: Callable[[], int] = boot_clock) -> None:
+    def __init__(
+        self,
+        path: str | None,
+        loop: Loop,
+        station: start.Station,
+        log: Log,
+        files: Files,
+        rng: Random,
+        clock: Callable[[], int] = boot_clock,
+    ) -> None:
         assert station.control
-        self.path, self.loop, self.log, self.files, self.rng, self.clock = path, loop, log, files, rng, clock
+        self.path, self.loop, self.log, self.files, self.rng, self.clock = (
+            path,
+            loop,
+            log,
+            files,
+            rng,
+            clock,
+        )
         self.disk = Beside(loop, files)
         self.name = station.name
         self.life = f"{rng.getrandbits(64):x}"
@@ -67,16 +96,18 @@
         self.tenure = Tenure(station.control["alone"], 0)
         self.node: Node
         self.opens: Callable[[], None] | None = None
-        self.turn = 0        # of its calls: an answer to an earlier one is told in none
+        self.turn = 0  # of its calls: an answer to an earlier one is told in none
         self.asked = 0
         self.again = FIRST
         self.timer: Timer | None = None
         self.answers: list[Any] = []
-        self.last = [0] * len(self.calls)  # when each of them gave the last answer heard, by its clock
-        self.failures = 0     # calls in a row that taught nothing
+        self.last = [0] * len(
+            self.calls
+        )  # when each of them gave the last answer heard, by its clock
+        self.failures = 0  # calls in a row that taught nothing
         self.learned = False  # what is chosen, by those of this call
         self.shown = Right.NONE
-        self.unfit = 0       # the version that it cannot take
+        self.unfit = 0  # the version that it cannot take
         self.ending = False
 
     def may(self) -> bool:
@@ -118,8 +149,15 @@
         self.turn += 1
         self.answers, self.learned, self.asked = [], False, self.clock()
         tenure = self.tenure
-        told = {"name": self.name, "life": self.life, "alone": tenure.alone, "runs": tenure.runs,
-                "promised": tenure.promised, "refused": tenure.refused, "why": tenure.why}
+        told = {
+            "name": self.name,
+            "life": self.life,
+            "alone": tenure.alone,
+            "runs": tenure.runs,
+            "promised": tenure.promised,
+            "refused": tenure.refused,
+            "why": tenure.why,
+        }
         for i, calls in enumerate(self.calls):
             calls("/lease", told | {"heard": self.last[i]}, partial(self.heard, self.turn, i))
         self.next(self.back_off())  # where no answer comes
@@ -133,7 +171,9 @@
         """After calls that taught nothing: rarer each time and by chance, or hundreds that start together
         would keep control too busy to answer any of them."""
         self.failures += 1
-        return round(min(LONGEST, WITHIN << min(self.failures - 1, 4)) * self.rng.uniform(0.75, 1.25))
+        return round(
+            min(LONGEST, WITHIN << min(self.failures - 1, 4)) * self.rng.uniform(0.75, 1.25)
+        )
 
     def next_in_turn(self) -> None:
         spent = self.clock() - self.asked
@@ -145,7 +185,10 @@
         if turn != self.turn or self.ending:
             return
         if said and said["size"] != len(self.calls):
-            self.log("control unlike", why=f"it has {said['size']} processes, this file {len(self.calls)}")
+            self.log(
+                "control unlike",
+                why=f"it has {said['size']} processes, this file {len(self.calls)}",
+            )
             said = None
         self.answers.append(said)
         told = [(self.ballot(one), one, one["grants"]) for one in self.answers if one]
@@ -203,8 +246,11 @@
         self.tenure.takes(n)
         self.log("version runs", n=n, id=value["id"])
         # it stands in the register: nothing is lost where this fails
-        self.disk("policy", {"n": n, "id": value["id"], "doc": doc},
-                  lambda why: self.log("disk fails", why=why) if why else None)
+        self.disk(
+            "policy",
+            {"n": n, "id": value["id"], "doc": doc},
+            lambda why: self.log("disk fails", why=why) if why else None,
+        )
         return True
 
     def adopt(self, doc: Any) -> str:
@@ -240,7 +286,9 @@
         number, why = int(new["try"]), fit(new["doc"])
         if not why:
             try:
-                why = self.standing(start.read(self.path, self.node.station, new["doc"]["settings"]))
+                why = self.standing(
+                    start.read(self.path, self.node.station, new["doc"]["settings"])
+                )
             except start.BadStart as trouble:
                 why = str(trouble)
         self.tenure.writes(number)
@@ -277,8 +325,15 @@
             self.log("right", now=right.value, before=was.value, n=self.tenure.runs)
 
 
-def held(path: str | None, loop: Loop, station: start.Station, log: Log, *more: Any,
-         make_files: Callable[[Path], Files] = Files, **named: Any) -> tuple[Node, Keeper]:
+def held(
+    path: str | None,
+    loop: Loop,
+    station: start.Station,
+    log: Log,
+    *more: Any,
+    make_files: Callable[[Path], Files] = Files,
+    **named: Any,
+) -> tuple[Node, Keeper]:
     """A node that control holds, and what holds it. Raises BadStart."""
     assert station.control
     try:
--- a/orchidgap/decisions/change.py
+++ b/orchidgap/decisions/change.py
@@ -21,13 +21,22 @@
 
 from orchidgap.decisions.register import Ballot, Value, chosen
 
-DRIFT = 0.01      # how much faster or slower than true time a clock may run
-PAST = 64         # outcomes that are kept
+DRIFT = 0.01  # how much faster or slower than true time a clock may run
+PAST = 64  # outcomes that are kept
 MOST_ROWS = 4_096  # balancers that one control process knows
 FORGET = 600_000_000  # after which one that left is no longer told of
 STAY, LEAVE = "stay", "leave"
 
-EMPTY: Value = {"n": 0, "id": "", "try": 0, "doc": None, "next": None, "tries": 0, "stay": {}, "past": []}
+EMPTY: Value = {
+    "n": 0,
+    "id": "",
+    "try": 0,
+    "doc": None,
+    "next": None,
+    "tries": 0,
+    "stay": {},
+    "past": [],
+}
 
 
 def outcome(value: Value, id: str) -> list[Any] | None:
@@ -44,8 +53,13 @@
     """
     if value["next"] is not None or value["id"] == id:
         return None
-    tries = value["tries"] + 1  # a promise holds for one try: the same change proposed anew is another one
-    return value | {"tries": tries, "next": {"id": id, "doc": doc, "try": tries, "n": value["n"] + 1}}
+    tries = (
+        value["tries"] + 1
+    )  # a promise holds for one try: the same change proposed anew is another one
+    return value | {
+        "tries": tries,
+        "next": {"id": id, "doc": doc, "try": tries, "n": value["n"] + 1},
+    }
 
 
 def asked(value: Value, id: str, doc: Value, again: bool, after: int) -> Value:
@@ -78,8 +92,11 @@
     now = value["next"]
     if now is None or now["try"] != number:
         return None
-    return value | {"n": now["n"], "id": now["id"], "try": number, "doc": now["doc"]} | ended(
-        value, now["n"], now["id"], "decided", "")
+    return (
+        value
+        | {"n": now["n"], "id": now["id"], "try": number, "doc": now["doc"]}
+        | ended(value, now["n"], now["id"], "decided", "")
+    )
 
 
 def dropped(value: Value, number: int, why: str) -> Value | None:
@@ -95,7 +112,9 @@
 
 def joined(value: Value, name: str, life: str) -> Value | None:
     """A balancer that will go on alone: no change is decided without its promise until it is struck off."""
-    return None if value["stay"].get(name) == life else value | {"stay": value["stay"] | {name: life}}
+    return (
+        None if value["stay"].get(name) == life else value | {"stay": value["stay"] | {name: life}}
+    )
 
 
 def struck(value: Value, name: str, life: str) -> Value | None:
@@ -111,12 +130,12 @@
     name: str
     life: str
     alone: str
-    runs: int      # the version that governs what it takes
+    runs: int  # the version that governs what it takes
     promised: int  # the try that it holds a promise for, 0 for none
-    refused: int   # the try that it turned down
+    refused: int  # the try that it turned down
     why: str
     heard: int
-    until: int     # it may hold a lease until then
+    until: int  # it may hold a lease until then
 
     def ready(self, number: int, n: int) -> bool:
         """Whether the decision of this try, which makes version n, finds it prepared."""
@@ -160,7 +179,10 @@
         key = row.name, row.life
         before = self.rows.pop(key, None)
         hears = before is None or 0 <= now - answered <= 2 * self.lease
-        while len(self.rows) >= MOST_ROWS and min(self.rows.values(), key=lambda one: one.until).until < now:
+        while (
+            len(self.rows) >= MOST_ROWS
+            and min(self.rows.values(), key=lambda one: one.until).until < now
+        ):
             del self.rows[min(self.rows, key=lambda one: self.rows[one].until)]
         if len(self.rows) >= MOST_ROWS:
             return False
@@ -174,14 +196,19 @@
         self.rows.pop((name, life), None)
 
     def sweep(self, now: int) -> None:
-        for key in [key for key, row in self.rows.items() if max(row.until, row.heard) + FORGET < now]:
+        for key in [
+            key for key, row in self.rows.items() if max(row.until, row.heard) + FORGET < now
+        ]:
             del self.rows[key]
 
     def behind(self, number: int, n: int, stay: dict[str, str], now: int) -> list[tuple[str, int]]:
         """Who may serve and holds no promise for this try, nor runs its version; for how long, 0 without
         end."""
-        late = [(row.name, row.until - now) for row in self.rows.values()
-                if row.until > now and not row.ready(number, n)]
+        late = [
+            (row.name, row.until - now)
+            for row in self.rows.values()
+            if row.until > now and not row.ready(number, n)
+        ]
         for name, life in stay.items():
             row = self.rows.get((name, life))
             if (row is None or not row.ready(number, n)) and name not in dict(late):
@@ -197,8 +224,11 @@
     def refusals(self, value: Value, now: int) -> list[tuple[str, str]]:
         """Who may serve and turned down what is proposed, and why."""
         number = value["next"]["try"] if value["next"] else 0
-        return sorted((row.name, row.why) for row in self.rows.values()
-                      if number and row.refused == number and row.until > now)
+        return sorted(
+            (row.name, row.why)
+            for row in self.rows.values()
+            if number and row.refused == number and row.until > now
+        )
 
     def takes(self, old: Value, new: Value, now: int) -> list[tuple[str, int]]:
         """Whom an acceptor of `old` has to wait for before it takes `new`. From then on, and until that or
@@ -214,7 +244,9 @@
         self.locked = None
 
 
-def answered(count: int, answers: Iterable[tuple[Ballot, Value, bool]]) -> tuple[Value | None, bool]:
+def answered(
+    count: int, answers: Iterable[tuple[Ballot, Value, bool]]
+) -> tuple[Value | None, bool]:
     """What a balancer learns of so many control processes' answers, each with its ballot, value and whether
     it grants a lease: the value that is chosen, if that can be told, and whether a majority that told it
     grants a lease.
@@ -235,8 +267,8 @@
     """What a balancer may do now."""
 
     SERVES = "serves"  # it holds a lease
-    STAYS = "stays"    # it holds none and goes on: nothing can be decided without its promise
-    NONE = "alone"     # it denies: something may have been decided that it does not know
+    STAYS = "stays"  # it holds none and goes on: nothing can be decided without its promise
+    NONE = "alone"  # it denies: something may have been decided that it does not know
 
 
 class Tenure:
@@ -268,12 +300,12 @@
 
     def __init__(self, alone: str, lease: int) -> None:
         self.alone, self.lease = alone, lease
-        self.runs = -1     # the version it takes reqs under; none before control was heard
+        self.runs = -1  # the version it takes reqs under; none before control was heard
         self.promised = 0  # the try
-        self.writing = 0   # the one that is on its way to the disk
+        self.writing = 0  # the one that is on its way to the disk
         self.refused = 0
         self.why = ""
-        self.until = 0     # of its lease, by its own clock
+        self.until = 0  # of its lease, by its own clock
         self.stays = False  # the register knows that it goes on alone
 
     def told(self, value: Value, registered: bool, asked: int, granted: bool = True) -> str:
@@ -286,7 +318,9 @@
             self.until, self.stays = 0, False
             return "take"
         self.runs = value["n"]
-        if granted:  # from when it was asked: the answer may have been on its way for as long as a lease
+        if (
+            granted
+        ):  # from when it was asked: the answer may have been on its way for as long as a lease
             self.until = max(self.until, asked + round(self.lease * (1 - DRIFT)))
         self.stays = registered and self.alone == STAY
         number = value["next"]["try"] if value["next"] else 0
@@ -294,7 +328,9 @@
             self.promised = 0
         if self.writing != number:
             self.writing = 0
-        return "check" if number and number not in (self.promised, self.refused, self.writing) else ""
+        return (
+            "check" if number and number not in (self.promised, self.refused, self.writing) else ""
+        )
 
     def writes(self, number: int) -> None:
         """It goes on meanwhile: a disk may take long."""
--- a/orchidgap/decisions/estate.py
+++ b/orchidgap/decisions/estate.py
@@ -15,19 +15,32 @@
 AHEAD = {"shun_until": 1_000_000, "warm_at": 60_000_000}  # how far ahead these may lie
 # What is told of a host, with the least and the most that can be; None: a time.
 FIELDS: dict[str, tuple[float, float] | None] = {
-    "limit": (0.01, 100_000.0), "floor": (0.0, 100_000.0), "lag": (0, 60_000_000), "credit": (0.0, 10.0),
-    "rate": (-1.0, 1e9), "cut_at": None, "judged_at": None, "heard_at": None, "shun_until": None,
-    "warm_at": None}
+    "limit": (0.01, 100_000.0),
+    "floor": (0.0, 100_000.0),
+    "lag": (0, 60_000_000),
+    "credit": (0.0, 10.0),
+    "rate": (-1.0, 1e9),
+    "cut_at": None,
+    "judged_at": None,
+    "heard_at": None,
+    "shun_until": None,
+    "warm_at": None,
+}
 
 
 def left(balancer: Balancer) -> dict[str, Any]:
     """All of it, as plain values; times are in microseconds of the clock that all processes share."""
     return {
         "hosts": {
-            host.id: {name: getattr(host, name) for name in FIELDS} | {"since": host.since, "size": host.size}
-            for host in balancer.hosts.values()},
-        "tenants": {name: [balancer.admission.let_in[name], shed]
-                    for name, shed in balancer.admission.shed.items()}}
+            host.id: {name: getattr(host, name) for name in FIELDS}
+            | {"since": host.since, "size": host.size}
+            for host in balancer.hosts.values()
+        },
+        "tenants": {
+            name: [balancer.admission.let_in[name], shed]
+            for name, shed in balancer.admission.shed.items()
+        },
+    }
 
 
 def number(value: Any, low: float, high: float) -> bool:
@@ -63,7 +76,11 @@
             sizes[host.id] = int(fields["size"])
         taken += 1
     ring = balancer.placement.ring
-    if ring and all(host.id in sizes for host in ring) and sum(sizes[host.id] for host in ring) == SPACE:
+    if (
+        ring
+        and all(host.id in sizes for host in ring)
+        and sum(sizes[host.id] for host in ring) == SPACE
+    ):
         for host in ring:
             host.size = sizes[host.id]
         balancer.placement.cut()
--- a/orchidgap/decisions/heat.py
+++ b/orchidgap/decisions/heat.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping
 from math import sqrt
 
-FAIR = 0.25     # of a cache's even share, from which on a key is spread
-SPAN = 24       # reads a cache until counts are halved: then what is just fair was seen six times
-MOST = 4_096    # keys counted
+FAIR = 0.25  # of a cache's even share, from which on a key is spread
+SPAN = 24  # reads a cache until counts are halved: then what is just fair was seen six times
+MOST = 4_096  # keys counted
 
 
 def mark(key: int) -> int:
@@ -53,5 +53,7 @@
         count = self.counts[key] = self.counts.get(key, 0.0) + 1
         if self.beside:
             count += self.others.get(mark(key), 0.0)
-        part = (count - sqrt(count)) / (self.total + self.beside) * caches  # of a cache's share, at the least
+        part = (
+            (count - sqrt(count)) / (self.total + self.beside) * caches
+        )  # of a cache's share, at the least
         return max(1, min(caches, 1 + int(part / FAIR)))
--- a/orchidgap/decisions/lifecycle.py
+++ b/orchidgap/decisions/lifecycle.py
@@ -8,12 +8,14 @@
 from enum import Enum
 from typing import NamedTuple
 
-LAST_CALL = 400_000    # after being told to stop, how long clients are still sent here
+LAST_CALL = 400_000  # after being told to stop, how long clients are still sent here
 UNUSED_FOR = 1_000_000  # into a drain, a connection that asks nothing is idle for good
 LAST_WORDS = 3_500_000  # after being told to stop, when each open req gets its answer at the latest
-BEYOND = 500_000        # before that, where no client waits for so long: whoever came last has had its time
-LAST_WRITES = 100_000   # for those answers to be written, and then it ends
-LONGEST = 30_000_000    # or, where an answer still flows to its client, then
+BEYOND = (
+    500_000  # before that, where no client waits for so long: whoever came last has had its time
+)
+LAST_WRITES = 100_000  # for those answers to be written, and then it ends
+LONGEST = 30_000_000  # or, where an answer still flows to its client, then
 
 
 class State(Enum):
@@ -27,11 +29,13 @@
 class Meaning(NamedTuple):
     """What holds in one state."""
 
-    yes: bool                # the answer to "do you serve?"
-    admits_for: int | None   # how long new connections are let in; None for as long as the state lasts
-    last: bool               # an answer is the last on its connection
+    yes: bool  # the answer to "do you serve?"
+    admits_for: (
+        int | None
+    )  # how long new connections are let in; None for as long as the state lasts
+    last: bool  # an answer is the last on its connection
     quiet_after: int | None  # when connections that ask nothing are closed; None for never
-    resumes: bool            # whether a drain can be ended from here
+    resumes: bool  # whether a drain can be ended from here
 
 
 MEANS = {
@@ -66,7 +70,17 @@
     (True, True, False, False, 'leaving')
     """
 
-    __slots__ = ("able", "changes", "hands_over", "heir", "last", "last_words", "means", "since", "state")
+    __slots__ = (
+        "able",
+        "changes",
+        "hands_over",
+        "heir",
+        "last",
+        "last_words",
+        "means",
+        "since",
+        "state",
+    )
 
     def __init__(self, now: int, longest: int = LAST_WORDS) -> None:
         self.able = False  # it could serve, whatever it was told by hand
@@ -88,7 +102,9 @@
         self.heir = heir
         # whether connections go to that process as they are, in place of being let go
         self.hands_over = heir and self.state is State.LEAVING
-        self.last = self.means.last and not self.hands_over  # whether an answer is the last on its connection
+        self.last = (
+            self.means.last and not self.hands_over
+        )  # whether an answer is the last on its connection
 
     def on(self, event: str, now: int) -> bool:
         """What happened, and when; whether the state is another one now."""
--- a/orchidgap/decisions/links.py
+++ b/orchidgap/decisions/links.py
@@ -5,7 +5,9 @@
 
 from __future__ import annotations
 
-WINDOW = 1_000_000  # what was needed at once is remembered for one such stretch, and the one under way
+WINDOW = (
+    1_000_000  # what was needed at once is remembered for one such stretch, and the one under way
+)
 
 
 class Need:
--- a/orchidgap/decisions/pool.py
+++ b/orchidgap/decisions/pool.py
@@ -26,23 +26,23 @@
 from orchidgap.decisions.heat import mark
 from orchidgap.decisions.rules import REDRAW_SENDS, Placement
 
-AGE = 15_000_000      # after which a row counts no more: its balancer is dead, or cannot be heard
-GAP = 60_000_000      # between two draws: each moves the cuts of all ranges, and their keys are fetched anew
-FADE = 30_000_000     # until what was read counts half: all together have read enough by then
+AGE = 15_000_000  # after which a row counts no more: its balancer is dead, or cannot be heard
+GAP = 60_000_000  # between two draws: each moves the cuts of all ranges, and their keys are fetched anew
+FADE = 30_000_000  # until what was read counts half: all together have read enough by then
 MOST_ROWS = 512
-MOST_KEYS = 24        # told in a row
-EAGER = 4             # one in so many of those that could draw does, at each look
+MOST_KEYS = 24  # told in a row
+EAGER = 4  # one in so many of those that could draw does, at each look
 
 Version = tuple[int, str]  # a count, and who drew it
 
 
 class Row(NamedTuple):
-    life: int               # when its process started
-    number: int             # of the row, in that life
-    since: int              # when it was as it is, by the clock of whoever keeps it
-    ring: int               # which caches are meant
+    life: int  # when its process started
+    number: int  # of the row, in that life
+    since: int  # when it was as it is, by the clock of whoever keeps it
+    ring: int  # which caches are meant
     version: Version
-    sends: Sequence[int]    # to each of them, in their order
+    sends: Sequence[int]  # to each of them, in their order
     reads: float
     keys: Mapping[int, float]  # the hottest ones, by their marks
 
@@ -58,8 +58,9 @@
 class Pool:
     """One balancer's part in it. `Placement` draws by its formula as ever, by the counts of all."""
 
-    def __init__(self, name: str, life: int, placement: Placement, rng: Random, now: int,
-                 gap: int = GAP) -> None:
+    def __init__(
+        self, name: str, life: int, placement: Placement, rng: Random, now: int, gap: int = GAP
+    ) -> None:
         self.name, self.life, self.placement, self.rng, self.gap = name, life, placement, rng, gap
         self.rows: dict[str, Row] = {}
         self.version: Version = (0, "")
@@ -79,8 +80,16 @@
         self.number += 1
         heat, ring = self.placement.heat, self.placement.ring
         keys = nlargest(MOST_KEYS, heat.counts.items(), key=lambda item: item[1])
-        return Row(self.life, self.number, now, self.ring(), self.version, [host.sends for host in ring],
-                   heat.total, {mark(key): count for key, count in keys})
+        return Row(
+            self.life,
+            self.number,
+            now,
+            self.ring(),
+            self.version,
+            [host.sends for host in ring],
+            heat.total,
+            {mark(key): count for key, count in keys},
+        )
 
     def hear(self, name: str, row: Row) -> str:
         """A row that came; why it is not taken, empty where it is: `own`, `old` or `many`."""
@@ -144,8 +153,11 @@
         if now - self.drawn_at < self.gap or not ring:
             return False
         meant = self.ring()
-        there = [row.sends for _, row in live
-                 if (row.ring, row.version, len(row.sends)) == (meant, self.version, len(ring))]
+        there = [
+            row.sends
+            for _, row in live
+            if (row.ring, row.version, len(row.sends)) == (meant, self.version, len(ring))
+        ]
         counts = [host.sends + sum(sends[i] for sends in there) for i, host in enumerate(ring)]
         if sum(counts) < REDRAW_SENDS * len(ring):
             return False
--- a/orchidgap/decisions/register.py
+++ b/orchidgap/decisions/register.py
@@ -19,7 +19,7 @@
     """What an acceptor has on its disk."""
 
     promised: Ballot  # nothing under a lower ballot is taken any more
-    ballot: Ballot    # of the value
+    ballot: Ballot  # of the value
     value: Value
 
 
@@ -73,8 +73,9 @@
     ({'n': 1}, [False, True, True])
     """
 
-    def __init__(self, ballot: Ballot, count: int, change: Callable[[Value], Value],
-                 but: str = "") -> None:
+    def __init__(
+        self, ballot: Ballot, count: int, change: Callable[[Value], Value], but: str = ""
+    ) -> None:
         self.ballot, self.need, self.change = ballot, majority(count), change
         self.but = but  # an acceptor that does not count: it has lost what it had promised
         self.heard: dict[str, tuple[Ballot, Value]] = {}
--- a/orchidgap/decisions/rules.py
+++ b/orchidgap/decisions/rules.py
@@ -24,13 +24,21 @@
 from orchidgap.decisions.terms import RuleSet, ServiceTerms
 
 SPACE = 1 << 14  # b = 14: the slots of the RESP cluster
-REDRAW_GAP, REDRAW_SENDS, EVENINGS = 5_000_000, 100, 3  # evenings: half way to even, where counts are few
-RECOVERY = 24  # response targets, and reqs for the host, until a limit that fell to nothing is one again
+REDRAW_GAP, REDRAW_SENDS, EVENINGS = (
+    5_000_000,
+    100,
+    3,
+)  # evenings: half way to even, where counts are few
+RECOVERY = (
+    24  # response targets, and reqs for the host, until a limit that fell to nothing is one again
+)
 TICK, BREATHER = 500_000, 50_000
 EARLY = 20_000  # a held req is given up this long before its client leaves: a wake-up can be late
 FIRST_LIMIT = 24.0  # dispatches out at one host, from all instances together
 LEANS = (0, -1, 1, -2, 2)  # a hot key's caches, from its owner on
-FELL = frozenset(("full", "unconnected", "refused", "error", "reset", "stale"))  # another dispatch may do
+FELL = frozenset(
+    ("full", "unconnected", "refused", "error", "reset", "stale")
+)  # another dispatch may do
 SPARE = 0.45  # of how slow it may be, up to which the origin takes reads off the caches
 
 
@@ -40,7 +48,7 @@
     def __init__(self, desk: Balancer) -> None:
         super().__init__(desk)
         self.let_in: dict[str, float] = {}  # reqs by tenant, in the last seconds
-        self.shed: dict[str, float] = {}    # the part of them that is turned away
+        self.shed: dict[str, float] = {}  # the part of them that is turned away
         self.worst, self.pressed = 0, False
         self.follow()
 
@@ -57,7 +65,9 @@
             self.let_in[req.tenant] += desk.terms.instances == 1
         age = desk.placement.oldest_wait()
         self.worst = max(self.worst, age, desk.origin.oldest_wait())
-        if age > desk.target // 2:  # misses that wait say nothing of the caches, which still have most keys
+        if (
+            age > desk.target // 2
+        ):  # misses that wait say nothing of the caches, which still have most keys
             return desk.finish(req)
         self.next.take(req)
 
@@ -67,17 +77,29 @@
 
     def tick(self) -> None:
         desk, worst, self.worst = self.desk, self.worst, 0
-        lags = [host.lag // 1000 for host in (desk.placement.fleet, *desk.origin.hosts)
-                if desk.sender.slowness(host) > 1.5]
+        lags = [
+            host.lag // 1000
+            for host in (desk.placement.fleet, *desk.origin.hosts)
+            if desk.sender.slowness(host) > 1.5
+        ]
         if (worst > desk.target // 4 or bool(lags)) != self.pressed:
             self.pressed = not self.pressed
-            held, shed = (len(desk.placement.held), len(desk.origin.held)), max(self.shed.values(), default=0)
-            desk.port.log(f"overload {'on' if self.pressed else 'off'}: waited {worst // 1000} ms, held for "
-                          f"caches, origin {held}, lags of all caches, origin {lags} ms, shed {shed:.2f}")
+            held, shed = (
+                (len(desk.placement.held), len(desk.origin.held)),
+                max(self.shed.values(), default=0),
+            )
+            desk.port.log(
+                f"overload {'on' if self.pressed else 'off'}: waited {worst // 1000} ms, held for "
+                f"caches, origin {held}, lags of all caches, origin {lags} ms, shed {shed:.2f}"
+            )
         total = sum(self.let_in.values())
         for name, count in self.let_in.items():
-            over = count / total / desk.terms.tenants[name].share - 1.15 if total else 0.0  # of those let in
-            self.shed[name] = max(0.0, min(0.9, self.shed[name] + (over / 4 if self.pressed else -0.02)))
+            over = (
+                count / total / desk.terms.tenants[name].share - 1.15 if total else 0.0
+            )  # of those let in
+            self.shed[name] = max(
+                0.0, min(0.9, self.shed[name] + (over / 4 if self.pressed else -0.02))
+            )
             self.let_in[name] *= 0.8
 
 
@@ -98,7 +120,9 @@
         self.next.take(req)
 
     def back(self, req: Req, sent: Sent) -> None:
-        if sent.verdict == "miss" and not (req.over or req.write or req.missed or sent.host.is_origin):
+        if sent.verdict == "miss" and not (
+            req.over or req.write or req.missed or sent.host.is_origin
+        ):
             req.missed = True
             return self.take(req)
         self.prev.back(req, sent)
@@ -118,7 +142,7 @@
     def __init__(self, desk: Balancer) -> None:
         super().__init__(desk)
         self.ring: list[Host] = []  # ready caches by id
-        self.cuts: list[int] = []   # where each range ends
+        self.cuts: list[int] = []  # where each range ends
         self.fleet = Host("", False, credit=2.0)  # all caches together
         self.fair = inf  # how many dispatches a cache of size one may hold beside the others
         self.heft, self.placed, self.drawn_at = 1.0, 0, desk.now
@@ -173,9 +197,14 @@
             return None
         i = self.place(req)
         tried = [sent.host for sent in req.sent if sent.verdict not in ("miss", "stale")]
-        side = 1 if req.slot >= self.cuts[i] - ring[i].size // 2 else -1  # that gets this half if it is lost
+        side = (
+            1 if req.slot >= self.cuts[i] - ring[i].size // 2 else -1
+        )  # that gets this half if it is lost
         for step in range(min(2, n // 2) + 1):
-            for host in (ring[(i + side * step) % n], ring[(i - side * step) % n]):  # the owner twice
+            for host in (
+                ring[(i + side * step) % n],
+                ring[(i - side * step) % n],
+            ):  # the owner twice
                 if self.room(host) and host not in tried:
                     return host
                 if not step and not self.desk.fits(host):  # counts twice, or a crowded range grows
@@ -199,7 +228,9 @@
 
     def back(self, req: Req, sent: Sent) -> None:
         self.drain()
-        if sent.verdict == "moved" and not req.over:  # it has not run: what may repeat does not matter
+        if (
+            sent.verdict == "moved" and not req.over
+        ):  # it has not run: what may repeat does not matter
             drains = req.bound is not None and req.bound.state != "up"
             if turn(req.hops - 1, req.bound is not None, drains) is not Turn.GIVE_UP:
                 return self.take(req)
@@ -208,7 +239,11 @@
             if self.last(req) and not self.desk.owners:
                 return self.take(req)
             host = self.choose(req)
-            if host and (host.credit >= 1.0 or sent.verdict == "stale") and self.desk.may_repeat(req, host):
+            if (
+                host
+                and (host.credit >= 1.0 or sent.verdict == "stale")
+                and self.desk.may_repeat(req, host)
+            ):
                 host.credit -= sent.verdict != "stale"  # an old link that broke is nobody's failure
                 return self.next.take(req, host)
         self.prev.back(req, sent)
@@ -228,9 +263,11 @@
             ring += ready
             self.cut()
             self.resize([self.share(host) for host in ring])
-        for i, host in enumerate(ready):  # both in the order of ids: no search, as fleets grow by hundreds
-            if ring[i:i + 1] != [host]:
-                beside = ring[max(i - 1, 0):i + 1]  # both: one that left gets its own again
+        for i, host in enumerate(
+            ready
+        ):  # both in the order of ids: no search, as fleets grow by hundreds
+            if ring[i : i + 1] != [host]:
+                beside = ring[max(i - 1, 0) : i + 1]  # both: one that left gets its own again
                 part, host.size = self.share(host) / sum(map(self.share, (host, *beside))), 0
                 for other in beside:
                     given = round(other.size * part)
@@ -273,22 +310,31 @@
     def tick(self) -> None:
         """Redraw all ranges by the document's formula, where enough has been counted."""
         ring, now, n = self.ring, self.desk.now, len(self.ring)
-        held = sorted(host.held / host.rating for host in ring if now - host.told_at < 2 * REDRAW_GAP)
+        held = sorted(
+            host.held / host.rating for host in ring if now - host.told_at < 2 * REDRAW_GAP
+        )
         self.fair = self.fair_of(held)
         if not ring or now - self.drawn_at < REDRAW_GAP:
             return
-        if self.fleet.sends < REDRAW_SENDS * n:  # few counts would draw another table at each balancer
+        if (
+            self.fleet.sends < REDRAW_SENDS * n
+        ):  # few counts would draw another table at each balancer
             if self.loose > 0 and now - self.changed_at >= 2 * REDRAW_GAP:
                 self.loose, self.drawn_at = self.loose - 1, now
                 self.resize([(host.size + self.share(host)) / 2 for host in ring])
             return
         warm = [host for host in ring if now >= host.warm_at]
         told = sum(host.rate >= 0 for host in warm) * 2 > n
-        counts = {host: host.rate if told else host.sends / (now - host.counted)  # a joiner had less time
-                  for host in warm if not told or host.rate >= 0}
+        counts = {
+            host: host.rate if told else host.sends / (now - host.counted)  # a joiner had less time
+            for host in warm
+            if not told or host.rate >= 0
+        }
         mean = sum(counts.values()) / sum(self.share(host) for host in counts) if counts else 0.0
         loads = [counts.get(host, mean * self.share(host)) for host in ring]
-        if total := sum(loads):  # half way only: sizes that start anew from the even share spring back
+        if total := sum(
+            loads
+        ):  # half way only: sizes that start anew from the even share spring back
             drawn = [2 * self.share(host) - SPACE * load / total for host, load in zip(ring, loads)]
             self.resize([(host.size + size) / 2 for host, size in zip(ring, drawn)])
         for host in ring:
@@ -305,20 +351,32 @@
         if self.hopeless(req):
             return self.desk.give_up(req)
         last = min(req.due, req.born + req.rule_set.response_target)
-        slots, lag = sum(host.limit for host in self.hosts), max((host.lag for host in self.hosts), default=0)
+        slots, lag = (
+            sum(host.limit for host in self.hosts),
+            max((host.lag for host in self.hosts), default=0),
+        )
         if slots < 1 or self.desk.now + lag * (1 + (not req.write) * len(self.held) / slots) > last:
             return self.desk.finish(req)  # a quick deny where waiting would end in one
         self.keep(req, first=req.write)
 
     def choose(self, req: Req) -> Host | None:
-        ready = [host for host in self.hosts if self.desk.now >= host.shun_until and self.desk.fits(host)
-                 and self.desk.may_repeat(req, host)]  # another origin may not drop a repeat
+        ready = [
+            host
+            for host in self.hosts
+            if self.desk.now >= host.shun_until
+            and self.desk.fits(host)
+            and self.desk.may_repeat(req, host)
+        ]  # another origin may not drop a repeat
         return min(ready, key=lambda host: host.load) if ready else None
 
     def spare(self) -> bool:
         """Whether it could take a read that no cache has been asked for, and keep most of its room."""
-        return not self.held and any(host.load * 2 < host.limit - 1 and self.desk.now >= host.shun_until
-                                     and self.desk.sender.slowness(host) < SPARE for host in self.hosts)
+        return not self.held and any(
+            host.load * 2 < host.limit - 1
+            and self.desk.now >= host.shun_until
+            and self.desk.sender.slowness(host) < SPARE
+            for host in self.hosts
+        )
 
     def hopeless(self, req: Req) -> bool:
         return not any(self.desk.may_repeat(req, host) for host in self.hosts)
@@ -365,7 +423,12 @@
         desk, req, host = self.desk, sent.req, sent.host
         if self.lost(sent) and not sent.verdict:
             listed = host in desk.placement.ring or host in desk.origin.hosts  # still
-            if listed and host.credit >= 1.0 and desk.placement.room(host) and desk.may_repeat(req, host):
+            if (
+                listed
+                and host.credit >= 1.0
+                and desk.placement.room(host)
+                and desk.may_repeat(req, host)
+            ):
                 host.credit -= 1.0
                 self.take(req, host)
         elif not sent.verdict and not host.is_origin:
@@ -394,15 +457,21 @@
             host.shun_until, host.heard_at = 0, now
             for one in (host, desk.placement.fleet):
                 one.credit = min(10.0, one.credit + 0.2)
-        if verdict == "done" or verdict == "timeout" and not self.lost(sent):  # a miss is told at once
+        if (
+            verdict == "done" or verdict == "timeout" and not self.lost(sent)
+        ):  # a miss is told at once
             self.heard(host, now - sent.at)
         elif verdict in FELL and verdict != "stale":
             spoilt = verdict in ("error", "reset")
             host.credit = max(0.0, host.credit - spoilt)
             host.sends += verdict == "full"
-            if verdict == "refused" and not (host.is_origin or desk.owners):  # the next process is cold
+            if verdict == "refused" and not (
+                host.is_origin or desk.owners
+            ):  # the next process is cold
                 host.warm_at, host.seen = now + desk.terms.warm_after, desk.placement.placed
-            if not spoilt or host.credit < 1.0:  # a spoilt answer among many says nothing of the host
+            if (
+                not spoilt or host.credit < 1.0
+            ):  # a spoilt answer among many says nothing of the host
                 self.cut(host, 0.7)  # a crowded host makes no connections in time either
                 host.shun_until = now + (BREATHER if verdict == "full" or host.is_origin else TICK)
                 desk.later(host.shun_until - now, desk.pump)  # or what is held waits too long
@@ -418,7 +487,9 @@
 
     def judge(self, host: Host, took: int) -> None:
         """The limit follows the lag: it falls while answers are slow, else grows where it is used."""
-        lag = (self.desk.now - host.judged_at < REDRAW_GAP and host.lag) or took  # an old lag says nothing
+        lag = (
+            self.desk.now - host.judged_at < REDRAW_GAP and host.lag
+        ) or took  # an old lag says nothing
         host.lag, host.judged_at = lag + (took - lag) // 8, self.desk.now
         if (slow := self.slowness(host)) > 1.0:
             self.cut(host, max(0.2 if host.is_origin else 0.5, min(0.9, 1 / slow)))
@@ -430,7 +501,11 @@
     def cut(self, host: Host, by: float) -> None:
         if self.desk.now - host.cut_at > host.lag:  # once in the time that an answer takes
             limit = max(host.limit, self.desk.chance(host))
-            floor = host.floor if host.lag < self.desk.target // 2 else min(host.floor, 1.0 + host.is_origin)
+            floor = (
+                host.floor
+                if host.lag < self.desk.target // 2
+                else min(host.floor, 1.0 + host.is_origin)
+            )
             host.limit = max(floor, min(limit, (1 + host.is_origin) * (host.load + 1)) * by)
             host.cut_at, host.asked = self.desk.now, 0
 
@@ -454,12 +529,33 @@
         if terms.subscribes:
             self.ask_soon(terms.ask_within // 10)
 
-    def on_req(self, id: int, left: int, write: bool, rule_set: str, key: int | None, tenant: str,
-               slot: int = -1, flows: bool = False) -> None:
+    def on_req(
+        self,
+        id: int,
+        left: int,
+        write: bool,
+        rule_set: str,
+        key: int | None,
+        tenant: str,
+        slot: int = -1,
+        flows: bool = False,
+    ) -> None:
         if slot < 0:  # not the protocol's own
-            slot = self.rng.randrange(SPACE) if key is None else crc_hqx(b"%d" % key, 0) & (SPACE - 1)
-        req = Req(id, self.terms.rule_sets[rule_set], tenant, key, slot, write, self.now, self.now + left,
-                  self.terms.max_dispatches, flows=flows)
+            slot = (
+                self.rng.randrange(SPACE) if key is None else crc_hqx(b"%d" % key, 0) & (SPACE - 1)
+            )
+        req = Req(
+            id,
+            self.terms.rule_sets[rule_set],
+            tenant,
+            key,
+            slot,
+            write,
+            self.now,
+            self.now + left,
+            self.terms.max_dispatches,
+            flows=flows,
+        )
         self.reqs[id] = req
         self.admission.take(req)
 
@@ -482,10 +578,14 @@
         if host := self.hosts.get(id):
             host.credit = max(0.0, host.credit - 1.0)
 
-    def on_hosts(self, scope: str, entries: Iterable[tuple[str, str, int, str, str, str, float]]) -> None:
+    def on_hosts(
+        self, scope: str, entries: Iterable[tuple[str, str, int, str, str, str, float]]
+    ) -> None:
         self.failures = self.failures + 1 if scope == "failed" else 0
         if self.failures:
-            return self.ask_soon(min(self.terms.ask_within // 4, 1_000_000 << min(self.failures, 3)))
+            return self.ask_soon(
+                min(self.terms.ask_within // 4, 1_000_000 << min(self.failures, 3))
+            )
         gone = set() if scope == "changes" else set(self.hosts)
         for id, state, since, zone, kind, cell, rating in entries:
             (gone.add if state == "gone" else gone.discard)(id)
@@ -528,10 +628,16 @@
     def restart(self, host: Host, since: int) -> None:
         """A process that has just started owes nothing to its forerunner."""
         host.sends = host.lag = host.cut_at = host.shun_until = 0
-        host.limit, host.credit, host.rate = min(8.0, max(2.0, FIRST_LIMIT / self.terms.instances)), 2.0, -1.0
+        host.limit, host.credit, host.rate = (
+            min(8.0, max(2.0, FIRST_LIMIT / self.terms.instances)),
+            2.0,
+            -1.0,
+        )
         host.floor = (1 + host.is_origin) * 4 / self.terms.instances
         host.since, host.counted, host.seen = since, self.now, self.placement.placed
-        host.warm_at = host.since + self.terms.warm_after if host.since and not host.is_origin else 0
+        host.warm_at = (
+            host.since + self.terms.warm_after if host.since and not host.is_origin else 0
+        )
 
     def tick(self, _: None) -> None:
         self.admission.tick()
@@ -563,7 +669,9 @@
         """It recovers with time, a cache's with use too: where little goes, no answers come to raise it.
         An origin's recovers by good answers: what time alone lets through would keep it from emptying."""
         aims = (self.now - host.cut_at) / self.target
-        return min(1.0, host.limit + (aims / 3 if host.is_origin else min(aims, host.asked)) / RECOVERY)
+        return min(
+            1.0, host.limit + (aims / 3 if host.is_origin else min(aims, host.asked)) / RECOVERY
+        )
 
     def give_up(self, req: Req) -> None:
         if not req.over and not req.out:
@@ -575,19 +683,27 @@
             return False
         return self.allows(req, host, req.rule_set, req.sent, req.most)
 
-    def allows(self, req: Req, host: Host, rule_set: RuleSet, earlier: list[Sent], most: int) -> bool:
+    def allows(
+        self, req: Req, host: Host, rule_set: RuleSet, earlier: list[Sent], most: int
+    ) -> bool:
         """Whether the rule set allows one to this host after these."""
         if len(earlier) - req.hops >= most:
             return False
         doubtful = [] if rule_set.replayable else suspects(earlier)
-        if doubtful and not (rule_set.uniqued and self.now - doubtful[0].at < rule_set.repeat_window):
+        if doubtful and not (
+            rule_set.uniqued and self.now - doubtful[0].at < rule_set.repeat_window
+        ):
             return False  # it may have run, and nobody would drop the repeat
         return rule_set.group == "all" or all(
-            getattr(sent.host, rule_set.group) == getattr(host, rule_set.group) for sent in doubtful)
+            getattr(sent.host, rule_set.group) == getattr(host, rule_set.group) for sent in doubtful
+        )
 
     def comeback(self, req: Req, rule_set: RuleSet) -> int:
         """How long a client that is denied stays away; under 0 where a retry may do harm."""
-        pause, doubtful = self.terms.max_pause // 2, [] if rule_set.replayable else suspects(req.sent)
+        pause, doubtful = (
+            self.terms.max_pause // 2,
+            [] if rule_set.replayable else suspects(req.sent),
+        )
         if doubtful and not (rule_set.uniqued and rule_set.group == "all"):
             return -1
         if doubtful:  # a retry that comes when its mark is forgotten would run again
--- a/orchidgap/decisions/slots.py
+++ b/orchidgap/decisions/slots.py
@@ -22,19 +22,19 @@
 from typing import NamedTuple
 
 SPACE = 1 << 14
-MOST_HOPS = 5             # redirections that one req follows
-FLOOR = 1_000_000         # microseconds between two asks for the map, whatever is redirected
-USUAL = 15_000_000        # between asks where nothing is redirected
-SPREAD = 0.5              # part of either by which it varies: balancers must not ask together
+MOST_HOPS = 5  # redirections that one req follows
+FLOOR = 1_000_000  # microseconds between two asks for the map, whatever is redirected
+USUAL = 15_000_000  # between asks where nothing is redirected
+SPREAD = 0.5  # part of either by which it varies: balancers must not ask together
 UNKNOWN = -1
 
 
 class Turn(Enum):
     """What is to be done with a req after a redirection."""
 
-    FOLLOW = "follow"      # send it to the server named
-    WAIT = "wait"          # it is not known where to: ask for the map, try again shortly
-    GIVE_UP = "give up"    # it has been sent about often enough, or whom it names drains
+    FOLLOW = "follow"  # send it to the server named
+    WAIT = "wait"  # it is not known where to: ask for the map, try again shortly
+    GIVE_UP = "give up"  # it has been sent about often enough, or whom it names drains
 
 
 class Range(NamedTuple):
@@ -63,11 +63,11 @@
         self.numbers: dict[str, int] = {}
         self.owners = array("h", [UNKNOWN]) * SPACE
         self.replicas: dict[str, tuple[str, ...]] = {}
-        self.doubted = False         # a redirection told what no whole map has confirmed
+        self.doubted = False  # a redirection told what no whole map has confirmed
         self.asked_at = now - FLOOR
-        self.due = now               # when the map is asked for next
+        self.due = now  # when the map is asked for next
         self.failures = 0
-        self.clashes = 0             # slots that the last map gave to two owners
+        self.clashes = 0  # slots that the last map gave to two owners
 
     def number(self, name: str) -> int:
         if name not in self.numbers:
@@ -160,5 +160,5 @@
     if start >= 0:
         end = key.find(b"}", start + 1)
         if end > start + 1:
-            return key[start + 1:end]
+            return key[start + 1 : end]
     return key
--- a/orchidgap/decisions/spread.py
+++ b/orchidgap/decisions/spread.py
@@ -12,7 +12,7 @@
 from math import exp, lgamma, log
 
 WINDOW = 100_000  # in which a herd is looked for
-BESIDE = 20       # windows on each side that tell what a cache's mean is then
+BESIDE = 20  # windows on each side that tell what a cache's mean is then
 
 
 def shares(counts: Mapping[str, float], sizes: Mapping[str, float]) -> dict[str, float]:
@@ -72,7 +72,9 @@
             first, end = max(0, window - BESIDE), min(windows, window + BESIDE + 1)
             beside = (sums[end] - sums[first] - count) / max(1, end - first - 1)
             if count:
-                found = max(found, count / largest(round(max(whole, beside), 1), windows * len(rows)))
+                found = max(
+                    found, count / largest(round(max(whole, beside), 1), windows * len(rows))
+                )
     return found
 
 
@@ -83,7 +85,9 @@
     (3, 6, 6)
     """
     times = sorted(at for at in arrivals if since <= at < until)
-    return max((after - before for before, after in zip([since, *times], [*times, until])), default=0)
+    return max(
+        (after - before for before, after in zip([since, *times], [*times, until])), default=0
+    )
 
 
 def moved(reads: Iterable[tuple[int, str, int]]) -> float:
--- a/orchidgap/decisions/terms.py
+++ b/orchidgap/decisions/terms.py
@@ -51,7 +51,9 @@
     rule_sets: dict[str, RuleSet]
     tenants: dict[str, Tenant]
     instances: int
-    origin_kind: str  # the kind whose entry is the origin; empty where the caches fetch for themselves
+    origin_kind: (
+        str  # the kind whose entry is the origin; empty where the caches fetch for themselves
+    )
     subscribes: bool
     ask_within: int
     max_dispatches: int
@@ -90,8 +92,11 @@
             except ValueError:
                 raise BadTerm(f"setting {path} is {pairs[path]!r}, and must be a number") from None
             if not (0 < value < inf if over else 0 <= value < inf):
-                raise BadTerm(f"setting {path} is {value:g}, and must be over 0" if over else
-                              f"setting {path} is {value:g}, and must not be under 0")
+                raise BadTerm(
+                    f"setting {path} is {value:g}, and must be over 0"
+                    if over
+                    else f"setting {path} is {value:g}, and must not be under 0"
+                )
             return value
 
         def whole(path: str, default: float) -> int:
@@ -121,8 +126,12 @@
                 raise BadTerm(f"setting {at}name is {name!r}, and must be a name of its own")
             rule_sets[name] = RuleSet(
                 whole(at + "response-target", timeout),
-                effect == "retryable", effect == "dedup",
-                word(at + "group", "cell", GROUPS), int(number(at + "repeat-window", 0)), timeout)
+                effect == "retryable",
+                effect == "dedup",
+                word(at + "group", "cell", GROUPS),
+                int(number(at + "repeat-window", 0)),
+                timeout,
+            )
         tenants: dict[str, Tenant] = {}
         for i in range(int(number("customers.count", 0))):
             name = need(f"customers.{i}.name")
@@ -131,12 +140,20 @@
         kind = int(number("family-info.origin-kind", len(kinds)))
         aside = pairs.get("family-info.mode") == "aside" and kind < len(kinds)
         return cls(
-            rule_sets, tenants, max(1, int(number("instances", 1))), kinds[kind] if aside else "",
-            pairs.get("registry-mode") == "subscribe", int(number("guarantees.ask-within", 10_000_000)),
+            rule_sets,
+            tenants,
+            max(1, int(number("instances", 1))),
+            kinds[kind] if aside else "",
+            pairs.get("registry-mode") == "subscribe",
+            int(number("guarantees.ask-within", 10_000_000)),
             whole("ceilings.most-dispatches", 3),
-            yes("ceilings.may-cancel"), yes("ceilings.may-duplicate"),
+            yes("ceilings.may-cancel"),
+            yes("ceilings.may-duplicate"),
             int(number("ceilings.max-retry-after", 0)) if yes("ceilings.retry-after") else 0,
-            number("guarantees.cold-from", 0.1), int(number("guarantees.warm-after", 30_000_000)),
+            number("guarantees.cold-from", 0.1),
+            int(number("guarantees.warm-after", 30_000_000)),
             word("weights", "off", WEIGHTS) in ("nominal", "rough"),  # "live" ones swing
             tuple(filter(None, pairs.get("report.fields", "").split(",")))
-            if word("report.how", "off", REPORTS) == "inline" else ())
+            if word("report.how", "off", REPORTS) == "inline"
+            else (),
+        )
--- a/orchidgap/decisions/versions.py
+++ b/orchidgap/decisions/versions.py
@@ -8,7 +8,9 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-ALONE = frozenset(("known", "seed", "watch"))  # they say how things stand for a time, and may be left out
+ALONE = frozenset(
+    ("known", "seed", "watch")
+)  # they say how things stand for a time, and may be left out
 
 
 def kind_of(value: Any) -> str:
@@ -39,7 +41,9 @@
             keys |= shape(value, at + ".")
         elif isinstance(value, list) and value and all(isinstance(one, Mapping) for one in value):
             first, *others = (shape(one, at + ".*.") for one in value)
-            keys |= {key: kind for key, kind in first.items() if all(key in other for other in others)}
+            keys |= {
+                key: kind for key, kind in first.items() if all(key in other for other in others)
+            }
     return keys
 
 
--- a/orchidgap/decisions/watch.py
+++ b/orchidgap/decisions/watch.py
@@ -25,7 +25,12 @@
 
     def __init__(self, watching: Watching, port: Port) -> None:
         self.watching, self.port = watching, port
-        self.cancel, self.wake, self.subscribe, self.log = port.cancel, port.wake, port.subscribe, port.log
+        self.cancel, self.wake, self.subscribe, self.log = (
+            port.cancel,
+            port.wake,
+            port.subscribe,
+            port.log,
+        )
 
     def dispatch(self, req: int, host: str) -> None:
         self.watching.sees(self.watching.reqs[req])
@@ -55,11 +60,16 @@
 class Watching(Balancer):
     sends = WatchedDispatch
 
-    def __init__(self, other: ServiceTerms, terms: ServiceTerms, port: Port, seed: int, now: int) -> None:
+    def __init__(
+        self, other: ServiceTerms, terms: ServiceTerms, port: Port, seed: int, now: int
+    ) -> None:
         self.other, self.looked = other, 0
         self.said_at, self.said = now, ""
         self.counts = dict.fromkeys(KINDS, 0)
-        self.cuts: list[list[int]] = [[], []]  # where even ranges end, by these terms and by the others
+        self.cuts: list[list[int]] = [
+            [],
+            [],
+        ]  # where even ranges end, by these terms and by the others
         self.helds: dict[str, float] = {}
         super().__init__(terms, WatchedPort(self, port), seed, now)
 
@@ -95,12 +105,19 @@
         copy = any(not one.verdict for one in earlier)
         self.add("copy", copy and not self.other.may_double)
         repeats = not copy and bool(earlier)
-        self.add("repeat", repeats and not self.allows(
-            req, sent.host, self.theirs(req), earlier, self.other.max_dispatches))
+        self.add(
+            "repeat",
+            repeats
+            and not self.allows(
+                req, sent.host, self.theirs(req), earlier, self.other.max_dispatches
+            ),
+        )
 
     def theirs(self, req: Req) -> RuleSet:
         """The other terms' rule set of that name; its own where it came under earlier terms."""
-        names = [name for name, rule_set in self.terms.rule_sets.items() if rule_set is req.rule_set]
+        names = [
+            name for name, rule_set in self.terms.rule_sets.items() if rule_set is req.rule_set
+        ]
         return self.other.rule_sets.get(names[0], req.rule_set) if names else req.rule_set
 
     def ends(self, id: int, pause: int) -> None:
@@ -111,7 +128,9 @@
         self.add("answer", (theirs >= 0) != (pause >= 0))
         self.add("pause", min(theirs, pause) >= 0 and theirs != pause)
 
-    def on_hosts(self, scope: str, entries: Iterable[tuple[str, str, int, str, str, str, float]]) -> None:
+    def on_hosts(
+        self, scope: str, entries: Iterable[tuple[str, str, int, str, str, str, float]]
+    ) -> None:
         super().on_hosts(scope, entries)
         self.helds = {id: held for id, held in self.helds.items() if id in self.hosts}
         mine = self.ends_of_shares()
@@ -119,7 +138,10 @@
             self.cuts = [mine, self.ends_of_shares()]
 
     def ends_of_shares(self) -> list[int]:
-        return [round(end) for end in accumulate(self.placement.share(host) for host in self.placement.ring)]
+        return [
+            round(end)
+            for end in accumulate(self.placement.share(host) for host in self.placement.ring)
+        ]
 
     def on_report(self, id: str, rate: float | None, held: float | None = None) -> None:
         if held is not None and (host := self.hosts.get(id)) and not host.is_origin:
--- a/orchidgap/drill/command.py
+++ b/orchidgap/drill/command.py
@@ -32,12 +32,20 @@
         if defect and defect not in DEFECTS:
             raise BadPlan(f"no defect {defect!r}: one of {', '.join(DEFECTS)}")
         if policy != "orchidgap" and (policy not in KINDS or drill.control.count or defect):
-            raise BadPlan(f"--policy={policy}: one of {', '.join(KINDS)}, without control and defects")
+            raise BadPlan(
+                f"--policy={policy}: one of {', '.join(KINDS)}, without control and defects"
+            )
     except BadPlan as trouble:
         print(f"orchidgap: {trouble}", file=sys.stderr)
         return 2
-    verdict, town = play(drill, seed, defect, Path(told["--out"]) if told["--out"] else None,
-                         told["--disk"] or "", policy)
+    verdict, town = play(
+        drill,
+        seed,
+        defect,
+        Path(told["--out"]) if told["--out"] else None,
+        told["--disk"] or "",
+        policy,
+    )
     for rule, at, text in town.referee.breaches[:SHOWN]:
         print(f"{rule} at {at:.3f} s: {text}", file=sys.stderr)
     print(orjson.dumps(verdict).decode())
@@ -58,8 +66,14 @@
     return replace(drill, plan=replace(drill.plan, balancers=balancers))
 
 
-def play(drill: Drill, seed: int | None = None, defect: str = "", out: Path | None = None,
-         disk: str = "", policy: str = "orchidgap") -> tuple[dict[str, Any], Town]:
+def play(
+    drill: Drill,
+    seed: int | None = None,
+    defect: str = "",
+    out: Path | None = None,
+    disk: str = "",
+    policy: str = "orchidgap",
+) -> tuple[dict[str, Any], Town]:
     """One drill: its verdict, and what is left of it. What its processes wrote is kept in `out`."""
     town = Town(drill, seed, defect, disk, policy)
     copied = Path(tempfile.mkdtemp()) if out else None
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -131,11 +131,30 @@
 
     def again(self: Pool, name: str, row: Row) -> str:
         known = self.rows[name].keys if name in self.rows else {}
-        return hear(self, name, row._replace(keys={
-            key: count + known.get(key, 0.0) for key, count in row.keys.items()}))
+        return hear(
+            self,
+            name,
+            row._replace(
+                keys={key: count + known.get(key, 0.0) for key, count in row.keys.items()}
+            ),
+        )
 
     Pool.hear = again
 
 
-DEFECTS = {defect.__name__: defect for defect in (
-    skips, early, forgets, twice, hasty, leaseless, dozes, impatient, amnesic, blind, echoes)}
+DEFECTS = {
+    defect.__name__: defect
+    for defect in (
+        skips,
+        early,
+        forgets,
+        twice,
+        hasty,
+        leaseless,
+        dozes,
+        impatient,
+        amnesic,
+        blind,
+        echoes,
+    )
+}
--- a/orchidgap/drill/explore.py
+++ b/orchidgap/drill/explore.py
@@ -91,16 +91,18 @@
 
     ballot: Ballot
     label: str
-    but: int                                  # an acceptor that does not count, -1 for none
+    but: int  # an acceptor that does not count, -1 for none
     heard: tuple[tuple[int, Ballot, int], ...]  # promises, in the order they came
-    value: int                                # -1 until it is known
+    value: int  # -1 until it is known
     took: frozenset[int]
 
 
 class State(NamedTuple):
-    kept: tuple[tuple[Ballot, Ballot, int] | None, ...]  # of each acceptor; None where the disk is lost
+    kept: tuple[
+        tuple[Ballot, Ballot, int] | None, ...
+    ]  # of each acceptor; None where the disk is lost
     jobs: tuple[Job, ...]
-    taken: frozenset[tuple[Ballot, int, int]]            # all that was ever taken: ballot, value, by whom
+    taken: frozenset[tuple[Ballot, int, int]]  # all that was ever taken: ballot, value, by whom
     lost: int
 
 
@@ -111,7 +113,9 @@
         self.store = Store()
         self.jobs, self.losses = jobs, losses
         empty = self.store.number({"list": []})
-        self.blank: tuple[Ballot, Ballot, int] | None = None  # of what an acceptor knows without its disk
+        self.blank: tuple[Ballot, Ballot, int] | None = (
+            None  # of what an acceptor knows without its disk
+        )
         self.first = State(((NONE, NONE, empty),) * 3, (), frozenset(), 0)
 
     def acceptor(self, state: State, x: int) -> Acceptor | None:
@@ -121,10 +125,11 @@
     def put(self, state: State, x: int, kept: Kept) -> tuple[Any, ...]:
         """Written, and counts."""
         row = kept.promised, kept.ballot, self.store.number(kept.value)
-        return (*state.kept[:x], row, *state.kept[x + 1:])
+        return (*state.kept[:x], row, *state.kept[x + 1 :])
 
     def round(self, job: Job) -> Round:
         """As it stands, from what has come."""
+
         def longer(value: Value) -> Value:
             return {"list": [*value["list"], job.label]} if job.label else value
 
@@ -148,9 +153,16 @@
             for who in LABELS:
                 # its own last one too, after a new start
                 for count in sorted({max(counts), max(counts) + 1} - {0}):
-                    if any(job.ballot == (count, other) for job in jobs for other in LABELS if other != who):
+                    if any(
+                        job.ballot == (count, other)
+                        for job in jobs
+                        for other in LABELS
+                        if other != who
+                    ):
                         continue
-                    yield state._replace(jobs=(*jobs, Job((count, who), label, -1, (), -1, frozenset())))
+                    yield state._replace(
+                        jobs=(*jobs, Job((count, who), label, -1, (), -1, frozenset()))
+                    )
             for x, row in enumerate(state.kept):
                 if row is None:
                     job = Job((max(counts) + 1, f"x{x}"), "", x, (), -1, frozenset())
@@ -168,24 +180,30 @@
                         new = job._replace(heard=heard)
                         if (value := self.round(new).value) is not None:
                             new = new._replace(value=self.store.number(value))
-                        yield after._replace(jobs=(*jobs[:i], new, *jobs[i + 1:]))
-                took = acceptor.accept(job.ballot, self.store.values[job.value]) if job.value >= 0 else None
+                        yield after._replace(jobs=(*jobs[:i], new, *jobs[i + 1 :]))
+                took = (
+                    acceptor.accept(job.ballot, self.store.values[job.value])
+                    if job.value >= 0
+                    else None
+                )
                 if took is not None:
-                    after = state._replace(kept=self.put(state, x, took),
-                                           taken=state.taken | {(job.ballot, job.value, x)})
+                    after = state._replace(
+                        kept=self.put(state, x, took),
+                        taken=state.taken | {(job.ballot, job.value, x)},
+                    )
                     yield after
                     yield self.told(after, i, job._replace(took=job.took | {x}))
         if state.lost < self.losses:
             for x in range(3):
-                kept = (*state.kept[:x], self.blank, *state.kept[x + 1:])
+                kept = (*state.kept[:x], self.blank, *state.kept[x + 1 :])
                 yield state._replace(kept=kept, lost=state.lost + 1)
 
     def told(self, state: State, i: int, job: Job) -> State:
         """An acceptance is heard of; whoever had lost its disk comes back with what is chosen then."""
         kept = state.kept
         if job.but >= 0 and kept[job.but] is None and self.round(job).accepted(str(job.but)):
-            kept = (*kept[:job.but], (job.ballot, job.ballot, job.value), *kept[job.but + 1:])
-        return state._replace(kept=kept, jobs=(*state.jobs[:i], job, *state.jobs[i + 1:]))
+            kept = (*kept[: job.but], (job.ballot, job.ballot, job.value), *kept[job.but + 1 :])
+        return state._replace(kept=kept, jobs=(*state.jobs[:i], job, *state.jobs[i + 1 :]))
 
     def check(self, state: State) -> None:
         by: dict[tuple[Ballot, int], set[int]] = {}
@@ -194,7 +212,7 @@
         found = sorted((ballot, value) for (ballot, value), who in by.items() if len(who) >= 2)
         lists = [self.store.values[value]["list"] for _, value in found]
         for one, other in pairwise(lists):
-            if other[:len(one)] != one:
+            if other[: len(one)] != one:
                 raise Broken(f"{one} was chosen, then {other}")
 
 
@@ -218,8 +236,8 @@
     writing: int
     until: int
     stays: bool
-    asked: int | None             # no call
-    said: tuple[int, int]         # runs and promised, as the call has them
+    asked: int | None  # no call
+    said: tuple[int, int]  # runs and promised, as the call has them
 
 
 class Seat(NamedTuple):
@@ -232,23 +250,25 @@
     rows: tuple[Row, ...]
     unknown_until: int
     locked: tuple[int, int] | None
-    writing: int                  # which acceptance is on its way to the disk, -1 for none
-    ghost: int                    # one whose write failed, and which may be there all the same
+    writing: int  # which acceptance is on its way to the disk, -1 for none
+    ghost: int  # one whose write failed, and which may be there all the same
     answers: tuple[Answer | None, ...]
-    took: int                     # the acceptances it has taken that would decide something, a bit each
+    took: int  # the acceptances it has taken that would decide something, a bit each
 
 
 class Rest(NamedTuple):
-    sent: tuple[int, ...]                 # acceptances asked for, wherever they arrive: the value of each
+    sent: tuple[int, ...]  # acceptances asked for, wherever they arrive: the value of each
     decided: tuple[tuple[int, int], ...]  # version, how long ago it was chosen
-    starts: int                           # of processes that died
+    starts: int  # of processes that died
 
 
 class Town(NamedTuple):
     """All parts by their numbers: equal parts have equal ones, so a state is small and quickly compared."""
 
     held: tuple[int, ...]
-    seats: tuple[int, ...]  # in the order of their numbers: which acceptor is which makes no difference
+    seats: tuple[
+        int, ...
+    ]  # in the order of their numbers: which acceptor is which makes no difference
     rest: int
 
 
@@ -273,11 +293,13 @@
 
 def but(row: tuple[Any, ...], i: int, new: Any) -> tuple[Any, ...]:
     """With another one at that place."""
-    return (*row[:i], new, *row[i + 1:])
+    return (*row[:i], new, *row[i + 1 :])
 
 
 class Fleet:
-    def __init__(self, balancers: int, proposals: int, rounds: int, starts: int, alone: str) -> None:
+    def __init__(
+        self, balancers: int, proposals: int, rounds: int, starts: int, alone: str
+    ) -> None:
         self.store, self.held, self.seats, self.rests = Store(), Parts(), Parts(), Parts()
         self.proposals, self.rounds, self.starts, self.alone = proposals, rounds, starts, alone
         stay = {f"b{b}": "0" for b in range(balancers)} if alone == "stay" else {}
@@ -286,8 +308,21 @@
         held = self.held(Held(0, 0, 0, 0, 0, alone == "stay", None, (0, 0)))
         self.first = Town((held,) * balancers, (seat,) * 3, self.rests(Rest((), (), 0)))
         # what one part comes to is found once, and not for every state that has it
-        for name in ("wrote", "heard", "reach", "arrive", "take", "cleared", "later_held", "later_seat",
-                     "rights", "later_rest", "restarted", "ended", "settled"):
+        for name in (
+            "wrote",
+            "heard",
+            "reach",
+            "arrive",
+            "take",
+            "cleared",
+            "later_held",
+            "later_seat",
+            "rights",
+            "later_rest",
+            "restarted",
+            "ended",
+            "settled",
+        ):
             setattr(self, name, cache(getattr(self, name)))
 
     # --- the modules' own objects, from parts and back
@@ -300,8 +335,13 @@
 
     @staticmethod
     def holds(held: Held, tenure: Tenure) -> Held:
-        return held._replace(runs=tenure.runs, promised=tenure.promised, writing=tenure.writing,
-                             until=max(0, tenure.until), stays=tenure.stays)
+        return held._replace(
+            runs=tenure.runs,
+            promised=tenure.promised,
+            writing=tenure.writing,
+            until=max(0, tenure.until),
+            stays=tenure.stays,
+        )
 
     @staticmethod
     def leases(seat: Seat) -> Leases:
@@ -327,15 +367,21 @@
         will start from."""
         seat, there = self.seats.all[number], self.rests.all[rest]
         last = max((n for n, _ in there.decided), default=0)
-        took = sum(1 << i for i, value in enumerate(there.sent)
-                   if seat.took >> i & 1 and self.store.values[value]["n"] > last)
+        took = sum(
+            1 << i
+            for i, value in enumerate(there.sent)
+            if seat.took >> i & 1 and self.store.values[value]["n"] > last
+        )
         ghost = seat.ghost if there.starts < self.starts else -1
         return self.seats(seat._replace(took=took, ghost=ghost))
 
     def steps(self, town: Town) -> Iterator[tuple[tuple[int, ...], tuple[int, ...], int]]:
         held, seats, rest = town
-        yield (tuple(self.later_held(one) for one in held), tuple(self.later_seat(one) for one in seats),
-               self.later_rest(rest))
+        yield (
+            tuple(self.later_held(one) for one in held),
+            tuple(self.later_seat(one) for one in seats),
+            self.later_rest(rest),
+        )
         there: Rest = self.rests.all[rest]
         dies = there.starts < self.starts
         more = self.rests(there._replace(starts=there.starts + 1)) if dies else rest
@@ -345,11 +391,18 @@
                 yield but(held, b, self.wrote(number)), seats, rest
             if one.asked is None or one.asked < 0:  # it calls
                 said = one.runs, one.promised
-                yield (but(held, b, self.held(one._replace(asked=0, said=said))),
-                       tuple(self.cleared(seat, b) for seat in seats), rest)
+                yield (
+                    but(held, b, self.held(one._replace(asked=0, said=said))),
+                    tuple(self.cleared(seat, b) for seat in seats),
+                    rest,
+                )
             if dies:
                 new = Held(one.life + 1, -1, 0, 0, 0, False, None, (0, 0))
-                yield but(held, b, self.held(new)), tuple(self.cleared(seat, b) for seat in seats), more
+                yield (
+                    but(held, b, self.held(new)),
+                    tuple(self.cleared(seat, b) for seat in seats),
+                    more,
+                )
             if one.asked is not None:
                 for x, seat in enumerate(seats):
                     if self.seats.all[seat].answers[b] is None:
@@ -407,7 +460,9 @@
     def heard(self, b: int, number: int, came: tuple[Answer, ...]) -> tuple[int, bool]:
         """What it then is, and whether the call is over."""
         held: Held = self.held.all[number]
-        value, granted = answered(3, [(at, self.store.values[value], grants) for at, value, grants in came])
+        value, granted = answered(
+            3, [(at, self.store.values[value], grants) for at, value, grants in came]
+        )
         if value is None:
             return number, False
         assert held.asked is not None
@@ -443,7 +498,10 @@
         """An acceptance, as `Control.accept` takes it: it waits, or is on its way to the disk."""
         seat: Seat = self.seats.all[number]
         acceptor = Acceptor(Kept(seat.promised, seat.ballot, self.store.values[seat.value]))
-        if seat.ballot == ballot_of(i) or acceptor.accept(ballot_of(i), self.store.values[value]) is None:
+        if (
+            seat.ballot == ballot_of(i)
+            or acceptor.accept(ballot_of(i), self.store.values[value]) is None
+        ):
             return []
         leases = self.leases(seat)
         late = leases.takes(acceptor.kept.value, self.store.values[value], 0)
@@ -460,10 +518,13 @@
     def restarted(self, number: int) -> int:
         seat: Seat = self.seats.all[number]
         unknown = Leases(LEASE, 0).unknown_until  # as a new process reckons it
-        return self.seats(seat._replace(rows=(), unknown_until=unknown, locked=None, writing=-1, ghost=-1))
+        return self.seats(
+            seat._replace(rows=(), unknown_until=unknown, locked=None, writing=-1, ghost=-1)
+        )
 
-    def taken(self, held: tuple[int, ...], seats: tuple[int, ...], rest: int, x: int,
-              i: int) -> tuple[tuple[int, ...], tuple[int, ...], int]:
+    def taken(
+        self, held: tuple[int, ...], seats: tuple[int, ...], rest: int, x: int, i: int
+    ) -> tuple[tuple[int, ...], tuple[int, ...], int]:
         """The acceptance is on that acceptor's disk."""
         there: Rest = self.rests.all[rest]
         seats = but(seats, x, self.take(seats[x], i, there.sent[i]))
@@ -475,9 +536,16 @@
         seat: Seat = self.seats.all[number]
         leases = self.leases(seat)
         leases.written()
-        return self.seats(self.granting(seat, leases)._replace(
-            promised=ballot_of(i), ballot=ballot_of(i), value=value, writing=-1, ghost=-1,
-            took=seat.took | 1 << i))
+        return self.seats(
+            self.granting(seat, leases)._replace(
+                promised=ballot_of(i),
+                ballot=ballot_of(i),
+                value=value,
+                writing=-1,
+                ghost=-1,
+                took=seat.took | 1 << i,
+            )
+        )
 
     def chosen(self, held: tuple[int, ...], rest: Rest, value: Value) -> int:
         """At this moment: whoever may serve has to have promised what is decided by it."""
@@ -487,7 +555,9 @@
         for b, number in enumerate(held):
             one = self.held.all[number]
             if self.rights(number) and one.runs < n and one.promised != value["try"]:
-                raise Broken(f"version {n} was decided while b{b} may serve under {one.runs} unpromised")
+                raise Broken(
+                    f"version {n} was decided while b{b} may serve under {one.runs} unpromised"
+                )
         return self.rests(rest._replace(decided=(*rest.decided, (n, 0))))
 
     def rounds_of(self, town: Town, rest: Rest) -> Iterator[tuple[tuple[int, ...], int]]:
@@ -505,7 +575,10 @@
             value = self.store.values[max(asked, key=lambda seat: seat.ballot).value]
             for made in self.made_of(town, value):
                 if made is not None:
-                    yield tuple(seats), self.rests(rest._replace(sent=(*rest.sent, self.store.number(made))))
+                    yield (
+                        tuple(seats),
+                        self.rests(rest._replace(sent=(*rest.sent, self.store.number(made)))),
+                    )
 
     def made_of(self, town: Town, value: Value) -> list[Value | None]:
         new: list[Value | None] = [value]
@@ -515,8 +588,10 @@
             number = value["next"]["try"]
             new += [change.decided(value, number), change.dropped(value, number, "")]
         if self.alone == "stay":
-            new += [change.joined(value, f"b{b}", str(self.held.all[held].life))
-                    for b, held in enumerate(town.held)]
+            new += [
+                change.joined(value, f"b{b}", str(self.held.all[held].life))
+                for b, held in enumerate(town.held)
+            ]
         return new
 
     def rights(self, number: int) -> bool:
@@ -556,8 +631,11 @@
         model, began = MODELS[name](), time.monotonic()
         count, whole = explore(model.first, model.after, most)
         steps = 0 if whole else walk(model.first, model.after, walks, Random(1))
-        print(f"{name}: {count} states, {'all' if whole else 'not all'}; {steps} steps by chance; "
-              f"{time.monotonic() - began:.0f} s", flush=True)
+        print(
+            f"{name}: {count} states, {'all' if whole else 'not all'}; {steps} steps by chance; "
+            f"{time.monotonic() - began:.0f} s",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/orchidgap/drill/judge.py
+++ b/orchidgap/drill/judge.py
@@ -25,11 +25,11 @@
 
     number: int
     began: int
-    outcome: str = ""      # decided, nowhere or unknown
-    n: int = 0             # as which version
+    outcome: str = ""  # decided, nowhere or unknown
+    n: int = 0  # as which version
     why: str = ""
-    ended: int = 0         # when its caller was told
-    not_before: int = 0    # a majority of control had not taken it yet at this time
+    ended: int = 0  # when its caller was told
+    not_before: int = 0  # a majority of control had not taken it yet at this time
 
 
 class Judge:
@@ -37,7 +37,9 @@
         self.referee, self.bound, self.slack = referee, bound, slack
         self.fates: dict[int, Fate] = {0: Fate(0, 0, "decided", 0)}
         self.counts = dict.fromkeys(RULES, 0)
-        self.took: list[int] = []    # from a decision to the last client answered under an earlier version
+        self.took: list[
+            int
+        ] = []  # from a decision to the last client answered under an earlier version
         # reqs answered under an earlier version after a decision, within the bound
         self.mixed = 0
 
@@ -49,7 +51,9 @@
         """Some caller was told this."""
         if fate.outcome in ("decided", "nowhere") and outcome in ("decided", "nowhere"):
             if (fate.outcome, fate.n) != (outcome, n):
-                self.breach("untrue", at, f"v{fate.number}: {outcome} {n}, after {fate.outcome} {fate.n}")
+                self.breach(
+                    "untrue", at, f"v{fate.number}: {outcome} {n}, after {fate.outcome} {fate.n}"
+                )
             return
         if outcome in ("decided", "nowhere") or not fate.outcome:
             fate.outcome, fate.n, fate.why, fate.ended = outcome, n, why, at
@@ -59,7 +63,12 @@
         found = []
         for ask in self.referee.asks.values():
             name = ask.op.work.name
-            if ask.status == 200 and name[0] == "v" and name[1:].isdigit() and int(name[1:]) in self.fates:
+            if (
+                ask.status == 200
+                and name[0] == "v"
+                and name[1:].isdigit()
+                and int(name[1:]) in self.fates
+            ):
                 found.append((ask, self.fates[int(name[1:])]))
         return found
 
@@ -74,7 +83,9 @@
         for ask, fate in governed:
             who = f"{ask.id.decode()} at {ask.balancer}: answered under v{fate.number}"
             if fate.outcome != "decided":
-                self.breach("undecided", ask.answered_at, f"{who}, which holds {fate.outcome or 'nowhere'}")
+                self.breach(
+                    "undecided", ask.answered_at, f"{who}, which holds {fate.outcome or 'nowhere'}"
+                )
                 continue
             if fate.number and ask.answered_at < fate.not_before:
                 self.breach("undecided", ask.answered_at, f"{who} before it was decided")
@@ -92,9 +103,17 @@
     def verdict(self, verdict: dict[str, Any]) -> dict[str, Any]:
         broken = verdict["verdict"] == "broken" or any(self.counts.values())
         fates = [fate.outcome for number, fate in sorted(self.fates.items()) if number]
-        took = sorted(fate.ended - fate.began for fate in self.fates.values() if fate.outcome == "decided"
-                      and fate.number)
-        return verdict | {"verdict": "broken" if broken else "kept", **self.counts, "mixed": self.mixed,
-                          "decided": fates.count("decided"), "nowhere": fates.count("nowhere"),
-                          "decided_ms": [round(one / 1e3) for one in took],
-                          "taken_ms": [round(one / 1e3) for one in sorted(self.took)]}
+        took = sorted(
+            fate.ended - fate.began
+            for fate in self.fates.values()
+            if fate.outcome == "decided" and fate.number
+        )
+        return verdict | {
+            "verdict": "broken" if broken else "kept",
+            **self.counts,
+            "mixed": self.mixed,
+            "decided": fates.count("decided"),
+            "nowhere": fates.count("nowhere"),
+            "decided_ms": [round(one / 1e3) for one in took],
+            "taken_ms": [round(one / 1e3) for one in sorted(self.took)],
+        }
--- a/orchidgap/drill/plan.py
+++ b/orchidgap/drill/plan.py
@@ -14,13 +14,42 @@
 from orchidgap.trial.plan import BadPlan, Count, Natural, Plan, Positive, Table, Work, checked
 
 SEEN = {  # by the first word: how many more there are
-    "up": 0, "seconds": 1, "log": 2, "ended": 0, "serves": 2, "denies": 1, "takes": 1, "gone": 1,
+    "up": 0,
+    "seconds": 1,
+    "log": 2,
+    "ended": 0,
+    "serves": 2,
+    "denies": 1,
+    "takes": 1,
+    "gone": 1,
 }
 DO = {
-    "nothing": 0, "propose": (1, 2), "kill": 1, "term": 1, "stop": 1, "go": 1, "start": 1, "wipe": 1,
-    "tear": 2, "full": 1, "room": 1, "disk": 4, "cut": 2, "stall": 2, "slow": (3, 4), "heal": (0, 2),
-    "strike": 1, "hup": 1, "draw": 0, "mend": 0, "hosts": 2, "sighup": 0, "measure": 1, "trouble": (2, 4),
-    "lose": 2, "noise": 2,
+    "nothing": 0,
+    "propose": (1, 2),
+    "kill": 1,
+    "term": 1,
+    "stop": 1,
+    "go": 1,
+    "start": 1,
+    "wipe": 1,
+    "tear": 2,
+    "full": 1,
+    "room": 1,
+    "disk": 4,
+    "cut": 2,
+    "stall": 2,
+    "slow": (3, 4),
+    "heal": (0, 2),
+    "strike": 1,
+    "hup": 1,
+    "draw": 0,
+    "mend": 0,
+    "hosts": 2,
+    "sighup": 0,
+    "measure": 1,
+    "trouble": (2, 4),
+    "lose": 2,
+    "noise": 2,
 }
 
 
@@ -45,10 +74,12 @@
     plan: Plan
     control: Control
     steps: tuple[Step, ...]
-    outcomes: tuple[str, ...] = ()  # what has to come of the proposals, in their order; none: whatever does
-    settle_s: Natural = 3.0         # at the end, all healed: within so much all serve under what counts
-    failing: bool = False           # processes whose disks can be made to fail at a step of a write
-    links: bool = False             # each balancer reaches each host by a relay
+    outcomes: tuple[
+        str, ...
+    ] = ()  # what has to come of the proposals, in their order; none: whatever does
+    settle_s: Natural = 3.0  # at the end, all healed: within so much all serve under what counts
+    failing: bool = False  # processes whose disks can be made to fail at a step of a write
+    links: bool = False  # each balancer reaches each host by a relay
 
 
 def words(text: str, known: dict[str, Any], where: str) -> list[str]:
@@ -66,8 +97,12 @@
 
 def versions_of(steps: tuple[Step, ...]) -> int:
     """The highest version that is proposed; a step done again proposes the next one."""
-    return sum(step.times for step in steps for act in step.do.split(";")
-               if act.split()[0] in ("propose", "sighup"))
+    return sum(
+        step.times
+        for step in steps
+        for act in step.do.split(";")
+        if act.split()[0] in ("propose", "sighup")
+    )
 
 
 def parse(text: str) -> Drill:
@@ -87,8 +122,11 @@
         told = tomllib.loads(text)
         control = msgspec.convert(told.pop("control", {}), Control)
         steps = msgspec.convert(told.pop("step", ()), tuple[Step, ...])
-        more = {name: told.pop(name) for name in ("outcomes", "settle-s", "failing", "links")
-                if name in told}
+        more = {
+            name: told.pop(name)
+            for name in ("outcomes", "settle-s", "failing", "links")
+            if name in told
+        }
     except tomllib.TOMLDecodeError as trouble:
         raise BadPlan(f"not TOML: {trouble}") from None
     except msgspec.ValidationError as trouble:
@@ -104,8 +142,15 @@
     if versions := versions_of(steps):
         marks = [Work(f"v{n}", 0.01, 5, 1_000, 2_000) for n in range(versions + 1)]
         plan = msgspec.structs.replace(plan, work=(Work("base", 1.0, 5, 1_000, 2_000), *marks))
-    return Drill(plan, control, steps, tuple(more.get("outcomes", ())), float(more.get("settle-s", 3.0)),
-                 bool(more.get("failing", False)), bool(more.get("links", False)))
+    return Drill(
+        plan,
+        control,
+        steps,
+        tuple(more.get("outcomes", ())),
+        float(more.get("settle-s", 3.0)),
+        bool(more.get("failing", False)),
+        bool(more.get("links", False)),
+    )
 
 
 def read(path: str) -> Drill:
--- a/orchidgap/drill/process.py
+++ b/orchidgap/drill/process.py
@@ -78,7 +78,7 @@
     def put(self, fd: int, part: memoryview) -> int:
         what = self.due("write")
         if what == "short":
-            super().put(fd, part[:len(part) // 2])
+            super().put(fd, part[: len(part) // 2])
         if what:
             raise error(what)
         return super().put(fd, part)
--- a/orchidgap/drill/relay.py
+++ b/orchidgap/drill/relay.py
@@ -83,16 +83,18 @@
 class Relay:
     """Listens in the place of `far` for one process that calls it."""
 
-    def __init__(self, loop: Loop, at: Address, far: Address, rng: Random, outlives: bool = True) -> None:
+    def __init__(
+        self, loop: Loop, at: Address, far: Address, rng: Random, outlives: bool = True
+    ) -> None:
         self.loop, self.at, self.far, self.rng = loop, at, far, rng
         # what is on its way comes though its sender has hung up; not where the judge would hold that against
         # the sender, who cannot take it back
         self.outlives = outlives
         self.pairs: dict[Pair, None] = {}
-        self.moved = 0      # bytes, both ways
-        self.delay = 0      # microseconds each way
-        self.loss = 0.0     # the part of packets that are lost, and come later
-        self.cut = False    # connections are refused, and those that stand are reset
+        self.moved = 0  # bytes, both ways
+        self.delay = 0  # microseconds each way
+        self.loss = 0.0  # the part of packets that are lost, and come later
+        self.cut = False  # connections are refused, and those that stand are reset
         self.there = self.back = False  # what goes that way stalls, as all packets were lost
         self.there_is = True  # somebody listens at the far end
         self.listener: socket.socket | None = None
@@ -138,10 +140,18 @@
             else:
                 self.pairs[Pair(self, near, far)] = None
 
-    def set(self, cut: bool = False, there: bool = False, back: bool = False, delay: int = 0,
-            loss: float = 0.0) -> None:
+    def set(
+        self,
+        cut: bool = False,
+        there: bool = False,
+        back: bool = False,
+        delay: int = 0,
+        loss: float = 0.0,
+    ) -> None:
         self.cut, self.there, self.back, self.delay, self.loss = cut, there, back, delay, loss
-        with suppress(OSError):  # an address that is in use again: the next change of it tries once more
+        with suppress(
+            OSError
+        ):  # an address that is in use again: the next change of it tries once more
             self.listen()
         for pair in list(self.pairs):
             if cut:
--- a/orchidgap/drill/town.py
+++ b/orchidgap/drill/town.py
@@ -37,15 +37,15 @@
 from orchidgap.trial.scene import RealPost, Scene, VirtualPost, place
 from orchidgap.trial.troubles import set_off
 
-LOOK = 50_000            # between looks at what is seen
-WATCH = 50_000           # between questions to control whether a version is decided
+LOOK = 50_000  # between looks at what is seen
+WATCH = 50_000  # between questions to control whether a version is decided
 # a client's req is on its way, and answers are seen, with this much delay in a busy drill
 SLACK = 250_000
 DAMAGE = b"torn"
-TRIED = 1.2              # how long a proposer waits, of the time after which control gives up
+TRIED = 1.2  # how long a proposer waits, of the time after which control gives up
 SLOTS = 64
 MEMORY = "/dev/shm"
-HOSTS = 110              # the second part of the addresses in the place of hosts begins there
+HOSTS = 110  # the second part of the addresses in the place of hosts begins there
 TALKS = 201  # the second part of the addresses in the place of those where balancers are heard
 LIBC = ctypes.CDLL(None)
 OUTCOMES = {0: "decided", 2: "nowhere", 3: "unknown"}
@@ -94,8 +94,11 @@
 
     def choose(self, but: str = "", key: int = 0) -> str | None:
         """Every balancer alike, also one that denies: which version governs it is what is asked."""
-        there = [name for name, post in self.scene.posts.items()
-                 if post.alive and post.ready_at and name != but]
+        there = [
+            name
+            for name, post in self.scene.posts.items()
+            if post.alive and post.ready_at and name != but
+        ]
         return self.rng.choice(there) if there else None
 
 
@@ -144,21 +147,40 @@
     def begin(self) -> None:
         town, folder = self.town, self.town.place
         path = folder / f"{self.name}.json"
-        path.write_text(json.dumps({
-            "name": self.name, "dir": str(folder / f"{self.name}.disk"),
-            "control": {post.name: text_of(post.address if post is self else town.way_to(self.name, post))
-                        for post in town.controls},
-            "lease-ms": town.drill.control.lease_ms, "give-up-ms": town.drill.control.give_up_ms}))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": self.name,
+                    "dir": str(folder / f"{self.name}.disk"),
+                    "control": {
+                        post.name: text_of(
+                            post.address if post is self else town.way_to(self.name, post)
+                        )
+                        for post in town.controls
+                    },
+                    "lease-ms": town.drill.control.lease_ms,
+                    "give-up-ms": town.drill.control.give_up_ms,
+                }
+            )
+        )
         new, self.new = ["--new"] if self.new else [], False
-        self.process = town.start_process(self.name, [*town.command("control"), f"--config={path}", *new])
+        self.process = town.start_process(
+            self.name, [*town.command("control"), f"--config={path}", *new]
+        )
         self.alive = True
 
 
 class Town(Scene):
     """All processes of one drill, and its steps."""
 
-    def __init__(self, drill: Drill, seed: int | None = None, defect: str = "", disk: str = "",
-                 policy: str = "orchidgap") -> None:
+    def __init__(
+        self,
+        drill: Drill,
+        seed: int | None = None,
+        defect: str = "",
+        disk: str = "",
+        policy: str = "orchidgap",
+    ) -> None:
         room = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (room[1], room[1]))
         self.drill, self.defect = drill, defect
@@ -180,7 +202,7 @@
         self.weights: list[tuple[int, float, int, int]] = []  # when, CPU, bytes moved, balancers
         self.started, self.held = 0.0, 0  # seconds until all were up, kilobytes that they held then
         self.logs: dict[str, tuple[int, list[str]]] = {}  # by process: how far read, its lines
-        self.log_from: dict[str, int] = {}                # lines there when the step before was done
+        self.log_from: dict[str, int] = {}  # lines there when the step before was done
         self.zones = [f"z{zone}" for zone in range(drill.plan.cache.zones)]
         if drill.links:
             self.link_hosts()
@@ -202,9 +224,11 @@
         told = super().told(post, known)
         told["known"] = self.way_to_hosts(post.name, told["known"])
         if self.controls:
-            told["control"] = {"at": [text_of(self.way_to(post.name, one)) for one in self.controls],
-                               "dir": str(self.place / f"{post.name}.disk"),
-                               "alone": self.drill.control.alone}
+            told["control"] = {
+                "at": [text_of(self.way_to(post.name, one)) for one in self.controls],
+                "dir": str(self.place / f"{post.name}.disk"),
+                "alone": self.drill.control.alone,
+            }
         return told
 
     def talk_part(self, post: Any) -> dict[str, Any]:
@@ -223,6 +247,7 @@
 
     def broke_off(self, ask: Ask, at: int) -> None:
         """A connection ended unanswered. That its process died may be seen a moment later."""
+
         def judged() -> None:
             self.look()
             if not ask.left and self.lives(ask.balancer, ask.life):
@@ -240,8 +265,13 @@
     def start_process(self, name: str, command: list[str]) -> subprocess.Popen[bytes]:
         more = {"DRILL_DISK": str(self.place / f"{name}.orders"), "DRILL_DEFECT": self.defect}
         with open(self.place / f"{name}.log", "ab") as log:
-            return subprocess.Popen([sys.executable, *command], stderr=log, stdout=log, env=os.environ | more,
-                                    preexec_fn=die_with_parent)
+            return subprocess.Popen(
+                [sys.executable, *command],
+                stderr=log,
+                stdout=log,
+                env=os.environ | more,
+                preexec_fn=die_with_parent,
+            )
 
     def way_to(self, who: str, post: ControlPost) -> Address:
         """Where this process finds that control process: a relay between the two."""
@@ -254,15 +284,21 @@
         """The list as that balancer gets it, with a relay of its own in the place of each host."""
         if not self.drill.links:
             return known
-        return known | {"hosts": [entry | {"dial": text_of(self.relays[name, entry["host"]].at)}
-                                  for entry in known["hosts"]]}
+        return known | {
+            "hosts": [
+                entry | {"dial": text_of(self.relays[name, entry["host"]].at)}
+                for entry in known["hosts"]
+            ]
+        }
 
     def link_hosts(self) -> None:
         stores = {store.address: store.id for store in self.stores.values()}
         for i, store in enumerate(self.stores.values()):
             for name, post in self.posts.items():
                 at = (f"127.{HOSTS + i}.{place(post.number)}", 7071 + self.ports)
-                self.relays[name, store.id] = Relay(self.loop, at, store.address, self.rng, outlives=False)
+                self.relays[name, store.id] = Relay(
+                    self.loop, at, store.address, self.rng, outlives=False
+                )
 
         def heeds(address: Address, there: bool) -> None:
             for name in self.posts if address in stores else ():
@@ -301,9 +337,12 @@
         if what == "ended":
             return not self.shells
         if what == "log":
-            names = [name for name in (*self.posts, *(post.name for post in self.controls))
-                     if more[0] in (name, "any")]
-            return any(more[1] in self.lines(name)[self.log_from.get(name, 0):] for name in names)
+            names = [
+                name
+                for name in (*self.posts, *(post.name for post in self.controls))
+                if more[0] in (name, "any")
+            ]
+            return any(more[1] in self.lines(name)[self.log_from.get(name, 0) :] for name in names)
         if what == "gone":
             return self.process_of(more[0]).poll() is not None
         asks = [ask for ask in reversed(self.referee.asks.values()) if ask.came > since]
@@ -320,7 +359,7 @@
         what, *more = words(text, DO, text)
         if more and more[0].endswith("%"):  # the first so many of a hundred balancers
             names = list(self.posts)
-            for name in names[:len(names) * int(more[0][:-1]) // 100]:
+            for name in names[: len(names) * int(more[0][:-1]) // 100]:
                 self.act(f"{what} {name}")
         elif what in ("draw", "mend"):
             getattr(self, what)()
@@ -346,9 +385,22 @@
         at = ",".join(text_of(self.way_to("shell", post)) for post in asked)
         wait = self.drill.control.give_up_ms / 1e3 * TRIED
         shell = subprocess.Popen(
-            [sys.executable, "-m", "orchidgap", "change", "propose", str(path), f"--at={at}",
-             f"--id=v{number}", f"--wait={wait}", "--json"],
-            stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, preexec_fn=die_with_parent)
+            [
+                sys.executable,
+                "-m",
+                "orchidgap",
+                "change",
+                "propose",
+                str(path),
+                f"--at={at}",
+                f"--id=v{number}",
+                f"--wait={wait}",
+                "--json",
+            ],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+            preexec_fn=die_with_parent,
+        )
         self.shells.append((self.judge.fates[number], shell))
 
     def do_kill(self, name: str) -> None:
@@ -386,8 +438,13 @@
             post = self.posts[name]
             post.stood.append((post.stood.pop()[0], self.loop.now + 1_000_000))
             for ask in self.referee.asks.values():
-                if ask.balancer == name and not ask.status:  # it could not answer in time, and may say so now
-                    ask.due, ask.quiet_at = self.loop.now + millis(ask.op.work.timeout_ms), self.loop.now
+                if (
+                    ask.balancer == name and not ask.status
+                ):  # it could not answer in time, and may say so now
+                    ask.due, ask.quiet_at = (
+                        self.loop.now + millis(ask.op.work.timeout_ms),
+                        self.loop.now,
+                    )
 
     def do_wipe(self, name: str) -> None:
         shutil.rmtree(self.place / f"{name}.disk", ignore_errors=True)
@@ -395,7 +452,7 @@
     def do_tear(self, name: str, file: str) -> None:
         path = self.place / f"{name}.disk" / file
         text = path.read_bytes() if path.exists() else DAMAGE
-        path.write_bytes(text[:max(1, len(text) // 2)])
+        path.write_bytes(text[: max(1, len(text) // 2)])
 
     def do_full(self, name: str) -> None:
         """The system itself says that there is no room."""
@@ -430,9 +487,13 @@
 
     def between(self, one: str, other: str) -> list[tuple[Relay, bool]]:
         """The relays on which these two meet; whether it is the first of them that calls."""
-        return [(relay, there) for (who, far), relay in self.relays.items() for there in (True, False)
-                if self.means(one if there else other, who, far)
-                and self.means(other if there else one, far, far)]
+        return [
+            (relay, there)
+            for (who, far), relay in self.relays.items()
+            for there in (True, False)
+            if self.means(one if there else other, who, far)
+            and self.means(other if there else one, far, far)
+        ]
 
     def do_cut(self, one: str, other: str) -> None:
         for relay, _ in self.between(one, other):
@@ -473,14 +534,19 @@
     def do_heal(self, one: str = "", other: str = "") -> None:
         for talk in self.talks.values():
             talk.loss.clear()
-        for relay in [relay for relay, _ in self.between(one, other)] if one else self.relays.values():
+        for relay in (
+            [relay for relay, _ in self.between(one, other)] if one else self.relays.values()
+        ):
             relay.set()
 
     def do_strike(self, name: str) -> None:
         at = ",".join(text_of(self.way_to("shell", post)) for post in self.controls)
         shell = subprocess.Popen(
             [sys.executable, "-m", "orchidgap", "change", "strike", name, f"--at={at}"],
-            stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL, preexec_fn=die_with_parent)
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.DEVNULL,
+            preexec_fn=die_with_parent,
+        )
         self.until(lambda: shell.poll() is not None, 20, "struck off")
         shell.kill()
         self.referee.event(self.loop.now, f"{name} struck off: {shell.returncode}")
@@ -522,12 +588,22 @@
         """A fault by chance, on whoever; `mend` ends them all."""
         rng, balancers = self.rng, list(self.posts)
         b, k = rng.choice(balancers), rng.choice([post.name for post in self.controls])
-        faults = [f"cut {b} all", f"stall {b} all", f"stall all {b}", f"full {b}",
-                  f"slow {b} all {rng.randrange(20, 300)}"]
+        faults = [
+            f"cut {b} all",
+            f"stall {b} all",
+            f"stall all {b}",
+            f"full {b}",
+            f"slow {b} all {rng.randrange(20, 300)}",
+        ]
         if self.drill.links:
             host = rng.choice(list(self.stores))
-            faults += [f"cut {b} hosts", f"stall {b} {host}", f"stall {host} {b}", f"stall hosts {b}",
-                       f"slow {b} hosts {rng.randrange(5, 60)} 0.1"]
+            faults += [
+                f"cut {b} hosts",
+                f"stall {b} {host}",
+                f"stall {host} {b}",
+                f"stall hosts {b}",
+                f"slow {b} hosts {rng.randrange(5, 60)} 0.1",
+            ]
         if self.posts[b].alive:
             faults += [f"kill {b}", f"stop {b}", f"term {b}"] * 2
         if len(self.controls) > 1 and all(post.alive for post in self.controls):
@@ -576,13 +652,20 @@
                     text = out.read().splitlines()
                 said = orjson.loads(text[-1]) if text else {}
                 outcome = OUTCOMES.get(shell.returncode, "unknown")
-                self.judge.told(fate, outcome, int(said.get("n", 0)) if outcome == "decided" else 0,
-                                str(said.get("why", "")), self.loop.now)
+                self.judge.told(
+                    fate,
+                    outcome,
+                    int(said.get("n", 0)) if outcome == "decided" else 0,
+                    str(said.get("why", "")),
+                    self.loop.now,
+                )
         for post in self.posts.values():
             if post.alive and not post.leaving and self.process_of(post.name).poll() is not None:
                 post.gone()
         for control in self.controls:
-            control.alive = control.alive and control.process is not None and control.process.poll() is None
+            control.alive = (
+                control.alive and control.process is not None and control.process.poll() is None
+            )
 
     def watch(self) -> None:
         """Until when a version was certainly not decided: a majority of control had not taken it."""
@@ -595,8 +678,11 @@
                 heard.append(said)
             if len(heard) == len(self.controls) // 2 + 1:
                 for fate in open_:
-                    if not any(one["id"] == f"v{fate.number}" or any(
-                            row[1] == f"v{fate.number}" and row[0] for row in one["past"]) for one in heard):
+                    if not any(
+                        one["id"] == f"v{fate.number}"
+                        or any(row[1] == f"v{fate.number}" and row[0] for row in one["past"])
+                        for one in heard
+                    ):
                         fate.not_before = max(fate.not_before, asked)
 
         if open_:
@@ -620,12 +706,18 @@
             self.callers.end = self.start + micros(3_600)
             self.loop.soon(self.callers.arrive)
             self.loop.soon(self.watch)
-            steps = [(i, step) for i, step in enumerate(self.drill.steps) for _ in range(step.times)]
-            all(self.step(i, step.when, step.do, step.within_s) for i, step in steps)  # to the first not seen
+            steps = [
+                (i, step) for i, step in enumerate(self.drill.steps) for _ in range(step.times)
+            ]
+            all(
+                self.step(i, step.when, step.do, step.within_s) for i, step in steps
+            )  # to the first not seen
             self.stretches.begin("")
             self.mend()
             leaving = [post for post in self.posts.values() if post.leaving]
-            self.until(lambda: not any(post.alive for post in leaving), 6, "all ended that were told to")
+            self.until(
+                lambda: not any(post.alive for post in leaving), 6, "all ended that were told to"
+            )
             self.mend()  # they start again
             wait = self.drill.control.give_up_ms / 1e3 * TRIED + 5
             self.until(lambda: not self.shells, wait, "no proposal open")
@@ -656,8 +748,11 @@
         for name in names:
             with suppress(OSError, IndexError, ValueError):
                 cpu += cpu_of(self.process_of(name).pid)
-        moved = sum(relay.moved for (who, far), relay in self.relays.items()
-                    if who in self.posts and far not in self.stores)
+        moved = sum(
+            relay.moved
+            for (who, far), relay in self.relays.items()
+            if who in self.posts and far not in self.stores
+        )
         self.weights.append((self.loop.now, cpu, moved, len(names)))
 
     def memory(self) -> int:
@@ -665,7 +760,9 @@
         total = 0
         for name in [*self.posts, *(post.name for post in self.controls)]:
             with suppress(OSError):
-                for line in Path(f"/proc/{self.process_of(name).pid}/smaps_rollup").read_text().splitlines():
+                for line in (
+                    Path(f"/proc/{self.process_of(name).pid}/smaps_rollup").read_text().splitlines()
+                ):
                     if line.startswith("Pss:"):
                         total += int(line.split()[1])
         return total
@@ -673,9 +770,16 @@
     def costs(self) -> dict[str, Any]:
         """Of one balancer in a second, over the longest stretch in which none came or went."""
         rows = self.weights
-        pairs = [(one, other) for i, one in enumerate(rows) for other in rows[i + 1:i + 8]
-                 if one[3] == other[3] > 0 and other[1] >= one[1]]
-        told: dict[str, Any] = {"started_s": round(self.started, 1), "memory_mb": round(self.held / 1e3)}
+        pairs = [
+            (one, other)
+            for i, one in enumerate(rows)
+            for other in rows[i + 1 : i + 8]
+            if one[3] == other[3] > 0 and other[1] >= one[1]
+        ]
+        told: dict[str, Any] = {
+            "started_s": round(self.started, 1),
+            "memory_mb": round(self.held / 1e3),
+        }
         if pairs:
             one, other = max(pairs, key=lambda pair: pair[1][0] - pair[0][0])
             each = (other[0] - one[0]) / 1e6 * one[3]
@@ -704,7 +808,9 @@
             return self.judge.breach("stuck", self.loop.now, "control does not come back")
         if self.controls:
             wait = self.drill.control.give_up_ms / 1e3 * TRIED + 5
-            self.until(lambda: not (self.ask("/status", {}) or {"next": 1})["next"], wait, "none proposed")
+            self.until(
+                lambda: not (self.ask("/status", {}) or {"next": 1})["next"], wait, "none proposed"
+            )
         for number in numbers:
             fate = self.judge.fates[number]
             if not self.controls:
@@ -721,7 +827,9 @@
                 self.judge.breach(rule, self.loop.now, f"v{number}: {state}, after {was}")
         if not numbers:
             return
-        best = max(self.judge.fates.values(), key=lambda fate: fate.n if fate.outcome == "decided" else -1)
+        best = max(
+            self.judge.fates.values(), key=lambda fate: fate.n if fate.outcome == "decided" else -1
+        )
         since = self.loop.now
         for name in [name for name, post in self.posts.items() if post.alive]:
             spent = (self.loop.now - since) / 1e6
--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -31,4 +31,6 @@
         moving.arrives(node, words, raw, socks)
 
     def listing(self, node: Node, dial: Dial) -> Registry:
-        return Registry(node.loop, node.station.discovery, node.balancer.rng, node.on_list, node.note, dial)
+        return Registry(
+            node.loop, node.station.discovery, node.balancer.rng, node.on_list, node.note, dial
+        )
--- a/orchidgap/http1/codec.py
+++ b/orchidgap/http1/codec.py
@@ -11,17 +11,36 @@
 from orchidgap.http1.chunks import Chunks
 
 MOST_HEAD = 1 << 14
-KEPT = 1 << 16         # bytes of a body that is kept whole; a larger one flows
-MOST_BODY = 40 << 20   # of one that flows
+KEPT = 1 << 16  # bytes of a body that is kept whole; a larger one flows
+MOST_BODY = 40 << 20  # of one that flows
 SECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]*)?")
 PADDING = 8  # times a body's bytes that its framing may take
-ONCE = frozenset((b"request-id", b"request-class", b"request-timeout", b"tenant", b"idempotency-key",
-                  b"host", b"transfer-encoding"))
+ONCE = frozenset(
+    (
+        b"request-id",
+        b"request-class",
+        b"request-timeout",
+        b"tenant",
+        b"idempotency-key",
+        b"host",
+        b"transfer-encoding",
+    )
+)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-           409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
-           500: "Internal Server Error", 503: "Service Unavailable", 505: "HTTP Version Not Supported"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
 
 
 class Message:
@@ -29,14 +48,14 @@
 
     # what most messages never set costs them nothing
     headed = whole = False
-    lasts = False    # its connection may carry another after it
+    lasts = False  # its connection may carry another after it
     status = 0
-    trouble = 0      # the status that tells what is wrong with it
+    trouble = 0  # the status that tells what is wrong with it
     method = target = b""
     version = ""
     length: int | None = None  # of its body, as its head tells; None where it does not
-    came = 0         # when its last byte did, in microseconds, 0 until it is known
-    size = raw = 0   # bytes of its body, and of all of it
+    came = 0  # when its last byte did, in microseconds, 0 until it is known
+    size = raw = 0  # bytes of its body, and of all of it
     text: bytes | None = b""  # its head so far, where it comes in pieces; None: not known
     chunks: Chunks | None = None  # where its body stands, if that comes in chunks
 
@@ -66,10 +85,12 @@
 
     def __init__(self, most: int = MOST_BODY) -> None:
         self.most = most  # bytes of a body
-        self.message = self.into = Message()  # the oldest that is not done with; the one that comes in
+        self.message = self.into = (
+            Message()
+        )  # the oldest that is not done with; the one that comes in
         self.begun = False  # anything has come of the oldest
         self.extra = False  # more has come than may
-        self.heads = 0      # that ended since the oldest began, interim ones too
+        self.heads = 0  # that ended since the oldest began, interim ones too
 
     def feed(self, view: memoryview) -> None:
         self.begun = True
@@ -94,7 +115,9 @@
             self.keep_count(view, headed)
         if not into.headed and into.raw > MOST_HEAD:
             self.fail(431)
-        elif into.raw > MOST_HEAD + KEPT + PADDING * into.size:  # extensions, or trailers, without end
+        elif (
+            into.raw > MOST_HEAD + KEPT + PADDING * into.size
+        ):  # extensions, or trailers, without end
             self.fail(413)
 
     def keep_head(self, view: memoryview, alone: bool) -> None:
@@ -285,8 +308,13 @@
     def ended(self) -> bool:
         """Whether the end of the connection made the answer whole."""
         into = self.into
-        if (into.headed and not into.whole and not into.trouble and into.length is None
-                and b"transfer-encoding" not in into.fields):
+        if (
+            into.headed
+            and not into.whole
+            and not into.trouble
+            and into.length is None
+            and b"transfer-encoding" not in into.fields
+        ):
             into.whole = True
         return into.whole
 
@@ -297,7 +325,11 @@
     >>> split(b"/read/7f%33?x=/y"), split(b"/read"), split(b"http://h/read/a/b"), split(b"/")
     (('read', b'7f3'), ('read', b''), ('read', b'b'), ('', b''))
     """
-    parts = [unquote_to_bytes(part) for part in (httptools.parse_url(target).path or b"").split(b"/") if part]
+    parts = [
+        unquote_to_bytes(part)
+        for part in (httptools.parse_url(target).path or b"").split(b"/")
+        if part
+    ]
     return parts[0].decode(errors="replace") if parts else "", parts[-1] if len(parts) > 1 else b""
 
 
@@ -313,8 +345,9 @@
     return round(micros) if micros <= 3.6e9 else None
 
 
-def answer(status: int, length: int | None = 0, last: bool = False, pause: int = 0,
-           version: str = "1.1") -> bytes:
+def answer(
+    status: int, length: int | None = 0, last: bool = False, pause: int = 0, version: str = "1.1"
+) -> bytes:
     """The head of an answer. Without a length its body comes in chunks, or to the end of the connection where
     the client knows no chunks.
 
--- a/orchidgap/http1/front.py
+++ b/orchidgap/http1/front.py
@@ -12,7 +12,7 @@
 from orchidgap.net.flow import Upload
 
 STEP = 1 << 14  # bytes of a body that count as going on
-AHEAD = 8       # reqs that may wait behind one before nothing more is read
+AHEAD = 8  # reqs that may wait behind one before nothing more is read
 
 
 class Client(Caller):
@@ -25,7 +25,7 @@
         self.reader = codec.ReqReader()
         self.asked: Asked | None = None
         self.flow: Upload | None = None  # the body of the req under way, while it comes
-        self.marked = 0                  # how far the req had come when its time began anew
+        self.marked = 0  # how far the req had come when its time began anew
         self.giving = self.last = self.chunked = False  # of an answer that flows
         self.source: Connection | None = None
         super().__init__(clients, sock)
@@ -151,7 +151,9 @@
         self.marked = max(1, message.size)
         self.clients.await_req(self)
         head = codec.onward(method, message.target, fields, message.length)
-        door.take(self, id, rule_set, left, method == b"PUT", key, tenant, head, b"", flow=self.flow)
+        door.take(
+            self, id, rule_set, left, method == b"PUT", key, tenant, head, b"", flow=self.flow
+        )
 
     # --- its answer
 
@@ -161,10 +163,14 @@
         behind = self.reader.behind
         return self.clients.last and not (behind and behind[0].whole and not behind[0].trouble)
 
-    def answer(self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
+    ) -> None:
         message, self.asked = self.reader.message, None
         last = self.leaves() or not (message.whole and message.lasts)
-        head = codec.answer(status, len(body) if length is None else length, last, pause, message.version)
+        head = codec.answer(
+            status, len(body) if length is None else length, last, pause, message.version
+        )
         self.conn.send(head, b"" if message.method == b"HEAD" else body)
         self.done(last)
 
@@ -172,8 +178,12 @@
         message = self.reader.message
         self.giving, self.source = True, source
         self.chunked = length is None and message.version == "1.1"
-        self.last = (self.leaves() or not (message.whole and message.lasts)
-                     or length is None and not self.chunked)
+        self.last = (
+            self.leaves()
+            or not (message.whole and message.lasts)
+            or length is None
+            and not self.chunked
+        )
         self.conn.drained = self.read_on
         self.conn.send(codec.answer(200, length, self.last, 0, message.version))
 
@@ -191,9 +201,17 @@
         self.giving = False
         self.close()
 
-    def go_on_giving(self, asked: Asked, source: Connection, chunked: bool, last: bool, out: bytes) -> None:
+    def go_on_giving(
+        self, asked: Asked, source: Connection, chunked: bool, last: bool, out: bytes
+    ) -> None:
         """It comes from elsewhere, in the middle of an answer of which this was still to be written."""
-        self.asked, self.giving, self.source, self.chunked, self.last = asked, True, source, chunked, last
+        self.asked, self.giving, self.source, self.chunked, self.last = (
+            asked,
+            True,
+            source,
+            chunked,
+            last,
+        )
         self.reader.begun = True
         self.conn.drained = self.read_on
         if out:
--- a/orchidgap/http1/moving.py
+++ b/orchidgap/http1/moving.py
@@ -24,7 +24,12 @@
     """Those that can go now, each as it stands."""
     for client in list(node.clients.open):
         assert isinstance(client, Client)
-        if not client.conn.open or client.conn.closing or client.reader.behind or client.reader.extra:
+        if (
+            not client.conn.open
+            or client.conn.closing
+            or client.reader.behind
+            or client.reader.extra
+        ):
             continue
         if client.giving:
             moving = giving(node, client)
@@ -54,33 +59,58 @@
     rest = rest_of(link.reader.message, b"HTTP/%b 200 OK" % link.reader.message.version.encode())
     if rest is None or not link.conn.open or link.conn.out or link.reader.message.parts:
         return None
-    told = {"name": exchange.name.decode("latin-1"), "version": message.version, "lasts": message.lasts,
-            "last": client.last, "chunked": client.chunked, "head": rest[0].decode("latin-1"),
-            **place_of(exchange, link)}
+    told = {
+        "name": exchange.name.decode("latin-1"),
+        "version": message.version,
+        "lasts": message.lasts,
+        "last": client.last,
+        "chunked": client.chunked,
+        "head": rest[0].decode("latin-1"),
+        **place_of(exchange, link),
+    }
 
     def let_go() -> None:
         exchange.let_go()
         link.let_go()
         client.let_go()
 
-    return Moving(["answer", told], bytes(client.conn.out), [client.conn.sock, link.conn.sock], let_go)
+    return Moving(
+        ["answer", told], bytes(client.conn.out), [client.conn.sock, link.conn.sock], let_go
+    )
 
 
 def flowing(node: Node, client: Client) -> Moving | None:
     """A req whose body flows to a host, and is kept no more."""
     exchange, flow = client.asked, client.flow
-    if not isinstance(exchange, Exchange) or flow is None or not flow.gone or flow.whole or exchange.over:
+    if (
+        not isinstance(exchange, Exchange)
+        or flow is None
+        or not flow.gone
+        or flow.whole
+        or exchange.over
+    ):
         return None
     link = flow.sink
     if not isinstance(link, Link) or not link.conn.open or link.conn.opening or link.reader.begun:
         return None
     message = client.reader.message
     rest = rest_of(message, b"PUT / HTTP/%b" % message.version.encode())
-    if rest is None or message.parts or sum(not attempt.settled for attempt in exchange.attempts) != 1:
+    if (
+        rest is None
+        or message.parts
+        or sum(not attempt.settled for attempt in exchange.attempts) != 1
+    ):
         return None
-    told = {"name": exchange.name.decode("latin-1"), "left": exchange.left, "size": message.size,
-            "length": message.length, "chunked": link.chunked, "head": rest[0].decode("latin-1"),
-            "last_word": node.last_word(exchange.id), **place_of(exchange, link)}
+    told = {
+        "name": exchange.name.decode("latin-1"),
+        "left": exchange.left,
+        "size": message.size,
+        "length": message.length,
+        "chunked": link.chunked,
+        "head": rest[0].decode("latin-1"),
+        "last_word": node.last_word(exchange.id),
+        **place_of(exchange, link),
+    }
 
     def let_go() -> None:
         exchange.let_go()
@@ -88,7 +118,9 @@
         client.let_go()
         node.decide(node.balancer.on_hangup, exchange.id)
 
-    return Moving(["upload", told], bytes(link.conn.out), [client.conn.sock, link.conn.sock], let_go)
+    return Moving(
+        ["upload", told], bytes(link.conn.out), [client.conn.sock, link.conn.sock], let_go
+    )
 
 
 def place_of(exchange: Exchange, link: Link) -> dict[str, Any]:
@@ -116,7 +148,7 @@
     except Exception:
         for end in ends:
             end.close()
-        for sock in socks[len(ends):]:
+        for sock in socks[len(ends) :]:
             sock.close()
         raise
 
@@ -124,7 +156,10 @@
 def go_on(node: Node, words: list[Any], raw: bytes, client: Client, link: Link) -> None:
     """Both as they stood there."""
     told = words[1]
-    name, head = told["name"].encode("latin-1"), memoryview(bytearray(told["head"].encode("latin-1")))
+    name, head = (
+        told["name"].encode("latin-1"),
+        memoryview(bytearray(told["head"].encode("latin-1"))),
+    )
     if words[0] == "answer":
         exchange = Exchange(node, node.number(), name, client, b"", b"", 0, None, timed=False)
         attempt = link.attempt = attempt_of(exchange, told["host"], link, None)
@@ -132,7 +167,11 @@
         link.reader.message.take()
         message = client.reader.message = client.reader.into = Message()
         message.headed = message.whole = True
-        message.method, message.version, message.lasts = b"GET", str(told["version"]), bool(told["lasts"])
+        message.method, message.version, message.lasts = (
+            b"GET",
+            str(told["version"]),
+            bool(told["lasts"]),
+        )
         exchange.go_on(attempt, giving=True)
         client.go_on_giving(exchange, link.conn, bool(told["chunked"]), bool(told["last"]), raw)
         link.taker = client
--- a/orchidgap/http1/registry.py
+++ b/orchidgap/http1/registry.py
@@ -18,26 +18,34 @@
 # noticed in 4 s at most; then a lost call costs 1 s, each behind it 2 s, and a failed one 1 s at most.
 # While discovery is down it is silent, and who has a call open when it is back hears at once: so silence is
 # followed by the next call as good as at once, and what fails or is refused by a wait.
-WATCH_MS = 3_000            # how long a watch may wait: silence beyond it is noticed
-GRACE = 1_000_000           # after which an answer that is due, or the rest of one, is held to be lost
+WATCH_MS = 3_000  # how long a watch may wait: silence beyond it is noticed
+GRACE = 1_000_000  # after which an answer that is due, or the rest of one, is held to be lost
 FIRST, LONGEST = 100_000, 1_000_000  # back-off
-GAP = 100_000               # between a call that was met with silence and the next, at most
-SHORTEST = 20_000           # a watch that tells nothing in less is not asked again at once
+GAP = 100_000  # between a call that was met with silence and the next, at most
+SHORTEST = 20_000  # a watch that tells nothing in less is not asked again at once
 LATEST = WATCH_MS * 1000 + 2 * GRACE  # for an answer to come whole, however small its pieces
-MOST = 1 << 22              # bytes of a list
+MOST = 1 << 22  # bytes of a list
 SILENCE = "silence"
 
 
 class Registry:
-    def __init__(self, loop: Loop, address: Address, rng: Random,
-                 heard: Callable[[bool, list[Entry], list[Place]], None],
-                 log: Callable[..., None], dial: Callable[[Address], socket.socket | Fault] = dial) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        address: Address,
+        rng: Random,
+        heard: Callable[[bool, list[Entry], list[Place]], None],
+        log: Callable[..., None],
+        dial: Callable[[Address], socket.socket | Fault] = dial,
+    ) -> None:
         self.loop, self.address, self.rng, self.heard, self.log = loop, address, rng, heard, log
         self.dialer = dial
         self.version: int | None = None  # of the list held, None until it was fetched whole
         self.failures = 0
-        self.asked_at = self.wait = 0    # when the last call began, and how long it may wait, in milliseconds
-        self.out = False                 # a call is out
+        self.asked_at = self.wait = (
+            0  # when the last call began, and how long it may wait, in milliseconds
+        )
+        self.out = False  # a call is out
         self.conn: Connection | None = None
         self.reader = AnswerReader()
         self.timer: Timer | None = None
@@ -102,7 +110,10 @@
         if self.failures:
             self.log("list back", failures=self.failures)
         behind = self.version is not None and version < self.version and not whole
-        self.failures, self.version = 0, None if behind else version  # it counts anew, so it has forgotten
+        self.failures, self.version = (
+            0,
+            None if behind else version,
+        )  # it counts anew, so it has forgotten
         if not reader.message.lasts:
             self.drop()
         if whole or entries:
--- a/orchidgap/http1/upstream.py
+++ b/orchidgap/http1/upstream.py
@@ -15,9 +15,11 @@
 from orchidgap.net.loop import Loop, Timer
 
 SWEEP = 1_000_000
-SETTLE = 5_000      # for so long after an answer a host may say more, that belongs to nobody
-KNOWN = 20          # answers of a host, after which it is known how quick it can be
-SHORT = 200_000     # a link that breaks after it was idle for less says nothing of those idle for longer
+SETTLE = 5_000  # for so long after an answer a host may say more, that belongs to nobody
+KNOWN = 20  # answers of a host, after which it is known how quick it can be
+SHORT = (
+    200_000  # a link that breaks after it was idle for less says nothing of those idle for longer
+)
 STALL = 10_000_000  # for a host to give more of an answer that flows
 
 
@@ -42,15 +44,17 @@
     def __init__(self, pool: Pool, sock: socket.socket, attempt: Attempt | None) -> None:
         self.pool, self.reader = pool, AnswerReader()
         self.idle_since = self.start = self.heard_at = self.wrote_at = 0
-        self.start_idle = 0               # how long it had been idle when its attempt began
-        self.chunked = False              # the body under way goes in chunks
-        self.taker: Taker | None = None   # of the answer, once it flows
+        self.start_idle = 0  # how long it had been idle when its attempt began
+        self.chunked = False  # the body under way goes in chunks
+        self.taker: Taker | None = None  # of the answer, once it flows
         self.attempt = attempt
         self.conn = Connection(pool.hosts.loop, sock, self, opening=attempt is not None)
         self.timer: Timer | None = None
         if attempt:
             attempt.link = self
-            self.timer = pool.hosts.loop.later(pool.hosts.connect_within, self.ended, "never came up")
+            self.timer = pool.hosts.loop.later(
+                pool.hosts.connect_within, self.ended, "never came up"
+            )
 
     def reach(self) -> Reach:
         if self.conn.opening or self.conn.taken == self.start:
@@ -132,7 +136,12 @@
         sooner than this host ever answered. What it said behind its last answer crossed the req."""
         took, pool = self.heard_at - self.wrote_at, self.pool
         known = pool.answers >= KNOWN
-        if self.idle_since and self.start_idle + took < SETTLE and known and took < pool.quickest * 4 // 5:
+        if (
+            self.idle_since
+            and self.start_idle + took < SETTLE
+            and known
+            and took < pool.quickest * 4 // 5
+        ):
             return True
         pool.quickest = min(pool.quickest, took) if pool.answers else took
         pool.answers += 1
@@ -160,8 +169,11 @@
         attempt.load = message.fields.get(b"server-load", b"")
         if reader.bare:
             attempt.length = message.length
-        lasts = (message.whole and message.lasts
-                 and not (reader.extra or self.conn.out or attempt.flow and not attempt.flow.whole))
+        lasts = (
+            message.whole
+            and message.lasts
+            and not (reader.extra or self.conn.out or attempt.flow and not attempt.flow.whole)
+        )
         self.clear()
         if lasts:
             self.pool.rest(self)
@@ -205,7 +217,9 @@
         cause = "stale" if stale else broken(what) if self.conn.opening else "broken"
         fault = Fault(self.reach(), cause, what)
         self.close()
-        if stale and self.start_idle > SHORT:  # those kept for longer yet: the next try needs one that holds
+        if (
+            stale and self.start_idle > SHORT
+        ):  # those kept for longer yet: the next try needs one that holds
             while self.pool.idle:
                 self.pool.idle[0].close()
         if attempt:
@@ -288,8 +302,14 @@
 
 
 class Hosts(pools.Pools[Pool]):
-    def __init__(self, loop: Loop, most: int, connect_within: int, idle_for: int,
-                 dial: Callable[[Address], socket.socket | Fault] = dial) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        most: int,
+        connect_within: int,
+        idle_for: int,
+        dial: Callable[[Address], socket.socket | Fault] = dial,
+    ) -> None:
         super().__init__(loop, most, connect_within, SWEEP, dial)
         self.idle_for = idle_for
         self.flows: dict[Link, None] = {}  # links whose answers flow
@@ -299,9 +319,13 @@
         self.idle_for = idle_for
 
     def movable(self) -> list[tuple[Any, socket.socket, Callable[[], None]]]:
-        return [((id, *pool.address, link.idle_since), link.conn.sock, link.close)
-                for id, pool in self.pools.items() if not pool.retired
-                for link in pool.idle if not pool.worn(link) and not link.conn.out]
+        return [
+            ((id, *pool.address, link.idle_since), link.conn.sock, link.close)
+            for id, pool in self.pools.items()
+            if not pool.retired
+            for link in pool.idle
+            if not pool.worn(link) and not link.conn.out
+        ]
 
     def adopt(self, tag: Any, sock: socket.socket) -> None:
         id, host, port, idle_since = tag
--- a/orchidgap/net/attempt.py
+++ b/orchidgap/net/attempt.py
@@ -65,21 +65,40 @@
 class Attempt:
     """One attempt on the network. Exactly one thing comes of it."""
 
-    __slots__ = ("ask", "asking", "body", "due", "flow", "head", "hold", "host", "length", "link", "load",
-                 "number", "sender", "settled", "to")
-
-    def __init__(self, head: bytes, body: bytes, due: int, sender: Sender, number: int = 0,
-                 host: str = "") -> None:
+    __slots__ = (
+        "ask",
+        "asking",
+        "body",
+        "due",
+        "flow",
+        "head",
+        "hold",
+        "host",
+        "length",
+        "link",
+        "load",
+        "number",
+        "sender",
+        "settled",
+        "to",
+    )
+
+    def __init__(
+        self, head: bytes, body: bytes, due: int, sender: Sender, number: int = 0, host: str = ""
+    ) -> None:
         self.head, self.body, self.due, self.sender, self.number = head, body, due, sender, number
-        self.host = host                 # the id of where it goes
+        self.host = host  # the id of where it goes
         self.flow: Upload | None = None  # its body, where that is not kept whole
-        self.hold = 0                    # how long an answer of unknown length may be held
-        self.load = b""                  # what its host told of itself with the answer
-        self.length: int | None = None   # of the body that an answer without one tells of
+        self.hold = 0  # how long an answer of unknown length may be held
+        self.load = b""  # what its host told of itself with the answer
+        self.length: int | None = None  # of the body that an answer without one tells of
         self.link: Carrier | None = None
         self.settled = False
-        self.asking = False            # it goes where an ASK sent it
-        self.to, self.ask = "", False  # where its host sent it on to, and whether only this one time
+        self.asking = False  # it goes where an ASK sent it
+        self.to, self.ask = (
+            "",
+            False,
+        )  # where its host sent it on to, and whether only this one time
 
     def settle(self, verdict: str, body: bytes = b"") -> None:
         if not self.settled:
--- a/orchidgap/net/connection.py
+++ b/orchidgap/net/connection.py
@@ -15,16 +15,16 @@
 
 from orchidgap.net.loop import READ, WRITE, Loop, Timer
 
-LINGER = 1_000_000    # for the other side to close once it has our last words
+LINGER = 1_000_000  # for the other side to close once it has our last words
 LEFTOVER = 8_000_000  # and at most, while it still sends what nobody reads
-MOST_LEFT = 1 << 26   # bytes of that
-UNREAD = 10_000_000   # for the other side to read on in what is written
-MOST_OUT = 1 << 21    # bytes waiting to be written: the largest answer, and what is said behind it
+MOST_LEFT = 1 << 26  # bytes of that
+UNREAD = 10_000_000  # for the other side to read on in what is written
+MOST_OUT = 1 << 21  # bytes waiting to be written: the largest answer, and what is said behind it
 UNDER_WAY = frozenset((0, errno.EINPROGRESS, errno.EINTR))
-SO_TIMESTAMPNS = 35   # Linux: the kernel tells when what is read came in
+SO_TIMESTAMPNS = 35  # Linux: the kernel tells when what is read came in
 STAMP = struct.Struct("qq")
 RESET = struct.pack("ii", 1, 0)
-OLDEST = 60_000_000   # a stamp older than this tells of a clock that was set
+OLDEST = 60_000_000  # a stamp older than this tells of a clock that was set
 REFUSED = frozenset(map(os.strerror, (errno.ECONNREFUSED, errno.ECONNRESET)))
 SHORT = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
@@ -51,13 +51,17 @@
     """
 
     reach: Reach
-    cause: str  # broken, refused, stale (it had been kept), overdue, cancelled, short (of descriptors)
+    cause: (
+        str  # broken, refused, stale (it had been kept), overdue, cancelled, short (of descriptors)
+    )
     what: str = ""
 
     @property
     def verdict(self) -> str:
         if self.reach is Reach.WHOLE:
-            return {"overdue": "timeout", "cancelled": "cancelled", "stale": "stale"}.get(self.cause, "reset")
+            return {"overdue": "timeout", "cancelled": "cancelled", "stale": "stale"}.get(
+                self.cause, "reset"
+            )
         if self.cause == "refused" and self.reach is Reach.UNSENT:
             return "refused"
         # what this balancer itself lacks says nothing against the host
@@ -133,21 +137,50 @@
 
 
 class Connection:
-    __slots__ = ("came", "closing", "drained", "dropped", "holds", "loop", "mask", "moved", "opening", "out",
-                 "owner", "sock", "stamped", "taken", "timer", "until")
-
-    def __init__(self, loop: Loop, sock: socket.socket, owner: Owner, opening: bool = False,
-                 stamped: bool = False) -> None:
+    __slots__ = (
+        "came",
+        "closing",
+        "drained",
+        "dropped",
+        "holds",
+        "loop",
+        "mask",
+        "moved",
+        "opening",
+        "out",
+        "owner",
+        "sock",
+        "stamped",
+        "taken",
+        "timer",
+        "until",
+    )
+
+    def __init__(
+        self,
+        loop: Loop,
+        sock: socket.socket,
+        owner: Owner,
+        opening: bool = False,
+        stamped: bool = False,
+    ) -> None:
         self.loop, self.sock, self.owner, self.opening = loop, sock, owner, opening
         self.out = bytearray()
-        self.taken = 0        # bytes that the kernel has taken so far
-        self.drained: Callable[[], None] | None = None  # told when all that was to be written has been taken
-        self.dropped = 0      # bytes that came while it was closing
+        self.taken = 0  # bytes that the kernel has taken so far
+        self.drained: Callable[[], None] | None = (
+            None  # told when all that was to be written has been taken
+        )
+        self.dropped = 0  # bytes that came while it was closing
         self.closing = False  # nothing more is sent, what still comes is dropped
-        self.holds = False    # nothing more is read for now: there is no room for what would come of it
+        self.holds = (
+            False  # nothing more is read for now: there is no room for what would come of it
+        )
         self.timer: Timer | None = None  # ends it unless the other side reads, or closes
-        self.moved = self.until = 0      # when it last did; when it ends whatever it does
-        self.stamped, self.came = False, 0  # when what was read last came in, as far as that is known
+        self.moved = self.until = 0  # when it last did; when it ends whatever it does
+        self.stamped, self.came = (
+            False,
+            0,
+        )  # when what was read last came in, as far as that is known
         sock.setblocking(False)
         if sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -202,7 +235,9 @@
         self.came = self.loop.since
         if not self.stamped:
             return self.sock.recv_into(self.loop.buffer)
-        count, notes, _, _ = self.sock.recvmsg_into([self.loop.buffer], socket.CMSG_SPACE(STAMP.size))
+        count, notes, _, _ = self.sock.recvmsg_into(
+            [self.loop.buffer], socket.CMSG_SPACE(STAMP.size)
+        )
         ago = age(notes, time.time_ns())
         if ago is not None:
             self.came = self.loop.clock() - ago
--- a/orchidgap/net/doorway.py
+++ b/orchidgap/net/doorway.py
@@ -12,14 +12,14 @@
 from orchidgap.net.flow import Upload
 from orchidgap.net.loop import READ, Loop, Timer
 
-PATIENCE = 2_500_000    # for a req to come whole, since its connection or its first byte came
-SETTLED = 500_000       # after which who has asked nothing yet is the first to make way
+PATIENCE = 2_500_000  # for a req to come whole, since its connection or its first byte came
+SETTLED = 500_000  # after which who has asked nothing yet is the first to make way
 SWEEP = 250_000
-FRESH = 250_000         # whoever came so lately is about to ask
-RESPITE = 50_000        # before accepting again where descriptors have run out
+FRESH = 250_000  # whoever came so lately is about to ask
+RESPITE = 50_000  # before accepting again where descriptors have run out
 BACKLOG = 512
-AT_A_TIME = 64          # connections let in before others get their turn
-TURNED_AWAY = 16        # connections beyond the most that may still read their last answer
+AT_A_TIME = 64  # connections let in before others get their turn
+TURNED_AWAY = 16  # connections beyond the most that may still read their last answer
 
 
 class Asked(Protocol):
@@ -44,7 +44,9 @@
     def gone(self) -> bool:
         """Whether its client has closed; it is let go then, though not within this call."""
 
-    def answer(self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
+    ) -> None:
         """The whole answer. `length` is what its head tells where it has no body."""
 
 
@@ -61,8 +63,20 @@
     def shed(self) -> bool:
         """Close an idle connection elsewhere; whether there was one."""
 
-    def take(self, caller: Answered, id: bytes, rule_set: str, left: int, write: bool, key: bytes,
-             tenant: str, head: bytes, body: bytes, slot: int = -1, flow: Upload | None = None) -> None:
+    def take(
+        self,
+        caller: Answered,
+        id: bytes,
+        rule_set: str,
+        left: int,
+        write: bool,
+        key: bytes,
+        tenant: str,
+        head: bytes,
+        body: bytes,
+        slot: int = -1,
+        flow: Upload | None = None,
+    ) -> None:
         """Sets `caller.asked`, and has `caller.answer` called once. `left` is in microseconds; a slot below 0
         is drawn from the key. A body that flows is not in `body`; `asked.body_came` is called at its end."""
 
@@ -103,7 +117,9 @@
         nothing is read, nor before what it sent ahead of it."""
         if not self.conn.gone():
             return False
-        self.clients.loop.soon(self.conn.end, "closed")  # not at once: this may be a decision's own call
+        self.clients.loop.soon(
+            self.conn.end, "closed"
+        )  # not at once: this may be a decision's own call
         return True
 
     def opened(self) -> None:
@@ -129,23 +145,31 @@
 
     def close(self) -> None:
         self.conn.close()
-        for among in (self.clients.idle, self.clients.unasked, self.clients.parting, self.clients.open):
+        for among in (
+            self.clients.idle,
+            self.clients.unasked,
+            self.clients.parting,
+            self.clients.open,
+        ):
             among.pop(self, None)
 
 
 class Clients:
     """The listener and all that it has let in, `most` at a time."""
 
-    def __init__(self, loop: Loop, door: Door, most: int,
-                 make: Callable[[Clients, socket.socket], Caller]) -> None:
+    def __init__(
+        self, loop: Loop, door: Door, most: int, make: Callable[[Clients, socket.socket], Caller]
+    ) -> None:
         self.loop, self.door, self.most, self.make = loop, door, most, make
         self.open: dict[Caller, None] = {}
-        self.idle: dict[Caller, None] = {}     # of these: served, and asking nothing; the longest first
+        self.idle: dict[
+            Caller, None
+        ] = {}  # of these: served, and asking nothing; the longest first
         self.unasked: dict[Caller, None] = {}  # yet to bring a whole req; the longest first
         self.parting: dict[Caller, None] = {}  # with their last answer; the longest first
         self.listener: socket.socket | None = None
         self.resting: Timer | None = None
-        self.away = False                      # another process lets clients in
+        self.away = False  # another process lets clients in
         loop.later(SWEEP, self.sweep)
 
     def listen(self, address: Address) -> None:
@@ -206,8 +230,11 @@
 
     def movable(self) -> list[Caller]:
         """Those that can go to another process as they are."""
-        return [client for client in (*self.idle, *self.unasked)
-                if client.movable and not (client.begun or client.conn.out or client.conn.closing)]
+        return [
+            client
+            for client in (*self.idle, *self.unasked)
+            if client.movable and not (client.begun or client.conn.out or client.conn.closing)
+        ]
 
     def await_req(self, client: Caller) -> None:
         """Its time to bring a whole req begins, or begins anew."""
@@ -228,8 +255,11 @@
     def trim(self) -> None:
         """Where more than half of the most are open, let the longest idle go, but for an eighth. Clients too
         hold only so many: those that ask once and stay would leave none long before there is no room here."""
-        while (not self.door.life.heir  # which takes them as they are
-               and len(self.idle) > self.most // 8 and len(self.open) - len(self.parting) > self.most // 2):
+        while (
+            not self.door.life.heir  # which takes them as they are
+            and len(self.idle) > self.most // 8
+            and len(self.open) - len(self.parting) > self.most // 2
+        ):
             client = next(iter(self.idle))
             if not client.quiet():
                 return
@@ -245,7 +275,9 @@
 
     def sweep(self) -> None:
         """Nobody may begin and never end; one that said nothing at all is closed without a word."""
-        while (client := next(iter(self.unasked), None)) and self.loop.now - client.since >= PATIENCE:
+        while (
+            client := next(iter(self.unasked), None)
+        ) and self.loop.now - client.since >= PATIENCE:
             client.stalled() if client.begun else client.close()
         self.loop.later(SWEEP, self.sweep)
 
--- a/orchidgap/net/flow.py
+++ b/orchidgap/net/flow.py
@@ -23,15 +23,26 @@
     What came first is kept until it goes on, so another dispatch can follow one that never got that far.
     """
 
-    __slots__ = ("gone", "keep", "length", "on_gone", "parts", "sent", "sink", "size", "source", "whole")
+    __slots__ = (
+        "gone",
+        "keep",
+        "length",
+        "on_gone",
+        "parts",
+        "sent",
+        "sink",
+        "size",
+        "source",
+        "whole",
+    )
 
     def __init__(self, source: Connection, length: int | None, keep: int) -> None:
         self.source, self.length = source, length
-        self.keep = keep          # bytes that are kept for another dispatch
+        self.keep = keep  # bytes that are kept for another dispatch
         self.on_gone: Callable[[], None] | None = None  # told once, when no other can have it
         self.parts: list[bytes] = []
-        self.size = 0             # bytes that have come
-        self.sent = 0             # of the parts, those that the sink has been given
+        self.size = 0  # bytes that have come
+        self.sent = 0  # of the parts, those that the sink has been given
         self.whole = self.gone = False
         self.sink: Sink | None = None
 
@@ -56,7 +67,7 @@
     def push(self) -> None:
         sink = self.sink
         if sink and (self.sent < len(self.parts) or self.whole):
-            parts, self.sent = self.parts[self.sent:], len(self.parts)
+            parts, self.sent = self.parts[self.sent :], len(self.parts)
             if self.size > self.keep and not self.gone:
                 self.gone = True
                 if self.on_gone:
@@ -69,5 +80,7 @@
     def pace(self) -> None:
         """Read on only where what was read has gone on."""
         if self.source.open:
-            waits = bool(self.sink.conn.out) if self.sink else not self.gone and self.size >= self.keep
+            waits = (
+                bool(self.sink.conn.out) if self.sink else not self.gone and self.size >= self.keep
+            )
             self.source.hold(waits and not self.whole)
--- a/orchidgap/net/handover.py
+++ b/orchidgap/net/handover.py
@@ -26,14 +26,14 @@
 if TYPE_CHECKING:
     from orchidgap.net.node import Node
 
-FORM = 1              # of the packets; a process that speaks another one is left alone
-MOST = 1 << 18        # bytes of a packet
-AT_ONCE = 24          # descriptors in a packet
-BEHIND = 256          # packets that may wait for a process that does not read
-PART = 32             # hosts in a packet
+FORM = 1  # of the packets; a process that speaks another one is left alone
+MOST = 1 << 18  # bytes of a packet
+AT_ONCE = 24  # descriptors in a packet
+BEHIND = 256  # packets that may wait for a process that does not read
+PART = 32  # hosts in a packet
 ESTATE_WITHIN = 1_500_000  # for the other process to tell what it knows; then it is done without
-TICK = 5_000          # how often each tells the other what it holds
-LEAST = 64            # descriptors that a newcomer is left in any case
+TICK = 5_000  # how often each tells the other what it holds
+LEAST = 64  # descriptors that a newcomer is left in any case
 LATER = SHORT | {errno.ETOOMANYREFS, errno.EMSGSIZE}  # not now, and perhaps not at all
 CREDENTIALS = struct.Struct("3i")
 
@@ -43,7 +43,9 @@
     try:
         listener = socket.socket(fileno=int(number))
     except (ValueError, OverflowError, OSError) as trouble:
-        raise BadStart(f"GW_PASSED_SOCKET is {number!r}, which is no open socket: {trouble}") from None
+        raise BadStart(
+            f"GW_PASSED_SOCKET is {number!r}, which is no open socket: {trouble}"
+        ) from None
     try:
         listens = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     except OSError:
@@ -59,7 +61,7 @@
     """A req that goes on in another process."""
 
     words: list[Any]
-    raw: bytes                  # what goes with them
+    raw: bytes  # what goes with them
     socks: list[socket.socket]  # its connections
     let_go: Callable[[], None]  # called once they have gone
 
@@ -68,8 +70,13 @@
     """Packets between two processes, with the descriptors that go with them. Each is a line that holds a list
     (a word and more), and what is behind that line."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, heard: Callable[[list[Any], bytes, list[int]], None],
-                 ended: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        sock: socket.socket,
+        heard: Callable[[list[Any], bytes, list[int]], None],
+        ended: Callable[[str], None],
+    ) -> None:
         self.loop, self.sock, self.heard, self.over = loop, sock, heard, ended
         self.behind: deque[bytes] = deque()
         sock.setblocking(False)
@@ -103,7 +110,9 @@
         if self.behind or self.sock.fileno() < 0:
             return False
         try:
-            socket.send_fds(self.sock, [orjson.dumps(words), b"\n", raw], [sock.fileno() for sock in socks])
+            socket.send_fds(
+                self.sock, [orjson.dumps(words), b"\n", raw], [sock.fileno() for sock in socks]
+            )
         except BlockingIOError:
             return False
         except OSError as error:
@@ -120,7 +129,9 @@
                 return
             fds: list[int] = []
             try:
-                text, fds, flags, _ = socket.recv_fds(self.sock, MOST, AT_ONCE, socket.MSG_CMSG_CLOEXEC)
+                text, fds, flags, _ = socket.recv_fds(
+                    self.sock, MOST, AT_ONCE, socket.MSG_CMSG_CLOEXEC
+                )
             except BlockingIOError:
                 return
             except OSError as error:
@@ -130,7 +141,11 @@
             try:
                 line, _, raw = text.partition(b"\n")
                 words = orjson.loads(line)
-                if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC) or not isinstance(words, list) or not words:
+                if (
+                    flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC)
+                    or not isinstance(words, list)
+                    or not words
+                ):
                     raise ValueError("cut off")
                 self.heard(words, raw, fds)
             except (ValueError, TypeError, LookupError, AttributeError) as trouble:
@@ -156,7 +171,7 @@
 
     def __init__(self) -> None:
         self.passage: Passage
-        self.names: set[str] = set()    # ids of the reqs that are open there
+        self.names: set[str] = set()  # ids of the reqs that are open there
         self.outs: dict[str, int] = {}  # by host: its dispatches that are out
         self.told: tuple[set[str], dict[str, int], int] = (set(), {}, 0)  # what it was told last
         self.serves = False
@@ -165,18 +180,20 @@
 class Handover:
     """This process's side. `elder` was here before it, `heir` came after."""
 
-    def __init__(self, loop: Loop, node: Node, folder: str | None = None, shared: bool = False) -> None:
+    def __init__(
+        self, loop: Loop, node: Node, folder: str | None = None, shared: bool = False
+    ) -> None:
         """`folder` is common to all processes of this balancer; `shared` where they share its listener."""
         self.loop, self.node, self.shared = loop, node, shared
         self.elder: Kin | None = None
         self.heir: Kin | None = None
-        self.on = False       # there is another process
+        self.on = False  # there is another process
         self.waiting = False  # for what the elder knows
         name = f"orchidgap-{crc32(node.station.name.encode()):08x}"
         self.path = os.path.join(folder, name) if folder else ""
         self.listener: socket.socket | None = None
         self.fleet: dict[str, tuple[Any, Any]] = {}  # the elder's list, while it is told
-        self.known: dict[str, Any] = {}              # what it knows of its hosts, while that is told
+        self.known: dict[str, Any] = {}  # what it knows of its hosts, while that is told
 
     # --- how they find each other
 
@@ -261,11 +278,11 @@
             kin.passage.send("room", node.station.sockets - node.descriptors)
             ids = list(node.fleet)
             for at in range(0, len(ids), PART):
-                kin.passage.send("list", [[*node.fleet[id]] for id in ids[at:at + PART]])
+                kin.passage.send("list", [[*node.fleet[id]] for id in ids[at : at + PART]])
             known = estate.left(node.balancer) if node.has_estate else {"hosts": {}, "tenants": {}}
             hosts = list(known["hosts"].items())
             for at in range(0, len(hosts), PART):
-                kin.passage.send("estate", dict(hosts[at:at + PART]))
+                kin.passage.send("estate", dict(hosts[at : at + PART]))
             kin.passage.send("all", known["tenants"])
             self.tick()
         elif words[0] == "serving":
@@ -285,9 +302,14 @@
             node.allot(max(LEAST, min(int(words[1]), node.station.sockets)))
         elif words[0] == "list":
             for entry, (id, state, (host, port)) in words[1]:
-                if [type(value) for value in entry[:6]] != [str, str, int, str, str, str] or len(entry) != 7:
+                if [type(value) for value in entry[:6]] != [str, str, int, str, str, str] or len(
+                    entry
+                ) != 7:
                     raise ValueError("no entry of a list")
-                self.fleet[id] = (*entry[:6], float(entry[6])), (str(id), str(state), (str(host), int(port)))
+                self.fleet[id] = (
+                    (*entry[:6], float(entry[6])),
+                    (str(id), str(state), (str(host), int(port))),
+                )
         elif words[0] == "estate":
             self.known.update(words[1])
         elif words[0] == "all":
@@ -359,7 +381,9 @@
             if (names, outs, room) != kin.told:
                 if room != kin.told[2]:
                     kin.passage.send("room", room)
-                kin.passage.send("now", sorted(names - kin.told[0]), sorted(kin.told[0] - names), outs)
+                kin.passage.send(
+                    "now", sorted(names - kin.told[0]), sorted(kin.told[0] - names), outs
+                )
                 kin.told = names, outs, room
         if self.heir and self.node.life.hands_over:
             self.hand()
@@ -378,15 +402,17 @@
         passage = self.heir.passage
         clients = self.node.clients.movable()
         for at in range(0, len(clients), AT_ONCE):
-            group = clients[at:at + AT_ONCE]
+            group = clients[at : at + AT_ONCE]
             if not passage.hand(["clients"], [client.conn.sock for client in group]):
                 return
             for client in group:
                 client.close()
         links = self.node.hosts.movable()
         for at in range(0, len(links), AT_ONCE):
-            some = links[at:at + AT_ONCE]
-            if not passage.hand(["links", [tag for tag, _, _ in some]], [sock for _, sock, _ in some]):
+            some = links[at : at + AT_ONCE]
+            if not passage.hand(
+                ["links", [tag for tag, _, _ in some]], [sock for _, sock, _ in some]
+            ):
                 return
             for _, _, close in some:
                 close()
--- a/orchidgap/net/log.py
+++ b/orchidgap/net/log.py
@@ -27,10 +27,13 @@
             return
         if self.dropped:
             facts["dropped"], self.dropped = self.dropped, 0
-        line = orjson.dumps({"at": round(time.time(), 3), "balancer": self.name, "event": event} | facts,
-                            default=str, option=orjson.OPT_APPEND_NEWLINE)
+        line = orjson.dumps(
+            {"at": round(time.time(), 3), "balancer": self.name, "event": event} | facts,
+            default=str,
+            option=orjson.OPT_APPEND_NEWLINE,
+        )
         if len(line) > LONGEST:
-            return self(event, cut=line[:LONGEST // 4].decode(errors="replace"))
+            return self(event, cut=line[: LONGEST // 4].decode(errors="replace"))
         try:
             os.write(self.fd, line)
         except OSError:
@@ -38,5 +41,8 @@
 
     def trouble(self, trouble: Exception) -> None:
         last = traceback.extract_tb(trouble.__traceback__)[-4:]
-        self("fault", what=f"{type(trouble).__name__}: {trouble}"[:200],
-             where=[f"{Path(frame.filename).name}:{frame.lineno} {frame.name}" for frame in last])
+        self(
+            "fault",
+            what=f"{type(trouble).__name__}: {trouble}"[:200],
+            where=[f"{Path(frame.filename).name}:{frame.lineno} {frame.name}" for frame in last],
+        )
--- a/orchidgap/net/loop.py
+++ b/orchidgap/net/loop.py
@@ -12,7 +12,7 @@
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 LONGEST = 1_000_000  # of one wait
-AT_ONCE = 1_000      # a wait shorter than this found something that was there before
+AT_ONCE = 1_000  # a wait shorter than this found something that was there before
 
 
 def system_clock() -> Callable[[], int]:
@@ -45,8 +45,11 @@
     next
     """
 
-    def __init__(self, clock: Callable[[], int] | None = None,
-                 trouble: Callable[[Exception], None] | None = None) -> None:
+    def __init__(
+        self,
+        clock: Callable[[], int] | None = None,
+        trouble: Callable[[Exception], None] | None = None,
+    ) -> None:
         self.clock = clock or system_clock()
         self.trouble = trouble  # told of what escapes a call; without it the loop ends
         self.selector = selectors.DefaultSelector()
@@ -56,10 +59,14 @@
         self.count = 0
         self.running = True
         self.longest = 0  # microseconds that one round has taken, but for its wait
-        self.now = self.looked = self.since = self.clock()  # since: nothing that is ready now was so before
+        self.now = self.looked = self.since = (
+            self.clock()
+        )  # since: nothing that is ready now was so before
         self.buffer = memoryview(bytearray(1 << 16))  # what is read stands here until the next read
 
-    def watch(self, sock: socket.socket, mask: int, act: Callable[[int], None], first: bool = False) -> None:
+    def watch(
+        self, sock: socket.socket, mask: int, act: Callable[[int], None], first: bool = False
+    ) -> None:
         self.selector.register(sock, mask, act)
         if first:
             self.first.add(act)
