--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -45,7 +45,7 @@
 def push(net, far, text, most=1 << 16):
     """Write what is taken now; what is left."""
     with contextlib.suppress(BlockingIOError):
-        return text[far.send(text[:most]):]
+        return text[far.send(text[:most]) :]
     return text
 
 
@@ -53,16 +53,22 @@
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_a_large_answer_flows_bounded_to_a_slow_reader(framing, version):
     net = Net(1)
-    client = net.client(f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode())
+    client = net.client(
+        f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode()
+    )
     far = net.far()
     heard(far)
     for one in net.node.clients.open:
         small_buffers(one.conn.sock)
-    head = {"length": f"Content-Length: {SIZE}", "chunks": "Transfer-Encoding: chunked", "close": "Connection: close"}[framing]
+    head = {
+        "length": f"Content-Length: {SIZE}",
+        "chunks": "Transfer-Encoding: chunked",
+        "close": "Connection: close",
+    }[framing]
     rest = f"HTTP/1.1 200 OK\r\n{head}\r\n\r\n".encode()
     if framing == "chunks":
         for at in range(0, SIZE, 30_000):
-            part = BODY[at:at + 30_000]
+            part = BODY[at : at + 30_000]
             rest += b"%x;x=y\r\n%b\r\n" % (len(part), part)
         rest += b"0\r\n\r\n"
     else:
@@ -81,11 +87,17 @@
         if part is None:
             break
         got += part
-        if version == "1.1" and len(got) > SIZE and (got.endswith(b"0\r\n\r\n") or framing == "length"):
+        if (
+            version == "1.1"
+            and len(got) > SIZE
+            and (got.endswith(b"0\r\n\r\n") or framing == "length")
+        ):
             break
     assert most <= 2 * READ + KEPT, "back-pressure"
     head, _, body = got.partition(b"\r\n\r\n")
-    assert head.startswith(b"HTTP/1.1 200") and (b"chunked" in head) == (version == "1.1" and framing != "length")
+    assert head.startswith(b"HTTP/1.1 200") and (b"chunked" in head) == (
+        version == "1.1" and framing != "length"
+    )
     if b"chunked" in head:
         body = unchunked(body)
     assert body == BODY and net.verdicts == ["done"] and not net.node.reqs and not net.node.names
@@ -103,7 +115,7 @@
         if not int(size, 16):
             assert text == b"\r\n"
             return body
-        body, text = body + text[:int(size, 16)], text[int(size, 16) + 2:]
+        body, text = body + text[: int(size, 16)], text[int(size, 16) + 2 :]
 
 
 def test_the_first_byte_of_a_large_answer_ends_its_time_and_its_further_dispatches():
@@ -112,7 +124,9 @@
     far = net.far()
     far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     net.turn()
-    assert heard(client).endswith("\r\n\r\nfirst") and net.verdicts == ["done"], "at once, whatever is still to come"
+    assert heard(client).endswith("\r\n\r\nfirst") and net.verdicts == ["done"], (
+        "at once, whatever is still to come"
+    )
     net.wait(3_000_000)
     assert heard(client) is None and net.node.reqs
     assert net.node.holds(b"r-k"), "the id is open until the end"
@@ -121,8 +135,14 @@
     assert len(net.fars()) == 1
 
 
-@pytest.mark.parametrize("break_off", [lambda far: far.close(), lambda far: far.sendall(b"\r\nnot a chunk at all\r\n"),
-                                       lambda far: None])
+@pytest.mark.parametrize(
+    "break_off",
+    [
+        lambda far: far.close(),
+        lambda far: far.sendall(b"\r\nnot a chunk at all\r\n"),
+        lambda far: None,
+    ],
+)
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_an_answer_that_breaks_off_shows_it_and_costs_its_host(break_off, version):
     net = Net(2)
@@ -132,7 +152,12 @@
     net.says(client, f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n")
     client.setblocking(False)
     far = net.far()
-    net.says(far, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % 70_000 + b"x" * 70_000 + b"\r\n")
+    net.says(
+        far,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % 70_000
+        + b"x" * 70_000
+        + b"\r\n",
+    )
     got = drawn(client)
     host = next(host for host in net.node.balancer.hosts.values() if host.credit > 2.1)
     before = host.credit
@@ -148,8 +173,15 @@
     except BlockingIOError:
         ended = "open"
     client.close()
-    assert ended == "reset" and not got.endswith(b"0\r\n\r\n"), "what it got is not all, and it can tell"
-    assert host.credit == before - 1.0 and not net.node.reqs and not net.node.names and not net.node.hosts.flows
+    assert ended == "reset" and not got.endswith(b"0\r\n\r\n"), (
+        "what it got is not all, and it can tell"
+    )
+    assert (
+        host.credit == before - 1.0
+        and not net.node.reqs
+        and not net.node.names
+        and not net.node.hosts.flows
+    )
 
 
 def test_an_answer_of_unknown_length_is_held_for_a_moment_and_not_for_long():
@@ -158,7 +190,9 @@
     far = net.far()
     net.says(far, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
     net.wait(190_000)
-    assert heard(client) is None, "it may still end small, or break: then it can be fetched elsewhere"
+    assert heard(client) is None, (
+        "it may still end small, or break: then it can be fetched elsewhere"
+    )
     net.wait(20_000)
     assert heard(client).endswith("chunked\r\n\r\n3\r\nabc\r\n"), "a quarter of the response target"
     net.says(far, "1\r\nd\r\n0\r\n\r\n")
@@ -179,7 +213,9 @@
     net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     client.close()
     net.turn()
-    assert heard(far) == "" and not net.node.reqs and not net.node.names and not net.node.hosts.flows
+    assert (
+        heard(far) == "" and not net.node.reqs and not net.node.names and not net.node.hosts.flows
+    )
 
 
 def test_a_reader_that_stands_still_makes_way_and_one_that_reads_on_stays():
@@ -199,12 +235,17 @@
 
 # --- reqs
 
+
 @pytest.mark.parametrize("framing", [None, "Transfer-Encoding: chunked"])
 def test_a_large_req_flows_bounded_to_a_slow_host(framing):
     net = Net(1)
     client = net.client()
-    rest = put(framing=framing) + (BODY if framing is None else
-                                   b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in pieces(BODY, 9_000)) + b"0\r\n\r\n")
+    rest = put(framing=framing) + (
+        BODY
+        if framing is None
+        else b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in pieces(BODY, 9_000))
+        + b"0\r\n\r\n"
+    )
     got, most, far = b"", 0, None
     for _ in range(5_000):
         rest = push(net, client, rest) if rest else rest
@@ -233,7 +274,7 @@
 
 
 def pieces(body, size):
-    return [body[at:at + size] for at in range(0, len(body), size)]
+    return [body[at : at + size] for at in range(0, len(body), size)]
 
 
 def flowing(net, sent=100_000):
@@ -278,7 +319,9 @@
     net.wait(970_000)
     assert heard(client) is None and net.verdicts == []
     net.wait(20_000)
-    assert net.verdicts == ["timeout"] and heard(client).startswith("HTTP/1.1 503"), "uniqued in a group of all: denied"
+    assert net.verdicts == ["timeout"] and heard(client).startswith("HTTP/1.1 503"), (
+        "uniqued in a group of all: denied"
+    )
 
 
 def test_a_body_that_has_gone_on_is_sent_no_second_time():
@@ -294,19 +337,30 @@
 def test_a_body_that_has_not_gone_on_may_be_sent_again():
     net = Net(1)
     net.refused.add(109)
-    client = net.client(put(framing="Transfer-Encoding: chunked") + b"8000\r\n" + b"x" * 32_768 + b"\r\n")
-    assert net.verdicts == [] and heard(client) is None and not net.fars(), "small ones are taken when they are whole"
+    client = net.client(
+        put(framing="Transfer-Encoding: chunked") + b"8000\r\n" + b"x" * 32_768 + b"\r\n"
+    )
+    assert net.verdicts == [] and heard(client) is None and not net.fars(), (
+        "small ones are taken when they are whole"
+    )
     first = net.node.hosts.dialer
     tries = []
-    net.node.hosts.dialer = lambda address: tries.append(address) or (net.refused.clear() if len(tries) > 1 else None) or first(address)
+    net.node.hosts.dialer = lambda address: (
+        tries.append(address) or (net.refused.clear() if len(tries) > 1 else None) or first(address)
+    )
     net.says(client, b"ffff\r\n" + b"y" * 65_535 + b"\r\n")
     net.wait(600_000)
     assert net.verdicts[:1] == ["unconnected"] and len(tries) >= 2
     assert "PUT /mark/k1" in heard(net.far()) and heard(client) is None
 
 
-@pytest.mark.parametrize(("how", "status"), [
-    (lambda net, client: net.wait(2_800_000), "408"), (lambda net, client: net.says(client, b"\r\nno chunk\r\n"), "400")])
+@pytest.mark.parametrize(
+    ("how", "status"),
+    [
+        (lambda net, client: net.wait(2_800_000), "408"),
+        (lambda net, client: net.says(client, b"\r\nno chunk\r\n"), "400"),
+    ],
+)
 def test_a_large_req_that_stands_still_or_goes_wrong_never_runs(how, status):
     net = Net(1)
     client = net.client(put(framing="Transfer-Encoding: chunked"))
@@ -329,7 +383,9 @@
     for part in pieces(BODY[100_000:700_000], 50_000):
         net.wait(500_000)
         net.says(client, part)
-    assert net.node.clients.open, "what still comes is dropped; closing on it would reset the answer away"
+    assert net.node.clients.open, (
+        "what still comes is dropped; closing on it would reset the answer away"
+    )
     net.wait(9_000_000)
     assert not net.node.clients.open
 
@@ -406,7 +462,9 @@
     assert net.node.life.state.value == "draining"
     net.says(far, b"x" * 99_995)
     assert len(heard(client)) > 99_995
-    assert heard(client) == "", "its head went out before the drain and promised more, but there is no more"
+    assert heard(client) == "", (
+        "its head went out before the drain and promised more, but there is no more"
+    )
     client.close()
     net.wait(100_000)
     assert net.node.life.state.value == "drained"
@@ -436,14 +494,23 @@
     net.says(far, "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n")
     assert heard(client) == "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"
     net.says(client, REQ.replace(b"Id: 1", b"Id: 2"))
-    assert heard(far).startswith("GET /read/k") and len(net.fars()) == 1, "the link is as good as before"
+    assert heard(far).startswith("GET /read/k") and len(net.fars()) == 1, (
+        "the link is as good as before"
+    )
 
 
-@pytest.mark.parametrize(("status", "verdict"), [(204, "error"), (304, "error"), (500, "error"), (404, "miss")])
+@pytest.mark.parametrize(
+    ("status", "verdict"), [(204, "error"), (304, "error"), (500, "error"), (404, "miss")]
+)
 def test_answers_without_a_body_leave_the_link_as_it_was(status, verdict):
     net = Net(1)
     net.ask("k")
-    net.says(net.far(), f"HTTP/1.1 {status} X\r\n" + ("" if status in (204, 304) else "Content-Length: 0\r\n") + "\r\n")
+    net.says(
+        net.far(),
+        f"HTTP/1.1 {status} X\r\n"
+        + ("" if status in (204, 304) else "Content-Length: 0\r\n")
+        + "\r\n",
+    )
     assert net.verdicts[0] == verdict and list(net.node.hosts.pools["c0"].idle)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,11 +26,19 @@
     return near
 
 
-@pytest.mark.parametrize(("make", "why"), [
-    (lambda: "x", "no open socket"), (lambda: "-1", "no open socket"), (lambda: "99999", "no open socket"),
-    (lambda: "9" * 30, "no open socket"), (lambda: os.open(os.devnull, os.O_RDONLY), "no open socket"),
-    (lambda: pair_end().detach(), "no listening TCP socket"), (lambda: socket.socket().detach(), "no listening TCP socket"),
-    (lambda: socket.socket(type=socket.SOCK_DGRAM).detach(), "no listening TCP socket")])
+@pytest.mark.parametrize(
+    ("make", "why"),
+    [
+        (lambda: "x", "no open socket"),
+        (lambda: "-1", "no open socket"),
+        (lambda: "99999", "no open socket"),
+        (lambda: "9" * 30, "no open socket"),
+        (lambda: os.open(os.devnull, os.O_RDONLY), "no open socket"),
+        (lambda: pair_end().detach(), "no listening TCP socket"),
+        (lambda: socket.socket().detach(), "no listening TCP socket"),
+        (lambda: socket.socket(type=socket.SOCK_DGRAM).detach(), "no listening TCP socket"),
+    ],
+)
 def test_what_is_passed_must_be_a_listening_socket(make, why):
     number = make()
     with pytest.raises(BadStart, match=why):
@@ -68,7 +76,10 @@
 
 def ask(passed):
     one = socket.create_connection(passed.getsockname())
-    one.sendall(b"GET /read/k%d HTTP/1.1\r\nRequest-Id: %d\r\nRequest-Timeout: 2\r\n\r\n" % ((one.fileno(),) * 2))
+    one.sendall(
+        b"GET /read/k%d HTTP/1.1\r\nRequest-Id: %d\r\nRequest-Timeout: 2\r\n\r\n"
+        % ((one.fileno(),) * 2)
+    )
     one.setblocking(False)
     return one
 
@@ -87,14 +98,31 @@
 def test_a_process_serves_on_what_it_inherits(tmp_path):
     with listener() as passed:
         path = tmp_path / "c"
-        path.write_bytes(orjson.dumps({
-            "name": "n", "listen": f"127.0.0.1:{passed.getsockname()[1]}", "discovery": "127.0.0.1:1", "seed": "7",
-            "known": {"seq": 1, "whole": True, "hosts": [Net.entry(0)]},
-            "settings": {"rule-sets": [{"name": "read", "effect": "retryable", "client-timeout": 900_000}]}}))
+        path.write_bytes(
+            orjson.dumps(
+                {
+                    "name": "n",
+                    "listen": f"127.0.0.1:{passed.getsockname()[1]}",
+                    "discovery": "127.0.0.1:1",
+                    "seed": "7",
+                    "known": {"seq": 1, "whole": True, "hosts": [Net.entry(0)]},
+                    "settings": {
+                        "rule-sets": [
+                            {"name": "read", "effect": "retryable", "client-timeout": 900_000}
+                        ]
+                    },
+                }
+            )
+        )
         process = subprocess.Popen(
-            [sys.executable, "-m", "orchidgap", "serve", f"--config={path}"], stderr=subprocess.DEVNULL,
-            pass_fds=[passed.fileno()], env=os.environ | {"GW_PASSED_SOCKET": str(passed.fileno())})
-        while not said_yes(passed):  # once discovery, which is not there, has had its time to answer
+            [sys.executable, "-m", "orchidgap", "serve", f"--config={path}"],
+            stderr=subprocess.DEVNULL,
+            pass_fds=[passed.fileno()],
+            env=os.environ | {"GW_PASSED_SOCKET": str(passed.fileno())},
+        )
+        while not said_yes(
+            passed
+        ):  # once discovery, which is not there, has had its time to answer
             assert process.poll() is None
         process.send_signal(signal.SIGTERM)
         assert process.wait(20) == 0
@@ -104,6 +132,7 @@
 
 # --- two processes that have found each other
 
+
 def inheriting(caches, start=True, **more):
     """A process with the inherited listener, which may be either of the two."""
     net = Net(caches, start=start, **more)
@@ -158,8 +187,16 @@
 def test_the_new_one_says_yes_only_with_what_the_old_one_knows():
     class Knowing(Two):
         def prepare(self):
-            self.old.node.on_list(False, *decoded({"seq": 8, "whole": False, "hosts": [
-                Net.entry(1, health="Terminating"), Net.entry(4)]})[2:])
+            self.old.node.on_list(
+                False,
+                *decoded(
+                    {
+                        "seq": 8,
+                        "whole": False,
+                        "hosts": [Net.entry(1, health="Terminating"), Net.entry(4)],
+                    }
+                )[2:],
+            )
             c0 = self.old.node.balancer.hosts["c0"]
             c0.limit, c0.lag, c0.credit, c0.cut_at = 3.5, 70_000, 9.0, self.old.now - 5
             ring = self.old.node.balancer.placement.ring
@@ -168,7 +205,9 @@
 
     two = Knowing(serves=False)
     old, new = two.old.node, two.new.node
-    assert not new.ready() and new.fleet and new.handover.waiting, "it has a list, and waits for more"
+    assert not new.ready() and new.fleet and new.handover.waiting, (
+        "it has a list, and waits for more"
+    )
     assert old.life.state.value == "serving" and not old.clients.away and new.clients.away
     two.turn()
     assert new.ready() and not new.handover.waiting and old.clients.away and not new.clients.away
@@ -210,11 +249,17 @@
     assert len(two.new.node.hosts.pools["c0"].idle) == 5 and not two.old.node.hosts.pools["c0"].idle
     for i, client in enumerate([*kept, fresh]):
         assert heard(client) is None
-        client.sendall(f"GET /read/n{i} HTTP/1.1\r\nRequest-Id: n{i}\r\nRequest-Timeout: 1\r\n\r\n".encode())
+        client.sendall(
+            f"GET /read/n{i} HTTP/1.1\r\nRequest-Id: n{i}\r\nRequest-Timeout: 1\r\n\r\n".encode()
+        )
     two.turn()
-    assert len(two.new.node.reqs) == 6 and len(two.old.dialled) == dialled + 1, "five links came along"
+    assert len(two.new.node.reqs) == 6 and len(two.old.dialled) == dialled + 1, (
+        "five links came along"
+    )
     two.old.serve()
-    assert heard(busy).startswith("HTTP/1.1 200") and heard(busy) is None, "it is not told to go either"
+    assert heard(busy).startswith("HTTP/1.1 200") and heard(busy) is None, (
+        "it is not told to go either"
+    )
     two.wait(10_000)
     assert len(two.new.node.clients.open) == 7 and not two.old.node.clients.open
     two.turn()
@@ -308,9 +353,26 @@
     two.end()
 
 
-@pytest.mark.parametrize("packet", [
-    b"", b"{", b"null", b"[]", b"7", b'["what"]', b'["hello"]', b'["hello",1,"another"]', b'["hello",99,"n0"]', b'["now"]',
-    b'["now",1,2,3]', b'["now",[],[],{"c0":"x"}]', b"\xff" * 100, b'["serving"', b'["clients"]' * 9])
+@pytest.mark.parametrize(
+    "packet",
+    [
+        b"",
+        b"{",
+        b"null",
+        b"[]",
+        b"7",
+        b'["what"]',
+        b'["hello"]',
+        b'["hello",1,"another"]',
+        b'["hello",99,"n0"]',
+        b'["now"]',
+        b'["now",1,2,3]',
+        b'["now",[],[],{"c0":"x"}]',
+        b"\xff" * 100,
+        b'["serving"',
+        b'["clients"]' * 9,
+    ],
+)
 def test_whatever_is_said_to_the_old_one_costs_the_passage_and_nothing_else(packet):
     net, near, far = one_side(1)
     net.node.handover.called(near)
@@ -323,9 +385,21 @@
     net.node.clients.listener.close()
 
 
-@pytest.mark.parametrize("packet", [
-    b"[]", b'["what"]', b'["room","x"]', b'["list",[["c0"]]]', b'["list",[[[1,2,3,4,5,6,7],["c0","up",["h",1]]]]]',
-    b'["list",7]', b'["estate",7]', b'["links",7]', b'["now",{},{},7]', b""])
+@pytest.mark.parametrize(
+    "packet",
+    [
+        b"[]",
+        b'["what"]',
+        b'["room","x"]',
+        b'["list",[["c0"]]]',
+        b'["list",[[[1,2,3,4,5,6,7],["c0","up",["h",1]]]]]',
+        b'["list",7]',
+        b'["estate",7]',
+        b'["links",7]',
+        b'["now",{},{},7]',
+        b"",
+    ],
+)
 def test_whatever_is_said_to_the_new_one_it_serves(packet):
     net, near, far = one_side(1, start=False)
     net.node.handover.call(far)
@@ -398,18 +472,34 @@
     """Real processes: a client that keeps its connection never sees it end."""
     with listener() as passed, socket.create_server(("127.0.0.1", 0)) as away:
         path, processes = tmp_path / "c", []
-        path.write_bytes(orjson.dumps({
-            "name": "n", "listen": f"127.0.0.1:{passed.getsockname()[1]}", "seed": "7",
-            "discovery": f"127.0.0.1:{away.getsockname()[1]}",
-            "known": {"seq": 1, "whole": True, "hosts": [Net.entry(0)]},
-            "settings": {"rule-sets": [{"name": "read", "effect": "retryable", "client-timeout": 900_000}]}}))
+        path.write_bytes(
+            orjson.dumps(
+                {
+                    "name": "n",
+                    "listen": f"127.0.0.1:{passed.getsockname()[1]}",
+                    "seed": "7",
+                    "discovery": f"127.0.0.1:{away.getsockname()[1]}",
+                    "known": {"seq": 1, "whole": True, "hosts": [Net.entry(0)]},
+                    "settings": {
+                        "rule-sets": [
+                            {"name": "read", "effect": "retryable", "client-timeout": 900_000}
+                        ]
+                    },
+                }
+            )
+        )
 
         def run():
             with open(tmp_path / f"log{len(processes)}", "wb") as log:
-                processes.append(subprocess.Popen(
-                    [sys.executable, "-m", "orchidgap", "serve", f"--config={path}"], stderr=log,
-                    pass_fds=[passed.fileno()], env=os.environ | {
-                        "GW_PASSED_SOCKET": str(passed.fileno()), "TMPDIR": str(tmp_path)}))
+                processes.append(
+                    subprocess.Popen(
+                        [sys.executable, "-m", "orchidgap", "serve", f"--config={path}"],
+                        stderr=log,
+                        pass_fds=[passed.fileno()],
+                        env=os.environ
+                        | {"GW_PASSED_SOCKET": str(passed.fileno()), "TMPDIR": str(tmp_path)},
+                    )
+                )
 
         run()
         client = socket.create_connection(passed.getsockname(), timeout=20)
@@ -418,7 +508,9 @@
             client.sendall(UP.replace(b"Connection: close\r\n", b""))
             return client.recv(99)[:12]
 
-        while up() != b"HTTP/1.1 200":  # once discovery, which is silent, has had its time to answer
+        while (
+            up() != b"HTTP/1.1 200"
+        ):  # once discovery, which is silent, has had its time to answer
             assert processes[0].poll() is None
         run()
         while b'"event":"serving"' not in (tmp_path / "log1").read_bytes():
@@ -445,18 +537,30 @@
 
 
 @pytest.mark.parametrize("place", range(0, 220, 11))
-@pytest.mark.parametrize("framing", [b"Content-Length: 9\r\n\r\n123456789",
-                                     b"Transfer-Encoding: chunked\r\n\r\n4;x\r\n1234\r\n5\r\n56789\r\n0\r\nT: y\r\n\r\n"])
+@pytest.mark.parametrize(
+    "framing",
+    [
+        b"Content-Length: 9\r\n\r\n123456789",
+        b"Transfer-Encoding: chunked\r\n\r\n4;x\r\n1234\r\n5\r\n56789\r\n0\r\nT: y\r\n\r\n",
+    ],
+)
 def test_a_req_that_has_come_in_part_goes_on_in_the_new_one(place, framing):
-    text = (b"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nTenant: small\r\nRequest-Timeout: 1\r\n" + framing)
+    text = (
+        b"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nTenant: small\r\nRequest-Timeout: 1\r\n"
+        + framing
+    )
     if place >= len(text):
         return
     two = Two(1)
     client = two.old.client()
     for at in range(0, place, 50):
-        two.old.says(client, text[at:min(place, at + 50)])
+        two.old.says(client, text[at : min(place, at + 50)])
     going_over(two)
-    assert not two.old.node.clients.open and len(two.new.node.clients.open) == 1 and not two.old.loop.running
+    assert (
+        not two.old.node.clients.open
+        and len(two.new.node.clients.open) == 1
+        and not two.old.loop.running
+    )
     client.sendall(text[place:])
     two.turn()
     far = two.old.far()
@@ -472,20 +576,34 @@
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_an_answer_that_flows_goes_on_in_the_new_one(framing, place, version):
     two = Two(1)
-    client = two.old.client(f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode())
+    client = two.old.client(
+        f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode()
+    )
     far = two.old.far()
     heard(far)
-    head = {"length": b"Content-Length: %d" % len(BODY), "chunks": b"Transfer-Encoding: chunked", "close": b"Connection: close"}
-    text = BODY if framing != "chunks" else b"".join(
-        b"%x;e=1\r\n%b\r\n" % (len(part), part) for part in (BODY[at:at + 10_000] for at in range(0, len(BODY), 10_000))
-    ) + b"0\r\n\r\n"
+    head = {
+        "length": b"Content-Length: %d" % len(BODY),
+        "chunks": b"Transfer-Encoding: chunked",
+        "close": b"Connection: close",
+    }
+    text = (
+        BODY
+        if framing != "chunks"
+        else b"".join(
+            b"%x;e=1\r\n%b\r\n" % (len(part), part)
+            for part in (BODY[at : at + 10_000] for at in range(0, len(BODY), 10_000))
+        )
+        + b"0\r\n\r\n"
+    )
     text = b"HTTP/1.1 200 OK\r\n" + head[framing] + b"\r\n\r\n" + text
     got = b""
     for one in two.old.node.clients.open:
-        one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8_192)  # some of it waits to be written
+        one.conn.sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_SNDBUF, 8_192
+        )  # some of it waits to be written
     rest = text[:place]
     for _ in range(40):
-        rest = rest[far.send(rest[:9_000]):] if rest else b""
+        rest = rest[far.send(rest[:9_000]) :] if rest else b""
         two.turn(1)
         if len(got) < place - 60_000:
             with contextlib.suppress(BlockingIOError):
@@ -497,7 +615,7 @@
     for _ in range(200):
         if rest:
             with contextlib.suppress(BlockingIOError):
-                rest = rest[far.send(rest[:20_000]):]
+                rest = rest[far.send(rest[:20_000]) :]
         two.turn(1)
         got += raw(client)
     assert not rest
@@ -510,9 +628,14 @@
         plain = b""
         while body:
             size, _, body = body.partition(b"\r\n")
-            plain, body = plain + body[:int(size, 16)], body[int(size, 16) + 2:]
+            plain, body = plain + body[: int(size, 16)], body[int(size, 16) + 2 :]
         body = plain
-    assert body == BODY and not two.new.node.reqs and not two.new.node.names and not two.new.log.lines.count("fault")
+    assert (
+        body == BODY
+        and not two.new.node.reqs
+        and not two.new.node.names
+        and not two.new.log.lines.count("fault")
+    )
     if version == "1.1":
         client.sendall(b"GET /read/n HTTP/1.1\r\nRequest-Id: 2\r\nRequest-Timeout: 1\r\n\r\n")
         two.turn()
@@ -549,15 +672,26 @@
 
 
 @pytest.mark.parametrize("framing", [f"Content-Length: {len(BODY)}", "Transfer-Encoding: chunked"])
-@pytest.mark.parametrize(("ends", "status"), [("done", "200"), ("reset", "503"), ("stalls", "408"), ("late", "503")])
+@pytest.mark.parametrize(
+    ("ends", "status"), [("done", "200"), ("reset", "503"), ("stalls", "408"), ("late", "503")]
+)
 def test_a_req_whose_body_flows_goes_on_in_the_new_one(framing, ends, status):
     two = Two(1)
-    head = (f"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nRequest-Timeout: 1\r\n{framing}\r\n\r\n").encode()
-    text = BODY if "chunked" not in framing else b"".join(
-        b"%x\r\n%b\r\n" % (len(part), part) for part in (BODY[at:at + 9_000] for at in range(0, len(BODY), 9_000))) + b"0\r\n\r\n"
+    head = (
+        f"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nRequest-Timeout: 1\r\n{framing}\r\n\r\n"
+    ).encode()
+    text = (
+        BODY
+        if "chunked" not in framing
+        else b"".join(
+            b"%x\r\n%b\r\n" % (len(part), part)
+            for part in (BODY[at : at + 9_000] for at in range(0, len(BODY), 9_000))
+        )
+        + b"0\r\n\r\n"
+    )
     client = two.old.client(head)
     for at in range(0, 130_000, 26_000):
-        two.old.says(client, text[at:at + 26_000])
+        two.old.says(client, text[at : at + 26_000])
     far = two.old.far()
     got = raw(far)
     going_over(two)
@@ -566,7 +700,7 @@
         two.wait(3_000_000)
     else:
         for at in range(130_000, len(text), 26_000):
-            client.sendall(text[at:at + 26_000])
+            client.sendall(text[at : at + 26_000])
             two.turn()
             got += raw(far)
         body = got.partition(b"\r\n\r\n")[2]
@@ -574,7 +708,7 @@
             plain = b""
             while body:
                 size, _, body = body.partition(b"\r\n")
-                plain, body = plain + body[:int(size, 16)], body[int(size, 16) + 2:]
+                plain, body = plain + body[: int(size, 16)], body[int(size, 16) + 2 :]
             body = plain
         assert body == BODY and heard(client) is None
         if ends == "done":
@@ -589,9 +723,16 @@
     two.end()
 
 
-@pytest.mark.parametrize("packet", [
-    b'["answer"]', b'["answer",{}]', b'["upload",{"name":"x","head":"","host":"c0","at":["127.0.0.1",100]}]', b'["begun"]',
-    b'["answer",{"name":"x","head":"noise","host":"c0","at":["h",1],"version":"1.1","lasts":true,"chunked":7,"last":0}]'])
+@pytest.mark.parametrize(
+    "packet",
+    [
+        b'["answer"]',
+        b'["answer",{}]',
+        b'["upload",{"name":"x","head":"","host":"c0","at":["127.0.0.1",100]}]',
+        b'["begun"]',
+        b'["answer",{"name":"x","head":"noise","host":"c0","at":["h",1],"version":"1.1","lasts":true,"chunked":7,"last":0}]',
+    ],
+)
 @pytest.mark.parametrize("fds", [0, 1, 2])
 def test_a_req_under_way_that_makes_no_sense_costs_nothing(packet, fds):
     net, near, far = one_side(1, start=False)
@@ -607,7 +748,9 @@
     net.turn()
     net.wait(20_000_000)
     assert net.node.ready() and not net.node.reqs and not net.node.hosts.count
-    assert all(pair[1].recv(99) == b"" or pair[1].recv(99) == b"" for pair in pairs), "nobody holds their other ends"
+    assert all(pair[1].recv(99) == b"" or pair[1].recv(99) == b"" for pair in pairs), (
+        "nobody holds their other ends"
+    )
     client = net.ask("k")
     net.serve()
     assert heard(client).startswith("HTTP/1.1 200")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -32,8 +32,10 @@
     net = Net()
     client = net.ask("7f3", method="PUT", rule_set="mark", body="value")
     origin = net.far()
-    assert heard(origin) == ("PUT /mark/7f3?q=1 HTTP/1.1\r\nHost: cache\r\nRequest-Id: r-7f3\r\nIdempotency-Key: m1\r\n"
-                             "Content-Length: 5\r\nRequest-Timeout: 1.980\r\n\r\nvalue")
+    assert heard(origin) == (
+        "PUT /mark/7f3?q=1 HTTP/1.1\r\nHost: cache\r\nRequest-Id: r-7f3\r\nIdempotency-Key: m1\r\n"
+        "Content-Length: 5\r\nRequest-Timeout: 1.980\r\n\r\nvalue"
+    )
     net.says(origin, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nst")
     assert heard(client) is None, "not a byte before the body is whole"
     net.says(origin, "ok")
@@ -74,7 +76,9 @@
     assert heard(late).startswith("GET /read/k1")
     net.wait(600_000)
     assert heard(late) == "", "its connection is closed: it is told so"
-    assert net.dialled[-1][0] == 109 and heard(net.far()).startswith("GET /read/k1"), "the origin's port"
+    assert net.dialled[-1][0] == 109 and heard(net.far()).startswith("GET /read/k1"), (
+        "the origin's port"
+    )
     net.answers(net.far())
     assert "200" in heard(client) and net.verdicts == ["cancelled", "done"] and not net.node.reqs
 
@@ -100,7 +104,9 @@
     net.answers(net.far(), more="Server-Load: concurrent=7\r\n")
     assert "200" in heard(client)
     done, words = net.node.watch()
-    assert done and words == ("1 dispatches, owner 0, copy 0, repeat 0, call-off 1, answer 0, pause 0, limit 0")
+    assert done and words == (
+        "1 dispatches, owner 0, copy 0, repeat 0, call-off 1, answer 0, pause 0, limit 0"
+    )
 
 
 def test_a_very_long_key_is_a_key():
@@ -111,7 +117,9 @@
     assert heard(client).startswith("HTTP/1.1 200")
 
 
-@pytest.mark.parametrize(("size", "status"), [(65_536, 200), (400_000, 200), (5 << 20, 200), (50 << 20, 503)])
+@pytest.mark.parametrize(
+    ("size", "status"), [(65_536, 200), (400_000, 200), (5 << 20, 200), (50 << 20, 503)]
+)
 def test_large_values_come_through_and_endless_ones_do_not(size, status):
     net = Net(1)
     client = net.ask("k")
@@ -119,11 +127,13 @@
     rest = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"v" * min(size, 6 << 20)
     for _ in range(1_000):
         with contextlib.suppress(OSError):
-            rest = rest[far.send(rest[:50_000]):] if rest else rest
+            rest = rest[far.send(rest[:50_000]) :] if rest else rest
         net.turn(1)
         said += drawn(client)
     head, _, body = bytes(said).partition(b"\r\n\r\n")
-    assert head.startswith(b"HTTP/1.1 %d" % status) and body == (b"v" * size if status == 200 else b"")
+    assert head.startswith(b"HTTP/1.1 %d" % status) and body == (
+        b"v" * size if status == 200 else b""
+    )
 
 
 def drawn(far):
@@ -162,19 +172,47 @@
     assert not net.node.clients.open
 
 
-@pytest.mark.parametrize(("does", "verdict"), [
-    (lambda net, far: far.close(), "reset"),
-    (lambda net, far: (far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), far.close()), "reset"),
-    (lambda net, far: (far.sendall(b"HTTP/1.1 200 OK\r\n\r\nno length"), far.close()), "reset"),
-    (lambda net, far: far.sendall(b"\x00\x01 what"), "reset"),
-    (lambda net, far: far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"), "reset"),
-    (lambda net, far: far.sendall(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 17_000), "reset"),
-    (lambda net, far: far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nvHTTP/1.1 200"), "done"),
-    (lambda net, far: far.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n0\r\n\r\n"), "done"),
-    (lambda net, far: far.sendall(b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), "full"),
-    (lambda net, far: far.sendall(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), "error"),
-    (lambda net, far: far.sendall(b"HTTP/1.1 302 No\r\nContent-Length: 0\r\n\r\n"), "error"),
-    (lambda net, far: net.wait(2_000_000), "timeout")])
+@pytest.mark.parametrize(
+    ("does", "verdict"),
+    [
+        (lambda net, far: far.close(), "reset"),
+        (
+            lambda net, far: (
+                far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
+                far.close(),
+            ),
+            "reset",
+        ),
+        (lambda net, far: (far.sendall(b"HTTP/1.1 200 OK\r\n\r\nno length"), far.close()), "reset"),
+        (lambda net, far: far.sendall(b"\x00\x01 what"), "reset"),
+        (
+            lambda net, far: far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"),
+            "reset",
+        ),
+        (lambda net, far: far.sendall(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 17_000), "reset"),
+        (
+            lambda net, far: far.sendall(
+                b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nvHTTP/1.1 200"
+            ),
+            "done",
+        ),
+        (
+            lambda net, far: far.sendall(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n0\r\n\r\n"
+            ),
+            "done",
+        ),
+        (
+            lambda net, far: far.sendall(
+                b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+            ),
+            "full",
+        ),
+        (lambda net, far: far.sendall(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), "error"),
+        (lambda net, far: far.sendall(b"HTTP/1.1 302 No\r\nContent-Length: 0\r\n\r\n"), "error"),
+        (lambda net, far: net.wait(2_000_000), "timeout"),
+    ],
+)
 def test_what_a_host_does_is_told_as_it_is(does, verdict):
     net = Net(3, **WAITS)
     net.ask()
@@ -241,7 +279,10 @@
 def test_a_fault_in_the_decisions_still_brings_an_answer():
     net = Net(expects=(ZeroDivisionError,))
     net.node.balancer.on_req = lambda *_: 1 / 0
-    assert heard(net.ask()).startswith("HTTP/1.1 500") and net.log.lines == ["serving", "ZeroDivisionError"]
+    assert heard(net.ask()).startswith("HTTP/1.1 500") and net.log.lines == [
+        "serving",
+        "ZeroDivisionError",
+    ]
     net = Net()
     net.node.balancer.on_req = lambda *_: None  # forgets it
     client = net.ask()
@@ -252,32 +293,57 @@
 REQ = b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n"
 
 
-@pytest.mark.parametrize(("text", "status"), [
-    (b"\x16\x03\x01 nonsense\r\n\r\n", 400), (b"GET /read/k HTTP/1.1\r\nno colon\r\n\r\n", 400),
-    (b"GET  HTTP/1.1\r\n\r\n", 400), (b"POST /read/k HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
-    (b"GET /nosuch/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n", 404),
-    (b"GET / HTTP/1.1\r\n\r\n", 404), (b"GET //[ HTTP/1.1\r\n\r\n", 404), (b"GET http://[/ HTTP/1.1\r\n\r\n", 400),
-    (REQ + b"Request-Class: nosuch\r\n\r\n", 404), (b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\n\r\n", 400),
-    (REQ + b"Request-Timeout: nan\r\n\r\n", 400), (b"GET /read/k HTTP/1.1\r\nRequest-Timeout: 1\r\n\r\n", 400),
-    (REQ + b"Content-Length: 50000000\r\n\r\n", 413), (REQ + b"X: " + b"x" * 20_000, 431),
-    (REQ + b"Transfer-Encoding: chunked\r\n\r\n" + b"g\r\n", 400),
-    (REQ + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + REQ + b"\r\n", 400),
-    (REQ + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400), (REQ + b"Content-Length: -1\r\n\r\n", 400),
-    (REQ + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400), (REQ + b"Request-Id: 2\r\n\r\n", 400),
-    (REQ + b"Content-Length: 99999999999999999999\r\n\r\n", 400), (REQ.replace(b"1.1", b"2.0") + b"\r\n", 505),
-    (REQ.replace(b"Timeout: 1", b"Timeout: 0") + b"\r\n", 400), (REQ.replace(b"Timeout: 1", b"Timeout: 1_0") + b"\r\n", 400),
-    (REQ.replace(b"Timeout: 1", b"Timeout: -1") + b"\r\n", 400), (REQ + b"Content-Length: 60000000\r\n\r\n", 413),
-    (REQ + b"Connection: upgrade\r\nUpgrade: x\r\n\r\n", 400), (b"CONNECT h:1 HTTP/1.1\r\n\r\n", 400)])
+@pytest.mark.parametrize(
+    ("text", "status"),
+    [
+        (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
+        (b"GET /read/k HTTP/1.1\r\nno colon\r\n\r\n", 400),
+        (b"GET  HTTP/1.1\r\n\r\n", 400),
+        (b"POST /read/k HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
+        (b"GET /nosuch/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n", 404),
+        (b"GET / HTTP/1.1\r\n\r\n", 404),
+        (b"GET //[ HTTP/1.1\r\n\r\n", 404),
+        (b"GET http://[/ HTTP/1.1\r\n\r\n", 400),
+        (REQ + b"Request-Class: nosuch\r\n\r\n", 404),
+        (b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\n\r\n", 400),
+        (REQ + b"Request-Timeout: nan\r\n\r\n", 400),
+        (b"GET /read/k HTTP/1.1\r\nRequest-Timeout: 1\r\n\r\n", 400),
+        (REQ + b"Content-Length: 50000000\r\n\r\n", 413),
+        (REQ + b"X: " + b"x" * 20_000, 431),
+        (REQ + b"Transfer-Encoding: chunked\r\n\r\n" + b"g\r\n", 400),
+        (
+            REQ
+            + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+            + REQ
+            + b"\r\n",
+            400,
+        ),
+        (REQ + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
+        (REQ + b"Content-Length: -1\r\n\r\n", 400),
+        (REQ + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400),
+        (REQ + b"Request-Id: 2\r\n\r\n", 400),
+        (REQ + b"Content-Length: 99999999999999999999\r\n\r\n", 400),
+        (REQ.replace(b"1.1", b"2.0") + b"\r\n", 505),
+        (REQ.replace(b"Timeout: 1", b"Timeout: 0") + b"\r\n", 400),
+        (REQ.replace(b"Timeout: 1", b"Timeout: 1_0") + b"\r\n", 400),
+        (REQ.replace(b"Timeout: 1", b"Timeout: -1") + b"\r\n", 400),
+        (REQ + b"Content-Length: 60000000\r\n\r\n", 413),
+        (REQ + b"Connection: upgrade\r\nUpgrade: x\r\n\r\n", 400),
+        (b"CONNECT h:1 HTTP/1.1\r\n\r\n", 400),
+    ],
+)
 def test_a_bad_req_gets_a_plain_answer_and_the_door(text, status):
     net = Net()
     client = net.client()
     for i in range(0, len(text), 4096):
         try:
-            client.sendall(text[i:i + 4096])
+            client.sendall(text[i : i + 4096])
         except OSError:
             break
         net.turn()
-    assert heard(client) == (f"HTTP/1.1 {status} {start_line(status)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+    assert heard(client) == (
+        f"HTTP/1.1 {status} {start_line(status)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+    )
     with contextlib.suppress(OSError):
         net.says(client, REQ + b"\r\n")  # comes too late
     assert net.node.clients.open, "closed on unread bytes, the answer would be lost"
@@ -287,20 +353,35 @@
 
 
 def start_line(status):
-    return {505: "HTTP Version Not Supported", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 413: "Content Too Large",
-            431: "Request Header Fields Too Large"}[status]
+    return {
+        505: "HTTP Version Not Supported",
+        400: "Bad Request",
+        404: "Not Found",
+        405: "Method Not Allowed",
+        413: "Content Too Large",
+        431: "Request Header Fields Too Large",
+    }[status]
 
 
 def test_within_three_seconds_a_req_is_whole_or_its_connection_is_let_go():
     net = Net()
-    half, silent, late, served = net.client(b"GET /read/k HT"), net.client(), net.client(), net.ask()
+    half, silent, late, served = (
+        net.client(b"GET /read/k HT"),
+        net.client(),
+        net.client(),
+        net.ask(),
+    )
     net.answers(net.far())
     assert heard(served).startswith("HTTP/1.1 200")
     net.wait(2_000_000)
     net.says(late, "G")
     assert heard(half) is None and heard(silent) is None
     net.wait(900_000)
-    assert heard(half).startswith("HTTP/1.1 408") and heard(late).startswith("HTTP/1.1 408") and heard(silent) == ""
+    assert (
+        heard(half).startswith("HTTP/1.1 408")
+        and heard(late).startswith("HTTP/1.1 408")
+        and heard(silent) == ""
+    )
     assert heard(served) is None and len(net.node.clients.open) <= 3
     net.says(served, "GET /read")
     net.wait(2_000_000)
@@ -321,7 +402,11 @@
     assert len(clients.open) == clients.most == 8
     for i in range(7):
         net.client(REQ.replace(b"Id: 1", b"Id: %d" % i) + b"\r\n")
-    assert [heard(far) for far in others] == [""] * 7 and heard(served) is None and len(net.node.reqs) == 7
+    assert (
+        [heard(far) for far in others] == [""] * 7
+        and heard(served) is None
+        and len(net.node.reqs) == 7
+    )
 
 
 def test_a_client_whose_req_waits_to_be_read_does_not_make_way():
@@ -376,7 +461,11 @@
     net = Net(3)
     client = net.ask("k")
     net.answers(net.far(), 400, "")
-    assert heard(client).startswith("HTTP/1.1 400") and net.verdicts == ["unfit"] and len(net.fars()) == 1
+    assert (
+        heard(client).startswith("HTTP/1.1 400")
+        and net.verdicts == ["unfit"]
+        and len(net.fars()) == 1
+    )
     assert not net.node.reqs and not net.node.balancer.reqs
 
 
@@ -394,8 +483,10 @@
 
 def test_a_client_that_waits_to_be_let_send_its_body_is():
     net = Net()
-    client = net.client(b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\nContent-Length: 1\r\n"
-                        b"Expect: 100-continue\r\n\r\n")
+    client = net.client(
+        b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\nContent-Length: 1\r\n"
+        b"Expect: 100-continue\r\n\r\n"
+    )
     assert heard(client) == "HTTP/1.1 100 Continue\r\n\r\n"
     net.says(client, "v")
     net.answers(net.far())
@@ -405,8 +496,13 @@
 def test_reqs_sent_before_the_answer_are_answered_in_their_order():
     for split in (False, True):
         net = Net(1)
-        texts = [REQ.replace(b"Id: 1", b"Id: %d" % i).replace(b"/k", b"/k%d" % i) + b"\r\n" for i in range(5)]
-        client = net.client(texts[0] + (b"" if split else b"".join(texts[1:]) + b"not HTTP at all\r\n\r\n"))
+        texts = [
+            REQ.replace(b"Id: 1", b"Id: %d" % i).replace(b"/k", b"/k%d" % i) + b"\r\n"
+            for i in range(5)
+        ]
+        client = net.client(
+            texts[0] + (b"" if split else b"".join(texts[1:]) + b"not HTTP at all\r\n\r\n")
+        )
         for text in (*texts[1:], b"not HTTP at all\r\n\r\n") if split else ():
             net.says(client, text)
         for i in range(5):
@@ -462,7 +558,10 @@
 
 @contextlib.contextmanager
 def signals(net, path):
-    kept = {number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)}
+    kept = {
+        number: signal.getsignal(number)
+        for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
+    }
     bell = on_signal(net.loop, net.node, path)
     try:
         yield
@@ -478,8 +577,14 @@
     tells(net, 41, True, [net.entry(0), net.entry(9)])
     [link], before = idle_links(net, 1), listed(net)
     with signals(net, str(path)):
-        for round, text in enumerate((None, "{", orjson.dumps(GOOD | {"discovery": "127.0.0.1:8501"}).decode(),
-                                      orjson.dumps(GOOD | {"discovery": "127.0.0.1:8502"}).decode())):
+        for round, text in enumerate(
+            (
+                None,
+                "{",
+                orjson.dumps(GOOD | {"discovery": "127.0.0.1:8501"}).decode(),
+                orjson.dumps(GOOD | {"discovery": "127.0.0.1:8502"}).decode(),
+            )
+        ):
             if text:
                 path.write_text(text)
             net.refused.add(8502)
@@ -487,11 +592,15 @@
             net.turn()
             assert net.log.lines[-1] == "terms kept" if round < 2 else "terms read" in net.log.lines
             assert net.loop.running and listed(net) == before and net.node.hosts.pools["c0"].idle
-            assert [port for port, _ in net.dialled if port > 8000] == [8500, 8501][:max(1, round)]
+            assert [port for port, _ in net.dialled if port > 8000] == [8500, 8501][: max(1, round)]
             if round == 2:  # the versions of another agent mean nothing here
                 assert heard(net.far()).startswith(f"GET {LIST} HTTP/1.1")
-                net.answers(net.far(), body=orjson.dumps({"seq": 3, "whole": True, "hosts": [
-                    net.entry(0), net.entry(9)]}).decode())
+                net.answers(
+                    net.far(),
+                    body=orjson.dumps(
+                        {"seq": 3, "whole": True, "hosts": [net.entry(0), net.entry(9)]}
+                    ).decode(),
+                )
                 assert heard(net.far()).startswith(f"GET {LIST}?after=3&")
             elif round == 3:
                 net.refused.clear()
@@ -504,6 +613,7 @@
 
 # --- drains
 
+
 def test_a_drain_turns_nobody_away_and_lets_all_go():
     net = Net(**WAITS)
     idle, busy = net.ask("k1"), net.ask("k2")
@@ -514,10 +624,15 @@
     net.wait(500_000)
     assert heard(idle) is None and net.node.clients.listener is None
     net.serve()
-    assert all("Connection: close" in heard(client) and heard(client) == "" for client in (busy, asked, late))
+    assert all(
+        "Connection: close" in heard(client) and heard(client) == ""
+        for client in (busy, asked, late)
+    )
     net.says(idle, REQ + b"\r\n")
     net.serve()
-    assert "200" in (text := heard(idle)) and "Connection: close" in text, "a kept connection may be used once more"
+    assert "200" in (text := heard(idle)) and "Connection: close" in text, (
+        "a kept connection may be used once more"
+    )
     for client in (idle, busy, asked, late):
         client.close()
     net.wait(600_000)
@@ -526,7 +641,12 @@
 
 def test_connections_that_ask_nothing_are_closed_by_a_drain_and_reqs_are_not_cut_off():
     net = Net(**WAITS)
-    silent, half, idle, busy = net.client(), net.client(b"GET /read/k9 HTTP/1.1\r\n"), net.ask("k1"), net.ask("k2")
+    silent, half, idle, busy = (
+        net.client(),
+        net.client(b"GET /read/k9 HTTP/1.1\r\n"),
+        net.ask("k1"),
+        net.ask("k2"),
+    )
     net.answers(net.far(0))
     heard(idle)
     net.node.quiesce()
@@ -580,30 +700,74 @@
 
 # --- new settings
 
+
 def rules(*names, **more):
-    return [{"name": name, "effect": "retryable", "client-timeout": 900_000} | more for name in names]
-
-
-@pytest.mark.parametrize(("spoilt", "why"), [
-    (b"", "is not JSON"), (b"{", "is not JSON"), (b"[]", "an object was expected"), (None, "No such file"),
-    (lambda file: file.pop("settings"), "settings is missing"), (lambda file: file.pop("discovery"), "discovery is missing"),
-    (lambda file: file["settings"].pop("rule-sets"), "settings.rule-sets is missing"),
-    (lambda file: file["settings"].update({"rule-sets": []}), "rule-sets.count"),
-    (lambda file: file["settings"]["rule-sets"][1].pop("effect"), "rule-sets.*.effect is missing"),
-    (lambda file: file["settings"]["rule-sets"][0].pop("name"), "rule-sets.*.name is missing"),
-    (lambda file: file["settings"]["ceilings"].pop("may-cancel"), "ceilings.may-cancel is missing"),
-    (lambda file: file["settings"]["ceilings"].update({"may-cancel": "yes"}), "is a text, where a yes or no was"),
-    (lambda file: file["settings"]["rule-sets"][1].update({"client-timeout": 0}), "must be over 0"),
-    (lambda file: file["settings"]["rule-sets"][1].update({"client-timeout": -5}), "must be over 0"),
-    (lambda file: file["settings"]["rule-sets"][1].update({"effect": "none"}), "must be one of"),
-    (lambda file: file["settings"]["rule-sets"][1].update({"name": "read"}), "a name of its own"),
-    (lambda file: file["settings"]["ceilings"].update({"most-dispatches": 0}), "must be over 0"),
-    (lambda file: file["settings"]["ceilings"].update({"most-dispatches": -1}), "must be over 0"),
-    (lambda file: file["settings"]["ceilings"].update({"most-dispatches": "many"}), "is a text, where a number was"),
-    (lambda file: file["settings"]["ceilings"].update({"conn-idle": 0}), "must be over 0"),
-    (lambda file: file["settings"]["guarantees"].update({"warm-after": -1}), "must not be under 0"),
-    (lambda file: file.update({"discovery": "nowhere"}), "not an address"),
-    (lambda file: file.update({"listen": 7}), "is a number, where a text was")])
+    return [
+        {"name": name, "effect": "retryable", "client-timeout": 900_000} | more for name in names
+    ]
+
+
+@pytest.mark.parametrize(
+    ("spoilt", "why"),
+    [
+        (b"", "is not JSON"),
+        (b"{", "is not JSON"),
+        (b"[]", "an object was expected"),
+        (None, "No such file"),
+        (lambda file: file.pop("settings"), "settings is missing"),
+        (lambda file: file.pop("discovery"), "discovery is missing"),
+        (lambda file: file["settings"].pop("rule-sets"), "settings.rule-sets is missing"),
+        (lambda file: file["settings"].update({"rule-sets": []}), "rule-sets.count"),
+        (
+            lambda file: file["settings"]["rule-sets"][1].pop("effect"),
+            "rule-sets.*.effect is missing",
+        ),
+        (lambda file: file["settings"]["rule-sets"][0].pop("name"), "rule-sets.*.name is missing"),
+        (
+            lambda file: file["settings"]["ceilings"].pop("may-cancel"),
+            "ceilings.may-cancel is missing",
+        ),
+        (
+            lambda file: file["settings"]["ceilings"].update({"may-cancel": "yes"}),
+            "is a text, where a yes or no was",
+        ),
+        (
+            lambda file: file["settings"]["rule-sets"][1].update({"client-timeout": 0}),
+            "must be over 0",
+        ),
+        (
+            lambda file: file["settings"]["rule-sets"][1].update({"client-timeout": -5}),
+            "must be over 0",
+        ),
+        (
+            lambda file: file["settings"]["rule-sets"][1].update({"effect": "none"}),
+            "must be one of",
+        ),
+        (
+            lambda file: file["settings"]["rule-sets"][1].update({"name": "read"}),
+            "a name of its own",
+        ),
+        (
+            lambda file: file["settings"]["ceilings"].update({"most-dispatches": 0}),
+            "must be over 0",
+        ),
+        (
+            lambda file: file["settings"]["ceilings"].update({"most-dispatches": -1}),
+            "must be over 0",
+        ),
+        (
+            lambda file: file["settings"]["ceilings"].update({"most-dispatches": "many"}),
+            "is a text, where a number was",
+        ),
+        (lambda file: file["settings"]["ceilings"].update({"conn-idle": 0}), "must be over 0"),
+        (
+            lambda file: file["settings"]["guarantees"].update({"warm-after": -1}),
+            "must not be under 0",
+        ),
+        (lambda file: file.update({"discovery": "nowhere"}), "not an address"),
+        (lambda file: file.update({"listen": 7}), "is a number, where a text was"),
+    ],
+)
 def test_a_spoilt_file_changes_nothing(tmp_path, spoilt, why):
     path, net = tmp_path / "c", Net()
     path.write_bytes(orjson.dumps(FILE))
@@ -619,14 +783,26 @@
     told = []
     net.node.note = lambda event, **facts: told.append((event, facts.get("why")))
     read_anew(net.node, str(path))
-    assert net.node.station is before and len(net.dialled) == dialled and net.node.balancer.terms is not before.terms
+    assert (
+        net.node.station is before
+        and len(net.dialled) == dialled
+        and net.node.balancer.terms is not before.terms
+    )
     assert [event for event, _ in told] == ["terms kept"] and why in told[0][1]
 
 
-FILE = {"name": "n", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:8500", "limits": {"memory_mb": 80},
-        "settings": {"rule-sets": rules("read", "once"), "customers": [{"name": "a", "share": 1.0}],
-                     "ceilings": {"most-dispatches": 3, "may-cancel": True, "conn-idle": 9_000_000},
-                     "guarantees": {"warm-after": 1_000_000}}}
+FILE = {
+    "name": "n",
+    "listen": "127.0.0.1:7070",
+    "discovery": "127.0.0.1:8500",
+    "limits": {"memory_mb": 80},
+    "settings": {
+        "rule-sets": rules("read", "once"),
+        "customers": [{"name": "a", "share": 1.0}],
+        "ceilings": {"most-dispatches": 3, "may-cancel": True, "conn-idle": 9_000_000},
+        "guarantees": {"warm-after": 1_000_000},
+    },
+}
 
 
 def test_new_settings_bind_new_reqs_and_open_ones_keep_theirs(tmp_path):
@@ -643,7 +819,9 @@
     for _ in range(2):  # told twice, as well
         read_anew(net.node, str(path))
     assert net.log.lines[-1] == "terms read"
-    assert heard(net.ask("k2")).startswith("HTTP/1.1 404"), "a class that was dropped is unknown to new reqs"
+    assert heard(net.ask("k2")).startswith("HTTP/1.1 404"), (
+        "a class that was dropped is unknown to new reqs"
+    )
     net.says(net.far(0), "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
     assert heard(old) is None, "the open one may still have another dispatch"
     net.answers(net.far(1))
@@ -666,6 +844,7 @@
 
 # --- pools
 
+
 def test_links_from_a_burst_are_not_kept_for_long_and_one_is():
     net = Net(1)
     clients = [net.ask(f"k{i}") for i in range(7)]
@@ -715,7 +894,9 @@
     net = Net(1)
     [link] = idle_links(net, 1)
     leaves(link)
-    near, client = socket.socketpair()  # the req comes in the same round, before the end of the link is seen
+    near, client = (
+        socket.socketpair()
+    )  # the req comes in the same round, before the end of the link is seen
     client.sendall(REQ + b"\r\n")
     net.node.clients.let_in(near)
     net.turn()
@@ -735,7 +916,9 @@
     net.node.clients.let_in(near)
     link.close()
     net.turn()
-    assert net.verdicts == [verdict] and len(net.dialled) == 2 + written, "no second send nobody decided"
+    assert net.verdicts == [verdict] and len(net.dialled) == 2 + written, (
+        "no second send nobody decided"
+    )
 
 
 def test_a_kept_link_that_breaks_under_its_next_req_takes_older_ones_with_it():
@@ -783,7 +966,9 @@
         told = decoded({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
         net.node.on_list(False, *told[2:])
         net.turn()
-        assert net.verdicts == ["unconnected"] and heard(net.far()).startswith("GET"), "the other serves it"
+        assert net.verdicts == ["unconnected"] and heard(net.far()).startswith("GET"), (
+            "the other serves it"
+        )
         assert b"GET" not in far.recv(1 << 20)
     net = Net(2)
     near, far = full_pair()
@@ -837,7 +1022,7 @@
     short = [Fault(Reach.UNSENT, "short", "none left")]
     net.node.hosts.dialer = lambda address: short.pop() if short else net.dial(address)
     idle, dialled = net.node.hosts.count, len(net.dialled)
-    attempt = Attempt(b"GET / HTTP/1.1\r\n", b"", net.now + 10 ** 6, Nobody())
+    attempt = Attempt(b"GET / HTTP/1.1\r\n", b"", net.now + 10**6, Nobody())
     net.node.hosts.pools["c0"].dial(attempt)
     assert idle == net.node.hosts.count == 8 and len(net.dialled) == dialled + 1 and not short
 
@@ -871,7 +1056,9 @@
     net.answers(net.far())
     near, far = socket.socketpair()
     gone = OSError(errno.ECONNABORTED, "")
-    listener = net.node.clients.listener = Listener([gone] + [OSError(errno.EMFILE, "")] * 3 + [near])
+    listener = net.node.clients.listener = Listener(
+        [gone] + [OSError(errno.EMFILE, "")] * 3 + [near]
+    )
     net.loop.watch(listener, READ, net.node.clients.accept)
     net.loop.turn(0)
     assert heard(idle).startswith("HTTP") and heard(idle) == "", "the idle client made way"
@@ -884,9 +1071,20 @@
     assert listener.calls > 4 and len(net.node.clients.open) == 1 and far.fileno() > 0
 
 
-@pytest.mark.parametrize(("memory", "sockets", "most"), [
-    (32, 256, 104), (32, 1024, 128), (64, 1024, 384), (192, 1024, 488), (192, 384, 168), (10, 256, 8)])
-def test_clients_have_room_for_a_third_of_the_descriptors_where_memory_allows(memory, sockets, most):
+@pytest.mark.parametrize(
+    ("memory", "sockets", "most"),
+    [
+        (32, 256, 104),
+        (32, 1024, 128),
+        (64, 1024, 384),
+        (192, 1024, 488),
+        (192, 384, 168),
+        (10, 256, 8),
+    ],
+)
+def test_clients_have_room_for_a_third_of_the_descriptors_where_memory_allows(
+    memory, sockets, most
+):
     net = Net(1, memory=memory, sockets=sockets)
     assert net.node.clients.most == most and net.node.hosts.most + most <= sockets - 48
 
@@ -908,13 +1106,16 @@
 
 # --- the list
 
+
 def watched(net):
     """The agent's end, and what has been asked there."""
     return next(far for port, far in reversed(net.dialled) if port == 8500)
 
 
 def tells(net, seq, whole, hosts, status=200):
-    net.answers(watched(net), status, orjson.dumps({"seq": seq, "whole": whole, "hosts": hosts}).decode())
+    net.answers(
+        watched(net), status, orjson.dumps({"seq": seq, "whole": whole, "hosts": hosts}).decode()
+    )
 
 
 def listed(net):
@@ -938,12 +1139,20 @@
     assert heard(watched(net)).startswith(f"GET {LIST}?after=43&"), "but within 200 ms"
 
 
-@pytest.mark.parametrize("does", [
-    lambda net: tells(net, 1, True, [], status=500), lambda net: tells(net, 1, False, []),
-    lambda net: net.answers(watched(net), 200, "not JSON"), lambda net: net.answers(watched(net), 200, "[]"),
-    lambda net: tells(net, 1, True, [{"host": "x"}]), lambda net: tells(net, 1, True, [7]),
-    lambda net: watched(net).close(),
-    lambda net: net.says(watched(net), "garbage\r\n\r\n"), lambda net: net.wait(1_000_000)])
+@pytest.mark.parametrize(
+    "does",
+    [
+        lambda net: tells(net, 1, True, [], status=500),
+        lambda net: tells(net, 1, False, []),
+        lambda net: net.answers(watched(net), 200, "not JSON"),
+        lambda net: net.answers(watched(net), 200, "[]"),
+        lambda net: tells(net, 1, True, [{"host": "x"}]),
+        lambda net: tells(net, 1, True, [7]),
+        lambda net: watched(net).close(),
+        lambda net: net.says(watched(net), "garbage\r\n\r\n"),
+        lambda net: net.wait(1_000_000),
+    ],
+)
 def test_a_bad_or_missing_answer_keeps_the_list_and_is_asked_again_later(does):
     net = Net(2)
     before = listed(net)
@@ -967,7 +1176,11 @@
 
 def test_an_odd_entry_costs_its_host_and_not_the_list():
     net = Net(2)
-    odd = [net.entry(0, "Odd"), net.entry(1) | {"dial": "localhost:80"}, net.entry(2) | {"share": None}]
+    odd = [
+        net.entry(0, "Odd"),
+        net.entry(1) | {"dial": "localhost:80"},
+        net.entry(2) | {"share": None},
+    ]
     tells(net, 41, True, [*odd, net.entry(9)])
     assert listed(net) == {"c0": "draining", "c1": "draining", "c2": "up", "o": "up"}
     net.ask()
@@ -981,7 +1194,10 @@
         heard(watched(net))
         tells(net, seq, False, hosts)
         net.wait(wait)
-        assert heard(watched(net)).startswith(f"GET {LIST} HTTP/1.1") and listed(net) == {"c0": "up", "o": "up"}
+        assert heard(watched(net)).startswith(f"GET {LIST} HTTP/1.1") and listed(net) == {
+            "c0": "up",
+            "o": "up",
+        }
 
 
 def test_an_address_that_changes_is_dialled_from_then_on():
@@ -1003,16 +1219,30 @@
 
 # --- start and log
 
-GOOD = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ff",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"seq": 1, "whole": True, "hosts": []},
-        "settings": {"kinds": ["cache", "origin"], "ceilings": {"conn-idle": 7},
-                     "rule-sets": [{"name": "read", "effect": "retryable", "client-timeout": 900}]}}
+GOOD = {
+    "name": "n",
+    "listen": "127.0.0.1:1",
+    "discovery": "127.0.0.1:2",
+    "seed": "ff",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+    "known": {"seq": 1, "whole": True, "hosts": []},
+    "settings": {
+        "kinds": ["cache", "origin"],
+        "ceilings": {"conn-idle": 7},
+        "rule-sets": [{"name": "read", "effect": "retryable", "client-timeout": 900}],
+    },
+}
 
 
 def test_start_reads_names_and_units(tmp_path):
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
     station = start.read(str(tmp_path / "c"))
-    assert (station.listen, station.seed, station.idle_for, station.sockets) == (("127.0.0.1", 1), 255, 7, 1024)
+    assert (station.listen, station.seed, station.idle_for, station.sockets) == (
+        ("127.0.0.1", 1),
+        255,
+        7,
+        1024,
+    )
     assert station.terms.rule_sets["read"].replayable
     assert not station.terms.sized and station.terms.reports == () and station.watched is None
     new = {"weights": "rough", "report": {"how": "inline", "fields": ["concurrent", "tps"]}}
@@ -1021,20 +1251,45 @@
     assert watching.terms == station.terms
     assert watching.watched == station.terms._replace(sized=True, reports=("concurrent", "tps"))
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
-    assert start.read(str(tmp_path / "c"), watching).watched is None, "a watch may be left out again"
-
-
-@pytest.mark.parametrize(("change", "names"), [
-    ({"listen": "nowhere"}, "not an address: 'nowhere'"), ({"listen": None}, "c: "), ({"settings": {}}, "rule-sets.count"),
-    ({"seed": "xyz"}, "xyz"), ({"limits": {"sockets": 10}}, "too few"), ({"known": {"hosts": 1}}, "c: "),
-    ({"settings": {"rule-sets": [{"name": "a"}]}}, "rule-sets.0.client-timeout is missing"),
-    ({"settings": GOOD["settings"] | {"weights": "heavy"}}, "setting weights is 'heavy'"),
-    ({"settings": GOOD["settings"] | {"report": {"how": "loudly"}}}, "setting report.how is 'loudly'"),
-    ({"settings": GOOD["settings"] | {"ceilings": {"may-duplicate": "maybe"}}}, "may-duplicate is 'maybe'"),
-    ({"watch": 7}, "watch.settings"), ({"watch": {"settings": []}}, "watch.settings"),
-    ({"watch": {"settings": {"weights": "heavy"}}}, "watch: setting weights is 'heavy'"),
-    ({"watch": {"settings": {"rule-sets": [{"name": "other", "effect": "fragile", "client-timeout": 9}]}}},
-     "watch: rule set read is missing")])
+    assert start.read(str(tmp_path / "c"), watching).watched is None, (
+        "a watch may be left out again"
+    )
+
+
+@pytest.mark.parametrize(
+    ("change", "names"),
+    [
+        ({"listen": "nowhere"}, "not an address: 'nowhere'"),
+        ({"listen": None}, "c: "),
+        ({"settings": {}}, "rule-sets.count"),
+        ({"seed": "xyz"}, "xyz"),
+        ({"limits": {"sockets": 10}}, "too few"),
+        ({"known": {"hosts": 1}}, "c: "),
+        ({"settings": {"rule-sets": [{"name": "a"}]}}, "rule-sets.0.client-timeout is missing"),
+        ({"settings": GOOD["settings"] | {"weights": "heavy"}}, "setting weights is 'heavy'"),
+        (
+            {"settings": GOOD["settings"] | {"report": {"how": "loudly"}}},
+            "setting report.how is 'loudly'",
+        ),
+        (
+            {"settings": GOOD["settings"] | {"ceilings": {"may-duplicate": "maybe"}}},
+            "may-duplicate is 'maybe'",
+        ),
+        ({"watch": 7}, "watch.settings"),
+        ({"watch": {"settings": []}}, "watch.settings"),
+        ({"watch": {"settings": {"weights": "heavy"}}}, "watch: setting weights is 'heavy'"),
+        (
+            {
+                "watch": {
+                    "settings": {
+                        "rule-sets": [{"name": "other", "effect": "fragile", "client-timeout": 9}]
+                    }
+                }
+            },
+            "watch: rule set read is missing",
+        ),
+    ],
+)
 def test_a_bad_start_is_one_plain_line(tmp_path, change, names):
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD | change))
     with pytest.raises(start.BadStart, match=names) as told:
@@ -1047,8 +1302,14 @@
     path = tmp_path / "c"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run([sys.executable, "-m", "orchidgap", "serve", f"--config={path}"], capture_output=True)
-    assert done.returncode == 1 and done.stderr.startswith(b"orchidgap: ") and done.stderr.count(b"\n") == 1
+    done = subprocess.run(
+        [sys.executable, "-m", "orchidgap", "serve", f"--config={path}"], capture_output=True
+    )
+    assert (
+        done.returncode == 1
+        and done.stderr.startswith(b"orchidgap: ")
+        and done.stderr.count(b"\n") == 1
+    )
 
 
 def test_a_log_that_nobody_reads_loses_lines_and_does_not_wait():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,10 +33,11 @@
 
 def test_a_change_moves_neighbours_only():
     for ids, state, after in (
-            (["c2"], "gone", {"c0": 4096, "c1": 6144, "c3": 6144}),
-            (["c0"], "draining", {"c1": 8192, "c2": 4096, "c3": 4096}),
-            (["c25"], "up", {"c0": 4096, "c1": 4096, "c2": 2731, "c25": 2730, "c3": 2731}),
-            (["c4"], "up", {"c0": 4096, "c1": 4096, "c2": 4096, "c3": 2048, "c4": 2048})):
+        (["c2"], "gone", {"c0": 4096, "c1": 6144, "c3": 6144}),
+        (["c0"], "draining", {"c1": 8192, "c2": 4096, "c3": 4096}),
+        (["c25"], "up", {"c0": 4096, "c1": 4096, "c2": 2731, "c25": 2730, "c3": 2731}),
+        (["c4"], "up", {"c0": 4096, "c1": 4096, "c2": 4096, "c3": 2048, "c4": 2048}),
+    ):
         desk = Desk(4)
         desk.hosts["c2"].sends = 9
         desk.list(ids, state=state)
@@ -53,7 +54,11 @@
         desk.list([id], state="gone")
         desk.list([id])
         for other, size in sizes(desk).items():
-            assert abs(size - before[other]) <= 1 or id in ("c0", "c6") and size >= before[other] * 2 // 3
+            assert (
+                abs(size - before[other]) <= 1
+                or id in ("c0", "c6")
+                and size >= before[other] * 2 // 3
+            )
 
 
 def test_ranges_that_losses_moved_go_back_to_even_where_counts_are_few():
@@ -87,10 +92,14 @@
     assert sizes(desk) == drawn
 
 
-@pytest.mark.parametrize(("sends", "after"), [
-    ([100, 100, 100, 100], [4096, 4096, 4096, 4096]),
-    ([200, 100, 50, 50], [2048, 4096, 5120, 5120]),
-    ([399, 1, 0, 0], [1024, 5109, 5126, 5126])])  # at the floor of a quarter; the rest rescaled
+@pytest.mark.parametrize(
+    ("sends", "after"),
+    [
+        ([100, 100, 100, 100], [4096, 4096, 4096, 4096]),
+        ([200, 100, 50, 50], [2048, 4096, 5120, 5120]),
+        ([399, 1, 0, 0], [1024, 5109, 5126, 5126]),
+    ],
+)  # at the floor of a quarter; the rest rescaled
 def test_redraw(sends, after):
     desk = Desk(4)
     for host, count in zip(desk.placement.ring, sends, strict=True):
@@ -122,7 +131,9 @@
     desk.outcome(lead, "miss")
     desk.outcome(follower, "miss")
     late = desk.put(5)
-    assert desk.sent(lead) == [host, "o"] and desk.sent(follower) == [host] and desk.sent(late) == []
+    assert (
+        desk.sent(lead) == [host, "o"] and desk.sent(follower) == [host] and desk.sent(late) == []
+    )
     desk.outcome(lead, "done", 1)
     assert desk.sent(follower) == [host, host] and desk.sent(late) == [host]
 
@@ -159,7 +170,9 @@
     busy = desk.put(7, "once")
     req = desk.put(5)
     desk.outcome(req, "stale")
-    assert len(desk.sent(req)) == 2 and desk.sent(req)[1] != "o" and desk.sent(busy) == ["o"], "the origin has no time"
+    assert len(desk.sent(req)) == 2 and desk.sent(req)[1] != "o" and desk.sent(busy) == ["o"], (
+        "the origin has no time"
+    )
 
 
 def test_where_one_dispatch_is_all_the_origin_is_asked_while_it_has_time():
@@ -171,9 +184,17 @@
     assert desk.sent(desk.put(6)) != ["o"]
 
 
-@pytest.mark.parametrize(("rule_set", "verdict", "again", "final"), [
-    ("once", "timeout", False, "abort"), ("once", "error", False, "abort"), ("once", "full", True, None),
-    ("mark", "error", True, None), ("mark", "timeout", False, "deny"), ("once", "unconnected", True, None)])
+@pytest.mark.parametrize(
+    ("rule_set", "verdict", "again", "final"),
+    [
+        ("once", "timeout", False, "abort"),
+        ("once", "error", False, "abort"),
+        ("once", "full", True, None),
+        ("mark", "error", True, None),
+        ("mark", "timeout", False, "deny"),
+        ("once", "unconnected", True, None),
+    ],
+)
 def test_effects(rule_set, verdict, again, final):
     desk = Desk()
     req = desk.put(3, rule_set)
@@ -202,9 +223,20 @@
     assert desk.owner(1) == owner
 
 
-@pytest.mark.parametrize(("lag", "instances", "limit"), [
-    (300_000, 1, 4.0), (300_000, 2, 2.0), (300_000, 4, 1.0), (700_000, 1, 1.0), (700_000, 2, 1.0), (700_000, 8, 0.5)])
-def test_few_balancers_leave_a_cache_four_dispatches_together_unless_it_is_slow_beyond_use(lag, instances, limit):
+@pytest.mark.parametrize(
+    ("lag", "instances", "limit"),
+    [
+        (300_000, 1, 4.0),
+        (300_000, 2, 2.0),
+        (300_000, 4, 1.0),
+        (700_000, 1, 1.0),
+        (700_000, 2, 1.0),
+        (700_000, 8, 0.5),
+    ],
+)
+def test_few_balancers_leave_a_cache_four_dispatches_together_unless_it_is_slow_beyond_use(
+    lag, instances, limit
+):
     desk = Desk(instances=str(instances))
     owner = desk.owner(1)
     for _ in range(60):  # each as slow, one at a time: no crowd makes it so
@@ -218,11 +250,19 @@
     assert desk.hosts[owner].limit == pytest.approx(limit, abs=0.2)
 
 
-@pytest.mark.parametrize(("rule_set", "allowed", "answers", "again"), [
-    ("read", "true", True, True), ("read", "true", False, False), ("read", "false", True, False),
-    ("mark", "true", True, True), ("once", "true", True, False)])
+@pytest.mark.parametrize(
+    ("rule_set", "allowed", "answers", "again"),
+    [
+        ("read", "true", True, True),
+        ("read", "true", False, False),
+        ("read", "false", True, False),
+        ("mark", "true", True, True),
+        ("once", "true", True, False),
+    ],
+)
 def test_a_dispatch_that_a_quick_host_has_lost_is_sent_again_and_says_nothing_of_the_host(
-        rule_set, allowed, answers, again):
+    rule_set, allowed, answers, again
+):
     desk = Desk(**{"ceilings.may-duplicate": allowed})
     for key in (1, 2):
         desk.outcome(desk.put(key, rule_set), "done")
@@ -292,8 +332,13 @@
 
 
 def test_exactly_one_final_answer():
-    for verdicts in (["timeout"], ["moot"], ["full", "error", "reset", "unconnected"], ["miss", "timeout"],
-                     ["error", "miss", "full", "error"]):
+    for verdicts in (
+        ["timeout"],
+        ["moot"],
+        ["full", "error", "reset", "unconnected"],
+        ["miss", "timeout"],
+        ["error", "miss", "full", "error"],
+    ):
         for rule_set in ("read", "mark", "once"):
             desk = Desk()
             req = desk.put(9, rule_set)
@@ -316,8 +361,11 @@
 
 
 def test_nothing_new_to_a_draining_or_gone_host():
-    for scope, state, ids in (("changes", "draining", ["c0", "c1"]), ("changes", "gone", ["c0", "c1"]),
-                              ("whole", "up", ["c2", "c3", "o"])):
+    for scope, state, ids in (
+        ("changes", "draining", ["c0", "c1"]),
+        ("changes", "gone", ["c0", "c1"]),
+        ("whole", "up", ["c2", "c3", "o"]),
+    ):
         desk = Desk()
         desk.list(ids, scope, state)
         assert {desk.owner(key) for key in range(200)} == {"c2", "c3"}
@@ -406,7 +454,9 @@
     assert desk.sent(first) == ["o"] and not desk.sent(second), "one fetch of a key at a time"
     desk.hosts["o"].limit = 4.0
     other, more = desk.put(6), desk.put(7)
-    assert desk.sent(other) == ["o"] and not desk.sent(more) and desk.did("deny", more), "half its room is for misses"
+    assert desk.sent(other) == ["o"] and not desk.sent(more) and desk.did("deny", more), (
+        "half its room is for misses"
+    )
     desk.outcome(first, "done")
     assert desk.sent(second) == ["o"]
 
@@ -420,7 +470,10 @@
         if desk.sent(req):
             desk.outcome(req, "timeout", over=True)
     assert origin.limit < 0.3
-    went = sum(bool(desk.sent(desk.put(key, "once"))) and not desk.on_hangup(desk.number) for key in range(20))
+    went = sum(
+        bool(desk.sent(desk.put(key, "once"))) and not desk.on_hangup(desk.number)
+        for key in range(20)
+    )
     assert went < 12 and desk.did("deny")
     desk.wait(3 * 24 * desk.target)
     assert desk.chance(origin) == 1.0
@@ -460,7 +513,9 @@
             host.credit = credit
         req = desk.put(1)
         desk.outcome(req, "error")
-        assert len(desk.sent(req)) == dispatches and bool(desk.did("deny", req)) == (dispatches == 1)
+        assert len(desk.sent(req)) == dispatches and bool(desk.did("deny", req)) == (
+            dispatches == 1
+        )
 
 
 def test_a_failed_subscription_is_asked_for_again_at_random():
@@ -520,7 +575,9 @@
         desk.outcome(req, "reset")
         assert (len(desk.sent(req)) == 2) is goes
         desk.wait(900_000)
-        assert desk.did("abort", req) or goes, "it may have run, and a retry may meet the other origin"
+        assert desk.did("abort", req) or goes, (
+            "it may have run, and a retry may meet the other origin"
+        )
 
 
 def test_a_repeat_that_waited_past_its_window_is_given_up_and_holds_up_nobody():
@@ -537,17 +594,24 @@
 
 def rated(ratings, weights="rough", **pairs):
     desk = Desk(0, weights=weights, **pairs)
-    desk.on_hosts("changes", [(f"c{i}", "up", 0, "z", "cache", "1", rating) for i, rating in enumerate(ratings)])
+    desk.on_hosts(
+        "changes",
+        [(f"c{i}", "up", 0, "z", "cache", "1", rating) for i, rating in enumerate(ratings)],
+    )
     return desk
 
 
-@pytest.mark.parametrize(("ratings", "weights", "after"), [
-    ([1.0, 1.0, 1.0, 1.0], "rough", [4096, 4096, 4096, 4096]),
-    ([1.0, 1.0, 2.0, 4.0], "rough", [2048, 2048, 4096, 8192]),
-    ([1.0, 1.0, 2.0, 4.0], "nominal", [2048, 2048, 4096, 8192]),
-    ([1.0, 1.0, 2.0, 4.0], "live", [4096, 4096, 4096, 4096]),  # cuts would swing with them
-    ([1.0, 1.0, 2.0, 4.0], "off", [4096, 4096, 4096, 4096]),
-    ([0.0, 0.0, 0.0, 0.0], "rough", [4096, 4096, 4096, 4096])])  # a list that tells nonsense
+@pytest.mark.parametrize(
+    ("ratings", "weights", "after"),
+    [
+        ([1.0, 1.0, 1.0, 1.0], "rough", [4096, 4096, 4096, 4096]),
+        ([1.0, 1.0, 2.0, 4.0], "rough", [2048, 2048, 4096, 8192]),
+        ([1.0, 1.0, 2.0, 4.0], "nominal", [2048, 2048, 4096, 8192]),
+        ([1.0, 1.0, 2.0, 4.0], "live", [4096, 4096, 4096, 4096]),  # cuts would swing with them
+        ([1.0, 1.0, 2.0, 4.0], "off", [4096, 4096, 4096, 4096]),
+        ([0.0, 0.0, 0.0, 0.0], "rough", [4096, 4096, 4096, 4096]),
+    ],
+)  # a list that tells nonsense
 def test_even_shares_are_by_size(ratings, weights, after):
     assert list(sizes(rated(ratings, weights)).values()) == pytest.approx(after, abs=1)
 
@@ -564,12 +628,16 @@
 CALLS_OFF = {"ceilings__may-duplicate": "false"}
 
 
-@pytest.mark.parametrize(("pairs", "rule_set", "sent", "why"), [
-    (CALLS_OFF, "read", 2, "to the origin"),
-    ({"ceilings__may-duplicate": "true"}, "read", 2, "its host is silent"),
-    (CALLS_OFF | {"ceilings__may-cancel": "false"}, "read", 1, "nothing can be called off"),
-    (CALLS_OFF | {"ceilings__most-dispatches": "1"}, "read", 1, "there is no further dispatch"),
-    (CALLS_OFF | {"family-info__mode": "through"}, "once", 1, "it may have run")])
+@pytest.mark.parametrize(
+    ("pairs", "rule_set", "sent", "why"),
+    [
+        (CALLS_OFF, "read", 2, "to the origin"),
+        ({"ceilings__may-duplicate": "true"}, "read", 2, "its host is silent"),
+        (CALLS_OFF | {"ceilings__may-cancel": "false"}, "read", 1, "nothing can be called off"),
+        (CALLS_OFF | {"ceilings__most-dispatches": "1"}, "read", 1, "there is no further dispatch"),
+        (CALLS_OFF | {"family-info__mode": "through"}, "once", 1, "it may have run"),
+    ],
+)
 def test_a_late_read_is_called_off_for_the_origin(pairs, rule_set, sent, why):
     desk = Desk(4, **pairs)
     req = desk.put(rule_set=rule_set)
@@ -592,8 +660,10 @@
 
 
 def test_no_read_is_called_off_for_a_slow_origin_or_without_credit():
-    for spoil in (lambda desk: setattr(desk.hosts["o"], "lag", 300_000),
-                  lambda desk: setattr(desk.placement.fleet, "credit", 0.9)):
+    for spoil in (
+        lambda desk: setattr(desk.hosts["o"], "lag", 300_000),
+        lambda desk: setattr(desk.placement.fleet, "credit", 0.9),
+    ):
         desk = Desk(4, **CALLS_OFF)
         spoil(desk)
         req = desk.put()
@@ -611,7 +681,9 @@
 
 
 def test_a_host_that_tells_of_much_more_than_others_gets_less():
-    desk = Desk(4, instances="200", **{"report.how": "inline", "report.fields": "concurrent,mean_ms"})
+    desk = Desk(
+        4, instances="200", **{"report.how": "inline", "report.fields": "concurrent,mean_ms"}
+    )
     for id, held in (("c0", 1.0), ("c1", 2.0), ("c2", 2.0), ("c3", 8.0)):
         desk.on_report(id, None, held)
     desk.wait(600_000)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,10 @@
 from orchidgap.wirehost.codec import Malformed, serve, told
 
 INFO = " ".join(f"{path}={value}" for path, value in PAIRS.items())
-START = (f"BATCH 1000 1\nABOUT 3\nPROVISION 5 {INFO} some.new=1\nBACKENDS_CHANGED restored 1 2\n"
-         "M 1 - a cache Running 0 10.0.0.1:7\nM 1 - a origin Running 1 10.0.0.2:7\n")
+START = (
+    f"BATCH 1000 1\nABOUT 3\nPROVISION 5 {INFO} some.new=1\nBACKENDS_CHANGED restored 1 2\n"
+    "M 1 - a cache Running 0 10.0.0.1:7\nM 1 - a origin Running 1 10.0.0.2:7\n"
+)
 
 
 def answer(text):
@@ -19,18 +21,36 @@
 
 
 def test_a_req_from_end_to_end():
-    said = answer(START + "QUERY 77 900000 0 read 5 0 - - -\nYOUR_TURN\nBATCH 2000 2\nABOUT 3\n"
-                  "ENDED 77 0 10.0.0.1:7 Miss 900 0 2 -\nYOUR_TURN\nBATCH 3000 3\nABOUT 3\nEXIT\nFIRED 1\nYOUR_TURN\n")
+    said = answer(
+        START + "QUERY 77 900000 0 read 5 0 - - -\nYOUR_TURN\nBATCH 2000 2\nABOUT 3\n"
+        "ENDED 77 0 10.0.0.1:7 Miss 900 0 2 -\nYOUR_TURN\nBATCH 3000 3\nABOUT 3\nEXIT\nFIRED 1\nYOUR_TURN\n"
+    )
     assert [line for line in said.splitlines() if not line.startswith("WAKE_ME")] == [
-        "FOR 3", "ISSUE 77 10.0.0.1:7 0", "YIELD 1", "FOR 3", "ISSUE 77 10.0.0.2:7 0", "YIELD 2", "YIELD 3"]
+        "FOR 3",
+        "ISSUE 77 10.0.0.1:7 0",
+        "YIELD 1",
+        "FOR 3",
+        "ISSUE 77 10.0.0.2:7 0",
+        "YIELD 2",
+        "YIELD 3",
+    ]
 
 
-@pytest.mark.parametrize(("text", "names"), [
-    ("HELLO\n", "batch"), ("BATCH x 1\n", "batch"), ("BATCH 1 1\nABOUT 3\n", "ended"),
-    ("BATCH 1 1\nABOUT 3\nWHAT 1\n", "WHAT"), ("BATCH 1 1\nABOUT 3\nFIRED\n", "FIRED has 1"),
-    (START + "FIRED x\n", "bad value in FIRED"), (START + "ENDED 7 0 h Fine 1 1 - -\n", "bad value in ENDED"),
-    (START + "BACKENDS_CHANGED update 1 1\nM 1 -\n", "host entry"), ("BATCH 1 1\nFIRED 1\n", "before any ABOUT"),
-    (START + "BACKENDS_CHANGED update 1 x\n", "count")])
+@pytest.mark.parametrize(
+    ("text", "names"),
+    [
+        ("HELLO\n", "batch"),
+        ("BATCH x 1\n", "batch"),
+        ("BATCH 1 1\nABOUT 3\n", "ended"),
+        ("BATCH 1 1\nABOUT 3\nWHAT 1\n", "WHAT"),
+        ("BATCH 1 1\nABOUT 3\nFIRED\n", "FIRED has 1"),
+        (START + "FIRED x\n", "bad value in FIRED"),
+        (START + "ENDED 7 0 h Fine 1 1 - -\n", "bad value in ENDED"),
+        (START + "BACKENDS_CHANGED update 1 1\nM 1 -\n", "host entry"),
+        ("BATCH 1 1\nFIRED 1\n", "before any ABOUT"),
+        (START + "BACKENDS_CHANGED update 1 x\n", "count"),
+    ],
+)
 def test_malformed_lines_are_named(text, names):
     with pytest.raises(Malformed, match=names):
         answer(text)
@@ -38,21 +58,34 @@
 
 def test_a_fault_is_told_with_its_name():
     assert "BAIL_OUT setting rule-sets.count is missing\nYIELD 1" in answer(
-        "BATCH 1 1\nABOUT 3\nPROVISION 5 az=a\nYOUR_TURN\n")
+        "BATCH 1 1\nABOUT 3\nPROVISION 5 az=a\nYOUR_TURN\n"
+    )
     assert "BAIL_OUT QUERY" in answer(START + "QUERY 77 900000 0 nosuch 5 0 - - -\nYOUR_TURN\n")
 
 
-@pytest.mark.parametrize(("raw", "names"), [(b"HELLO\n", "batch"), (b"BATCH 1 1\n\xff\xfe\n", "UTF-8")])
+@pytest.mark.parametrize(
+    ("raw", "names"), [(b"HELLO\n", "batch"), (b"BATCH 1 1\n\xff\xfe\n", "UTF-8")]
+)
 def test_the_command_ends_with_one_plain_line(raw, names):
-    done = subprocess.run([sys.executable, "-m", "orchidgap.wirehost"], input=raw, capture_output=True, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "orchidgap.wirehost"], input=raw, capture_output=True, check=False
+    )
     assert done.returncode == 1 and not done.stdout
     assert names in done.stderr.decode() and done.stderr.count(b"\n") == 1
 
 
-@pytest.mark.parametrize(("how", "report", "rate", "held"), [
-    ("inline", "concurrent:7.5,tps:2", 2.0, 7.5), ("inline", "concurrent:7.5,mean_ms:80", -1.0, 7.5),
-    ("inline", "-", -1.0, 0.0), ("off", "concurrent:7.5,tps:2", 2.0, 0.0)])
+@pytest.mark.parametrize(
+    ("how", "report", "rate", "held"),
+    [
+        ("inline", "concurrent:7.5,tps:2", 2.0, 7.5),
+        ("inline", "concurrent:7.5,mean_ms:80", -1.0, 7.5),
+        ("inline", "-", -1.0, 0.0),
+        ("off", "concurrent:7.5,tps:2", 2.0, 0.0),
+    ],
+)
 def test_reports_reach_the_decisions_as_the_settings_say(how, report, rate, held):
     desk = Desk(2, **{"report.how": how, "report.fields": "concurrent,tps"})
     told(desk, "c1", report)
-    assert (desk.hosts["c1"].rate, desk.hosts["c1"].held) == (rate, held) and not desk.hosts["c0"].held
+    assert (desk.hosts["c1"].rate, desk.hosts["c1"].held) == (rate, held) and not desk.hosts[
+        "c0"
+    ].held
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -68,7 +68,9 @@
     """Denies only when the client is about to go, so that it does not ask again."""
 
     def finish(self, req):
-        self.later(max(0, self.exchange(req).due - self.now - 40_000), lambda _: Balancer.finish(self, req))
+        self.later(
+            max(0, self.exchange(req).due - self.now - 40_000), lambda _: Balancer.finish(self, req)
+        )
 
 
 class IgnoresDrains(Defect):
@@ -76,12 +78,14 @@
         super().__init__(terms, port, seed, now)
         follow = port.hosts.follow
         port.hosts.follow = lambda whole, told: follow(
-            whole, [(id, "up" if state == "draining" else state, address) for id, state, address in told]
+            whole,
+            [(id, "up" if state == "draining" else state, address) for id, state, address in told],
         )
 
     def on_hosts(self, scope, entries):
         super().on_hosts(
-            scope, [(id, "up" if state == "draining" else state, *more) for id, state, *more in entries]
+            scope,
+            [(id, "up" if state == "draining" else state, *more) for id, state, *more in entries],
         )
 
 
@@ -183,7 +187,9 @@
     """A uniqued req that may have run goes to whichever origin is next."""
 
     def may_repeat(self, req, host):
-        return not req.over and len(req.sent) < 2 and not any(sent.host is host for sent in req.sent)
+        return (
+            not req.over and len(req.sent) < 2 and not any(sent.host is host for sent in req.sent)
+        )
 
 
 class RepeatsTooLate(Defect):
@@ -247,7 +253,9 @@
         super().on_req(id, left, write, rule_set, key, tenant)
         if id % 30 == 0:
             attempt = Attempt(exchange.head, exchange.body, exchange.due, Nobody())
-            self.port.loop.at(exchange.due - 50_000, self.port.hosts.send, self.placement.ring[0].id, attempt)
+            self.port.loop.at(
+                exchange.due - 50_000, self.port.hosts.send, self.placement.ring[0].id, attempt
+            )
 
 
 class HangsUp(Defect):
@@ -331,7 +339,9 @@
     "origin": {"cores": 1, "uneven": 0.0, "queue": 9000, "fall-s": 2},
     "trouble": [{"kind": "crash", "at-s": 2, "for-s": 0.2, "part": 1.0}],
 }
-DRAINS = USUAL | {"trouble": [{"kind": "drain", "at-s": at, "for-s": 1, "target": "c01"} for at in (2, 5)]}
+DRAINS = USUAL | {
+    "trouble": [{"kind": "drain", "at-s": at, "for-s": 1, "target": "c01"} for at in (2, 5)]
+}
 LONG_DRAIN = USUAL | {
     "seconds": 12.0,
     "trouble": [{"kind": "drain", "at-s": 2, "for-s": 1, "size": 12, "target": "c01"}],
@@ -375,13 +385,32 @@
     (HangsUp, CROWDED, "lost"),
     (MakesUpIds, USUAL, "lost"),
     (CutsAnswersShort, USUAL, "lost"),
-    (HoldsIdle, shipped("ops-drain", rate=3.0, trouble=[
-        {"kind": "load", "at-s": 1, "for-s": 2, "size": 60}, {"kind": "quiesce", "at-s": 4, "part": 0.4}]), "lost"),
+    (
+        HoldsIdle,
+        shipped(
+            "ops-drain",
+            rate=3.0,
+            trouble=[
+                {"kind": "load", "at-s": 1, "for-s": 2, "size": 60},
+                {"kind": "quiesce", "at-s": 4, "part": 0.4},
+            ],
+        ),
+        "lost",
+    ),
     (KeepsItsCount, shipped("ops-retune"), "twice"),
     (EndsAtOnce, shipped("ops-upgrade"), "lost"),
     (CutsFlows, shipped("ops-bulk"), "lost"),
-    (AsksForEver, shipped("ops-herd", seed=7, trouble=[
-        {"kind": "deploy", "at-s": 6, "for-s": 6, "part": 0.6},
-        {"kind": "balancer-kill", "at-s": 9, "for-s": 1.5, "part": 0.7},
-        {"kind": "discovery-crowded", "at-s": 5, "for-s": 14}]), "cold"),
+    (
+        AsksForEver,
+        shipped(
+            "ops-herd",
+            seed=7,
+            trouble=[
+                {"kind": "deploy", "at-s": 6, "for-s": 6, "part": 0.6},
+                {"kind": "balancer-kill", "at-s": 9, "for-s": 1.5, "part": 0.7},
+                {"kind": "discovery-crowded", "at-s": 5, "for-s": 14},
+            ],
+        ),
+        "cold",
+    ),
 ]
--- a/tests/trial/test_command.py
+++ b/tests/trial/test_command.py
@@ -20,17 +20,34 @@
 
 
 def run(*args, cwd=ROOT):
-    done = subprocess.run([sys.executable, "-m", "orchidgap", *map(str, args)], cwd=cwd, capture_output=True,
-                          env={"PATH": "/usr/bin:/bin", "PYTHONPATH": str(ROOT)}, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "orchidgap", *map(str, args)],
+        cwd=cwd,
+        capture_output=True,
+        env={"PATH": "/usr/bin:/bin", "PYTHONPATH": str(ROOT)},
+        check=False,
+    )
     return done.returncode, done.stdout.decode(), done.stderr.decode()
 
 
 def test_a_trial_ends_in_its_verdict_and_keeps_a_report(tmp_path):
-    (tmp_path / "p.toml").write_text(TINY + '[[trouble]]\nkind = "crash"\nat-s = 1\ntarget = "c01"\n')
+    (tmp_path / "p.toml").write_text(
+        TINY + '[[trouble]]\nkind = "crash"\nat-s = 1\ntarget = "c01"\n'
+    )
     code, out, err = run("trial", tmp_path / "p.toml", f"--out={tmp_path / 'kept'}", "--seed=4")
     verdict = json.loads(out.splitlines()[-1])
     assert code == 0 and len(out.splitlines()) == 1
-    assert list(verdict)[:9] == ["verdict", "lost", "twice", "late", "drain", "cold", "service", "reqs", "trace"]
+    assert list(verdict)[:9] == [
+        "verdict",
+        "lost",
+        "twice",
+        "late",
+        "drain",
+        "cold",
+        "service",
+        "reqs",
+        "trace",
+    ]
     page = (tmp_path / "kept" / "report.html").read_text()
     assert page.count("data:image/png;base64,") == 6 and "crash c01" in page and "http" not in page
     assert "report: " in err
@@ -39,11 +56,21 @@
     assert parse((tmp_path / "kept" / "plan.toml").read_text()) == read(str(tmp_path / "p.toml"))
 
 
-@pytest.mark.parametrize(("text", "names"), [
-    (None, "No such file"), ('name = "x"\nrate = "9"', "$.rate"), ("name = ", "not TOML"),
-    ('name = "x"\n[cache]\ncoers = 2', "coers"), ('name = "X Y"', "$.name"),
-    ('name = "x"\n[[work]]\nname="a"\nshare=1\nwork-ms=1\ntarget-ms=9\ntimeout-ms=2', "timeout-ms"),
-    ('name = "x"\nseconds = 5\n[[trouble]]\nkind = "crash"\nat-s = 9', "behind the end")])
+@pytest.mark.parametrize(
+    ("text", "names"),
+    [
+        (None, "No such file"),
+        ('name = "x"\nrate = "9"', "$.rate"),
+        ("name = ", "not TOML"),
+        ('name = "x"\n[cache]\ncoers = 2', "coers"),
+        ('name = "X Y"', "$.name"),
+        (
+            'name = "x"\n[[work]]\nname="a"\nshare=1\nwork-ms=1\ntarget-ms=9\ntimeout-ms=2',
+            "timeout-ms",
+        ),
+        ('name = "x"\nseconds = 5\n[[trouble]]\nkind = "crash"\nat-s = 9', "behind the end"),
+    ],
+)
 def test_a_bad_plan_ends_in_one_line_and_code_2(tmp_path, text, names):
     if text is not None:
         (tmp_path / "p.toml").write_text(text)
@@ -51,8 +78,15 @@
     assert (code, out) == (2, "") and names in err and err.count("\n") == 1
 
 
-@pytest.mark.parametrize("args", [("trial", "p.toml", "--policy=best"), ("trial", "p.toml", "--seed=x"),
-                                  ("trial", "p.toml", "--real", "--policy=oracle"), ("report", "nowhere")])
+@pytest.mark.parametrize(
+    "args",
+    [
+        ("trial", "p.toml", "--policy=best"),
+        ("trial", "p.toml", "--seed=x"),
+        ("trial", "p.toml", "--real", "--policy=oracle"),
+        ("report", "nowhere"),
+    ],
+)
 def test_bad_options_end_in_one_line(tmp_path, args):
     (tmp_path / "p.toml").write_text(TINY)
     code, out, err = run(*args, cwd=tmp_path)
@@ -68,7 +102,14 @@
     (tmp_path / "p.toml").write_text(TINY)
     code, out, _ = run("compare", tmp_path / "p.toml")
     rows = json.loads(out)
-    assert code == 0 and {"orchidgap", "random", "ring", "bounded-ring", "least-out", "oracle"} <= set(rows)
+    assert code == 0 and {
+        "orchidgap",
+        "random",
+        "ring",
+        "bounded-ring",
+        "least-out",
+        "oracle",
+    } <= set(rows)
 
 
 def test_a_hunt_draws_the_same_run_from_the_same_number():
@@ -80,28 +121,49 @@
 
 def test_a_hunt_tells_the_same_whatever_the_jobs(tmp_path):
     (tmp_path / "p.toml").write_text(TINY)
-    told = [run("hunt", tmp_path / "p.toml", "--runs=4", f"--jobs={jobs}", f"--out={tmp_path}") for jobs in (1, 3)]
+    told = [
+        run("hunt", tmp_path / "p.toml", "--runs=4", f"--jobs={jobs}", f"--out={tmp_path}")
+        for jobs in (1, 3)
+    ]
     assert told[0][0] == 0 and told[0][1] == told[1][1] and json.loads(told[0][1])["runs"] == 4
 
 
 def test_what_is_found_shrinks_to_a_plan_that_still_shows_it():
     """A defect planted, a day with more than it takes: what is left is one trouble and a few seconds."""
-    plan = checked(CELLS | {"seconds": 12.0, "caches": 6, "trouble": CELLS["trouble"] + [
-        {"kind": "flush", "at-s": 3}, {"kind": "hot-key", "at-s": 4, "for-s": 2, "size": 0.3}]})
+    plan = checked(
+        CELLS
+        | {
+            "seconds": 12.0,
+            "caches": 6,
+            "trouble": CELLS["trouble"]
+            + [
+                {"kind": "flush", "at-s": 3},
+                {"kind": "hot-key", "at-s": 4, "for-s": 2, "size": 0.3},
+            ],
+        }
+    )
 
     def still(candidate):
         return bool(Scene(candidate, decider=LeavesTheGroup).play()["twice"])
 
     assert still(plan)
     small, plays = hunt.shrink(plan, still, most=25)
-    assert still(small) and plays <= 25 and len(small.trouble) <= 2 and small.seconds < 12 and small.caches < 6
+    assert (
+        still(small)
+        and plays <= 25
+        and len(small.trouble) <= 2
+        and small.seconds < 12
+        and small.caches < 6
+    )
 
 
 def test_what_fails_in_a_play_is_a_finding():
     plan = msgspec.structs.replace(checked(USUAL), trouble=(Trouble("crash", 1.0, target="c00"),))
     assert hunt.sort_of(hunt.verdict_of((plan, "nobody"))).startswith("failed BadPlan")
     kept = hunt.verdict_of((plan, "orchidgap"))
-    assert hunt.sort_of(kept) == "" and hunt.sort_of(kept | {"late": 2, "faults": 1}) == "late fault"
+    assert (
+        hunt.sort_of(kept) == "" and hunt.sort_of(kept | {"late": 2, "faults": 1}) == "late fault"
+    )
 
 
 def test_a_report_draws_ranges_only_where_they_are_seen(tmp_path):
@@ -112,14 +174,18 @@
 
 def test_real_balancers_play_the_same_plan(tmp_path):
     """The program as processes, one killed and started again: no timing is judged, only that no rule broke."""
-    (tmp_path / "p.toml").write_text(TINY.replace("balancers = 1", "balancers = 2") + (
-        '[[trouble]]\nkind = "balancer-kill"\nat-s = 0.8\nfor-s = 0.3\ntarget = "b0"\n'))
+    (tmp_path / "p.toml").write_text(
+        TINY.replace("balancers = 1", "balancers = 2")
+        + ('[[trouble]]\nkind = "balancer-kill"\nat-s = 0.8\nfor-s = 0.3\ntarget = "b0"\n')
+    )
     code, out, err = run("trial", tmp_path / "p.toml", "--real")
     verdict = json.loads(out.splitlines()[-1])
     assert code == 0 and verdict["reqs"] > 40 and verdict["cpu_us_a_req"] > 0, (out, err)
 
 
 def test_serving_needs_none_of_the_tools():
-    text = ("import sys; import orchidgap.__main__; "
-            "sys.exit(any(name.split('.')[0] in ('msgspec', 'rich', 'hdrh', 'matplotlib') for name in sys.modules))")
+    text = (
+        "import sys; import orchidgap.__main__; "
+        "sys.exit(any(name.split('.')[0] in ('msgspec', 'rich', 'hdrh', 'matplotlib') for name in sys.modules))"
+    )
     assert subprocess.run([sys.executable, "-c", text], cwd=ROOT, check=False).returncode == 0
--- a/tests/trial/test_ground.py
+++ b/tests/trial/test_ground.py
@@ -111,8 +111,15 @@
 
 def test_a_balancer_killed_with_reqs_held_loses_none_of_them():
     """They are its clients' to ask again; what it held does not count as lost, and no other balancer suffers."""
-    plan = checked(SMALL | {"trouble": [
-        {"kind": "stopped-origin", "at-s": 1, "for-s": 3}, {"kind": "balancer-kill", "at-s": 2, "for-s": 1, "target": "b0"}]})
+    plan = checked(
+        SMALL
+        | {
+            "trouble": [
+                {"kind": "stopped-origin", "at-s": 1, "for-s": 3},
+                {"kind": "balancer-kill", "at-s": 2, "for-s": 1, "target": "b0"},
+            ]
+        }
+    )
     verdict, scene = play(plan)
     held = [ask for ask in scene.referee.asks.values() if ask.left and not ask.status]
     assert held and verdict["verdict"] == "kept" and scene.posts["b0"].life == 2
@@ -120,8 +127,15 @@
 
 @pytest.mark.parametrize("part", [1.0])
 def test_a_plan_that_leaves_no_host_still_answers_everybody(part):
-    plan = checked(SMALL | {"trouble": [
-        {"kind": "shrink", "at-s": 0.5, "for-s": 0.5, "part": part}, {"kind": "stopped-origin", "at-s": 1, "for-s": 60}]})
+    plan = checked(
+        SMALL
+        | {
+            "trouble": [
+                {"kind": "shrink", "at-s": 0.5, "for-s": 0.5, "part": part},
+                {"kind": "stopped-origin", "at-s": 1, "for-s": 60},
+            ]
+        }
+    )
     verdict, _ = play(plan)
     assert verdict["verdict"] == "kept" and verdict["denied"] + verdict["aborted"] > 50
 
@@ -143,7 +157,12 @@
 
 
 def judge(**work):
-    told = {"name": "j", "work": [{"name": "w", "share": 1, "work-ms": 10, "target-ms": 100, "timeout-ms": 1000} | work]}
+    told = {
+        "name": "j",
+        "work": [
+            {"name": "w", "share": 1, "work-ms": 10, "target-ms": 100, "timeout-ms": 1000} | work
+        ],
+    }
     plan = checked(told)
     referee = Referee(plan, 0)
     ask = Ask(b"q1", Op(0, plan.works()[0], "north", 1, 1, 0), "b0", 1, 0, 1_000_000)
@@ -160,11 +179,19 @@
 ONCE = {"effect": "non-replayable", "write": True}
 
 
-@pytest.mark.parametrize(("work", "outcome", "second", "breaks"), [
-    ({}, "error", ("o1", "all", 50_000), []), (ONCE, "full", ("o1", "all", 50_000), []),
-    (ONCE, "error", ("o1", "all", 50_000), ["twice"]), (ONCE, "", ("o1", "all", 50_000), ["twice"]),
-    (UNIQUED, "error", ("o1", "all", 50_000), []), (UNIQUED, "error", ("o1", "all", 250_000), ["twice"]),
-    (UNIQUED, "error", ("o1", "other", 50_000), ["twice"]), (UNIQUED, "full", ("o1", "other", 900_000), [])])
+@pytest.mark.parametrize(
+    ("work", "outcome", "second", "breaks"),
+    [
+        ({}, "error", ("o1", "all", 50_000), []),
+        (ONCE, "full", ("o1", "all", 50_000), []),
+        (ONCE, "error", ("o1", "all", 50_000), ["twice"]),
+        (ONCE, "", ("o1", "all", 50_000), ["twice"]),
+        (UNIQUED, "error", ("o1", "all", 50_000), []),
+        (UNIQUED, "error", ("o1", "all", 250_000), ["twice"]),
+        (UNIQUED, "error", ("o1", "other", 50_000), ["twice"]),
+        (UNIQUED, "full", ("o1", "other", 900_000), []),
+    ],
+)
 def test_a_second_dispatch_is_judged_by_what_the_first_came_to(work, outcome, second, breaks):
     referee, _ = judge(**work)
     first = referee.arrival(b"q1", "o0", "all", 10_000, 10_000)
@@ -175,13 +202,24 @@
     assert broken(referee) == breaks
 
 
-@pytest.mark.parametrize(("work", "outcome", "status", "at", "breaks"), [
-    ({}, "error", 503, 50_000, []), (ONCE, "error", 503, 50_000, ["twice"]), (ONCE, "error", 500, 50_000, []),
-    (ONCE, "full", 503, 50_000, []), (UNIQUED, "error", 503, 50_000, []),
-    (UNIQUED | {"group": "cell"}, "error", 503, 50_000, ["twice"]),
-    ({}, "error", 503, 990_000, ["late"]), ({}, "", 503, 990_000, []), ({}, "error", 503, 1_010_000, ["late"]),
-    ({}, "error", 200, 50_000, ["lost"])])
-def test_a_final_answer_is_judged_by_what_may_have_run_and_by_its_time(work, outcome, status, at, breaks):
+@pytest.mark.parametrize(
+    ("work", "outcome", "status", "at", "breaks"),
+    [
+        ({}, "error", 503, 50_000, []),
+        (ONCE, "error", 503, 50_000, ["twice"]),
+        (ONCE, "error", 500, 50_000, []),
+        (ONCE, "full", 503, 50_000, []),
+        (UNIQUED, "error", 503, 50_000, []),
+        (UNIQUED | {"group": "cell"}, "error", 503, 50_000, ["twice"]),
+        ({}, "error", 503, 990_000, ["late"]),
+        ({}, "", 503, 990_000, []),
+        ({}, "error", 503, 1_010_000, ["late"]),
+        ({}, "error", 200, 50_000, ["lost"]),
+    ],
+)
+def test_a_final_answer_is_judged_by_what_may_have_run_and_by_its_time(
+    work, outcome, status, at, breaks
+):
     referee, ask = judge(**work)
     sent = referee.arrival(b"q1", "c0", "all", 10_000, 10_000)
     if outcome:
@@ -190,9 +228,15 @@
     assert broken(referee) == breaks
 
 
-@pytest.mark.parametrize(("told", "first_at", "breaks"), [
-    (("draining", 0), 240_000, []), (("draining", 0), 260_000, ["drain"]), (("gone", 0), 260_000, ["drain"]),
-    (("up", 0), 900_000, [])])
+@pytest.mark.parametrize(
+    ("told", "first_at", "breaks"),
+    [
+        (("draining", 0), 240_000, []),
+        (("draining", 0), 260_000, ["drain"]),
+        (("gone", 0), 260_000, ["drain"]),
+        (("up", 0), 900_000, []),
+    ],
+)
 def test_a_dispatch_begun_after_the_grace_breaks_the_drain(told, first_at, breaks):
     referee, _ = judge()
     referee.tell("b0", "c0", *told)
@@ -207,7 +251,9 @@
     ask = Ask(b"q1", Op(0, plan.works()[0], "north", 1, 1, 0), "b0", 1, 0, 1_500_000)
     referee.taken(ask)
     referee.tell("b0", "c0", "draining", 0)
-    assert isinstance(referee.arrival(b"q1", "c0", "all", 299_000, 299_500), Arrival) and not broken(referee)
+    assert isinstance(
+        referee.arrival(b"q1", "c0", "all", 299_000, 299_500), Arrival
+    ) and not broken(referee)
     referee.arrival(b"q1", "c0", "all", 301_000, 301_000)
     assert broken(referee) == ["drain"]
 
@@ -233,7 +279,9 @@
 
 
 def test_a_cache_keeps_what_it_has_room_for_and_a_cold_one_is_slow():
-    scene = Scene(checked(SMALL | {"cache": {"keys": 3, "cold-from": 0.25, "warm-s": 8, "ttl-s": 2}}))
+    scene = Scene(
+        checked(SMALL | {"cache": {"keys": 3, "cold-from": 0.25, "warm-s": 8, "ttl-s": 2}})
+    )
     try:
         store = scene.stores["c00"]
         store.kept.clear()
--- a/tests/trial/test_plans.py
+++ b/tests/trial/test_plans.py
@@ -30,11 +30,22 @@
 @pytest.mark.parametrize("kind", KINDS)
 def test_every_trouble_acts_alone_and_is_seen(kind):
     """Each is a different day from the calm one, and each is told in the trial's events."""
-    told = {"name": "one", "seconds": 4, "balancers": 2, "caches": 3, "rate": 60, "cache": {"zones": 2}}
+    told = {
+        "name": "one",
+        "seconds": 4,
+        "balancers": 2,
+        "caches": 3,
+        "rate": 60,
+        "cache": {"zones": 2},
+    }
     calm, _ = play(checked(told))
-    verdict, scene = play(checked(told | {"trouble": [{"kind": kind, "at-s": 1, "for-s": 2, "part": 0.4}]}))
+    verdict, scene = play(
+        checked(told | {"trouble": [{"kind": kind, "at-s": 1, "for-s": 2, "part": 0.4}]})
+    )
     assert verdict["verdict"] == "kept", scene.referee.breaches[:5]
-    assert verdict["trace"] != calm["trace"] and any(text.startswith(kind) for _, text in scene.referee.events)
+    assert verdict["trace"] != calm["trace"] and any(
+        text.startswith(kind) for _, text in scene.referee.events
+    )
     assert kind in ACTS
 
 
@@ -47,7 +58,9 @@
 def test_a_trace_depends_on_no_hash_seed_and_on_no_run_beside_it(tmp_path):
     import subprocess
 
-    (tmp_path / "p.toml").write_text('name = "p"\nseconds = 3\nrate = 60\n[[trouble]]\nkind = "crash"\nat-s = 1\npart = 0.3')
+    (tmp_path / "p.toml").write_text(
+        'name = "p"\nseconds = 3\nrate = 60\n[[trouble]]\nkind = "crash"\nat-s = 1\npart = 0.3'
+    )
     runs = [
         subprocess.Popen(
             [sys.executable, "-m", "orchidgap", "trial", str(tmp_path / "p.toml")],
--- a/tests/trial/test_referee.py
+++ b/tests/trial/test_referee.py
@@ -9,7 +9,9 @@
 from orchidgap.trial.scene import Scene
 
 
-@pytest.mark.parametrize(("defect", "day", "rule"), PLANTED, ids=lambda what: getattr(what, "__name__", ""))
+@pytest.mark.parametrize(
+    ("defect", "day", "rule"), PLANTED, ids=lambda what: getattr(what, "__name__", "")
+)
 def test_each_planted_defect_is_caught_under_its_rule(defect, day, rule):
     scene = Scene(checked(day), decider=defect)
     verdict = scene.play()
@@ -18,11 +20,17 @@
 
 @pytest.mark.parametrize(
     "day",
-    [day for i, (_, day, _) in enumerate(PLANTED) if day not in [other for _, other, _ in PLANTED[:i]]],
+    [
+        day
+        for i, (_, day, _) in enumerate(PLANTED)
+        if day not in [other for _, other, _ in PLANTED[:i]]
+    ],
     ids=lambda day: "",
 )
 def test_the_program_as_it_is_keeps_the_rules_on_the_same_days(day):
     scene = Scene(checked(day), decider=Balancer)
     verdict = scene.play()
-    assert not any(verdict[rule] for rule in RULES) and not verdict["faults"], scene.referee.breaches[:3]
+    assert not any(verdict[rule] for rule in RULES) and not verdict["faults"], (
+        scene.referee.breaches[:3]
+    )
     assert verdict["reqs"] > 50 and verdict["service"] > 0.1
--- a/tests/trial/test_spread_plans.py
+++ b/tests/trial/test_spread_plans.py
@@ -30,7 +30,13 @@
     "no hot key is seen": (Heat, "copies", lambda self, key, caches: 1, "quarter", "calm: most"),
     "all at one moment": (Placement, "place", in_step, "calm", "calm: herd"),
     "ranges stay as a release left them": (rules, "EVENINGS", 0, "replaced", "after: most"),
-    "each leaves a cache that came back to others": (Placement, "room", not_me, "flaps", "after: least"),
+    "each leaves a cache that came back to others": (
+        Placement,
+        "room",
+        not_me,
+        "flaps",
+        "after: least",
+    ),
 }
 
 
@@ -40,14 +46,18 @@
     monkeypatch.setattr(owner, what, planted)
     verdict, scene = play(read(str(TRIALS / f"spread-{plan}.toml")))
     assert verdict["verdict"] == "broken" and verdict["uneven"]
-    assert any(rule == "uneven" and text.startswith(said) for rule, _, text in scene.referee.breaches), (
-        scene.referee.breaches)
+    assert any(
+        rule == "uneven" and text.startswith(said) for rule, _, text in scene.referee.breaches
+    ), scene.referee.breaches
 
 
 def test_what_is_out_when_a_stretch_ends_counts_as_it_comes_out():
     """One req that was out at that moment broke a drill that lost none."""
     work = Namespace(write=False, target_ms=500)
-    ops = [Namespace(counts=True, born=born, done_at=done, work=work) for born, done in ((1, 9), (990_000, 0))]
+    ops = [
+        Namespace(counts=True, born=born, done_at=done, work=work)
+        for born, done in ((1, 9), (990_000, 0))
+    ]
     referee = Namespace(asks={}, ops=ops, value=lambda all_: mean(op.done_at > 0 for op in all_))
     scene = Namespace(stores={}, start=0, loop=Namespace(now=1_000_000), referee=referee)
     stretches = Stretches(scene, (Expect("calm", served=0.9),))
@@ -56,5 +66,7 @@
     for late, served in ((0, 0.5), (1_010_000, 1.0)):
         ops[1].done_at, scene.loop.now = late, 3_000_000
         said = []
-        assert stretches.judge(lambda *told, said=said: said.append(told))["calm"]["served"] == served
+        assert (
+            stretches.judge(lambda *told, said=said: said.append(told))["calm"]["served"] == served
+        )
         assert bool(said) == (served < 0.9)
