--- a/Makefile
+++ b/Makefile
@@ -33,6 +33,7 @@
 	$(PYTHON) -m pytest -q -n auto --dist worksteal
 
 lint: .venv/dev
+	$(PYTHON) -m ruff format --check .
 	$(PYTHON) -m ruff check .
 	$(PYTHON) -m mypy
 
