--- a/orchidgap/__main__.py
+++ b/orchidgap/__main__.py
@@ -68,8 +68,8 @@
 from docopt import docopt
 
 from orchidgap import VERSION
-from orchidgap.net import start
-from orchidgap.net.serve import serve
+from orchidgap.net import config
+from orchidgap.net.server import serve
 from orchidgap.parts import held_of, parts_of, talk_of
 
 ACTS = ("health", "quiesce", "resume", "watch")
@@ -94,9 +94,9 @@
 
         sys.exit(drills.main(told))
     if told["change"]:
-        from orchidgap.control import client
+        from orchidgap.control import cli
 
-        sys.exit(client.main(next(name for name in CHANGES if told[name]), told))
+        sys.exit(cli.main(next(name for name in CHANGES if told[name]), told))
     if told["admin"]:
         sys.exit(admin(next(name for name in ACTS if told[name]), told["--addr"], told["--config"]))
     try:
@@ -107,9 +107,9 @@
             return run(path, told["--new"])
         if told["serve"]:
             return serve(path, parts_of, held=held_of, talk=talk_of)
-        station = start.read(path)
+        station = config.read(path)
         parts_of(station)
-    except start.BadStart as trouble:
+    except config.BadStart as trouble:
         sys.exit(f"orchidgap: {trouble}")
     print(
         f"balancer {station.name} on {station.listen[0]}:{station.listen[1]}, list from "
@@ -122,21 +122,21 @@
 def admin(act: str, address: str | None, path: str | None) -> int | str:
     """Makes a call, prints the answer; what to exit with."""
     from orchidgap.admin.client import call
-    from orchidgap.net.places import address_of
+    from orchidgap.net.endpoints import address_of
 
     try:
         address = address or (None if path else os.environ.get("GW_ADMIN_ADDR"))
         where = (
             address_of(address)
             if address
-            else start.read(path or os.environ.get("GW_CONFIG")).admin
+            else config.read(path or os.environ.get("GW_CONFIG")).admin
         )
         if where is None:
             return (
                 "orchidgap: no operators' address: give --addr, or admin_addr in the configuration"
             )
         done, said = call(where, act)
-    except (OSError, ValueError, start.BadStart) as trouble:
+    except (OSError, ValueError, config.BadStart) as trouble:
         return f"orchidgap: {trouble}"
     print(said)
     return 0 if done else 1
--- a/orchidgap/control/client.py
+++ b/orchidgap/control/cli.py
@@ -11,10 +11,10 @@
 
 import orjson
 
-from orchidgap.control.calls import Calls
+from orchidgap.control.rpc import Calls
 from orchidgap.net.connection import Address
+from orchidgap.net.endpoints import address_of
 from orchidgap.net.loop import Loop
-from orchidgap.net.places import address_of
 
 WITHIN = 3_000_000  # for control to answer, who may have to ask the others
 EACH = 0.1  # seconds between looks at how far a change is
--- a/orchidgap/control/tenure.py
+++ b/orchidgap/control/lease_keeper.py
@@ -9,18 +9,18 @@
 from random import Random
 from typing import Any
 
-from orchidgap.control.calls import Calls
-from orchidgap.control.fit import fit
-from orchidgap.decisions.change import STAY, Right, Tenure, answered
-from orchidgap.decisions.register import Ballot, Value, majority
-from orchidgap.net import start
-from orchidgap.net.doorway import Answered
-from orchidgap.net.flow import Upload
-from orchidgap.net.log import Log
+from orchidgap.control.rpc import Calls
+from orchidgap.control.validation import fit
+from orchidgap.decisions.cas_register import Ballot, Value, majority
+from orchidgap.decisions.policy_rollout import STAY, Right, Tenure, answered
+from orchidgap.net import config
+from orchidgap.net.body_stream import Upload
+from orchidgap.net.client_listener import Answered
+from orchidgap.net.event_log import Log
 from orchidgap.net.loop import Loop, Timer, boot_clock
 from orchidgap.net.node import Node
-from orchidgap.state.beside import Beside
-from orchidgap.state.files import Damaged, Files
+from orchidgap.state.background_writer import Beside
+from orchidgap.state.durable_store import Damaged, Files
 
 WITHIN = 500_000  # for control to answer a call
 FIRST = 100_000  # between calls until control has said how often
@@ -74,7 +74,7 @@
         self,
         path: str | None,
         loop: Loop,
-        station: start.Station,
+        station: config.Station,
         log: Log,
         files: Files,
         rng: Random,
@@ -258,8 +258,8 @@
         if why := fit(doc):
             return why
         try:
-            station = start.read(self.path, None, doc["settings"])
-        except start.BadStart as trouble:
+            station = config.read(self.path, None, doc["settings"])
+        except config.BadStart as trouble:
             return str(trouble)
         if self.tenure.runs >= 0 and (why := self.standing(station)):
             return why
@@ -272,7 +272,7 @@
             self.node.adopt(station)
         return ""
 
-    def standing(self, station: start.Station) -> str:
+    def standing(self, station: config.Station) -> str:
         """What of it would have to wait for a restart, so that it cannot hold everywhere."""
         old = self.node.station.terms
         kept = station.terms.standing(old)
@@ -287,9 +287,9 @@
         if not why:
             try:
                 why = self.standing(
-                    start.read(self.path, self.node.station, new["doc"]["settings"])
+                    config.read(self.path, self.node.station, new["doc"]["settings"])
                 )
-            except start.BadStart as trouble:
+            except config.BadStart as trouble:
                 why = str(trouble)
         self.tenure.writes(number)
         if why:
@@ -317,7 +317,7 @@
             opens, self.opens = self.opens, None
             try:
                 opens()
-            except start.BadStart as trouble:
+            except config.BadStart as trouble:
                 self.log("ends", why=str(trouble))
                 self.loop.running = False
         if right is not self.shown:
@@ -328,7 +328,7 @@
 def held(
     path: str | None,
     loop: Loop,
-    station: start.Station,
+    station: config.Station,
     log: Log,
     *more: Any,
     make_files: Callable[[Path], Files] = Files,
@@ -339,7 +339,7 @@
     try:
         files = make_files(Path(station.control["dir"]))
     except OSError as trouble:
-        raise start.BadStart(f"{station.control['dir']}: {trouble.strerror}") from None
+        raise config.BadStart(f"{station.control['dir']}: {trouble.strerror}") from None
     keeper = Keeper(path, loop, station, log, files, Random())
     node = HeldNode(loop, station, log, *more, **named)
     node.keeper, keeper.node = keeper, node
--- a/orchidgap/control/server.py
+++ b/orchidgap/control/server.py
@@ -16,19 +16,19 @@
 
 import orjson
 
-from orchidgap.control.calls import Calls, Heard, Server
-from orchidgap.control.fit import fit
-from orchidgap.decisions import change
-from orchidgap.decisions.change import Leases, Row
-from orchidgap.decisions.register import NONE, Acceptor, Ballot, Kept, Round, Value, majority
+from orchidgap.control.rpc import Calls, Heard, Server
+from orchidgap.control.validation import fit
+from orchidgap.decisions import policy_rollout
+from orchidgap.decisions.cas_register import NONE, Acceptor, Ballot, Kept, Round, Value, majority
+from orchidgap.decisions.policy_rollout import Leases, Row
+from orchidgap.net.config import BadStart
 from orchidgap.net.connection import Address
-from orchidgap.net.log import Log
+from orchidgap.net.endpoints import address_of, text_of
+from orchidgap.net.event_log import Log
 from orchidgap.net.loop import Loop, boot_clock
-from orchidgap.net.places import address_of, text_of
 from orchidgap.net.signals import heed
-from orchidgap.net.start import BadStart
-from orchidgap.state.beside import Beside
-from orchidgap.state.files import Damaged, Files
+from orchidgap.state.background_writer import Beside
+from orchidgap.state.durable_store import Damaged, Files
 
 Turn = Callable[[Acceptor, Heard], None]
 
@@ -114,7 +114,7 @@
     @property
     def value(self) -> Value:
         """As taken here, which need not be chosen."""
-        return self.acceptor.kept.value if self.acceptor else change.EMPTY
+        return self.acceptor.kept.value if self.acceptor else policy_rollout.EMPTY
 
     # --- its disk
 
@@ -130,10 +130,10 @@
             self.stand(kept_of(kept))
         elif new and not lost:
             try:
-                self.files.write("register", tuple(Kept(NONE, NONE, change.EMPTY)))
+                self.files.write("register", tuple(Kept(NONE, NONE, policy_rollout.EMPTY)))
             except OSError as trouble:
                 raise BadStart(f"{self.files.folder}: {trouble.strerror}") from None
-            self.stand(Kept(NONE, NONE, change.EMPTY))
+            self.stand(Kept(NONE, NONE, policy_rollout.EMPTY))
         elif not self.others:
             lost = lost or f"{self.files.folder} holds no register"
             raise BadStart(f"{lost}; --new begins with none decided")
@@ -242,14 +242,16 @@
         self.leases.part(name, life)
         if self.value["stay"].get(name) == life:
             self.cas(
-                lambda value: change.struck(value, name, life) or value, lambda value: None, True
+                lambda value: policy_rollout.struck(value, name, life) or value,
+                lambda value: None,
+                True,
             )
         done({})
 
     def on_join(self, told: dict[str, Any], done: Heard) -> None:
         name, life = str(told["name"]), str(told["life"])
         self.cas(
-            lambda value: change.joined(value, name, life) or value,
+            lambda value: policy_rollout.joined(value, name, life) or value,
             lambda value: done(value and {}),
             True,
         )
@@ -419,8 +421,10 @@
             elif late:
                 return
             else:
-                return self.cas(lambda value: change.decided(value, number) or value, self.driven)
-            self.cas(lambda value: change.dropped(value, number, why) or value, self.driven)
+                return self.cas(
+                    lambda value: policy_rollout.decided(value, number) or value, self.driven
+                )
+            self.cas(lambda value: policy_rollout.dropped(value, number, why) or value, self.driven)
 
         def heard(name: str, said: Any) -> None:
             asked[name] = said
@@ -457,7 +461,7 @@
                 self.own = value["next"]["try"]
             done(value and self.told(value, id))
 
-        self.cas(lambda value: change.asked(value, id, doc, again, after), made)
+        self.cas(lambda value: policy_rollout.asked(value, id, doc, again, after), made)
 
     def on_change(self, told: dict[str, Any], done: Heard) -> None:
         """What became of one: how far it is by what is known here, its end only from a majority."""
@@ -470,7 +474,7 @@
         return self.state(value, id) | {"tries": value["tries"]}
 
     def state(self, value: Value, id: str) -> dict[str, Any]:
-        new, known = value["next"], change.outcome(value, id)
+        new, known = value["next"], policy_rollout.outcome(value, id)
         if new and new["id"] == id:
             return {"state": "proposed", "n": new["n"], "try": new["try"], **self.waits()}
         if known and known[2] == "decided":
@@ -485,7 +489,7 @@
         """Of one life only: a call that comes late must not strike off who has come back."""
         name, life = str(told["name"]), str(told["life"])
         self.cas(
-            lambda value: change.struck(value, name, life) or value,
+            lambda value: policy_rollout.struck(value, name, life) or value,
             lambda value: done(value and {"struck": value["stay"].get(name) != life}),
             True,
         )
--- a/orchidgap/control/fit.py
+++ b/orchidgap/control/validation.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from orchidgap.decisions.terms import BadTerm, ServiceTerms
-from orchidgap.net.start import flat
+from orchidgap.decisions.settings import BadTerm, ServiceTerms
+from orchidgap.net.config import flat
 
 NEEDS = 1  # the newest form of a version that this program knows
 
--- a/orchidgap/decisions/rules.py
+++ b/orchidgap/decisions/balancer.py
@@ -16,12 +16,12 @@
 from math import inf
 from random import Random
 
-from orchidgap.decisions.chain import Door, Stage, link
-from orchidgap.decisions.heat import Heat
+from orchidgap.decisions.hot_keys import Heat
+from orchidgap.decisions.pipeline import Door, Stage, link
 from orchidgap.decisions.ports import Port
 from orchidgap.decisions.records import Host, Req, Sent, suspects
-from orchidgap.decisions.slots import Map, Turn, turn
-from orchidgap.decisions.terms import RuleSet, ServiceTerms
+from orchidgap.decisions.settings import RuleSet, ServiceTerms
+from orchidgap.decisions.slot_map import Map, Turn, turn
 
 SPACE = 1 << 14  # b = 14: the slots of the RESP cluster
 REDRAW_GAP, REDRAW_SENDS, EVENINGS = (
--- a/orchidgap/decisions/pool.py
+++ b/orchidgap/decisions/gossip_counts.py
@@ -23,8 +23,8 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from orchidgap.decisions.heat import mark
-from orchidgap.decisions.rules import REDRAW_SENDS, Placement
+from orchidgap.decisions.balancer import REDRAW_SENDS, Placement
+from orchidgap.decisions.hot_keys import mark
 
 AGE = 15_000_000  # after which a row counts no more: its balancer is dead, or cannot be heard
 GAP = 60_000_000  # between two draws: each moves the cuts of all ranges, and their keys are fetched anew
--- a/orchidgap/decisions/change.py
+++ b/orchidgap/decisions/policy_rollout.py
@@ -19,7 +19,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from orchidgap.decisions.register import Ballot, Value, chosen
+from orchidgap.decisions.cas_register import Ballot, Value, chosen
 
 DRIFT = 0.01  # how much faster or slower than true time a clock may run
 PAST = 64  # outcomes that are kept
--- a/orchidgap/decisions/records.py
+++ b/orchidgap/decisions/records.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from orchidgap.decisions.terms import RuleSet
+from orchidgap.decisions.settings import RuleSet
 
 UNRUN = frozenset(
     ("full", "unconnected", "refused", "moved", "moot", "miss")
--- a/orchidgap/decisions/terms.py
+++ b/orchidgap/decisions/settings.py
@@ -1,5 +1,5 @@
 """What is read at start, decoded once. Setting names of the wire stay in this file, but for those that only
-sockets need (`net/start.py`)."""
+sockets need (`net/config.py`)."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
     >>> ServiceTerms.read({"rule-sets.count": "1", "rule-sets.0.name": "a"})
     Traceback (most recent call last):
         ...
-    orchidgap.decisions.terms.BadTerm: setting rule-sets.0.client-timeout is missing
+    orchidgap.decisions.settings.BadTerm: setting rule-sets.0.client-timeout is missing
     >>> ServiceTerms.read(pairs | {"rule-sets.0.client-timeout": "-5"})
     Traceback (most recent call last):
         ...
-    orchidgap.decisions.terms.BadTerm: setting rule-sets.0.client-timeout is -5, and must be over 0
+    orchidgap.decisions.settings.BadTerm: setting rule-sets.0.client-timeout is -5, and must be over 0
     """
 
     rule_sets: dict[str, RuleSet]
--- a/orchidgap/decisions/watch.py
+++ b/orchidgap/decisions/shadow.py
@@ -11,10 +11,10 @@
 from contextlib import contextmanager
 from itertools import accumulate
 
+from orchidgap.decisions.balancer import Balancer, Dispatch
 from orchidgap.decisions.ports import Port
 from orchidgap.decisions.records import Req, Sent
-from orchidgap.decisions.rules import Balancer, Dispatch
-from orchidgap.decisions.terms import RuleSet, ServiceTerms
+from orchidgap.decisions.settings import RuleSet, ServiceTerms
 
 PACE = 60_000_000  # between two lines that tell the counts
 KINDS = ("owner", "copy", "repeat", "call-off", "answer", "pause", "limit")
--- a/orchidgap/decisions/estate.py
+++ b/orchidgap/decisions/warm_snapshot.py
@@ -9,7 +9,7 @@
 from math import isfinite
 from typing import Any
 
-from orchidgap.decisions.rules import SPACE, Balancer
+from orchidgap.decisions.balancer import SPACE, Balancer
 
 SLACK = 50_000  # by which two processes' clocks may differ
 AHEAD = {"shun_until": 1_000_000, "warm_at": 60_000_000}  # how far ahead these may lie
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from typing import Any
 
+from orchidgap.control.lease_keeper import Keeper
 from orchidgap.control.server import Control
-from orchidgap.control.tenure import Keeper
-from orchidgap.decisions.change import Leases, Right, Tenure
-from orchidgap.decisions.heat import Heat
-from orchidgap.decisions.pool import Pool, Row
-from orchidgap.decisions.register import Value
-from orchidgap.http1.front import Client
+from orchidgap.decisions.cas_register import Value
+from orchidgap.decisions.gossip_counts import Pool, Row
+from orchidgap.decisions.hot_keys import Heat
+from orchidgap.decisions.policy_rollout import Leases, Right, Tenure
+from orchidgap.http1.server import Client
 
 
 def skips() -> None:
--- a/orchidgap/drill/explore.py
+++ b/orchidgap/drill/explore.py
@@ -27,9 +27,9 @@
 
 import orjson
 
-from orchidgap.decisions import change
-from orchidgap.decisions.change import Leases, Right, Row, Tenure, answered
-from orchidgap.decisions.register import NONE, Acceptor, Ballot, Kept, Round, Value
+from orchidgap.decisions import policy_rollout
+from orchidgap.decisions.cas_register import NONE, Acceptor, Ballot, Kept, Round, Value
+from orchidgap.decisions.policy_rollout import Leases, Right, Row, Tenure, answered
 
 TICK, LEASE = 100, 200
 DEPTH = 120
@@ -303,7 +303,7 @@
         self.store, self.held, self.seats, self.rests = Store(), Parts(), Parts(), Parts()
         self.proposals, self.rounds, self.starts, self.alone = proposals, rounds, starts, alone
         stay = {f"b{b}": "0" for b in range(balancers)} if alone == "stay" else {}
-        empty = self.store.number(change.EMPTY | {"stay": stay})
+        empty = self.store.number(policy_rollout.EMPTY | {"stay": stay})
         seat = self.seats(Seat(NONE, NONE, empty, (), 0, None, -1, -1, (None,) * balancers, 0))
         held = self.held(Held(0, 0, 0, 0, 0, alone == "stay", None, (0, 0)))
         self.first = Town((held,) * balancers, (seat,) * 3, self.rests(Rest((), (), 0)))
@@ -583,13 +583,16 @@
     def made_of(self, town: Town, value: Value) -> list[Value | None]:
         new: list[Value | None] = [value]
         if value["tries"] < self.proposals:
-            new.append(change.proposed(value, f"p{value['tries']}", {}))
+            new.append(policy_rollout.proposed(value, f"p{value['tries']}", {}))
         if value["next"]:
             number = value["next"]["try"]
-            new += [change.decided(value, number), change.dropped(value, number, "")]
+            new += [
+                policy_rollout.decided(value, number),
+                policy_rollout.dropped(value, number, ""),
+            ]
         if self.alone == "stay":
             new += [
-                change.joined(value, f"b{b}", str(self.held.all[held].life))
+                policy_rollout.joined(value, f"b{b}", str(self.held.all[held].life))
                 for b, held in enumerate(town.held)
             ]
         return new
--- a/orchidgap/drill/process.py
+++ b/orchidgap/drill/process.py
@@ -18,12 +18,12 @@
 from mmap import mmap
 from pathlib import Path
 
-from orchidgap.control import server, tenure
+from orchidgap.control import lease_keeper, server
 from orchidgap.drill.defects import DEFECTS
-from orchidgap.net.serve import serve
-from orchidgap.net.start import BadStart
+from orchidgap.net.config import BadStart
+from orchidgap.net.server import serve
 from orchidgap.parts import parts_of, talk_of
-from orchidgap.state.files import Files
+from orchidgap.state.durable_store import Files
 
 STEPS = ("open", "write", "fsync", "rename")
 
@@ -100,7 +100,9 @@
     try:
         if kind == "control":
             return server.run(config, "--new" in sys.argv, make_files=FailingFiles)
-        serve(config, parts_of, held=partial(tenure.held, make_files=FailingFiles), talk=talk_of)
+        serve(
+            config, parts_of, held=partial(lease_keeper.held, make_files=FailingFiles), talk=talk_of
+        )
     except BadStart as trouble:
         sys.exit(f"orchidgap: {trouble}")
 
--- a/orchidgap/drill/town.py
+++ b/orchidgap/drill/town.py
@@ -23,12 +23,12 @@
 
 import orjson
 
-from orchidgap.control.calls import Calls
+from orchidgap.control.rpc import Calls
 from orchidgap.drill.judge import Fate, Judge
 from orchidgap.drill.plan import DO, SEEN, Drill, versions_of, words
 from orchidgap.drill.relay import Datagrams, Relay
 from orchidgap.net.connection import Address
-from orchidgap.net.places import text_of
+from orchidgap.net.endpoints import text_of
 from orchidgap.trial.callers import Callers
 from orchidgap.trial.fabric import Wires, cpu_of
 from orchidgap.trial.faces import Decider
--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterator
 from typing import Any
 
-from orchidgap.http1 import moving
-from orchidgap.http1.front import Client
-from orchidgap.http1.registry import Registry
-from orchidgap.http1.upstream import Hosts
-from orchidgap.net.doorway import Clients
+from orchidgap.http1 import request_migration
+from orchidgap.http1.client import Hosts
+from orchidgap.http1.discovery import Registry
+from orchidgap.http1.server import Client
+from orchidgap.net.client_listener import Clients
 from orchidgap.net.handover import Moving
 from orchidgap.net.node import Dial, Node
 
@@ -25,10 +25,10 @@
         return Hosts(node.loop, most, node.station.connect_within, node.station.idle_for, dial)
 
     def under_way(self, node: Node) -> Iterator[Moving]:
-        return moving.under_way(node)
+        return request_migration.under_way(node)
 
     def arrives(self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
-        moving.arrives(node, words, raw, socks)
+        request_migration.arrives(node, words, raw, socks)
 
     def listing(self, node: Node, dial: Dial) -> Registry:
         return Registry(
--- a/orchidgap/http1/upstream.py
+++ b/orchidgap/http1/client.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidgap.decisions.links import Need
+from orchidgap.decisions.connection_demand import Need
 from orchidgap.http1.codec import LAST_CHUNK, AnswerReader, chunk
-from orchidgap.net import pools
-from orchidgap.net.attempt import Attempt, Taker
+from orchidgap.net import connection_pools
 from orchidgap.net.connection import Address, Connection, Fault, Reach, broken, dial
 from orchidgap.net.loop import Loop, Timer
+from orchidgap.net.upstream_attempt import Attempt, Taker
 
 SWEEP = 1_000_000
 SETTLE = 5_000  # for so long after an answer a host may say more, that belongs to nobody
@@ -246,7 +246,7 @@
     return {200: "done", 404: "miss"}.get(status, "error")
 
 
-class Pool(pools.Pool[Link]):
+class Pool(connection_pools.Pool[Link]):
     """The connections to one host, one dispatch at a time on each."""
 
     hosts: Hosts
@@ -301,7 +301,7 @@
                 link.ended("host drains")
 
 
-class Hosts(pools.Pools[Pool]):
+class Hosts(connection_pools.Pools[Pool]):
     def __init__(
         self,
         loop: Loop,
--- a/orchidgap/http1/codec.py
+++ b/orchidgap/http1/codec.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from orchidgap.http1.chunks import Chunks
+from orchidgap.http1.chunked_encoding import Chunks
 
 MOST_HEAD = 1 << 14
 KEPT = 1 << 16  # bytes of a body that is kept whole; a larger one flows
--- a/orchidgap/http1/registry.py
+++ b/orchidgap/http1/discovery.py
@@ -11,8 +11,8 @@
 
 from orchidgap.http1.codec import AnswerReader
 from orchidgap.net.connection import Address, Connection, Fault, dial
+from orchidgap.net.endpoints import Entry, Place, decoded
 from orchidgap.net.loop import Loop, Timer
-from orchidgap.net.places import Entry, Place, decoded
 
 # What discovery tells is to be here within 6 s, whatever calls fail on the way. A watch that fell silent is
 # noticed in 4 s at most; then a lost call costs 1 s, each behind it 2 s, and a failed one 1 s at most.
--- a/orchidgap/http1/moving.py
+++ b/orchidgap/http1/request_migration.py
@@ -7,15 +7,15 @@
 from collections.abc import Iterator
 from typing import Any
 
+from orchidgap.http1.client import Hosts, Link, Pool
 from orchidgap.http1.codec import KEPT, Message
-from orchidgap.http1.front import Client
-from orchidgap.http1.standing import rest_of, whole_of
-from orchidgap.http1.upstream import Hosts, Link, Pool
-from orchidgap.net.attempt import Attempt
-from orchidgap.net.flow import Upload
+from orchidgap.http1.parser_resume import rest_of, whole_of
+from orchidgap.http1.server import Client
+from orchidgap.net.body_stream import Upload
 from orchidgap.net.handover import Moving
 from orchidgap.net.loop import READ
 from orchidgap.net.node import Exchange, Node
+from orchidgap.net.upstream_attempt import Attempt
 
 MOST = 120_000  # bytes that still wait to be written, with which one goes
 
--- a/orchidgap/http1/front.py
+++ b/orchidgap/http1/server.py
@@ -7,9 +7,9 @@
 import httptools
 
 from orchidgap.http1 import codec
+from orchidgap.net.body_stream import Upload
+from orchidgap.net.client_listener import Asked, Caller, Clients
 from orchidgap.net.connection import Connection
-from orchidgap.net.doorway import Asked, Caller, Clients
-from orchidgap.net.flow import Upload
 
 STEP = 1 << 14  # bytes of a body that count as going on
 AHEAD = 8  # reqs that may wait behind one before nothing more is read
--- a/orchidgap/net/doorway.py
+++ b/orchidgap/net/client_listener.py
@@ -8,8 +8,8 @@
 from typing import Protocol
 
 from orchidgap.decisions.lifecycle import Life
+from orchidgap.net.body_stream import Upload
 from orchidgap.net.connection import SHORT, Address, Connection, listener_at
-from orchidgap.net.flow import Upload
 from orchidgap.net.loop import READ, Loop, Timer
 
 PATIENCE = 2_500_000  # for a req to come whole, since its connection or its first byte came
--- a/orchidgap/net/start.py
+++ b/orchidgap/net/config.py
@@ -10,10 +10,10 @@
 
 import orjson
 
-from orchidgap.decisions import versions
-from orchidgap.decisions.terms import BadTerm, ServiceTerms
+from orchidgap.decisions import config_compatibility
+from orchidgap.decisions.settings import BadTerm, ServiceTerms
 from orchidgap.net.connection import Address
-from orchidgap.net.places import Entry, Place, address_of, decoded
+from orchidgap.net.endpoints import Entry, Place, address_of, decoded
 
 SHORTEST_KEY = 16
 MOST_PEERS = 512
@@ -167,7 +167,7 @@
             f"pool.listen is {part['listen']}: set pool.beyond-loopback to true for that, as "
             "whoever has the key is believed"
         )
-    from orchidgap.decisions.pool import GAP  # nothing of it is loaded where it is off
+    from orchidgap.decisions.gossip_counts import GAP  # nothing of it is loaded where it is off
 
     gap = part.get("draw-ms", GAP // 1000)
     if type(gap) is not int or gap < SHORTEST_GAP:
@@ -178,8 +178,12 @@
 def station(told: Any, before: Station | None = None) -> Station:
     if not isinstance(told, Mapping):
         raise ValueError("an object was expected")
-    shape = versions.shape(told)
-    if before and (lack := versions.lacks(before.shape, shape, versions.empty_lists(told))):
+    shape = config_compatibility.shape(told)
+    if before and (
+        lack := config_compatibility.lacks(
+            before.shape, shape, config_compatibility.empty_lists(told)
+        )
+    ):
         raise BadTerm(lack)
     pairs = dict(flat(told["settings"]))
     terms = ServiceTerms.read(pairs)
--- a/orchidgap/net/pools.py
+++ b/orchidgap/net/connection_pools.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Generic, TypeVar
 
-from orchidgap.net.attempt import Attempt
 from orchidgap.net.connection import Address, Fault, Reach, dial
 from orchidgap.net.loop import Loop
+from orchidgap.net.upstream_attempt import Attempt
 
 L = TypeVar("L")
 P = TypeVar("P", bound="Pool[Any]")
--- a/orchidgap/net/handover.py
+++ b/orchidgap/net/handover.py
@@ -18,10 +18,10 @@
 
 import orjson
 
-from orchidgap.decisions import estate
+from orchidgap.decisions import warm_snapshot
+from orchidgap.net.config import BadStart
 from orchidgap.net.connection import SHORT
 from orchidgap.net.loop import READ, WRITE, Loop
-from orchidgap.net.start import BadStart
 
 if TYPE_CHECKING:
     from orchidgap.net.node import Node
@@ -279,7 +279,11 @@
             ids = list(node.fleet)
             for at in range(0, len(ids), PART):
                 kin.passage.send("list", [[*node.fleet[id]] for id in ids[at : at + PART]])
-            known = estate.left(node.balancer) if node.has_estate else {"hosts": {}, "tenants": {}}
+            known = (
+                warm_snapshot.left(node.balancer)
+                if node.has_estate
+                else {"hosts": {}, "tenants": {}}
+            )
             hosts = list(known["hosts"].items())
             for at in range(0, len(hosts), PART):
                 kin.passage.send("estate", dict(hosts[at : at + PART]))
@@ -337,7 +341,7 @@
         taken = 0
         if node.has_estate:
             node.balancer.now = self.loop.now
-            taken = estate.take(node.balancer, {"hosts": self.known, "tenants": tenants})
+            taken = warm_snapshot.take(node.balancer, {"hosts": self.known, "tenants": tenants})
         self.fleet, self.known = {}, {}
         node.note("estate taken", hosts=taken)
         self.wait_no_more()
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -7,20 +7,20 @@
 from hashlib import blake2b
 from typing import Any, Protocol, cast
 
+from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.lifecycle import Life, State
 from orchidgap.decisions.records import UNRUN
-from orchidgap.decisions.rules import Balancer
-from orchidgap.decisions.watch import Watching
-from orchidgap.net.attempt import Attempt, Taker, loads
+from orchidgap.decisions.shadow import Watching
+from orchidgap.net.body_stream import Upload
+from orchidgap.net.client_listener import Answered, Clients
+from orchidgap.net.config import Station
 from orchidgap.net.connection import Address, Fault, dial
-from orchidgap.net.doorway import Answered, Clients
-from orchidgap.net.flow import Upload
+from orchidgap.net.connection_pools import Pools
+from orchidgap.net.endpoints import Entry, Place
+from orchidgap.net.event_log import Log
 from orchidgap.net.handover import Handover, Moving
-from orchidgap.net.log import Log
 from orchidgap.net.loop import Loop, Timer
-from orchidgap.net.places import Entry, Place
-from orchidgap.net.pools import Pools
-from orchidgap.net.start import Station
+from orchidgap.net.upstream_attempt import Attempt, Taker, loads
 
 GUARD = 20_000  # the answer is out this long before the client timeout: a timer can be late
 FIRST_LIST = 1_000_000  # for discovery to tell its list before a new process serves
--- a/orchidgap/net/serve.py
+++ b/orchidgap/net/server.py
@@ -11,16 +11,16 @@
 from functools import partial
 from typing import Any, Protocol
 
-from orchidgap.admin.door import Operators
-from orchidgap.decisions.rules import Balancer
-from orchidgap.decisions.watch import Watching
-from orchidgap.net import start
+from orchidgap.admin.server import Operators
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.shadow import Watching
+from orchidgap.net import config
 from orchidgap.net.connection import Address
+from orchidgap.net.endpoints import text_of
+from orchidgap.net.event_log import Log
 from orchidgap.net.handover import Handover, inherited
-from orchidgap.net.log import Log
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node, Parts
-from orchidgap.net.places import text_of
 from orchidgap.net.signals import heed
 
 BIND_FOR = 10.0  # seconds: a forerunner that was killed may still hold the address
@@ -36,7 +36,7 @@
 
 def serve(
     path: str | None,
-    parts: Callable[[start.Station], Parts],
+    parts: Callable[[config.Station], Parts],
     decider: Callable[..., Any] = Balancer,
     held: Callable[..., tuple[Node, Held]] | None = None,
     talk: Callable[..., Any] | None = None,
@@ -45,7 +45,7 @@
     who talks to other balancers; ends when told to. Raises BadStart."""
     # until it is heeded: its default would end the process, and it may tell of a file newer than what is read
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
-    station = start.read(path)
+    station = config.read(path)
     log = Log(station.name)
     loop = Loop(trouble=log.trouble)
     if station.watched:
@@ -107,7 +107,7 @@
             return at(address)
         except OSError as trouble:
             if trouble.errno != errno.EADDRINUSE or time.monotonic() > until:
-                raise start.BadStart(
+                raise config.BadStart(
                     f"cannot listen on {text_of(address)}: {trouble.strerror}"
                 ) from None
             time.sleep(0.05)
@@ -128,6 +128,6 @@
 def read_anew(node: Node, path: str | None) -> None:
     """A file that cannot be used, or is only half there, must not cost what is known."""
     try:
-        node.adopt(start.read(path, node.station, node.settings))
-    except start.BadStart as trouble:
+        node.adopt(config.read(path, node.station, node.settings))
+    except config.BadStart as trouble:
         node.note("terms kept", why=str(trouble))
--- a/orchidgap/net/attempt.py
+++ b/orchidgap/net/upstream_attempt.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
+from orchidgap.net.body_stream import Upload
 from orchidgap.net.connection import Connection, Fault, Reach
-from orchidgap.net.flow import Upload
 
 MOST_LOAD = 256  # bytes of a load report that are looked at
 
--- a/orchidgap/parts.py
+++ b/orchidgap/parts.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from orchidgap.http1 import Http1
-from orchidgap.net import start
+from orchidgap.net import config
 from orchidgap.net.node import Node, Parts
-from orchidgap.net.serve import Held
+from orchidgap.net.server import Held
 
 
-def parts_of(station: start.Station) -> Parts:
+def parts_of(station: config.Station) -> Parts:
     """What the program speaks: RESP where the configuration has a part for it, else HTTP. Raises BadStart."""
     if station.resp is None:
         return Http1()
@@ -19,18 +19,18 @@
     try:
         return Resp(station.resp, station.name, station.listen)
     except (ValueError, TypeError, OSError) as trouble:
-        raise start.BadStart(f"resp: {trouble}") from None
+        raise config.BadStart(f"resp: {trouble}") from None
 
 
 def held_of(*told: Any, **named: Any) -> tuple[Node, Held]:
     """A node whose settings come from control; loaded only where a configuration has a part for it."""
-    from orchidgap.control.tenure import held
+    from orchidgap.control.lease_keeper import held
 
     return held(*told, **named)
 
 
 def talk_of(*told: Any) -> Any:
     """What balancers tell each other; loaded only where a configuration has a part for it."""
-    from orchidgap.peers.talk import talk_of as made
+    from orchidgap.peers.gossip_transport import talk_of as made
 
     return made(*told)
--- a/orchidgap/peers/talk.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -19,13 +19,13 @@
 
 import orjson
 
-from orchidgap.decisions.pool import MOST_KEYS, Pool, Row
+from orchidgap.decisions.gossip_counts import MOST_KEYS, Pool, Row
+from orchidgap.net.config import BadStart, Station
 from orchidgap.net.connection import Address
-from orchidgap.net.log import Log
+from orchidgap.net.endpoints import text_of
+from orchidgap.net.event_log import Log
 from orchidgap.net.loop import READ, Loop
 from orchidgap.net.node import Node
-from orchidgap.net.places import text_of
-from orchidgap.net.start import BadStart, Station
 
 BEAT = 500_000  # between two rounds of telling, half as much more or less by chance
 TOLD = 2  # balancers that are told in each
--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 from typing import Any
 
-from orchidgap.decisions.slots import Map
+from orchidgap.decisions.slot_map import Map
+from orchidgap.net.client_listener import Clients
 from orchidgap.net.connection import Address
-from orchidgap.net.doorway import Clients
+from orchidgap.net.endpoints import address_of
 from orchidgap.net.handover import Moving
 from orchidgap.net.node import Dial, Node
-from orchidgap.net.places import address_of
 from orchidgap.resp.commands import Command
 from orchidgap.resp.front import RespCaller
 from orchidgap.resp.mapper import Mapper
--- a/orchidgap/resp/front.py
+++ b/orchidgap/resp/front.py
@@ -11,8 +11,8 @@
 from hashlib import sha256
 from typing import TYPE_CHECKING
 
-from orchidgap.decisions.slots import SPACE, tag
-from orchidgap.net.doorway import Asked, Caller, Clients
+from orchidgap.decisions.slot_map import SPACE, tag
+from orchidgap.net.client_listener import Asked, Caller, Clients
 from orchidgap.resp import codec
 from orchidgap.resp.commands import COMMANDS, REFUSED, Command, fits, keys
 
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -5,11 +5,11 @@
 import socket
 from typing import TYPE_CHECKING
 
-from orchidgap.decisions.slots import Map, Range
-from orchidgap.http1.registry import Registry
+from orchidgap.decisions.slot_map import Map, Range
+from orchidgap.http1.discovery import Registry
 from orchidgap.net.connection import Address, Connection, Fault
+from orchidgap.net.endpoints import Entry, Place, address_of, text_of
 from orchidgap.net.loop import Timer
-from orchidgap.net.places import Entry, Place, address_of, text_of
 from orchidgap.resp import codec
 
 if TYPE_CHECKING:
--- a/orchidgap/resp/upstream.py
+++ b/orchidgap/resp/upstream.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from orchidgap.net import pools
-from orchidgap.net.attempt import Attempt
+from orchidgap.net import connection_pools
 from orchidgap.net.connection import Address, Connection, Fault, Reach, broken
+from orchidgap.net.endpoints import address_of, text_of
 from orchidgap.net.loop import Loop, Timer
-from orchidgap.net.places import address_of, text_of
+from orchidgap.net.upstream_attempt import Attempt
 from orchidgap.resp import codec
 
 LINKS = 2  # to one host; a command goes on the one with fewer under way
@@ -174,7 +174,7 @@
         self.pool.forget(self)
 
 
-class Pool(pools.Pool[Link]):
+class Pool(connection_pools.Pool[Link]):
     """The links to one host, many commands on each."""
 
     hosts: Hosts
@@ -199,7 +199,7 @@
                 link.ended("host drains")
 
 
-class Hosts(pools.Pools[Pool]):
+class Hosts(connection_pools.Pools[Pool]):
     """The id of a host is its address as text."""
 
     def __init__(
--- a/orchidgap/state/beside.py
+++ b/orchidgap/state/background_writer.py
@@ -9,7 +9,7 @@
 from itertools import pairwise
 
 from orchidgap.net.loop import READ, Loop
-from orchidgap.state.files import Files
+from orchidgap.state.durable_store import Files
 
 Done = Callable[[str], None]  # told why it failed, in plain words; nothing where it is durable
 ENDED = "whoever wrote it has ended"
--- a/orchidgap/trial/baselines.py
+++ b/orchidgap/trial/baselines.py
@@ -14,11 +14,11 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, cast
 
-from orchidgap.decisions.chain import Door, Stage
+from orchidgap.decisions.balancer import FELL, SPACE, Balancer
+from orchidgap.decisions.pipeline import Door, Stage
 from orchidgap.decisions.ports import Port
 from orchidgap.decisions.records import Host, Req, Sent
-from orchidgap.decisions.rules import FELL, SPACE, Balancer
-from orchidgap.decisions.terms import ServiceTerms
+from orchidgap.decisions.settings import ServiceTerms
 
 if TYPE_CHECKING:
     from orchidgap.trial.faces import Decider, Scene
--- a/orchidgap/trial/even.py
+++ b/orchidgap/trial/even.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from orchidgap.decisions import spread
+from orchidgap.decisions import load_skew
 from orchidgap.trial.faces import Scene
 from orchidgap.trial.plan import Expect, millis
 from orchidgap.trial.referee import Arrival, Ask, Op
@@ -86,18 +86,21 @@
     times: dict[str, list[int]] = {id: [] for id in caches}
     for at, id, _ in reads:
         times[id].append(at)
-    share = spread.shares({id: len(row) for id, row in times.items()}, dict.fromkeys(caches, 1.0))
+    share = load_skew.shares(
+        {id: len(row) for id, row in times.items()}, dict.fromkeys(caches, 1.0)
+    )
     count = sum(not op.work.write for op in asked(scene, since, until))
     slowest = [sorted(row)[len(row) * 99 // 100] for row in took.values() if row]
     found: dict[str, float] = {
         "most": max(share.values(), default=0.0),
         "least": min(share.values(), default=0.0),
-        "herd": spread.herd(times.values(), since, until),
-        "idle-s": max((spread.idle(row, since, until) for row in times.values()), default=0) / 1e6,
-        "copies": spread.copies(
+        "herd": load_skew.herd(times.values(), since, until),
+        "idle-s": max((load_skew.idle(row, since, until) for row in times.values()), default=0)
+        / 1e6,
+        "copies": load_skew.copies(
             (store.kept for store in caches.values()), {key for _, _, key in reads}
         ),
-        "moved": spread.moved(reads),
+        "moved": load_skew.moved(reads),
         "fetches": fetches / count if count else 0.0,
         "p99-ms": max(slowest, default=0) / 1e3,
     }
--- a/orchidgap/trial/process.py
+++ b/orchidgap/trial/process.py
@@ -4,8 +4,8 @@
 
 import sys
 
-from orchidgap.net.serve import serve
-from orchidgap.net.start import BadStart
+from orchidgap.net.config import BadStart
+from orchidgap.net.server import serve
 from orchidgap.parts import parts_of
 from orchidgap.trial.baselines import KINDS
 
--- a/orchidgap/trial/resp.py
+++ b/orchidgap/trial/resp.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from orchidgap.net.connection import Address, Connection, Fault
-from orchidgap.net.places import text_of
+from orchidgap.net.endpoints import text_of
 from orchidgap.resp import codec
 from orchidgap.resp.front import slot_of as slot_at
 from orchidgap.trial.baselines import even
--- a/orchidgap/trial/saturate.py
+++ b/orchidgap/trial/saturate.py
@@ -25,9 +25,9 @@
 
 from orchidgap.http1 import codec as http
 from orchidgap.net.connection import Address, Connection, Fault, dial
+from orchidgap.net.endpoints import text_of
 from orchidgap.net.loop import Loop
-from orchidgap.net.places import text_of
-from orchidgap.net.serve import serve
+from orchidgap.net.server import serve
 from orchidgap.parts import parts_of
 from orchidgap.trial.fabric import Wires, cpu_of
 
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -20,17 +20,17 @@
 from typing import Any, cast
 
 from orchidgap.admin.client import call as ask_door
-from orchidgap.admin.door import Operators
-from orchidgap.decisions.rules import SPACE
-from orchidgap.net import start
+from orchidgap.admin.server import Operators
+from orchidgap.decisions.balancer import SPACE
+from orchidgap.net import config
 from orchidgap.net.connection import Address
+from orchidgap.net.endpoints import text_of
+from orchidgap.net.event_log import Log
 from orchidgap.net.handover import Handover
-from orchidgap.net.log import Log
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node, number_of
-from orchidgap.net.places import text_of
 from orchidgap.parts import parts_of
-from orchidgap.peers.talk import Talk
+from orchidgap.peers.gossip_transport import Talk
 from orchidgap.trial.baselines import decider as decider_of
 from orchidgap.trial.baselines import even
 from orchidgap.trial.callers import Callers
@@ -158,7 +158,7 @@
         scene = self.scene
         assert isinstance(scene.ground, Pairs)
         share = self.share = Share(scene.ground.loop, self.log.trouble)
-        station = start.station(scene.told(self, known))
+        station = config.station(scene.told(self, known))
         ground = scene.ground
         node = self.node = Node(
             share,
@@ -201,8 +201,8 @@
     @staticmethod
     def read(node: Node, text: bytes) -> None:
         try:
-            node.adopt(start.parse(text, "the file", node.station))
-        except start.BadStart as trouble:
+            node.adopt(config.parse(text, "the file", node.station))
+        except config.BadStart as trouble:
             node.note("terms kept", why=str(trouble))
 
     def begin_beside(self, known: dict[str, Any]) -> None:
--- a/orchidgap/wirehost/codec.py
+++ b/orchidgap/wirehost/codec.py
@@ -4,8 +4,8 @@
 
 from typing import BinaryIO
 
-from orchidgap.decisions.rules import Balancer
-from orchidgap.decisions.terms import BadTerm, ServiceTerms
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.settings import BadTerm, ServiceTerms
 
 VERDICTS = {
     "Ok": "done",
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -7,7 +7,7 @@
 from desk import Net, heard
 
 from orchidgap.admin.client import call
-from orchidgap.admin.door import MOST, MOST_LINE, Operators
+from orchidgap.admin.server import MOST, MOST_LINE, Operators
 
 UP = b"GET /up HTTP/1.1\r\n\r\n"
 
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -9,16 +9,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidgap.control.fit import fit
+from orchidgap.control.lease_keeper import Keeper
 from orchidgap.control.server import Control
-from orchidgap.control.tenure import Keeper
-from orchidgap.decisions import change
-from orchidgap.decisions.change import EMPTY, PAST, Right
-from orchidgap.net import start
+from orchidgap.control.validation import fit
+from orchidgap.decisions import policy_rollout
+from orchidgap.decisions.policy_rollout import EMPTY, PAST, Right
+from orchidgap.net import config
+from orchidgap.net.config import BadStart
 from orchidgap.net.loop import Loop
-from orchidgap.net.start import BadStart
-from orchidgap.state.beside import ENDED, Beside
-from orchidgap.state.files import Damaged, Files
+from orchidgap.state.background_writer import ENDED, Beside
+from orchidgap.state.durable_store import Damaged, Files
 from orchidgap.trial.fabric import World
 
 LEASE = 2_000_000
@@ -180,7 +180,7 @@
     town.run(2 * LEASE)
     assert town.lease("k0", "b0", promised=1)["grants"]
     town.all["k0"].disk = disk
-    value = change.decided(change.proposed(EMPTY, "x", DOC), 1)
+    value = policy_rollout.decided(policy_rollout.proposed(EMPTY, "x", DOC), 1)
     heard = []
     town.all["k0"].server.acts["/accept"]({"ballot": [9, "k1"], "value": value}, heard.append)
     town.run(0)
@@ -357,7 +357,7 @@
     one = keeper(tmp_path, loop)
     one.node = SimpleNamespace(station=SimpleNamespace(terms=None))
     one.standing = lambda station: ""
-    monkeypatch.setattr(start, "read", lambda *told: None)
+    monkeypatch.setattr(config, "read", lambda *told: None)
 
     def full(*told):
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
@@ -490,15 +490,15 @@
 )
 def test_a_bad_part_control_is_told_in_words(part, why):
     with pytest.raises((LookupError, ValueError), match=why):
-        start.controlled(part)
+        config.controlled(part)
 
 
 ACTS = {
-    "p": lambda value, number: change.proposed(value, f"c{number}", DOC),
-    "d": lambda value, number: change.decided(value, value["tries"] - number),
-    "x": lambda value, number: change.dropped(value, value["tries"] - number, "no"),
-    "j": lambda value, number: change.joined(value, f"b{number}", "1"),
-    "s": lambda value, number: change.struck(value, f"b{number}", "1"),
+    "p": lambda value, number: policy_rollout.proposed(value, f"c{number}", DOC),
+    "d": lambda value, number: policy_rollout.decided(value, value["tries"] - number),
+    "x": lambda value, number: policy_rollout.dropped(value, value["tries"] - number, "no"),
+    "j": lambda value, number: policy_rollout.joined(value, f"b{number}", "1"),
+    "s": lambda value, number: policy_rollout.struck(value, f"b{number}", "1"),
 }
 
 
--- a/tests/control/test_proposer.py
+++ b/tests/control/test_proposer.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from orchidgap.control import client
+from orchidgap.control import cli
 
 UNKNOWN = {"state": "unknown", "why": "no such change", "tries": 3}
 PROPOSED = {"state": "proposed", "n": 2, "try": 4, "late": [["b1", 900_000], ["b2", 0]], "tries": 4}
@@ -31,48 +31,48 @@
 @pytest.mark.parametrize(
     ("answers", "again", "code", "proposals"),
     [
-        ([UNKNOWN, PROPOSED, PROPOSED, DECIDED], False, client.DECIDED, [3]),
-        ([PROPOSED, DECIDED], False, client.DECIDED, []),  # another proposer's call was the same
-        ([DECIDED], False, client.DECIDED, []),
-        ([DECIDED], True, client.DECIDED, []),  # it counts: nothing to decide anew
-        ([REPLACED], False, client.DECIDED, []),
-        ([REPLACED, PROPOSED, DECIDED], True, client.DECIDED, [4]),
+        ([UNKNOWN, PROPOSED, PROPOSED, DECIDED], False, cli.DECIDED, [3]),
+        ([PROPOSED, DECIDED], False, cli.DECIDED, []),  # another proposer's call was the same
+        ([DECIDED], False, cli.DECIDED, []),
+        ([DECIDED], True, cli.DECIDED, []),  # it counts: nothing to decide anew
+        ([REPLACED], False, cli.DECIDED, []),
+        ([REPLACED, PROPOSED, DECIDED], True, cli.DECIDED, [4]),
         (
             [NOWHERE, PROPOSED, NOWHERE],
             False,
-            client.NOWHERE,
+            cli.NOWHERE,
             [4],
         ),  # an earlier no is not this call's
-        ([UNKNOWN, BUSY], False, client.NOWHERE, [3]),
-        ([BUSY, BUSY], False, client.NOWHERE, [4]),
-        ([UNKNOWN, UNFIT], False, client.NOWHERE, [3]),
+        ([UNKNOWN, BUSY], False, cli.NOWHERE, [3]),
+        ([BUSY, BUSY], False, cli.NOWHERE, [4]),
+        ([UNKNOWN, UNFIT], False, cli.NOWHERE, [3]),
         (
             [UNKNOWN, LOST, PROPOSED, DECIDED],
             False,
-            client.DECIDED,
+            cli.DECIDED,
             [3, 3],
         ),  # the same call, which counts once
         (
             [UNKNOWN, LOST, NOWHERE],
             False,
-            client.NOWHERE,
+            cli.NOWHERE,
             [3, 3],
         ),  # it was heard, and turned down since
         (
             [UNKNOWN, NOWHERE, PROPOSED, DECIDED],
             False,
-            client.DECIDED,
+            cli.DECIDED,
             [3, 4],
         ),  # another's came between
-        ([LOST], False, client.UNKNOWN, []),
-        ([UNKNOWN, LOST], False, client.UNKNOWN, [3]),
+        ([LOST], False, cli.UNKNOWN, []),
+        ([UNKNOWN, LOST], False, cli.UNKNOWN, [3]),
     ],
 )
 def test_what_a_proposer_is_told(answers, again, code, proposals, monkeypatch, capsys):
-    monkeypatch.setattr(client.time, "sleep", lambda seconds: None)
-    monkeypatch.setattr(client.time, "monotonic", iter(range(100)).__next__)
+    monkeypatch.setattr(cli.time, "sleep", lambda seconds: None)
+    monkeypatch.setattr(cli.time, "monotonic", iter(range(100)).__next__)
     shell = Script(answers)
-    assert client.propose(shell, "x", {}, again, 8, False) == code
+    assert cli.propose(shell, "x", {}, again, 8, False) == code
     assert shell.proposals[: len(proposals)] == proposals
     said = capsys.readouterr().out
     assert ("waits for b1 (0.9 s at most), b2 (until" in said) == (PROPOSED in answers)
--- a/tests/decisions/test_estate.py
+++ b/tests/decisions/test_estate.py
@@ -6,8 +6,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from orchidgap.decisions import estate
-from orchidgap.decisions.rules import SPACE
+from orchidgap.decisions import warm_snapshot
+from orchidgap.decisions.balancer import SPACE
 
 
 def known():
@@ -27,8 +27,11 @@
 
 def test_what_one_leaves_the_next_takes_by_way_of_text():
     old, new = known(), Desk(3)
-    assert estate.take(new, orjson.loads(orjson.dumps(estate.left(old)))) == 4
-    assert estate.left(new) == estate.left(old) and new.placement.cuts == old.placement.cuts
+    assert warm_snapshot.take(new, orjson.loads(orjson.dumps(warm_snapshot.left(old)))) == 4
+    assert (
+        warm_snapshot.left(new) == warm_snapshot.left(old)
+        and new.placement.cuts == old.placement.cuts
+    )
     assert type(new.hosts["c1"].lag) is int and type(new.hosts["c1"].limit) is float
 
 
@@ -36,7 +39,7 @@
     old, new = known(), Desk(3)
     new.list(["c1"], since=77)
     before = new.placement.cuts[:]
-    assert estate.take(new, estate.left(old)) == 3
+    assert warm_snapshot.take(new, warm_snapshot.left(old)) == 3
     assert (
         new.hosts["c1"].lag == 0
         and new.hosts["c0"].credit == old.hosts["c0"].credit
@@ -44,7 +47,7 @@
     )
     more = Desk(4)
     before = more.placement.cuts[:]
-    estate.take(more, estate.left(old))
+    warm_snapshot.take(more, warm_snapshot.left(old))
     assert more.placement.cuts == before and sum(host.size for host in more.placement.ring) == SPACE
 
 
@@ -63,8 +66,8 @@
 )
 def test_what_makes_no_sense_changes_nothing(told):
     desk = known()
-    before = copy.deepcopy(estate.left(desk))
-    assert estate.take(desk, told) == 0 and estate.left(desk) == before
+    before = copy.deepcopy(warm_snapshot.left(desk))
+    assert warm_snapshot.take(desk, told) == 0 and warm_snapshot.left(desk) == before
 
 
 VALUE = st.one_of(
@@ -83,7 +86,7 @@
 @given(
     st.dictionaries(
         st.sampled_from(["c0", "c1", "c2", "o", "x"]),
-        st.dictionaries(st.sampled_from([*estate.FIELDS, "size", "since"]), VALUE),
+        st.dictionaries(st.sampled_from([*warm_snapshot.FIELDS, "size", "since"]), VALUE),
         max_size=5,
     ),
     st.dictionaries(
@@ -95,10 +98,10 @@
     for fields in hosts.values():
         if fields.get("since", 0) in (None, 0):
             fields["since"] = 0
-    estate.take(desk, {"hosts": hosts, "tenants": tenants})
+    warm_snapshot.take(desk, {"hosts": hosts, "tenants": tenants})
     for host in desk.hosts.values():
         assert 0 < host.limit <= 1e5 and 0 <= host.lag <= 6e7 and 0 <= host.credit <= 10
-        assert max(host.cut_at, host.judged_at, host.heard_at) <= desk.now + estate.SLACK
+        assert max(host.cut_at, host.judged_at, host.heard_at) <= desk.now + warm_snapshot.SLACK
         assert host.shun_until <= desk.now + 1_050_000 and host.warm_at <= desk.now + 60_050_000
     assert sum(host.size for host in desk.placement.ring) == SPACE
     assert all(0 <= shed <= 0.9 for shed in desk.admission.shed.values())
--- a/tests/decisions/test_heat.py
+++ b/tests/decisions/test_heat.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidgap.decisions.heat import MOST, SPAN, Heat
-from orchidgap.decisions.rules import SPACE
+from orchidgap.decisions.balancer import SPACE
+from orchidgap.decisions.hot_keys import MOST, SPAN, Heat
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/test_links.py
+++ b/tests/decisions/test_links.py
@@ -1,7 +1,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidgap.decisions.links import WINDOW, Need
+from orchidgap.decisions.connection_demand import WINDOW, Need
 
 
 @given(
--- a/tests/decisions/test_pool.py
+++ b/tests/decisions/test_pool.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidgap.decisions.pool import AGE, GAP, MOST_ROWS, Pool, Row
-from orchidgap.decisions.rules import REDRAW_SENDS as SENDS
-from orchidgap.decisions.rules import SPACE
+from orchidgap.decisions.balancer import REDRAW_SENDS as SENDS
+from orchidgap.decisions.balancer import SPACE
+from orchidgap.decisions.gossip_counts import AGE, GAP, MOST_ROWS, Pool, Row
 
 BEAT = 500_000
 START = 100_000_000
--- a/tests/decisions/test_spread.py
+++ b/tests/decisions/test_spread.py
@@ -5,13 +5,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidgap.decisions import spread
+from orchidgap.decisions import load_skew
 
 
 @given(st.lists(st.floats(0, 9), min_size=1, max_size=40), st.integers(1, 12))
 def test_no_cuts_do_better_than_the_limit(loads, parts):
     loads = [load + 0.01 for load in loads]
-    best = spread.limit(loads, parts)
+    best = load_skew.limit(loads, parts)
     even = [loads[i * len(loads) // parts : (i + 1) * len(loads) // parts] for i in range(parts)]
     assert best + 1e-3 >= 1.0 and best <= max(map(sum, even)) * parts / sum(loads) + 1e-3
     assert best >= max(loads) * parts / sum(loads) - 1e-3
@@ -21,16 +21,19 @@
 def test_independent_arrivals_are_no_herd_and_a_few_at_once_are(seed):
     rng = Random(seed)
     rows = [[rng.randrange(30_000_000) for _ in range(1_000)] for _ in range(12)]
-    assert spread.herd(rows, 0, 30_000_000) < 1.5
+    assert load_skew.herd(rows, 0, 30_000_000) < 1.5
     rows[3] += [7_000_000 + i for i in range(30)]
-    assert spread.herd(rows, 0, 30_000_000) > 2.0
+    assert load_skew.herd(rows, 0, 30_000_000) > 2.0
 
 
 def test_shares_are_by_size_and_only_of_those_asked_about():
-    told = spread.shares({"a": 10, "b": 20, "gone": 70}, {"a": 1.0, "b": 2.0})
+    told = load_skew.shares({"a": 10, "b": 20, "gone": 70}, {"a": 1.0, "b": 2.0})
     assert told == {"a": 1.0, "b": 1.0}
 
 
 def test_keys_kept_twice_and_reads_that_went_elsewhere():
-    assert spread.copies([[1], [1, 2], [9]], [1, 2]) == 1.5 and spread.copies([], [1]) == 0.0
-    assert spread.moved([]) == 0.0 and spread.moved([(1, "a", 1), (2, "a", 1), (3, "b", 1)]) == 0.5
+    assert load_skew.copies([[1], [1, 2], [9]], [1, 2]) == 1.5 and load_skew.copies([], [1]) == 0.0
+    assert (
+        load_skew.moved([]) == 0.0
+        and load_skew.moved([(1, "a", 1), (2, "a", 1), (3, "b", 1)]) == 0.5
+    )
--- a/tests/decisions/test_watch.py
+++ b/tests/decisions/test_watch.py
@@ -1,9 +1,9 @@
 import pytest
 from desk import PAIRS, Desk, Port
 
-from orchidgap.decisions.rules import Balancer
-from orchidgap.decisions.terms import ServiceTerms
-from orchidgap.decisions.watch import Watching
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.settings import ServiceTerms
+from orchidgap.decisions.shadow import Watching
 
 NOW = {"ceilings.may-duplicate": "true"}
 NEW = {
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -2,14 +2,14 @@
 
 import socket
 
-from orchidgap.decisions.rules import Balancer
-from orchidgap.decisions.terms import ServiceTerms
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.settings import ServiceTerms
 from orchidgap.http1 import Http1
+from orchidgap.net.config import Station
 from orchidgap.net.connection import Fault, Reach
+from orchidgap.net.endpoints import decoded
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
-from orchidgap.net.places import decoded
-from orchidgap.net.start import Station
 
 PAIRS = {
     "family-info.mode": "aside",
--- a/tests/drill/test_explore.py
+++ b/tests/drill/test_explore.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from orchidgap.decisions import change, register
-from orchidgap.decisions.change import DRIFT, Leases, Right, Tenure
-from orchidgap.decisions.register import Acceptor
+from orchidgap.decisions import cas_register, policy_rollout
+from orchidgap.decisions.cas_register import Acceptor
+from orchidgap.decisions.policy_rollout import DRIFT, Leases, Right, Tenure
 from orchidgap.drill import explore
 from orchidgap.drill.explore import Broken, Fleet, Rounds, walk
 
@@ -25,7 +25,7 @@
 
 
 def stale_accept(self, ballot, value):
-    return register.Kept(max(ballot, self.kept.promised), ballot, value)
+    return cas_register.Kept(max(ballot, self.kept.promised), ballot, value)
 
 
 def from_the_answer(self, value, registered, asked, granted=True, told=Tenure.told):
@@ -35,7 +35,7 @@
 def by_value(count, answers):
     told = list(answers)
     for _, value, _ in told:
-        if sum(other == value for _, other, _ in told) >= register.majority(count):
+        if sum(other == value for _, other, _ in told) >= cas_register.majority(count):
             return value, True
     return None, False
 
@@ -105,9 +105,9 @@
 def test_a_promise_counts_for_its_own_try_only():
     """One that was dropped and proposed anew has to be promised anew, or who stays alone would not know."""
     leases = Leases(1_000_000, -2_000_000)
-    leases.hear(change.Row("b", "1", "stay", 0, 1, 0, "", 0, 0), 0)
-    value = change.joined(change.proposed(change.EMPTY, "x", {}), "b", "1")
+    leases.hear(policy_rollout.Row("b", "1", "stay", 0, 1, 0, "", 0, 0), 0)
+    value = policy_rollout.joined(policy_rollout.proposed(policy_rollout.EMPTY, "x", {}), "b", "1")
     assert leases.waits(value, 10) == []
-    again = change.proposed(change.dropped(value, 1, "b2: no"), "x", {})
+    again = policy_rollout.proposed(policy_rollout.dropped(value, 1, "b2: no"), "x", {})
     assert again["next"]["try"] == 2 and leases.waits(again, 10) == [("b", 1_009_990)]
     assert leases.waits(again, 2_000_000) == [("b", 0)]
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -3,7 +3,7 @@
 import pytest
 from loopback import RESET, Loopback, arrived, heard, req, told
 
-from orchidgap.http1.upstream import KNOWN, SETTLE, STALL
+from orchidgap.http1.client import KNOWN, SETTLE, STALL
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
 QUICK = 2_000  # in which these hosts answer
--- a/tests/http1/test_lists.py
+++ b/tests/http1/test_lists.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from loopback import Loopback, heard
 
-from orchidgap.http1.registry import GAP, GRACE, LATEST, LONGEST, SHORTEST, WATCH_MS
+from orchidgap.http1.discovery import GAP, GRACE, LATEST, LONGEST, SHORTEST, WATCH_MS
 from orchidgap.net.node import FIRST_LIST
 
 TOLD = 6_000_000  # after discovery had it and could be reached, it counts as told
--- a/tests/http1/test_standing.py
+++ b/tests/http1/test_standing.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidgap.http1.chunks import At, Chunks
+from orchidgap.http1.chunked_encoding import At, Chunks
 from orchidgap.http1.codec import AnswerReader, ReqReader
-from orchidgap.http1.standing import rest_of, whole_of
+from orchidgap.http1.parser_resume import rest_of, whole_of
 
 CHUNKED = b'3;ext="a;b"\r\nabc\r\n1\r\nx\r\n0010\r\n0123456789abcdef\r\n0\r\nT: y\r\n\r\n'
 REQS = [
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -7,7 +7,7 @@
 from loopback import Loopback, arrived, heard, req, told
 from test_net import full_pair
 
-from orchidgap.net.places import decoded
+from orchidgap.net.endpoints import decoded
 
 UNCALLED = {"ceilings__may-cancel": "false"}  # where nothing that is out may be called off
 
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -4,7 +4,7 @@
 from loopback import Loopback, arrived, heard, req, told
 from test_net import tells, watched
 
-from orchidgap.net.doorway import PATIENCE, SETTLED, TURNED_AWAY
+from orchidgap.net.client_listener import PATIENCE, SETTLED, TURNED_AWAY
 
 
 def test_hundreds_of_reqs_at_once_from_one_who_goes_are_one_dispatch_and_no_memory():
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -6,7 +6,7 @@
 import pytest
 from desk import Net
 
-from orchidgap.net import serve, start
+from orchidgap.net import config, server
 from orchidgap.net.loop import Loop
 from orchidgap.parts import parts_of
 
@@ -24,7 +24,7 @@
     """Its default would have ended the process; heeded late, the new file counts all the same."""
     path, kept = tmp_path / "c", {number: signal.getsignal(number) for number in (1, 2, 15)}
     path.write_bytes(orjson.dumps(GOOD))
-    read, nodes = start.read, []
+    read, nodes = config.read, []
 
     def reads(at, *more):
         station = read(at, *more)
@@ -49,16 +49,16 @@
             for _ in range(4):
                 self.turn(0)
 
-    class Seen(serve.Node):
+    class Seen(server.Node):
         def start(self):
             nodes.append(self)
             super().start()
 
-    monkeypatch.setattr(start, "read", reads)
-    monkeypatch.setattr(serve, "Loop", Once)
-    monkeypatch.setattr(serve, "Node", Seen)
+    monkeypatch.setattr(config, "read", reads)
+    monkeypatch.setattr(server, "Loop", Once)
+    monkeypatch.setattr(server, "Node", Seen)
     try:
-        serve.serve(str(path), parts_of)
+        server.serve(str(path), parts_of)
     finally:
         signal.set_wakeup_fd(-1)
         for number, handler in kept.items():
@@ -161,8 +161,8 @@
 def test_whatever_stands_in_a_setting_it_can_be_gone_by_or_is_one_plain_line(path):
     for value in (*ODD, MISSING):
         try:
-            station = start.parse(orjson.dumps(laid(WHOLE, path, value)), "file")
-        except start.BadStart as trouble:
+            station = config.parse(orjson.dumps(laid(WHOLE, path, value)), "file")
+        except config.BadStart as trouble:
             assert str(trouble).startswith("file: ") and "\n" not in str(trouble), (path, value)
         else:
             terms = station.terms
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -6,10 +6,10 @@
 import pytest
 from desk import Desk
 
-from orchidgap.decisions.pool import GAP
+from orchidgap.decisions.gossip_counts import GAP
+from orchidgap.net.config import BadStart, parse
 from orchidgap.net.loop import Loop
-from orchidgap.net.start import BadStart, parse
-from orchidgap.peers.talk import AT_ONCE, LONGEST, MOST, SECOND, SIGNED, Talk
+from orchidgap.peers.gossip_transport import AT_ONCE, LONGEST, MOST, SECOND, SIGNED, Talk
 
 KEY = "0123456789abcdef"
 
--- a/tests/resp/test_resp.py
+++ b/tests/resp/test_resp.py
@@ -5,7 +5,7 @@
 import pytest
 from town import Client, Server, Town
 
-from orchidgap.net.start import station
+from orchidgap.net.config import station
 from orchidgap.resp import codec
 from orchidgap.resp.front import slot_of
 
--- a/tests/resp/town.py
+++ b/tests/resp/town.py
@@ -1,6 +1,6 @@
 """A node that speaks RESP, before scripted slot servers, on the virtual ground."""
 
-from orchidgap.net import start
+from orchidgap.net import config
 from orchidgap.net.connection import Connection
 from orchidgap.net.node import Node
 from orchidgap.resp import Resp, codec
@@ -134,7 +134,7 @@
             },
             "resp": {"seeds": [server.name for server in self.servers]} | resp,
         }
-        station = start.station(told)
+        station = config.station(told)
         self.share = Share(self.ground.loop, self.log.trouble)
         self.node = Node(
             self.share,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,9 +9,9 @@
 import pytest
 from desk import Net, heard
 
+from orchidgap.net.config import BadStart
+from orchidgap.net.endpoints import decoded
 from orchidgap.net.handover import Handover, inherited
-from orchidgap.net.places import decoded
-from orchidgap.net.start import BadStart
 
 UP = b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n"
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,15 +12,15 @@
 import pytest
 from desk import PAIRS, Net, heard
 
-from orchidgap.decisions.terms import ServiceTerms
-from orchidgap.decisions.watch import Watching
-from orchidgap.net import start
-from orchidgap.net.attempt import Attempt
+from orchidgap.decisions.settings import ServiceTerms
+from orchidgap.decisions.shadow import Watching
+from orchidgap.net import config
 from orchidgap.net.connection import Fault, Reach
-from orchidgap.net.log import Log
+from orchidgap.net.endpoints import decoded
+from orchidgap.net.event_log import Log
 from orchidgap.net.loop import READ
-from orchidgap.net.places import decoded
-from orchidgap.net.serve import on_signal, read_anew
+from orchidgap.net.server import on_signal, read_anew
+from orchidgap.net.upstream_attempt import Attempt
 
 LIST = "/discovery/hosts"
 
@@ -771,7 +771,7 @@
 def test_a_spoilt_file_changes_nothing(tmp_path, spoilt, why):
     path, net = tmp_path / "c", Net()
     path.write_bytes(orjson.dumps(FILE))
-    net.node.station = start.read(str(path))
+    net.node.station = config.read(str(path))
     before, dialled = net.node.station, len(net.dialled)
     if callable(spoilt):
         spoilt(file := copy.deepcopy(FILE) | {"discovery": "127.0.0.1:8777"})
@@ -808,7 +808,7 @@
 def test_new_settings_bind_new_reqs_and_open_ones_keep_theirs(tmp_path):
     path, net = tmp_path / "c", Net(3)
     path.write_bytes(orjson.dumps(FILE))
-    net.node.station = start.read(str(path))
+    net.node.station = config.read(str(path))
     net.node.decide(net.node.balancer.on_terms, net.node.station.terms)
     old = net.ask("k1")
     file = copy.deepcopy(FILE)
@@ -834,7 +834,7 @@
 def test_what_cannot_change_while_it_runs_is_told_and_waits(tmp_path):
     path, net = tmp_path / "c", Net()
     path.write_bytes(orjson.dumps(FILE))
-    net.node.station = start.read(str(path))
+    net.node.station = config.read(str(path))
     path.write_bytes(orjson.dumps(FILE | {"listen": "127.0.0.1:7071", "limits": {"memory_mb": 90}}))
     told = []
     net.node.note = lambda event, **facts: told.append(facts.get("at_next_start"))
@@ -1236,7 +1236,7 @@
 
 def test_start_reads_names_and_units(tmp_path):
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
-    station = start.read(str(tmp_path / "c"))
+    station = config.read(str(tmp_path / "c"))
     assert (station.listen, station.seed, station.idle_for, station.sockets) == (
         ("127.0.0.1", 1),
         255,
@@ -1247,11 +1247,11 @@
     assert not station.terms.sized and station.terms.reports == () and station.watched is None
     new = {"weights": "rough", "report": {"how": "inline", "fields": ["concurrent", "tps"]}}
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD | {"watch": {"settings": new}}))
-    watching = start.read(str(tmp_path / "c"), station)
+    watching = config.read(str(tmp_path / "c"), station)
     assert watching.terms == station.terms
     assert watching.watched == station.terms._replace(sized=True, reports=("concurrent", "tps"))
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
-    assert start.read(str(tmp_path / "c"), watching).watched is None, (
+    assert config.read(str(tmp_path / "c"), watching).watched is None, (
         "a watch may be left out again"
     )
 
@@ -1292,8 +1292,8 @@
 )
 def test_a_bad_start_is_one_plain_line(tmp_path, change, names):
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD | change))
-    with pytest.raises(start.BadStart, match=names) as told:
-        start.read(str(tmp_path / "c"))
+    with pytest.raises(config.BadStart, match=names) as told:
+        config.read(str(tmp_path / "c"))
     assert "\n" not in str(told.value)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 import pytest
 from desk import Desk
 
-from orchidgap.decisions.rules import SPACE
+from orchidgap.decisions.balancer import SPACE
 
 
 def sizes(desk):
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -3,9 +3,9 @@
 import tomllib
 from pathlib import Path
 
-from orchidgap.decisions.rules import FELL, Balancer, Dispatch, Origin, Placement
+from orchidgap.decisions.balancer import FELL, Balancer, Dispatch, Origin, Placement
 from orchidgap.http1 import codec as http
-from orchidgap.net.attempt import Attempt
+from orchidgap.net.upstream_attempt import Attempt
 
 
 class Defect(Balancer):
--- a/tests/trial/test_referee.py
+++ b/tests/trial/test_referee.py
@@ -3,7 +3,7 @@
 import pytest
 from planted import PLANTED
 
-from orchidgap.decisions.rules import Balancer
+from orchidgap.decisions.balancer import Balancer
 from orchidgap.trial.plan import checked
 from orchidgap.trial.referee import RULES
 from orchidgap.trial.scene import Scene
--- a/tests/trial/test_spread_plans.py
+++ b/tests/trial/test_spread_plans.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from orchidgap.decisions import rules
-from orchidgap.decisions.heat import Heat
-from orchidgap.decisions.rules import Placement
+from orchidgap.decisions import balancer
+from orchidgap.decisions.balancer import Placement
+from orchidgap.decisions.hot_keys import Heat
 from orchidgap.trial.even import Stretches
 from orchidgap.trial.plan import Expect, read
 from orchidgap.trial.run import play
@@ -29,7 +29,7 @@
 DEFECTS = {
     "no hot key is seen": (Heat, "copies", lambda self, key, caches: 1, "quarter", "calm: most"),
     "all at one moment": (Placement, "place", in_step, "calm", "calm: herd"),
-    "ranges stay as a release left them": (rules, "EVENINGS", 0, "replaced", "after: most"),
+    "ranges stay as a release left them": (balancer, "EVENINGS", 0, "replaced", "after: most"),
     "each leaves a cache that came back to others": (
         Placement,
         "room",
