--- a/orchidgap/__main__.py
+++ b/orchidgap/__main__.py
@@ -114,7 +114,7 @@
     print(
         f"balancer {station.name} on {station.listen[0]}:{station.listen[1]}, list from "
         f"{station.discovery[0]}:{station.discovery[1]}, {len(station.known[2])} hosts known, "
-        f"rule sets {', '.join(station.terms.rule_sets)}, "
+        f"rule sets {', '.join(station.terms.request_classes)}, "
         f"{station.sockets} descriptors, {station.memory_mb} MB"
     )
 
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -60,7 +60,7 @@
         if not self.keeper.may():
             return caller.answer(503, pause=self.keeper.comeback())
         if (
-            rule_set not in self.station.terms.rule_sets
+            rule_set not in self.station.terms.request_classes
         ):  # the right came back between the two questions
             return caller.answer(503, pause=self.keeper.comeback())
         super().take(caller, id, rule_set, left, write, key, tenant, head, body, slot, flow)
@@ -267,7 +267,7 @@
         if self.opens:  # nothing has begun under other terms yet
             self.node.station = station
             self.node.hosts.bound(station.connect_within, station.idle_for)
-            self.node.decide(self.node.balancer.on_terms, station.terms)
+            self.node.decide(self.node.balancer.on_settings, station.terms)
         else:
             self.node.adopt(station)
         return ""
@@ -275,7 +275,7 @@
     def standing(self, station: config.Station) -> str:
         """What of it would have to wait for a restart, so that it cannot hold everywhere."""
         old = self.node.station.terms
-        kept = station.terms.standing(old)
+        kept = station.terms.keeping_startup_settings(old)
         for name in kept._fields:
             if getattr(kept, name) != getattr(station.terms, name):
                 return f"{name} cannot change while a balancer runs"
--- a/orchidgap/control/validation.py
+++ b/orchidgap/control/validation.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from orchidgap.decisions.settings import BadTerm, ServiceTerms
+from orchidgap.decisions.settings import ServiceSettings, SettingError
 from orchidgap.net.config import flat
 
 NEEDS = 1  # the newest form of a version that this program knows
@@ -26,8 +26,8 @@
     if doc.get("needs", NEEDS) != NEEDS:
         return f"it needs form {doc['needs']}, and this program knows {NEEDS}"
     try:
-        ServiceTerms.read(dict(flat(doc["settings"])))
-    except BadTerm as trouble:
+        ServiceSettings.from_pairs(dict(flat(doc["settings"])))
+    except SettingError as trouble:
         return str(trouble)
     except (ValueError, TypeError, AttributeError) as trouble:
         return f"settings: {trouble}"
--- a/orchidgap/decisions/gossip_counts.py
+++ b/orchidgap/decisions/gossip_counts.py
@@ -73,7 +73,7 @@
         return digest([host.id for host in self.placement.ring])
 
     def sizes(self) -> list[int]:
-        return [host.size for host in self.placement.ring]
+        return [host.range_size for host in self.placement.ring]
 
     def own(self, now: int) -> Row:
         """What is told of itself; each has a number of its own."""
@@ -86,7 +86,7 @@
             now,
             self.ring(),
             self.version,
-            [host.sends for host in ring],
+            [host.attempt_count for host in ring],
             heat.total,
             {mark(key): count for key, count in keys},
         )
@@ -120,12 +120,12 @@
         if len(sizes) != len(placement.ring) or sum(sizes) != sum(self.sizes()) or min(sizes) < 0:
             raise ValueError("a table that does not go with its caches")
         for host, size in zip(placement.ring, sizes):
-            host.size = size
+            host.range_size = size
         placement.cut()
         if version > self.version:
             for host in placement.ring:
-                host.sends, host.counted = 0, now
-            placement.fleet.sends = 0
+                host.attempt_count, host.counted_since_us = 0, now
+            placement.fleet.attempt_count = 0
             placement.loose = -1  # drawn by counts: not to be evened
         self.version, self.drawn_at = version, now
         placement.drawn_at = now
@@ -158,14 +158,19 @@
             for _, row in live
             if (row.ring, row.version, len(row.sends)) == (meant, self.version, len(ring))
         ]
-        counts = [host.sends + sum(sends[i] for sends in there) for i, host in enumerate(ring)]
+        counts = [
+            host.attempt_count + sum(sends[i] for sends in there) for i, host in enumerate(ring)
+        ]
         if sum(counts) < REDRAW_SENDS * len(ring):
             return False
         if self.rng.random() * EAGER * (1 + len(live)) >= 1:
             return False  # another one does, or this one the next time
         for host, count in zip(ring, counts):
-            host.sends, host.counted = count, now - self.gap  # all for the same time
-        placement.fleet.sends = sum(counts)
+            host.attempt_count, host.counted_since_us = (
+                count,
+                now - self.gap,
+            )  # all for the same time
+        placement.fleet.attempt_count = sum(counts)
         placement.tick()
         return self.drew()
 
--- a/orchidgap/decisions/hot_keys.py
+++ b/orchidgap/decisions/hot_keys.py
@@ -24,9 +24,9 @@
     return hash(key) & 0xFFFFFFFF
 
 
-class Heat:
+class HotKeyDetector:
     """
-    >>> heat = Heat()
+    >>> heat = HotKeyDetector()
     >>> for key in range(40):
     ...     _ = heat.copies(key, 10)
     >>> heat.copies(7, 10), heat.copies(7, 10), [heat.copies(7, 10) for _ in range(6)][-1]
--- a/orchidgap/decisions/pipeline.py
+++ b/orchidgap/decisions/pipeline.py
@@ -9,19 +9,19 @@
 from typing import Any, Generic, Protocol, TypeVar
 
 from orchidgap.decisions.ports import Port
-from orchidgap.decisions.records import Host, Req, Sent, suspects
+from orchidgap.decisions.records import Attempt, HostState, Request, possibly_executed
 
 
-class Desk(Protocol):
+class PipelineContext(Protocol):
     """What a stage asks of whoever it works for."""
 
     now: int
 
-    def hold(self, req: Req) -> None:
+    def hold(self, req: Request) -> None:
         """Have it given up in time, should no host be found."""
 
 
-D = TypeVar("D", bound=Desk)
+D = TypeVar("D", bound=PipelineContext)
 
 
 class Stage(Generic[D]):
@@ -32,42 +32,44 @@
 
     def __init__(self, desk: D) -> None:
         self.desk = desk
-        self.held: deque[Req] = deque()
-        self.hosts: list[Host] = []
+        self.held: deque[Request] = deque()
+        self.hosts: list[HostState] = []
 
-    def choose(self, req: Req) -> Host | None:
+    def choose(self, req: Request) -> HostState | None:
         raise NotImplementedError
 
     def drain(self) -> None:
         """Send on what is held, oldest first, as long as `choose` finds a host."""
         while self.held:
-            host = None if self.held[0].over else self.choose(self.held[0])
-            if host is None and not self.held[0].over:
+            host = None if self.held[0].answered else self.choose(self.held[0])
+            if host is None and not self.held[0].answered:
                 return
             req = self.held.popleft()
             if host is not None:
                 self.next.take(req, host)
 
-    def keep(self, req: Req, first: bool = False) -> None:
+    def keep(self, req: Request, first: bool = False) -> None:
         (self.held.appendleft if first else self.held.append)(req)
         self.desk.hold(req)
 
     def oldest_wait(self) -> int:
-        return self.desk.now - next((req.born for req in self.held if not req.over), self.desk.now)
+        return self.desk.now - next(
+            (req.received_at_us for req in self.held if not req.answered), self.desk.now
+        )
 
-    def take(self, req: Req, host: Host | None = None) -> None:
+    def take(self, req: Request, host: HostState | None = None) -> None:
         self.next.take(req, host)
 
-    def back(self, req: Req, sent: Sent) -> None:
+    def back(self, req: Request, sent: Attempt) -> None:
         self.prev.back(req, sent)
 
 
-def link(*stages: Stage[Any]) -> None:
+def connect_stages(*stages: Stage[Any]) -> None:
     for above, below in pairwise(stages):
         above.next, below.prev = below, above
 
 
-class Agenda:
+class TimerQueue:
     """What is due when, on one wake-up at a time; a wake-up can be `SLACK` late."""
 
     SLACK = 10_000
@@ -77,7 +79,7 @@
         self.entries: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self.count = self.woken_at = 0
 
-    def later(self, delay: int, act: Callable[[Any], None], what: Any = None) -> None:
+    def call_later(self, delay: int, act: Callable[[Any], None], what: Any = None) -> None:
         self.count += 1
         heappush(self.entries, (self.now + delay, self.count, act, what))
         self.arm()
@@ -96,54 +98,63 @@
             self.port.wake(self.woken_at - self.now, self.woken_at)
 
 
-class Door(Agenda):
+class RequestTable(TimerQueue):
     """Ids come in here: what becomes of a dispatch is booked once and then runs up the chain."""
 
     sender: Stage[Any]
 
     def __init__(self, port: Port, now: int) -> None:
         super().__init__(port, now)
-        self.reqs: dict[int, Req] = {}
-        self.hosts: dict[str, Host] = {}
+        self.requests: dict[int, Request] = {}
+        self.hosts: dict[str, HostState] = {}
 
-    def latest(self, id: int, number: int) -> int:
+    def latest_start_us(self, id: int, number: int) -> int:
         """Until when that dispatch may be written. A repeat of what may have run has to be at its host before
         its mark is forgotten there, and the connection for it can come up late."""
-        req = self.reqs.get(id)
+        req = self.requests.get(id)
         if req is None:
             return 0
-        doubtful = suspects(req.sent[:number]) if req.rule_set.uniqued else []
-        return min(req.due, doubtful[0].at + req.rule_set.repeat_window) if doubtful else req.due
-
-    def end(self, req: Req) -> None:
-        req.over = True
-        if not req.out:
-            self.reqs.pop(req.id, None)
+        doubtful = (
+            possibly_executed(req.attempts[:number]) if req.request_class.idempotency_keyed else []
+        )
+        return (
+            min(
+                req.deadline_us,
+                doubtful[0].started_at_us + req.request_class.deduplication_window_us,
+            )
+            if doubtful
+            else req.deadline_us
+        )
+
+    def end(self, req: Request) -> None:
+        req.answered = True
+        if not req.in_flight:
+            self.requests.pop(req.id, None)
 
     def on_outcome(self, id: int, number: int, verdict: str, over: bool) -> None:
-        req = self.reqs.get(id)
-        if req is None or number >= len(req.sent) or req.sent[number].verdict:
+        req = self.requests.get(id)
+        if req is None or number >= len(req.attempts) or req.attempts[number].outcome:
             return
-        sent = req.sent[number]
-        sent.verdict = verdict
-        req.out -= 1
-        sent.host.out -= not req.flows
+        sent = req.attempts[number]
+        sent.outcome = verdict
+        req.in_flight -= 1
+        sent.host.in_flight -= not req.body_streaming
         if over:
             self.end(req)
         self.sender.back(req, sent)
-        if req.over and not req.out:
-            self.reqs.pop(id, None)
+        if req.answered and not req.in_flight:
+            self.requests.pop(id, None)
 
-    def on_hangup(self, id: int) -> None:
-        if id in self.reqs:
-            self.end(self.reqs[id])
+    def on_client_gone(self, id: int) -> None:
+        if id in self.requests:
+            self.end(self.requests[id])
 
-    def on_spent(self, id: int) -> None:
+    def on_body_discarded(self, id: int) -> None:
         """Its body is not kept: no further dispatch can carry it."""
-        if req := self.reqs.get(id):
-            req.most = len(req.sent) - req.hops
+        if req := self.requests.get(id):
+            req.max_attempts = len(req.attempts) - req.redirects
 
-    def on_away(self, outs: dict[str, int]) -> None:
+    def on_sibling_in_flight(self, outs: dict[str, int]) -> None:
         """What other processes of this balancer have out, by host."""
         for id, host in self.hosts.items():
-            host.away = outs.get(id, 0)
+            host.in_flight_elsewhere = outs.get(id, 0)
--- a/orchidgap/decisions/ports.py
+++ b/orchidgap/decisions/ports.py
@@ -9,19 +9,19 @@
 
 
 class Port(Protocol):
-    def dispatch(self, req: int, host: str) -> None:
+    def dispatch(self, request: int, host: str) -> None:
         """Send the req to a host; its dispatches are numbered from 0 in this order."""
 
-    def deny(self, req: int, pause: int) -> None:
+    def deny(self, request: int, retry_after_us: int) -> None:
         """Final answer: turned away, a retry is harmless, best after `pause` (0 for no advice)."""
 
-    def abort(self, req: int) -> None:
+    def abort(self, request: int) -> None:
         """Final answer: it failed, and nothing is promised about its effect."""
 
-    def cancel(self, req: int, number: int) -> None:
+    def cancel(self, request: int, number: int) -> None:
         """Stop waiting for one dispatch of the req."""
 
-    def wake(self, delay: int, token: int) -> None:
+    def wake(self, delay_us: int, token: int) -> None:
         """Ask for the token back after the delay."""
 
     def subscribe(self) -> None:
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -11,88 +11,90 @@
 GROUPS = ("all", "zone", "cell")
 WEIGHTS = ("off", "nominal", "rough", "live")
 REPORTS = ("off", "on_probe", "inline")
-AT_START = ("origin_kind", "subscribes")  # what the records of hosts stand on
+STARTUP_SETTINGS = ("origin_kind", "subscribes")  # what the records of hosts stand on
 
 
-class BadTerm(LookupError):
+class SettingError(LookupError):
     """A setting that is missing, or cannot be meant: nothing could be decided by it."""
 
 
-class RuleSet(NamedTuple):
-    response_target: int
-    replayable: bool
-    uniqued: bool
-    group: str  # who drops repeats: all, zone or cell
-    repeat_window: int
-    client_timeout: int  # of the clients that wait longest
+class RequestClass(NamedTuple):
+    latency_objective_us: int
+    idempotent: bool
+    idempotency_keyed: bool
+    deduplication_scope: str  # who drops repeats: all, zone or cell
+    deduplication_window_us: int
+    client_timeout_us: int  # of the clients that wait longest
 
 
 class Tenant(NamedTuple):
     share: float
 
 
-class ServiceTerms(NamedTuple):
+class ServiceSettings(NamedTuple):
     """
     >>> pairs = {"rule-sets.count": "1", "rule-sets.0.name": "a", "rule-sets.0.effect": "dedup",
     ...          "rule-sets.0.client-timeout": "900", "something.new": "7"}
-    >>> terms = ServiceTerms.read(pairs)
-    >>> terms.rule_sets["a"].uniqued, terms.rule_sets["a"].response_target, terms.tenants
+    >>> terms = ServiceSettings.from_pairs(pairs)
+    >>> terms.request_classes["a"].idempotency_keyed, terms.request_classes["a"].latency_objective_us, terms.tenants
     (True, 900, {})
-    >>> ServiceTerms.read({"rule-sets.count": "1", "rule-sets.0.name": "a"})
+    >>> ServiceSettings.from_pairs({"rule-sets.count": "1", "rule-sets.0.name": "a"})
     Traceback (most recent call last):
         ...
-    orchidgap.decisions.settings.BadTerm: setting rule-sets.0.client-timeout is missing
-    >>> ServiceTerms.read(pairs | {"rule-sets.0.client-timeout": "-5"})
+    orchidgap.decisions.settings.SettingError: setting rule-sets.0.client-timeout is missing
+    >>> ServiceSettings.from_pairs(pairs | {"rule-sets.0.client-timeout": "-5"})
     Traceback (most recent call last):
         ...
-    orchidgap.decisions.settings.BadTerm: setting rule-sets.0.client-timeout is -5, and must be over 0
+    orchidgap.decisions.settings.SettingError: setting rule-sets.0.client-timeout is -5, and must be over 0
     """
 
-    rule_sets: dict[str, RuleSet]
+    request_classes: dict[str, RequestClass]
     tenants: dict[str, Tenant]
-    instances: int
+    balancer_count: int
     origin_kind: (
         str  # the kind whose entry is the origin; empty where the caches fetch for themselves
     )
     subscribes: bool
-    ask_within: int
-    max_dispatches: int
+    subscribe_within_us: int
+    max_attempts: int
     may_cancel: bool
-    may_double: bool  # two dispatches of one req may be out
-    max_pause: int  # 0 where clients are told no comeback time
-    cold_from: float
-    warm_after: int
-    sized: bool  # what the list says of a host's size can be gone by
-    reports: tuple[str, ...]  # what hosts tell of their load with each answer
-
-    def standing(self, now: ServiceTerms) -> ServiceTerms:
+    may_hedge: bool  # two dispatches of one req may be out
+    max_retry_after_us: int  # 0 where clients are told no comeback time
+    slow_start_fraction: float
+    slow_start_us: int
+    uses_listed_weights: bool  # what the list says of a host's size can be gone by
+    reported_fields: tuple[str, ...]  # what hosts tell of their load with each answer
+
+    def keeping_startup_settings(self, now: ServiceSettings) -> ServiceSettings:
         """These terms, as far as they can follow those that count now without a restart."""
-        return self._replace(**{name: getattr(now, name) for name in AT_START})
+        return self._replace(**{name: getattr(now, name) for name in STARTUP_SETTINGS})
 
     @property
-    def target(self) -> int:
+    def latency_objective_us(self) -> int:
         """The shortest response target."""
-        return min(rule_set.response_target for rule_set in self.rule_sets.values())
+        return min(rule_set.latency_objective_us for rule_set in self.request_classes.values())
 
     @property
-    def longest(self) -> int:
+    def longest_client_timeout_us(self) -> int:
         """The longest that any client waits."""
-        return max(rule_set.client_timeout for rule_set in self.rule_sets.values())
+        return max(rule_set.client_timeout_us for rule_set in self.request_classes.values())
 
     @classmethod
-    def read(cls, pairs: Mapping[str, str]) -> ServiceTerms:
+    def from_pairs(cls, pairs: Mapping[str, str]) -> ServiceSettings:
         def need(path: str) -> str:
             if path not in pairs:
-                raise BadTerm(f"setting {path} is missing")
+                raise SettingError(f"setting {path} is missing")
             return pairs[path]
 
         def number(path: str, default: float, over: bool = False) -> float:
             try:
                 value = float(pairs.get(path, default))
             except ValueError:
-                raise BadTerm(f"setting {path} is {pairs[path]!r}, and must be a number") from None
+                raise SettingError(
+                    f"setting {path} is {pairs[path]!r}, and must be a number"
+                ) from None
             if not (0 < value < inf if over else 0 <= value < inf):
-                raise BadTerm(
+                raise SettingError(
                     f"setting {path} is {value:g}, and must be over 0"
                     if over
                     else f"setting {path} is {value:g}, and must not be under 0"
@@ -102,18 +104,20 @@
         def whole(path: str, default: float) -> int:
             value = int(number(path, default, over=True))
             if not value:  # what it would be divided by, or how often a req could be sent
-                raise BadTerm(f"setting {path} is {pairs[path]}, and must be 1 or more")
+                raise SettingError(f"setting {path} is {pairs[path]}, and must be 1 or more")
             return value
 
         def word(path: str, default: str, among: tuple[str, ...]) -> str:
             if (value := pairs.get(path, default)) not in among:
-                raise BadTerm(f"setting {path} is {value!r}, and must be one of {', '.join(among)}")
+                raise SettingError(
+                    f"setting {path} is {value!r}, and must be one of {', '.join(among)}"
+                )
             return value
 
         def yes(path: str) -> bool:
             return word(path, "false", ("true", "1", "false", "0")) in ("true", "1")
 
-        rule_sets: dict[str, RuleSet] = {}
+        rule_sets: dict[str, RequestClass] = {}
         need("rule-sets.count")
         for i in range(whole("rule-sets.count", 0)):
             at = f"rule-sets.{i}."
@@ -123,8 +127,8 @@
             effect = word(at + "effect", "", EFFECTS)
             name = need(at + "name")
             if not name or name in rule_sets:
-                raise BadTerm(f"setting {at}name is {name!r}, and must be a name of its own")
-            rule_sets[name] = RuleSet(
+                raise SettingError(f"setting {at}name is {name!r}, and must be a name of its own")
+            rule_sets[name] = RequestClass(
                 whole(at + "response-target", timeout),
                 effect == "retryable",
                 effect == "dedup",
--- a/orchidgap/decisions/shadow.py
+++ b/orchidgap/decisions/shadow.py
@@ -13,8 +13,8 @@
 
 from orchidgap.decisions.balancer import Balancer, Dispatch
 from orchidgap.decisions.ports import Port
-from orchidgap.decisions.records import Req, Sent
-from orchidgap.decisions.settings import RuleSet, ServiceTerms
+from orchidgap.decisions.records import Attempt, Request
+from orchidgap.decisions.settings import RequestClass, ServiceSettings
 
 PACE = 60_000_000  # between two lines that tell the counts
 KINDS = ("owner", "copy", "repeat", "call-off", "answer", "pause", "limit")
@@ -23,7 +23,7 @@
 class WatchedPort:
     """Passes on what is decided, after a look at it."""
 
-    def __init__(self, watching: Watching, port: Port) -> None:
+    def __init__(self, watching: ShadowBalancer, port: Port) -> None:
         self.watching, self.port = watching, port
         self.cancel, self.wake, self.subscribe, self.log = (
             port.cancel,
@@ -33,7 +33,7 @@
         )
 
     def dispatch(self, req: int, host: str) -> None:
-        self.watching.sees(self.watching.reqs[req])
+        self.watching.sees(self.watching.requests[req])
         self.port.dispatch(req, host)
 
     def deny(self, req: int, pause: int) -> None:
@@ -46,22 +46,22 @@
 
 
 class WatchedDispatch(Dispatch):
-    desk: Watching
+    desk: ShadowBalancer
 
-    def late(self, sent: Sent) -> None:
+    def late(self, sent: Attempt) -> None:
         desk = self.desk
-        if not sent.verdict and not sent.host.is_origin and not self.lost(sent):
+        if not sent.outcome and not sent.host.is_origin and not self.lost(sent):
             now = self.calls_off(sent)
             with desk.otherwise():
                 desk.add("call-off", self.calls_off(sent) != now)
         super().late(sent)
 
 
-class Watching(Balancer):
+class ShadowBalancer(Balancer):
     sends = WatchedDispatch
 
     def __init__(
-        self, other: ServiceTerms, terms: ServiceTerms, port: Port, seed: int, now: int
+        self, other: ServiceSettings, terms: ServiceSettings, port: Port, seed: int, now: int
     ) -> None:
         self.other, self.looked = other, 0
         self.said_at, self.said = now, ""
@@ -89,40 +89,44 @@
     @contextmanager
     def otherwise(self) -> Iterator[None]:
         """The other terms are asked; nothing may be changed meanwhile."""
-        terms, self.terms = self.terms, self.other
+        terms, self.settings = self.settings, self.other
         try:
             yield
         finally:
-            self.terms = terms
+            self.settings = terms
 
-    def sees(self, req: Req) -> None:
+    def sees(self, req: Request) -> None:
         """A dispatch that is about to go out, the last of its req."""
-        sent, earlier = req.sent[-1], req.sent[:-1]
+        sent, earlier = req.attempts[-1], req.attempts[:-1]
         self.looked += 1
-        if not earlier and not sent.host.is_origin and self.cuts[0] and not self.owners:
+        if not earlier and not sent.host.is_origin and self.cuts[0] and not self.slot_map:
             mine, others = (bisect_right(cuts, req.slot) for cuts in self.cuts)
             self.add("owner", mine != others)
-        copy = any(not one.verdict for one in earlier)
-        self.add("copy", copy and not self.other.may_double)
+        copy = any(not one.outcome for one in earlier)
+        self.add("copy", copy and not self.other.may_hedge)
         repeats = not copy and bool(earlier)
         self.add(
             "repeat",
             repeats
-            and not self.allows(
-                req, sent.host, self.theirs(req), earlier, self.other.max_dispatches
-            ),
+            and not self.allows(req, sent.host, self.theirs(req), earlier, self.other.max_attempts),
         )
 
-    def theirs(self, req: Req) -> RuleSet:
+    def theirs(self, req: Request) -> RequestClass:
         """The other terms' rule set of that name; its own where it came under earlier terms."""
         names = [
-            name for name, rule_set in self.terms.rule_sets.items() if rule_set is req.rule_set
+            name
+            for name, rule_set in self.settings.request_classes.items()
+            if rule_set is req.request_class
         ]
-        return self.other.rule_sets.get(names[0], req.rule_set) if names else req.rule_set
+        return (
+            self.other.request_classes.get(names[0], req.request_class)
+            if names
+            else req.request_class
+        )
 
     def ends(self, id: int, pause: int) -> None:
         """A final answer that is about to go out; a pause under 0 is that of one aborted."""
-        req = self.reqs[id]
+        req = self.requests[id]
         with self.otherwise():
             theirs = self.comeback(req, self.theirs(req))
         self.add("answer", (theirs >= 0) != (pause >= 0))
@@ -143,11 +147,11 @@
             for end in accumulate(self.placement.share(host) for host in self.placement.ring)
         ]
 
-    def on_report(self, id: str, rate: float | None, held: float | None = None) -> None:
+    def on_load_report(self, id: str, rate: float | None, held: float | None = None) -> None:
         if held is not None and (host := self.hosts.get(id)) and not host.is_origin:
-            self.helds[id] = held / host.rating
-            much = held > host.rating * self.placement.fair_of(sorted(self.helds.values()))
+            self.helds[id] = held / host.weight
+            much = held > host.weight * self.placement.fair_of(sorted(self.helds.values()))
             mine = self.by_load
             with self.otherwise():
                 self.add("limit", much and self.by_load != mine)
-        super().on_report(id, rate, held)
+        super().on_load_report(id, rate, held)
--- a/orchidgap/decisions/slot_map.py
+++ b/orchidgap/decisions/slot_map.py
@@ -46,10 +46,10 @@
     replicas: tuple[str, ...] = ()
 
 
-class Map:
+class SlotMap:
     """The owners of all slots, as the servers told them.
 
-    >>> slots = Map(Random(1), 0)
+    >>> slots = SlotMap(Random(1), 0)
     >>> slots.learn([Range(0, 9, "a", ("r",)), Range(8, 20, "b")], 5)
     >>> slots.owner(0), slots.owner(8), slots.owner(20), slots.owner(21), slots.readers(3)
     ('a', None, 'b', None, ['a', 'r'])
--- a/orchidgap/decisions/warm_snapshot.py
+++ b/orchidgap/decisions/warm_snapshot.py
@@ -9,7 +9,7 @@
 from math import isfinite
 from typing import Any
 
-from orchidgap.decisions.balancer import SPACE, Balancer
+from orchidgap.decisions.balancer import SLOT_COUNT, Balancer
 
 SLACK = 50_000  # by which two processes' clocks may differ
 AHEAD = {"shun_until": 1_000_000, "warm_at": 60_000_000}  # how far ahead these may lie
@@ -26,14 +26,27 @@
     "shun_until": None,
     "warm_at": None,
 }
+# The attribute of `HostState` behind each name of the snapshot.
+ATTRIBUTES = {
+    "limit": "concurrency_limit",
+    "floor": "limit_floor",
+    "lag": "smoothed_latency_us",
+    "credit": "retry_budget",
+    "rate": "reported_request_rate",
+    "cut_at": "limit_decreased_at_us",
+    "judged_at": "latency_recorded_at_us",
+    "heard_at": "last_response_at_us",
+    "shun_until": "ejected_until_us",
+    "warm_at": "warm_at_us",
+}
 
 
-def left(balancer: Balancer) -> dict[str, Any]:
+def export_snapshot(balancer: Balancer) -> dict[str, Any]:
     """All of it, as plain values; times are in microseconds of the clock that all processes share."""
     return {
         "hosts": {
-            host.id: {name: getattr(host, name) for name in FIELDS}
-            | {"since": host.since, "size": host.size}
+            host.id: {name: getattr(host, ATTRIBUTES[name]) for name in FIELDS}
+            | {"since": host.started_at_us, "size": host.range_size}
             for host in balancer.hosts.values()
         },
         "tenants": {
@@ -53,7 +66,7 @@
     return isfinite(value) and low <= value <= high
 
 
-def take(balancer: Balancer, told: Any) -> int:
+def restore_snapshot(balancer: Balancer, told: Any) -> int:
     """What another left, as far as it fits; of how many hosts anything was taken.
 
     A host that has started since owes nothing to what its forerunner did. Ranges are taken only where they
@@ -66,23 +79,24 @@
     sizes: dict[str, int] = {}
     for host in balancer.hosts.values():
         fields = hosts.get(host.id)
-        if not isinstance(fields, Mapping) or fields.get("since") != host.since:
+        if not isinstance(fields, Mapping) or fields.get("since") != host.started_at_us:
             continue
         for name, bounds in FIELDS.items():
             value = fields.get(name)
             if number(value, *(bounds or (0, now + SLACK + AHEAD.get(name, 0)))):
-                setattr(host, name, type(getattr(host, name))(value))
-        if number(fields.get("size"), 0, SPACE):
+                attribute = ATTRIBUTES[name]
+                setattr(host, attribute, type(getattr(host, attribute))(value))
+        if number(fields.get("size"), 0, SLOT_COUNT):
             sizes[host.id] = int(fields["size"])
         taken += 1
     ring = balancer.placement.ring
     if (
         ring
         and all(host.id in sizes for host in ring)
-        and sum(sizes[host.id] for host in ring) == SPACE
+        and sum(sizes[host.id] for host in ring) == SLOT_COUNT
     ):
         for host in ring:
-            host.size = sizes[host.id]
+            host.range_size = sizes[host.id]
         balancer.placement.cut()
     tenants = told.get("tenants")
     for name, pair in tenants.items() if isinstance(tenants, Mapping) else ():
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -12,7 +12,7 @@
 from orchidgap.control.server import Control
 from orchidgap.decisions.cas_register import Value
 from orchidgap.decisions.gossip_counts import Pool, Row
-from orchidgap.decisions.hot_keys import Heat
+from orchidgap.decisions.hot_keys import HotKeyDetector
 from orchidgap.decisions.policy_rollout import Leases, Right, Tenure
 from orchidgap.http1.server import Client
 
@@ -122,7 +122,7 @@
 
 def blind() -> None:
     """It sees no hot key."""
-    Heat.copies = lambda self, key, caches: 1
+    HotKeyDetector.copies = lambda self, key, caches: 1
 
 
 def echoes() -> None:
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -116,7 +116,7 @@
         exchange.let_go()
         link.let_go()
         client.let_go()
-        node.decide(node.balancer.on_hangup, exchange.id)
+        node.decide(node.balancer.on_client_gone, exchange.id)
 
     return Moving(
         ["upload", told], bytes(link.conn.out), [client.conn.sock, link.conn.sock], let_go
--- a/orchidgap/net/config.py
+++ b/orchidgap/net/config.py
@@ -11,7 +11,7 @@
 import orjson
 
 from orchidgap.decisions import config_compatibility
-from orchidgap.decisions.settings import BadTerm, ServiceTerms
+from orchidgap.decisions.settings import ServiceSettings, SettingError
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import Entry, Place, address_of, decoded
 
@@ -34,14 +34,14 @@
     sockets: int
     memory_mb: int
     known: tuple[int, bool, list[Entry], list[Place]]
-    terms: ServiceTerms
+    terms: ServiceSettings
     connect_within: int
     idle_for: int
     resp: Mapping[str, Any] | None = (
         None  # where RESP is spoken in place of HTTP: its part of the file
     )
     admin: Address | None = None  # where operators call, if they may
-    watched: ServiceTerms | None = None  # terms that are to be watched, not gone by
+    watched: ServiceSettings | None = None  # terms that are to be watched, not gone by
     shape: Mapping[str, str] = {}  # which keys the file had, with the kinds of their values
     control: Mapping[str, Any] | None = (
         None  # where the settings come from control: its part of the file
@@ -96,7 +96,7 @@
         raise BadStart(f"{path} is not JSON: {trouble}") from None
     try:
         return station(told, before)
-    except BadTerm as trouble:
+    except SettingError as trouble:
         raise BadStart(f"{path}: {trouble}") from None
     except KeyError as trouble:
         raise BadStart(f"{path}: {trouble.args[0]} is missing or unknown") from None
@@ -106,22 +106,24 @@
 
 def over_none(part: Mapping[str, str], path: str, default: int) -> int:
     if (value := int(part.get(path, default))) <= 0:
-        raise BadTerm(f"setting {path} is {value}, and must be over 0")
+        raise SettingError(f"setting {path} is {value}, and must be over 0")
     return value
 
 
-def watched_of(watch: Any, pairs: Mapping[str, str], terms: ServiceTerms) -> ServiceTerms | None:
+def watched_of(
+    watch: Any, pairs: Mapping[str, str], terms: ServiceSettings
+) -> ServiceSettings | None:
     """The settings as they are, with those that are to be watched laid over them."""
     if watch is None:
         return None
     if not isinstance(watch, Mapping) or not isinstance(watch.get("settings"), Mapping):
-        raise BadTerm("watch.settings must be an object")
+        raise SettingError("watch.settings must be an object")
     try:
-        watched = ServiceTerms.read({**pairs, **dict(flat(watch["settings"]))})
-    except BadTerm as trouble:
-        raise BadTerm(f"watch: {trouble}") from None
-    if missing := set(terms.rule_sets) - set(watched.rule_sets):
-        raise BadTerm(f"watch: rule set {sorted(missing)[0]} is missing")
+        watched = ServiceSettings.from_pairs({**pairs, **dict(flat(watch["settings"]))})
+    except SettingError as trouble:
+        raise SettingError(f"watch: {trouble}") from None
+    if missing := set(terms.request_classes) - set(watched.request_classes):
+        raise SettingError(f"watch: rule set {sorted(missing)[0]} is missing")
     return watched
 
 
@@ -134,12 +136,12 @@
     if part is None:
         return None
     if not isinstance(part, Mapping) or not isinstance(part.get("dir"), str):
-        raise BadTerm("control must be an object with at and dir")
+        raise SettingError("control must be an object with at and dir")
     at = part.get("at")
     if not isinstance(at, list) or len(at) not in (1, 3, 5):
-        raise BadTerm("control.at must list 1, 3 or 5 addresses")
+        raise SettingError("control.at must list 1, 3 or 5 addresses")
     if (alone := part.get("alone", "leave")) not in ("leave", "stay"):
-        raise BadTerm(f"control.alone is {alone!r}, and must be leave or stay")
+        raise SettingError(f"control.alone is {alone!r}, and must be leave or stay")
     return {"at": [address_of(one) for one in at], "dir": part["dir"], "alone": alone}
 
 
@@ -153,17 +155,17 @@
     if part is None:
         return None
     if not isinstance(part, Mapping) or not isinstance(part.get("peers"), list):
-        raise BadTerm("pool must be an object with listen, peers and key")
+        raise SettingError("pool must be an object with listen, peers and key")
     if not isinstance(part.get("key"), str) or len(part["key"]) < SHORTEST_KEY:
-        raise BadTerm(f"pool.key must be a text of {SHORTEST_KEY} letters or more")
+        raise SettingError(f"pool.key must be a text of {SHORTEST_KEY} letters or more")
     if len(part["peers"]) > MOST_PEERS:
-        raise BadTerm(f"pool.peers lists {len(part['peers'])}; {MOST_PEERS} can be")
+        raise SettingError(f"pool.peers lists {len(part['peers'])}; {MOST_PEERS} can be")
     listen, peers = (
         address_of(str(part.get("listen"))),
         [address_of(str(peer)) for peer in part["peers"]],
     )
     if not IPv4Address(listen[0]).is_loopback and part.get("beyond-loopback") is not True:
-        raise BadTerm(
+        raise SettingError(
             f"pool.listen is {part['listen']}: set pool.beyond-loopback to true for that, as "
             "whoever has the key is believed"
         )
@@ -171,7 +173,7 @@
 
     gap = part.get("draw-ms", GAP // 1000)
     if type(gap) is not int or gap < SHORTEST_GAP:
-        raise BadTerm(f"pool.draw-ms is {gap!r}, and must be {SHORTEST_GAP} or more")
+        raise SettingError(f"pool.draw-ms is {gap!r}, and must be {SHORTEST_GAP} or more")
     return {"listen": listen, "peers": peers, "key": part["key"], "gap": gap * 1000}
 
 
@@ -184,9 +186,9 @@
             before.shape, shape, config_compatibility.empty_lists(told)
         )
     ):
-        raise BadTerm(lack)
+        raise SettingError(lack)
     pairs = dict(flat(told["settings"]))
-    terms = ServiceTerms.read(pairs)
+    terms = ServiceSettings.from_pairs(pairs)
     limits = told.get("limits") or {}
     most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = min(int(limits.get("sockets") or most), most)
--- a/orchidgap/net/handover.py
+++ b/orchidgap/net/handover.py
@@ -280,7 +280,7 @@
             for at in range(0, len(ids), PART):
                 kin.passage.send("list", [[*node.fleet[id]] for id in ids[at : at + PART]])
             known = (
-                warm_snapshot.left(node.balancer)
+                warm_snapshot.export_snapshot(node.balancer)
                 if node.has_estate
                 else {"hosts": {}, "tenants": {}}
             )
@@ -341,7 +341,9 @@
         taken = 0
         if node.has_estate:
             node.balancer.now = self.loop.now
-            taken = warm_snapshot.take(node.balancer, {"hosts": self.known, "tenants": tenants})
+            taken = warm_snapshot.restore_snapshot(
+                node.balancer, {"hosts": self.known, "tenants": tenants}
+            )
         self.fleet, self.known = {}, {}
         node.note("estate taken", hosts=taken)
         self.wait_no_more()
@@ -359,7 +361,7 @@
         for kin in self.kin():
             for id, out in kin.outs.items():
                 outs[id] = outs.get(id, 0) + out
-        self.node.decide(self.node.balancer.on_away, outs)
+        self.node.decide(self.node.balancer.on_sibling_in_flight, outs)
 
     # --- what each keeps telling
 
@@ -377,7 +379,9 @@
         if not kins:
             return
         names = {name.decode("latin-1") for name in self.node.names}
-        outs = {host.id: host.out for host in self.node.balancer.hosts.values() if host.out}
+        outs = {
+            host.id: host.in_flight for host in self.node.balancer.hosts.values() if host.in_flight
+        }
         if self.heir:
             self.bound()
         for kin in kins:
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -9,8 +9,8 @@
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.lifecycle import Life, State
-from orchidgap.decisions.records import UNRUN
-from orchidgap.decisions.shadow import Watching
+from orchidgap.decisions.records import NEVER_EXECUTED
+from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.client_listener import Answered, Clients
 from orchidgap.net.config import Station
@@ -127,7 +127,7 @@
             for attempt in self.attempts:
                 attempt.due = self.due
             self.node.decide(
-                self.node.balancer.on_whole,
+                self.node.balancer.on_body_complete,
                 self.id,
                 max(0, self.due - self.node.loop.now),
                 exchange=self,
@@ -135,7 +135,7 @@
 
     def body_gone(self) -> None:
         """It cannot be sent another time."""
-        self.node.decide(self.node.balancer.on_spent, self.id, exchange=self)
+        self.node.decide(self.node.balancer.on_body_discarded, self.id, exchange=self)
 
     def answer(
         self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
@@ -173,7 +173,7 @@
         self.node.names.discard(self.name)
         cast(Taker, self.client).end(whole)
         if not whole and attempt:
-            self.node.decide(self.node.balancer.on_unfinished, attempt.host)
+            self.node.decide(self.node.balancer.on_response_truncated, attempt.host)
 
     def hangup(self) -> None:
         if self.giving:
@@ -182,7 +182,7 @@
             self.node.loop.soon(attempt.settle, attempt.stop("cancelled").verdict)
         if not self.over:
             self.close()
-            self.node.decide(self.node.balancer.on_hangup, self.id)
+            self.node.decide(self.node.balancer.on_client_gone, self.id)
             for attempt in self.attempts if self.last_word else ():  # the decisions do not know it
                 self.node.loop.soon(attempt.settle, attempt.stop("cancelled").verdict)
 
@@ -193,12 +193,12 @@
                 attempt.settle(attempt.stop("overdue").verdict)
         if not self.over:
             self.node.note("unanswered", req=self.id)
-            self.node.decide(self.node.balancer.on_hangup, self.id)
+            self.node.decide(self.node.balancer.on_client_gone, self.id)
             self.answer(500)
 
     def wants(self, number: int) -> bool:
         if self.over or self.node.loop.now >= min(
-            self.due, self.node.balancer.latest(self.id, number)
+            self.due, self.node.balancer.latest_start_us(self.id, number)
         ):
             return False
         return not self.client.gone()
@@ -207,7 +207,7 @@
         """Of a dispatch, by its number."""
         if verdict == "moved":
             to = self.attempts[number].to
-            self.node.decide(self.node.balancer.on_moved, self.id, number, to, exchange=self)
+            self.node.decide(self.node.balancer.on_redirected, self.id, number, to, exchange=self)
             return self.node.tidy(self)
         if self.giving is self.attempts[number]:
             self.given(verdict == "done")
@@ -221,7 +221,7 @@
         if attempt.load:
             self.node.reported(attempt)
         if self.last_word and not self.over:
-            self.answer(503 if verdict in UNRUN else self.last_word)
+            self.answer(503 if verdict in NEVER_EXECUTED else self.last_word)
         self.node.tidy(self)
 
     # --- between two processes of this balancer
@@ -288,7 +288,7 @@
         self.reqs: dict[int, Exchange] = {}
         self.names: set[bytes] = set()  # of reqs that are owed an answer
         self.count = 0
-        self.life = Life(loop.now, station.terms.longest)
+        self.life = Life(loop.now, station.terms.longest_client_timeout_us)
         self.descriptors = station.sockets  # that this process may hold
         self.handover = Handover(loop, self)
         self.fleet: dict[str, tuple[Entry, Place]] = {}  # the list as it was told
@@ -296,7 +296,9 @@
         self.clients = parts.clients(self, 8)
         self.hosts = parts.hosts(self, 8, dial)
         self.allot(station.sockets)
-        self.hold = station.terms.target // 4  # how long an answer of unknown length may be held
+        self.hold = (
+            station.terms.latency_objective_us // 4
+        )  # how long an answer of unknown length may be held
         self.balancer: Balancer = decider(
             station.terms, self, station.seed, loop.now
         )  # or what has its face
@@ -337,7 +339,7 @@
         return self.life.means.yes
 
     def knows(self, rule_set: str) -> bool:
-        return rule_set in self.station.terms.rule_sets
+        return rule_set in self.station.terms.request_classes
 
     def holds(self, id: bytes) -> bool:
         return id in self.names or self.handover.on and self.handover.holds(id)
@@ -352,10 +354,12 @@
 
     def last_word(self, id: int) -> int:
         """The answer to a req whose one dispatch may have run and failed: whether a retry is harmless."""
-        req = self.balancer.reqs.get(id)
-        rule_set = req.rule_set if req else None
+        req = self.balancer.requests.get(id)
+        rule_set = req.request_class if req else None
         harmless = rule_set and (
-            rule_set.replayable or rule_set.uniqued and rule_set.group == "all"
+            rule_set.idempotent
+            or rule_set.idempotency_keyed
+            and rule_set.deduplication_scope == "all"
         )
         return 503 if harmless else 500
 
@@ -379,7 +383,7 @@
         )
         more = () if slot < 0 and not flow else (slot, True) if flow else (slot,)
         self.decide(
-            self.balancer.on_req,
+            self.balancer.on_request,
             self.count,
             max(0, exchange.due - self.loop.now),
             write,
@@ -418,7 +422,7 @@
         """A host told of its load with an answer."""
         fields = loads(attempt.load)
         self.decide(
-            self.balancer.on_report, attempt.host, fields.get("tps"), fields.get("concurrent")
+            self.balancer.on_load_report, attempt.host, fields.get("tps"), fields.get("concurrent")
         )
 
     def decide(
@@ -492,7 +496,7 @@
 
     def watch(self) -> tuple[bool, str]:
         """What the terms that are watched would have decided otherwise, by kind."""
-        if not isinstance(self.balancer, Watching):
+        if not isinstance(self.balancer, ShadowBalancer):
             return False, "nothing is watched"
         return True, self.balancer.told()
 
@@ -506,23 +510,23 @@
         """New terms count for reqs from now on; what cannot change while it runs waits for the next start."""
         old = self.station
         later = [name for name in AT_NEXT_START if getattr(station, name) != getattr(old, name)]
-        terms = station.terms.standing(old.terms)
+        terms = station.terms.keeping_startup_settings(old.terms)
         later += [
             name for name in terms._fields if getattr(terms, name) != getattr(station.terms, name)
         ]
         self.station = station._replace(
             terms=terms, **{name: getattr(old, name) for name in AT_NEXT_START}
         )
-        self.hold = terms.target // 4
-        self.life.bound(terms.longest)
+        self.hold = terms.latency_objective_us // 4
+        self.life.bound(terms.longest_client_timeout_us)
         if terms != old.terms:
-            self.decide(self.balancer.on_terms, terms)
+            self.decide(self.balancer.on_settings, terms)
         self.hosts.bound(station.connect_within, station.idle_for)
         self.note(
             "terms read",
             discovery=station.discovery,
-            rule_sets=list(terms.rule_sets),
-            dispatches=terms.max_dispatches,
+            rule_sets=list(terms.request_classes),
+            dispatches=terms.max_attempts,
             **({"at_next_start": later} if later else {}),
         )
         self.registry.move(station.discovery)
@@ -574,7 +578,7 @@
             reqs=sum(not exchange.over for exchange in self.reqs.values()),
             longest_turn_ms=self.loop.longest // 1000,
         )
-        if isinstance(self.balancer, Watching):
+        if isinstance(self.balancer, ShadowBalancer):
             self.note("watched", what=self.balancer.told())
         self.handover.close()
         self.loop.running = False
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -13,7 +13,7 @@
 
 from orchidgap.admin.server import Operators
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.shadow import Watching
+from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net import config
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import text_of
@@ -49,7 +49,7 @@
     log = Log(station.name)
     loop = Loop(trouble=log.trouble)
     if station.watched:
-        decider = partial(Watching, station.watched)
+        decider = partial(ShadowBalancer, station.watched)
     holder: Held | None = None
     if station.control and held:
         node, holder = held(path, loop, station, log, parts(station), decider=decider)
--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from orchidgap.decisions.slot_map import Map
+from orchidgap.decisions.slot_map import SlotMap
 from orchidgap.net.client_listener import Clients
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import address_of
@@ -97,8 +97,8 @@
         raise ValueError("nothing comes over here")
 
     def listing(self, node: Node, dial: Dial) -> Mapper:
-        node.balancer.owners = Map(node.balancer.rng, node.loop.now)
-        self.mapper = Mapper(node, node.balancer.owners, self.seeds, self.secret, dial)
+        node.balancer.slot_map = SlotMap(node.balancer.rng, node.loop.now)
+        self.mapper = Mapper(node, node.balancer.slot_map, self.seeds, self.secret, dial)
         return self.mapper
 
     def redirected(self, to: Redirect) -> None:
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -5,7 +5,7 @@
 import socket
 from typing import TYPE_CHECKING
 
-from orchidgap.decisions.slot_map import Map, Range
+from orchidgap.decisions.slot_map import Range, SlotMap
 from orchidgap.http1.discovery import Registry
 from orchidgap.net.connection import Address, Connection, Fault
 from orchidgap.net.endpoints import Entry, Place, address_of, text_of
@@ -65,7 +65,12 @@
     """The `Listing` of a node before slot servers."""
 
     def __init__(
-        self, node: Node, slots: Map, seeds: list[Address], secret: tuple[bytes, ...], dial: Dial
+        self,
+        node: Node,
+        slots: SlotMap,
+        seeds: list[Address],
+        secret: tuple[bytes, ...],
+        dial: Dial,
     ) -> None:
         self.node, self.slots, self.secret, self.dial, self.loop = (
             node,
--- a/orchidgap/trial/baselines.py
+++ b/orchidgap/trial/baselines.py
@@ -14,11 +14,11 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, cast
 
-from orchidgap.decisions.balancer import FELL, SPACE, Balancer
-from orchidgap.decisions.pipeline import Door, Stage
+from orchidgap.decisions.balancer import RETRYABLE_OUTCOMES, SLOT_COUNT, Balancer
+from orchidgap.decisions.pipeline import RequestTable, Stage
 from orchidgap.decisions.ports import Port
-from orchidgap.decisions.records import Host, Req, Sent
-from orchidgap.decisions.settings import ServiceTerms
+from orchidgap.decisions.records import Attempt, HostState, Request
+from orchidgap.decisions.settings import ServiceSettings
 
 if TYPE_CHECKING:
     from orchidgap.trial.faces import Decider, Scene
@@ -30,27 +30,27 @@
 
 def even(slot: int, ids: Sequence[object]) -> list[int]:
     """Where a slot is by even ranges, as they stand at the start: the number of one of these."""
-    return [slot * len(ids) // SPACE]
+    return [slot * len(ids) // SLOT_COUNT]
 
 
-class Plain(Door):
+class Plain(RequestTable):
     """A decider that picks a host and, where that failed, another."""
 
-    def __init__(self, terms: ServiceTerms, port: Port, seed: int, now: int) -> None:
+    def __init__(self, terms: ServiceSettings, port: Port, seed: int, now: int) -> None:
         super().__init__(port, now)
-        self.terms, self.rng = terms, Random(seed)
-        self.caches: list[Host] = []
-        self.origins: list[Host] = []
+        self.settings, self.rng = terms, Random(seed)
+        self.caches: list[HostState] = []
+        self.origins: list[HostState] = []
         self.sender = Back(self)
         if terms.subscribes:
-            self.later(0, lambda _: port.subscribe())
+            self.call_later(0, lambda _: port.subscribe())
 
     @staticmethod
     def homes(slot: int, ids: list[str]) -> list[int]:
         """Which of the caches had the key's copy before the trial began: here any that has room."""
         return list(range(len(ids)))
 
-    def pick(self, req: Req, hosts: list[Host]) -> Host:
+    def pick(self, req: Request, hosts: list[HostState]) -> HostState:
         """One of the hosts, of which there is one at least."""
         raise NotImplementedError
 
@@ -62,8 +62,8 @@
         gone = set() if scope == "changes" else set(self.hosts)
         for id, state, since, zone, kind, cell, rating in entries:
             (gone.add if state == "gone" else gone.discard)(id)
-            host = self.hosts.get(id) or Host(id, kind == self.terms.origin_kind)
-            host.state, host.since, host.zone, host.cell, host.rating = (
+            host = self.hosts.get(id) or HostState(id, kind == self.settings.origin_kind)
+            host.state, host.started_at_us, host.zone, host.cell, host.weight = (
                 state,
                 since,
                 zone,
@@ -77,22 +77,22 @@
         self.origins = [host for host in ready if host.is_origin]
         self.follow()
 
-    def on_terms(self, terms: ServiceTerms) -> None:
-        self.terms = terms
+    def on_settings(self, terms: ServiceSettings) -> None:
+        self.settings = terms
 
     def follow(self) -> None:
         """The caches have changed."""
 
-    def on_unfinished(self, id: str) -> None:
+    def on_response_truncated(self, id: str) -> None:
         """An answer broke off: it makes no difference here."""
 
-    def on_whole(self, id: int, left: int) -> None:
-        if req := self.reqs.get(id):
-            req.flows, req.due = False, self.now + left
-            for sent in req.sent:
-                sent.host.out += not sent.verdict
+    def on_body_complete(self, id: int, left: int) -> None:
+        if req := self.requests.get(id):
+            req.body_streaming, req.deadline_us = False, self.now + left
+            for sent in req.attempts:
+                sent.host.in_flight += not sent.outcome
 
-    def on_req(
+    def on_request(
         self,
         id: int,
         left: int,
@@ -103,74 +103,78 @@
         slot: int = -1,
         flows: bool = False,
     ) -> None:
-        slot = self.rng.randrange(SPACE) if key is None else crc_hqx(b"%d" % key, 0) & (SPACE - 1)
-        req = self.reqs[id] = Req(
+        slot = (
+            self.rng.randrange(SLOT_COUNT)
+            if key is None
+            else crc_hqx(b"%d" % key, 0) & (SLOT_COUNT - 1)
+        )
+        req = self.requests[id] = Request(
             id,
-            self.terms.rule_sets[rule_set],
+            self.settings.request_classes[rule_set],
             tenant,
             key,
             slot,
             write,
             self.now,
             self.now + left,
-            self.terms.max_dispatches,
-            flows=flows,
+            self.settings.max_attempts,
+            body_streaming=flows,
         )
         self.go(req)
 
-    def go(self, req: Req) -> None:
-        tried = [sent.host for sent in req.sent if sent.verdict != "miss"]
-        at_origin = req.missed or req.write and bool(self.terms.origin_kind)
+    def go(self, req: Request) -> None:
+        tried = [sent.host for sent in req.attempts if sent.outcome != "miss"]
+        at_origin = req.cache_missed or req.is_write and bool(self.settings.origin_kind)
         hosts = [host for host in (self.origins if at_origin else self.caches) if host not in tried]
-        if not hosts or len(req.sent) >= req.most:
+        if not hosts or len(req.attempts) >= req.max_attempts:
             return self.finish(req)
-        host = min(hosts, key=lambda at: at.out) if at_origin else self.pick(req, hosts)
-        if req.sent and not Balancer.may_repeat(cast(Any, self), req, host):
+        host = min(hosts, key=lambda at: at.in_flight) if at_origin else self.pick(req, hosts)
+        if req.attempts and not Balancer.may_repeat(cast(Any, self), req, host):
             return self.finish(req)
-        req.sent.append(Sent(req, host, self.now))
-        req.out, host.out = req.out + 1, host.out + (not req.flows)
+        req.attempts.append(Attempt(req, host, self.now))
+        req.in_flight, host.in_flight = req.in_flight + 1, host.in_flight + (not req.body_streaming)
         self.port.dispatch(req.id, host.id)
 
     # the rules are asked of the decisions themselves
     allows: Any = Balancer.allows
     comeback: Any = Balancer.comeback
 
-    def finish(self, req: Req) -> None:
-        if not req.over and not req.out:
+    def finish(self, req: Request) -> None:
+        if not req.answered and not req.in_flight:
             Balancer.finish(cast(Any, self), req)
 
 
 class Back(Stage[Any]):
-    def back(self, req: Req, sent: Sent) -> None:
-        if req.over:
+    def back(self, req: Request, sent: Attempt) -> None:
+        if req.answered:
             return
-        if sent.verdict == "miss" and not sent.host.is_origin:
-            req.missed = True
+        if sent.outcome == "miss" and not sent.host.is_origin:
+            req.cache_missed = True
             self.desk.go(req)
-        elif sent.verdict in FELL:
+        elif sent.outcome in RETRYABLE_OUTCOMES:
             self.desk.go(req)
         else:
             self.desk.finish(req)
 
 
 class RandomPick(Plain):
-    def pick(self, req: Req, hosts: list[Host]) -> Host:
+    def pick(self, req: Request, hosts: list[HostState]) -> HostState:
         return self.rng.choice(hosts)
 
 
 class LeastOut(Plain):
     """The host with the fewest dispatches out of this balancer."""
 
-    def pick(self, req: Req, hosts: list[Host]) -> Host:
-        least = min(host.out for host in hosts)
-        return self.rng.choice([host for host in hosts if host.out == least])
+    def pick(self, req: Request, hosts: list[HostState]) -> HostState:
+        least = min(host.in_flight for host in hosts)
+        return self.rng.choice([host for host in hosts if host.in_flight == least])
 
 
 @lru_cache(maxsize=64)
 def circle(ids: tuple[str, ...]) -> list[tuple[int, str]]:
     """The points of all hosts, in order."""
     return sorted(
-        (int.from_bytes(blake2b(f"{id} {i}".encode(), digest_size=4).digest()) % SPACE, id)
+        (int.from_bytes(blake2b(f"{id} {i}".encode(), digest_size=4).digest()) % SLOT_COUNT, id)
         for id in ids
         for i in range(POINTS)
     )
@@ -179,7 +183,7 @@
 class Ring(Plain):
     """Consistent hashing: each host at many points of a circle; a key goes to the next one."""
 
-    points: list[tuple[int, Host]]
+    points: list[tuple[int, HostState]]
 
     @staticmethod
     def homes(slot: int, ids: list[str]) -> list[int]:
@@ -195,24 +199,24 @@
             (at, self.hosts[id]) for at, id in circle(tuple(host.id for host in self.caches))
         ]
 
-    def around(self, req: Req, hosts: list[Host]) -> Iterable[Host]:
+    def around(self, req: Request, hosts: list[HostState]) -> Iterable[HostState]:
         first = bisect_right(self.points, req.slot, key=lambda point: point[0])
         for i in range(len(self.points)):
             host = self.points[(first + i) % len(self.points)][1]
             if host in hosts:
                 yield host
 
-    def pick(self, req: Req, hosts: list[Host]) -> Host:
+    def pick(self, req: Request, hosts: list[HostState]) -> HostState:
         return next(iter(self.around(req, hosts)))
 
 
 class BoundedRing(Ring):
     """The same with bounded loads (Mirrokni, Thorup and Zadimoghaddam, 2016): who is full is passed by."""
 
-    def pick(self, req: Req, hosts: list[Host]) -> Host:
-        bound = BOUND * (sum(host.out for host in self.caches) + 1) / len(self.caches)
+    def pick(self, req: Request, hosts: list[HostState]) -> HostState:
+        bound = BOUND * (sum(host.in_flight for host in self.caches) + 1) / len(self.caches)
         return next(
-            (host for host in self.around(req, hosts) if host.out + 1 <= bound + 1), hosts[0]
+            (host for host in self.around(req, hosts) if host.in_flight + 1 <= bound + 1), hosts[0]
         )
 
 
@@ -235,16 +239,16 @@
         alone = cost * store.slow / (store.speed * store.warmth())
         return float(frozen + left / store.model.cores + alone)
 
-    def go(self, req: Req) -> None:
+    def go(self, req: Request) -> None:
         cost = 40_000
-        first = not req.sent and not req.missed and not req.write
+        first = not req.attempts and not req.cache_missed and not req.is_write
         if first and self.caches:
             best = min(self.cost(req, host, cost) for host in self.caches)
-            if best > req.rule_set.response_target:
+            if best > req.request_class.latency_objective_us:
                 return self.finish(req)
         super().go(req)
 
-    def cost(self, req: Req, host: Host, cost: int) -> float:
+    def cost(self, req: Request, host: HostState, cost: int) -> float:
         has = self.scene.key_of(req.key) in self.scene.stores[host.id].kept
         fetch = (
             0.0
@@ -254,7 +258,7 @@
         home = self.caches[even(req.slot, self.caches)[0]]
         return self.wait(host.id, cost) + 3 * fetch + (0 if has or host is home else cost)
 
-    def pick(self, req: Req, hosts: list[Host]) -> Host:
+    def pick(self, req: Request, hosts: list[HostState]) -> HostState:
         return min(hosts, key=lambda host: (self.cost(req, host, 40_000), host.id))
 
 
--- a/orchidgap/trial/saturate.py
+++ b/orchidgap/trial/saturate.py
@@ -57,7 +57,7 @@
         if scope in ("whole", "recalled"):
             self.ids = sorted(entry[0] for entry in entries if entry[4] != "origin")
 
-    def on_req(
+    def on_request(
         self, id: int, left: int, write: bool, rule_set: str, key: int | None, tenant: str
     ) -> None:
         self.port.dispatch(id, self.ids[crc_hqx(b"%d" % (key or 0), 0) % len(self.ids)])
@@ -66,7 +66,7 @@
         if not over:
             self.port.abort(id)
 
-    def on_hangup(self, id: int) -> None: ...
+    def on_client_gone(self, id: int) -> None: ...
 
     def on_wake(self, token: int) -> None: ...
 
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -21,7 +21,7 @@
 
 from orchidgap.admin.client import call as ask_door
 from orchidgap.admin.server import Operators
-from orchidgap.decisions.balancer import SPACE
+from orchidgap.decisions.balancer import SLOT_COUNT
 from orchidgap.net import config
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import text_of
@@ -639,7 +639,7 @@
         if isinstance(first, VirtualPost) and first.node and first.alive:
             place = getattr(first.node.balancer, "placement", None)
             if place is not None:
-                rows["sizes"] = {host.id: host.size for host in place.ring}
+                rows["sizes"] = {host.id: host.range_size for host in place.ring}
         self.referee.series.append((self.loop.now - self.start, rows))
         self.loop.later(SAMPLE, self.sample)
 
@@ -746,4 +746,4 @@
 
 def slot_of(key: bytes) -> int:
     """The slot that the decisions will find for a key of the path."""
-    return crc_hqx(b"%d" % (number_of(key) or 0), 0) & (SPACE - 1)
+    return crc_hqx(b"%d" % (number_of(key) or 0), 0) & (SLOT_COUNT - 1)
--- a/orchidgap/wirehost/codec.py
+++ b/orchidgap/wirehost/codec.py
@@ -5,7 +5,7 @@
 from typing import BinaryIO
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.settings import BadTerm, ServiceTerms
+from orchidgap.decisions.settings import ServiceSettings, SettingError
 
 VERDICTS = {
     "Ok": "done",
@@ -112,7 +112,7 @@
 def told(balancer: Balancer, host: str, report: str) -> None:
     if report != "-":
         fields = load(report)
-        balancer.on_report(host, fields.get("tps"), fields.get("concurrent"))
+        balancer.on_load_report(host, fields.get("tps"), fields.get("concurrent"))
 
 
 def event(instance: Instance, parts: list[str], more: list[list[str]], now: int) -> None:
@@ -120,7 +120,9 @@
     name = parts[0]
     if name == "PROVISION":
         pairs = dict(pair.partition("=")[::2] for pair in parts[2:])
-        instance.balancer = Balancer(ServiceTerms.read(pairs), instance.port, int(parts[1]), now)
+        instance.balancer = Balancer(
+            ServiceSettings.from_pairs(pairs), instance.port, int(parts[1]), now
+        )
         return
     balancer = instance.balancer
     if name == "EXIT":
@@ -131,7 +133,7 @@
     balancer.now = now
     if name == "QUERY":
         _, req, left, write, rule_set, key, _, _, _, tenant = parts
-        balancer.on_req(
+        balancer.on_request(
             int(req), int(left), write == "1", rule_set, None if key == "-" else int(key), tenant
         )
     elif name == "ENDED":
@@ -141,7 +143,7 @@
     elif name == "FIRED":
         balancer.on_wake(int(parts[1]))
     elif name == "HANGUP":
-        balancer.on_hangup(int(parts[1]))
+        balancer.on_client_gone(int(parts[1]))
     elif name == "STATUS_BACK":
         told(balancer, parts[1], parts[4])
     elif name == "BACKENDS_CHANGED":
@@ -204,7 +206,7 @@
             except Exception as trouble:  # the day must stop with a text
                 if isinstance(trouble, (ValueError, KeyError)) and decoding(trouble):
                     raise Malformed(f"bad value in {name}: {line[:80]!r}") from None
-                known = isinstance(trouble, BadTerm)
+                known = isinstance(trouble, SettingError)
                 what = str(trouble) if known else f"{name}: {type(trouble).__name__}: {trouble}"
                 fault = f"FOR {about}\nBAIL_OUT {what}"
         reply = []
--- a/tests/decisions/test_estate.py
+++ b/tests/decisions/test_estate.py
@@ -7,48 +7,63 @@
 from hypothesis import strategies as st
 
 from orchidgap.decisions import warm_snapshot
-from orchidgap.decisions.balancer import SPACE
+from orchidgap.decisions.balancer import SLOT_COUNT
 
 
 def known():
     desk = Desk(3)
     for key in range(40):
         desk.outcome(desk.put(key, tenant="big"), "done")
-    desk.hosts["c1"].limit, desk.hosts["c1"].lag, desk.hosts["c1"].shun_until = (
+    (
+        desk.hosts["c1"].concurrency_limit,
+        desk.hosts["c1"].smoothed_latency_us,
+        desk.hosts["c1"].ejected_until_us,
+    ) = (
         2.5,
         90_000,
         desk.now + 400_000,
     )
     ring = desk.placement.ring
-    ring[0].size, ring[2].size = ring[0].size - 500, ring[2].size + 500
+    ring[0].range_size, ring[2].range_size = ring[0].range_size - 500, ring[2].range_size + 500
     desk.placement.cut()
     return desk
 
 
 def test_what_one_leaves_the_next_takes_by_way_of_text():
     old, new = known(), Desk(3)
-    assert warm_snapshot.take(new, orjson.loads(orjson.dumps(warm_snapshot.left(old)))) == 4
     assert (
-        warm_snapshot.left(new) == warm_snapshot.left(old)
+        warm_snapshot.restore_snapshot(
+            new, orjson.loads(orjson.dumps(warm_snapshot.export_snapshot(old)))
+        )
+        == 4
+    )
+    assert (
+        warm_snapshot.export_snapshot(new) == warm_snapshot.export_snapshot(old)
         and new.placement.cuts == old.placement.cuts
     )
-    assert type(new.hosts["c1"].lag) is int and type(new.hosts["c1"].limit) is float
+    assert (
+        type(new.hosts["c1"].smoothed_latency_us) is int
+        and type(new.hosts["c1"].concurrency_limit) is float
+    )
 
 
 def test_a_host_that_started_since_owes_nothing_and_other_caches_have_other_ranges():
     old, new = known(), Desk(3)
     new.list(["c1"], since=77)
     before = new.placement.cuts[:]
-    assert warm_snapshot.take(new, warm_snapshot.left(old)) == 3
+    assert warm_snapshot.restore_snapshot(new, warm_snapshot.export_snapshot(old)) == 3
     assert (
-        new.hosts["c1"].lag == 0
-        and new.hosts["c0"].credit == old.hosts["c0"].credit
+        new.hosts["c1"].smoothed_latency_us == 0
+        and new.hosts["c0"].retry_budget == old.hosts["c0"].retry_budget
         and new.placement.cuts == before
     )
     more = Desk(4)
     before = more.placement.cuts[:]
-    warm_snapshot.take(more, warm_snapshot.left(old))
-    assert more.placement.cuts == before and sum(host.size for host in more.placement.ring) == SPACE
+    warm_snapshot.restore_snapshot(more, warm_snapshot.export_snapshot(old))
+    assert (
+        more.placement.cuts == before
+        and sum(host.range_size for host in more.placement.ring) == SLOT_COUNT
+    )
 
 
 @pytest.mark.parametrize(
@@ -66,8 +81,11 @@
 )
 def test_what_makes_no_sense_changes_nothing(told):
     desk = known()
-    before = copy.deepcopy(warm_snapshot.left(desk))
-    assert warm_snapshot.take(desk, told) == 0 and warm_snapshot.left(desk) == before
+    before = copy.deepcopy(warm_snapshot.export_snapshot(desk))
+    assert (
+        warm_snapshot.restore_snapshot(desk, told) == 0
+        and warm_snapshot.export_snapshot(desk) == before
+    )
 
 
 VALUE = st.one_of(
@@ -98,12 +116,22 @@
     for fields in hosts.values():
         if fields.get("since", 0) in (None, 0):
             fields["since"] = 0
-    warm_snapshot.take(desk, {"hosts": hosts, "tenants": tenants})
+    warm_snapshot.restore_snapshot(desk, {"hosts": hosts, "tenants": tenants})
     for host in desk.hosts.values():
-        assert 0 < host.limit <= 1e5 and 0 <= host.lag <= 6e7 and 0 <= host.credit <= 10
-        assert max(host.cut_at, host.judged_at, host.heard_at) <= desk.now + warm_snapshot.SLACK
-        assert host.shun_until <= desk.now + 1_050_000 and host.warm_at <= desk.now + 60_050_000
-    assert sum(host.size for host in desk.placement.ring) == SPACE
+        assert (
+            0 < host.concurrency_limit <= 1e5
+            and 0 <= host.smoothed_latency_us <= 6e7
+            and 0 <= host.retry_budget <= 10
+        )
+        assert (
+            max(host.limit_decreased_at_us, host.latency_recorded_at_us, host.last_response_at_us)
+            <= desk.now + warm_snapshot.SLACK
+        )
+        assert (
+            host.ejected_until_us <= desk.now + 1_050_000
+            and host.warm_at_us <= desk.now + 60_050_000
+        )
+    assert sum(host.range_size for host in desk.placement.ring) == SLOT_COUNT
     assert all(0 <= shed <= 0.9 for shed in desk.admission.shed.values())
     for key in range(20):
         req = desk.put(key)
--- a/tests/decisions/test_heat.py
+++ b/tests/decisions/test_heat.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidgap.decisions.balancer import SPACE
-from orchidgap.decisions.hot_keys import MOST, SPAN, Heat
+from orchidgap.decisions.balancer import SLOT_COUNT
+from orchidgap.decisions.hot_keys import MOST, SPAN, HotKeyDetector
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,7 @@
 def test_a_key_is_spread_by_what_it_takes_of_a_cache(part, caches, reads, least, most):
     found = []
     for seed in range(20):
-        heat, rng = Heat(), Random(seed)
+        heat, rng = HotKeyDetector(), Random(seed)
         for _ in range(reads):
             heat.copies(0 if rng.random() < part else rng.randrange(1, 9_999), caches)
         found.append(heat.copies(0, caches))
@@ -35,14 +35,14 @@
 
 @given(st.lists(st.integers(0, 30), max_size=3_000), st.integers(1, 20))
 def test_what_is_counted_is_bounded_and_no_key_is_spread_wider_than_there_are_caches(keys, caches):
-    heat = Heat()
+    heat = HotKeyDetector()
     for key in keys:
         assert 1 <= heat.copies(key, caches) <= caches
         assert sum(heat.counts.values()) <= heat.total + 1e-6 and len(heat.counts) <= MOST
 
 
 def test_a_key_that_cools_is_given_up():
-    heat, rng = Heat(), Random(1)
+    heat, rng = HotKeyDetector(), Random(1)
     for _ in range(200):
         heat.copies(0 if rng.random() < 0.4 else rng.randrange(1, 999), 12)
     assert heat.copies(0, 12) > 1
@@ -74,7 +74,7 @@
     desk = Desk(9)
     owner = int(desk.owner(1)[1:])
     where(desk, 1, 50)
-    desk.hosts[f"c{(owner + 1) % 9}"].shun_until = desk.now + 1_000_000
+    desk.hosts[f"c{(owner + 1) % 9}"].ejected_until_us = desk.now + 1_000_000
     went = where(desk, 1, 200)
     assert f"c{(owner + 1) % 9}" not in went and sum(went.values()) == 200
 
@@ -85,12 +85,12 @@
     c2 = desk.hosts["c2"]
     start, end = desk.placement.cuts[1:3]
     for key in range(400):
-        c2.shun_until = 0
+        c2.ejected_until_us = 0
         req = desk.put(key)
         desk.outcome(req, "done")
         if desk.sent(req) == ["c2"]:
-            c2.shun_until = desk.now + 1_000_000
-            slot = crc_hqx(b"%d" % key, 0) & (SPACE - 1)
+            c2.ejected_until_us = desk.now + 1_000_000
+            slot = crc_hqx(b"%d" % key, 0) & (SLOT_COUNT - 1)
             assert start <= slot < end
             side = "c1" if slot < start + (end - start) // 2 else "c3"
             req = desk.put(key)
--- a/tests/decisions/test_pool.py
+++ b/tests/decisions/test_pool.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from orchidgap.decisions.balancer import REDRAW_SENDS as SENDS
-from orchidgap.decisions.balancer import SPACE
+from orchidgap.decisions.balancer import SLOT_COUNT
 from orchidgap.decisions.gossip_counts import AGE, GAP, MOST_ROWS, Pool, Row
 
 BEAT = 500_000
@@ -58,8 +58,8 @@
 
 def count(desk, loads):
     for host, sends in zip(desk.placement.ring, loads, strict=True):
-        host.sends += sends
-        desk.placement.fleet.sends += sends
+        host.attempt_count += sends
+        desk.placement.fleet.attempt_count += sends
 
 
 @given(st.integers(3, 16), st.integers(0, 99), st.sampled_from([0.0, 0.5]))
@@ -73,8 +73,8 @@
         lambda: len(fleet.tables()) == 1 and min(pool.version[0] for pool in fleet.pools) > 0, 60
     )
     sizes = fleet.pools[0].sizes()
-    assert sizes[0] < SPACE // 8 < min(sizes[1:]) and sum(sizes) == SPACE
-    assert all(desk.placement.fleet.sends == 0 for desk in fleet.desks)
+    assert sizes[0] < SLOT_COUNT // 8 < min(sizes[1:]) and sum(sizes) == SLOT_COUNT
+    assert all(desk.placement.fleet.attempt_count == 0 for desk in fleet.desks)
 
 
 @given(st.integers(0, 99), st.sampled_from([0.0, 0.5]))
@@ -86,7 +86,7 @@
             desk.list([id], state="gone")
         desk.list(["c2", "c3"])
     fleet.beats_until(lambda: len(fleet.tables()) == 1, 40)
-    assert sum(fleet.pools[0].sizes()) == SPACE
+    assert sum(fleet.pools[0].sizes()) == SLOT_COUNT
 
 
 def test_who_has_another_list_keeps_its_table_until_it_has_the_same():
@@ -139,7 +139,7 @@
             desk.wait(BEAT)
             if with_pool:
                 pool.tick(desk.now)
-        assert [host.size for host in desk.placement.ring] == pytest.approx(
+        assert [host.range_size for host in desk.placement.ring] == pytest.approx(
             [2048, 4096, 5120, 5120], abs=4
         )
 
@@ -150,11 +150,11 @@
     row = Row(1, 1, desk.now, 0, (0, ""), [], 0.0, {})
     said = [pool.hear(f"x{i}", row) for i in range(MOST_ROWS + 1)]
     assert said == [""] * MOST_ROWS + ["many"] and pool.hear("b0", row) == "own"
-    for sizes in ([SPACE], [SPACE, 0, 0, 1], [SPACE + 5, -5, 0, 0]):
+    for sizes in ([SLOT_COUNT], [SLOT_COUNT, 0, 0, 1], [SLOT_COUNT + 5, -5, 0, 0]):
         with pytest.raises(ValueError):
             pool.meets(pool.ring(), (1, "x"), sizes, desk.now)
-    assert not pool.meets(pool.ring() ^ 1, (9, "x"), [SPACE, 0, 0, 0], desk.now)
-    assert sum(pool.sizes()) == SPACE and pool.version == (0, "")
+    assert not pool.meets(pool.ring() ^ 1, (9, "x"), [SLOT_COUNT, 0, 0, 0], desk.now)
+    assert sum(pool.sizes()) == SLOT_COUNT and pool.version == (0, "")
 
 
 def test_ranges_go_back_to_even_under_a_pool_too_and_agree():
--- a/tests/decisions/test_watch.py
+++ b/tests/decisions/test_watch.py
@@ -2,8 +2,8 @@
 from desk import PAIRS, Desk, Port
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.settings import ServiceTerms
-from orchidgap.decisions.shadow import Watching
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.decisions.shadow import ShadowBalancer
 
 NOW = {"ceilings.may-duplicate": "true"}
 NEW = {
@@ -14,14 +14,14 @@
 }
 
 
-class Watch(Desk, Watching):
+class Watch(Desk, ShadowBalancer):
     """A desk that goes by NOW and watches other terms."""
 
     def __init__(self, caches=4, **other):
         self.port = None
-        terms = ServiceTerms.read(PAIRS | NOW)
-        Watching.__init__(
-            self, ServiceTerms.read(PAIRS | NOW | other), terms, Port(), 7, 100_000_000
+        terms = ServiceSettings.from_pairs(PAIRS | NOW)
+        ShadowBalancer.__init__(
+            self, ServiceSettings.from_pairs(PAIRS | NOW | other), terms, Port(), 7, 100_000_000
         )
         self.seen, self.number = self.port.port, 0
         self.list([f"c{i}" for i in range(caches)] + ["o"], "recalled")
@@ -46,7 +46,7 @@
             key, ("read", "read", "mark", "once")[key % 4], tenant=("big", "small")[key % 2]
         )
         for id in desk.sent(req):
-            desk.on_report(id, 4.0, 40.0 if id == "c1" else 1.0)
+            desk.on_load_report(id, 4.0, 40.0 if id == "c1" else 1.0)
         if key % 5 == 0:
             desk.wait(600_000)
         if desk.sent(req):
@@ -77,13 +77,13 @@
 
 def late(desk):
     host = desk.hosts[desk.sent(desk.put())[0]]
-    host.heard_at, host.lag = desk.now + 1, 100_000  # it answers others meanwhile, and is crowded
+    host.last_response_at_us, host.smoothed_latency_us = desk.now + 1, 100_000  # it answers others meanwhile, and is crowded
     desk.wait(500_000)
 
 
 def lost(desk):
     req = desk.put()
-    desk.hosts[desk.sent(req)[0]].heard_at = desk.now + 1
+    desk.hosts[desk.sent(req)[0]].last_response_at_us = desk.now + 1
     desk.wait(500_000)
     assert len(desk.sent(req)) == 2
 
@@ -94,14 +94,14 @@
 
 def refused(desk):
     for host in desk.hosts.values():
-        host.shun_until = desk.now + 10_000_000
+        host.ejected_until_us = desk.now + 10_000_000
     desk.put()
     assert desk.did("deny")
 
 
 def reported(desk):
     for id, held in (("c0", 1.0), ("c1", 1.0), ("c2", 1.0), ("c3", 50.0), ("o", 900.0)):
-        desk.on_report(id, None, held)
+        desk.on_load_report(id, None, held)
 
 
 def sized(desk):
@@ -144,7 +144,9 @@
 def test_after_new_terms_open_reqs_are_looked_at_by_their_own():
     desk = Watch(**{"rule-sets.0.effect": "fragile"})
     req = desk.put()
-    desk.on_terms(ServiceTerms.read(PAIRS | NOW | {"rule-sets.0.response-target": "700000"}))
+    desk.on_settings(
+        ServiceSettings.from_pairs(PAIRS | NOW | {"rule-sets.0.response-target": "700000"})
+    )
     desk.outcome(req, "error")
     assert not found(desk) and isinstance(desk, Balancer)
 
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -3,7 +3,7 @@
 import socket
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.settings import ServiceTerms
+from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.http1 import Http1
 from orchidgap.net.config import Station
 from orchidgap.net.connection import Fault, Reach
@@ -51,7 +51,7 @@
     """Caches c0, c1 ... and the origin `o`; reqs are numbered from 1."""
 
     def __init__(self, caches=4, now=100_000_000, **pairs):
-        terms = ServiceTerms.read(
+        terms = ServiceSettings.from_pairs(
             PAIRS | {name.replace("__", "."): value for name, value in pairs.items()}
         )
         super().__init__(terms, Port(), 7, now)
@@ -66,7 +66,7 @@
 
     def put(self, key=1, rule_set="read", left=2_000_000, tenant="small"):
         self.number += 1
-        self.on_req(self.number, left, rule_set != "read", rule_set, key, tenant)
+        self.on_request(self.number, left, rule_set != "read", rule_set, key, tenant)
         return self.number
 
     def wait(self, micros):
@@ -153,7 +153,7 @@
                 sockets,
                 memory,
                 found,
-                ServiceTerms.read(pairs),
+                ServiceSettings.from_pairs(pairs),
                 100_000,
                 30_000_000,
             ),
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -146,7 +146,7 @@
     net.turn()
     assert len(net.node.reqs) == 1, "it runs on"
     net.wait(1_000_000)
-    assert not net.node.reqs and not net.node.balancer.reqs and net.verdicts == ["timeout"]
+    assert not net.node.reqs and not net.node.balancer.requests and net.verdicts == ["timeout"]
     assert sum(len(pool.links) for pool in net.node.hosts.pools.values()) == 0
 
 
@@ -203,7 +203,7 @@
     assert net.asked()[0].startswith("PUT") and net.node.hosts.count == 1
     net.leaves(client)
     net.turn()
-    assert net.node.hosts.count == 0 and not net.node.reqs and not net.node.balancer.reqs
+    assert net.node.hosts.count == 0 and not net.node.reqs and not net.node.balancer.requests
 
 
 def test_nothing_is_written_for_a_req_that_has_its_answer():
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -166,7 +166,15 @@
             assert str(trouble).startswith("file: ") and "\n" not in str(trouble), (path, value)
         else:
             terms = station.terms
-            assert min(terms.target, terms.longest, terms.instances, terms.max_dispatches) >= 1, (
+            assert (
+                min(
+                    terms.latency_objective_us,
+                    terms.longest_client_timeout_us,
+                    terms.balancer_count,
+                    terms.max_attempts,
+                )
+                >= 1
+            ), (
                 path,
                 value,
             )
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -159,8 +159,8 @@
         + b"\r\n",
     )
     got = drawn(client)
-    host = next(host for host in net.node.balancer.hosts.values() if host.credit > 2.1)
-    before = host.credit
+    host = next(host for host in net.node.balancer.hosts.values() if host.retry_budget > 2.1)
+    before = host.retry_budget
     break_off(far)
     net.turn()
     net.wait(11_200_000)
@@ -177,7 +177,7 @@
         "what it got is not all, and it can tell"
     )
     assert (
-        host.credit == before - 1.0
+        host.retry_budget == before - 1.0
         and not net.node.reqs
         and not net.node.names
         and not net.node.hosts.flows
@@ -265,10 +265,10 @@
     head, _, body = got.partition(b"\r\n\r\n")
     assert (b"Content-Length: %d" % SIZE in head) == (framing is None)
     assert (unchunked(body) if framing else body) == BODY
-    assert net.node.balancer.hosts["o"].out == 1
+    assert net.node.balancer.hosts["o"].in_flight == 1
     net.answers(far, body="stored")
     assert heard(client).endswith("stored") and net.verdicts == ["done"] and not net.node.reqs
-    assert net.node.balancer.hosts["o"].out == 0
+    assert net.node.balancer.hosts["o"].in_flight == 0
     net.says(client, b"GET /up HTTP/1.1\r\n\r\n")
     assert heard(client).startswith("HTTP/1.1 200"), "the connection goes on"
 
@@ -298,11 +298,17 @@
             got += more
             net.turn()
         assert heard(client) is None
-        assert origin.out == (number == len(parts)) and not origin.lag and not origin.cut_at
+        assert (
+            origin.in_flight == (number == len(parts))
+            and not origin.smoothed_latency_us
+            and not origin.limit_decreased_at_us
+        )
     assert got.endswith(BODY[-500:])
     net.wait(100_000)
     net.answers(far)
-    assert heard(client).startswith("HTTP/1.1 200") and 90_000 < origin.lag < 110_000
+    assert (
+        heard(client).startswith("HTTP/1.1 200") and 90_000 < origin.smoothed_latency_us < 110_000
+    )
 
 
 def test_the_time_of_a_large_req_runs_from_its_last_byte():
@@ -371,7 +377,7 @@
     how(net, client)
     assert heard(client).startswith(f"HTTP/1.1 {status}") and drawn(far) is None
     assert net.verdicts == ["moot"] or net.verdicts == ["cancelled"]
-    assert not net.node.reqs and not net.node.names and not net.node.balancer.reqs
+    assert not net.node.reqs and not net.node.names and not net.node.balancer.requests
 
 
 def test_an_early_answer_to_a_large_req_is_not_cut_off_by_what_still_comes():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -198,9 +198,17 @@
                 )[2:],
             )
             c0 = self.old.node.balancer.hosts["c0"]
-            c0.limit, c0.lag, c0.credit, c0.cut_at = 3.5, 70_000, 9.0, self.old.now - 5
+            (
+                c0.concurrency_limit,
+                c0.smoothed_latency_us,
+                c0.retry_budget,
+                c0.limit_decreased_at_us,
+            ) = 3.5, 70_000, 9.0, self.old.now - 5
             ring = self.old.node.balancer.placement.ring
-            ring[0].size, ring[1].size = ring[0].size + 100, ring[1].size - 100
+            ring[0].range_size, ring[1].range_size = (
+                ring[0].range_size + 100,
+                ring[1].range_size - 100,
+            )
             self.old.node.balancer.placement.cut()
 
     two = Knowing(serves=False)
@@ -213,7 +221,12 @@
     assert new.ready() and not new.handover.waiting and old.clients.away and not new.clients.away
     assert listed(two.new) == listed(two.old) and listed(two.new)["c1"] == "draining"
     c0 = new.balancer.hosts["c0"]
-    assert (c0.limit, c0.lag, c0.credit, c0.cut_at) == (3.5, 70_000, 9.0, two.old.now - 5)
+    assert (
+        c0.concurrency_limit,
+        c0.smoothed_latency_us,
+        c0.retry_budget,
+        c0.limit_decreased_at_us,
+    ) == (3.5, 70_000, 9.0, two.old.now - 5)
     assert new.balancer.placement.cuts == old.balancer.placement.cuts
     two.end()
 
@@ -276,15 +289,15 @@
         two.old.ask(f"k{i}")
     two.wait(10_000)
     host = two.new.node.balancer.hosts["c0"]
-    assert (host.out, host.away, host.load) == (0, 4, 4)
+    assert (host.in_flight, host.in_flight_elsewhere, host.total_in_flight) == (0, 4, 4)
     assert heard(two.new.ask("k1")).startswith("HTTP/1.1 409"), "it is open in the other"
-    host.limit = 4.0
+    host.concurrency_limit = 4.0
     two.new.ask("k9")
     assert two.old.dialled[-1][0] == 109, "no room there: it went to the origin"
     for far in two.old.fars():
         two.old.answers(far)
     two.wait(10_000)
-    assert host.away == 0 and heard(two.new.ask("k1")) is None
+    assert host.in_flight_elsewhere == 0 and heard(two.new.ask("k1")) is None
     two.end()
 
 
@@ -314,12 +327,12 @@
     assert two.old.node.clients.away
     two.new.ask("k")
     two.wait(10_000)
-    assert two.old.node.balancer.hosts["c0"].away == 1
+    assert two.old.node.balancer.hosts["c0"].in_flight_elsewhere == 1
     two.new.node.handover.elder.passage.close()
     two.old.turn()
     old = two.old.node
     assert not old.clients.away and not old.life.heir and old.descriptors == 1024 and old.ready()
-    assert old.balancer.hosts["c0"].away == 0 and not old.handover.holds(b"r-k")
+    assert old.balancer.hosts["c0"].in_flight_elsewhere == 0 and not old.handover.holds(b"r-k")
     client = two.old.ask("k2")
     two.old.serve()
     assert heard(client).startswith("HTTP/1.1 200")
@@ -661,12 +674,12 @@
     client = two.old.ask("k")
     far = two.old.far()
     two.old.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
-    before = two.new.node.balancer.hosts["c0"].credit
+    before = two.new.node.balancer.hosts["c0"].retry_budget
     going_over(two)
     far.close()
     two.turn()
     assert raw(client).endswith(b"first") and client.recv(1) == b""
-    assert two.new.node.balancer.hosts["c0"].credit < before or before == 0
+    assert two.new.node.balancer.hosts["c0"].retry_budget < before or before == 0
     assert not two.new.node.reqs and not two.new.node.names
     two.end()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,8 +12,8 @@
 import pytest
 from desk import PAIRS, Net, heard
 
-from orchidgap.decisions.settings import ServiceTerms
-from orchidgap.decisions.shadow import Watching
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net import config
 from orchidgap.net.connection import Fault, Reach
 from orchidgap.net.endpoints import decoded
@@ -40,7 +40,7 @@
     assert heard(client) is None, "not a byte before the body is whole"
     net.says(origin, "ok")
     assert heard(client) == "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nstok"
-    assert not net.node.reqs and not net.node.balancer.reqs
+    assert not net.node.reqs and not net.node.balancer.requests
 
 
 def test_a_miss_goes_on_to_the_origin_and_links_are_used_again():
@@ -60,13 +60,15 @@
         for far in net.fars():
             if heard(far):
                 net.answers(far, more="Server-Load: concurrent=7,tps=2.5,else=1\r\n")
-    told = [host for host in net.node.balancer.hosts.values() if host.rate >= 0]
-    assert told and {(host.rate, host.held) for host in told} == {(2.5, 7.0)}
+    told = [host for host in net.node.balancer.hosts.values() if host.reported_request_rate >= 0]
+    assert told and {(host.reported_request_rate, host.reported_in_flight) for host in told} == {
+        (2.5, 7.0)
+    }
     net.ask("k7")
     for far in net.fars():
         if heard(far):
             net.answers(far, more="Server-Load: concurrent=all of it,tps\r\n")
-    assert {host.held for host in told} == {7.0} and not net.node.reqs
+    assert {host.reported_in_flight for host in told} == {7.0} and not net.node.reqs
 
 
 def test_a_late_read_is_called_off_for_the_origin_and_both_ends_see_it():
@@ -95,8 +97,10 @@
 
 
 def test_a_watch_decides_as_before_and_tells_what_it_counted():
-    new = ServiceTerms.read(PAIRS | {"report.how": "inline", "report.fields": "concurrent"})
-    net = Net(3, decider=partial(Watching, new), **WAITS)
+    new = ServiceSettings.from_pairs(
+        PAIRS | {"report.how": "inline", "report.fields": "concurrent"}
+    )
+    net = Net(3, decider=partial(ShadowBalancer, new), **WAITS)
     assert Net().node.watch() == (False, "nothing is watched")
     client = net.ask()
     net.wait(600_000)
@@ -278,13 +282,13 @@
 
 def test_a_fault_in_the_decisions_still_brings_an_answer():
     net = Net(expects=(ZeroDivisionError,))
-    net.node.balancer.on_req = lambda *_: 1 / 0
+    net.node.balancer.on_request = lambda *_: 1 / 0
     assert heard(net.ask()).startswith("HTTP/1.1 500") and net.log.lines == [
         "serving",
         "ZeroDivisionError",
     ]
     net = Net()
-    net.node.balancer.on_req = lambda *_: None  # forgets it
+    net.node.balancer.on_request = lambda *_: None  # forgets it
     client = net.ask()
     net.wait(2_000_000)
     assert heard(client).startswith("HTTP/1.1 500") and "unanswered" in net.log.lines
@@ -466,7 +470,7 @@
         and net.verdicts == ["unfit"]
         and len(net.fars()) == 1
     )
-    assert not net.node.reqs and not net.node.balancer.reqs
+    assert not net.node.reqs and not net.node.balancer.requests
 
 
 def test_trailers_without_end_are_cut():
@@ -786,7 +790,7 @@
     assert (
         net.node.station is before
         and len(net.dialled) == dialled
-        and net.node.balancer.terms is not before.terms
+        and net.node.balancer.settings is not before.terms
     )
     assert [event for event, _ in told] == ["terms kept"] and why in told[0][1]
 
@@ -809,7 +813,7 @@
     path, net = tmp_path / "c", Net(3)
     path.write_bytes(orjson.dumps(FILE))
     net.node.station = config.read(str(path))
-    net.node.decide(net.node.balancer.on_terms, net.node.station.terms)
+    net.node.decide(net.node.balancer.on_settings, net.node.station.terms)
     old = net.ask("k1")
     file = copy.deepcopy(FILE)
     file["settings"]["rule-sets"] = rules("once", effect="fragile") + rules("fresh")
@@ -1214,7 +1218,7 @@
 def test_a_restart_is_told_in_milliseconds_of_unix_time():
     net = Net(2)
     tells(net, 41, True, [net.entry(0, born=net.now // 1000), net.entry(1), net.entry(9)])
-    assert net.node.balancer.hosts["c0"].warm_at == net.now + 10_000_000
+    assert net.node.balancer.hosts["c0"].warm_at_us == net.now + 10_000_000
 
 
 # --- start and log
@@ -1243,13 +1247,17 @@
         7,
         1024,
     )
-    assert station.terms.rule_sets["read"].replayable
-    assert not station.terms.sized and station.terms.reports == () and station.watched is None
+    assert station.terms.request_classes["read"].idempotent
+    assert (
+        not station.terms.uses_listed_weights
+        and station.terms.reported_fields == ()
+        and station.watched is None
+    )
     new = {"weights": "rough", "report": {"how": "inline", "fields": ["concurrent", "tps"]}}
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD | {"watch": {"settings": new}}))
     watching = config.read(str(tmp_path / "c"), station)
     assert watching.terms == station.terms
-    assert watching.watched == station.terms._replace(sized=True, reports=("concurrent", "tps"))
+    assert watching.watched == station.terms._replace(uses_listed_weights=True, reported_fields=("concurrent", "tps"))
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
     assert config.read(str(tmp_path / "c"), watching).watched is None, (
         "a watch may be left out again"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,11 +3,11 @@
 import pytest
 from desk import Desk
 
-from orchidgap.decisions.balancer import SPACE
+from orchidgap.decisions.balancer import SLOT_COUNT
 
 
 def sizes(desk):
-    return {host.id: host.size for host in desk.placement.ring}
+    return {host.id: host.range_size for host in desk.placement.ring}
 
 
 def test_ranges_stay_whole_whatever_comes():
@@ -22,13 +22,13 @@
             here.add(id)
         if step % 7 == 0:
             for host in desk.placement.ring:
-                host.sends = 100 + chance.randrange(300)
-            desk.placement.fleet.sends = 100 * len(here)
+                host.attempt_count = 100 + chance.randrange(300)
+            desk.placement.fleet.attempt_count = 100 * len(here)
             desk.wait(5_500_000)
         ring = desk.placement.ring
         assert [host.id for host in ring] == sorted(here)
-        assert desk.placement.cuts[-1] == SPACE == sum(host.size for host in ring)
-        assert all(host.size >= 0 for host in ring)
+        assert desk.placement.cuts[-1] == SLOT_COUNT == sum(host.range_size for host in ring)
+        assert all(host.range_size >= 0 for host in ring)
 
 
 def test_a_change_moves_neighbours_only():
@@ -39,7 +39,7 @@
         (["c4"], "up", {"c0": 4096, "c1": 4096, "c2": 4096, "c3": 2048, "c4": 2048}),
     ):
         desk = Desk(4)
-        desk.hosts["c2"].sends = 9
+        desk.hosts["c2"].attempt_count = 9
         desk.list(ids, state=state)
         assert sizes(desk) == after
 
@@ -50,7 +50,7 @@
         desk = Desk(7)
         before = sizes(desk)
         for host in desk.placement.ring:
-            host.sends = desk.rng.randrange(99)
+            host.attempt_count = desk.rng.randrange(99)
         desk.list([id], state="gone")
         desk.list([id])
         for other, size in sizes(desk).items():
@@ -82,8 +82,8 @@
 def test_ranges_that_counts_drew_are_not_evened_beside_them():
     desk = Desk(4)
     for host, count in zip(desk.placement.ring, (200, 100, 50, 50), strict=True):
-        host.sends = count
-    desk.placement.fleet.sends = 400
+        host.attempt_count = count
+    desk.placement.fleet.attempt_count = 400
     desk.wait(6_000_000)
     desk.list(["c3"], state="gone")
     drawn = sizes(desk)
@@ -103,8 +103,8 @@
 def test_redraw(sends, after):
     desk = Desk(4)
     for host, count in zip(desk.placement.ring, sends, strict=True):
-        host.sends = count
-    desk.placement.fleet.sends = 400
+        host.attempt_count = count
+    desk.placement.fleet.attempt_count = 400
     desk.wait(4_000_000)
     assert set(sizes(desk).values()) == {4096}, "not before its time"
     desk.wait(2_000_000)
@@ -115,11 +115,11 @@
     desk = Desk(4)
     desk.list(["c3"], since=99_000_000)  # cold
     for host in desk.placement.ring:
-        host.sends = 100
-    desk.placement.fleet.sends = 400
+        host.attempt_count = 100
+    desk.placement.fleet.attempt_count = 400
     for id, rate in (("c0", 30.0), ("c1", 10.0), ("c2", 20.0)):
-        desk.on_report(id, rate)
-    desk.on_report("nobody", 1.0)
+        desk.on_load_report(id, rate)
+    desk.on_load_report("nobody", 1.0)
     desk.wait(6_000_000)
     assert list(sizes(desk).values()) == pytest.approx([3072, 5120, 4096, 4096], abs=4)
 
@@ -154,19 +154,19 @@
     lead, follower = desk.put(5), desk.put(5)
     desk.outcome(lead, "miss")
     desk.outcome(follower, "miss")
-    desk.on_hangup(lead)
+    desk.on_client_gone(lead)
     assert desk.sent(follower)[-1] == "o"
 
 
 @pytest.mark.parametrize("verdict", ["stale", "reset", "refused", "full", "error"])
 def test_the_last_dispatch_of_a_read_goes_where_no_miss_can_come_of_it(verdict):
     desk = Desk()
-    desk.terms = desk.terms._replace(max_dispatches=2)
+    desk.settings = desk.settings._replace(max_attempts=2)
     req = desk.put(5)
     desk.outcome(req, verdict)
     assert desk.sent(req)[1:] == ["o"], "a miss could not be followed by a fetch"
     desk.outcome(req, "done", 1)
-    desk.hosts["o"].limit = 1.0
+    desk.hosts["o"].concurrency_limit = 1.0
     busy = desk.put(7, "once")
     req = desk.put(5)
     desk.outcome(req, "stale")
@@ -177,10 +177,10 @@
 
 def test_where_one_dispatch_is_all_the_origin_is_asked_while_it_has_time():
     desk = Desk()
-    desk.terms = desk.terms._replace(max_dispatches=1)
+    desk.settings = desk.settings._replace(max_attempts=1)
     first = desk.put(5)
     assert desk.sent(first) == ["o"]
-    desk.hosts["o"].limit = 2.0
+    desk.hosts["o"].concurrency_limit = 2.0
     assert desk.sent(desk.put(6)) != ["o"]
 
 
@@ -213,12 +213,15 @@
     for _ in range(40):
         assert desk.owner(1) == owner
     host = desk.hosts[owner]
-    before = host.limit, host.credit
+    before = host.concurrency_limit, host.retry_budget
     desk.outcome(desk.put(1), verdict, over=True)
-    assert (host.limit, host.credit) == (before[0], before[1] - 1.0) and desk.owner(1) == owner
+    assert (host.concurrency_limit, host.retry_budget) == (
+        before[0],
+        before[1] - 1.0,
+    ) and desk.owner(1) == owner
     for _ in range(10):  # all fail: it rests, and is asked again later
         desk.outcome(desk.put(1), verdict, over=True)
-    assert desk.owner(1) != owner and host.limit < before[0]
+    assert desk.owner(1) != owner and host.concurrency_limit < before[0]
     desk.wait(600_000)
     assert desk.owner(1) == owner
 
@@ -245,9 +248,9 @@
             desk.now += lag
             desk.outcome(req, "done")
         else:
-            desk.on_hangup(req)
+            desk.on_client_gone(req)
             desk.now += lag
-    assert desk.hosts[owner].limit == pytest.approx(limit, abs=0.2)
+    assert desk.hosts[owner].concurrency_limit == pytest.approx(limit, abs=0.2)
 
 
 @pytest.mark.parametrize(
@@ -271,16 +274,16 @@
     desk.wait(50_000)
     if answers:
         desk.outcome(desk.put(1, rule_set), "done")
-    before = desk.hosts[host].limit
+    before = desk.hosts[host].concurrency_limit
     desk.wait(450_000)
     assert desk.sent(lost) == [host] * (1 + again)
-    assert (desk.hosts[host].lag < 100_000) == (answers or host == "o")
+    assert (desk.hosts[host].smoothed_latency_us < 100_000) == (answers or host == "o")
     if again:
         desk.outcome(lost, "done", 1)
         assert desk.did("cancel", lost) == [(lost, 0)]
     else:
         desk.outcome(lost, "timeout")
-    assert (desk.hosts[host].limit >= before) == answers
+    assert (desk.hosts[host].concurrency_limit >= before) == answers
 
 
 @pytest.mark.parametrize(("rule_set", "again"), [("read", True), ("mark", True), ("once", False)])
@@ -289,9 +292,9 @@
     for _ in range(12):
         req = desk.put(1, rule_set)
         [host] = desk.sent(req)
-        before = desk.hosts[host].credit, desk.hosts[host].limit
+        before = desk.hosts[host].retry_budget, desk.hosts[host].concurrency_limit
         desk.outcome(req, "stale")
-        assert (desk.hosts[host].credit, desk.hosts[host].limit) == before
+        assert (desk.hosts[host].retry_budget, desk.hosts[host].concurrency_limit) == before
         assert desk.sent(req) == [host] * (1 + again)
         desk.outcome(req, "done", 1)
     assert len(desk.did("abort")) == (0 if again else 12)
@@ -348,9 +351,9 @@
             desk.wait(1_500_000)
             for number in range(len(desk.sent(req))):  # the client timeout ends what is out
                 desk.outcome(req, "timeout", number, over=False)
-            desk.on_hangup(req)
+            desk.on_client_gone(req)
             assert len(desk.did("deny", req) + desk.did("abort", req)) == 1, (verdicts, rule_set)
-            assert not desk.reqs and not desk.merging.fetches
+            assert not desk.requests and not desk.merging.fetches
 
 
 def test_a_req_that_came_too_late_is_not_tried_again():
@@ -383,23 +386,23 @@
 def test_a_since_still_within_warm_up_counts_from_the_first_list_on():
     desk = Desk(0)
     desk.list(["c0"], "recalled", since=desk.now - 5_000_000)
-    assert desk.hosts["c0"].warm_at == desk.now + 5_000_000
+    assert desk.hosts["c0"].warm_at_us == desk.now + 5_000_000
 
 
 def test_the_origin_limit_starts_fast_and_falls_with_its_answers():
     desk = Desk()
     reqs = [desk.put(key, "mark") for key in range(12)]
     origin = desk.hosts["o"]
-    assert origin.out == 8 and len(desk.origin.held) == 4
+    assert origin.in_flight == 8 and len(desk.origin.held) == 4
     desk.wait(100_000)
     for req in reqs[:8]:
         desk.outcome(req, "done")
-    assert origin.limit > 10 and not desk.origin.held
+    assert origin.concurrency_limit > 10 and not desk.origin.held
     desk.wait(700_000)
-    before = origin.limit
+    before = origin.concurrency_limit
     for req in reqs[8:]:
         desk.outcome(req, "full")
-    assert 2 <= origin.limit < before * 0.71
+    assert 2 <= origin.concurrency_limit < before * 0.71
 
 
 def test_misses_wait_no_longer_than_the_response_target():
@@ -413,7 +416,7 @@
 def test_overload_sheds_the_tenant_over_its_share():
     desk = Desk()
     desk.admission.let_in |= {"big": 80.0, "small": 20.0}
-    desk.hosts["o"].lag = 10 * desk.target  # overload
+    desk.hosts["o"].smoothed_latency_us = 10 * desk.latency_objective_us  # overload
     for _ in range(3):
         desk.admission.let_in |= {"big": 80.0, "small": 20.0}
         desk.admission.tick()
@@ -430,14 +433,14 @@
     for key in range(200):
         desk.owner(key)  # one tenant alone comes here
     desk.admission.pressed = True
-    desk.hosts["o"].lag = 10 * desk.target
+    desk.hosts["o"].smoothed_latency_us = 10 * desk.latency_objective_us
     desk.admission.tick()
     assert not any(desk.admission.shed.values())
 
 
 def test_all_are_turned_away_while_the_oldest_has_waited_long():
     desk = Desk(1)
-    desk.hosts["o"].limit = 1.0
+    desk.hosts["o"].concurrency_limit = 1.0
     for key in range(9):
         desk.put(key)
     desk.wait(450_000)
@@ -449,10 +452,10 @@
     """Found by a hunt: with the caches silent, all reads were denied before an idle origin."""
     desk = Desk(2)
     for host in desk.placement.ring:
-        host.shun_until = desk.now + 10_000_000
+        host.ejected_until_us = desk.now + 10_000_000
     first, second = desk.put(5), desk.put(5)
     assert desk.sent(first) == ["o"] and not desk.sent(second), "one fetch of a key at a time"
-    desk.hosts["o"].limit = 4.0
+    desk.hosts["o"].concurrency_limit = 4.0
     other, more = desk.put(6), desk.put(7)
     assert desk.sent(other) == ["o"] and not desk.sent(more) and desk.did("deny", more), (
         "half its room is for misses"
@@ -469,13 +472,13 @@
         desk.wait(900_000)
         if desk.sent(req):
             desk.outcome(req, "timeout", over=True)
-    assert origin.limit < 0.3
+    assert origin.concurrency_limit < 0.3
     went = sum(
-        bool(desk.sent(desk.put(key, "once"))) and not desk.on_hangup(desk.number)
+        bool(desk.sent(desk.put(key, "once"))) and not desk.on_client_gone(desk.number)
         for key in range(20)
     )
     assert went < 12 and desk.did("deny")
-    desk.wait(3 * 24 * desk.target)
+    desk.wait(3 * 24 * desk.latency_objective_us)
     assert desk.chance(origin) == 1.0
 
 
@@ -483,16 +486,16 @@
     desk = Desk(instances="400")
     host = desk.hosts[desk.sent(desk.put(1))[0]]
     desk.wait(490_000)
-    assert host.lag == 480_000 and host.limit < 2.0
+    assert host.smoothed_latency_us == 480_000 and host.concurrency_limit < 2.0
 
 
 def test_an_owner_that_turns_away_counts_twice_for_the_redraw():
     desk = Desk()
     owner = desk.hosts[desk.owner(1)]
-    owner.limit, before = 0.0, owner.sends
-    owner.cut_at = desk.now
+    owner.concurrency_limit, before = 0.0, owner.attempt_count
+    owner.limit_decreased_at_us = desk.now
     desk.put(1)
-    assert owner.sends == before + 4 and owner.id not in desk.sent(desk.number)
+    assert owner.attempt_count == before + 4 and owner.id not in desk.sent(desk.number)
 
 
 def test_a_host_that_refuses_connections_rests_for_a_while():
@@ -510,7 +513,7 @@
     for credit, dispatches in ((1.0, 2), (0.9, 1)):
         desk = Desk(2)
         for host in desk.placement.ring:
-            host.credit = credit
+            host.retry_budget = credit
         req = desk.put(1)
         desk.outcome(req, "error")
         assert len(desk.sent(req)) == dispatches and bool(desk.did("deny", req)) == (
@@ -535,7 +538,7 @@
     assert desk.sent(req) == ["o"]
     desk.list([], "whole")
     assert desk.did("deny", desk.put(None)) and desk.did("deny", desk.put(4, "mark"))
-    desk.on_hangup(99)
+    desk.on_client_gone(99)
     desk.outcome(99, "done")
     desk.on_wake(12345)
     desk.list(["c0"], state="gone")
@@ -553,14 +556,14 @@
     host = desk.hosts[desk.owner(1)]
     assert desk.placement.room(host)
     desk.outcome(desk.put(1), "refused")
-    host.limit = 1e9
+    host.concurrency_limit = 1e9
     desk.wait(600_000)
     for _ in range(300):
         desk.placement.placed += 1
-        host.out += desk.placement.room(host)
-    assert 15 < host.out < 120, "a share by its warmth: 0.2 to 0.3 of the half that it had"
+        host.in_flight += desk.placement.room(host)
+    assert 15 < host.in_flight < 120, "a share by its warmth: 0.2 to 0.3 of the half that it had"
     desk.wait(10_000_000)
-    host.out = 0
+    host.in_flight = 0
     assert all(desk.placement.room(host) for _ in range(50))
 
 
@@ -571,7 +574,7 @@
         desk.on_hosts("changes", [("o2", "up", 0, "z", "origin", "2", 1.0)])
         req = desk.put(rule_set="mark")
         [first] = desk.sent(req)
-        desk.hosts[first].shun_until = desk.now + 10_000_000
+        desk.hosts[first].ejected_until_us = desk.now + 10_000_000
         desk.outcome(req, "reset")
         assert (len(desk.sent(req)) == 2) is goes
         desk.wait(900_000)
@@ -583,7 +586,7 @@
 def test_a_repeat_that_waited_past_its_window_is_given_up_and_holds_up_nobody():
     desk = Desk(**{"rule-sets.1.repeat-window": "100000"})
     req = desk.put(rule_set="mark")
-    desk.hosts["o"].shun_until = desk.now + 400_000
+    desk.hosts["o"].ejected_until_us = desk.now + 400_000
     desk.outcome(req, "reset")
     assert not desk.did("deny", req), "it waits for the origin"
     other = desk.put(2, rule_set="once")
@@ -619,8 +622,8 @@
 def test_a_redraw_leaves_sizes_that_are_asked_as_they_can_carry():
     desk = rated([1.0, 3.0])
     for host, count in zip(desk.placement.ring, (100, 300), strict=True):
-        host.sends = count
-    desk.placement.fleet.sends = 400
+        host.attempt_count = count
+    desk.placement.fleet.attempt_count = 400
     desk.wait(6_000_000)
     assert list(sizes(desk).values()) == pytest.approx([4096, 12288], abs=2)
 
@@ -654,15 +657,15 @@
     desk = Desk(4, **{"ceilings__may-duplicate": "true"})
     req = desk.put()
     host = desk.hosts[desk.sent(req)[0]]
-    host.heard_at, host.lag = desk.now + 1, 100_000
+    host.last_response_at_us, host.smoothed_latency_us = desk.now + 1, 100_000
     desk.wait(500_000)
     assert not desk.did("cancel", req) and len(desk.sent(req)) == 1
 
 
 def test_no_read_is_called_off_for_a_slow_origin_or_without_credit():
     for spoil in (
-        lambda desk: setattr(desk.hosts["o"], "lag", 300_000),
-        lambda desk: setattr(desk.placement.fleet, "credit", 0.9),
+        lambda desk: setattr(desk.hosts["o"], "smoothed_latency_us", 300_000),
+        lambda desk: setattr(desk.placement.fleet, "retry_budget", 0.9),
     ):
         desk = Desk(4, **CALLS_OFF)
         spoil(desk)
@@ -675,7 +678,7 @@
     desk = Desk(4, **CALLS_OFF)
     req = desk.put()
     desk.wait(500_000)
-    desk.hosts["o"].shun_until = desk.now + 1_000_000
+    desk.hosts["o"].ejected_until_us = desk.now + 1_000_000
     desk.outcome(req, "cancelled")
     assert len(desk.sent(req)) == 2 and desk.sent(req)[1] not in ("o", desk.sent(req)[0])
 
@@ -685,20 +688,23 @@
         4, instances="200", **{"report.how": "inline", "report.fields": "concurrent,mean_ms"}
     )
     for id, held in (("c0", 1.0), ("c1", 2.0), ("c2", 2.0), ("c3", 8.0)):
-        desk.on_report(id, None, held)
+        desk.on_load_report(id, None, held)
     desk.wait(600_000)
-    desk.on_report("c3", None, 7.9)  # three times the median and two
-    assert desk.hosts["c3"].limit >= 1
-    desk.on_report("c3", None, 80.0)
-    assert desk.hosts["c3"].limit == pytest.approx(0.1, abs=0.05) and desk.hosts["c1"].limit >= 1
-    desk.on_report("nobody", 1.0, 80.0)
+    desk.on_load_report("c3", None, 7.9)  # three times the median and two
+    assert desk.hosts["c3"].concurrency_limit >= 1
+    desk.on_load_report("c3", None, 80.0)
+    assert (
+        desk.hosts["c3"].concurrency_limit == pytest.approx(0.1, abs=0.05)
+        and desk.hosts["c1"].concurrency_limit >= 1
+    )
+    desk.on_load_report("nobody", 1.0, 80.0)
 
 
 def test_a_limit_below_one_recovers_by_use_and_time():
     desk = Desk(1)
     host = desk.hosts["c0"]
-    host.limit, host.cut_at = 0.0, desk.now
-    desk.wait(24 * desk.target)
+    host.concurrency_limit, host.limit_decreased_at_us = 0.0, desk.now
+    desk.wait(24 * desk.latency_objective_us)
     assert desk.chance(host) == 0.0, "nobody wanted it"
     for _ in range(12):
         desk.fits(host)
@@ -709,9 +715,9 @@
     desk = Desk(4, instances="200")
     origin = desk.hosts["o"]
     desk.wait(1_000_000)
-    origin.limit, origin.cut_at = 0.1, desk.now
-    desk.wait(24 * desk.target)
+    origin.concurrency_limit, origin.limit_decreased_at_us = 0.1, desk.now
+    desk.wait(24 * desk.latency_objective_us)
     assert desk.chance(origin) == pytest.approx(0.1 + 1 / 3), "little by time"
-    origin.cut_at = desk.now
+    origin.limit_decreased_at_us = desk.now
     desk.sender.judge(origin, 50_000)
-    assert origin.limit == pytest.approx(0.2)
+    assert origin.concurrency_limit == pytest.approx(0.2)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -86,6 +86,7 @@
 def test_reports_reach_the_decisions_as_the_settings_say(how, report, rate, held):
     desk = Desk(2, **{"report.how": how, "report.fields": "concurrent,tps"})
     told(desk, "c1", report)
-    assert (desk.hosts["c1"].rate, desk.hosts["c1"].held) == (rate, held) and not desk.hosts[
-        "c0"
-    ].held
+    assert (desk.hosts["c1"].reported_request_rate, desk.hosts["c1"].reported_in_flight) == (
+        rate,
+        held,
+    ) and not desk.hosts["c0"].reported_in_flight
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -3,7 +3,7 @@
 import tomllib
 from pathlib import Path
 
-from orchidgap.decisions.balancer import FELL, Balancer, Dispatch, Origin, Placement
+from orchidgap.decisions.balancer import RETRYABLE_OUTCOMES, Balancer, Dispatch, Origin, Placement
 from orchidgap.http1 import codec as http
 from orchidgap.net.upstream_attempt import Attempt
 
@@ -19,15 +19,15 @@
     """A further dispatch whatever the rule set says."""
 
     def may_repeat(self, req, host):
-        return not req.over and len(req.sent) < self.terms.max_dispatches
+        return not req.answered and len(req.attempts) < self.settings.max_attempts
 
 
 class AnswersTwice(Defect):
-    def on_req(self, id, left, write, rule_set, key, tenant):
+    def on_request(self, id, left, write, rule_set, key, tenant):
         if id % 50 == 0:
             exchange = self.port.reqs[id]
             exchange.client = Twice(exchange.client)
-        super().on_req(id, left, write, rule_set, key, tenant)
+        super().on_request(id, left, write, rule_set, key, tenant)
 
 
 class Nobody:
@@ -61,14 +61,16 @@
     def finish(self, req):
         exchange = self.exchange(req)
         exchange.timer.cancel()
-        self.later(max(0, exchange.due - self.now) + 90_000, lambda _: Balancer.finish(self, req))
+        self.call_later(
+            max(0, exchange.due - self.now) + 90_000, lambda _: Balancer.finish(self, req)
+        )
 
 
 class HoldsBack(Defect):
     """Denies only when the client is about to go, so that it does not ask again."""
 
     def finish(self, req):
-        self.later(
+        self.call_later(
             max(0, self.exchange(req).due - self.now - 40_000), lambda _: Balancer.finish(self, req)
         )
 
@@ -97,10 +99,10 @@
 
 class Unlimited(Dispatch):
     def judge(self, host, took, weight=2):
-        host.limit = 1e9
+        host.concurrency_limit = 1e9
 
     def cut(self, host, by):
-        host.limit = 1e9
+        host.concurrency_limit = 1e9
 
     def calls_off(self, sent):
         return False
@@ -124,7 +126,7 @@
 
 class Everything(Origin):
     def choose(self, req):
-        return min(self.hosts, key=lambda host: host.out) if self.hosts else None
+        return min(self.hosts, key=lambda host: host.in_flight) if self.hosts else None
 
 
 class FloodsOrigin(FloodsCold):
@@ -147,8 +149,8 @@
 class KeepsItsCount(Defect):
     """New settings say fewer dispatches, and the old number goes on."""
 
-    def on_terms(self, terms):
-        super().on_terms(terms._replace(max_dispatches=self.terms.max_dispatches))
+    def on_settings(self, terms):
+        super().on_settings(terms._replace(max_attempts=self.settings.max_attempts))
 
 
 class EndsAtOnce(Defect):
@@ -188,24 +190,26 @@
 
     def may_repeat(self, req, host):
         return (
-            not req.over and len(req.sent) < 2 and not any(sent.host is host for sent in req.sent)
+            not req.answered
+            and len(req.attempts) < 2
+            and not any(sent.host is host for sent in req.attempts)
         )
 
 
 class RepeatsTooLate(Defect):
     """A second copy of what is still out once the host has forgotten its mark, and no look at that at the write."""
 
-    def latest(self, id, number):
+    def latest_start_us(self, id, number):
         return 1 << 62
 
-    def on_req(self, id, left, write, rule_set, key, tenant):
-        super().on_req(id, left, write, rule_set, key, tenant)
-        req = self.reqs.get(id)
-        if req and req.rule_set.uniqued and req.sent:
-            self.later(req.rule_set.repeat_window + 60_000, self.again, req)
+    def on_request(self, id, left, write, rule_set, key, tenant):
+        super().on_request(id, left, write, rule_set, key, tenant)
+        req = self.requests.get(id)
+        if req and req.request_class.idempotency_keyed and req.attempts:
+            self.call_later(req.request_class.deduplication_window_us + 60_000, self.again, req)
 
     def again(self, req):
-        if not req.over and self.origin.hosts:
+        if not req.answered and self.origin.hosts:
             self.sender.take(req, self.origin.hosts[0])
 
 
@@ -218,39 +222,44 @@
 class ServesFromMemory(Defect):
     """Answers with what it once saw for the key."""
 
-    def on_req(self, id, left, write, rule_set, key, tenant):
+    def on_request(self, id, left, write, rule_set, key, tenant):
         if id % 40 == 0 and not write:
             return self.port.reqs[id].answer(200, b"an old value")
-        super().on_req(id, left, write, rule_set, key, tenant)
+        super().on_request(id, left, write, rule_set, key, tenant)
 
 
 class DoublesAtOnce(Defect):
     """Two copies, though the settings allow one."""
 
-    def on_req(self, id, left, write, rule_set, key, tenant):
-        super().on_req(id, left, write, rule_set, key, tenant)
-        req = self.reqs.get(id)
-        if req and req.rule_set.replayable and len(req.sent) == 1 and id % 20 == 0:
+    def on_request(self, id, left, write, rule_set, key, tenant):
+        super().on_request(id, left, write, rule_set, key, tenant)
+        req = self.requests.get(id)
+        if req and req.request_class.idempotent and len(req.attempts) == 1 and id % 20 == 0:
             self.sender.take(req, self.placement.ring[0])
 
 
 class TriesForEver(Defect):
     def __init__(self, terms, port, seed, now):
-        super().__init__(terms._replace(max_dispatches=50), port, seed, now)
+        super().__init__(terms._replace(max_attempts=50), port, seed, now)
 
     def may_repeat(self, req, host):
-        return not req.over and req.rule_set.replayable
+        return not req.answered and req.request_class.idempotent
 
     def finish(self, req):
-        if req.sent and req.sent[-1].verdict in FELL and not req.over and self.placement.ring:
+        if (
+            req.attempts
+            and req.attempts[-1].outcome in RETRYABLE_OUTCOMES
+            and not req.answered
+            and self.placement.ring
+        ):
             return self.sender.take(req, self.placement.ring[0])
         super().finish(req)
 
 
 class SendsAfterTheAnswer(Defect):
-    def on_req(self, id, left, write, rule_set, key, tenant):
+    def on_request(self, id, left, write, rule_set, key, tenant):
         exchange = self.port.reqs[id]
-        super().on_req(id, left, write, rule_set, key, tenant)
+        super().on_request(id, left, write, rule_set, key, tenant)
         if id % 30 == 0:
             attempt = Attempt(exchange.head, exchange.body, exchange.due, Nobody())
             self.port.loop.at(
@@ -269,11 +278,11 @@
 
 
 class MakesUpIds(Defect):
-    def on_req(self, id, left, write, rule_set, key, tenant):
+    def on_request(self, id, left, write, rule_set, key, tenant):
         if id % 40 == 0:
             exchange = self.port.reqs[id]
             exchange.head = exchange.head.replace(b"Request-Id: q", b"Request-Id: z")
-        super().on_req(id, left, write, rule_set, key, tenant)
+        super().on_request(id, left, write, rule_set, key, tenant)
 
 
 class Cut:
@@ -287,10 +296,10 @@
 class CutsAnswersShort(Defect):
     """A value that lacks its last byte, and says that it is whole."""
 
-    def on_req(self, id, left, write, rule_set, key, tenant):
+    def on_request(self, id, left, write, rule_set, key, tenant):
         if id % 40 == 0:
             self.port.reqs[id].client = Cut(self.port.reqs[id].client)
-        super().on_req(id, left, write, rule_set, key, tenant)
+        super().on_request(id, left, write, rule_set, key, tenant)
 
 
 USUAL = {"name": "planted", "seconds": 8.0, "balancers": 2, "caches": 4, "rate": 80.0}
--- a/tests/trial/test_spread_plans.py
+++ b/tests/trial/test_spread_plans.py
@@ -8,7 +8,7 @@
 
 from orchidgap.decisions import balancer
 from orchidgap.decisions.balancer import Placement
-from orchidgap.decisions.hot_keys import Heat
+from orchidgap.decisions.hot_keys import HotKeyDetector
 from orchidgap.trial.even import Stretches
 from orchidgap.trial.plan import Expect, read
 from orchidgap.trial.run import play
@@ -23,11 +23,17 @@
 
 def not_me(self, host, room=Placement.room):
     """Whoever knows that a host was away leaves it to others."""
-    return not host.since and room(self, host)
+    return not host.started_at_us and room(self, host)
 
 
 DEFECTS = {
-    "no hot key is seen": (Heat, "copies", lambda self, key, caches: 1, "quarter", "calm: most"),
+    "no hot key is seen": (
+        HotKeyDetector,
+        "copies",
+        lambda self, key, caches: 1,
+        "quarter",
+        "calm: most",
+    ),
     "all at one moment": (Placement, "place", in_step, "calm", "calm: herd"),
     "ranges stay as a release left them": (balancer, "EVENINGS", 0, "replaced", "after: most"),
     "each leaves a cache that came back to others": (
