--- a/orchidgap/__main__.py
+++ b/orchidgap/__main__.py
@@ -109,12 +109,12 @@
             return serve(path, parts_of, held=held_of, talk=talk_of)
         station = config.read(path)
         parts_of(station)
-    except config.BadStart as trouble:
+    except config.ConfigError as trouble:
         sys.exit(f"orchidgap: {trouble}")
     print(
         f"balancer {station.name} on {station.listen[0]}:{station.listen[1]}, list from "
-        f"{station.discovery[0]}:{station.discovery[1]}, {len(station.known[2])} hosts known, "
-        f"rule sets {', '.join(station.terms.request_classes)}, "
+        f"{station.discovery[0]}:{station.discovery[1]}, {len(station.known_endpoints[2])} hosts known, "
+        f"rule sets {', '.join(station.settings.request_classes)}, "
         f"{station.sockets} descriptors, {station.memory_mb} MB"
     )
 
@@ -122,12 +122,12 @@
 def admin(act: str, address: str | None, path: str | None) -> int | str:
     """Makes a call, prints the answer; what to exit with."""
     from orchidgap.admin.client import call
-    from orchidgap.net.endpoints import address_of
+    from orchidgap.net.endpoints import parse_address
 
     try:
         address = address or (None if path else os.environ.get("GW_ADMIN_ADDR"))
         where = (
-            address_of(address)
+            parse_address(address)
             if address
             else config.read(path or os.environ.get("GW_CONFIG")).admin
         )
@@ -136,7 +136,7 @@
                 "orchidgap: no operators' address: give --addr, or admin_addr in the configuration"
             )
         done, said = call(where, act)
-    except (OSError, ValueError, config.BadStart) as trouble:
+    except (OSError, ValueError, config.ConfigError) as trouble:
         return f"orchidgap: {trouble}"
     print(said)
     return 0 if done else 1
--- a/orchidgap/admin/server.py
+++ b/orchidgap/admin/server.py
@@ -5,7 +5,7 @@
 import socket
 from collections.abc import Callable
 
-from orchidgap.net.connection import Address, Connection, listener_at
+from orchidgap.net.connection import Address, Connection, open_listener
 from orchidgap.net.loop import READ, Loop
 
 MOST = 12  # calls at once; the descriptors are set aside by the node
@@ -63,7 +63,7 @@
 
     def listen(self, address: Address) -> None:
         """Raises OSError where the address cannot be had."""
-        self.listener = listener_at(address, BACKLOG)
+        self.listener = open_listener(address, BACKLOG)
         self.loop.watch(self.listener, READ, self.accept, first=True)
 
     def accept(self, mask: int = READ) -> None:
@@ -85,7 +85,7 @@
             self.shed()
         call = Call(self, sock)
         self.open[call] = self.waiting[call] = None
-        self.loop.later(PATIENCE, self.expire, call)
+        self.loop.call_later(PATIENCE, self.expire, call)
         call.conn.ready(READ)  # the call has mostly come with it
 
     def shed(self) -> bool:
--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -11,9 +11,9 @@
 
 import orjson
 
-from orchidgap.control.rpc import Calls
+from orchidgap.control.rpc import RpcClient
 from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import address_of
+from orchidgap.net.endpoints import parse_address
 from orchidgap.net.loop import Loop
 
 WITHIN = 3_000_000  # for control to answer, who may have to ask the others
@@ -26,7 +26,7 @@
 
     def __init__(self, addresses: list[Address]) -> None:
         loop = Loop()
-        self.calls = [Calls(loop, address, WITHIN) for address in addresses]
+        self.calls = [RpcClient(loop, address, WITHIN) for address in addresses]
         self.lost = False  # a call had no answer, and may have been heard
 
     def any(self, path: str, told: Any) -> Any:
@@ -46,7 +46,7 @@
 def main(act: str, told: dict[str, Any]) -> int | str:
     """One act; what to exit with."""
     try:
-        shell = Shell([address_of(one.strip()) for one in told["--at"].split(",")])
+        shell = Shell([parse_address(one.strip()) for one in told["--at"].split(",")])
         wait = float(told["--wait"])
         doc = orjson.loads(Path(told["FILE"]).read_bytes()) if told["FILE"] else None
     except (OSError, ValueError) as trouble:
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -9,18 +9,18 @@
 from random import Random
 from typing import Any
 
-from orchidgap.control.rpc import Calls
+from orchidgap.control.rpc import RpcClient
 from orchidgap.control.validation import fit
 from orchidgap.decisions.cas_register import Ballot, Value, majority
 from orchidgap.decisions.policy_rollout import STAY, Right, Tenure, answered
 from orchidgap.net import config
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.client_listener import Answered
-from orchidgap.net.event_log import Log
+from orchidgap.net.client_listener import Responder
+from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import Loop, Timer, boot_clock
 from orchidgap.net.node import Node
-from orchidgap.state.background_writer import Beside
-from orchidgap.state.durable_store import Damaged, Files
+from orchidgap.state.background_writer import BackgroundWriter
+from orchidgap.state.durable_store import CorruptFileError, DurableStore
 
 WITHIN = 500_000  # for control to answer a call
 FIRST = 100_000  # between calls until control has said how often
@@ -45,7 +45,7 @@
 
     def take(
         self,
-        caller: Answered,
+        caller: Responder,
         id: bytes,
         rule_set: str,
         left: int,
@@ -60,7 +60,7 @@
         if not self.keeper.may():
             return caller.answer(503, pause=self.keeper.comeback())
         if (
-            rule_set not in self.station.terms.request_classes
+            rule_set not in self.config.settings.request_classes
         ):  # the right came back between the two questions
             return caller.answer(503, pause=self.keeper.comeback())
         super().take(caller, id, rule_set, left, write, key, tenant, head, body, slot, flow)
@@ -74,9 +74,9 @@
         self,
         path: str | None,
         loop: Loop,
-        station: config.Station,
-        log: Log,
-        files: Files,
+        station: config.BalancerConfig,
+        log: EventLog,
+        files: DurableStore,
         rng: Random,
         clock: Callable[[], int] = boot_clock,
     ) -> None:
@@ -89,10 +89,10 @@
             rng,
             clock,
         )
-        self.disk = Beside(loop, files)
+        self.disk = BackgroundWriter(loop, files)
         self.name = station.name
         self.life = f"{rng.getrandbits(64):x}"
-        self.calls = [Calls(loop, address, WITHIN) for address in station.control["at"]]
+        self.calls = [RpcClient(loop, address, WITHIN) for address in station.control["at"]]
         self.tenure = Tenure(station.control["alone"], 0)
         self.node: Node
         self.opens: Callable[[], None] | None = None
@@ -122,7 +122,7 @@
             if old := self.files.read("policy"):
                 # what counts is asked for all the same
                 self.log("policy kept", n=old["n"])  # type: ignore[index]
-        except Damaged as trouble:
+        except CorruptFileError as trouble:
             self.log("policy damaged", why=str(trouble))
             self.files.set_aside("policy")
         self.log("asks control", life=self.life, of=len(self.calls), alone=self.tenure.alone)
@@ -136,7 +136,7 @@
             calls("/part", {"name": self.name, "life": self.life}, heard.append)
         until = self.loop.clock() + PARTING
         while len(heard) < len(self.calls) and self.loop.clock() < until:
-            self.loop.turn(10_000)
+            self.loop.run_once(10_000)
         for calls in self.calls:
             calls.close()
 
@@ -165,7 +165,7 @@
     def next(self, delay: int) -> None:
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.later(delay, self.call)
+        self.timer = self.loop.call_later(delay, self.call)
 
     def back_off(self) -> int:
         """After calls that taught nothing: rarer each time and by chance, or hundreds that start together
@@ -259,25 +259,25 @@
             return why
         try:
             station = config.read(self.path, None, doc["settings"])
-        except config.BadStart as trouble:
+        except config.ConfigError as trouble:
             return str(trouble)
         if self.tenure.runs >= 0 and (why := self.standing(station)):
             return why
         self.node.settings = doc["settings"]
         if self.opens:  # nothing has begun under other terms yet
-            self.node.station = station
-            self.node.hosts.bound(station.connect_within, station.idle_for)
-            self.node.decide(self.node.balancer.on_settings, station.terms)
+            self.node.config = station
+            self.node.hosts.bound(station.connect_timeout_us, station.idle_timeout_us)
+            self.node.decide(self.node.balancer.on_settings, station.settings)
         else:
             self.node.adopt(station)
         return ""
 
-    def standing(self, station: config.Station) -> str:
+    def standing(self, station: config.BalancerConfig) -> str:
         """What of it would have to wait for a restart, so that it cannot hold everywhere."""
-        old = self.node.station.terms
-        kept = station.terms.keeping_startup_settings(old)
+        old = self.node.config.settings
+        kept = station.settings.keeping_startup_settings(old)
         for name in kept._fields:
-            if getattr(kept, name) != getattr(station.terms, name):
+            if getattr(kept, name) != getattr(station.settings, name):
                 return f"{name} cannot change while a balancer runs"
         return ""
 
@@ -287,9 +287,9 @@
         if not why:
             try:
                 why = self.standing(
-                    config.read(self.path, self.node.station, new["doc"]["settings"])
+                    config.read(self.path, self.node.config, new["doc"]["settings"])
                 )
-            except config.BadStart as trouble:
+            except config.ConfigError as trouble:
                 why = str(trouble)
         self.tenure.writes(number)
         if why:
@@ -317,7 +317,7 @@
             opens, self.opens = self.opens, None
             try:
                 opens()
-            except config.BadStart as trouble:
+            except config.ConfigError as trouble:
                 self.log("ends", why=str(trouble))
                 self.loop.running = False
         if right is not self.shown:
@@ -328,18 +328,18 @@
 def held(
     path: str | None,
     loop: Loop,
-    station: config.Station,
-    log: Log,
+    station: config.BalancerConfig,
+    log: EventLog,
     *more: Any,
-    make_files: Callable[[Path], Files] = Files,
+    make_files: Callable[[Path], DurableStore] = DurableStore,
     **named: Any,
 ) -> tuple[Node, Keeper]:
-    """A node that control holds, and what holds it. Raises BadStart."""
+    """A node that control holds, and what holds it. Raises ConfigError."""
     assert station.control
     try:
         files = make_files(Path(station.control["dir"]))
     except OSError as trouble:
-        raise config.BadStart(f"{station.control['dir']}: {trouble.strerror}") from None
+        raise config.ConfigError(f"{station.control['dir']}: {trouble.strerror}") from None
     keeper = Keeper(path, loop, station, log, files, Random())
     node = HeldNode(loop, station, log, *more, **named)
     node.keeper, keeper.node = keeper, node
--- a/orchidgap/control/rpc.py
+++ b/orchidgap/control/rpc.py
@@ -10,7 +10,7 @@
 import orjson
 
 from orchidgap.http1 import codec
-from orchidgap.net.connection import Address, Connection, Fault, dial, listener_at
+from orchidgap.net.connection import Address, Connection, Fault, dial, open_listener
 from orchidgap.net.loop import READ, Loop, Timer
 
 AT_ONCE = 4  # calls that may be out to one address
@@ -23,7 +23,7 @@
 class Link:
     """One connection, on which one call may be out."""
 
-    def __init__(self, calls: Calls, sock: socket.socket) -> None:
+    def __init__(self, calls: RpcClient, sock: socket.socket) -> None:
         self.calls = calls
         self.heard: Heard | None = None
         self.timer: Timer | None = None
@@ -33,7 +33,7 @@
     def ask(self, method: str, path: str, body: bytes, heard: Heard) -> None:
         self.heard = heard
         self.reader.reset()
-        self.timer = self.calls.loop.later(self.calls.within, self.ended, "silence")
+        self.timer = self.calls.loop.call_later(self.calls.within, self.ended, "silence")
         self.conn.send(
             b"%b %b HTTP/1.1\r\nHost: control\r\nContent-Length: %d\r\n\r\n%b"
             % (method.encode(), path.encode(), len(body), body)
@@ -76,7 +76,7 @@
         self.settle(None, False)
 
 
-class Calls:
+class RpcClient:
     """Calls to one address. An answer that does not come within the time counts as none; a call may have been
     heard all the same."""
 
@@ -95,7 +95,7 @@
         heard: list[Any] = []
         self(path, told, heard.append)
         while not heard:
-            self.loop.turn(10_000)
+            self.loop.run_once(10_000)
         return heard[0]
 
     def ask(self, path: str, heard: Heard) -> None:
@@ -110,10 +110,10 @@
                 return link.ask(method, path, body, heard)
             link.close()
         if len(self.open) >= AT_ONCE:
-            return self.loop.soon(heard, None)
+            return self.loop.call_soon(heard, None)
         sock = dial(self.address)
         if isinstance(sock, Fault):
-            return self.loop.soon(heard, None)
+            return self.loop.call_soon(heard, None)
         link = Link(self, sock)
         self.open[link] = None
         link.ask(method, path, body, heard)
@@ -125,10 +125,10 @@
         self.idle.clear()
 
 
-class Caller:
+class RpcServerConnection:
     """One connection to the server: calls in their order, an answer to each before the next."""
 
-    def __init__(self, server: Server, sock: socket.socket) -> None:
+    def __init__(self, server: RpcServer, sock: socket.socket) -> None:
         self.server, self.since = server, server.loop.now
         self.reader = codec.ReqReader(MOST)
         self.busy = False
@@ -184,26 +184,26 @@
             return self.conn.finish()
         self.busy = False
         self.reader.next()
-        self.server.loop.soon(self.step)
+        self.server.loop.call_soon(self.step)
 
     def ended(self, what: str) -> None:
         self.server.callers.pop(self, None)
 
 
-class Server:
+class RpcServer:
     """Takes calls by their paths: each act is told what came and whom to call with the answer, once."""
 
     def __init__(
         self, loop: Loop, acts: dict[str, Callable[[dict[str, Any], Heard], None]]
     ) -> None:
         self.loop, self.acts = loop, acts
-        self.callers: dict[Caller, None] = {}
+        self.callers: dict[RpcServerConnection, None] = {}
         self.listener: socket.socket | None = None
         self.sweep()
 
     def listen(self, address: Address) -> None:
         """Raises OSError."""
-        self.listener = listener_at(address, 512)
+        self.listener = open_listener(address, 512)
         self.loop.watch(self.listener, READ, self.accept)
 
     def accept(self, mask: int) -> None:
@@ -215,13 +215,13 @@
                 return
             if len(self.callers) >= MOST_CLIENTS:
                 self.drop(min(self.callers, key=lambda caller: caller.since))
-            self.callers[Caller(self, sock)] = None
+            self.callers[RpcServerConnection(self, sock)] = None
 
-    def drop(self, caller: Caller) -> None:
+    def drop(self, caller: RpcServerConnection) -> None:
         caller.conn.close()
         self.callers.pop(caller, None)
 
     def sweep(self) -> None:
         for caller in [one for one in self.callers if one.since + IDLE < self.loop.now]:
             self.drop(caller)
-        self.loop.later(IDLE // 4, self.sweep)
+        self.loop.call_later(IDLE // 4, self.sweep)
--- a/orchidgap/control/server.py
+++ b/orchidgap/control/server.py
@@ -16,19 +16,19 @@
 
 import orjson
 
-from orchidgap.control.rpc import Calls, Heard, Server
+from orchidgap.control.rpc import Heard, RpcClient, RpcServer
 from orchidgap.control.validation import fit
 from orchidgap.decisions import policy_rollout
 from orchidgap.decisions.cas_register import NONE, Acceptor, Ballot, Kept, Round, Value, majority
 from orchidgap.decisions.policy_rollout import Leases, Row
-from orchidgap.net.config import BadStart
+from orchidgap.net.config import ConfigError
 from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import address_of, text_of
-from orchidgap.net.event_log import Log
+from orchidgap.net.endpoints import format_address, parse_address
+from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import Loop, boot_clock
-from orchidgap.net.signals import heed
-from orchidgap.state.background_writer import Beside
-from orchidgap.state.durable_store import Damaged, Files
+from orchidgap.net.signals import watch_signals
+from orchidgap.state.background_writer import BackgroundWriter
+from orchidgap.state.durable_store import CorruptFileError, DurableStore
 
 Turn = Callable[[Acceptor, Heard], None]
 
@@ -60,8 +60,8 @@
         peers: Mapping[str, Address],
         lease: int,
         give_up: int,
-        files: Files,
-        log: Log,
+        files: DurableStore,
+        log: EventLog,
         rng: Random,
         clock: Callable[[], int] = boot_clock,
     ) -> None:
@@ -75,7 +75,7 @@
         )
         self.names = sorted(peers)
         self.others = {
-            other: Calls(loop, peers[other], WITHIN) for other in self.names if other != name
+            other: RpcClient(loop, peers[other], WITHIN) for other in self.names if other != name
         }
         self.lease, self.give_up = lease, give_up
         self.leases = Leases(lease, clock())
@@ -85,7 +85,7 @@
         self.queue: deque[tuple[Callable[[Value], Value], Heard, bool]] = deque()
         self.shared = 1  # how many of them the round under way is for
         self.running = False  # a round of this process
-        self.disk = Beside(loop, files)
+        self.disk = BackgroundWriter(loop, files)
         # what its own acceptor is asked, one write after another: when, what, who hears
         self.turns: deque[tuple[int, Turn, Heard]] = deque()
         self.writes = 0  # since when it writes, 0 for not now
@@ -93,7 +93,7 @@
         self.seen = (0, 0)  # the try that is proposed, and since when it is known here
         self.own = 0  # the try that was proposed here
         self.driving = False
-        self.server = Server(
+        self.server = RpcServer(
             loop,
             {
                 "/lease": self.on_lease,
@@ -119,11 +119,11 @@
     # --- its disk
 
     def begin(self, new: bool) -> None:
-        """Raises BadStart where it cannot be what it was."""
+        """Raises ConfigError where it cannot be what it was."""
         lost = ""
         try:
             kept = self.files.read("register")
-        except Damaged as trouble:
+        except CorruptFileError as trouble:
             lost, kept = str(trouble), None
             self.files.set_aside("register")
         if kept is not None:
@@ -132,11 +132,11 @@
             try:
                 self.files.write("register", tuple(Kept(NONE, NONE, policy_rollout.EMPTY)))
             except OSError as trouble:
-                raise BadStart(f"{self.files.folder}: {trouble.strerror}") from None
+                raise ConfigError(f"{self.files.folder}: {trouble.strerror}") from None
             self.stand(Kept(NONE, NONE, policy_rollout.EMPTY))
         elif not self.others:
             lost = lost or f"{self.files.folder} holds no register"
-            raise BadStart(f"{lost}; --new begins with none decided")
+            raise ConfigError(f"{lost}; --new begins with none decided")
         else:
             self.log("register lost", why=lost or "nothing there")
         self.tick()
@@ -170,7 +170,7 @@
             return done(None)
         self.turns.append((self.clock(), turn, done))
         if not self.writes:
-            self.loop.soon(self.step)
+            self.loop.call_soon(self.step)
 
     def step(self) -> None:
         while self.turns and not self.writes:
@@ -321,7 +321,7 @@
         self.queue.append((make, done, light))
         if not self.running:
             self.running = True
-            self.loop.soon(self.begin_round, TRIES)
+            self.loop.call_soon(self.begin_round, TRIES)
 
     def begin_round(self, tries: int) -> None:
         if not self.queue:
@@ -345,10 +345,10 @@
         if value is None and tries > 1:
             # at a random time, as another proposer would
             pause = self.rng.randrange(10_000, 40_000 << (TRIES - tries))
-            self.loop.later(pause, self.begin_round, tries - 1)
+            self.loop.call_later(pause, self.begin_round, tries - 1)
             return
         over = [self.queue.popleft() for _ in range(self.shared)]
-        self.loop.soon(self.begin_round, TRIES)
+        self.loop.call_soon(self.begin_round, TRIES)
         for _, done, _ in over:
             done(value)
 
@@ -362,13 +362,13 @@
                 timer.cancel()
                 heard(self.name, said)
 
-        timer = self.loop.later(WITHIN, once, None)
-        self.loop.soon(self.server.acts[path], told, once)
+        timer = self.loop.call_later(WITHIN, once, None)
+        self.loop.call_soon(self.server.acts[path], told, once)
 
     # --- driving what is proposed
 
     def tick(self) -> None:
-        self.loop.later(TICK + self.rng.randrange(TICK // 4), self.tick)
+        self.loop.call_later(TICK + self.rng.randrange(TICK // 4), self.tick)
         now = self.clock()
         self.leases.sweep(now)
         self.look_at_disk()
@@ -557,8 +557,8 @@
         self.control.round_over(value, tries or self.tries, self.round.ballot)
 
 
-def own(files: Files, log: Log) -> None:
-    """The folder is this process's alone. Raises BadStart where another one's it stays."""
+def own(files: DurableStore, log: EventLog) -> None:
+    """The folder is this process's alone. Raises ConfigError where another one's it stays."""
     until = 0.0
     try:
         while not files.hold():
@@ -566,59 +566,65 @@
                 until = time.monotonic() + HOLD
                 log("waits for its folder", why="a process before it still writes")
             if time.monotonic() > until:
-                raise BadStart(f"{files.folder} is another process's")
+                raise ConfigError(f"{files.folder} is another process's")
             time.sleep(0.05)
     except OSError as trouble:
-        raise BadStart(f"{files.folder}: {trouble.strerror}") from None
+        raise ConfigError(f"{files.folder}: {trouble.strerror}") from None
 
 
-def run(path: str | None, new: bool, make_files: Callable[[Path], Files] = Files) -> None:
-    """A control process, until SIGTERM or SIGINT. Raises BadStart."""
+def run(
+    path: str | None, new: bool, make_files: Callable[[Path], DurableStore] = DurableStore
+) -> None:
+    """A control process, until SIGTERM or SIGINT. Raises ConfigError."""
     if not path:
-        raise BadStart("--config names no file")
+        raise ConfigError("--config names no file")
     try:
         told = orjson.loads(Path(path).read_bytes())
         name, peers = (
             str(told["name"]),
-            {str(one): address_of(at) for one, at in told["control"].items()},
+            {str(one): parse_address(at) for one, at in told["control"].items()},
         )
         lease, folder = int(told.get("lease-ms", 10_000)) * 1000, str(told["dir"])
         give_up = int(told.get("give-up-ms", lease // 1000 * 6)) * 1000
         beyond = told.get("beyond-loopback", False)
     except OSError as trouble:
-        raise BadStart(f"{path}: {trouble.strerror}") from None
+        raise ConfigError(f"{path}: {trouble.strerror}") from None
     except KeyError as trouble:
-        raise BadStart(f"{path}: {trouble.args[0]} is missing") from None
+        raise ConfigError(f"{path}: {trouble.args[0]} is missing") from None
     except (ValueError, TypeError, AttributeError) as trouble:
-        raise BadStart(f"{path}: {trouble}") from None
+        raise ConfigError(f"{path}: {trouble}") from None
     if name not in peers:
-        raise BadStart(f"{path}: control has no address for {name}")
+        raise ConfigError(f"{path}: control has no address for {name}")
     if len(peers) not in (1, 3, 5):
-        raise BadStart(f"{path}: {len(peers)} control processes; 1, 3 or 5 can be")
+        raise ConfigError(f"{path}: {len(peers)} control processes; 1, 3 or 5 can be")
     if not 1_000_000 <= lease <= 600_000_000 or give_up < lease:
-        raise BadStart(f"{path}: lease-ms goes from 1000 to 600000, and give-up-ms is no less")
+        raise ConfigError(f"{path}: lease-ms goes from 1000 to 600000, and give-up-ms is no less")
     if not ipaddress.IPv4Address(peers[name][0]).is_loopback and beyond is not True:
-        raise BadStart(
-            f"{path}: {text_of(peers[name])} is beyond loopback; set beyond-loopback to true, as "
+        raise ConfigError(
+            f"{path}: {format_address(peers[name])} is beyond loopback; set beyond-loopback to true, as "
             "whoever reaches it can change the policy"
         )
-    log = Log(name)
+    log = EventLog(name)
     loop = Loop(trouble=log.trouble)
     try:
         files = make_files(Path(folder))
     except OSError as trouble:
-        raise BadStart(f"{folder}: {trouble.strerror}") from None
+        raise ConfigError(f"{folder}: {trouble.strerror}") from None
     own(files, log)
     control = Control(loop, name, peers, lease, give_up, files, log, Random())
     control.begin(new)
     try:
         control.server.listen(peers[name])
     except OSError as trouble:
-        raise BadStart(f"cannot listen on {text_of(peers[name])}: {trouble.strerror}") from None
-    bell = heed(loop, (signal.SIGTERM, signal.SIGINT), lambda told: setattr(loop, "running", False))
+        raise ConfigError(
+            f"cannot listen on {format_address(peers[name])}: {trouble.strerror}"
+        ) from None
+    bell = watch_signals(
+        loop, (signal.SIGTERM, signal.SIGINT), lambda told: setattr(loop, "running", False)
+    )
     log(
         "control",
-        listen=text_of(peers[name]),
+        listen=format_address(peers[name]),
         of=len(peers),
         n=control.value["n"],
         lease_ms=lease // 1000,
--- a/orchidgap/decisions/lifecycle.py
+++ b/orchidgap/decisions/lifecycle.py
@@ -58,10 +58,10 @@
 } | {(state, "leave"): State.LEAVING for state in State if state is not State.LEAVING}
 
 
-class Life:
+class Lifecycle:
     """One balancer's life.
 
-    >>> life = Life(0)
+    >>> life = Lifecycle(0)
     >>> [(life.on(event, 10), life.state.value, life.means.yes) for event in ("quiesce", "resume", "able")]
     [(True, 'draining', False), (True, 'starting', False), (True, 'serving', True)]
     >>> life.on("quiesce", 20), life.on("quiesce", 30), life.since, life.lets_go(20), life.lets_go(1_000_020)
@@ -126,7 +126,7 @@
     def over(self, now: int, clients: int, flows: bool) -> bool:
         """Whether a balancer that leaves ends now, with so many clients, to whom answers flow or not.
 
-        >>> life = Life(0); _ = life.on("leave", 0)
+        >>> life = Lifecycle(0); _ = life.on("leave", 0)
         >>> life.over(100, 0, False), life.over(500_000, 0, False), life.over(500_000, 1, False)
         (False, True, False)
         >>> life.over(3_600_000, 1, False), life.over(3_600_000, 1, True), life.over(40_000_000, 1, True)
@@ -143,7 +143,7 @@
     def gives_up(self, now: int) -> bool:
         """Whether what is still open gets its answer now: this process has no more time than that.
 
-        >>> life = Life(0); _ = life.on("leave", 0)
+        >>> life = Lifecycle(0); _ = life.on("leave", 0)
         >>> life.gives_up(3_499_999), life.gives_up(3_500_000), life.over(3_500_000, 1, False)
         (False, True, False)
         """
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -117,7 +117,7 @@
 
 def amnesic() -> None:
     """Control tells what it never wrote."""
-    Control.write = lambda self, kept, done: self.loop.soon(done, True)
+    Control.write = lambda self, kept, done: self.loop.call_soon(done, True)
 
 
 def blind() -> None:
--- a/orchidgap/drill/process.py
+++ b/orchidgap/drill/process.py
@@ -20,10 +20,10 @@
 
 from orchidgap.control import lease_keeper, server
 from orchidgap.drill.defects import DEFECTS
-from orchidgap.net.config import BadStart
+from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
 from orchidgap.parts import parts_of, talk_of
-from orchidgap.state.durable_store import Files
+from orchidgap.state.durable_store import DurableStore
 
 STEPS = ("open", "write", "fsync", "rename")
 
@@ -33,7 +33,7 @@
     return OSError(number, os.strerror(number))
 
 
-class FailingFiles(Files):
+class FailingFiles(DurableStore):
     """A disk that fails when told to."""
 
     def __init__(self, folder: Path) -> None:
@@ -103,7 +103,7 @@
         serve(
             config, parts_of, held=partial(lease_keeper.held, make_files=FailingFiles), talk=talk_of
         )
-    except BadStart as trouble:
+    except ConfigError as trouble:
         sys.exit(f"orchidgap: {trouble}")
 
 
--- a/orchidgap/drill/relay.py
+++ b/orchidgap/drill/relay.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from random import Random
 
-from orchidgap.net.connection import Address, Connection, Fault, dial, listener_at
+from orchidgap.net.connection import Address, Connection, Fault, dial, open_listener
 from orchidgap.net.loop import READ, Loop
 
 HELD = 1 << 22  # bytes that one stalled connection keeps
@@ -37,7 +37,7 @@
                 self.pair.reset()
         elif (due := max(self.due, relay.loop.now + relay.way())) > relay.loop.now:
             self.due = due  # bytes keep their order
-            relay.loop.at(due, self.pass_on, data)
+            relay.loop.call_at(due, self.pass_on, data)
         else:
             self.pass_on(data)
 
@@ -51,7 +51,9 @@
         self.gone = True
         if not self.held:
             loop = self.pair.relay.loop
-            loop.at(max(self.due, loop.now + self.pair.relay.delay), self.pair.finish, self.other)
+            loop.call_at(
+                max(self.due, loop.now + self.pair.relay.delay), self.pair.finish, self.other
+            )
 
     def release(self) -> None:
         held, self.held = self.held, []
@@ -109,7 +111,7 @@
             self.listener.close()
             self.listener = None
         else:
-            self.listener = listener_at(self.at, 512)
+            self.listener = open_listener(self.at, 512)
             self.loop.watch(self.listener, READ, self.accept)
 
     def heed(self, there_is: bool) -> None:
--- a/orchidgap/drill/town.py
+++ b/orchidgap/drill/town.py
@@ -23,12 +23,12 @@
 
 import orjson
 
-from orchidgap.control.rpc import Calls
+from orchidgap.control.rpc import RpcClient
 from orchidgap.drill.judge import Fate, Judge
 from orchidgap.drill.plan import DO, SEEN, Drill, versions_of, words
 from orchidgap.drill.relay import Datagrams, Relay
 from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import text_of
+from orchidgap.net.endpoints import format_address
 from orchidgap.trial.callers import Callers
 from orchidgap.trial.fabric import Wires, cpu_of
 from orchidgap.trial.faces import Decider
@@ -118,14 +118,16 @@
     def until_up(self) -> None:
         """Its listener opens when it holds a lease; looked for again and again, by many."""
         if self.alive and not self.ready_at:
-            calls = Calls(self.scene.loop, self.address, 200_000)
+            calls = RpcClient(self.scene.loop, self.address, 200_000)
 
             def heard(said: Any) -> None:
                 calls.close()
                 if said:
                     self.ready_at = self.scene.loop.now
                 else:
-                    self.scene.loop.later(50_000 + 2_000 * len(self.scene.posts), self.until_up)
+                    self.scene.loop.call_later(
+                        50_000 + 2_000 * len(self.scene.posts), self.until_up
+                    )
 
             calls.ask("/up", heard)
 
@@ -153,7 +155,7 @@
                     "name": self.name,
                     "dir": str(folder / f"{self.name}.disk"),
                     "control": {
-                        post.name: text_of(
+                        post.name: format_address(
                             post.address if post is self else town.way_to(self.name, post)
                         )
                         for post in town.controls
@@ -197,8 +199,8 @@
         self.controls = [ControlPost(self, number) for number in range(drill.control.count)]
         self.judge = Judge(self.referee, millis(drill.control.lease_ms), SLACK)
         self.shells: list[tuple[Fate, subprocess.Popen[bytes]]] = []
-        self.watches = [Calls(self.loop, post.address, 300_000) for post in self.controls]
-        self.questions = [Calls(self.loop, post.address, 500_000) for post in self.controls]
+        self.watches = [RpcClient(self.loop, post.address, 300_000) for post in self.controls]
+        self.questions = [RpcClient(self.loop, post.address, 500_000) for post in self.controls]
         self.weights: list[tuple[int, float, int, int]] = []  # when, CPU, bytes moved, balancers
         self.started, self.held = 0.0, 0  # seconds until all were up, kilobytes that they held then
         self.logs: dict[str, tuple[int, list[str]]] = {}  # by process: how far read, its lines
@@ -225,14 +227,14 @@
         told["known"] = self.way_to_hosts(post.name, told["known"])
         if self.controls:
             told["control"] = {
-                "at": [text_of(self.way_to(post.name, one)) for one in self.controls],
+                "at": [format_address(self.way_to(post.name, one)) for one in self.controls],
                 "dir": str(self.place / f"{post.name}.disk"),
                 "alone": self.drill.control.alone,
             }
         return told
 
     def talk_part(self, post: Any) -> dict[str, Any]:
-        others = [text_of(talk.at) for name, talk in self.talks.items() if name != post.name]
+        others = [format_address(talk.at) for name, talk in self.talks.items() if name != post.name]
         return super().talk_part(post) | {"peers": others}
 
     def listed(self, work: Work) -> bool:
@@ -253,7 +255,7 @@
             if not ask.left and self.lives(ask.balancer, ask.life):
                 self.broke(ask, at)
 
-        self.loop.later(SLACK, judged)
+        self.loop.call_later(SLACK, judged)
 
     # --- processes
 
@@ -286,7 +288,7 @@
             return known
         return known | {
             "hosts": [
-                entry | {"dial": text_of(self.relays[name, entry["host"]].at)}
+                entry | {"dial": format_address(self.relays[name, entry["host"]].at)}
                 for entry in known["hosts"]
             ]
         }
@@ -382,7 +384,7 @@
         if not anew or self.judge.fates[number].outcome == "nowhere":
             self.judge.fates[number] = Fate(number, self.loop.now)
         asked = [post for post in self.controls if by in ("", post.name) or anew]
-        at = ",".join(text_of(self.way_to("shell", post)) for post in asked)
+        at = ",".join(format_address(self.way_to("shell", post)) for post in asked)
         wait = self.drill.control.give_up_ms / 1e3 * TRIED
         shell = subprocess.Popen(
             [
@@ -524,7 +526,7 @@
         """So many datagrams that nobody signed, within a second."""
         noise = Random(self.seed)
         for i in range(100):
-            self.loop.later(i * 10_000, self.shout, self.talks[name], noise, int(count) // 100)
+            self.loop.call_later(i * 10_000, self.shout, self.talks[name], noise, int(count) // 100)
 
     @staticmethod
     def shout(talk: Datagrams, noise: Random, count: int) -> None:
@@ -540,7 +542,7 @@
             relay.set()
 
     def do_strike(self, name: str) -> None:
-        at = ",".join(text_of(self.way_to("shell", post)) for post in self.controls)
+        at = ",".join(format_address(self.way_to("shell", post)) for post in self.controls)
         shell = subprocess.Popen(
             [sys.executable, "-m", "orchidgap", "change", "strike", name, f"--at={at}"],
             stdout=subprocess.DEVNULL,
@@ -567,7 +569,7 @@
         for name, post in self.posts.items():
             if post.alive:
                 post.hup(json.dumps(self.told(post, self.known_of(name))).encode())
-                self.loop.turn(0)  # clients go on meanwhile
+                self.loop.run_once(0)  # clients go on meanwhile
         self.telling = 0
         self.judge.told(fate, "decided", self.latest, "", self.loop.now)
 
@@ -616,7 +618,7 @@
             faults += [f"disk {name} {step} {rng.randrange(1, 4)} {what}" for name in (b, k)]
         self.act(rng.choice(faults))
         if rng.random() < 0.5:
-            self.loop.later(rng.randrange(200_000, 2_000_000), self.mend)
+            self.loop.call_later(rng.randrange(200_000, 2_000_000), self.mend)
 
     def mend(self) -> None:
         """All faults end: links heal, what stands still goes on, what is dead starts again."""
@@ -669,7 +671,7 @@
 
     def watch(self) -> None:
         """Until when a version was certainly not decided: a majority of control had not taken it."""
-        self.loop.later(WATCH, self.watch)
+        self.loop.call_later(WATCH, self.watch)
         asked, heard = self.loop.clock(), []
         open_ = [fate for fate in self.judge.fates.values() if fate.number and not fate.outcome]
 
@@ -702,10 +704,10 @@
             self.until(lambda: all(post.ready_at for post in self.posts.values()), 30.0, "all up")
             self.started, self.held = time.monotonic() - began, self.memory()
             self.start = self.referee.start = self.loop.clock()
-            self.loop.later(LOOK, self.weigh)
+            self.loop.call_later(LOOK, self.weigh)
             self.callers.end = self.start + micros(3_600)
-            self.loop.soon(self.callers.arrive)
-            self.loop.soon(self.watch)
+            self.loop.call_soon(self.callers.arrive)
+            self.loop.call_soon(self.watch)
             steps = [
                 (i, step) for i, step in enumerate(self.drill.steps) for _ in range(step.times)
             ]
@@ -742,7 +744,7 @@
 
     def weigh(self) -> None:
         """CPU of all balancers, as the system counts it, and bytes between them and control."""
-        self.loop.later(2_000_000, self.weigh)
+        self.loop.call_later(2_000_000, self.weigh)
         names = [name for name, post in self.posts.items() if post.alive]
         cpu = 0.0
         for name in names:
@@ -791,7 +793,7 @@
         """Whether it was seen in time; if not, that is told, and the drill is broken."""
         end, next_look = time.monotonic() + within, 0
         while True:
-            self.loop.turn(10_000)
+            self.loop.run_once(10_000)
             if self.loop.now >= next_look:
                 next_look = self.loop.now + LOOK
                 self.look()
@@ -849,7 +851,7 @@
                     return said
             end = self.loop.clock() + 200_000
             while self.loop.clock() < end:
-                self.loop.turn(10_000)
+                self.loop.run_once(10_000)
         return None
 
     def close(self) -> None:
--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -10,21 +10,23 @@
 from orchidgap.http1.client import Hosts
 from orchidgap.http1.discovery import Registry
 from orchidgap.http1.server import Client
-from orchidgap.net.client_listener import Clients
-from orchidgap.net.handover import Moving
+from orchidgap.net.client_listener import ClientListener
+from orchidgap.net.handover import MigratingRequest
 from orchidgap.net.node import Dial, Node
 
 
 class Http1:
     """What a node is made of where HTTP/1.1 is spoken on both sides."""
 
-    def clients(self, node: Node, most: int) -> Clients:
-        return Clients(node.loop, node, most, Client)
+    def clients(self, node: Node, most: int) -> ClientListener:
+        return ClientListener(node.loop, node, most, Client)
 
     def hosts(self, node: Node, most: int, dial: Dial) -> Hosts:
-        return Hosts(node.loop, most, node.station.connect_within, node.station.idle_for, dial)
+        return Hosts(
+            node.loop, most, node.config.connect_timeout_us, node.config.idle_timeout_us, dial
+        )
 
-    def under_way(self, node: Node) -> Iterator[Moving]:
+    def under_way(self, node: Node) -> Iterator[MigratingRequest]:
         return request_migration.under_way(node)
 
     def arrives(self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
@@ -32,5 +34,5 @@
 
     def listing(self, node: Node, dial: Dial) -> Registry:
         return Registry(
-            node.loop, node.station.discovery, node.balancer.rng, node.on_list, node.note, dial
+            node.loop, node.config.discovery, node.balancer.rng, node.on_list, node.note, dial
         )
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -12,7 +12,7 @@
 from orchidgap.net import connection_pools
 from orchidgap.net.connection import Address, Connection, Fault, Reach, broken, dial
 from orchidgap.net.loop import Loop, Timer
-from orchidgap.net.upstream_attempt import Attempt, Taker
+from orchidgap.net.upstream_attempt import Taker, UpstreamAttempt
 
 SWEEP = 1_000_000
 SETTLE = 5_000  # for so long after an answer a host may say more, that belongs to nobody
@@ -41,7 +41,7 @@
         "wrote_at",
     )
 
-    def __init__(self, pool: Pool, sock: socket.socket, attempt: Attempt | None) -> None:
+    def __init__(self, pool: Pool, sock: socket.socket, attempt: UpstreamAttempt | None) -> None:
         self.pool, self.reader = pool, AnswerReader()
         self.idle_since = self.start = self.heard_at = self.wrote_at = 0
         self.start_idle = 0  # how long it had been idle when its attempt began
@@ -52,7 +52,7 @@
         self.timer: Timer | None = None
         if attempt:
             attempt.link = self
-            self.timer = pool.hosts.loop.later(
+            self.timer = pool.hosts.loop.call_later(
                 pool.hosts.connect_within, self.ended, "never came up"
             )
 
@@ -62,7 +62,7 @@
         flows = self.attempt and self.attempt.flow and not self.attempt.flow.whole
         return Reach.PARTLY if self.conn.out or flows else Reach.WHOLE
 
-    def drop(self, attempt: Attempt) -> Reach:
+    def drop(self, attempt: UpstreamAttempt) -> Reach:
         """The host sees its connection close: there is no other way to tell it."""
         reach = self.reach()
         self.close()
@@ -75,7 +75,7 @@
         if self.attempt:
             self.carry(self.attempt)
 
-    def carry(self, attempt: Attempt) -> None:
+    def carry(self, attempt: UpstreamAttempt) -> None:
         if not attempt.sender.wants(attempt.number):
             return self.spare(attempt)
         self.attempt, attempt.link = attempt, self
@@ -87,19 +87,19 @@
             self.reader.renew(bare)
         else:
             self.reader.reset()
-        left = max(1, attempt.due - self.pool.hosts.loop.now)
+        left = max(1, attempt.deadline_us - self.pool.hosts.loop.now)
         self.conn.send(attempt.head, b"Request-Timeout: %.3f\r\n\r\n" % (left / 1e6), attempt.body)
         if attempt.flow and self.conn.open:
             self.chunked = attempt.flow.length is None
             self.conn.drained = attempt.flow.pace
             attempt.flow.to(self)
 
-    def spare(self, attempt: Attempt) -> None:
+    def spare(self, attempt: UpstreamAttempt) -> None:
         """Nobody wants it any more, and nothing of it was written."""
         self.attempt = attempt.link = None
         self.idle_since = self.idle_since or self.pool.hosts.loop.now
         self.pool.idle.append(self)
-        self.pool.hosts.loop.soon(attempt.settle, Fault(Reach.UNSENT, "cancelled").verdict)
+        self.pool.hosts.loop.call_soon(attempt.settle, Fault(Reach.UNSENT, "cancelled").verdict)
 
     def put(self, parts: list[bytes], last: bool) -> None:
         if self.chunked:
@@ -129,7 +129,9 @@
         elif message.large:
             self.begin(self.attempt)
         elif message.headed and message.length is None and not self.timer:
-            self.timer = self.pool.hosts.loop.later(self.attempt.hold, self.begin, self.attempt)
+            self.timer = self.pool.hosts.loop.call_later(
+                self.attempt.hold, self.begin, self.attempt
+            )
 
     def too_soon(self) -> bool:
         """Whether what comes cannot be the answer to this req: it comes right behind the last answer, and
@@ -147,7 +149,7 @@
         pool.answers += 1
         return False
 
-    def begin(self, attempt: Attempt) -> None:
+    def begin(self, attempt: UpstreamAttempt) -> None:
         """The answer is too large to be kept, or too slow to see how large it is: it flows from here on."""
         if self.attempt is not attempt or self.taker or self.reader.message.whole:
             return
@@ -224,7 +226,7 @@
                 self.pool.idle[0].close()
         if attempt:
             # not at once: this may be the decision's own call to send
-            self.pool.hosts.loop.soon(attempt.settle, fault.verdict)
+            self.pool.hosts.loop.call_soon(attempt.settle, fault.verdict)
 
     def close(self) -> None:
         self.clear()
@@ -246,7 +248,7 @@
     return {200: "done", 404: "miss"}.get(status, "error")
 
 
-class Pool(connection_pools.Pool[Link]):
+class Pool(connection_pools.ConnectionPool[Link]):
     """The connections to one host, one dispatch at a time on each."""
 
     hosts: Hosts
@@ -257,7 +259,7 @@
         self.need = Need(hosts.loop.now)
         self.quickest = self.answers = 0  # the least time in which one came back, and of how many
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         self.need.saw(self.hosts.loop.now, len(self.links) - len(self.idle) + 1)
         while self.idle:
             link = self.idle.pop()
@@ -271,10 +273,10 @@
         """The host closes it at the limit at the latest, and what is written from then on is a reset."""
         return self.hosts.loop.now - link.idle_since > self.hosts.idle_for * 9 // 10
 
-    def dial(self, attempt: Attempt) -> None:
+    def dial(self, attempt: UpstreamAttempt) -> None:
         came = self.hosts.dial(self.address)
         if isinstance(came, Fault):
-            return self.hosts.loop.soon(attempt.settle, came.verdict)
+            return self.hosts.loop.call_soon(attempt.settle, came.verdict)
         self.add(Link(self, came, attempt))
 
     def rest(self, link: Link) -> None:
@@ -301,7 +303,7 @@
                 link.ended("host drains")
 
 
-class Hosts(connection_pools.Pools[Pool]):
+class Hosts(connection_pools.ConnectionPools[Pool]):
     def __init__(
         self,
         loop: Loop,
--- a/orchidgap/http1/discovery.py
+++ b/orchidgap/http1/discovery.py
@@ -11,7 +11,7 @@
 
 from orchidgap.http1.codec import AnswerReader
 from orchidgap.net.connection import Address, Connection, Fault, dial
-from orchidgap.net.endpoints import Entry, Place, decoded
+from orchidgap.net.endpoints import Entry, Place, decode_list
 from orchidgap.net.loop import Loop, Timer
 
 # What discovery tells is to be here within 6 s, whatever calls fail on the way. A watch that fell silent is
@@ -53,7 +53,7 @@
     def set_timer(self, delay: int, act: Callable[..., None], *args: Any) -> None:
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.later(delay, act, *args)
+        self.timer = self.loop.call_later(delay, act, *args)
 
     def ask(self) -> None:
         if self.out:
@@ -100,7 +100,7 @@
         try:
             if reader.message.status != 200:
                 raise ValueError(f"status {reader.message.status}")
-            version, whole, entries, found = decoded(orjson.loads(reader.message.body))
+            version, whole, entries, found = decode_list(orjson.loads(reader.message.body))
             if self.version is None and not whole:
                 raise ValueError("changes to a list that is not held")
         except (ValueError, TypeError, KeyError, AttributeError) as trouble:
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -12,15 +12,15 @@
 from orchidgap.http1.parser_resume import rest_of, whole_of
 from orchidgap.http1.server import Client
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.handover import Moving
+from orchidgap.net.handover import MigratingRequest
 from orchidgap.net.loop import READ
 from orchidgap.net.node import Exchange, Node
-from orchidgap.net.upstream_attempt import Attempt
+from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 MOST = 120_000  # bytes that still wait to be written, with which one goes
 
 
-def under_way(node: Node) -> Iterator[Moving]:
+def under_way(node: Node) -> Iterator[MigratingRequest]:
     """Those that can go now, each as it stands."""
     for client in list(node.clients.open):
         assert isinstance(client, Client)
@@ -43,13 +43,13 @@
             yield moving
 
 
-def begun(client: Client) -> Moving | None:
+def begun(client: Client) -> MigratingRequest | None:
     """A req that has come in part, and that nobody has been asked for."""
     text = whole_of(client.reader.message)
-    return Moving(["begun"], text, [client.conn.sock], client.close) if text else None
+    return MigratingRequest(["begun"], text, [client.conn.sock], client.close) if text else None
 
 
-def giving(node: Node, client: Client) -> Moving | None:
+def giving(node: Node, client: Client) -> MigratingRequest | None:
     """An answer that flows to its client."""
     exchange = client.asked
     link = exchange.giving.link if isinstance(exchange, Exchange) and exchange.giving else None
@@ -74,12 +74,12 @@
         link.let_go()
         client.let_go()
 
-    return Moving(
+    return MigratingRequest(
         ["answer", told], bytes(client.conn.out), [client.conn.sock, link.conn.sock], let_go
     )
 
 
-def flowing(node: Node, client: Client) -> Moving | None:
+def flowing(node: Node, client: Client) -> MigratingRequest | None:
     """A req whose body flows to a host, and is kept no more."""
     exchange, flow = client.asked, client.flow
     if (
@@ -118,7 +118,7 @@
         client.let_go()
         node.decide(node.balancer.on_client_gone, exchange.id)
 
-    return Moving(
+    return MigratingRequest(
         ["upload", told], bytes(link.conn.out), [client.conn.sock, link.conn.sock], let_go
     )
 
@@ -218,7 +218,7 @@
     return link
 
 
-def attempt_of(exchange: Exchange, host: Any, link: Link, flow: Upload | None) -> Attempt:
-    attempt = Attempt(b"", b"", exchange.due, exchange, 0, str(host))
+def attempt_of(exchange: Exchange, host: Any, link: Link, flow: Upload | None) -> UpstreamAttempt:
+    attempt = UpstreamAttempt(b"", b"", exchange.due, exchange, 0, str(host))
     attempt.flow, attempt.link = flow, link
     return attempt
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -8,22 +8,22 @@
 
 from orchidgap.http1 import codec
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.client_listener import Asked, Caller, Clients
+from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
 from orchidgap.net.connection import Connection
 
 STEP = 1 << 14  # bytes of a body that count as going on
 AHEAD = 8  # reqs that may wait behind one before nothing more is read
 
 
-class Client(Caller):
+class Client(ClientConnection):
     """One connection from a client; one of its reqs is under way at a time."""
 
     movable = True
     __slots__ = ("asked", "chunked", "flow", "giving", "last", "marked", "reader", "source")
 
-    def __init__(self, clients: Clients, sock: socket.socket) -> None:
+    def __init__(self, clients: ClientListener, sock: socket.socket) -> None:
         self.reader = codec.ReqReader()
-        self.asked: Asked | None = None
+        self.asked: PendingRequest | None = None
         self.flow: Upload | None = None  # the body of the req under way, while it comes
         self.marked = 0  # how far the req had come when its time began anew
         self.giving = self.last = self.chunked = False  # of an answer that flows
@@ -202,7 +202,7 @@
         self.close()
 
     def go_on_giving(
-        self, asked: Asked, source: Connection, chunked: bool, last: bool, out: bytes
+        self, asked: PendingRequest, source: Connection, chunked: bool, last: bool, out: bytes
     ) -> None:
         """It comes from elsewhere, in the middle of an answer of which this was still to be written."""
         self.asked, self.giving, self.source, self.chunked, self.last = (
@@ -219,7 +219,7 @@
         if self.conn.out:
             source.hold(True)
 
-    def go_on_flowing(self, asked: Asked, flow: Upload) -> None:
+    def go_on_flowing(self, asked: PendingRequest, flow: Upload) -> None:
         """It comes from elsewhere, in the middle of a req's body."""
         self.asked, self.flow, self.marked = asked, flow, self.reader.message.size
         self.clients.await_req(self)
@@ -253,7 +253,7 @@
             self.conn.hold(False)
         if reader.begun:
             self.clients.await_req(self)
-            self.clients.loop.soon(self.next)
+            self.clients.loop.call_soon(self.next)
         else:
             self.clients.idle[self] = None
             self.clients.trim()
--- a/orchidgap/net/client_listener.py
+++ b/orchidgap/net/client_listener.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from orchidgap.decisions.lifecycle import Life
+from orchidgap.decisions.lifecycle import Lifecycle
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.connection import SHORT, Address, Connection, listener_at
+from orchidgap.net.connection import SHORT, Address, Connection, open_listener
 from orchidgap.net.loop import READ, Loop, Timer
 
 PATIENCE = 2_500_000  # for a req to come whole, since its connection or its first byte came
@@ -22,7 +22,7 @@
 TURNED_AWAY = 16  # connections beyond the most that may still read their last answer
 
 
-class Asked(Protocol):
+class PendingRequest(Protocol):
     """A req as the door keeps it."""
 
     def hangup(self) -> None:
@@ -32,10 +32,10 @@
         """The last byte of a body that flows is there; `came` says since when."""
 
 
-class Answered(Protocol):
+class Responder(Protocol):
     """Whoever is owed the answer to one req; the codes are 200, 400, 500 and 503, whatever is spoken."""
 
-    asked: Asked | None
+    asked: PendingRequest | None
 
     @property
     def came(self) -> int:
@@ -50,8 +50,8 @@
         """The whole answer. `length` is what its head tells where it has no body."""
 
 
-class Door(Protocol):
-    life: Life
+class RequestHandler(Protocol):
+    life: Lifecycle
 
     def ready(self) -> bool: ...
 
@@ -65,7 +65,7 @@
 
     def take(
         self,
-        caller: Answered,
+        caller: Responder,
         id: bytes,
         rule_set: str,
         left: int,
@@ -81,13 +81,13 @@
         is drawn from the key. A body that flows is not in `body`; `asked.body_came` is called at its end."""
 
 
-class Caller:
+class ClientConnection:
     """A connection from a client, as far as all protocols have the same need of it."""
 
     __slots__ = ("clients", "conn", "since")
     movable = False  # whether all that is known of it, while it asks nothing, is its socket
 
-    def __init__(self, clients: Clients, sock: socket.socket) -> None:
+    def __init__(self, clients: ClientListener, sock: socket.socket) -> None:
         self.clients = clients
         self.since = clients.loop.now  # it came, or began with a req, or was refused
         self.conn = Connection(clients.loop, sock, self, stamped=True)
@@ -117,7 +117,7 @@
         nothing is read, nor before what it sent ahead of it."""
         if not self.conn.gone():
             return False
-        self.clients.loop.soon(
+        self.clients.loop.call_soon(
             self.conn.end, "closed"
         )  # not at once: this may be a decision's own call
         return True
@@ -154,26 +154,32 @@
             among.pop(self, None)
 
 
-class Clients:
+class ClientListener:
     """The listener and all that it has let in, `most` at a time."""
 
     def __init__(
-        self, loop: Loop, door: Door, most: int, make: Callable[[Clients, socket.socket], Caller]
+        self,
+        loop: Loop,
+        door: RequestHandler,
+        most: int,
+        make: Callable[[ClientListener, socket.socket], ClientConnection],
     ) -> None:
         self.loop, self.door, self.most, self.make = loop, door, most, make
-        self.open: dict[Caller, None] = {}
+        self.open: dict[ClientConnection, None] = {}
         self.idle: dict[
-            Caller, None
+            ClientConnection, None
         ] = {}  # of these: served, and asking nothing; the longest first
-        self.unasked: dict[Caller, None] = {}  # yet to bring a whole req; the longest first
-        self.parting: dict[Caller, None] = {}  # with their last answer; the longest first
+        self.unasked: dict[
+            ClientConnection, None
+        ] = {}  # yet to bring a whole req; the longest first
+        self.parting: dict[ClientConnection, None] = {}  # with their last answer; the longest first
         self.listener: socket.socket | None = None
         self.resting: Timer | None = None
         self.away = False  # another process lets clients in
-        loop.later(SWEEP, self.sweep)
+        loop.call_later(SWEEP, self.sweep)
 
     def listen(self, address: Address) -> None:
-        self.inherit(listener_at(address, BACKLOG))
+        self.inherit(open_listener(address, BACKLOG))
 
     def inherit(self, listener: socket.socket) -> None:
         """A socket that listens already; another process may hold it too."""
@@ -228,7 +234,7 @@
         self.open[client] = self.idle[client] = None
         client.conn.ready(READ)
 
-    def movable(self) -> list[Caller]:
+    def movable(self) -> list[ClientConnection]:
         """Those that can go to another process as they are."""
         return [
             client
@@ -236,7 +242,7 @@
             if client.movable and not (client.begun or client.conn.out or client.conn.closing)
         ]
 
-    def await_req(self, client: Caller) -> None:
+    def await_req(self, client: ClientConnection) -> None:
         """Its time to bring a whole req begins, or begins anew."""
         client.since = self.loop.now
         if client in self.unasked:  # they stand in the order of their times
@@ -279,12 +285,12 @@
             client := next(iter(self.unasked), None)
         ) and self.loop.now - client.since >= PATIENCE:
             client.stalled() if client.begun else client.close()
-        self.loop.later(SWEEP, self.sweep)
+        self.loop.call_later(SWEEP, self.sweep)
 
     def rest(self) -> None:
         if self.listener and not self.resting and not self.away:
             self.loop.unwatch(self.listener)
-            self.resting = self.loop.later(RESPITE, self.resume)
+            self.resting = self.loop.call_later(RESPITE, self.resume)
 
     def resume(self) -> None:
         self.resting = None
--- a/orchidgap/net/config.py
+++ b/orchidgap/net/config.py
@@ -13,18 +13,18 @@
 from orchidgap.decisions import config_compatibility
 from orchidgap.decisions.settings import ServiceSettings, SettingError
 from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import Entry, Place, address_of, decoded
+from orchidgap.net.endpoints import Entry, Place, decode_list, parse_address
 
 SHORTEST_KEY = 16
 MOST_PEERS = 512
 SHORTEST_GAP = 5_000  # ms: a redraw waits for as long
 
 
-class BadStart(Exception):
+class ConfigError(Exception):
     """One plain line that tells why the program cannot start."""
 
 
-class Station(NamedTuple):
+class BalancerConfig(NamedTuple):
     """Where this balancer stands and what it may use."""
 
     name: str
@@ -33,15 +33,15 @@
     seed: int
     sockets: int
     memory_mb: int
-    known: tuple[int, bool, list[Entry], list[Place]]
-    terms: ServiceSettings
-    connect_within: int
-    idle_for: int
+    known_endpoints: tuple[int, bool, list[Entry], list[Place]]
+    settings: ServiceSettings
+    connect_timeout_us: int
+    idle_timeout_us: int
     resp: Mapping[str, Any] | None = (
         None  # where RESP is spoken in place of HTTP: its part of the file
     )
     admin: Address | None = None  # where operators call, if they may
-    watched: ServiceSettings | None = None  # terms that are to be watched, not gone by
+    shadow_settings: ServiceSettings | None = None  # terms that are to be watched, not gone by
     shape: Mapping[str, str] = {}  # which keys the file had, with the kinds of their values
     control: Mapping[str, Any] | None = (
         None  # where the settings come from control: its part of the file
@@ -70,38 +70,43 @@
 
 
 def read(
-    path: str | None, before: Station | None = None, settings: Mapping[str, Any] | None = None
-) -> Station:
+    path: str | None,
+    before: BalancerConfig | None = None,
+    settings: Mapping[str, Any] | None = None,
+) -> BalancerConfig:
     """Takes the file's path, what it is to follow, if anything, and settings that count in place of its own.
-    Raises BadStart if it cannot be used."""
+    Raises ConfigError if it cannot be used."""
     if not path:
-        raise BadStart("GW_CONFIG names no file")
+        raise ConfigError("GW_CONFIG names no file")
     try:
         with open(path, "rb") as file:
             text = file.read()
     except OSError as trouble:
-        raise BadStart(f"{path}: {trouble.strerror}") from None
+        raise ConfigError(f"{path}: {trouble.strerror}") from None
     return parse(text, path, before, settings)
 
 
 def parse(
-    text: bytes, path: str, before: Station | None = None, settings: Mapping[str, Any] | None = None
-) -> Station:
+    text: bytes,
+    path: str,
+    before: BalancerConfig | None = None,
+    settings: Mapping[str, Any] | None = None,
+) -> BalancerConfig:
     """The same of a file's text; the path only says whose it is."""
     try:
         told = orjson.loads(text)
         if settings is not None and isinstance(told, dict):
             told["settings"] = settings
     except ValueError as trouble:
-        raise BadStart(f"{path} is not JSON: {trouble}") from None
+        raise ConfigError(f"{path} is not JSON: {trouble}") from None
     try:
         return station(told, before)
     except SettingError as trouble:
-        raise BadStart(f"{path}: {trouble}") from None
+        raise ConfigError(f"{path}: {trouble}") from None
     except KeyError as trouble:
-        raise BadStart(f"{path}: {trouble.args[0]} is missing or unknown") from None
+        raise ConfigError(f"{path}: {trouble.args[0]} is missing or unknown") from None
     except (ValueError, TypeError, AttributeError) as trouble:
-        raise BadStart(f"{path}: {trouble}") from None
+        raise ConfigError(f"{path}: {trouble}") from None
 
 
 def over_none(part: Mapping[str, str], path: str, default: int) -> int:
@@ -142,7 +147,7 @@
         raise SettingError("control.at must list 1, 3 or 5 addresses")
     if (alone := part.get("alone", "leave")) not in ("leave", "stay"):
         raise SettingError(f"control.alone is {alone!r}, and must be leave or stay")
-    return {"at": [address_of(one) for one in at], "dir": part["dir"], "alone": alone}
+    return {"at": [parse_address(one) for one in at], "dir": part["dir"], "alone": alone}
 
 
 def pooled(part: Any) -> Mapping[str, Any] | None:
@@ -161,8 +166,8 @@
     if len(part["peers"]) > MOST_PEERS:
         raise SettingError(f"pool.peers lists {len(part['peers'])}; {MOST_PEERS} can be")
     listen, peers = (
-        address_of(str(part.get("listen"))),
-        [address_of(str(peer)) for peer in part["peers"]],
+        parse_address(str(part.get("listen"))),
+        [parse_address(str(peer)) for peer in part["peers"]],
     )
     if not IPv4Address(listen[0]).is_loopback and part.get("beyond-loopback") is not True:
         raise SettingError(
@@ -177,7 +182,7 @@
     return {"listen": listen, "peers": peers, "key": part["key"], "gap": gap * 1000}
 
 
-def station(told: Any, before: Station | None = None) -> Station:
+def station(told: Any, before: BalancerConfig | None = None) -> BalancerConfig:
     if not isinstance(told, Mapping):
         raise ValueError("an object was expected")
     shape = config_compatibility.shape(told)
@@ -194,11 +199,13 @@
     sockets = min(int(limits.get("sockets") or most), most)
     if sockets < 64:
         raise ValueError(f"{sockets} descriptors are too few")
-    known = decoded(told.get("known") or {"seq": 0, "whole": True, "hosts": []})
-    return Station(
+    known = decode_list(told.get("known") or {"seq": 0, "whole": True, "hosts": []})
+    return BalancerConfig(
         str(told.get("name", "")),
-        address_of(told["listen"]),
-        address_of(told["discovery"]) if told.get("discovery") or not told.get("resp") else ("", 0),
+        parse_address(told["listen"]),
+        parse_address(told["discovery"])
+        if told.get("discovery") or not told.get("resp")
+        else ("", 0),
         int(str(told.get("seed") or 0), 16),
         sockets,
         int(limits.get("memory_mb") or 1024),
@@ -207,7 +214,7 @@
         over_none(pairs, "ceilings.connect-timeout", 250_000),
         over_none(pairs, "ceilings.conn-idle", 15_000_000),
         told.get("resp"),
-        address_of(admin)
+        parse_address(admin)
         if (admin := told.get("admin_addr") or os.environ.get("GW_ADMIN_ADDR"))
         else None,
         watched_of(told.get("watch"), pairs, terms),
--- a/orchidgap/net/connection.py
+++ b/orchidgap/net/connection.py
@@ -113,7 +113,7 @@
     return None
 
 
-def listener_at(address: Address, backlog: int) -> socket.socket:
+def open_listener(address: Address, backlog: int) -> socket.socket:
     """A socket that listens there. Raises OSError."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
@@ -210,8 +210,8 @@
             if self.open and mask & READ:
                 self.read()
         except Exception as trouble:
-            if self.loop.trouble:
-                self.loop.trouble(trouble)
+            if self.loop.on_error:
+                self.loop.on_error(trouble)
             self.end(f"fault: {type(trouble).__name__}")
 
     def read(self) -> None:
@@ -289,7 +289,7 @@
         self.rest()
         self.moved = self.loop.now
         self.until = self.moved + most if most else 0
-        self.timer = self.loop.later(delay, self.look, delay)
+        self.timer = self.loop.call_later(delay, self.look, delay)
 
     def look(self, delay: int) -> None:
         still = self.moved + delay - self.loop.now
@@ -297,7 +297,7 @@
             return self.end("not read")
         if self.until:
             still = min(still, self.until - self.loop.now)
-        self.timer = self.loop.later(still, self.look, delay)
+        self.timer = self.loop.call_later(still, self.look, delay)
 
     def rest(self) -> None:
         if self.timer:
--- a/orchidgap/net/connection_pools.py
+++ b/orchidgap/net/connection_pools.py
@@ -8,21 +8,21 @@
 
 from orchidgap.net.connection import Address, Fault, Reach, dial
 from orchidgap.net.loop import Loop
-from orchidgap.net.upstream_attempt import Attempt
+from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 L = TypeVar("L")
-P = TypeVar("P", bound="Pool[Any]")
+P = TypeVar("P", bound="ConnectionPool[Any]")
 
 
-class Pool(Generic[L]):
+class ConnectionPool(Generic[L]):
     """The links to one host."""
 
-    def __init__(self, hosts: Pools[Any], address: Address) -> None:
+    def __init__(self, hosts: ConnectionPools[Any], address: Address) -> None:
         self.hosts, self.address = hosts, address
         self.links: dict[L, None] = {}
         self.retired = False  # draining or gone: what is under way may end, nothing else
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         raise NotImplementedError
 
     def retire(self) -> None:
@@ -39,7 +39,7 @@
             self.hosts.count -= 1
 
 
-class Pools(Generic[P]):
+class ConnectionPools(Generic[P]):
     """All pools, by the id of their host; `most` connections together."""
 
     def __init__(
@@ -59,7 +59,7 @@
         self.dialer = dial
         self.pools: dict[str, P] = {}
         self.count = 0
-        loop.later(sweep, self.swept)
+        loop.call_later(sweep, self.swept)
 
     def bound(self, connect_within: int, idle_for: int) -> None:
         """New times for connections to come up, and to stay idle, in microseconds."""
@@ -86,7 +86,7 @@
 
     def swept(self) -> None:
         self.sweep()
-        self.loop.later(self.sweep_each, self.swept)
+        self.loop.call_later(self.sweep_each, self.swept)
 
     def follow(self, whole: bool, told: Iterable[tuple[str, str, Address]]) -> None:
         """The list, or a change to it, as (id, state, address)."""
@@ -108,10 +108,10 @@
         for id in sorted(gone):
             self.pools.pop(id).retire()
 
-    def send(self, id: str, attempt: Attempt) -> None:
+    def send(self, id: str, attempt: UpstreamAttempt) -> None:
         pool = self.pools.get(id)
         if pool is None or pool.retired:
-            return self.loop.soon(
+            return self.loop.call_soon(
                 attempt.settle, Fault(Reach.UNSENT, "broken", "not listed").verdict
             )
         pool.send(attempt)
--- a/orchidgap/net/endpoints.py
+++ b/orchidgap/net/endpoints.py
@@ -13,11 +13,11 @@
 Place = tuple[str, str, Address]  # id, state, where
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """
-    >>> address_of("127.0.0.1:80")
+    >>> parse_address("127.0.0.1:80")
     ('127.0.0.1', 80)
-    >>> address_of("cache.internal:80")
+    >>> parse_address("cache.internal:80")
     Traceback (most recent call last):
         ...
     ValueError: not an address: 'cache.internal:80'
@@ -32,16 +32,16 @@
     return host, int(port)
 
 
-def decoded(told: Any) -> tuple[int, bool, list[Entry], list[Place]]:
+def decode_list(told: Any) -> tuple[int, bool, list[Entry], list[Place]]:
     """The version, whether the list is whole, its entries, and where each host is found.
 
     One odd entry must not keep the balancer on an old list: a host in a state that has no name here, or at no
     address, wants nothing new.
 
-    >>> decoded({"seq": 4, "whole": False, "hosts": [{"host": "s", "dial": "127.0.0.2:7", "site": "a",
+    >>> decode_list({"seq": 4, "whole": False, "hosts": [{"host": "s", "dial": "127.0.0.2:7", "site": "a",
     ...     "class": "m", "block": 3, "health": "Ready", "share": 1, "born_ms": 5}]})
     (4, False, [('s', 'up', 5000, 'a', 'm', '3', 1.0)], [('s', 'up', ('127.0.0.2', 7))])
-    >>> decoded({"seq": 4, "whole": True, "hosts": [{"host": "s", "dial": "", "health": "Ready"}]})[3]
+    >>> decode_list({"seq": 4, "whole": True, "hosts": [{"host": "s", "dial": "", "health": "Ready"}]})[3]
     [('s', 'draining', ('', 0))]
     """
     entries, found = [], []
@@ -49,7 +49,7 @@
         id, state, address = str(host["host"]), STATES.get(host["health"], "draining"), ("", 0)
         if state != "gone":
             try:
-                address = address_of(host["dial"])
+                address = parse_address(host["dial"])
             except ValueError:
                 state = "draining"
         share, born = host.get("share"), host.get("born_ms")
@@ -68,9 +68,9 @@
     return int(told["seq"]), bool(told["whole"]), entries, found
 
 
-def text_of(address: Address) -> str:
+def format_address(address: Address) -> str:
     """
-    >>> text_of(("127.0.0.1", 80))
+    >>> format_address(("127.0.0.1", 80))
     '127.0.0.1:80'
     """
     return f"{address[0]}:{address[1]}"
--- a/orchidgap/net/event_log.py
+++ b/orchidgap/net/event_log.py
@@ -14,7 +14,7 @@
 LONGEST = 4_000  # what a pipe that is ready takes without blocking
 
 
-class Log:
+class EventLog:
     def __init__(self, name: str = "", fd: int = 2) -> None:
         self.name, self.fd, self.dropped = name, fd, 0
         self.poll = select.poll()
--- a/orchidgap/net/handover.py
+++ b/orchidgap/net/handover.py
@@ -19,7 +19,7 @@
 import orjson
 
 from orchidgap.decisions import warm_snapshot
-from orchidgap.net.config import BadStart
+from orchidgap.net.config import ConfigError
 from orchidgap.net.connection import SHORT
 from orchidgap.net.loop import READ, WRITE, Loop
 
@@ -39,11 +39,11 @@
 
 
 def inherited(number: str) -> socket.socket:
-    """The listening socket that this process was given, by its descriptor's number. Raises BadStart."""
+    """The listening socket that this process was given, by its descriptor's number. Raises ConfigError."""
     try:
         listener = socket.socket(fileno=int(number))
     except (ValueError, OverflowError, OSError) as trouble:
-        raise BadStart(
+        raise ConfigError(
             f"GW_PASSED_SOCKET is {number!r}, which is no open socket: {trouble}"
         ) from None
     try:
@@ -52,12 +52,12 @@
         listens = 0
     if not listens or (listener.family, listener.type) != (socket.AF_INET, socket.SOCK_STREAM):
         listener.detach()
-        raise BadStart(f"GW_PASSED_SOCKET is {number}, which is no listening TCP socket")
+        raise ConfigError(f"GW_PASSED_SOCKET is {number}, which is no listening TCP socket")
     listener.setblocking(False)
     return listener
 
 
-class Moving(NamedTuple):
+class MigratingRequest(NamedTuple):
     """A req that goes on in another process."""
 
     words: list[Any]
@@ -166,7 +166,7 @@
             self.sock.close()
 
 
-class Kin:
+class SiblingProcess:
     """The other process, as far as it has told."""
 
     def __init__(self) -> None:
@@ -185,11 +185,11 @@
     ) -> None:
         """`folder` is common to all processes of this balancer; `shared` where they share its listener."""
         self.loop, self.node, self.shared = loop, node, shared
-        self.elder: Kin | None = None
-        self.heir: Kin | None = None
+        self.elder: SiblingProcess | None = None
+        self.heir: SiblingProcess | None = None
         self.on = False  # there is another process
         self.waiting = False  # for what the elder knows
-        name = f"orchidgap-{crc32(node.station.name.encode()):08x}"
+        name = f"orchidgap-{crc32(node.config.name.encode()):08x}"
         self.path = os.path.join(folder, name) if folder else ""
         self.listener: socket.socket | None = None
         self.fleet: dict[str, tuple[Any, Any]] = {}  # the elder's list, while it is told
@@ -202,7 +202,7 @@
         if not self.shared:
             return
         if not (self.path and os.path.isdir(os.path.dirname(self.path))):
-            half = self.node.station.sockets // 2
+            half = self.node.config.sockets // 2
             self.node.note("companion unseen", why="no folder that both see", descriptors=half)
             return self.node.allot(half)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -216,13 +216,13 @@
 
     def call(self, sock: socket.socket) -> None:
         """There is one: it lets clients in until this one can."""
-        self.elder, self.on = (kin := Kin()), True
+        self.elder, self.on = (kin := SiblingProcess()), True
         kin.passage = Passage(self.loop, sock, self.from_elder, self.elder_gone)
         self.waiting = True
         self.node.clients.look_away()
         self.node.allot(LEAST)
-        kin.passage.send("hello", FORM, self.node.station.name)
-        self.loop.later(ESTATE_WITHIN, self.wait_no_more)
+        kin.passage.send("hello", FORM, self.node.config.name)
+        self.loop.call_later(ESTATE_WITHIN, self.wait_no_more)
         self.tick()
 
     def serves(self) -> None:
@@ -262,7 +262,7 @@
         """A newer process is there. Should there have been one before, it has failed."""
         if self.heir:
             self.heir.passage.end("another came")
-        self.heir, self.on = (kin := Kin()), True
+        self.heir, self.on = (kin := SiblingProcess()), True
         kin.passage = Passage(self.loop, sock, self.from_heir, self.heir_gone)
 
     # --- what they say
@@ -271,11 +271,11 @@
         kin, node = self.heir, self.node
         assert kin
         if words[0] == "hello":
-            if words[1:] != [FORM, node.station.name]:
+            if words[1:] != [FORM, node.config.name]:
                 raise ValueError(f"not of this balancer: {words!r}")
             node.note("heir found", reqs=len(node.reqs), clients=len(node.clients.open))
             self.bound()
-            kin.passage.send("room", node.station.sockets - node.descriptors)
+            kin.passage.send("room", node.config.sockets - node.descriptors)
             ids = list(node.fleet)
             for at in range(0, len(ids), PART):
                 kin.passage.send("list", [[*node.fleet[id]] for id in ids[at : at + PART]])
@@ -303,7 +303,7 @@
         kin, node = self.elder, self.node
         assert kin
         if words[0] == "room":
-            node.allot(max(LEAST, min(int(words[1]), node.station.sockets)))
+            node.allot(max(LEAST, min(int(words[1]), node.config.sockets)))
         elif words[0] == "list":
             for entry, (id, state, (host, port)) in words[1]:
                 if [type(value) for value in entry[:6]] != [str, str, int, str, str, str] or len(
@@ -348,7 +348,9 @@
         node.note("estate taken", hosts=taken)
         self.wait_no_more()
 
-    def hear(self, kin: Kin, added: list[str], gone: list[str], outs: dict[str, int]) -> None:
+    def hear(
+        self, kin: SiblingProcess, added: list[str], gone: list[str], outs: dict[str, int]
+    ) -> None:
         kin.names.update(added)
         kin.names.difference_update(gone)
         if outs != kin.outs:
@@ -365,7 +367,7 @@
 
     # --- what each keeps telling
 
-    def kin(self) -> Iterable[Kin]:
+    def kin(self) -> Iterable[SiblingProcess]:
         return [kin for kin in (self.elder, self.heir) if kin]
 
     def holds(self, id: bytes) -> bool:
@@ -385,7 +387,7 @@
         if self.heir:
             self.bound()
         for kin in kins:
-            room = self.node.station.sockets - self.node.descriptors if kin is self.heir else 0
+            room = self.node.config.sockets - self.node.descriptors if kin is self.heir else 0
             if (names, outs, room) != kin.told:
                 if room != kin.told[2]:
                     kin.passage.send("room", room)
@@ -395,12 +397,12 @@
                 kin.told = names, outs, room
         if self.heir and self.node.life.hands_over:
             self.hand()
-        self.loop.later(TICK, self.tick)
+        self.loop.call_later(TICK, self.tick)
 
     def bound(self) -> None:
         """While a newer process is there, this one keeps what it holds, or half; the other has the rest."""
         node = self.node
-        total, held = node.station.sockets, node.holding()
+        total, held = node.config.sockets, node.holding()
         half = 0 if node.life.hands_over else total // 2
         node.allot(min(total - LEAST, max(half, held + 8)))
 
@@ -456,7 +458,7 @@
     def alone(self) -> None:
         self.on = bool(self.kin())
         if not self.on:
-            self.node.allot(self.node.station.sockets)
+            self.node.allot(self.node.config.sockets)
         self.weigh()
 
     def close(self) -> None:
--- a/orchidgap/net/loop.py
+++ b/orchidgap/net/loop.py
@@ -39,8 +39,8 @@
 class Loop:
     """
     >>> loop = Loop(clock=iter(range(0, 10_000, 100)).__next__)
-    >>> _ = loop.later(150, print, "due"); loop.later(20, print, "never").cancel(); loop.soon(print, "next")
-    >>> loop.turn(); loop.turn(0); loop.turn(0)
+    >>> _ = loop.call_later(150, print, "due"); loop.call_later(20, print, "never").cancel(); loop.call_soon(print, "next")
+    >>> loop.run_once(); loop.run_once(0); loop.run_once(0)
     due
     next
     """
@@ -51,7 +51,7 @@
         trouble: Callable[[Exception], None] | None = None,
     ) -> None:
         self.clock = clock or system_clock()
-        self.trouble = trouble  # told of what escapes a call; without it the loop ends
+        self.on_error = trouble  # told of what escapes a call; without it the loop ends
         self.selector = selectors.DefaultSelector()
         self.first: set[Callable[[int], None]] = set()  # whose turn comes before all others'
         self.timers: list[tuple[int, int, Timer]] = []
@@ -77,24 +77,24 @@
     def unwatch(self, sock: socket.socket) -> None:
         self.selector.unregister(sock)
 
-    def later(self, delay: int, act: Callable[..., None], *args: Any) -> Timer:
-        return self.at(self.now + delay, act, *args)
+    def call_later(self, delay: int, act: Callable[..., None], *args: Any) -> Timer:
+        return self.call_at(self.now + delay, act, *args)
 
-    def at(self, when: int, act: Callable[..., None], *args: Any) -> Timer:
+    def call_at(self, when: int, act: Callable[..., None], *args: Any) -> Timer:
         timer = Timer(act, args)
         self.count += 1
         heappush(self.timers, (when, self.count, timer))
         return timer
 
-    def soon(self, act: Callable[..., None], *args: Any) -> None:
+    def call_soon(self, act: Callable[..., None], *args: Any) -> None:
         """After the call under way: what comes of a dispatch must not run into the decision to send it."""
         self.next.append((act, args))
 
     def run(self) -> None:
         while self.running:
-            self.turn()
+            self.run_once()
 
-    def turn(self, longest: int = LONGEST) -> None:
+    def run_once(self, longest: int = LONGEST) -> None:
         """One round. What is ready comes before what is due: an answer that is there beats its time-out."""
         entered = self.clock()
         wait = 0 if self.next else longest
@@ -123,6 +123,6 @@
         try:
             act(*args)
         except Exception as trouble:  # one call that fails must not end all others
-            if self.trouble is None:
+            if self.on_error is None:
                 raise
-            self.trouble(trouble)
+            self.on_error(trouble)
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -8,19 +8,19 @@
 from typing import Any, Protocol, cast
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.lifecycle import Life, State
+from orchidgap.decisions.lifecycle import Lifecycle, State
 from orchidgap.decisions.records import NEVER_EXECUTED
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.client_listener import Answered, Clients
-from orchidgap.net.config import Station
+from orchidgap.net.client_listener import ClientListener, Responder
+from orchidgap.net.config import BalancerConfig
 from orchidgap.net.connection import Address, Fault, dial
-from orchidgap.net.connection_pools import Pools
+from orchidgap.net.connection_pools import ConnectionPools
 from orchidgap.net.endpoints import Entry, Place
-from orchidgap.net.event_log import Log
-from orchidgap.net.handover import Handover, Moving
+from orchidgap.net.event_log import EventLog
+from orchidgap.net.handover import Handover, MigratingRequest
 from orchidgap.net.loop import Loop, Timer
-from orchidgap.net.upstream_attempt import Attempt, Taker, loads
+from orchidgap.net.upstream_attempt import Taker, UpstreamAttempt, loads
 
 GUARD = 20_000  # the answer is out this long before the client timeout: a timer can be late
 FIRST_LIST = 1_000_000  # for discovery to tell its list before a new process serves
@@ -36,7 +36,7 @@
     "memory_mb",
     "resp",
     "admin",
-    "watched",
+    "shadow_settings",
     "control",
     "pool",
 )
@@ -85,7 +85,7 @@
         node: Node,
         id: int,
         name: bytes,
-        client: Answered,
+        client: Responder,
         head: bytes,
         body: bytes,
         left: int,
@@ -103,8 +103,8 @@
         self.name = name  # its id with the client
         node.names.add(name)
         self.over = False
-        self.giving: Attempt | None = None  # whose answer flows to the client
-        self.attempts: list[Attempt] = []
+        self.giving: UpstreamAttempt | None = None  # whose answer flows to the client
+        self.attempts: list[UpstreamAttempt] = []
         self.flow = flow  # its body, while that comes
         self.timer: Timer | None = None
         self.last_word = (
@@ -113,7 +113,7 @@
         if not flow and timed:
             # the client counts from its send, which a loop that was held up learns late
             self.due = client.came + left - min(GUARD, left // 4)
-            self.timer = node.loop.at(self.due, self.overdue)
+            self.timer = node.loop.call_at(self.due, self.overdue)
             return
         self.due = node.loop.now + UPLOAD
         if flow:
@@ -123,9 +123,9 @@
         """The last byte of a body that flows is there: from here on its time runs."""
         self.due = self.client.came + self.left - min(GUARD, self.left // 4)
         if not self.over:
-            self.timer = self.node.loop.at(self.due, self.overdue)
+            self.timer = self.node.loop.call_at(self.due, self.overdue)
             for attempt in self.attempts:
-                attempt.due = self.due
+                attempt.deadline_us = self.due
             self.node.decide(
                 self.node.balancer.on_body_complete,
                 self.id,
@@ -153,7 +153,7 @@
             if attempt.flow and not (
                 attempt.flow.whole or attempt.settled or attempt is self.giving
             ):
-                self.node.loop.soon(attempt.settle, attempt.stop("cancelled").verdict)
+                self.node.loop.call_soon(attempt.settle, attempt.stop("cancelled").verdict)
         if not self.giving:
             self.node.names.discard(self.name)
             self.node.tidy(self)
@@ -179,12 +179,12 @@
         if self.giving:
             attempt, self.giving = self.giving, None
             self.node.names.discard(self.name)
-            self.node.loop.soon(attempt.settle, attempt.stop("cancelled").verdict)
+            self.node.loop.call_soon(attempt.settle, attempt.stop("cancelled").verdict)
         if not self.over:
             self.close()
             self.node.decide(self.node.balancer.on_client_gone, self.id)
             for attempt in self.attempts if self.last_word else ():  # the decisions do not know it
-                self.node.loop.soon(attempt.settle, attempt.stop("cancelled").verdict)
+                self.node.loop.call_soon(attempt.settle, attempt.stop("cancelled").verdict)
 
     def overdue(self) -> None:
         """Its time is up: what is out has timed out, and the answer goes out now whatever comes of that."""
@@ -234,7 +234,7 @@
         self.node.names.discard(self.name)
         self.node.reqs.pop(self.id, None)
 
-    def go_on(self, attempt: Attempt, giving: bool) -> None:
+    def go_on(self, attempt: UpstreamAttempt, giving: bool) -> None:
         """It comes from elsewhere, with its dispatch, whose answer flows already or is awaited."""
         self.attempts, self.over = [attempt], giving
         self.giving = attempt if giving else None
@@ -253,16 +253,16 @@
 Dial = Callable[[Address], socket.socket | Fault]
 
 
-class Parts(Protocol):
+class ProtocolParts(Protocol):
     """One protocol, as far as the node needs it: its door, its pools, and who tells of hosts."""
 
-    def clients(self, node: Node, most: int) -> Clients: ...
+    def clients(self, node: Node, most: int) -> ClientListener: ...
 
-    def hosts(self, node: Node, most: int, dial: Dial) -> Pools[Any]: ...
+    def hosts(self, node: Node, most: int, dial: Dial) -> ConnectionPools[Any]: ...
 
     def listing(self, node: Node, dial: Dial) -> Listing: ...
 
-    def under_way(self, node: Node) -> Iterable[Moving]:
+    def under_way(self, node: Node) -> Iterable[MigratingRequest]:
         """Reqs that can go on in another process of this balancer."""
 
     def arrives(self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
@@ -277,18 +277,18 @@
     def __init__(
         self,
         loop: Loop,
-        station: Station,
-        log: Log,
-        parts: Parts,
+        station: BalancerConfig,
+        log: EventLog,
+        parts: ProtocolParts,
         dial: Dial = dial,
         decider: Callable[..., Any] = Balancer,
     ) -> None:
         self.loop, self.note = loop, log
-        self.station, self.parts = station, parts
+        self.config, self.parts = station, parts
         self.reqs: dict[int, Exchange] = {}
         self.names: set[bytes] = set()  # of reqs that are owed an answer
         self.count = 0
-        self.life = Life(loop.now, station.terms.longest_client_timeout_us)
+        self.life = Lifecycle(loop.now, station.settings.longest_client_timeout_us)
         self.descriptors = station.sockets  # that this process may hold
         self.handover = Handover(loop, self)
         self.fleet: dict[str, tuple[Entry, Place]] = {}  # the list as it was told
@@ -297,27 +297,27 @@
         self.hosts = parts.hosts(self, 8, dial)
         self.allot(station.sockets)
         self.hold = (
-            station.terms.latency_objective_us // 4
+            station.settings.latency_objective_us // 4
         )  # how long an answer of unknown length may be held
         self.balancer: Balancer = decider(
-            station.terms, self, station.seed, loop.now
+            station.settings, self, station.seed, loop.now
         )  # or what has its face
         self.registry = parts.listing(self, dial)
 
     def start(self) -> None:
-        _, _, entries, found = self.station.known
+        _, _, entries, found = self.config.known_endpoints
         self.keep(True, entries, found)
         self.decide(self.balancer.on_hosts, "recalled", entries)
         self.able()
         # what it was started with may be old, and what discovery has counts as told from the first moment
-        self.loop.later(FIRST_LIST, self.heard_enough)
+        self.loop.call_later(FIRST_LIST, self.heard_enough)
         self.registry.ask()
 
     # --- what it may hold
 
     def allot(self, descriptors: int) -> None:
         """So many for all that this process holds; whoever has come already is not thrown out for it."""
-        station, self.descriptors = self.station, descriptors
+        station, self.descriptors = self.config, descriptors
         room = max(16, descriptors - SPARE)
         memory_mb = station.memory_mb * descriptors // station.sockets
         most = min(room // 2, (memory_mb - BASE_MB) * 1024 // HELD_KB)
@@ -339,7 +339,7 @@
         return self.life.means.yes
 
     def knows(self, rule_set: str) -> bool:
-        return rule_set in self.station.terms.request_classes
+        return rule_set in self.config.settings.request_classes
 
     def holds(self, id: bytes) -> bool:
         return id in self.names or self.handover.on and self.handover.holds(id)
@@ -365,7 +365,7 @@
 
     def take(
         self,
-        caller: Answered,
+        caller: Responder,
         id: bytes,
         rule_set: str,
         left: int,
@@ -418,7 +418,7 @@
         if self.fleet and self.listed and not self.handover.waiting:
             self.pass_on("able")
 
-    def reported(self, attempt: Attempt) -> None:
+    def reported(self, attempt: UpstreamAttempt) -> None:
         """A host told of its load with an answer."""
         fields = loads(attempt.load)
         self.decide(
@@ -449,13 +449,15 @@
         exchange = self.reqs[req]
         # of a body that flows its last byte is still to come; no host is to wait for longer than the client
         due = min(exchange.due, self.loop.now + exchange.left)
-        attempt = Attempt(exchange.head, exchange.body, due, exchange, len(exchange.attempts), host)
+        attempt = UpstreamAttempt(
+            exchange.head, exchange.body, due, exchange, len(exchange.attempts), host
+        )
         attempt.flow, attempt.hold = exchange.flow, self.hold
         last = exchange.attempts[-1] if exchange.attempts else None
         attempt.asking = last is not None and last.ask and last.to == host
         exchange.attempts.append(attempt)
         if exchange.over or self.loop.now >= exchange.due:
-            return self.loop.soon(attempt.settle, "moot")
+            return self.loop.call_soon(attempt.settle, "moot")
         self.hosts.send(host, attempt)
 
     def deny(self, req: int, pause: int) -> None:
@@ -469,10 +471,10 @@
     def cancel(self, req: int, number: int) -> None:
         if req in self.reqs:
             attempt = self.reqs[req].attempts[number]
-            self.loop.soon(attempt.settle, attempt.stop("cancelled").verdict)
+            self.loop.call_soon(attempt.settle, attempt.stop("cancelled").verdict)
 
     def wake(self, delay: int, token: int) -> None:
-        self.loop.later(delay, self.woke, token)
+        self.loop.call_later(delay, self.woke, token)
 
     def woke(self, token: int) -> None:
         self.decide(self.balancer.on_wake, token)
@@ -506,22 +508,24 @@
         self.pass_on("resume")
         return may, self.life.state.value
 
-    def adopt(self, station: Station) -> None:
+    def adopt(self, station: BalancerConfig) -> None:
         """New terms count for reqs from now on; what cannot change while it runs waits for the next start."""
-        old = self.station
+        old = self.config
         later = [name for name in AT_NEXT_START if getattr(station, name) != getattr(old, name)]
-        terms = station.terms.keeping_startup_settings(old.terms)
+        terms = station.settings.keeping_startup_settings(old.settings)
         later += [
-            name for name in terms._fields if getattr(terms, name) != getattr(station.terms, name)
+            name
+            for name in terms._fields
+            if getattr(terms, name) != getattr(station.settings, name)
         ]
-        self.station = station._replace(
-            terms=terms, **{name: getattr(old, name) for name in AT_NEXT_START}
+        self.config = station._replace(
+            settings=terms, **{name: getattr(old, name) for name in AT_NEXT_START}
         )
         self.hold = terms.latency_objective_us // 4
         self.life.bound(terms.longest_client_timeout_us)
-        if terms != old.terms:
+        if terms != old.settings:
             self.decide(self.balancer.on_settings, terms)
-        self.hosts.bound(station.connect_within, station.idle_for)
+        self.hosts.bound(station.connect_timeout_us, station.idle_timeout_us)
         self.note(
             "terms read",
             discovery=station.discovery,
@@ -570,7 +574,7 @@
             now, len(self.clients.open), any(exchange.giving for exchange in self.reqs.values())
         ):
             return self.end()
-        self.loop.later(TICK, self.attend, change)
+        self.loop.call_later(TICK, self.attend, change)
 
     def end(self) -> None:
         self.note(
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -16,12 +16,12 @@
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net import config
 from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import text_of
-from orchidgap.net.event_log import Log
+from orchidgap.net.endpoints import format_address
+from orchidgap.net.event_log import EventLog
 from orchidgap.net.handover import Handover, inherited
 from orchidgap.net.loop import Loop
-from orchidgap.net.node import Node, Parts
-from orchidgap.net.signals import heed
+from orchidgap.net.node import Node, ProtocolParts
+from orchidgap.net.signals import watch_signals
 
 BIND_FOR = 10.0  # seconds: a forerunner that was killed may still hold the address
 
@@ -36,20 +36,20 @@
 
 def serve(
     path: str | None,
-    parts: Callable[[config.Station], Parts],
+    parts: Callable[[config.BalancerConfig], ProtocolParts],
     decider: Callable[..., Any] = Balancer,
     held: Callable[..., tuple[Node, Held]] | None = None,
     talk: Callable[..., Any] | None = None,
 ) -> None:
     """Takes the configuration's path, what is spoken, what decides, who makes a node that control holds, and
-    who talks to other balancers; ends when told to. Raises BadStart."""
+    who talks to other balancers; ends when told to. Raises ConfigError."""
     # until it is heeded: its default would end the process, and it may tell of a file newer than what is read
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
     station = config.read(path)
-    log = Log(station.name)
+    log = EventLog(station.name)
     loop = Loop(trouble=log.trouble)
-    if station.watched:
-        decider = partial(ShadowBalancer, station.watched)
+    if station.shadow_settings:
+        decider = partial(ShadowBalancer, station.shadow_settings)
     holder: Held | None = None
     if station.control and held:
         node, holder = held(path, loop, station, log, parts(station), decider=decider)
@@ -78,9 +78,9 @@
             listen(node.clients.listen, station.listen)
         log(
             "listening",
-            listen=text_of(station.listen),
-            operators=station.admin and text_of(station.admin),
-            hosts=len(station.known[3]),
+            listen=format_address(station.listen),
+            operators=station.admin and format_address(station.admin),
+            hosts=len(station.known_endpoints[3]),
             clients=node.clients.most,
             links=node.hosts.most,
         )
@@ -100,15 +100,15 @@
 
 
 def listen(at: Callable[[Address], None], address: Address) -> None:
-    """Raises BadStart where the address cannot be had in time."""
+    """Raises ConfigError where the address cannot be had in time."""
     until = time.monotonic() + BIND_FOR
     while True:
         try:
             return at(address)
         except OSError as trouble:
             if trouble.errno != errno.EADDRINUSE or time.monotonic() > until:
-                raise config.BadStart(
-                    f"cannot listen on {text_of(address)}: {trouble.strerror}"
+                raise config.ConfigError(
+                    f"cannot listen on {format_address(address)}: {trouble.strerror}"
                 ) from None
             time.sleep(0.05)
 
@@ -122,12 +122,12 @@
         if signal.SIGTERM in told or signal.SIGINT in told:
             node.leave()
 
-    return heed(loop, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT), heard)
+    return watch_signals(loop, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT), heard)
 
 
 def read_anew(node: Node, path: str | None) -> None:
     """A file that cannot be used, or is only half there, must not cost what is known."""
     try:
-        node.adopt(config.read(path, node.station, node.settings))
-    except config.BadStart as trouble:
+        node.adopt(config.read(path, node.config, node.settings))
+    except config.ConfigError as trouble:
         node.note("terms kept", why=str(trouble))
--- a/orchidgap/net/signals.py
+++ b/orchidgap/net/signals.py
@@ -9,7 +9,7 @@
 from orchidgap.net.loop import READ, Loop
 
 
-def heed(
+def watch_signals(
     loop: Loop, numbers: Iterable[signal.Signals], heard: Callable[[bytes], None]
 ) -> socket.socket:
     """`heard` is called by the loop with the number of each signal, in the order they came, as long as the
--- a/orchidgap/net/upstream_attempt.py
+++ b/orchidgap/net/upstream_attempt.py
@@ -31,7 +31,7 @@
 class Carrier(Protocol):
     """A connection to a host that carries dispatches."""
 
-    def drop(self, attempt: Attempt) -> Reach:
+    def drop(self, attempt: UpstreamAttempt) -> Reach:
         """Carry it no further; how far it came."""
 
 
@@ -62,14 +62,14 @@
         """Who takes its answer, which flows; None: nobody wants it any more."""
 
 
-class Attempt:
+class UpstreamAttempt:
     """One attempt on the network. Exactly one thing comes of it."""
 
     __slots__ = (
         "ask",
         "asking",
         "body",
-        "due",
+        "deadline_us",
         "flow",
         "head",
         "hold",
@@ -86,7 +86,13 @@
     def __init__(
         self, head: bytes, body: bytes, due: int, sender: Sender, number: int = 0, host: str = ""
     ) -> None:
-        self.head, self.body, self.due, self.sender, self.number = head, body, due, sender, number
+        self.head, self.body, self.deadline_us, self.sender, self.number = (
+            head,
+            body,
+            due,
+            sender,
+            number,
+        )
         self.host = host  # the id of where it goes
         self.flow: Upload | None = None  # its body, where that is not kept whole
         self.hold = 0  # how long an answer of unknown length may be held
--- a/orchidgap/parts.py
+++ b/orchidgap/parts.py
@@ -6,12 +6,12 @@
 
 from orchidgap.http1 import Http1
 from orchidgap.net import config
-from orchidgap.net.node import Node, Parts
+from orchidgap.net.node import Node, ProtocolParts
 from orchidgap.net.server import Held
 
 
-def parts_of(station: config.Station) -> Parts:
-    """What the program speaks: RESP where the configuration has a part for it, else HTTP. Raises BadStart."""
+def parts_of(station: config.BalancerConfig) -> ProtocolParts:
+    """What the program speaks: RESP where the configuration has a part for it, else HTTP. Raises ConfigError."""
     if station.resp is None:
         return Http1()
     from orchidgap.resp import Resp
@@ -19,7 +19,7 @@
     try:
         return Resp(station.resp, station.name, station.listen)
     except (ValueError, TypeError, OSError) as trouble:
-        raise config.BadStart(f"resp: {trouble}") from None
+        raise config.ConfigError(f"resp: {trouble}") from None
 
 
 def held_of(*told: Any, **named: Any) -> tuple[Node, Held]:
--- a/orchidgap/peers/gossip_transport.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -20,10 +20,10 @@
 import orjson
 
 from orchidgap.decisions.gossip_counts import MOST_KEYS, Pool, Row
-from orchidgap.net.config import BadStart, Station
+from orchidgap.net.config import BalancerConfig, ConfigError
 from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import text_of
-from orchidgap.net.event_log import Log
+from orchidgap.net.endpoints import format_address
+from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ, Loop
 from orchidgap.net.node import Node
 
@@ -87,7 +87,7 @@
         self,
         loop: Loop,
         node: Node,
-        log: Log,
+        log: EventLog,
         name: str,
         part: Mapping[str, Any],
         seed: int,
@@ -102,7 +102,7 @@
         self.alone, self.second, self.read, self.said_at = True, 0, 0, loop.now
         self.sock: socket.socket | None = None
         self.send = send or self.put
-        loop.later(self.rng.randrange(BEAT), self.beat)
+        loop.call_later(self.rng.randrange(BEAT), self.beat)
 
     def listen(self, address: Address, shared: bool = False) -> None:
         """`shared` with the process of this balancer that it takes the place of. Raises OSError."""
@@ -135,7 +135,7 @@
                 self.counts["unsent" if trouble.errno != errno.ECONNREFUSED else "refused"] += 1
 
     def beat(self) -> None:
-        self.loop.later(self.rng.randrange(BEAT // 2, BEAT * 3 // 2), self.beat)
+        self.loop.call_later(self.rng.randrange(BEAT // 2, BEAT * 3 // 2), self.beat)
         now = self.loop.now
         self.node.decide(self.look, now)
         if self.peers:
@@ -218,7 +218,7 @@
             if self.read >= MOST:
                 # a flood must not cost the clients' time: until the next second nobody is listened to
                 self.loop.unwatch(self.sock)
-                self.loop.at((second + 1) * SECOND, self.again)
+                self.loop.call_at((second + 1) * SECOND, self.again)
                 self.counts["rested"] += 1
                 return
             try:
@@ -260,14 +260,14 @@
             self.counts["odd"] += 1
 
 
-def talk_of(loop: Loop, node: Node, log: Log, station: Station) -> Talk:
-    """Raises BadStart where the address cannot be had."""
+def talk_of(loop: Loop, node: Node, log: EventLog, station: BalancerConfig) -> Talk:
+    """Raises ConfigError where the address cannot be had."""
     assert station.pool
     talk = Talk(loop, node, log, station.name, station.pool, station.seed)
     try:
         talk.listen(station.pool["listen"], "GW_PASSED_SOCKET" in os.environ)
     except OSError as trouble:
-        raise BadStart(
-            f"cannot hear at {text_of(station.pool['listen'])}: {trouble.strerror}"
+        raise ConfigError(
+            f"cannot hear at {format_address(station.pool['listen'])}: {trouble.strerror}"
         ) from None
     return talk
--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from orchidgap.decisions.slot_map import SlotMap
-from orchidgap.net.client_listener import Clients
+from orchidgap.net.client_listener import ClientListener
 from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import address_of
-from orchidgap.net.handover import Moving
+from orchidgap.net.endpoints import parse_address
+from orchidgap.net.handover import MigratingRequest
 from orchidgap.net.node import Dial, Node
 from orchidgap.resp.commands import Command
 from orchidgap.resp.front import RespCaller
@@ -55,7 +55,7 @@
     """
 
     def __init__(self, told: Mapping[str, Any], name: str, listen: Address) -> None:
-        self.seeds = [address_of(str(text)) for text in told.get("seeds", [])]
+        self.seeds = [parse_address(str(text)) for text in told.get("seeds", [])]
         self.secret = tuple(str(word).encode() for word in told.get("secret", ()))
         self.sets = (str(told.get("read", "read")), str(told.get("write", "write")))
         self.left = round(float(told.get("timeout-ms", 1_000)) * 1_000)
@@ -63,7 +63,7 @@
         self.open = not self.users
         if self.open:
             self.users[b"default"] = ("", str(told.get("tenant", "")))
-        self.shown = address_of(str(told["shown"])) if told.get("shown") else listen
+        self.shown = parse_address(str(told["shown"])) if told.get("shown") else listen
         self.me = sha1(name.encode()).hexdigest().encode()
         self.count = 0
         self.mapper: Mapper | None = None
@@ -72,24 +72,24 @@
         """The rule set of a command, and how long its client waits."""
         return self.sets[command.write], self.left
 
-    def clients(self, node: Node, most: int) -> Clients:
-        def make(clients: Clients, sock: socket.socket) -> RespCaller:
+    def clients(self, node: Node, most: int) -> ClientListener:
+        def make(clients: ClientListener, sock: socket.socket) -> RespCaller:
             return RespCaller(clients, sock, self)
 
-        return Clients(node.loop, node, most, make)
+        return ClientListener(node.loop, node, most, make)
 
     def hosts(self, node: Node, most: int, dial: Dial) -> Hosts:
         return Hosts(
             node.loop,
             most,
-            node.station.connect_within,
+            node.config.connect_timeout_us,
             self.secret,
             dial,
             self.redirected,
             self.doubted,
         )
 
-    def under_way(self, node: Node) -> list[Moving]:
+    def under_way(self, node: Node) -> list[MigratingRequest]:
         """Where their links stand cannot be told in a few words: clients are let go with their answers."""
         return []
 
--- a/orchidgap/resp/front.py
+++ b/orchidgap/resp/front.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from orchidgap.decisions.slot_map import SPACE, tag
-from orchidgap.net.client_listener import Asked, Caller, Clients
+from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
 from orchidgap.resp import codec
 from orchidgap.resp.commands import COMMANDS, REFUSED, Command, fits, keys
 
@@ -42,7 +42,7 @@
 
     def __init__(self, caller: RespCaller, whole: Joined | None = None) -> None:
         self.caller, self.whole = caller, whole
-        self.asked: Asked | None = None
+        self.asked: PendingRequest | None = None
         self.bytes: bytes | None = None
         self.came = caller.conn.came
         self.slot, self.write = -1, False
@@ -144,7 +144,7 @@
     return text
 
 
-class RespCaller(Caller):
+class RespCaller(ClientConnection):
     """One connection from a client."""
 
     __slots__ = (
@@ -161,7 +161,7 @@
         "waiting",
     )
 
-    def __init__(self, clients: Clients, sock: socket.socket, parts: Resp) -> None:
+    def __init__(self, clients: ClientListener, sock: socket.socket, parts: Resp) -> None:
         self.parts, self.reader = parts, codec.Reader()
         self.waiting: deque[Answer] = deque()
         self.busy: dict[
@@ -216,7 +216,7 @@
                 len(self.conn.out) > MOST_HELD
             ):  # it does not read: look again, as nobody tells when it does
                 self.conn.hold(True)
-                self.clients.loop.later(LOOK_AGAIN, self.look)
+                self.clients.loop.call_later(LOOK_AGAIN, self.look)
                 return
             if len(self.waiting) >= MOST_WAITING or len(self.waiting) * self.large > MOST_HELD:
                 return self.conn.hold(True)
@@ -260,7 +260,7 @@
             and not self.conn.closing
             and (self.conn.holds or not self.waiting)
         ):
-            self.clients.loop.soon(self.go_on)
+            self.clients.loop.call_soon(self.go_on)
 
     # --- commands
 
@@ -345,7 +345,7 @@
         if not line:
             self.busy.pop(answer.slot, None)
         else:
-            self.clients.loop.soon(self.release, answer.slot)
+            self.clients.loop.call_soon(self.release, answer.slot)
 
     def release(self, slot: int) -> None:
         for answer in list(self.busy.get(slot, ())):
@@ -513,7 +513,7 @@
         return b"+RESET\r\n"
 
     def quit(self, words: list[bytes]) -> bytes:
-        self.clients.loop.soon(self.part)
+        self.clients.loop.call_soon(self.part)
         return OK
 
 
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -8,7 +8,7 @@
 from orchidgap.decisions.slot_map import Range, SlotMap
 from orchidgap.http1.discovery import Registry
 from orchidgap.net.connection import Address, Connection, Fault
-from orchidgap.net.endpoints import Entry, Place, address_of, text_of
+from orchidgap.net.endpoints import Entry, Place, format_address, parse_address
 from orchidgap.net.loop import Timer
 from orchidgap.resp import codec
 
@@ -51,7 +51,7 @@
             ):
                 name = f"{node[0].decode(errors='replace')}:{node[1]}"
                 try:
-                    address_of(name)
+                    parse_address(name)
                 except ValueError:
                     continue  # a name would be looked up; an empty one says nothing
                 nodes.append(name)
@@ -79,7 +79,7 @@
             dial,
             node.loop,
         )
-        self.seeds = {text_of(address): address for address in seeds}
+        self.seeds = {format_address(address): address for address in seeds}
         self.nodes = dict(self.seeds)
         self.states: dict[Address, str] = {}  # what discovery says, where there is one
         self.told: dict[str, str] = {}  # what the decisions were told last
@@ -88,11 +88,11 @@
         self.reader = codec.Reader(MOST_MAP)
         self.timer: Timer | None = None
         self.registry: Registry | None = None
-        if node.station.discovery[1]:
+        if node.config.discovery[1]:
             self.registry = Registry(
-                node.loop, node.station.discovery, node.balancer.rng, self.heard, node.note, dial
+                node.loop, node.config.discovery, node.balancer.rng, self.heard, node.note, dial
             )
-        self.loop.later(TICK, self.tick)
+        self.loop.call_later(TICK, self.tick)
 
     def ask(self) -> None:
         if self.registry:
@@ -112,7 +112,7 @@
             self.states[address] = state
         for entry, (_, state, address) in zip(entries, found):
             if state == "up" and entry[4] != "origin" and address[1]:
-                self.nodes.setdefault(text_of(address), address)
+                self.nodes.setdefault(format_address(address), address)
         self.tell()
 
     def tell(self) -> None:
@@ -133,7 +133,7 @@
         )
 
     def redirected(self, to: Redirect) -> None:
-        name = text_of(to.address)
+        name = format_address(to.address)
         if name not in self.nodes:
             self.nodes[name] = to.address
             self.tell()
@@ -147,7 +147,7 @@
 
     def tick(self) -> None:
         self.look()
-        self.loop.later(TICK, self.tick)
+        self.loop.call_later(TICK, self.tick)
 
     def look(self) -> None:
         if self.conn is None and self.nodes and self.slots.ask_now(self.loop.now):
@@ -161,7 +161,7 @@
                 return self.slots.lost(self.loop.now)
             self.reader = codec.Reader(MOST_MAP)
             self.conn = Connection(self.loop, came, self, opening=True)
-            self.timer = self.loop.later(WITHIN, self.ended, "silence")
+            self.timer = self.loop.call_later(WITHIN, self.ended, "silence")
             if self.secret:
                 self.conn.send(codec.command(b"AUTH", *self.secret))
             self.conn.send(ASK)
@@ -193,7 +193,7 @@
             for name, address in self.seeds.items()
             if self.states.get(address) == "up"
         }
-        self.nodes = {name: address_of(name) for name in names} | kept
+        self.nodes = {name: parse_address(name) for name in names} | kept
         if (left := self.slots.holes()) != holes or failed or self.slots.clashes:
             owners = len({entry.owner for entry in ranges})
             self.node.note("slots", owners=owners, holes=left, clashes=self.slots.clashes)
--- a/orchidgap/resp/upstream.py
+++ b/orchidgap/resp/upstream.py
@@ -9,9 +9,9 @@
 
 from orchidgap.net import connection_pools
 from orchidgap.net.connection import Address, Connection, Fault, Reach, broken
-from orchidgap.net.endpoints import address_of, text_of
+from orchidgap.net.endpoints import format_address, parse_address
 from orchidgap.net.loop import Loop, Timer
-from orchidgap.net.upstream_attempt import Attempt
+from orchidgap.net.upstream_attempt import UpstreamAttempt
 from orchidgap.resp import codec
 
 LINKS = 2  # to one host; a command goes on the one with fewer under way
@@ -42,7 +42,7 @@
     if slot is None or not 0 <= slot < 1 << 14:
         return None
     try:
-        return Redirect(slot, address_of(parts[2].decode()), parts[0] == b"ASK")
+        return Redirect(slot, parse_address(parts[2].decode()), parts[0] == b"ASK")
     except (ValueError, UnicodeDecodeError):
         return None
 
@@ -52,7 +52,7 @@
 
     __slots__ = ("attempt", "ends", "starts")
 
-    def __init__(self, attempt: Attempt | None, starts: int, ends: int) -> None:
+    def __init__(self, attempt: UpstreamAttempt | None, starts: int, ends: int) -> None:
         self.attempt, self.starts, self.ends = attempt, starts, ends
 
 
@@ -68,13 +68,13 @@
         hosts = pool.hosts
         self.heard_at = hosts.loop.now
         self.conn = Connection(hosts.loop, sock, self, opening=True)
-        self.timer: Timer | None = hosts.loop.later(
+        self.timer: Timer | None = hosts.loop.call_later(
             hosts.connect_within, self.ended, "never came up"
         )
         if hosts.secret:
             self.write(None, codec.command(b"AUTH", *hosts.secret))
 
-    def write(self, attempt: Attempt | None, *parts: bytes) -> None:
+    def write(self, attempt: UpstreamAttempt | None, *parts: bytes) -> None:
         size = sum(map(len, parts))
         if not self.dues:
             self.heard_at = self.pool.hosts.loop.now
@@ -82,16 +82,16 @@
         self.written += size
         self.conn.send(*parts)
 
-    def carry(self, attempt: Attempt) -> None:
+    def carry(self, attempt: UpstreamAttempt) -> None:
         attempt.link = self
         if attempt.asking:  # on the same link, with nothing in between
             self.write(None, ASKING)
         if self.conn.open:
             self.write(attempt, attempt.head)
         else:
-            self.pool.hosts.loop.soon(attempt.settle, Fault(Reach.UNSENT, "broken").verdict)
+            self.pool.hosts.loop.call_soon(attempt.settle, Fault(Reach.UNSENT, "broken").verdict)
 
-    def drop(self, attempt: Attempt) -> Reach:
+    def drop(self, attempt: UpstreamAttempt) -> Reach:
         """Its answer, should it come, belongs to nobody; the others on this link go on."""
         for due in self.dues:
             if due.attempt is attempt:
@@ -141,11 +141,11 @@
         if self.reader.broken:
             self.ended("no proper answer")
 
-    def told(self, attempt: Attempt, text: bytes) -> None:
+    def told(self, attempt: UpstreamAttempt, text: bytes) -> None:
         hosts = self.pool.hosts
         if sent_on := redirect(text):
             hosts.redirected(sent_on)
-            attempt.to, attempt.ask = text_of(sent_on.address), sent_on.ask
+            attempt.to, attempt.ask = format_address(sent_on.address), sent_on.ask
             return attempt.settle("moved", text)
         if text.startswith(NOT_NOW):
             hosts.doubted()
@@ -164,7 +164,7 @@
         self.pool.hosts.doubted()
         for attempt, fault in faults:
             if attempt:
-                self.pool.hosts.loop.soon(attempt.settle, fault.verdict)
+                self.pool.hosts.loop.call_soon(attempt.settle, fault.verdict)
 
     def close(self) -> None:
         if self.timer:
@@ -174,18 +174,18 @@
         self.pool.forget(self)
 
 
-class Pool(connection_pools.Pool[Link]):
+class Pool(connection_pools.ConnectionPool[Link]):
     """The links to one host, many commands on each."""
 
     hosts: Hosts
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         link = min(self.links, key=lambda at: len(at.dues), default=None)
         if link is None or link.dues and len(self.links) < LINKS:
             came = self.hosts.dial(self.address)
             if isinstance(came, Fault):
                 if link is None:
-                    return self.hosts.loop.soon(attempt.settle, came.verdict)
+                    return self.hosts.loop.call_soon(attempt.settle, came.verdict)
             else:
                 link = Link(self, came)
                 self.add(link)
@@ -199,7 +199,7 @@
                 link.ended("host drains")
 
 
-class Hosts(connection_pools.Pools[Pool]):
+class Hosts(connection_pools.ConnectionPools[Pool]):
     """The id of a host is its address as text."""
 
     def __init__(
--- a/orchidgap/state/background_writer.py
+++ b/orchidgap/state/background_writer.py
@@ -9,17 +9,17 @@
 from itertools import pairwise
 
 from orchidgap.net.loop import READ, Loop
-from orchidgap.state.durable_store import Files
+from orchidgap.state.durable_store import DurableStore
 
 Done = Callable[[str], None]  # told why it failed, in plain words; nothing where it is durable
 ENDED = "whoever wrote it has ended"
 
 
-class Beside:
+class BackgroundWriter:
     """One write at a time. What waits behind it is of each name only the latest: a disk that stands still
     must not have writes pile up."""
 
-    def __init__(self, loop: Loop, files: Files) -> None:
+    def __init__(self, loop: Loop, files: DurableStore) -> None:
         self.loop, self.files = loop, files
         self.waiting: dict[str, tuple[object, Done]] = {}
         self.busy = False
@@ -30,7 +30,7 @@
         self.waiting[name] = content, done
         if not self.busy:
             self.busy = True
-            self.loop.soon(self.begin)
+            self.loop.call_soon(self.begin)
 
     def begin(self) -> None:
         if not self.waiting:
@@ -44,7 +44,7 @@
         except OSError as trouble:
             ear.close()
             mouth.close()
-            self.loop.soon(self.begin)
+            self.loop.call_soon(self.begin)
             return done(trouble.strerror or ENDED)
         if child == 0:
             self.write(mouth.fileno(), name, content)
@@ -76,5 +76,5 @@
         self.loop.unwatch(ear)
         ear.close()
         os.waitpid(child, 0)
-        self.loop.soon(self.begin)
+        self.loop.call_soon(self.begin)
         done("" if said == b"done" else said.decode() or ENDED)
--- a/orchidgap/state/durable_store.py
+++ b/orchidgap/state/durable_store.py
@@ -19,11 +19,11 @@
 MOST = 1 << 22  # bytes of a file
 
 
-class Damaged(Exception):
+class CorruptFileError(Exception):
     """The file is there and cannot be what was written."""
 
 
-class Files:
+class DurableStore:
     """One process's folder. Every method raises OSError where the disk fails. Each step of a
     write is a method, for whoever has to see that a failing disk is borne."""
 
@@ -74,7 +74,7 @@
             return None
         head, _, body = text.partition(b"\n")
         if head != MARK + blake2b(body, digest_size=16).hexdigest().encode():
-            raise Damaged(f"{self.folder / name} is damaged or cut off")
+            raise CorruptFileError(f"{self.folder / name} is damaged or cut off")
         found: object = orjson.loads(body)
         return found
 
--- a/orchidgap/trial/callers.py
+++ b/orchidgap/trial/callers.py
@@ -78,7 +78,7 @@
             if last:
                 break
             if self.pace:
-                self.callers.loop.later(len(piece) * 1_000_000 // self.pace, self.more)
+                self.callers.loop.call_later(len(piece) * 1_000_000 // self.pace, self.more)
                 return
         if not self.left and not self.conn.out and self.ask and not self.ask.came:
             self.conn.drained = None
@@ -97,7 +97,7 @@
             ask.came, ask.due = now, now + millis(ask.op.work.timeout_ms)
             ask.most = self.callers.scene.most_of(now)
             self.callers.scene.referee.taken(ask)
-            self.callers.loop.later(ask.due - now + LATE_BY, self.callers.overdue, self, ask)
+            self.callers.loop.call_later(ask.due - now + LATE_BY, self.callers.overdue, self, ask)
 
     def received(self, view: memoryview) -> None:
         reader = self.reader
@@ -112,7 +112,7 @@
             self.written()
         if self.pace and not reader.message.whole:
             self.conn.hold(True)
-            self.callers.loop.later(len(view) * 1_000_000 // self.pace, self.conn.hold, False)
+            self.callers.loop.call_later(len(view) * 1_000_000 // self.pace, self.conn.hold, False)
         if reader.message.whole:
             ask, self.ask = self.ask, None
             if reader.message.size > SMALL:
@@ -130,7 +130,7 @@
                 self.callers.idle[self.post].append(self)
             else:
                 self.conn.finish()
-            self.callers.loop.later(
+            self.callers.loop.call_later(
                 self.callers.scene.client_way(), self.callers.heard, ask, status, pause
             )
         elif reader.message.trouble:
@@ -224,7 +224,7 @@
     def arrive(self) -> None:
         if self.loop.now >= self.end:
             return
-        self.loop.later(max(1, round(self.rng.expovariate(self.rate()) * 1e6)), self.arrive)
+        self.loop.call_later(max(1, round(self.rng.expovariate(self.rate()) * 1e6)), self.arrive)
         op = self.draw()
         self.scene.referee.ops.append(op)
         self.attempt(op)
@@ -296,7 +296,7 @@
         self.asked += 1
         id = b"q%x" % self.asked
         ask = Ask(id, op, post, self.scene.life_of(post), 0, 0)
-        self.loop.later(self.scene.client_way(), self.send, ask, self.message(ask, op), post)
+        self.loop.call_later(self.scene.client_way(), self.send, ask, self.message(ask, op), post)
 
     def message(self, ask: Ask, op: Op) -> tuple[bytes, ...]:
         work, body = op.work, b""
@@ -340,7 +340,7 @@
             return self.refused(ask, post)
         CallerLink(self, post, came, not self.scene.ground.virtual).carry(ask, message)
         if self.plan.callers.impatient and self.rng.random() < self.plan.callers.impatient:
-            self.loop.later(
+            self.loop.call_later(
                 self.rng.randrange(1, millis(ask.op.work.timeout_ms)), self.hang_up, ask
             )
 
@@ -377,7 +377,7 @@
             op.work.window_ms
         ):
             return  # a repeat would no longer be known as one
-        self.loop.later(round(wait), self.attempt, op)
+        self.loop.call_later(round(wait), self.attempt, op)
 
 
 RUDE = (
@@ -415,8 +415,8 @@
                 self.conn.send(text[at : at + 4_096])
         if leaves:
             self.over = True
-            callers.loop.later(20_000, self.conn.close)
-        callers.loop.later(OWED, self.due)
+            callers.loop.call_later(20_000, self.conn.close)
+        callers.loop.call_later(OWED, self.due)
 
     def opened(self) -> None:
         pass
@@ -449,4 +449,4 @@
         came = scene.ground.dial(scene.address_of(post))
         if not isinstance(came, Fault):
             RudeLink(callers, came, rng.choice(RUDE), rng.random() < 0.2, not scene.ground.virtual)
-    callers.loop.later(max(1, round(rng.expovariate(1.0) * each)), rude, callers, until, each)
+    callers.loop.call_later(max(1, round(rng.expovariate(1.0) * each)), rude, callers, until, each)
--- a/orchidgap/trial/fabric.py
+++ b/orchidgap/trial/fabric.py
@@ -56,13 +56,13 @@
     """A loop on a clock that only goes on when nothing is left to be done.
 
     >>> world = World(); start = world.now
-    >>> _ = world.later(3_000_000, lambda: print("due", world.now - start))
+    >>> _ = world.call_later(3_000_000, lambda: print("due", world.now - start))
     >>> world.run_until(start + 4_000_000)
     due 3000000
     >>> world.now - start
     4000000
     >>> def again():
-    ...     world.soon(again)
+    ...     world.call_soon(again)
     >>> again(); world.run_until(world.now + 1)
     Traceback (most recent call last):
         ...
@@ -76,7 +76,7 @@
         self.selector: selectors.DefaultSelector = Ordered()  # type: ignore[assignment]  # epoll, as on Linux
         self.still = 0
 
-    def turn(self, longest: int = LONGEST) -> None:
+    def run_once(self, longest: int = LONGEST) -> None:
         self.now = self.looked = self.since = self.time
         worked = False
         for key, mask in self.selector.select(0):
@@ -106,7 +106,7 @@
     def run_until(self, end: int) -> None:
         """End is in microseconds of this clock; all that is due before it has happened when this returns."""
         while self.time < end:
-            self.turn(end - self.time)
+            self.run_once(end - self.time)
         self.now = self.time
 
 
@@ -127,7 +127,7 @@
 
     def wake(self) -> None:
         if self.act and self.waiting:
-            self.loop.soon(self.act, READ)
+            self.loop.call_soon(self.act, READ)
 
     def accept(self) -> tuple[socket.socket, Any]:
         if not self.waiting:
@@ -170,7 +170,7 @@
     """One balancer's part of the world's loop: its own sockets and timers, that end with it."""
 
     def __init__(self, world: World, trouble: Callable[[Exception], None]) -> None:
-        self.world, self.trouble = world, trouble
+        self.world, self.on_error = world, trouble
         self.clock = world.clock
         self.buffer = world.buffer
         self.now = self.looked = self.since = world.time
@@ -183,7 +183,7 @@
     def enter(self, act: Callable[..., None], *args: Any) -> None:
         if not self.dead:
             if self.stands_until > self.world.time:
-                self.world.at(self.stands_until, self.enter, act, *args)
+                self.world.call_at(self.stands_until, self.enter, act, *args)
                 return
             self.now, self.looked = self.world.time, self.world.time
             self.since = min(self.world.time, self.stands_until or self.world.time)
@@ -192,17 +192,17 @@
     def fire(self, timer: Timer) -> None:
         if timer.act is not None:
             if self.stands_until > self.world.time:
-                self.world.at(self.stands_until, self.fire, timer)
+                self.world.call_at(self.stands_until, self.fire, timer)
                 return
             self.enter(timer.act, *timer.args)
 
-    def at(self, when: int, act: Callable[..., None], *args: Any) -> Timer:
+    def call_at(self, when: int, act: Callable[..., None], *args: Any) -> Timer:
         timer = Timer(act, args)
-        self.world.at(when, self.fire, timer)
+        self.world.call_at(when, self.fire, timer)
         return timer
 
-    def soon(self, act: Callable[..., None], *args: Any) -> None:
-        self.world.soon(self.enter, act, *args)
+    def call_soon(self, act: Callable[..., None], *args: Any) -> None:
+        self.world.call_soon(self.enter, act, *args)
 
     def watch(self, sock: Any, mask: int, act: Callable[[int], None], first: bool = False) -> None:
         self.socks[sock] = (mask, act)
@@ -214,7 +214,7 @@
             return
         if when > self.world.time:
             self.opening[sock] = None
-            self.world.at(when, self.come_up, sock)
+            self.world.call_at(when, self.come_up, sock)
             return
         if self.stands_until <= self.world.time:
             self.world.watch(sock, mask, lambda ready: self.enter(act, ready))
@@ -247,7 +247,7 @@
         ]
         for sock in there:
             self.world.unwatch(sock)
-        self.world.at(until, self.go_on, there)
+        self.world.call_at(until, self.go_on, there)
 
     def go_on(self, there: list[socket.socket]) -> None:
         for sock in there if not self.dead else ():
@@ -308,7 +308,7 @@
         near, far = pair()
         if self.silent.get(address) or self.cut.get((who, address)):
             share.opening[near] = None
-            self.loop.later(60_000_000, far.close)
+            self.loop.call_later(60_000_000, far.close)
             return near
         up = self.loop.time + max(1, self.round_trip(who, address))
         share.opening[near] = up
@@ -316,9 +316,11 @@
         door = self.doors.get(address)
         if door is None or isinstance(door, Queue):
             near.send(b"?")
-            self.loop.at(up - 1, far.close)  # on unread bytes: the near end is told of an error
+            self.loop.call_at(
+                up - 1, far.close
+            )  # on unread bytes: the near end is told of an error
         else:
-            self.loop.at(up - 1, self.enter, address, far, who)
+            self.loop.call_at(up - 1, self.enter, address, far, who)
         return near
 
     def reset(self, far: socket.socket) -> None:
--- a/orchidgap/trial/listing.py
+++ b/orchidgap/trial/listing.py
@@ -61,13 +61,17 @@
             self.scene.referee.event(self.loop.now, f"list: {id} {health}")
             for agent in self.agents.values():
                 agent.stir()
-                self.loop.later(PRESUMED, agent.presume, self.seq)
+                self.loop.call_later(PRESUMED, agent.presume, self.seq)
 
     def put_later(self, id: str, health: str, seconds: float) -> None:
-        self.loop.later(micros(seconds * self.scene.rng.uniform(0.7, 1.3)), self.put, id, health)
+        self.loop.call_later(
+            micros(seconds * self.scene.rng.uniform(0.7, 1.3)), self.put, id, health
+        )
 
     def gone_later(self, id: str, seconds: float) -> None:
-        self.loop.later(micros(seconds * self.scene.rng.uniform(0.7, 1.3)), self.gone_if_so, id)
+        self.loop.call_later(
+            micros(seconds * self.scene.rng.uniform(0.7, 1.3)), self.gone_if_so, id
+        )
 
     def gone_if_so(self, id: str) -> None:
         store = self.scene.stores[id]
@@ -125,7 +129,7 @@
         if self.gone or self.frozen:
             return
         if self.late:
-            self.loop.later(self.late, self.wake)
+            self.loop.call_later(self.late, self.wake)
         else:
             self.wake()
 
@@ -138,7 +142,7 @@
         if not gone:  # what was asked while it was silent
             self.wake()
         if not (gone or late or frozen):
-            self.loop.later(PRESUMED, self.presume, self.listing.seq)
+            self.loop.call_later(PRESUMED, self.presume, self.listing.seq)
 
     def presume(self, seq: int) -> None:
         """Who does not ask counts as told, or not asking would be the way to keep the drain rule."""
@@ -192,7 +196,7 @@
         self.after = int(query["after"][0]) if "after" in query else None
         wait = int(query.get("wait_ms", ["0"])[0]) * 1000
         self.pending, self.waits_until = True, self.agent.loop.now + wait
-        self.agent.loop.later(wait, self.due, self.waits_until)
+        self.agent.loop.call_later(wait, self.due, self.waits_until)
         self.wake()
 
     def due(self, until: int) -> None:
--- a/orchidgap/trial/operators.py
+++ b/orchidgap/trial/operators.py
@@ -33,7 +33,7 @@
         self.front, self.post, self.reader, self.over = front, post, http.AnswerReader(), False
         self.conn = Connection(front.scene.loop, sock, self, opening=opening)
         self.conn.send(b"GET /up HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")
-        front.scene.loop.later(ANSWER_WITHIN, self.late)
+        front.scene.loop.call_later(ANSWER_WITHIN, self.late)
 
     def opened(self) -> None: ...
 
@@ -75,7 +75,7 @@
                     self.heard(name, False)
                 else:
                     Probe(self, name, came, not scene.ground.virtual)
-        scene.loop.later(PROBE, self.probe)
+        scene.loop.call_later(PROBE, self.probe)
 
     def heard(self, post: str, yes: bool) -> None:
         if yes:
@@ -101,9 +101,9 @@
         self.conn = Connection(scene.loop, came, self, opening=not scene.ground.virtual)
         if name:
             self.conn.send(name.encode() + b"\n")
-            scene.loop.later(ANSWER_WITHIN, self.late)
+            scene.loop.call_later(ANSWER_WITHIN, self.late)
         else:
-            scene.loop.later(SILENT_FOR, self.conn.close)
+            scene.loop.call_later(SILENT_FOR, self.conn.close)
 
     def opened(self) -> None: ...
 
@@ -112,7 +112,7 @@
         if self.name and self.line.endswith(b"\n") and not self.over:
             self.over = True
             said = self.line.decode(errors="replace").strip()
-            self.scene.loop.soon(self.heard, said)
+            self.scene.loop.call_soon(self.heard, said)
             self.conn.finish()
 
     def ended(self, what: str) -> None:
@@ -150,9 +150,9 @@
     loop = scene.loop
     for name in names:
         call(scene, name, "quiesce")
-        loop.later(500_000, call, scene, name, "health", "FAILURE")
-        loop.later(EMPTY_WITHIN, empty, scene, name, loop.now + EMPTY_WITHIN)
-        loop.later(max(EMPTY_WITHIN + 100_000, micros(trouble.for_s)), resume, scene, name)
+        loop.call_later(500_000, call, scene, name, "health", "FAILURE")
+        loop.call_later(EMPTY_WITHIN, empty, scene, name, loop.now + EMPTY_WITHIN)
+        loop.call_later(max(EMPTY_WITHIN + 100_000, micros(trouble.for_s)), resume, scene, name)
 
 
 def empty(scene: Scene, name: str, now: int) -> None:
@@ -178,7 +178,7 @@
                 "lost", scene.loop.now, f"{name}: the drain ended, and it still says no"
             )
 
-    scene.loop.later(BACK_WITHIN, back)
+    scene.loop.call_later(BACK_WITHIN, back)
 
 
 def silent_calls(scene: Scene, trouble: Trouble, names: list[str]) -> None:
@@ -187,7 +187,7 @@
         for _ in range(round(trouble.size or 100)):
             CallLink(scene, name, "", print)
         for at in (0, 1_000_000, 3_000_000):
-            scene.loop.later(at + 50_000, call, scene, name, "health", "SUCCESS", "FAILURE")
+            scene.loop.call_later(at + 50_000, call, scene, name, "health", "SUCCESS", "FAILURE")
 
 
 def retune(scene: Scene, trouble: Trouble, names: list[str]) -> None:
@@ -205,7 +205,7 @@
     for name in names:
         tree = scene.told(scene.posts[name], scene.known_of(name))
         for number, text in enumerate(broken(tree)):
-            scene.loop.later(number * 150_000, scene.posts[name].hup, text)
+            scene.loop.call_later(number * 150_000, scene.posts[name].hup, text)
 
 
 def broken(tree: dict[str, Any]) -> list[bytes]:
@@ -242,7 +242,9 @@
 def upgrade(scene: Scene, trouble: Trouble, names: list[str]) -> None:
     """One after another: a new process beside the old one, which is told to end at the new one's yes."""
     for number, name in enumerate(names):
-        scene.loop.later(micros(trouble.for_s) * number // len(names), begin_beside, scene, name)
+        scene.loop.call_later(
+            micros(trouble.for_s) * number // len(names), begin_beside, scene, name
+        )
 
 
 def begin_beside(scene: Scene, name: str) -> None:
@@ -259,13 +261,13 @@
         if post.new_ready():
             scene.referee.event(scene.loop.now, f"{name}: the new process says yes")
             post.leave_old()
-            scene.loop.later(longest + 700_000, post.kill_old)
+            scene.loop.call_later(longest + 700_000, post.kill_old)
         elif scene.loop.now > until:
             scene.referee.breach(
                 "late", scene.loop.now, f"{name}: no yes of the new process in time"
             )
         else:
-            scene.loop.later(20_000, look)
+            scene.loop.call_later(20_000, look)
 
     look()
 
--- a/orchidgap/trial/process.py
+++ b/orchidgap/trial/process.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from orchidgap.net.config import BadStart
+from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
 from orchidgap.parts import parts_of
 from orchidgap.trial.baselines import KINDS
@@ -14,7 +14,7 @@
     name, config = sys.argv[1], sys.argv[2].partition("=")[2]
     try:
         serve(config, parts_of, KINDS[name])
-    except BadStart as trouble:
+    except ConfigError as trouble:
         sys.exit(f"orchidgap: {trouble}")
 
 
--- a/orchidgap/trial/resp.py
+++ b/orchidgap/trial/resp.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Any
 
 from orchidgap.net.connection import Address, Connection, Fault
-from orchidgap.net.endpoints import text_of
+from orchidgap.net.endpoints import format_address
 from orchidgap.resp import codec
 from orchidgap.resp.front import slot_of as slot_at
 from orchidgap.trial.baselines import even
@@ -98,10 +98,10 @@
             job.asking = self.asking
             self.jobs.append(job)
             self.places.append(Place(job))
-            store.loop.at(self.come_at, store.receive, job)
+            store.loop.call_at(self.come_at, store.receive, job)
         else:
             self.places.append(Place(None))
-            store.loop.at(self.come_at, self.local, name, self.places[-1])
+            store.loop.call_at(self.come_at, self.local, name, self.places[-1])
         self.asking = name == b"ASKING"
 
     def local(self, name: bytes, place: Place) -> None:
@@ -129,7 +129,7 @@
         while self.places and self.places[0].text is not None:
             place = self.places.popleft()
             self.put_at = max(self.put_at, self.store.loop.now + self.store.way(self.who))
-            self.store.loop.at(self.put_at, self.put, place.text, place.job, place.outcome)
+            self.store.loop.call_at(self.put_at, self.put, place.text, place.job, place.outcome)
 
     def put(self, text: bytes, job: Job | None, outcome: str) -> None:
         if not self.conn.open or self.store.vanished or self.store.cut.get(self.who):
@@ -204,7 +204,7 @@
         if text:
             link: Any = job.link
             link.later(text, job, outcome)
-            return self.loop.soon(self.pump)
+            return self.loop.call_soon(self.pump)
         job.outcome = "done"
         if job.arrival.ask.op.work.write:
             self.scene.referee.effect(job.arrival, self.loop.now)
@@ -212,7 +212,7 @@
         job.took = max(1, round(job.cost / self.speed * self.slow))
         job.ends = self.loop.now + job.took
         self.running[job] = None
-        job.timer = self.loop.at(job.ends, self.finish, job)
+        job.timer = self.loop.call_at(job.ends, self.finish, job)
 
     def verdict(self, slot: int, job: Job) -> tuple[bytes, str]:
         """An answer that sends it on, by the specification; empty where it is served here."""
@@ -221,12 +221,14 @@
         if owner == self.id:
             if moving and moving[0] == self.id and job.mark not in self.data:
                 return codec.error(
-                    f"ASK {slot} {text_of(self.scene.stores[moving[1]].address)}"
+                    f"ASK {slot} {format_address(self.scene.stores[moving[1]].address)}"
                 ), "moved"
             return b"", ""
         if asking and moving and moving[1] == self.id:
             return b"", ""
-        return codec.error(f"MOVED {slot} {text_of(self.scene.stores[owner].address)}"), "moved"
+        return codec.error(
+            f"MOVED {slot} {format_address(self.scene.stores[owner].address)}"
+        ), "moved"
 
     def finish(self, job: Job) -> None:
         del self.running[job]
@@ -263,7 +265,7 @@
             now = self.callers.loop.now
             ask.came, ask.due = now, now + millis(ask.op.work.timeout_ms)
             self.callers.scene.referee.taken(ask)
-            self.callers.loop.later(ask.due - now + LATE_BY, self.callers.late, self, ask)
+            self.callers.loop.call_later(ask.due - now + LATE_BY, self.callers.late, self, ask)
 
     def opened(self) -> None: ...
 
@@ -277,7 +279,7 @@
             status = 503 if text.startswith(b"-TRYAGAIN") else 500 if text[:1] == b"-" else 200
             callers.scene.referee.answer(ask, status, text, callers.loop.now)
             pause = text.rpartition(b"come back in ")[2].partition(b" ms")[0]
-            callers.loop.later(
+            callers.loop.call_later(
                 callers.scene.client_way(),
                 callers.heard,
                 ask,
@@ -353,8 +355,8 @@
             others = [id for id in ids if id != owner]
             if slot not in scene.cluster.moving and others and owner in ids:
                 scene.cluster.moving[slot] = owner, scene.rng.choice(others)
-                scene.loop.later(MOVE_WITHIN, moved, slot)
-        scene.loop.later(50_000, move)
+                scene.loop.call_later(MOVE_WITHIN, moved, slot)
+        scene.loop.call_later(50_000, move)
 
     def moved(slot: int) -> None:
         source, to = scene.cluster.moving.pop(slot)
@@ -382,7 +384,7 @@
         old.stop()
         scene.listing.gone_later(old.id, scene.plan.listing.notice_s)
 
-    scene.loop.later(micros(trouble.for_s), end)
+    scene.loop.call_later(micros(trouble.for_s), end)
 
 
 def pointing(scene: Scene, trouble: Trouble) -> None:
@@ -393,4 +395,4 @@
     def end() -> None:
         first.view = second.view = None
 
-    scene.loop.later(micros(trouble.for_s), end)
+    scene.loop.call_later(micros(trouble.for_s), end)
--- a/orchidgap/trial/saturate.py
+++ b/orchidgap/trial/saturate.py
@@ -25,7 +25,7 @@
 
 from orchidgap.http1 import codec as http
 from orchidgap.net.connection import Address, Connection, Fault, dial
-from orchidgap.net.endpoints import text_of
+from orchidgap.net.endpoints import format_address
 from orchidgap.net.loop import Loop
 from orchidgap.net.server import serve
 from orchidgap.parts import parts_of
@@ -100,7 +100,7 @@
         if self.reader.message.whole:
             watch = b"after=" in self.reader.message.target
             self.reader.next()
-            self.loop.later(1_000_000 if watch else 0, self.tell, not watch)
+            self.loop.call_later(1_000_000 if watch else 0, self.tell, not watch)
 
     def tell(self, whole: bool) -> None:
         body = orjson.dumps({"seq": 1, "whole": whole, "hosts": known()["hosts"] if whole else []})
@@ -167,7 +167,7 @@
     hosts = [
         {
             "host": f"c{i}",
-            "dial": text_of(host_of(i)),
+            "dial": format_address(host_of(i)),
             "site": "z",
             "class": "origin" if i == HOSTS else "cache",
             "block": i,
@@ -183,8 +183,8 @@
 def configuration() -> dict[str, Any]:
     return {
         "name": "b0",
-        "listen": text_of(FRONT),
-        "discovery": text_of(AGENT),
+        "listen": format_address(FRONT),
+        "discovery": format_address(AGENT),
         "seed": "7",
         "limits": {"memory_mb": 192, "sockets": 1024},
         "known": known(),
@@ -236,12 +236,12 @@
             Asking(loop, came, number, done)
     until = loop.clock() + seconds * 250_000
     while loop.clock() < until:
-        loop.turn(100_000)
+        loop.run_once(100_000)
     print("begun", flush=True)
     done[0] = done[1] = 0
     began = loop.clock()
     while loop.clock() < began + seconds * 1_000_000:
-        loop.turn(100_000)
+        loop.run_once(100_000)
     print(
         json.dumps({"done": done[0], "failed": done[1], "took": loop.clock() - began}), flush=True
     )
@@ -259,7 +259,7 @@
                 return
         except OSError:
             time.sleep(0.02)
-    raise RuntimeError(f"nobody listens on {text_of(address)}")
+    raise RuntimeError(f"nobody listens on {format_address(address)}")
 
 
 def measure(kind: str, path: str, seconds: int) -> dict[str, float]:
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -24,8 +24,8 @@
 from orchidgap.decisions.balancer import SLOT_COUNT
 from orchidgap.net import config
 from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import text_of
-from orchidgap.net.event_log import Log
+from orchidgap.net.endpoints import format_address
+from orchidgap.net.event_log import EventLog
 from orchidgap.net.handover import Handover
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node, number_of
@@ -50,7 +50,7 @@
 EFFECTS = {"replayable": "retryable", "uniqued": "dedup", "non-replayable": "fragile"}
 
 
-class Lines(Log):
+class Lines(EventLog):
     """The log of a balancer in virtual time, kept in memory."""
 
     def __init__(self, name: str, scene: Scene) -> None:
@@ -126,7 +126,7 @@
         if self.alive and self.ended():
             self.kill()
         elif self.alive:
-            self.scene.loop.later(10_000, self.look)
+            self.scene.loop.call_later(10_000, self.look)
 
     def gone(self) -> None:
         self.alive, self.died_at = False, self.scene.loop.now
@@ -179,7 +179,7 @@
             operators = Operators(
                 share, {"health": node.health, "quiesce": node.quiesce, "resume": node.resume}
             )
-            ground.listen(self.admin, lambda sock, who: share.soon(operators.let_in, sock))
+            ground.listen(self.admin, lambda sock, who: share.call_soon(operators.let_in, sock))
         return node
 
     def kill(self) -> None:
@@ -196,13 +196,13 @@
 
     def hup(self, text: bytes) -> None:
         if self.alive and self.node and self.share:
-            self.share.soon(self.read, self.node, text)
+            self.share.call_soon(self.read, self.node, text)
 
     @staticmethod
     def read(node: Node, text: bytes) -> None:
         try:
-            node.adopt(config.parse(text, "the file", node.station))
-        except config.BadStart as trouble:
+            node.adopt(config.parse(text, "the file", node.config))
+        except config.ConfigError as trouble:
             node.note("terms kept", why=str(trouble))
 
     def begin_beside(self, known: dict[str, Any]) -> None:
@@ -216,23 +216,23 @@
         assert self.share
         new.handover = Handover(self.share, new, None, shared=True)
         near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        share.soon(node.handover.called, near)
-        self.share.soon(new.handover.call, far)
-        self.share.soon(new.start)
+        share.call_soon(node.handover.called, near)
+        self.share.call_soon(new.handover.call, far)
+        self.share.call_soon(new.start)
 
     def new_ready(self) -> bool:
         return self.node is not None and self.node.ready()
 
     def leave_old(self) -> None:
         if self.old:
-            self.old[0].soon(self.old[1].leave)
+            self.old[0].call_soon(self.old[1].leave)
             self.look_old()
 
     def look_old(self) -> None:
         if self.old and not self.old[0].running:
             self.kill_old()
         elif self.old:
-            self.scene.loop.later(10_000, self.look_old)
+            self.scene.loop.call_later(10_000, self.look_old)
 
     def kill_old(self) -> None:
         if self.old:
@@ -243,7 +243,7 @@
         """As by SIGTERM."""
         if self.alive and self.node and self.share:
             self.leaving = True
-            self.share.soon(self.node.leave)
+            self.share.call_soon(self.node.leave)
             self.look()
 
     def ended(self) -> bool:
@@ -342,7 +342,7 @@
         except OSError:
             pass
         if self.alive:
-            self.scene.loop.later(50_000, self.until_up)
+            self.scene.loop.call_later(50_000, self.until_up)
 
     def measure(self) -> None:
         """CPU and memory so far, as the system counts them."""
@@ -374,7 +374,7 @@
         if self.alive and self.process:
             self.stood.append((self.scene.loop.now, until))
             self.process.send_signal(signal.SIGSTOP)
-            self.scene.loop.at(until, self.process.send_signal, signal.SIGCONT)
+            self.scene.loop.call_at(until, self.process.send_signal, signal.SIGCONT)
 
 
 class Scene:
@@ -477,7 +477,7 @@
         plan, ceilings = self.plan, self.plan.ceilings
         more: dict[str, Any] = {}
         if plan.dialect == "resp":
-            seeds = [text_of(store.address) for store in self.stores.values()]
+            seeds = [format_address(store.address) for store in self.stores.values()]
             more["resp"] = {
                 "seeds": seeds,
                 "timeout-ms": plan.works()[0].timeout_ms,
@@ -488,10 +488,10 @@
             more["pool"] = self.talk_part(post)
         return more | {
             "name": post.name,
-            "listen": text_of(post.address),
-            "discovery": text_of(post.agent),
+            "listen": format_address(post.address),
+            "discovery": format_address(post.agent),
             "seed": f"{Random(f'{self.seed} {post.name} {post.life}').getrandbits(64):x}",
-            **({"admin_addr": text_of(post.admin)} if self.front.on else {}),
+            **({"admin_addr": format_address(post.admin)} if self.front.on else {}),
             "limits": {"cores": 1.0, "memory_mb": ceilings.memory_mb, "sockets": ceilings.sockets},
             "known": known,
             "settings": {
@@ -536,21 +536,23 @@
     def talk_part(self, post: Post) -> dict[str, Any]:
         """What a balancer is told of the others."""
         return {
-            "listen": text_of(post.talks),
+            "listen": format_address(post.talks),
             "key": "a key of this run",
             "draw-ms": round(self.plan.pool_draw_s * 1000),
-            "peers": [text_of(other.talks) for other in self.posts.values() if other is not post],
+            "peers": [
+                format_address(other.talks) for other in self.posts.values() if other is not post
+            ],
         }
 
     def carry(self, address: Address, data: bytes) -> None:
         """A datagram from one balancer to another, in virtual time."""
         if self.rng.random() >= self.plan.net.lose:
-            self.loop.later(self.way(0, 0), self.bring, address, data)
+            self.loop.call_later(self.way(0, 0), self.bring, address, data)
 
     def bring(self, address: Address, data: bytes) -> None:
         post = next(post for post in self.posts.values() if post.talks == address)
         if isinstance(post, VirtualPost) and post.alive and post.share and post.talk:
-            post.share.soon(post.talk.heard, data)
+            post.share.call_soon(post.talk.heard, data)
 
     def way_to_hosts(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
         """The list as that balancer gets it."""
@@ -641,7 +643,7 @@
             if place is not None:
                 rows["sizes"] = {host.id: host.range_size for host in place.ring}
         self.referee.series.append((self.loop.now - self.start, rows))
-        self.loop.later(SAMPLE, self.sample)
+        self.loop.call_later(SAMPLE, self.sample)
 
     def play(self, tick: Callable[[float], None] | None = None) -> dict[str, Any]:
         """Run to the end; the verdict. `tick` is called with the seconds played, each second."""
@@ -655,14 +657,14 @@
                 post.begin({"seq": 1, "whole": True, "hosts": entries})
             if self.folder:
                 self.wait_until_up()
-            self.loop.at(self.start, self.callers.arrive)
-            self.loop.at(self.start, self.front.start)
-            self.loop.at(self.start, self.sample)
+            self.loop.call_at(self.start, self.callers.arrive)
+            self.loop.call_at(self.start, self.front.start)
+            self.loop.call_at(self.start, self.sample)
             for trouble in self.plan.trouble:
-                self.loop.at(self.start + micros(trouble.at_s), set_off, self, trouble)
+                self.loop.call_at(self.start + micros(trouble.at_s), set_off, self, trouble)
             for one in self.plan.stretch:
-                self.loop.at(self.start + micros(one.from_s), self.stretches.begin, one.name)
-            self.loop.at(self.start + micros(self.plan.seconds), self.stretches.begin, "")
+                self.loop.call_at(self.start + micros(one.from_s), self.stretches.begin, one.name)
+            self.loop.call_at(self.start + micros(self.plan.seconds), self.stretches.begin, "")
             self.run(tick)
             verdict = self.judged()
             return verdict | self.evenness(verdict["verdict"]) if self.plan.stretch else verdict
@@ -678,7 +680,7 @@
                 self.ground.loop.run_until(second)
             else:
                 while self.loop.clock() < second:
-                    self.loop.turn(min(100_000, second - self.loop.clock()))
+                    self.loop.run_once(min(100_000, second - self.loop.clock()))
             if tick:
                 tick((second - self.start) / 1e6)
 
@@ -687,7 +689,7 @@
         while not all(post.ready_at for post in self.posts.values()):
             if time.monotonic() > until:
                 raise RuntimeError("a balancer did not come up; see its log")
-            self.loop.turn(20_000)
+            self.loop.run_once(20_000)
         self.start = self.referee.start = self.loop.clock() + 100_000
         self.callers.end = self.start + micros(self.plan.seconds)
 
--- a/orchidgap/trial/stores.py
+++ b/orchidgap/trial/stores.py
@@ -91,7 +91,7 @@
         if self.job:
             return  # more than one at a time: what it says next cannot be told apart
         if reader.message.trouble:
-            self.store.loop.later(self.store.way(self.who), self.close)
+            self.store.loop.call_later(self.store.way(self.who), self.close)
         elif reader.message.whole:
             self.asked()
 
@@ -109,7 +109,7 @@
             what = f"{id.decode()}: another body than its client sent"
             store.scene.referee.breach("lost", now, what)
         self.job = Job(store, self, arrival, fields.get(b"idempotency-key", b""))
-        store.loop.later(store.way(self.who), store.receive, self.job)
+        store.loop.call_later(store.way(self.who), store.receive, self.job)
 
     def give(self, arrival: Arrival, body: bytes, pace: int) -> None:
         """A large answer, in one of the ways that HTTP has, as fast as it is read or, with a pace, slowly."""
@@ -133,7 +133,7 @@
                 *((b"%x\r\n" % len(piece), piece, b"\r\n") if self.chunked else (piece,))
             )
             if pace and self.left:
-                self.store.loop.later(len(piece) * 1_000_000 // pace, self.more, pace, way)
+                self.store.loop.call_later(len(piece) * 1_000_000 // pace, self.more, pace, way)
                 return
         if self.flow and not self.left and self.conn.open and not self.conn.out:
             arrival, self.flow, self.conn.drained = self.flow, None, None
@@ -196,7 +196,7 @@
         self.slow, self.spoilt, self.errors = 1.0, 0.0, model.errors
         self.cut: dict[str, bool] = {}  # balancers that it cannot hear
         scene.ground.listen(address, self.accept)
-        self.loop.later(SWEEP, self.sweep)
+        self.loop.call_later(SWEEP, self.sweep)
 
     # --- the network
 
@@ -220,7 +220,7 @@
         for link in list(self.links):
             if not link.job and not link.reader.begun and now - link.idle_since > idle_for:
                 link.close()
-        self.loop.later(SWEEP, self.sweep)
+        self.loop.call_later(SWEEP, self.sweep)
 
     # --- the work
 
@@ -280,7 +280,7 @@
             referee.fell(self.id, part, self.is_origin, now)
             self.stop()
             if self.is_origin:
-                self.loop.later(micros(self.model.stop_s), self.revive, False)
+                self.loop.call_later(micros(self.model.stop_s), self.revive, False)
             else:  # it stays down
                 self.scene.listing.gone_later(self.id, self.scene.plan.listing.notice_s)
 
@@ -314,7 +314,7 @@
         job.took = max(1, round(cost / pace))
         job.ends = self.loop.now + job.took
         self.running[job] = None
-        job.timer = self.loop.at(job.ends, self.finish, job)
+        job.timer = self.loop.call_at(job.ends, self.finish, job)
 
     def write(self, job: Job) -> int:
         """It takes effect as it begins, once for each mark that is remembered; gives the work left."""
@@ -358,7 +358,7 @@
         self.pump()
 
     def reply(self, job: Job, outcome: str) -> None:
-        self.loop.later(self.way(job.link.who), self.put, job, outcome)
+        self.loop.call_later(self.way(job.link.who), self.put, job, outcome)
 
     def put(self, job: Job, outcome: str) -> None:
         """What was decided is written now, unless nobody can hear it."""
@@ -489,9 +489,9 @@
             if job.timer:
                 job.timer.cancel()
                 job.ends += until - max(now, self.frozen_until)
-                job.timer = self.loop.at(job.ends, self.finish, job)
+                job.timer = self.loop.call_at(job.ends, self.finish, job)
         self.frozen_until = until
-        self.loop.at(until, self.pump)
+        self.loop.call_at(until, self.pump)
 
     def flush(self, part: float) -> None:
         for key in list(self.kept):
--- a/orchidgap/trial/troubles.py
+++ b/orchidgap/trial/troubles.py
@@ -52,7 +52,7 @@
 
 
 def later(scene: Scene, trouble: Trouble, act: Callable[..., None], *args: object) -> None:
-    scene.loop.later(micros(trouble.for_s), act, *args)
+    scene.loop.call_later(micros(trouble.for_s), act, *args)
 
 
 def forget(what: dict[str, float], name: str) -> None:
@@ -95,7 +95,7 @@
         if scene.loop.now < end:
             for store in hosts:
                 store.stand(scene.loop.now + length)
-            scene.loop.later(length + scene.rng.randrange(length, 4 * length), again)
+            scene.loop.call_later(length + scene.rng.randrange(length, 4 * length), again)
 
     again()
 
@@ -115,13 +115,13 @@
             store.stop()
             scene.listing.put(store.id, "Gone")
             if back is not None:
-                scene.loop.later(back, store.revive)
+                scene.loop.call_later(back, store.revive)
 
     def refuse() -> None:
         store.draining = store.alive
 
-    scene.loop.later(micros(scene.plan.ceilings.drain_grace_ms / 1e3) + 200_000, refuse)
-    scene.loop.later(micros(linger), end)
+    scene.loop.call_later(micros(scene.plan.ceilings.drain_grace_ms / 1e3) + 200_000, refuse)
+    scene.loop.call_later(micros(linger), end)
 
 
 def drain(scene: Scene, trouble: Trouble) -> None:
@@ -134,13 +134,15 @@
     hosts = caches(scene, trouble)
     for i, store in enumerate(hosts):
         at = micros(trouble.for_s) * i // len(hosts)
-        scene.loop.later(at, drain_one, scene, store, 500_000)
+        scene.loop.call_later(at, drain_one, scene, store, 500_000)
 
 
 def shrink(scene: Scene, trouble: Trouble) -> None:
     hosts = caches(scene, trouble)
     for i, store in enumerate(hosts):
-        scene.loop.later(micros(trouble.for_s) * i // len(hosts), drain_one, scene, store, None)
+        scene.loop.call_later(
+            micros(trouble.for_s) * i // len(hosts), drain_one, scene, store, None
+        )
 
 
 def flush(scene: Scene, trouble: Trouble) -> None:
@@ -194,7 +196,7 @@
     """One after another gets SIGTERM and starts again."""
     names = posts(scene, trouble)
     for i, name in enumerate(names):
-        scene.loop.later(micros(trouble.for_s) * i // len(names), roll_one, scene, name)
+        scene.loop.call_later(micros(trouble.for_s) * i // len(names), roll_one, scene, name)
 
 
 def roll_one(scene: Scene, name: str) -> None:
@@ -206,9 +208,9 @@
         if post.life == life:
             if not post.alive:
                 return again(scene, name)
-            scene.loop.later(100_000, look)
+            scene.loop.call_later(100_000, look)
 
-    scene.loop.later(500_000, look)
+    scene.loop.call_later(500_000, look)
 
 
 def discovery(
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -119,7 +119,7 @@
         net.loop.watch(
             near, 1, lambda mask, number=number: order.append(number), first=number == 13
         )
-    net.loop.turn(0)
+    net.loop.run_once(0)
     assert len(order) == 20 and order[0] == 13
     for near, far in pairs:
         net.loop.unwatch(near)
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -15,10 +15,10 @@
 from orchidgap.decisions import policy_rollout
 from orchidgap.decisions.policy_rollout import EMPTY, PAST, Right
 from orchidgap.net import config
-from orchidgap.net.config import BadStart
+from orchidgap.net.config import ConfigError
 from orchidgap.net.loop import Loop
-from orchidgap.state.background_writer import ENDED, Beside
-from orchidgap.state.durable_store import Damaged, Files
+from orchidgap.state.background_writer import ENDED, BackgroundWriter
+from orchidgap.state.durable_store import CorruptFileError, DurableStore
 from orchidgap.trial.fabric import World
 
 LEASE = 2_000_000
@@ -38,7 +38,7 @@
                 {one: ("127.0.0.1", 1) for one in names},
                 LEASE,
                 6 * LEASE,
-                Files(folder / name),
+                DurableStore(folder / name),
                 lambda *told, **named: None,
                 Random(name),
                 self.now,
@@ -55,9 +55,11 @@
     def way(self, who, other):
         def call(path, told, heard):
             if who in self.cut or other in self.cut:
-                return self.loop.later(500_000, heard, None)
+                return self.loop.call_later(500_000, heard, None)
             act = self.all[other].server.acts[path]
-            self.loop.later(1_000, act, told, lambda said: self.loop.later(1_000, heard, said))
+            self.loop.call_later(
+                1_000, act, told, lambda said: self.loop.call_later(1_000, heard, said)
+            )
 
         return call
 
@@ -246,19 +248,19 @@
 
 
 def test_a_folder_is_one_process_s_and_its_children_s(tmp_path):
-    first, second = Files(tmp_path), Files(tmp_path)
+    first, second = DurableStore(tmp_path), DurableStore(tmp_path)
     assert first.hold() and not second.hold()
-    beside = Beside(Loop(), first)
+    beside = BackgroundWriter(Loop(), first)
     gates = [tmp_path / "gate"]
     os.mkfifo(gates[0])
     first.force = lambda fd: gates and gates.pop().read_bytes()  # the child's disk takes its time
     beside("x", 1, lambda why: None)
-    beside.loop.turn(0)
+    beside.loop.run_once(0)
     os.close(first.held)  # its process is gone
     assert not second.hold()
     gates[0].write_bytes(b"")
     while beside.busy:
-        beside.loop.turn(10_000)
+        beside.loop.run_once(10_000)
     assert second.hold()
     os.close(second.held)
 
@@ -267,7 +269,7 @@
     (tmp_path / "k0").mkdir()
     (tmp_path / "k0" / "register").write_text("torn")
     town = Town(tmp_path, 1)
-    with pytest.raises(BadStart, match="--new"):
+    with pytest.raises(ConfigError, match="--new"):
         town.all["k0"].begin(new=False)
     assert (tmp_path / "k0" / "register.damaged").read_text() == "torn"
 
@@ -291,7 +293,7 @@
         pass
 
 
-class AtOnce(Beside):
+class AtOnce(BackgroundWriter):
     """No child: a virtual clock does not wait for one."""
 
     def __call__(self, name, content, done):
@@ -305,7 +307,13 @@
 def keeper(folder, loop, count=1, alone="leave"):
     station = SimpleNamespace(name="b", control={"at": [("127.0.0.1", 1)] * count, "alone": alone})
     made = Keeper(
-        None, loop, station, lambda *told, **named: None, Files(folder), Random(1), lambda: loop.now
+        None,
+        loop,
+        station,
+        lambda *told, **named: None,
+        DurableStore(folder),
+        Random(1),
+        lambda: loop.now,
     )
     made.calls, made.disk = [Calls() for _ in range(count)], AtOnce(loop, made.files)
     return made
@@ -348,14 +356,14 @@
     one.calls[0].answer = answer(EMPTY | {"n": 1, "id": "x", "try": 1}, doc=DOC)
     loop.run_until(loop.now + LEASE)
     assert one.tenure.runs == 1 and "adopted" in rights and False not in rights
-    assert Files(tmp_path).read("policy")["doc"] == DOC
+    assert DurableStore(tmp_path).read("policy")["doc"] == DOC
 
 
 @pytest.mark.parametrize("fails", ["open", "put", "force", "rename"])
 def test_a_promise_that_cannot_be_written_is_a_refusal(tmp_path, fails, monkeypatch):
     loop = World()
     one = keeper(tmp_path, loop)
-    one.node = SimpleNamespace(station=SimpleNamespace(terms=None))
+    one.node = SimpleNamespace(config=SimpleNamespace(settings=None))
     one.standing = lambda station: ""
     monkeypatch.setattr(config, "read", lambda *told: None)
 
@@ -385,7 +393,7 @@
 
 @pytest.mark.parametrize("fails", ["open", "put", "force", "rename"])
 def test_a_write_that_fails_leaves_what_stood(tmp_path, fails, monkeypatch):
-    files = Files(tmp_path)
+    files = DurableStore(tmp_path)
     files.write("x", {"n": 1})
 
     def broken(*told):
@@ -411,16 +419,16 @@
     ],
 )
 def test_a_file_that_is_not_what_was_written_is_told_apart(tmp_path, spoil):
-    files = Files(tmp_path)
+    files = DurableStore(tmp_path)
     files.write("x", {"n": 1})
     path = tmp_path / "x"
     path.write_bytes(spoil(path.read_bytes()))
-    with pytest.raises(Damaged):
+    with pytest.raises(CorruptFileError):
         files.read("x")
 
 
 def test_a_real_full_disk_is_told(tmp_path):
-    files = Files(tmp_path)
+    files = DurableStore(tmp_path)
     files.write("x", 1)
     (tmp_path / "x.new").symlink_to("/dev/full")
     with pytest.raises(OSError) as told:
@@ -434,18 +442,18 @@
     for i, name in enumerate(names):
         beside(name, i, lambda why, i=i: told.append((i, why)))
     while beside.busy:
-        beside.loop.turn(10_000)
+        beside.loop.run_once(10_000)
     return told
 
 
 def test_of_writes_that_wait_only_the_latest_of_a_name_is_done(tmp_path):
-    beside = Beside(Loop(), Files(tmp_path))
+    beside = BackgroundWriter(Loop(), DurableStore(tmp_path))
     assert written(beside, "a", "b", "a", "b", "a") == [(3, ""), (4, "")]
     assert (beside.files.read("a"), beside.files.read("b")) == (4, 3)
 
 
 def test_a_child_that_cannot_write_says_why_and_one_that_dies_too(tmp_path, monkeypatch):
-    beside = Beside(Loop(), Files(tmp_path))
+    beside = BackgroundWriter(Loop(), DurableStore(tmp_path))
     (tmp_path / "a.new").symlink_to("/dev/full")
     assert written(beside, "a") == [(0, "No space left on device")]
     monkeypatch.setattr(beside.files, "force", lambda fd: os._exit(9))
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -1,7 +1,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from orchidgap.decisions.lifecycle import LAST_CALL, MEANS, NEXT, UNUSED_FOR, Life, State
+from orchidgap.decisions.lifecycle import LAST_CALL, MEANS, NEXT, UNUSED_FOR, Lifecycle, State
 
 EVENTS = ("able", "quiesce", "empty", "resume", "leave")
 
@@ -27,7 +27,7 @@
     assert {key[0].value for key in NEXT} <= set(table)
     for state in State:
         for event, to in zip(EVENTS, table[state.value]):
-            life = Life(0)
+            life = Lifecycle(0)
             life.enter(state, 0)
             life.able = state is not State.STARTING
             assert life.on(event, 5) == (to != state.value), (state, event)
@@ -39,7 +39,7 @@
 
     def __init__(self):
         super().__init__()
-        self.life, self.now, self.told, self.able, self.left = Life(0), 0, False, False, None
+        self.life, self.now, self.told, self.able, self.left = Lifecycle(0), 0, False, False, None
 
     @rule(micros=st.sampled_from((0, 1, 1000, LAST_CALL, UNUSED_FOR, 10_000_000)))
     def time_passes(self, micros):
--- a/tests/decisions/test_watch.py
+++ b/tests/decisions/test_watch.py
@@ -77,7 +77,10 @@
 
 def late(desk):
     host = desk.hosts[desk.sent(desk.put())[0]]
-    host.last_response_at_us, host.smoothed_latency_us = desk.now + 1, 100_000  # it answers others meanwhile, and is crowded
+    host.last_response_at_us, host.smoothed_latency_us = (
+        desk.now + 1,
+        100_000,
+    )  # it answers others meanwhile, and is crowded
     desk.wait(500_000)
 
 
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -5,9 +5,9 @@
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.http1 import Http1
-from orchidgap.net.config import Station
+from orchidgap.net.config import BalancerConfig
 from orchidgap.net.connection import Fault, Reach
-from orchidgap.net.endpoints import decoded
+from orchidgap.net.endpoints import decode_list
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
 
@@ -136,7 +136,7 @@
         )
         self.loop = Loop(clock=lambda: self.now, trouble=self.log.trouble)
         pairs = PAIRS | {name.replace("__", "."): value for name, value in pairs.items()}
-        found = decoded(
+        found = decode_list(
             {
                 "seq": 7,
                 "whole": True,
@@ -145,7 +145,7 @@
         )
         self.node = Node(
             self.loop,
-            Station(
+            BalancerConfig(
                 "n0",
                 ("127.0.0.1", 1),
                 ("127.0.0.1", 8500),
@@ -198,7 +198,7 @@
 
     def turn(self, times=4):
         for _ in range(times):
-            self.loop.turn(0)
+            self.loop.run_once(0)
 
     def wait(self, micros):
         """Time passes; what is due on the way happens."""
--- a/tests/drill/test_relay.py
+++ b/tests/drill/test_relay.py
@@ -13,18 +13,18 @@
     """What the far end got of a call that was stalled, after `act` and a heal."""
     near = socket.create_connection(relay.listener.getsockname())
     for _ in range(20):
-        loop.turn(1_000)
+        loop.run_once(1_000)
     at_far, _ = far.accept()
     relay.set(there=True)
     near.sendall(b"late")
     for _ in range(20):
-        loop.turn(1_000)
+        loop.run_once(1_000)
     act(near)
     for _ in range(20):
-        loop.turn(1_000)
+        loop.run_once(1_000)
     relay.set()
     for _ in range(20):
-        loop.turn(1_000)
+        loop.run_once(1_000)
     at_far.settimeout(1)
     try:
         return at_far.recv(99)
--- a/tests/http1/test_lists.py
+++ b/tests/http1/test_lists.py
@@ -239,7 +239,7 @@
 
 def test_a_new_process_without_any_list_does_not_serve():
     net = Watched(2, listed=False, start=False)
-    net.node.station = net.node.station._replace(known=(0, True, [], []))
+    net.node.config = net.node.config._replace(known_endpoints=(0, True, [], []))
     net.node.start()
     net.wait(5 * FIRST_LIST)
     assert up(net) == "503"
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -7,7 +7,7 @@
 from loopback import Loopback, arrived, heard, req, told
 from test_net import full_pair
 
-from orchidgap.net.endpoints import decoded
+from orchidgap.net.endpoints import decode_list
 
 UNCALLED = {"ceilings__may-cancel": "false"}  # where nothing that is out may be called off
 
@@ -175,7 +175,7 @@
     owner = next(id for id, pool in net.node.hosts.pools.items() if pool.links)
     link = next(iter(net.node.hosts.pools[owner].links))
     net.node.hosts.dialer = net.dial
-    told_of = decoded({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
+    told_of = decode_list({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
     net.node.on_list(False, *told_of[2:])
     link.conn.ready(2)  # it was ready in the same turn
     net.turn()
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -102,5 +102,5 @@
     arrived(net.node.registry.conn.sock)
     for i in range(100):
         net.caller(req(f"k{i}"))
-    net.loop.turn(0)
+    net.loop.run_once(0)
     assert set(net.node.balancer.hosts) == {"c3", "o"}
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -66,7 +66,7 @@
     client, text = idle_client(net), req("second")
     assert "/read/first" in net.asked()[0]
     # due in the same turn as idle ones are let go, and before that; what was ready in that turn is done with
-    net.loop.at(net.now + LAST_CALL, net.brings, client, text[:first])
+    net.loop.call_at(net.now + LAST_CALL, net.brings, client, text[:first])
     net.node.leave()
     net.wait(LAST_CALL)
     assert told(client) is None and net.loop.running
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -47,7 +47,7 @@
     class Once(Loop):
         def run(self):
             for _ in range(4):
-                self.turn(0)
+                self.run_once(0)
 
     class Seen(server.Node):
         def start(self):
@@ -162,10 +162,10 @@
     for value in (*ODD, MISSING):
         try:
             station = config.parse(orjson.dumps(laid(WHOLE, path, value)), "file")
-        except config.BadStart as trouble:
+        except config.ConfigError as trouble:
             assert str(trouble).startswith("file: ") and "\n" not in str(trouble), (path, value)
         else:
-            terms = station.terms
+            terms = station.settings
             assert (
                 min(
                     terms.latency_objective_us,
@@ -178,7 +178,10 @@
                 path,
                 value,
             )
-            assert min(station.connect_within, station.idle_for) >= 1 and station.sockets >= 64, (
+            assert (
+                min(station.connect_timeout_us, station.idle_timeout_us) >= 1
+                and station.sockets >= 64
+            ), (
                 path,
                 value,
             )
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -7,7 +7,7 @@
 from desk import Desk
 
 from orchidgap.decisions.gossip_counts import GAP
-from orchidgap.net.config import BadStart, parse
+from orchidgap.net.config import ConfigError, parse
 from orchidgap.net.loop import Loop
 from orchidgap.peers.gossip_transport import AT_ONCE, LONGEST, MOST, SECOND, SIGNED, Talk
 
@@ -53,7 +53,7 @@
     def run(self, seconds):
         for _ in range(seconds * 20):
             self.now += 50_000
-            self.loop.turn(0)
+            self.loop.run_once(0)
 
 
 def test_each_hears_all_and_says_so_once():
@@ -131,11 +131,11 @@
     for _ in range(2 * MOST // AT_ONCE):
         for _ in range(AT_ONCE):
             near.sendto(b"noise", talk.sock.getsockname())
-        ground.loop.turn(0)
+        ground.loop.run_once(0)
     assert talk.read == MOST and talk.counts["strange"] == MOST and talk.counts["rested"] == 1
     ground.now += SECOND
-    ground.loop.turn(0)
-    ground.loop.turn(0)
+    ground.loop.run_once(0)
+    ground.loop.run_once(0)
     assert talk.counts["strange"] > MOST
     talk.close()
     near.close()
@@ -172,7 +172,7 @@
         "pool": part,
         "settings": {"rule-sets": [{"name": "read", "effect": "retryable", "client-timeout": 9}]},
     }
-    with pytest.raises(BadStart, match="the file: ") as trouble:
+    with pytest.raises(ConfigError, match="the file: ") as trouble:
         parse(orjson.dumps(told), "the file")
     assert said in str(trouble.value) and "\n" not in str(trouble.value)
 
--- a/tests/resp/test_client.py
+++ b/tests/resp/test_client.py
@@ -35,7 +35,7 @@
 
     def run(self):
         while self.running:
-            self.ground.loop.turn(20_000)
+            self.ground.loop.run_once(20_000)
 
     def slots(self):
         return codec.array(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,8 +9,8 @@
 import pytest
 from desk import Net, heard
 
-from orchidgap.net.config import BadStart
-from orchidgap.net.endpoints import decoded
+from orchidgap.net.config import ConfigError
+from orchidgap.net.endpoints import decode_list
 from orchidgap.net.handover import Handover, inherited
 
 UP = b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n"
@@ -41,7 +41,7 @@
 )
 def test_what_is_passed_must_be_a_listening_socket(make, why):
     number = make()
-    with pytest.raises(BadStart, match=why):
+    with pytest.raises(ConfigError, match=why):
         inherited(str(number))
     if isinstance(number, int):
         os.close(number)  # it is still open: it is not ours to close
@@ -189,7 +189,7 @@
         def prepare(self):
             self.old.node.on_list(
                 False,
-                *decoded(
+                *decode_list(
                     {
                         "seq": 8,
                         "whole": False,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,11 +16,11 @@
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net import config
 from orchidgap.net.connection import Fault, Reach
-from orchidgap.net.endpoints import decoded
-from orchidgap.net.event_log import Log
+from orchidgap.net.endpoints import decode_list
+from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ
 from orchidgap.net.server import on_signal, read_anew
-from orchidgap.net.upstream_attempt import Attempt
+from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 LIST = "/discovery/hosts"
 
@@ -775,8 +775,8 @@
 def test_a_spoilt_file_changes_nothing(tmp_path, spoilt, why):
     path, net = tmp_path / "c", Net()
     path.write_bytes(orjson.dumps(FILE))
-    net.node.station = config.read(str(path))
-    before, dialled = net.node.station, len(net.dialled)
+    net.node.config = config.read(str(path))
+    before, dialled = net.node.config, len(net.dialled)
     if callable(spoilt):
         spoilt(file := copy.deepcopy(FILE) | {"discovery": "127.0.0.1:8777"})
         spoilt = orjson.dumps(file)
@@ -788,9 +788,9 @@
     net.node.note = lambda event, **facts: told.append((event, facts.get("why")))
     read_anew(net.node, str(path))
     assert (
-        net.node.station is before
+        net.node.config is before
         and len(net.dialled) == dialled
-        and net.node.balancer.settings is not before.terms
+        and net.node.balancer.settings is not before.settings
     )
     assert [event for event, _ in told] == ["terms kept"] and why in told[0][1]
 
@@ -812,8 +812,8 @@
 def test_new_settings_bind_new_reqs_and_open_ones_keep_theirs(tmp_path):
     path, net = tmp_path / "c", Net(3)
     path.write_bytes(orjson.dumps(FILE))
-    net.node.station = config.read(str(path))
-    net.node.decide(net.node.balancer.on_settings, net.node.station.terms)
+    net.node.config = config.read(str(path))
+    net.node.decide(net.node.balancer.on_settings, net.node.config.settings)
     old = net.ask("k1")
     file = copy.deepcopy(FILE)
     file["settings"]["rule-sets"] = rules("once", effect="fragile") + rules("fresh")
@@ -838,12 +838,12 @@
 def test_what_cannot_change_while_it_runs_is_told_and_waits(tmp_path):
     path, net = tmp_path / "c", Net()
     path.write_bytes(orjson.dumps(FILE))
-    net.node.station = config.read(str(path))
+    net.node.config = config.read(str(path))
     path.write_bytes(orjson.dumps(FILE | {"listen": "127.0.0.1:7071", "limits": {"memory_mb": 90}}))
     told = []
     net.node.note = lambda event, **facts: told.append(facts.get("at_next_start"))
     read_anew(net.node, str(path))
-    assert told == [["listen", "memory_mb"]] and net.node.station.memory_mb == 80
+    assert told == [["listen", "memory_mb"]] and net.node.config.memory_mb == 80
 
 
 # --- pools
@@ -967,7 +967,7 @@
         assert net.verdicts == []
         net.node.hosts.dialer = net.dial
         owner = next(id for id, pool in net.node.hosts.pools.items() if pool.links)
-        told = decoded({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
+        told = decode_list({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
         net.node.on_list(False, *told[2:])
         net.turn()
         assert net.verdicts == ["unconnected"] and heard(net.far()).startswith("GET"), (
@@ -1026,7 +1026,7 @@
     short = [Fault(Reach.UNSENT, "short", "none left")]
     net.node.hosts.dialer = lambda address: short.pop() if short else net.dial(address)
     idle, dialled = net.node.hosts.count, len(net.dialled)
-    attempt = Attempt(b"GET / HTTP/1.1\r\n", b"", net.now + 10**6, Nobody())
+    attempt = UpstreamAttempt(b"GET / HTTP/1.1\r\n", b"", net.now + 10**6, Nobody())
     net.node.hosts.pools["c0"].dial(attempt)
     assert idle == net.node.hosts.count == 8 and len(net.dialled) == dialled + 1 and not short
 
@@ -1064,11 +1064,11 @@
         [gone] + [OSError(errno.EMFILE, "")] * 3 + [near]
     )
     net.loop.watch(listener, READ, net.node.clients.accept)
-    net.loop.turn(0)
+    net.loop.run_once(0)
     assert heard(idle).startswith("HTTP") and heard(idle) == "", "the idle client made way"
-    net.loop.turn(0)
+    net.loop.run_once(0)
     assert net.node.hosts.count == 0, "then the idle link"
-    net.loop.turn(0)
+    net.loop.run_once(0)
     net.turn(20)
     assert listener.calls == 4, "with nothing to shed it waits"
     net.wait(51_000)
@@ -1241,25 +1241,27 @@
 def test_start_reads_names_and_units(tmp_path):
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
     station = config.read(str(tmp_path / "c"))
-    assert (station.listen, station.seed, station.idle_for, station.sockets) == (
+    assert (station.listen, station.seed, station.idle_timeout_us, station.sockets) == (
         ("127.0.0.1", 1),
         255,
         7,
         1024,
     )
-    assert station.terms.request_classes["read"].idempotent
+    assert station.settings.request_classes["read"].idempotent
     assert (
-        not station.terms.uses_listed_weights
-        and station.terms.reported_fields == ()
-        and station.watched is None
+        not station.settings.uses_listed_weights
+        and station.settings.reported_fields == ()
+        and station.shadow_settings is None
     )
     new = {"weights": "rough", "report": {"how": "inline", "fields": ["concurrent", "tps"]}}
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD | {"watch": {"settings": new}}))
     watching = config.read(str(tmp_path / "c"), station)
-    assert watching.terms == station.terms
-    assert watching.watched == station.terms._replace(uses_listed_weights=True, reported_fields=("concurrent", "tps"))
+    assert watching.settings == station.settings
+    assert watching.shadow_settings == station.settings._replace(
+        uses_listed_weights=True, reported_fields=("concurrent", "tps")
+    )
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
-    assert config.read(str(tmp_path / "c"), watching).watched is None, (
+    assert config.read(str(tmp_path / "c"), watching).shadow_settings is None, (
         "a watch may be left out again"
     )
 
@@ -1300,7 +1302,7 @@
 )
 def test_a_bad_start_is_one_plain_line(tmp_path, change, names):
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD | change))
-    with pytest.raises(config.BadStart, match=names) as told:
+    with pytest.raises(config.ConfigError, match=names) as told:
         config.read(str(tmp_path / "c"))
     assert "\n" not in str(told.value)
 
@@ -1322,7 +1324,7 @@
 
 def test_a_log_that_nobody_reads_loses_lines_and_does_not_wait():
     far, near = os.pipe()
-    log = Log("n", near)
+    log = EventLog("n", near)
     for _ in range(3000):
         log("mode", what="x" * 100)
     assert log.dropped
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -5,7 +5,7 @@
 
 from orchidgap.decisions.balancer import RETRYABLE_OUTCOMES, Balancer, Dispatch, Origin, Placement
 from orchidgap.http1 import codec as http
-from orchidgap.net.upstream_attempt import Attempt
+from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 
 class Defect(Balancer):
@@ -167,7 +167,7 @@
     def on_outcome(self, id, number, verdict, over):
         exchange = self.port.reqs.get(id)
         if exchange and exchange.giving:
-            self.port.loop.later(200_000, self.cut, exchange)
+            self.port.loop.call_later(200_000, self.cut, exchange)
         super().on_outcome(id, number, verdict, over)
 
     def cut(self, exchange):
@@ -261,8 +261,8 @@
         exchange = self.port.reqs[id]
         super().on_request(id, left, write, rule_set, key, tenant)
         if id % 30 == 0:
-            attempt = Attempt(exchange.head, exchange.body, exchange.due, Nobody())
-            self.port.loop.at(
+            attempt = UpstreamAttempt(exchange.head, exchange.body, exchange.due, Nobody())
+            self.port.loop.call_at(
                 exchange.due - 50_000, self.port.hosts.send, self.placement.ring[0].id, attempt
             )
 
--- a/tests/trial/test_ground.py
+++ b/tests/trial/test_ground.py
@@ -88,7 +88,7 @@
     door = Queue(ground.loop)
     share.watch(door, READ, ran.append)
     door.bring(pair()[0])
-    share.later(10, ran.append, 1)
+    share.call_later(10, ran.append, 1)
     share.kill()
     ground.loop.run_until(ground.loop.time + 100)
     assert not ran and far_owner.ends == ["closed"]
@@ -98,8 +98,8 @@
     share, ran, owner = share_of(ground), [], Owner()
     near, far = pair()
     Connection(share, near, owner)
-    cancelled = share.later(3_000, ran.append, "cancelled while it stood")
-    share.later(2_000, lambda: (ran.append(ground.loop.time), cancelled.cancel()))
+    cancelled = share.call_later(3_000, ran.append, "cancelled while it stood")
+    share.call_later(2_000, lambda: (ran.append(ground.loop.time), cancelled.cancel()))
     start = ground.loop.time
     share.stand(start + 50_000)
     far.send(b"x")
