--- a/orchidgap/decisions/balancer.py
+++ b/orchidgap/decisions/balancer.py
@@ -19,7 +19,13 @@
 from orchidgap.decisions.hot_keys import HotKeyDetector
 from orchidgap.decisions.pipeline import RequestTable, Stage, connect_stages
 from orchidgap.decisions.ports import Port
-from orchidgap.decisions.records import Attempt, HostState, Request, possibly_executed
+from orchidgap.decisions.records import (
+    Attempt,
+    AttemptOutcome,
+    HostState,
+    Request,
+    possibly_executed,
+)
 from orchidgap.decisions.settings import RequestClass, ServiceSettings
 from orchidgap.decisions.slot_map import SlotMap, Turn, turn
 
@@ -696,7 +702,7 @@
         """A dispatch was sent on to another host, and has not run."""
         if req := self.requests.get(id):
             req.redirects, req.redirect_target = req.redirects + 1, self.hosts.get(to)
-            self.on_outcome(id, number, "moved", False)
+            self.on_outcome(id, number, AttemptOutcome.REDIRECTED, False)
 
     def owner(self, req: Request) -> HostState | None:
         """Where servers own their slots: whom the last redirection named, else the slot's owner as told."""
--- a/orchidgap/decisions/pipeline.py
+++ b/orchidgap/decisions/pipeline.py
@@ -9,7 +9,13 @@
 from typing import Any, Generic, Protocol, TypeVar
 
 from orchidgap.decisions.ports import Port
-from orchidgap.decisions.records import Attempt, HostState, Request, possibly_executed
+from orchidgap.decisions.records import (
+    Attempt,
+    AttemptOutcome,
+    HostState,
+    Request,
+    possibly_executed,
+)
 
 
 class PipelineContext(Protocol):
@@ -131,12 +137,12 @@
         if not req.in_flight:
             self.requests.pop(req.id, None)
 
-    def on_outcome(self, id: int, number: int, verdict: str, over: bool) -> None:
+    def on_outcome(self, id: int, number: int, outcome: AttemptOutcome, over: bool) -> None:
         req = self.requests.get(id)
         if req is None or number >= len(req.attempts) or req.attempts[number].outcome:
             return
         sent = req.attempts[number]
-        sent.outcome = verdict
+        sent.outcome = outcome
         req.in_flight -= 1
         sent.host.in_flight -= not req.body_streaming
         if over:
--- a/orchidgap/wirehost/codec.py
+++ b/orchidgap/wirehost/codec.py
@@ -5,18 +5,19 @@
 from typing import BinaryIO
 
 from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.records import AttemptOutcome
 from orchidgap.decisions.settings import ServiceSettings, SettingError
 
-VERDICTS = {
-    "Ok": "done",
-    "Failed": "error",
-    "QueueFull": "full",
-    "TimedOut": "timeout",
-    "ConnectError": "unconnected",
-    "ResetByPeer": "reset",
-    "Canceled": "cancelled",
-    "Ignored": "moot",
-    "Miss": "miss",
+OUTCOMES = {
+    "Ok": AttemptOutcome.DONE,
+    "Failed": AttemptOutcome.SERVER_ERROR,
+    "QueueFull": AttemptOutcome.QUEUE_FULL,
+    "TimedOut": AttemptOutcome.TIMED_OUT,
+    "ConnectError": AttemptOutcome.UNCONNECTED,
+    "ResetByPeer": AttemptOutcome.CONNECTION_RESET,
+    "Canceled": AttemptOutcome.CANCELLED,
+    "Ignored": AttemptOutcome.NEVER_SENT,
+    "Miss": AttemptOutcome.CACHE_MISS,
 }
 STATES = {"Running": "up", "Stopping": "draining", "Deleted": "gone"}
 SCOPES = {"update": "changes", "replace": "whole", "restored": "recalled", "unavailable": "failed"}
@@ -138,7 +139,7 @@
         )
     elif name == "ENDED":
         _, req, number, host, verdict, _, over, _, report = parts
-        balancer.on_outcome(int(req), int(number), VERDICTS[verdict], over == "1")
+        balancer.on_outcome(int(req), int(number), OUTCOMES[verdict], over == "1")
         told(balancer, host, report)
     elif name == "FIRED":
         balancer.on_wake(int(parts[1]))
