--- /dev/null
+++ b/orchidgap/decisions/coalescing.py
@@ -0,0 +1,60 @@
+"""The second stage: one fetch of a key at a time.
+
+After a flush everybody asks for the same few keys. The first request that misses a key fetches it (the leader); later
+requests for the key wait for that and then ask the cache.
+"""
+
+from __future__ import annotations
+
+from orchidgap.decisions.pipeline import PipelineContext, Stage
+from orchidgap.decisions.records import Attempt, AttemptOutcome, HostState, Request
+
+
+class Coalescing(Stage):
+    """Shares fetches.
+
+    Attributes:
+        fetches: For each key that is fetched the leader, then its followers.
+    """
+
+    def __init__(self, context: PipelineContext) -> None:
+        """Start with no fetches."""
+        super().__init__(context)
+        self.fetches: dict[int | None, list[Request]] = {}
+
+    def forward(self, request: Request, host: HostState | None = None) -> None:
+        """Have a read of a key that is being fetched wait; a miss of any other key becomes a leader."""
+        if not request.is_write and request.key is not None:
+            if request.key in self.fetches:
+                self.fetches[request.key].append(request)
+                self.context.expire_if_queued(request)
+                return
+            if request.cache_missed:
+                self.fetches[request.key] = [request]
+        self.next_stage.forward(request)
+
+    def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
+        """A cache's first miss of a read needs a fetch."""
+        is_cache_miss = attempt.outcome == AttemptOutcome.CACHE_MISS and not attempt.host.is_origin
+        needs_fetch = not (request.answered or request.is_write or request.cache_missed)
+        if is_cache_miss and needs_fetch:
+            request.cache_missed = True
+            self.forward(request)
+            return
+        self.previous_stage.on_attempt_done(request, attempt)
+
+    def on_request_closed(self, request: Request, filled: bool) -> None:
+        """Where a leader is over, its followers ask the cache, or one of them fetches in its place.
+
+        Args:
+            request: One that has its final answer.
+            filled: Whether the cache has the key now.
+        """
+        fetch = self.fetches.get(request.key)
+        if fetch is None or fetch[0] is not request:
+            return
+        del self.fetches[request.key]
+        for follower in fetch[1:]:
+            if not follower.answered:
+                follower.cache_missed = follower.cache_missed and not filled
+                self.forward(follower)
--- /dev/null
+++ b/orchidgap/decisions/concurrency_limit.py
@@ -0,0 +1,122 @@
+"""How many attempts may be in flight at one host: a limit that follows its latency.
+
+The limit grows by answers while it is used, and falls while answers are slow. A limit on what is in flight cannot flood
+a host, however slow it gets. The limits of hundreds of balancers add up, so a limit goes below 1: it is then the
+probability that a lone request goes.
+"""
+
+from __future__ import annotations
+
+from orchidgap.decisions.ports import RuleContext
+from orchidgap.decisions.records import HostState
+
+INITIAL_LIMIT_OF_ALL = 24.0  # attempts at one host, from all balancers together
+MIN_INITIAL_LIMIT = 2.0  # attempts
+MAX_INITIAL_LIMIT = 8.0  # attempts
+LIMIT_FLOOR_OF_ALL = 4  # attempts at one cache, from all balancers; twice that at an origin
+
+CACHE_SLOW_RATIO = 0.25  # of the latency objective, above which a cache's answers are slow
+ORIGIN_SLOW_RATIO = 0.6
+MAX_DECREASE_CACHE = 0.5  # what is left of a limit at least after one decrease
+MAX_DECREASE_ORIGIN = 0.2
+MIN_DECREASE = 0.9  # what is left at most
+LATENCY_MEMORY_US = 5_000_000  # a smoothed latency that is older says nothing
+SMOOTHING = 8  # a new latency weighs one in so many
+
+# Latency objectives, and requests that wanted the host, until a limit that fell to 0 is 1 again.
+RECOVERY = 24
+ORIGIN_RECOVERY_BY_TIME = (
+    3  # by time alone an origin's limit recovers at one in so many of the pace
+)
+
+
+class ConcurrencyLimiter:
+    """Keeps the limits, which stand in `HostState`."""
+
+    def __init__(self, context: RuleContext) -> None:
+        """Take time, settings and randomness from the context."""
+        self.context = context
+
+    def reset(self, host: HostState) -> None:
+        """Set the limit of a host that has just started, or is new.
+
+        The start is low, so that all balancers together do not crowd it; it is left fast.
+        """
+        balancer_count = self.context.settings.balancer_count
+        initial_limit = INITIAL_LIMIT_OF_ALL / balancer_count
+        host.concurrency_limit = min(MAX_INITIAL_LIMIT, max(MIN_INITIAL_LIMIT, initial_limit))
+        host.limit_floor = (1 + host.is_origin) * LIMIT_FLOOR_OF_ALL / balancer_count
+        host.limit_decreased_at_us = 0
+        host.smoothed_latency_us = 0
+
+    def has_capacity(self, host: HostState) -> bool:
+        """Whether the host's limit lets one more attempt go; draws by chance where the limit is below 1."""
+        if host.concurrency_limit >= 1.0:
+            return host.in_flight + host.in_flight_elsewhere < host.concurrency_limit
+        host.capacity_checks += 1
+        return not host.total_in_flight and self.context.rng.random() < self.admission_probability(
+            host
+        )
+
+    def admission_probability(self, host: HostState) -> float:
+        """The probability that a lone request goes to a host whose limit is below 1.
+
+        It recovers with time, a cache's only as far as it was wanted too: where little is sent, few answers
+        come that could raise it. An origin's recovers by good answers (`record_latency`): what time alone
+        lets through from all balancers would keep it from emptying.
+        """
+        since_decrease_us = self.context.now - host.limit_decreased_at_us
+        objectives = since_decrease_us / self.context.latency_objective_us
+        if host.is_origin:
+            recovered = objectives / ORIGIN_RECOVERY_BY_TIME
+        else:
+            recovered = min(objectives, host.capacity_checks)
+        return min(1.0, host.concurrency_limit + recovered / RECOVERY)
+
+    def slowness(self, host: HostState) -> float:
+        """The smoothed latency over what counts as slow there: above 1 the limit falls."""
+        slow_ratio = ORIGIN_SLOW_RATIO if host.is_origin else CACHE_SLOW_RATIO
+        return host.smoothed_latency_us / (self.context.latency_objective_us * slow_ratio)
+
+    def record_latency(self, host: HostState, latency_us: int) -> None:
+        """Smooth the host's latency by that of one attempt, and move its limit by the result.
+
+        The limit falls while answers are slow. Else it grows where it is used: by one an answer until it
+        was first decreased, then by one a round trip; and doubles by a good answer of an origin while it is
+        below 1.
+        """
+        now = self.context.now
+        is_recent = now - host.latency_recorded_at_us < LATENCY_MEMORY_US
+        previous_us = (is_recent and host.smoothed_latency_us) or latency_us
+        host.smoothed_latency_us = previous_us + (latency_us - previous_us) // SMOOTHING
+        host.latency_recorded_at_us = now
+        slowness = self.slowness(host)
+        if slowness > 1.0:
+            max_decrease = MAX_DECREASE_ORIGIN if host.is_origin else MAX_DECREASE_CACHE
+            self.decrease_limit(host, max(max_decrease, min(MIN_DECREASE, 1 / slowness)))
+        elif host.concurrency_limit < 1.0:
+            host.concurrency_limit = self.admission_probability(host) * (1 + host.is_origin)
+            host.capacity_checks = 0
+        elif host.in_flight + host.in_flight_elsewhere >= host.concurrency_limit // 2:
+            was_decreased = host.limit_decreased_at_us
+            host.concurrency_limit += 1 / host.concurrency_limit if was_decreased else 1.0
+
+    def decrease_limit(self, host: HostState, factor: float) -> None:
+        """Cut the limit to this part, once in the time that an answer takes.
+
+        What is cut is no more than what was in flight, as a limit that is not used says nothing. It stays over
+        its floor: `limit_floor`, or one attempt (two at an origin) where answers take half of the latency
+        objective.
+        """
+        context = self.context
+        since_decrease_us = context.now - host.limit_decreased_at_us
+        if since_decrease_us <= host.smoothed_latency_us:
+            return
+        limit = max(host.concurrency_limit, self.admission_probability(host))
+        floor = host.limit_floor
+        if host.smoothed_latency_us >= context.latency_objective_us // 2:
+            floor = min(floor, 1.0 + host.is_origin)
+        used_limit = min(limit, (1 + host.is_origin) * (host.total_in_flight + 1))
+        host.concurrency_limit = max(floor, used_limit * factor)
+        host.limit_decreased_at_us = context.now
+        host.capacity_checks = 0
--- a/orchidgap/decisions/gossip_counts.py
+++ b/orchidgap/decisions/gossip_counts.py
@@ -23,8 +23,9 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from orchidgap.decisions.balancer import REDRAW_SENDS, Placement
 from orchidgap.decisions.hot_keys import mark
+from orchidgap.decisions.placement import Placement
+from orchidgap.decisions.rebalancing import REBALANCE_MIN_ATTEMPTS
 
 AGE = 15_000_000  # after which a row counts no more: its balancer is dead, or cannot be heard
 GAP = 60_000_000  # between two draws: each moves the cuts of all ranges, and their keys are fetched anew
@@ -66,7 +67,7 @@
         self.version: Version = (0, "")
         self.number = 0
         # when the table became what it is, and when what was read last faded
-        self.drawn_at, self.faded_at = placement.drawn_at, now
+        self.drawn_at, self.faded_at = placement.rebalancer.rebalanced_at_us, now
         self.draws = 0
 
     def ring(self) -> int:
@@ -78,7 +79,7 @@
     def own(self, now: int) -> Row:
         """What is told of itself; each has a number of its own."""
         self.number += 1
-        heat, ring = self.placement.heat, self.placement.ring
+        heat, ring = self.placement.hot_keys, self.placement.ring
         keys = nlargest(MOST_KEYS, heat.counts.items(), key=lambda item: item[1])
         return Row(
             self.life,
@@ -121,21 +122,21 @@
             raise ValueError("a table that does not go with its caches")
         for host, size in zip(placement.ring, sizes):
             host.range_size = size
-        placement.cut()
+        placement.ranges.refresh()
         if version > self.version:
             for host in placement.ring:
                 host.attempt_count, host.counted_since_us = 0, now
-            placement.fleet.attempt_count = 0
-            placement.loose = -1  # drawn by counts: not to be evened
+            placement.all_caches.attempt_count = 0
+            placement.rebalancer.is_rebalanced = True  # drawn by counts: not to be evened
         self.version, self.drawn_at = version, now
-        placement.drawn_at = now
+        placement.rebalancer.rebalanced_at_us = now
         return True
 
     def tick(self, now: int) -> bool:
         """Once in a while: hot keys of all are told to whoever looks for them, and a table is drawn where all
         together have counted enough; whether it was."""
         placement, live = self.placement, self.live(now)
-        heat, ring = placement.heat, placement.ring
+        heat, ring = placement.hot_keys, placement.ring
         others: dict[int, float] = {}
         for _, row in live:
             for key, count in row.keys.items():
@@ -146,9 +147,9 @@
         if now - self.faded_at >= FADE:
             heat.halve(0.75)
             self.faded_at = now
-        if placement.drawn_at != self.drawn_at:
-            self.drawn_at = placement.drawn_at
-            if placement.loose < 0:  # it has seen so much by itself that it drew
+        if placement.rebalancer.rebalanced_at_us != self.drawn_at:
+            self.drawn_at = placement.rebalancer.rebalanced_at_us
+            if placement.rebalancer.is_rebalanced:  # it has seen so much by itself that it drew
                 return self.drew()
         if now - self.drawn_at < self.gap or not ring:
             return False
@@ -161,7 +162,7 @@
         counts = [
             host.attempt_count + sum(sends[i] for sends in there) for i, host in enumerate(ring)
         ]
-        if sum(counts) < REDRAW_SENDS * len(ring):
+        if sum(counts) < REBALANCE_MIN_ATTEMPTS * len(ring):
             return False
         if self.rng.random() * EAGER * (1 + len(live)) >= 1:
             return False  # another one does, or this one the next time
@@ -170,11 +171,14 @@
                 count,
                 now - self.gap,
             )  # all for the same time
-        placement.fleet.attempt_count = sum(counts)
+        placement.all_caches.attempt_count = sum(counts)
         placement.tick()
         return self.drew()
 
     def drew(self) -> bool:
-        self.version, self.drawn_at = (self.version[0] + 1, self.name), self.placement.drawn_at
+        self.version, self.drawn_at = (
+            (self.version[0] + 1, self.name),
+            self.placement.rebalancer.rebalanced_at_us,
+        )
         self.draws += 1
         return True
--- /dev/null
+++ b/orchidgap/decisions/origin.py
@@ -0,0 +1,101 @@
+"""The fourth stage: writes and misses go to an origin, within a limit that follows how it answers.
+
+The origin serves far less than all reads. What finds it at its limit waits, writes before reads, where that is likely to
+end in time; a quick denial is better than one after a wait.
+"""
+
+from __future__ import annotations
+
+from orchidgap.decisions.pipeline import PipelineContext, Stage
+from orchidgap.decisions.records import Attempt, HostState, Request
+from orchidgap.decisions.retry_policy import RETRYABLE_OUTCOMES
+
+SPARE_SLOWNESS_RATIO = 0.45  # up to which an origin takes reads off the caches
+
+
+class Origin(Stage):
+    """Sends to the origin with the fewest attempts in flight.
+
+    Attributes:
+        hosts: The ready origins.
+    """
+
+    def __init__(self, context: PipelineContext) -> None:
+        """Start without an origin."""
+        super().__init__(context)
+        self.hosts: list[HostState] = []
+
+    def forward(self, request: Request, host: HostState | None = None) -> None:
+        """Pass the request down to its cache, or to an origin with room; else queue or reject it."""
+        chosen = host or self.choose_host(request)
+        if chosen:
+            self.next_stage.forward(request, chosen)
+        elif self._is_hopeless(request):
+            self.context.reject_if_idle(request)
+        elif self._is_served_in_time(request):
+            self.enqueue(request, first=request.is_write)
+        else:
+            self.context.reject(request)
+
+    def choose_host(self, request: Request) -> HostState | None:
+        """The origin with the fewest attempts in flight, of those that may take this request now."""
+        context = self.context
+        ready = [
+            host
+            for host in self.hosts
+            if context.now >= host.ejected_until_us
+            and context.limiter.has_capacity(host)
+            and context.may_retry(request, host)
+        ]
+        return min(ready, key=lambda host: host.total_in_flight) if ready else None
+
+    def has_spare_capacity(self) -> bool:
+        """Whether an origin could take a read that no cache was asked for, and keep half of its room."""
+        if self.queue:
+            return False
+        context = self.context
+        return any(
+            host.total_in_flight * 2 < host.concurrency_limit - 1
+            and context.now >= host.ejected_until_us
+            and context.limiter.slowness(host) < SPARE_SLOWNESS_RATIO
+            for host in self.hosts
+        )
+
+    def drain_queue(self) -> None:
+        """Send on what waits; what waited until no origin may take it any more is rejected."""
+        while self.queue and self.hosts:
+            request = self.queue[0]
+            if request.answered or not self._is_hopeless(request):
+                break
+            self.context.reject_if_idle(self.queue.popleft())
+        super().drain_queue()
+
+    def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
+        """Retry what failed at an origin."""
+        self.drain_queue()
+        failed_here = attempt.outcome in RETRYABLE_OUTCOMES and attempt.host.is_origin
+        if failed_here and not (request.answered or self._is_hopeless(request)):
+            self.forward(request)
+            return
+        self.previous_stage.on_attempt_done(request, attempt)
+
+    def _is_hopeless(self, request: Request) -> bool:
+        """Whether no origin may take the request, however long it waits.
+
+        It may have run at one that drops no repeats, or that does so no longer.
+        """
+        return not any(self.context.may_retry(request, host) for host in self.hosts)
+
+    def _is_served_in_time(self, request: Request) -> bool:
+        """Whether waiting is likely to end before the request's client gives up or its objective is over.
+
+        A write waits for one answer, a read for all that wait before it as well.
+        """
+        limit = sum(host.concurrency_limit for host in self.hosts)
+        if limit < 1:
+            return False
+        latency_us = max((host.smoothed_latency_us for host in self.hosts), default=0)
+        queued_before = 0 if request.is_write else len(self.queue)
+        objective_us = request.received_at_us + request.request_class.latency_objective_us
+        expected_us = self.context.now + latency_us * (1 + queued_before / limit)
+        return expected_us <= min(request.deadline_us, objective_us)
--- a/orchidgap/decisions/records.py
+++ b/orchidgap/decisions/records.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from enum import StrEnum
 
@@ -129,6 +130,6 @@
     owner_offset: int = 0  # from the owner of its slot to its cache, in the ring; for a hot key
 
 
-def possibly_executed(attempts: list[Attempt]) -> list[Attempt]:
+def possibly_executed(attempts: Sequence[Attempt]) -> list[Attempt]:
     """Attempts that may have run or may yet run."""
     return [attempt for attempt in attempts if attempt.outcome not in NEVER_EXECUTED]
--- a/orchidgap/decisions/shadow.py
+++ b/orchidgap/decisions/shadow.py
@@ -1,157 +1,192 @@
-"""Decides as ever, and counts by kind where other terms would have decided otherwise. It sends nothing.
+"""Shadow evaluation: decides by its own settings, and counts where other settings would have decided otherwise.
 
-Each decision is looked at by itself, from what is known when it is taken: what would have followed from
-another one is not played on.
+Nothing is sent by the other settings. Each decision is looked at by itself, from what is known when it is taken:
+what would have followed from another one is not played on.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_right
-from collections.abc import Iterable, Iterator
-from contextlib import contextmanager
-from itertools import accumulate
+from collections.abc import Iterable
+from enum import StrEnum
 
-from orchidgap.decisions.balancer import Balancer, Dispatch
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.dispatch import Dispatch
+from orchidgap.decisions.host_list import HostEntry
+from orchidgap.decisions.load_reports import are_judged, fair_in_flight
 from orchidgap.decisions.ports import Port
 from orchidgap.decisions.records import Attempt, Request
+from orchidgap.decisions.retry_policy import RetryPolicy, allows_attempt_after
 from orchidgap.decisions.settings import RequestClass, ServiceSettings
 
-PACE = 60_000_000  # between two lines that tell the counts
-KINDS = ("owner", "copy", "repeat", "call-off", "answer", "pause", "limit")
+LOG_INTERVAL_US = 60_000_000  # between two lines that tell the counts
 
 
-class WatchedPort:
+class Difference(StrEnum):
+    """A kind of decision that other settings would have taken otherwise, as logs and operators read it."""
+
+    OWNER = "owner"  # another cache owns the slot
+    HEDGE = "copy"  # a second attempt beside one in flight
+    RETRY = "repeat"
+    CANCELLATION = "call-off"  # of a late attempt
+    ANSWER = "answer"  # denied or aborted
+    RETRY_AFTER = "pause"  # how long a denied client is told to stay away
+    LIMIT = "limit"  # a host's limit is cut by what it reported
+
+
+class ShadowPort:
     """Passes on what is decided, after a look at it."""
 
-    def __init__(self, watching: ShadowBalancer, port: Port) -> None:
-        self.watching, self.port = watching, port
-        self.cancel, self.wake, self.subscribe, self.log = (
-            port.cancel,
-            port.wake,
-            port.subscribe,
-            port.log,
-        )
+    def __init__(self, balancer: ShadowBalancer, port: Port) -> None:
+        """Stand between this balancer and its port."""
+        self.balancer = balancer
+        self.port = port
+        self.cancel = port.cancel
+        self.wake = port.wake
+        self.subscribe = port.subscribe
+        self.log = port.log
+
+    def dispatch(self, request: int, host: str) -> None:
+        """See `Port.dispatch`."""
+        self.balancer.compare_attempt(self.balancer.requests[request])
+        self.port.dispatch(request, host)
 
-    def dispatch(self, req: int, host: str) -> None:
-        self.watching.sees(self.watching.requests[req])
-        self.port.dispatch(req, host)
+    def deny(self, request: int, retry_after_us: int) -> None:
+        """See `Port.deny`."""
+        self.balancer.compare_rejection(self.balancer.requests[request], retry_after_us)
+        self.port.deny(request, retry_after_us)
 
-    def deny(self, req: int, pause: int) -> None:
-        self.watching.ends(req, pause)
-        self.port.deny(req, pause)
+    def abort(self, request: int) -> None:
+        """See `Port.abort`."""
+        self.balancer.compare_rejection(self.balancer.requests[request], None)
+        self.port.abort(request)
 
-    def abort(self, req: int) -> None:
-        self.watching.ends(req, -1)
-        self.port.abort(req)
 
+class ShadowDispatch(Dispatch):
+    """Looks at late attempts on the way."""
 
-class WatchedDispatch(Dispatch):
-    desk: ShadowBalancer
+    context: ShadowBalancer
 
-    def late(self, sent: Attempt) -> None:
-        desk = self.desk
-        if not sent.outcome and not sent.host.is_origin and not self.lost(sent):
-            now = self.calls_off(sent)
-            with desk.otherwise():
-                desk.add("call-off", self.calls_off(sent) != now)
-        super().late(sent)
+    def on_late(self, attempt: Attempt) -> None:
+        """See `Dispatch.on_late`."""
+        is_judged = not (attempt.outcome or attempt.host.is_origin or self.is_lost(attempt))
+        if is_judged:
+            cancels = self.should_cancel(attempt, self.context.settings)
+            other_cancels = self.should_cancel(attempt, self.context.other_settings)
+            self.context.count_if(Difference.CANCELLATION, cancels != other_cancels)
+        super().on_late(attempt)
 
 
 class ShadowBalancer(Balancer):
-    sends = WatchedDispatch
+    """Decides as a `Balancer` of its own settings does.
+
+    Attributes:
+        other_settings: Those that are evaluated beside.
+        differences: How many decisions they would have taken otherwise, by kind.
+        attempts_compared: How many attempts were looked at.
+    """
+
+    dispatch_type = ShadowDispatch
 
     def __init__(
-        self, other: ServiceSettings, terms: ServiceSettings, port: Port, seed: int, now: int
+        self,
+        other_settings: ServiceSettings,
+        settings: ServiceSettings,
+        port: Port,
+        seed: int,
+        now: int,
     ) -> None:
-        self.other, self.looked = other, 0
-        self.said_at, self.said = now, ""
-        self.counts = dict.fromkeys(KINDS, 0)
-        self.cuts: list[list[int]] = [
-            [],
-            [],
-        ]  # where even ranges end, by these terms and by the others
-        self.helds: dict[str, float] = {}
-        super().__init__(terms, WatchedPort(self, port), seed, now)
-
-    def tick(self, _: None) -> None:
-        super().tick(None)
-        if self.now - self.said_at >= PACE and (words := self.told()) != self.said:
-            self.said_at, self.said = self.now, words
-            self.port.log(f"watched so far: {words}")
-
-    def add(self, kind: str, differs: bool) -> None:
-        self.counts[kind] += differs
-
-    def told(self) -> str:
-        kinds = (f"{kind} {many}" for kind, many in self.counts.items())
-        return ", ".join([f"{self.looked} dispatches", *kinds])
-
-    @contextmanager
-    def otherwise(self) -> Iterator[None]:
-        """The other terms are asked; nothing may be changed meanwhile."""
-        terms, self.settings = self.settings, self.other
-        try:
-            yield
-        finally:
-            self.settings = terms
-
-    def sees(self, req: Request) -> None:
-        """A dispatch that is about to go out, the last of its req."""
-        sent, earlier = req.attempts[-1], req.attempts[:-1]
-        self.looked += 1
-        if not earlier and not sent.host.is_origin and self.cuts[0] and not self.slot_map:
-            mine, others = (bisect_right(cuts, req.slot) for cuts in self.cuts)
-            self.add("owner", mine != others)
-        copy = any(not one.outcome for one in earlier)
-        self.add("copy", copy and not self.other.may_hedge)
-        repeats = not copy and bool(earlier)
-        self.add(
-            "repeat",
-            repeats
-            and not self.allows(req, sent.host, self.theirs(req), earlier, self.other.max_attempts),
-        )
-
-    def theirs(self, req: Request) -> RequestClass:
-        """The other terms' rule set of that name; its own where it came under earlier terms."""
-        names = [
-            name
-            for name, rule_set in self.settings.request_classes.items()
-            if rule_set is req.request_class
-        ]
-        return (
-            self.other.request_classes.get(names[0], req.request_class)
-            if names
-            else req.request_class
+        """Start as a `Balancer`; `other_settings` are evaluated beside."""
+        self.other_settings = other_settings
+        self.other_retry_policy = RetryPolicy.from_settings(other_settings)
+        self.differences = dict.fromkeys(Difference, 0)
+        self.attempts_compared = 0
+        self._logged_at_us = now
+        self._logged_summary = ""
+        self._even_ends: list[int] = []  # of ranges, by the settings that count
+        self._other_even_ends: list[int] = []
+        self._reported_in_flight: dict[str, float] = {}  # by host, over its weight
+        super().__init__(settings, ShadowPort(self, port), seed, now)
+
+    def summary(self) -> str:
+        """What was counted, in one line."""
+        counts = (f"{kind} {count}" for kind, count in self.differences.items())
+        return ", ".join([f"{self.attempts_compared} dispatches", *counts])
+
+    def count_if(self, kind: Difference, differs: bool) -> None:
+        """Count a decision that the other settings take otherwise."""
+        self.differences[kind] += differs
+
+    def compare_attempt(self, request: Request) -> None:
+        """Look at the last attempt of a request, which is about to be sent."""
+        attempt = request.attempts[-1]
+        earlier = request.attempts[:-1]
+        self.attempts_compared += 1
+        goes_by_ranges = self._even_ends and not self.slot_map and not attempt.host.is_origin
+        if not earlier and goes_by_ranges:
+            owner = bisect_right(self._even_ends, request.slot)
+            other_owner = bisect_right(self._other_even_ends, request.slot)
+            self.count_if(Difference.OWNER, owner != other_owner)
+        is_hedge = any(not other.outcome for other in earlier)
+        if is_hedge:
+            self.count_if(Difference.HEDGE, not self.other_settings.may_hedge)
+        elif earlier:
+            allowed = allows_attempt_after(
+                earlier,
+                attempt.host,
+                self._other_request_class(request),
+                self.other_settings.max_attempts + request.redirects,
+                self.now,
+            )
+            self.count_if(Difference.RETRY, not allowed)
+
+    def compare_rejection(self, request: Request, retry_after_us: int | None) -> None:
+        """Look at a final answer that is about to go out: denied with this time, or aborted (None)."""
+        other_retry_after_us = self.other_retry_policy.retry_after_us(
+            request, request.request_class, self.now
         )
+        if retry_after_us is None or other_retry_after_us is None:
+            self.count_if(Difference.ANSWER, retry_after_us != other_retry_after_us)
+        else:
+            self.count_if(Difference.RETRY_AFTER, retry_after_us != other_retry_after_us)
 
-    def ends(self, id: int, pause: int) -> None:
-        """A final answer that is about to go out; a pause under 0 is that of one aborted."""
-        req = self.requests[id]
-        with self.otherwise():
-            theirs = self.comeback(req, self.theirs(req))
-        self.add("answer", (theirs >= 0) != (pause >= 0))
-        self.add("pause", min(theirs, pause) >= 0 and theirs != pause)
-
-    def on_hosts(
-        self, scope: str, entries: Iterable[tuple[str, str, int, str, str, str, float]]
-    ) -> None:
+    def on_hosts(self, scope: str, entries: Iterable[HostEntry]) -> None:
+        """See `Balancer.on_hosts`."""
         super().on_hosts(scope, entries)
-        self.helds = {id: held for id, held in self.helds.items() if id in self.hosts}
-        mine = self.ends_of_shares()
-        with self.otherwise():
-            self.cuts = [mine, self.ends_of_shares()]
-
-    def ends_of_shares(self) -> list[int]:
-        return [
-            round(end)
-            for end in accumulate(self.placement.share(host) for host in self.placement.ring)
-        ]
-
-    def on_load_report(self, id: str, rate: float | None, held: float | None = None) -> None:
-        if held is not None and (host := self.hosts.get(id)) and not host.is_origin:
-            self.helds[id] = held / host.weight
-            much = held > host.weight * self.placement.fair_of(sorted(self.helds.values()))
-            mine = self.by_load
-            with self.otherwise():
-                self.add("limit", much and self.by_load != mine)
-        super().on_load_report(id, rate, held)
+        self._reported_in_flight = {
+            host_id: in_flight
+            for host_id, in_flight in self._reported_in_flight.items()
+            if host_id in self.hosts
+        }
+        ranges = self.placement.ranges
+        self._even_ends = ranges.even_range_ends(self.settings.uses_listed_weights)
+        self._other_even_ends = ranges.even_range_ends(self.other_settings.uses_listed_weights)
+
+    def on_load_report(
+        self, host_id: str, request_rate: float | None, in_flight: float | None = None
+    ) -> None:
+        """See `Balancer.on_load_report`."""
+        host = self.hosts.get(host_id)
+        if in_flight is not None and host and not host.is_origin:
+            self._reported_in_flight[host_id] = in_flight / host.weight
+            fair = host.weight * fair_in_flight(sorted(self._reported_in_flight.values()))
+            judged = are_judged(self.settings)
+            other_judged = are_judged(self.other_settings)
+            self.count_if(Difference.LIMIT, in_flight > fair and judged != other_judged)
+        super().on_load_report(host_id, request_rate, in_flight)
+
+    def _tick(self) -> None:
+        super()._tick()
+        if self.now - self._logged_at_us >= LOG_INTERVAL_US:
+            summary = self.summary()
+            if summary != self._logged_summary:
+                self._logged_at_us = self.now
+                self._logged_summary = summary
+                self.port.log(f"watched so far: {summary}")
+
+    def _other_request_class(self, request: Request) -> RequestClass:
+        """The other settings' class of that name; its own where it came under earlier settings."""
+        for name, request_class in self.settings.request_classes.items():
+            if request_class is request.request_class:
+                return self.other_settings.request_classes.get(name, request_class)
+        return request.request_class
--- a/orchidgap/decisions/warm_snapshot.py
+++ b/orchidgap/decisions/warm_snapshot.py
@@ -9,7 +9,8 @@
 from math import isfinite
 from typing import Any
 
-from orchidgap.decisions.balancer import SLOT_COUNT, Balancer
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
 
 SLACK = 50_000  # by which two processes' clocks may differ
 AHEAD = {"shun_until": 1_000_000, "warm_at": 60_000_000}  # how far ahead these may lie
@@ -50,8 +51,8 @@
             for host in balancer.hosts.values()
         },
         "tenants": {
-            name: [balancer.admission.let_in[name], shed]
-            for name, shed in balancer.admission.shed.items()
+            name: [balancer.admission.admitted[name], shed]
+            for name, shed in balancer.admission.shed_ratios.items()
         },
     }
 
@@ -97,10 +98,11 @@
     ):
         for host in ring:
             host.range_size = sizes[host.id]
-        balancer.placement.cut()
+        balancer.placement.ranges.refresh()
     tenants = told.get("tenants")
     for name, pair in tenants.items() if isinstance(tenants, Mapping) else ():
-        if name in balancer.admission.shed and isinstance(pair, list) and len(pair) == 2:
+        if name in balancer.admission.shed_ratios and isinstance(pair, list) and len(pair) == 2:
             if number(pair[0], 0.0, 1e9) and number(pair[1], 0.0, 0.9):
-                balancer.admission.let_in[name], balancer.admission.shed[name] = map(float, pair)
+                admission = balancer.admission
+                admission.admitted[name], admission.shed_ratios[name] = map(float, pair)
     return taken
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -500,7 +500,7 @@
         """What the terms that are watched would have decided otherwise, by kind."""
         if not isinstance(self.balancer, ShadowBalancer):
             return False, "nothing is watched"
-        return True, self.balancer.told()
+        return True, self.balancer.summary()
 
     def resume(self) -> tuple[bool, str]:
         """End a drain."""
@@ -583,6 +583,6 @@
             longest_turn_ms=self.loop.longest // 1000,
         )
         if isinstance(self.balancer, ShadowBalancer):
-            self.note("watched", what=self.balancer.told())
+            self.note("watched", what=self.balancer.summary())
         self.handover.close()
         self.loop.running = False
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -198,7 +198,7 @@
             owners = len({entry.owner for entry in ranges})
             self.node.note("slots", owners=owners, holes=left, clashes=self.slots.clashes)
         self.tell()
-        self.node.decide(self.node.balancer.pump)
+        self.node.decide(self.node.balancer.drain_queues)
 
     def ended(self, what: str) -> None:
         self.drop()
--- a/orchidgap/trial/baselines.py
+++ b/orchidgap/trial/baselines.py
@@ -1,6 +1,6 @@
 """Textbook deciders behind the same port, to compare with: none of them is meant to serve.
 
-They know the rules on repeats (taken from `rules.Balancer`), send a miss to the origin and try another host
+They know the rules on repeats (`decisions.retry_policy`), send a miss to the origin and try another host
 after a failure. They keep no limits, know nothing of cold hosts and deny only where no host is left.
 """
 
@@ -14,10 +14,12 @@
 from random import Random
 from typing import TYPE_CHECKING, Any, cast
 
-from orchidgap.decisions.balancer import RETRYABLE_OUTCOMES, SLOT_COUNT, Balancer
-from orchidgap.decisions.pipeline import RequestTable, Stage
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.decisions.ports import Port
 from orchidgap.decisions.records import Attempt, HostState, Request
+from orchidgap.decisions.request_table import RequestTable
+from orchidgap.decisions.retry_policy import RETRYABLE_OUTCOMES
 from orchidgap.decisions.settings import ServiceSettings
 
 if TYPE_CHECKING:
@@ -37,13 +39,13 @@
     """A decider that picks a host and, where that failed, another."""
 
     def __init__(self, terms: ServiceSettings, port: Port, seed: int, now: int) -> None:
-        super().__init__(port, now)
-        self.settings, self.rng = terms, Random(seed)
+        super().__init__(terms, port, now)
+        self.rng = Random(seed)
         self.caches: list[HostState] = []
         self.origins: list[HostState] = []
-        self.sender = Back(self)
+        self.attempt_listener = Back(self)
         if terms.subscribes:
-            self.call_later(0, lambda _: port.subscribe())
+            self.call_later(0, port.subscribe)
 
     @staticmethod
     def homes(slot: int, ids: list[str]) -> list[int]:
@@ -77,9 +79,6 @@
         self.origins = [host for host in ready if host.is_origin]
         self.follow()
 
-    def on_settings(self, terms: ServiceSettings) -> None:
-        self.settings = terms
-
     def follow(self) -> None:
         """The caches have changed."""
 
@@ -127,34 +126,31 @@
         at_origin = req.cache_missed or req.is_write and bool(self.settings.origin_kind)
         hosts = [host for host in (self.origins if at_origin else self.caches) if host not in tried]
         if not hosts or len(req.attempts) >= req.max_attempts:
-            return self.finish(req)
+            return self.reject_if_idle(req)
         host = min(hosts, key=lambda at: at.in_flight) if at_origin else self.pick(req, hosts)
-        if req.attempts and not Balancer.may_repeat(cast(Any, self), req, host):
-            return self.finish(req)
+        if req.attempts and not self.may_retry(req, host):
+            return self.reject_if_idle(req)
         req.attempts.append(Attempt(req, host, self.now))
         req.in_flight, host.in_flight = req.in_flight + 1, host.in_flight + (not req.body_streaming)
         self.port.dispatch(req.id, host.id)
 
-    # the rules are asked of the decisions themselves
-    allows: Any = Balancer.allows
-    comeback: Any = Balancer.comeback
 
-    def finish(self, req: Request) -> None:
-        if not req.answered and not req.in_flight:
-            Balancer.finish(cast(Any, self), req)
+class Back:
+    """Decides what follows from an outcome."""
 
+    def __init__(self, decider: Plain) -> None:
+        self.decider = decider
 
-class Back(Stage[Any]):
-    def back(self, req: Request, sent: Attempt) -> None:
+    def on_attempt_done(self, req: Request, sent: Attempt) -> None:
         if req.answered:
             return
         if sent.outcome == "miss" and not sent.host.is_origin:
             req.cache_missed = True
-            self.desk.go(req)
+            self.decider.go(req)
         elif sent.outcome in RETRYABLE_OUTCOMES:
-            self.desk.go(req)
+            self.decider.go(req)
         else:
-            self.desk.finish(req)
+            self.decider.reject_if_idle(req)
 
 
 class RandomPick(Plain):
@@ -245,7 +241,7 @@
         if first and self.caches:
             best = min(self.cost(req, host, cost) for host in self.caches)
             if best > req.request_class.latency_objective_us:
-                return self.finish(req)
+                return self.reject_if_idle(req)
         super().go(req)
 
     def cost(self, req: Request, host: HostState, cost: int) -> float:
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -21,7 +21,7 @@
 
 from orchidgap.admin.client import call as ask_door
 from orchidgap.admin.server import Operators
-from orchidgap.decisions.balancer import SLOT_COUNT
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.net import config
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import format_address
--- a/tests/decisions/test_estate.py
+++ b/tests/decisions/test_estate.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from orchidgap.decisions import warm_snapshot
-from orchidgap.decisions.balancer import SLOT_COUNT
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
 
 
 def known():
@@ -25,7 +25,7 @@
     )
     ring = desk.placement.ring
     ring[0].range_size, ring[2].range_size = ring[0].range_size - 500, ring[2].range_size + 500
-    desk.placement.cut()
+    desk.placement.ranges.refresh()
     return desk
 
 
@@ -39,7 +39,7 @@
     )
     assert (
         warm_snapshot.export_snapshot(new) == warm_snapshot.export_snapshot(old)
-        and new.placement.cuts == old.placement.cuts
+        and new.placement.ranges.range_ends == old.placement.ranges.range_ends
     )
     assert (
         type(new.hosts["c1"].smoothed_latency_us) is int
@@ -50,18 +50,18 @@
 def test_a_host_that_started_since_owes_nothing_and_other_caches_have_other_ranges():
     old, new = known(), Desk(3)
     new.list(["c1"], since=77)
-    before = new.placement.cuts[:]
+    before = new.placement.ranges.range_ends[:]
     assert warm_snapshot.restore_snapshot(new, warm_snapshot.export_snapshot(old)) == 3
     assert (
         new.hosts["c1"].smoothed_latency_us == 0
         and new.hosts["c0"].retry_budget == old.hosts["c0"].retry_budget
-        and new.placement.cuts == before
+        and new.placement.ranges.range_ends == before
     )
     more = Desk(4)
-    before = more.placement.cuts[:]
+    before = more.placement.ranges.range_ends[:]
     warm_snapshot.restore_snapshot(more, warm_snapshot.export_snapshot(old))
     assert (
-        more.placement.cuts == before
+        more.placement.ranges.range_ends == before
         and sum(host.range_size for host in more.placement.ring) == SLOT_COUNT
     )
 
@@ -132,7 +132,7 @@
             and host.warm_at_us <= desk.now + 60_050_000
         )
     assert sum(host.range_size for host in desk.placement.ring) == SLOT_COUNT
-    assert all(0 <= shed <= 0.9 for shed in desk.admission.shed.values())
+    assert all(0 <= shed <= 0.9 for shed in desk.admission.shed_ratios.values())
     for key in range(20):
         req = desk.put(key)
         if desk.sent(req):
--- a/tests/decisions/test_heat.py
+++ b/tests/decisions/test_heat.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidgap.decisions.balancer import SLOT_COUNT
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.decisions.hot_keys import MOST, SPAN, HotKeyDetector
 
 
@@ -83,7 +83,7 @@
     """Not the left one for all: hundreds of balancers that lose a cache at once would all turn to it."""
     desk, sides = Desk(5), Counter()
     c2 = desk.hosts["c2"]
-    start, end = desk.placement.cuts[1:3]
+    start, end = desk.placement.ranges.range_ends[1:3]
     for key in range(400):
         c2.ejected_until_us = 0
         req = desk.put(key)
--- a/tests/decisions/test_pool.py
+++ b/tests/decisions/test_pool.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidgap.decisions.balancer import REDRAW_SENDS as SENDS
-from orchidgap.decisions.balancer import SLOT_COUNT
 from orchidgap.decisions.gossip_counts import AGE, GAP, MOST_ROWS, Pool, Row
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
+from orchidgap.decisions.rebalancing import REBALANCE_MIN_ATTEMPTS as SENDS
 
 BEAT = 500_000
 START = 100_000_000
@@ -59,7 +59,7 @@
 def count(desk, loads):
     for host, sends in zip(desk.placement.ring, loads, strict=True):
         host.attempt_count += sends
-        desk.placement.fleet.attempt_count += sends
+        desk.placement.all_caches.attempt_count += sends
 
 
 @given(st.integers(3, 16), st.integers(0, 99), st.sampled_from([0.0, 0.5]))
@@ -74,7 +74,7 @@
     )
     sizes = fleet.pools[0].sizes()
     assert sizes[0] < SLOT_COUNT // 8 < min(sizes[1:]) and sum(sizes) == SLOT_COUNT
-    assert all(desk.placement.fleet.attempt_count == 0 for desk in fleet.desks)
+    assert all(desk.placement.all_caches.attempt_count == 0 for desk in fleet.desks)
 
 
 @given(st.integers(0, 99), st.sampled_from([0.0, 0.5]))
@@ -103,15 +103,15 @@
     fleet = Fleet(20, caches=40)
     for i, pool in enumerate(fleet.pools):
         for key in range(20):
-            pool.placement.heat.copies(1_000 * i + key, 40)
-        pool.placement.heat.copies(7, 40)
-    alone = Fleet(1, caches=40).pools[0].placement.heat
+            pool.placement.hot_keys.copies(1_000 * i + key, 40)
+        pool.placement.hot_keys.copies(7, 40)
+    alone = Fleet(1, caches=40).pools[0].placement.hot_keys
     for key in range(21):
         assert alone.copies(key, 40) == 1
     for _ in range(10):
         fleet.beat()
-    assert all(pool.placement.heat.copies(7, 40) > 1 for pool in fleet.pools)
-    assert all(pool.placement.heat.copies(8_888_888, 40) == 1 for pool in fleet.pools)
+    assert all(pool.placement.hot_keys.copies(7, 40) > 1 for pool in fleet.pools)
+    assert all(pool.placement.hot_keys.copies(8_888_888, 40) == 1 for pool in fleet.pools)
 
 
 def test_a_dead_balancers_row_counts_no_more_and_is_no_news_later():
--- a/tests/decisions/test_watch.py
+++ b/tests/decisions/test_watch.py
@@ -35,7 +35,7 @@
 
 
 def found(desk):
-    return {kind: many for kind, many in desk.counts.items() if many}
+    return {kind: many for kind, many in desk.differences.items() if many}
 
 
 def busy(desk):
@@ -61,13 +61,13 @@
     busy(plain)
     busy(watching)
     assert watching.seen.did == plain.port.did
-    assert found(watching) and watching.looked == len(plain.did("dispatch"))
+    assert found(watching) and watching.attempts_compared == len(plain.did("dispatch"))
 
 
 def test_the_same_terms_decide_nothing_otherwise():
     desk = Watch()
     busy(desk)
-    assert not found(desk) and desk.looked > 20
+    assert not found(desk) and desk.attempts_compared > 20
 
 
 def silent(desk):
@@ -141,7 +141,7 @@
     desk = Watch(weights="rough")
     sized(desk)
     assert 0 < found(desk)["owner"] < 20
-    assert desk.told().startswith("20 dispatches, owner ")
+    assert desk.summary().startswith("20 dispatches, owner ")
 
 
 def test_after_new_terms_open_reqs_are_looked_at_by_their_own():
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -74,7 +74,7 @@
         end = self.now + micros
         while self.entries and self.entries[0][0] <= end:
             self.now = max(self.now, self.entries[0][0])
-            self.on_wake(self.woken_at)
+            self.on_wake(self.wake_at_us)
         self.now = end
 
     def outcome(self, req, verdict, number=0, over=None):
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -114,7 +114,7 @@
 def test_a_datagram_holds_what_there_is_room_for():
     for caches, keys in ((4, 0), (200, 400), (400, 0)):
         ground = Ground(2, caches)
-        heat = ground.talks[0].pool.placement.heat
+        heat = ground.talks[0].pool.placement.hot_keys
         for key in range(keys):
             heat.copies(key, caches)
         data = ground.talks[0].datagram(ground.now)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -209,7 +209,7 @@
                 ring[0].range_size + 100,
                 ring[1].range_size - 100,
             )
-            self.old.node.balancer.placement.cut()
+            self.old.node.balancer.placement.ranges.refresh()
 
     two = Knowing(serves=False)
     old, new = two.old.node, two.new.node
@@ -227,7 +227,7 @@
         c0.retry_budget,
         c0.limit_decreased_at_us,
     ) == (3.5, 70_000, 9.0, two.old.now - 5)
-    assert new.balancer.placement.cuts == old.balancer.placement.cuts
+    assert new.balancer.placement.ranges.range_ends == old.balancer.placement.ranges.range_ends
     two.end()
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 import pytest
 from desk import Desk
 
-from orchidgap.decisions.balancer import SLOT_COUNT
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
 
 
 def sizes(desk):
@@ -23,11 +23,15 @@
         if step % 7 == 0:
             for host in desk.placement.ring:
                 host.attempt_count = 100 + chance.randrange(300)
-            desk.placement.fleet.attempt_count = 100 * len(here)
+            desk.placement.all_caches.attempt_count = 100 * len(here)
             desk.wait(5_500_000)
         ring = desk.placement.ring
         assert [host.id for host in ring] == sorted(here)
-        assert desk.placement.cuts[-1] == SLOT_COUNT == sum(host.range_size for host in ring)
+        assert (
+            desk.placement.ranges.range_ends[-1]
+            == SLOT_COUNT
+            == sum(host.range_size for host in ring)
+        )
         assert all(host.range_size >= 0 for host in ring)
 
 
@@ -83,7 +87,7 @@
     desk = Desk(4)
     for host, count in zip(desk.placement.ring, (200, 100, 50, 50), strict=True):
         host.attempt_count = count
-    desk.placement.fleet.attempt_count = 400
+    desk.placement.all_caches.attempt_count = 400
     desk.wait(6_000_000)
     desk.list(["c3"], state="gone")
     drawn = sizes(desk)
@@ -104,7 +108,7 @@
     desk = Desk(4)
     for host, count in zip(desk.placement.ring, sends, strict=True):
         host.attempt_count = count
-    desk.placement.fleet.attempt_count = 400
+    desk.placement.all_caches.attempt_count = 400
     desk.wait(4_000_000)
     assert set(sizes(desk).values()) == {4096}, "not before its time"
     desk.wait(2_000_000)
@@ -116,7 +120,7 @@
     desk.list(["c3"], since=99_000_000)  # cold
     for host in desk.placement.ring:
         host.attempt_count = 100
-    desk.placement.fleet.attempt_count = 400
+    desk.placement.all_caches.attempt_count = 400
     for id, rate in (("c0", 30.0), ("c1", 10.0), ("c2", 20.0)):
         desk.on_load_report(id, rate)
     desk.on_load_report("nobody", 1.0)
@@ -146,7 +150,7 @@
     desk.outcome(lead, "miss", 1)
     assert desk.did("deny", lead) and desk.sent(follower)[-1] == "o"
     desk.outcome(follower, "miss", 1)
-    assert desk.did("deny", follower) and not desk.merging.fetches
+    assert desk.did("deny", follower) and not desk.coalescing.fetches
 
 
 def test_a_follower_fetches_where_the_leader_fails():
@@ -208,7 +212,7 @@
 @pytest.mark.parametrize("verdict", ["error", "reset"])
 def test_a_spoilt_answer_among_many_costs_a_host_neither_its_limit_nor_its_range(verdict):
     desk = Desk()
-    desk.placement.heat.copies = lambda key, caches: 1  # one key is all that is asked for
+    desk.placement.hot_keys.copies = lambda key, caches: 1  # one key is all that is asked for
     owner = desk.owner(1)
     for _ in range(40):
         assert desk.owner(1) == owner
@@ -353,7 +357,7 @@
                 desk.outcome(req, "timeout", number, over=False)
             desk.on_client_gone(req)
             assert len(desk.did("deny", req) + desk.did("abort", req)) == 1, (verdicts, rule_set)
-            assert not desk.requests and not desk.merging.fetches
+            assert not desk.requests and not desk.coalescing.fetches
 
 
 def test_a_req_that_came_too_late_is_not_tried_again():
@@ -393,11 +397,11 @@
     desk = Desk()
     reqs = [desk.put(key, "mark") for key in range(12)]
     origin = desk.hosts["o"]
-    assert origin.in_flight == 8 and len(desk.origin.held) == 4
+    assert origin.in_flight == 8 and len(desk.origin.queue) == 4
     desk.wait(100_000)
     for req in reqs[:8]:
         desk.outcome(req, "done")
-    assert origin.concurrency_limit > 10 and not desk.origin.held
+    assert origin.concurrency_limit > 10 and not desk.origin.queue
     desk.wait(700_000)
     before = origin.concurrency_limit
     for req in reqs[8:]:
@@ -415,12 +419,12 @@
 
 def test_overload_sheds_the_tenant_over_its_share():
     desk = Desk()
-    desk.admission.let_in |= {"big": 80.0, "small": 20.0}
+    desk.admission.admitted |= {"big": 80.0, "small": 20.0}
     desk.hosts["o"].smoothed_latency_us = 10 * desk.latency_objective_us  # overload
     for _ in range(3):
-        desk.admission.let_in |= {"big": 80.0, "small": 20.0}
+        desk.admission.admitted |= {"big": 80.0, "small": 20.0}
         desk.admission.tick()
-    assert desk.admission.shed["big"] > 0.3 and not desk.admission.shed["small"]
+    assert desk.admission.shed_ratios["big"] > 0.3 and not desk.admission.shed_ratios["small"]
     big = [desk.put(key, tenant="big") for key in range(400)]
     small = [desk.put(key, tenant="small") for key in range(20)]
     denied = {req for req, _ in desk.did("deny")}
@@ -432,10 +436,10 @@
     desk = Desk(instances="100")
     for key in range(200):
         desk.owner(key)  # one tenant alone comes here
-    desk.admission.pressed = True
+    desk.admission.overloaded = True
     desk.hosts["o"].smoothed_latency_us = 10 * desk.latency_objective_us
     desk.admission.tick()
-    assert not any(desk.admission.shed.values())
+    assert not any(desk.admission.shed_ratios.values())
 
 
 def test_all_are_turned_away_while_the_oldest_has_waited_long():
@@ -479,7 +483,7 @@
     )
     assert went < 12 and desk.did("deny")
     desk.wait(3 * 24 * desk.latency_objective_us)
-    assert desk.chance(origin) == 1.0
+    assert desk.limiter.admission_probability(origin) == 1.0
 
 
 def test_a_dispatch_that_is_still_out_counts_as_slow():
@@ -504,9 +508,9 @@
     owner = desk.sent(req)[0]
     desk.outcome(req, "unconnected")
     assert desk.sent(req)[1] != owner and owner not in desk.sent(desk.put(1))
-    assert not desk.placement.room(desk.hosts[owner])
+    assert not desk.placement.accepts(desk.hosts[owner])
     desk.wait(600_000)
-    assert desk.placement.room(desk.hosts[owner])
+    assert desk.placement.accepts(desk.hosts[owner])
 
 
 def test_a_further_dispatch_goes_only_where_there_is_credit():
@@ -554,17 +558,17 @@
     """Found by a trial: it had started again before the list said so, and got its whole range at once."""
     desk = Desk(2)
     host = desk.hosts[desk.owner(1)]
-    assert desk.placement.room(host)
+    assert desk.placement.accepts(host)
     desk.outcome(desk.put(1), "refused")
     host.concurrency_limit = 1e9
     desk.wait(600_000)
     for _ in range(300):
-        desk.placement.placed += 1
-        host.in_flight += desk.placement.room(host)
+        desk.placement.slow_start.placements += 1
+        host.in_flight += desk.placement.accepts(host)
     assert 15 < host.in_flight < 120, "a share by its warmth: 0.2 to 0.3 of the half that it had"
     desk.wait(10_000_000)
     host.in_flight = 0
-    assert all(desk.placement.room(host) for _ in range(50))
+    assert all(desk.placement.accepts(host) for _ in range(50))
 
 
 def test_a_repeat_leaves_neither_its_group_nor_its_window():
@@ -591,7 +595,7 @@
     assert not desk.did("deny", req), "it waits for the origin"
     other = desk.put(2, rule_set="once")
     desk.wait(500_000)
-    desk.pump()
+    desk.drain_queues()
     assert len(desk.sent(req)) == 1 and desk.did("deny", req) and desk.sent(other) == ["o"]
 
 
@@ -623,7 +627,7 @@
     desk = rated([1.0, 3.0])
     for host, count in zip(desk.placement.ring, (100, 300), strict=True):
         host.attempt_count = count
-    desk.placement.fleet.attempt_count = 400
+    desk.placement.all_caches.attempt_count = 400
     desk.wait(6_000_000)
     assert list(sizes(desk).values()) == pytest.approx([4096, 12288], abs=2)
 
@@ -665,7 +669,7 @@
 def test_no_read_is_called_off_for_a_slow_origin_or_without_credit():
     for spoil in (
         lambda desk: setattr(desk.hosts["o"], "smoothed_latency_us", 300_000),
-        lambda desk: setattr(desk.placement.fleet, "retry_budget", 0.9),
+        lambda desk: setattr(desk.placement.all_caches, "retry_budget", 0.9),
     ):
         desk = Desk(4, **CALLS_OFF)
         spoil(desk)
@@ -705,10 +709,10 @@
     host = desk.hosts["c0"]
     host.concurrency_limit, host.limit_decreased_at_us = 0.0, desk.now
     desk.wait(24 * desk.latency_objective_us)
-    assert desk.chance(host) == 0.0, "nobody wanted it"
+    assert desk.limiter.admission_probability(host) == 0.0, "nobody wanted it"
     for _ in range(12):
-        desk.fits(host)
-    assert desk.chance(host) == pytest.approx(0.5)
+        desk.limiter.has_capacity(host)
+    assert desk.limiter.admission_probability(host) == pytest.approx(0.5)
 
 
 def test_an_origins_limit_below_one_comes_back_by_good_answers():
@@ -717,7 +721,9 @@
     desk.wait(1_000_000)
     origin.concurrency_limit, origin.limit_decreased_at_us = 0.1, desk.now
     desk.wait(24 * desk.latency_objective_us)
-    assert desk.chance(origin) == pytest.approx(0.1 + 1 / 3), "little by time"
+    assert desk.limiter.admission_probability(origin) == pytest.approx(0.1 + 1 / 3), (
+        "little by time"
+    )
     origin.limit_decreased_at_us = desk.now
-    desk.sender.judge(origin, 50_000)
+    desk.limiter.record_latency(origin, 50_000)
     assert origin.concurrency_limit == pytest.approx(0.2)
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -3,7 +3,12 @@
 import tomllib
 from pathlib import Path
 
-from orchidgap.decisions.balancer import RETRYABLE_OUTCOMES, Balancer, Dispatch, Origin, Placement
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.concurrency_limit import ConcurrencyLimiter
+from orchidgap.decisions.dispatch import Dispatch
+from orchidgap.decisions.origin import Origin
+from orchidgap.decisions.placement import Placement
+from orchidgap.decisions.retry_policy import RETRYABLE_OUTCOMES
 from orchidgap.http1 import codec as http
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
@@ -18,7 +23,7 @@
 class ResendsAnything(Defect):
     """A further dispatch whatever the rule set says."""
 
-    def may_repeat(self, req, host):
+    def may_retry(self, req, host):
         return not req.answered and len(req.attempts) < self.settings.max_attempts
 
 
@@ -50,28 +55,28 @@
 
 
 class NeverAnswers(Defect):
-    def finish(self, req):
+    def reject(self, req):
         self.exchange(req).timer.cancel()
-        self.end(req)
+        self.close_request(req)
 
 
 class AnswersLate(Defect):
     """Its own guard is off, and what it gives up it answers after the client timeout."""
 
-    def finish(self, req):
+    def reject(self, req):
         exchange = self.exchange(req)
         exchange.timer.cancel()
         self.call_later(
-            max(0, exchange.due - self.now) + 90_000, lambda _: Balancer.finish(self, req)
+            max(0, exchange.due - self.now) + 90_000, lambda: Balancer.reject(self, req)
         )
 
 
 class HoldsBack(Defect):
     """Denies only when the client is about to go, so that it does not ask again."""
 
-    def finish(self, req):
+    def reject(self, req):
         self.call_later(
-            max(0, self.exchange(req).due - self.now - 40_000), lambda _: Balancer.finish(self, req)
+            max(0, self.exchange(req).due - self.now - 40_000), lambda: Balancer.reject(self, req)
         )
 
 
@@ -97,35 +102,38 @@
         super().on_hosts(scope, entries)
 
 
-class Unlimited(Dispatch):
-    def judge(self, host, took, weight=2):
+class Unlimited(ConcurrencyLimiter):
+    def has_capacity(self, host):
+        return True
+
+    def record_latency(self, host, latency_us):
         host.concurrency_limit = 1e9
 
-    def cut(self, host, by):
+    def decrease_limit(self, host, factor):
         host.concurrency_limit = 1e9
 
-    def calls_off(self, sent):
+
+class Patient(Dispatch):
+    def should_cancel(self, attempt, settings):
         return False
 
 
 class Hurries(Placement):
     """A host that has just started gets its whole range at once, however long it takes to answer."""
 
-    def room(self, host):
+    def accepts(self, host):
         return True
 
 
 class FloodsCold(Defect):
     def __init__(self, terms, port, seed, now):
         super().__init__(terms, port, seed, now)
-        self.placement.__class__, self.sender.__class__ = Hurries, Unlimited
-
-    def fits(self, host):
-        return True
+        self.placement.__class__, self.dispatch.__class__ = Hurries, Patient
+        self.limiter.__class__ = Unlimited
 
 
 class Everything(Origin):
-    def choose(self, req):
+    def choose_host(self, req):
         return min(self.hosts, key=lambda host: host.in_flight) if self.hosts else None
 
 
@@ -135,7 +143,7 @@
     def __init__(self, terms, port, seed, now):
         super().__init__(terms, port, seed, now)
         self.origin.__class__ = Everything
-        self.merging.take = lambda req, host=None: self.placement.take(req)
+        self.coalescing.forward = lambda req, host=None: self.placement.forward(req)
 
 
 class HoldsIdle(Defect):
@@ -188,7 +196,7 @@
 class LeavesTheGroup(Defect):
     """A uniqued req that may have run goes to whichever origin is next."""
 
-    def may_repeat(self, req, host):
+    def may_retry(self, req, host):
         return (
             not req.answered
             and len(req.attempts) < 2
@@ -210,13 +218,13 @@
 
     def again(self, req):
         if not req.answered and self.origin.hosts:
-            self.sender.take(req, self.origin.hosts[0])
+            self.dispatch.forward(req, self.origin.hosts[0])
 
 
 class DeniesWhatMayHaveRun(Defect):
-    def finish(self, req):
+    def reject(self, req):
         self.port.deny(req.id, 0)
-        self.end(req)
+        self.close_request(req)
 
 
 class ServesFromMemory(Defect):
@@ -235,25 +243,25 @@
         super().on_request(id, left, write, rule_set, key, tenant)
         req = self.requests.get(id)
         if req and req.request_class.idempotent and len(req.attempts) == 1 and id % 20 == 0:
-            self.sender.take(req, self.placement.ring[0])
+            self.dispatch.forward(req, self.placement.ring[0])
 
 
 class TriesForEver(Defect):
     def __init__(self, terms, port, seed, now):
         super().__init__(terms._replace(max_attempts=50), port, seed, now)
 
-    def may_repeat(self, req, host):
+    def may_retry(self, req, host):
         return not req.answered and req.request_class.idempotent
 
-    def finish(self, req):
+    def reject(self, req):
         if (
             req.attempts
             and req.attempts[-1].outcome in RETRYABLE_OUTCOMES
             and not req.answered
             and self.placement.ring
         ):
-            return self.sender.take(req, self.placement.ring[0])
-        super().finish(req)
+            return self.dispatch.forward(req, self.placement.ring[0])
+        super().reject(req)
 
 
 class SendsAfterTheAnswer(Defect):
@@ -270,9 +278,9 @@
 class HangsUp(Defect):
     """Closes the client's connection where it has no answer."""
 
-    def finish(self, req):
+    def reject(self, req):
         exchange = self.exchange(req)
-        self.end(req)
+        self.close_request(req)
         exchange.close()
         exchange.client.close()
 
--- a/tests/trial/test_spread_plans.py
+++ b/tests/trial/test_spread_plans.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from orchidgap.decisions import balancer
-from orchidgap.decisions.balancer import Placement
+from orchidgap.decisions import rebalancing
 from orchidgap.decisions.hot_keys import HotKeyDetector
+from orchidgap.decisions.placement import Placement
 from orchidgap.trial.even import Stretches
 from orchidgap.trial.plan import Expect, read
 from orchidgap.trial.run import play
@@ -16,14 +16,14 @@
 TRIALS = Path(__file__).parents[2] / "trials"
 
 
-def in_step(self, req, place=Placement.place):
+def in_step(self, req, owner_index=Placement.owner_index):
     """In one tenth of each second all balancers send all that they have to one cache."""
-    return 0 if self.desk.now // 100_000 % 10 == 0 else place(self, req)
+    return 0 if self.context.now // 100_000 % 10 == 0 else owner_index(self, req)
 
 
-def not_me(self, host, room=Placement.room):
+def not_me(self, host, accepts=Placement.accepts):
     """Whoever knows that a host was away leaves it to others."""
-    return not host.started_at_us and room(self, host)
+    return not host.started_at_us and accepts(self, host)
 
 
 DEFECTS = {
@@ -34,11 +34,17 @@
         "quarter",
         "calm: most",
     ),
-    "all at one moment": (Placement, "place", in_step, "calm", "calm: herd"),
-    "ranges stay as a release left them": (balancer, "EVENINGS", 0, "replaced", "after: most"),
+    "all at one moment": (Placement, "owner_index", in_step, "calm", "calm: herd"),
+    "ranges stay as a release left them": (
+        rebalancing,
+        "EVENING_STEPS",
+        0,
+        "replaced",
+        "after: most",
+    ),
     "each leaves a cache that came back to others": (
         Placement,
-        "room",
+        "accepts",
         not_me,
         "flaps",
         "after: least",
