--- /dev/null
+++ b/tests/compatibility/program.py
@@ -0,0 +1,221 @@
+"""The one place where the compatibility tests touch the program's Python names.
+
+Whoever renames a module, class or method of the program edits this file, and nothing else in this folder.
+No function here computes what is compared: each only starts a part of the program or calls it.
+"""
+
+from __future__ import annotations
+
+import socket
+from pathlib import Path
+from random import Random
+
+import orjson
+
+from orchidgap.control.calls import Calls
+from orchidgap.control.server import Control
+from orchidgap.control.tenure import HeldNode, Keeper
+from orchidgap.http1 import Http1
+from orchidgap.net import start
+from orchidgap.net.handover import Handover, inherited
+from orchidgap.net.loop import Loop
+from orchidgap.net.node import Node
+from orchidgap.peers.talk import Talk
+from orchidgap.state.files import Damaged, Files
+
+Address = tuple[str, int]
+
+CorruptFile = Damaged
+
+# events of the log that tell what a balancer found in its folder; the log's words may change
+VERSION_FOUND, VERSION_DAMAGED, CALLS_CONTROL = "policy kept", "policy damaged", "asks control"
+
+
+def write_folder_file(folder: Path, name: str, content: object) -> None:
+    """Stores a file as the program does; durable when it returns."""
+    Files(folder).write(name, content)
+
+
+def read_folder_file(folder: Path, name: str) -> object:
+    """Raises CorruptFile."""
+    return Files(folder).read(name)
+
+
+def quiet_log(*event: object, **facts: object) -> None:
+    """Takes the place of the program's log."""
+
+
+class SilentLog:
+    """The same where the program also reports unexpected exceptions to it."""
+
+    def __call__(self, *event: object, **facts: object) -> None:
+        pass
+
+    def trouble(self, error: Exception) -> None:
+        raise error
+
+
+class EventLoop:
+    """The program's event loop under a clock that stands still until a test advances it."""
+
+    def __init__(self, now_us: int = 10**12) -> None:
+        self.now_us = now_us
+        self.loop = Loop(clock=self.clock)
+
+    def clock(self) -> int:
+        return self.now_us
+
+    def turn(self, wait_us: int = 2_000) -> None:
+        self.loop.turn(wait_us)
+
+    def has_pending_callbacks(self) -> bool:
+        return bool(self.loop.next)
+
+    def next_timer_us(self) -> int | None:
+        return self.loop.timers[0][0] if self.loop.timers else None
+
+
+def has_call_out(calls: Calls) -> bool:
+    return any(link.heard is not None for link in calls.open)
+
+
+class ControlProcess:
+    """A control process with a fixed clock and a seeded random generator, on a loopback socket."""
+
+    def __init__(
+        self,
+        events: EventLoop,
+        name: str,
+        addresses: dict[str, Address],
+        listen: Address,
+        folder: Path,
+        lease_us: int,
+    ) -> None:
+        self.control = Control(
+            events.loop,
+            name,
+            addresses,
+            lease_us,
+            6 * lease_us,
+            Files(folder),
+            quiet_log,
+            Random(name),
+            events.clock,
+        )
+        self.control.server.listen(listen)
+
+    def begin(self, new: bool) -> None:
+        self.control.begin(new)
+
+    def is_busy(self) -> bool:
+        return self.control.disk.busy or any(map(has_call_out, self.control.others.values()))
+
+    def close(self) -> None:
+        loop, server = self.control.loop, self.control.server
+        loop.unwatch(server.listener)
+        server.listener.close()
+        for calls in self.control.others.values():
+            calls.close()
+        for caller in list(server.callers):
+            server.drop(caller)
+
+
+class LeaseHolder:
+    """A balancer's side of control, with a fixed clock and a seeded random generator."""
+
+    def __init__(self, events: EventLoop, config_path: Path, folder: Path, seed: int) -> None:
+        config = start.read(str(config_path))
+        self.keeper = Keeper(
+            str(config_path),
+            events.loop,
+            config,
+            quiet_log,
+            Files(folder),
+            Random(seed),
+            events.clock,
+        )
+        node = HeldNode(events.loop, config, SilentLog(), Http1())
+        node.keeper, self.keeper.node = self.keeper, node
+
+    def begin(self) -> None:
+        self.keeper.begin(lambda: None)
+
+    def is_busy(self) -> bool:
+        return self.keeper.disk.busy or any(map(has_call_out, self.keeper.calls))
+
+    def may_serve(self) -> bool:
+        return self.keeper.may()
+
+    def version(self) -> int:
+        return self.keeper.tenure.runs
+
+    def end(self) -> None:
+        """Tells control that this process ends."""
+        self.keeper.close()
+
+
+class BalancerProcess:
+    """A balancer that speaks HTTP, with a fixed clock; its hosts are socket pairs of the test."""
+
+    def __init__(self, events: EventLoop, config: dict[str, object]) -> None:
+        self.events = events
+        self.dialled: list[tuple[int, socket.socket]] = []  # port and the test's end
+        self.node = Node(
+            events.loop,
+            start.parse(orjson.dumps(config), "config"),
+            SilentLog(),
+            Http1(),
+            self.dial,
+        )
+        self.node.listed = True
+
+    def dial(self, address: Address) -> socket.socket:
+        near, far = socket.socketpair()
+        far.setblocking(False)
+        self.dialled.append((address[1], far))
+        return near
+
+    def start(self) -> None:
+        self.node.start()
+
+    def share_listener(self, listener: socket.socket) -> None:
+        """As if started with GW_PASSED_SOCKET."""
+        self.node.clients.inherit(inherited(str(listener.detach())))
+        self.node.handover = Handover(self.events.loop, self.node, None, shared=True)
+
+    def accept_successor(self, sock: socket.socket) -> None:
+        self.node.handover.called(sock)
+
+    def call_predecessor(self, sock: socket.socket) -> None:
+        self.node.handover.call(sock)
+
+    def leave(self) -> None:
+        """As on SIGTERM."""
+        self.node.leave()
+
+    def is_ready(self) -> bool:
+        return self.node.ready()
+
+    def accept_client(self, sock: socket.socket) -> None:
+        self.node.clients.let_in(sock)
+
+
+class GossipPeer:
+    """A balancer's part in gossip; `send` is given an address and a datagram."""
+
+    def __init__(
+        self, balancer: BalancerProcess, name: str, part: dict[str, object], seed: int, send: object
+    ) -> None:
+        self.talk = Talk(balancer.events.loop, balancer.node, quiet_log, name, part, seed, send)
+
+    def receive(self, datagram: bytes) -> None:
+        self.talk.heard(datagram)
+
+    def counts(self) -> dict[str, int]:
+        """What was sent, heard and dropped."""
+        return dict(self.talk.counts)
+
+
+def gossip_part(config: dict[str, object]) -> dict[str, object]:
+    """The configuration's part for gossip as the program reads it."""
+    return start.parse(orjson.dumps(config), "config").pool
