--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -12,20 +12,20 @@
 
 import orjson
 
-from orchidgap.control.calls import Calls
+from orchidgap.control.lease_keeper import HeldNode, Keeper
+from orchidgap.control.rpc import RpcClient
 from orchidgap.control.server import Control
-from orchidgap.control.tenure import HeldNode, Keeper
 from orchidgap.http1 import Http1
-from orchidgap.net import start
+from orchidgap.net import config as config_module
 from orchidgap.net.handover import Handover, inherited
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
-from orchidgap.peers.talk import Talk
-from orchidgap.state.files import Damaged, Files
+from orchidgap.peers.gossip_transport import Talk
+from orchidgap.state.durable_store import CorruptFileError, DurableStore
 
 Address = tuple[str, int]
 
-CorruptFile = Damaged
+CorruptFile = CorruptFileError
 
 # events of the log that tell what a balancer found in its folder; the log's words may change
 VERSION_FOUND, VERSION_DAMAGED, CALLS_CONTROL = "policy kept", "policy damaged", "asks control"
@@ -33,12 +33,12 @@
 
 def write_folder_file(folder: Path, name: str, content: object) -> None:
     """Stores a file as the program does; durable when it returns."""
-    Files(folder).write(name, content)
+    DurableStore(folder).write(name, content)
 
 
 def read_folder_file(folder: Path, name: str) -> object:
     """Raises CorruptFile."""
-    return Files(folder).read(name)
+    return DurableStore(folder).read(name)
 
 
 def quiet_log(*event: object, **facts: object) -> None:
@@ -66,7 +66,7 @@
         return self.now_us
 
     def turn(self, wait_us: int = 2_000) -> None:
-        self.loop.turn(wait_us)
+        self.loop.run_once(wait_us)
 
     def has_pending_callbacks(self) -> bool:
         return bool(self.loop.next)
@@ -75,7 +75,7 @@
         return self.loop.timers[0][0] if self.loop.timers else None
 
 
-def has_call_out(calls: Calls) -> bool:
+def has_call_out(calls: RpcClient) -> bool:
     return any(link.heard is not None for link in calls.open)
 
 
@@ -97,7 +97,7 @@
             addresses,
             lease_us,
             6 * lease_us,
-            Files(folder),
+            DurableStore(folder),
             quiet_log,
             Random(name),
             events.clock,
@@ -124,13 +124,13 @@
     """A balancer's side of control, with a fixed clock and a seeded random generator."""
 
     def __init__(self, events: EventLoop, config_path: Path, folder: Path, seed: int) -> None:
-        config = start.read(str(config_path))
+        config = config_module.read(str(config_path))
         self.keeper = Keeper(
             str(config_path),
             events.loop,
             config,
             quiet_log,
-            Files(folder),
+            DurableStore(folder),
             Random(seed),
             events.clock,
         )
@@ -162,7 +162,7 @@
         self.dialled: list[tuple[int, socket.socket]] = []  # port and the test's end
         self.node = Node(
             events.loop,
-            start.parse(orjson.dumps(config), "config"),
+            config_module.parse(orjson.dumps(config), "config"),
             SilentLog(),
             Http1(),
             self.dial,
@@ -218,4 +218,4 @@
 
 def gossip_part(config: dict[str, object]) -> dict[str, object]:
     """The configuration's part for gossip as the program reads it."""
-    return start.parse(orjson.dumps(config), "config").pool
+    return config_module.parse(orjson.dumps(config), "config").pool
