--- a/orchidgap/decisions/admission.py
+++ b/orchidgap/decisions/admission.py
@@ -1,10 +1,11 @@
-"""The first stage: whether a request is let in at all, and the answer to what no other stage could serve.
+"""The first stage: whether a request is let in, and the answer to what no other stage served.
 
 Two rules turn requests away early, while a quick answer still helps their clients:
 
-- All are, while the oldest request that waits for a cache has waited over half of the latency objective.
-- Under overload a tenant over its share of what is let in is shed, by chance, until it keeps to it. Only where there is
-  one balancer: one that knows only itself may serve one tenant alone.
+- All are, while the oldest request that waits for a cache has waited over half of the latency
+  objective.
+- Under overload a tenant over its share of what is let in is shed, by chance, until it keeps to
+  it. Only where there is one balancer: one of several may serve one tenant alone.
 """
 
 from __future__ import annotations
--- a/orchidgap/decisions/balancer.py
+++ b/orchidgap/decisions/balancer.py
@@ -1,8 +1,9 @@
 """The entry points of the decisions: what the host program calls, and what all stages share.
 
-A host program makes one `Balancer`, sets `now` (whole microseconds) before each call, and calls the `on_` methods as things
-happen. The balancer acts through its `Port`. A request runs down the pipeline Admission, Coalescing, Placement, Origin,
-Dispatch; the outcomes of its attempts run up it. The rules stand in those modules and the ones that they use.
+A host program makes one `Balancer`, sets `now` (whole microseconds) before each call, and calls
+the `on_` methods as things happen. The balancer acts through its `Port`. A request runs down the
+pipeline Admission, Coalescing, Placement, Origin, Dispatch; the outcomes of its attempts run up
+it. The rules stand in those modules and the ones that they use.
 """
 
 from __future__ import annotations
@@ -143,7 +144,7 @@
     def on_load_report(
         self, host_id: str, request_rate: float | None, in_flight: float | None = None
     ) -> None:
-        """A host told of its load: requests a second, and attempts that it holds; None where it did not."""
+        """A host told of its requests a second and of attempts that it holds, or of one of them."""
         host = self.hosts.get(host_id)
         if host is None:
             return
@@ -153,7 +154,7 @@
             self.placement.load_reports.record(host, in_flight)
 
     def on_settings(self, settings: ServiceSettings) -> None:
-        """New settings count for requests from now on; open ones keep theirs, and counts live on."""
+        """New settings count for requests from now on; open ones keep theirs."""
         super().on_settings(settings)
         self.latency_objective_us = settings.latency_objective_us
         self.placement.ranges.by_weight = settings.uses_listed_weights
@@ -164,7 +165,8 @@
         """The list of hosts has come, or calling for it failed.
 
         Args:
-            scope: "changes" where other hosts stay as they are; "failed" where there is no list; else the list
+            scope: "changes" where other hosts stay as they are; "failed" where there is no list;
+            else the list
                 is whole.
             entries: The hosts.
         """
@@ -203,7 +205,7 @@
         self.origin.drain_queue()
 
     def expire_if_queued(self, request: Request) -> None:
-        """The request waits; with nothing in flight it is given up at its latency objective at the latest."""
+        """The request waits; with nothing in flight it is given up once its objective is over."""
         request.queued = True
         objective_us = request.received_at_us + request.request_class.latency_objective_us
         expires_at_us = min(objective_us, request.deadline_us - EARLY_EXPIRY_US)
@@ -227,7 +229,7 @@
         self.call_later(TICK_INTERVAL_US, self._tick)
 
     def _subscribe_within(self, delay_us: int) -> None:
-        """Ask for the list at a random time: balancers that start or fail together must not ask together."""
+        """Ask for the list at a random time: those that start together must not ask together."""
         self.call_later(self.rng.randrange(delay_us + 1), self.port.subscribe)
 
     def _on_host_started(self, host: HostState, started_at_us: int) -> None:
--- a/orchidgap/decisions/coalescing.py
+++ b/orchidgap/decisions/coalescing.py
@@ -1,7 +1,7 @@
 """The second stage: one fetch of a key at a time.
 
-After a flush everybody asks for the same few keys. The first request that misses a key fetches it (the leader); later
-requests for the key wait for that and then ask the cache.
+After a flush everybody asks for the same few keys. The first request that misses a key fetches
+it (the leader); later requests for the key wait for that and then ask the cache.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
         self.fetches: dict[int | None, list[Request]] = {}
 
     def forward(self, request: Request, host: HostState | None = None) -> None:
-        """Have a read of a key that is being fetched wait; a miss of any other key becomes a leader."""
+        """Have a read of a key that is fetched wait; a miss of any other key becomes a leader."""
         if not request.is_write and request.key is not None:
             if request.key in self.fetches:
                 self.fetches[request.key].append(request)
--- a/orchidgap/decisions/concurrency_limit.py
+++ b/orchidgap/decisions/concurrency_limit.py
@@ -1,8 +1,8 @@
 """How many attempts may be in flight at one host: a limit that follows its latency.
 
-The limit grows by answers while it is used, and falls while answers are slow. A limit on what is in flight cannot flood
-a host, however slow it gets. The limits of hundreds of balancers add up, so a limit goes below 1: it is then the
-probability that a lone request goes.
+The limit grows by answers while it is used, and falls while answers are slow. A limit on what is
+in flight cannot flood a host, however slow it gets. The limits of hundreds of balancers add up,
+so a limit goes below 1: it is then the probability that a lone request goes.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
         host.smoothed_latency_us = 0
 
     def has_capacity(self, host: HostState) -> bool:
-        """Whether the host's limit lets one more attempt go; draws by chance where the limit is below 1."""
+        """Whether the host's limit lets one more attempt go; by chance where it is below 1."""
         if host.concurrency_limit >= 1.0:
             return host.in_flight + host.in_flight_elsewhere < host.concurrency_limit
         host.capacity_checks += 1
@@ -61,9 +61,10 @@
     def admission_probability(self, host: HostState) -> float:
         """The probability that a lone request goes to a host whose limit is below 1.
 
-        It recovers with time, a cache's only as far as it was wanted too: where little is sent, few answers
-        come that could raise it. An origin's recovers by good answers (`record_latency`): what time alone
-        lets through from all balancers would keep it from emptying.
+        It recovers with time, a cache's only as far as it was wanted too: where little is sent,
+        few answers come that could raise it. An origin's recovers by good answers
+        (`record_latency`): what time alone lets through from all balancers would keep it from
+        emptying.
         """
         since_decrease_us = self.context.now - host.limit_decreased_at_us
         objectives = since_decrease_us / self.context.latency_objective_us
@@ -81,9 +82,9 @@
     def record_latency(self, host: HostState, latency_us: int) -> None:
         """Smooth the host's latency by that of one attempt, and move its limit by the result.
 
-        The limit falls while answers are slow. Else it grows where it is used: by one an answer until it
-        was first decreased, then by one a round trip; and doubles by a good answer of an origin while it is
-        below 1.
+        The limit falls while answers are slow. Else it grows where it is used: by one an answer
+        until it was first decreased, then by one a round trip; and doubles by a good answer of
+        an origin while it is below 1.
         """
         now = self.context.now
         is_recent = now - host.latency_recorded_at_us < LATENCY_MEMORY_US
@@ -104,9 +105,9 @@
     def decrease_limit(self, host: HostState, factor: float) -> None:
         """Cut the limit to this part, once in the time that an answer takes.
 
-        What is cut is no more than what was in flight, as a limit that is not used says nothing. It stays over
-        its floor: `limit_floor`, or one attempt (two at an origin) where answers take half of the latency
-        objective.
+        What is cut is no more than what was in flight, as a limit that is not used says nothing.
+        It stays over its floor: `limit_floor`, or one attempt (two at an origin) where answers
+        take half of the latency objective.
         """
         context = self.context
         since_decrease_us = context.now - host.limit_decreased_at_us
--- a/orchidgap/decisions/dispatch.py
+++ b/orchidgap/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""The last stage: sends attempts, watches over those that take long, and keeps each host's record by their outcomes."""
+"""The last stage: sends attempts, watches late ones, and keeps hosts' records by outcomes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 )
 from orchidgap.decisions.settings import ServiceSettings
 
-# An attempt is late after this part of the latency objective; at an origin after so many of its latencies at least.
+# An attempt is late after this part of the latency objective;
+# at an origin after so many of its latencies at least.
 LATE_TENTHS = 6
 ORIGIN_LATE_LATENCIES = 4
 LOST_LATENCIES = 6  # of a host that answers others: who is out that long was lost on the way
@@ -63,7 +64,8 @@
     def start(self, attempt: Attempt) -> None:
         """From now on the attempt counts at its host, and its time runs.
 
-        Not while a slow client still sends the body: it would look like a slow host, and use up its limit.
+        Not while a slow client still sends the body: it would look like a slow host, and use up
+        its limit.
         """
         context = self.context
         host = attempt.host
@@ -75,7 +77,7 @@
         context.call_later(late_after_us, self.on_late, attempt)
 
     def on_late(self, attempt: Attempt) -> None:
-        """An attempt that is still in flight now is hedged, or counts as a slow answer and may be cancelled.
+        """Hedge an attempt that is still in flight, or count it as slow and maybe cancel it.
 
         The host's time-out would tell a second too late. An origin is waited for.
         """
@@ -104,12 +106,12 @@
     def should_cancel(self, attempt: Attempt, settings: ServiceSettings) -> bool:
         """Whether a late read is given up at its cache, for an origin with time.
 
-        At a host that has been silent since; where no second attempt may be in flight, at any. A neighbour
-        lacks the key, and crowds in its turn. All caches together must have earned it.
+        At a host that has been silent since; where no second attempt may be in flight, at any. A
+        neighbour lacks the key, and crowds in its turn. All caches together must have earned it.
 
         Args:
-            attempt: A late one at a cache.
-            settings: Say what is allowed: those that count, or others that shadow evaluation asks about.
+            attempt: A late one at a cache. settings: Say what is allowed: those that count, or
+            others that shadow evaluation asks about.
         """
         request = attempt.request
         host_is_silent = attempt.host.last_response_at_us <= attempt.started_at_us
@@ -179,7 +181,7 @@
         if outcome == AttemptOutcome.CONNECTION_REFUSED and not (
             host.is_origin or servers_own_slots
         ):
-            # No process listens there: the next one will be cold, and can be back before the list tells.
+            # Nobody listens: the next process will be cold, and may be there before the list tells.
             self.placement.slow_start.begin(host, context.now)
         if should_eject(host, outcome):
             context.limiter.decrease_limit(host, EJECTION_DECREASE)
--- a/orchidgap/decisions/hash_ranges.py
+++ b/orchidgap/decisions/hash_ranges.py
@@ -1,8 +1,8 @@
-"""The hash space cut into one contiguous range for each ready cache, and the formula that resizes ranges by load.
+"""The hash space in one contiguous range a cache, and the formula that resizes ranges by load.
 
-From "Deduplicator: When Computation Reuse Meets Load Balancing at the Network Edge" (Al Azad and Mastorakis),
-section IV-A and equations 1 and 2. Where this departs from the paper is told in `docs/design.md`. Nothing here knows of
-time, settings or requests.
+From "Deduplicator: When Computation Reuse Meets Load Balancing at the Network Edge" (Al Azad and
+Mastorakis), section IV-A and equations 1 and 2. Where this departs from the paper is told in
+`docs/design.md`. Nothing here knows of time, settings or requests.
 """
 
 from __future__ import annotations
@@ -108,8 +108,9 @@
     def rebalance(self, loads: Sequence[float]) -> None:
         """Resize all ranges half way towards the paper's formula.
 
-        H_i = 2 share_i - 2^b load_i / sum(load). Half way, as the formula starts anew from the even share, so a
-        shrunk range springs back. A range that is asked d times the mean settles at 2/(1+d) of it.
+        H_i = 2 share_i - 2^b load_i / sum(load). Half way, as the formula starts anew from the
+        even share, so a shrunk range springs back. A range that is asked d times the mean
+        settles at 2/(1+d) of it.
 
         Args:
             loads: What each cache of the ring is asked for, in any unit; their sum is over 0.
--- a/orchidgap/decisions/host_list.py
+++ b/orchidgap/decisions/host_list.py
@@ -6,8 +6,8 @@
 
 from orchidgap.decisions.records import HostState
 
-# As listed: id, state ("up", "draining" or "gone"), start of its process in microseconds (0: long ago), zone,
-# kind, cell, and weight.
+# As listed: id, state ("up", "draining" or "gone"), start of its process in microseconds
+# (0: long ago), zone, kind, cell, and weight.
 HostEntry = tuple[str, str, int, str, str, str, float]
 
 MIN_WEIGHT = 1e-6  # of a host that the list says weighs nothing
@@ -26,11 +26,10 @@
     """Return all hosts by id, in the order of their ids.
 
     Args:
-        known: Those known so far.
-        entries: Those that were told, in the order they were.
-        is_whole: Whether hosts that were not told are gone.
-        origin_kind: The kind whose hosts are origins.
-        on_started: Called with a host that is new or has started again, and with the start of its process.
+        known: Those known so far. entries: Those that were told, in the order they were.
+        is_whole: Whether hosts that were not told are gone. origin_kind: The kind whose hosts
+        are origins. on_started: Called with a host that is new or has started again, and with
+        the start of its process.
     """
     hosts = dict(known)
     gone = set(known) if is_whole else set()
@@ -53,6 +52,6 @@
 
 
 def max_retry_delay_us(failures: int, subscribe_within_us: int) -> int:
-    """Within which time to ask for the list again after so many failures in a row, in microseconds."""
+    """Within how many microseconds to ask for the list again after so many failures in a row."""
     backoff_us = FIRST_RETRY_US << min(failures, MAX_RETRY_DOUBLINGS)
     return min(subscribe_within_us // 4, backoff_us)
--- a/orchidgap/decisions/load_reports.py
+++ b/orchidgap/decisions/load_reports.py
@@ -25,7 +25,7 @@
 
 
 def fair_in_flight(reports: Sequence[float]) -> float:
-    """How many attempts a cache of weight 1 may hold beside the others, well over what the median holds.
+    """How many attempts a cache of weight 1 may hold beside others: well over what the median does.
 
     Args:
         reports: What caches hold over their weights, in ascending order.
--- a/orchidgap/decisions/origin.py
+++ b/orchidgap/decisions/origin.py
@@ -1,7 +1,7 @@
 """The fourth stage: writes and misses go to an origin, within a limit that follows how it answers.
 
-The origin serves far less than all reads. What finds it at its limit waits, writes before reads, where that is likely to
-end in time; a quick denial is better than one after a wait.
+The origin serves far less than all reads. What finds it at its limit waits, writes before reads,
+where that is likely to end in time; a quick denial is better than one after a wait.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
         self.hosts: list[HostState] = []
 
     def forward(self, request: Request, host: HostState | None = None) -> None:
-        """Pass the request down to its cache, or to an origin with room; else queue or reject it."""
+        """Pass the request down with its cache, or an origin with room; else queue or reject it."""
         chosen = host or self.choose_host(request)
         if chosen:
             self.next_stage.forward(request, chosen)
@@ -38,7 +38,7 @@
             self.context.reject(request)
 
     def choose_host(self, request: Request) -> HostState | None:
-        """The origin with the fewest attempts in flight, of those that may take this request now."""
+        """The origin with the fewest attempts in flight, of those that may take the request."""
         context = self.context
         ready = [
             host
@@ -50,7 +50,7 @@
         return min(ready, key=lambda host: host.total_in_flight) if ready else None
 
     def has_spare_capacity(self) -> bool:
-        """Whether an origin could take a read that no cache was asked for, and keep half of its room."""
+        """Whether an origin could take a read off the caches, and keep half of its room."""
         if self.queue:
             return False
         context = self.context
@@ -87,7 +87,7 @@
         return not any(self.context.may_retry(request, host) for host in self.hosts)
 
     def _is_served_in_time(self, request: Request) -> bool:
-        """Whether waiting is likely to end before the request's client gives up or its objective is over.
+        """Whether waiting is likely to end before the client gives up and the objective is over.
 
         A write waits for one answer, a read for all that wait before it as well.
         """
--- a/orchidgap/decisions/outlier_ejection.py
+++ b/orchidgap/decisions/outlier_ejection.py
@@ -1,7 +1,8 @@
 """When a host gets nothing for a while, as its last attempts failed.
 
-The list of hosts is seconds late and knows only whether a process runs; a failed attempt tells at once. One spoilt answer
-among many says nothing of the host: those use up its retry budget first.
+The list of hosts is seconds late and knows only whether a process runs; a failed attempt tells
+at once. One spoilt answer among many says nothing of the host: those use up its retry budget
+first.
 """
 
 from __future__ import annotations
--- a/orchidgap/decisions/pipeline.py
+++ b/orchidgap/decisions/pipeline.py
@@ -100,7 +100,7 @@
             self.next_stage.forward(request, host)
 
     def oldest_wait_us(self) -> int:
-        """How old the first request of the queue is that has no answer yet; 0 where there is none."""
+        """The age of the first request in the queue without an answer; 0 where there is none."""
         for request in self.queue:
             if not request.answered:
                 return self.context.now - request.received_at_us
--- a/orchidgap/decisions/placement.py
+++ b/orchidgap/decisions/placement.py
@@ -1,14 +1,14 @@
 """The third stage: which cache gets a key, and why it may not be the owner of the key's range.
 
-| rule                                                        | in                                   |
-| ----------------------------------------------------------- | ------------------------------------ |
-| The owner of the range serves the key.                      | `Placement.choose_host`              |
-| A neighbour does where the owner does not accept it.        | `Placement.choose_host`              |
-| A hot key goes by chance to its owner or to neighbours.     | `Placement.forward`                  |
-| A read that no cache accepts goes to an origin with time.   | `Placement.forward`                  |
-| So does one whose miss could not be followed by a fetch.    | `Placement.is_last_chance`           |
-| What failed at a cache is retried at a cache.               | `Placement.on_attempt_done`          |
-| Where servers own their slots the owner is asked, no other. | `Placement.forward_to_slot_owner`    |
+| rule                                                        | function                |
+| ----------------------------------------------------------- | ----------------------- |
+| The owner of the range serves the key.                      | `choose_host`           |
+| A neighbour does where the owner does not accept it.        | `choose_host`           |
+| A hot key goes by chance to its owner or to neighbours.     | `forward`               |
+| A read that no cache accepts goes to an origin with time.   | `forward`               |
+| So does one whose miss could not be followed by a fetch.    | `is_last_chance`        |
+| What failed at a cache is retried at a cache.               | `on_attempt_done`       |
+| Where servers own their slots the owner is asked, no other. | `forward_to_slot_owner` |
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
         self.rebalancer.tick()
 
     def forward(self, request: Request, host: HostState | None = None) -> None:
-        """Pass the request down with its cache, or with none to the origin; else queue or reject it."""
+        """Pass the request down with its cache, or to the origin; else queue or reject it."""
         if self.context.slot_map:
             self.forward_to_slot_owner(request)
             return
@@ -109,22 +109,22 @@
             self.context.reject(request)
 
     def is_last_chance(self, request: Request) -> bool:
-        """Whether a miss of this read could not be followed by a fetch, and the origin has time for one now."""
+        """Whether no fetch could follow a miss of this read, and the origin has time for it."""
         attempts_with_next = len(request.attempts) - request.redirects + 1
         is_last = request.attempt_cancelled or attempts_with_next >= request.max_attempts
         return is_last and not request.is_write and self.origin.has_spare_capacity()
 
     def choose_host(self, request: Request) -> HostState | None:
-        """The owner of the request's key, or the nearest neighbour that accepts it; None where none does.
+        """The owner of the request's key, else the nearest neighbour that accepts it, if any does.
 
-        Two neighbours on each side at most. They are the same for all requests of a range, so they soon keep
-        its hot keys. Of two as near, the one on the side of the key's half of the range comes first: that one
-        gets the half should the owner be lost, so the keys stay there.
+        Two neighbours on each side at most. They are the same for all requests of a range, so
+        they soon keep its hot keys. Of two as near, the one on the side of the key's half of the
+        range comes first: that one gets the half should the owner be lost, so the keys stay
+        there.
         """
         if self.context.slot_map:
             return self._ready_slot_owner(request)
         ring = self.ring
-        ring_size = len(ring)
         if not ring:
             return None
         owner_index = self.owner_index(request)
@@ -139,20 +139,20 @@
                 owner.attempt_count += TURNED_AWAY_WEIGHT
         middle = self.ranges.range_ends[owner_index] - owner.range_size // 2
         side = 1 if request.slot >= middle else -1
-        for distance in range(1, min(MAX_NEIGHBOURS, ring_size // 2) + 1):
+        for distance in range(1, min(MAX_NEIGHBOURS, len(ring) // 2) + 1):
             for offset in (side * distance, -side * distance):
-                neighbour = ring[(owner_index + offset) % ring_size]
+                neighbour = ring[(owner_index + offset) % len(ring)]
                 if self.accepts(neighbour) and neighbour not in tried:
                     return neighbour
         return None
 
     def owner_index(self, request: Request) -> int:
-        """The request's cache, as an index of the ring: the owner of its slot or, of a hot key, a neighbour."""
+        """The request's cache, an index of the ring: its slot's owner or, if hot, a neighbour."""
         owner_index = self.ranges.owner_index(request.slot)
         return (owner_index + request.owner_offset) % len(self.ring)
 
     def accepts(self, host: HostState) -> bool:
-        """Whether a cache takes one more attempt now: neither ejected nor at its limit nor too cold."""
+        """Whether a cache takes an attempt now: neither ejected nor at its limit nor too cold."""
         now = self.context.now
         if now < host.ejected_until_us or not self.context.limiter.has_capacity(host):
             return False
@@ -161,11 +161,12 @@
         return self.slow_start.admits(host, self.ranges.total_weight)
 
     def forward_to_slot_owner(self, request: Request) -> None:
-        """Where servers own their slots: pass the request down with the owner, and with nobody in its place."""
-        owner = self.context.slot_owner(request)
-        if owner and self._takes_slots(owner):
-            self.next_stage.forward(request, owner)
+        """Pass the request down with the server that owns its slot, and nobody in its place."""
+        ready_owner = self._ready_slot_owner(request)
+        if ready_owner:
+            self.next_stage.forward(request, ready_owner)
             return
+        owner = self.context.slot_owner(request)
         nothing_makes_room = owner and (owner.state != "up" or not owner.in_flight)
         if nothing_makes_room:
             self.context.reject(request)
@@ -173,7 +174,10 @@
         self.enqueue(request)  # until there is room, or an owner is known
 
     def drain_queue(self) -> None:
-        """Send on what waits; where servers own their slots one without room must not hold up the others."""
+        """Send on what waits.
+
+        Where servers own their slots one without room must not hold up what is for others.
+        """
         if not self.context.slot_map:
             super().drain_queue()
             return
@@ -242,7 +246,4 @@
 
     def _ready_slot_owner(self, request: Request) -> HostState | None:
         owner = self.context.slot_owner(request)
-        return owner if owner and self._takes_slots(owner) else None
-
-    def _takes_slots(self, owner: HostState) -> bool:
-        return owner.state == "up" and self.accepts(owner)
+        return owner if owner and owner.state == "up" and self.accepts(owner) else None
--- a/orchidgap/decisions/ports.py
+++ b/orchidgap/decisions/ports.py
@@ -1,7 +1,7 @@
 """The interfaces between the decisions and the program around them.
 
-The program may speak any protocol. Times are whole microseconds. Ids of requests and hosts are passed back
-exactly as they were given.
+The program may speak any protocol. Times are whole microseconds. Ids of requests and hosts are
+passed back exactly as they were given.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
         """Send the request to a host; its attempts are numbered from 0 in this order."""
 
     def deny(self, request: int, retry_after_us: int) -> None:
-        """Final answer: not served, and a retry is harmless, best after this time (0: no advice)."""
+        """Final answer: a retry is harmless, best after this time (0: no advice)."""
 
     def abort(self, request: int) -> None:
         """Final answer: it failed, and nothing is promised about its effect."""
--- a/orchidgap/decisions/rebalancing.py
+++ b/orchidgap/decisions/rebalancing.py
@@ -1,14 +1,14 @@
 """When the hash ranges are resized, and by which loads.
 
-| state      | what moves the ranges                                                        | next                         |
-| ---------- | ---------------------------------------------------------------------------- | ---------------------------- |
-| even       | a change of the list                                                         | moved by it                  |
-| moved      | once the list is quiet: half way back to even, `EVENING_STEPS` times         | even                         |
-| any        | enough attempts counted: half way to the paper's formula, by loads           | rebalanced, for good         |
-| rebalanced | a change of the list; enough attempts counted: as before                     | rebalanced                   |
-
-Few counts draw no table: each balancer would draw another one by chance, and keys would be kept twice. Even shares are
-the same for all.
+| state      | what moves the ranges                                               | next       |
+| ---------- | ------------------------------------------------------------------- | ---------- |
+| even       | a change of the list                                                | moved      |
+| moved      | a quiet list: half way back to even, `EVENING_STEPS` times          | even       |
+| any        | enough attempts counted: half way to the paper's formula, by loads  | rebalanced |
+| rebalanced | a change of the list: as `HashRanges.set_ring` tells                | rebalanced |
+
+Few counts draw no table: each balancer would draw another one by chance, and keys would be kept
+twice. Even shares are the same for all.
 """
 
 from __future__ import annotations
@@ -87,9 +87,9 @@
     def _loads(self) -> list[float]:
         """What each cache of the ring is asked for.
 
-        Its reported requests a second where more than half of all caches are warm and were heard, else this
-        balancer's own attempts there over the time that they were counted, as a joiner had less. Caches that
-        are cold or unheard count as the mean.
+        Its reported requests a second where more than half of all caches are warm and were
+        heard, else this balancer's own attempts there over the time that they were counted, as a
+        joiner had less. Caches that are cold or unheard count as the mean.
         """
         now = self.context.now
         ring = self.ranges.ring
--- a/orchidgap/decisions/request_table.py
+++ b/orchidgap/decisions/request_table.py
@@ -1,4 +1,4 @@
-"""All open requests and known hosts by id: outcomes are booked once, and final answers given once."""
+"""All open requests and known hosts by id: outcomes are booked once, final answers given once."""
 
 from __future__ import annotations
 
@@ -72,14 +72,14 @@
             self.requests.pop(request.id, None)
 
     def latest_start_us(self, request_id: int, number: int) -> int:
-        """Until when the attempt may be written to its host, in microseconds; 0 for an unknown request."""
+        """Until when the attempt may be written to its host; 0 for an unknown request."""
         request = self.requests.get(request_id)
         return 0 if request is None else retry_policy.latest_start_us(request, number)
 
     def on_outcome(
         self, request_id: int, number: int, outcome: AttemptOutcome, answered: bool
     ) -> None:
-        """An attempt has its outcome; one that is unknown or had its outcome before changes nothing.
+        """An attempt has its outcome; an unknown attempt or a second outcome changes nothing.
 
         Args:
             request_id: The request.
--- a/orchidgap/decisions/retry_policy.py
+++ b/orchidgap/decisions/retry_policy.py
@@ -1,15 +1,16 @@
 """When a request may have another attempt, and what a client is told that gets none.
 
-An attempt may have run unless its outcome proves that it did not (`records.NEVER_EXECUTED`). What the request's
-class says of running twice decides then:
+An attempt may have run unless its outcome proves that it did not (`records.NEVER_EXECUTED`).
+What the request's class says of running twice decides then:
 
-| class              | after an attempt that may have run                                                     |
-| ------------------ | -------------------------------------------------------------------------------------- |
-| idempotent         | any host                                                                               |
-| idempotency_keyed  | a host that drops repeats of the same key, as long as it remembers the key             |
-| neither            | none                                                                                   |
+| class             | after an attempt that may have run, the next one may go to            |
+| ----------------- | --------------------------------------------------------------------- |
+| idempotent        | any host                                                              |
+| idempotency_keyed | hosts that drop repeats of the key, as long as they remember it       |
+| neither           | none                                                                  |
 
-A host's retry budget keeps retries a share of what it gets done: retries spend it and answers earn it.
+A host's retry budget keeps retries a share of what it gets done: retries spend it and answers
+earn it.
 """
 
 from __future__ import annotations
@@ -49,7 +50,8 @@
 
     Args:
         may_hedge: Whether two attempts of one request may be in flight at a time.
-        max_retry_after_us: The longest time in microseconds that clients respect when they are told to stay
+        max_retry_after_us: The longest time in microseconds that clients respect when they are
+        told to stay
             away; 0 where they are told none.
     """
 
@@ -83,9 +85,9 @@
     ) -> int | None:
         """How long a client that is denied should stay away; None where its retry may do harm.
 
-        Half of the longest time that clients respect, so that they come back spread out while it matters.
-        A retry of what may have run must come while its idempotency key is remembered, as it would run
-        again later.
+        Half of the longest time that clients respect, so that they come back spread out while it
+        matters. A retry of what may have run must come while its idempotency key is remembered,
+        as it would run again later.
 
         Args:
             request: The request that is given up.
@@ -139,8 +141,8 @@
 def latest_start_us(request: Request, number: int) -> int:
     """Until when the attempt of this number may be written to its host, in microseconds.
 
-    A repeat of what may have run has to be at its host before the idempotency key is forgotten there, and
-    the connection for it can come up late.
+    A repeat of what may have run has to be at its host before the idempotency key is forgotten
+    there, and the connection for it can come up late.
     """
     request_class = request.request_class
     if not request_class.idempotency_keyed:
--- a/orchidgap/decisions/shadow.py
+++ b/orchidgap/decisions/shadow.py
@@ -1,7 +1,8 @@
-"""Shadow evaluation: decides by its own settings, and counts where other settings would have decided otherwise.
+"""Shadow evaluation: counts where other settings would have decided otherwise.
 
-Nothing is sent by the other settings. Each decision is looked at by itself, from what is known when it is taken:
-what would have followed from another one is not played on.
+Decisions are those of a `Balancer` of its own settings, and nothing is sent by the other ones.
+Each decision is looked at by itself, from what is known when it is taken: what would have
+followed from another one is not played on.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class Difference(StrEnum):
-    """A kind of decision that other settings would have taken otherwise, as logs and operators read it."""
+    """A kind of decision that is compared, by the name that logs and operators know it by."""
 
     OWNER = "owner"  # another cache owns the slot
     HEDGE = "copy"  # a second attempt beside one in flight
@@ -141,7 +142,7 @@
             self.count_if(Difference.RETRY, not allowed)
 
     def compare_rejection(self, request: Request, retry_after_us: int | None) -> None:
-        """Look at a final answer that is about to go out: denied with this time, or aborted (None)."""
+        """Look at a final answer that is about to go out: denied, or aborted (None)."""
         other_retry_after_us = self.other_retry_policy.retry_after_us(
             request, request.request_class, self.now
         )
