--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What all balancers together send to a cache that has just started: its share, cut to its warmth, and chance."""
+"""What a cold cache gets, from one balancer and from all together: its share, cut to its warmth, and chance."""
 
 from math import sqrt
 from random import Random
@@ -77,3 +77,35 @@
     fleet.plays(2_000_000, rate=100)  # little for a while, then much at once
     fleet.plays(WARM - 2_000_000, rate=RATE)
     assert fleet.most_over(start) <= 0
+
+
+def test_a_cold_host_gets_its_budget_and_no_more():
+    desk = Desk(4)
+    desk.list(["c1"], since=desk.now)  # restarted: 0.2 of its capacity for now
+    hosts = [desk.owner(key) for key in range(4000)]
+    assert 160 <= hosts.count("c1") <= 245  # a fifth of its share, from the first req on
+    desk.wait(11_000_000)
+    assert [desk.owner(key) for key in range(400)].count("c1") > 70
+
+
+def test_a_since_still_within_warm_up_counts_from_the_first_list_on():
+    desk = Desk(0)
+    desk.list(["c0"], "recalled", since=desk.now - 5_000_000)
+    assert desk.hosts["c0"].warm_at_us == desk.now + 5_000_000
+
+
+def test_a_host_that_refused_connections_is_cold_when_it_is_back():
+    """Found by a trial: it had started again before the list said so, and got its whole range at once."""
+    desk = Desk(2)
+    host = desk.hosts[desk.owner(1)]
+    assert desk.placement.accepts(host)
+    desk.outcome(desk.put(1), "refused")
+    host.concurrency_limit = 1e9
+    desk.wait(600_000)
+    for _ in range(300):
+        desk.placement.slow_start.placements += 1
+        host.in_flight += desk.placement.accepts(host)
+    assert 15 < host.in_flight < 120, "a share by its warmth: 0.2 to 0.3 of the half that it had"
+    desk.wait(10_000_000)
+    host.in_flight = 0
+    assert all(desk.placement.accepts(host) for _ in range(50))
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -98,6 +98,19 @@
         return host
 
 
+def sizes(desk):
+    return {host.id: host.range_size for host in desk.placement.ring}
+
+
+def rated(ratings, weights="rough", **pairs):
+    desk = Desk(0, weights=weights, **pairs)
+    desk.on_hosts(
+        "changes",
+        [(f"c{i}", "up", 0, "z", "cache", "1", rating) for i, rating in enumerate(ratings)],
+    )
+    return desk
+
+
 class Log:
     """Keeps its lines; a trouble that was not expected ends the test."""
 
