--- a/orchidgap/control/rpc.py
+++ b/orchidgap/control/rpc.py
@@ -9,7 +9,8 @@
 import httptools
 import orjson
 
-from orchidgap.http1 import codec
+from orchidgap.http1.readers import RequestReader, ResponseReader
+from orchidgap.http1.writers import response_head
 from orchidgap.net.connection import Address, Connection, Fault, dial, open_listener
 from orchidgap.net.loop import READ, Loop, Timer
 
@@ -27,7 +28,7 @@
         self.calls = calls
         self.heard: Heard | None = None
         self.timer: Timer | None = None
-        self.reader = codec.AnswerReader(MOST)
+        self.reader = ResponseReader(MOST)
         self.conn = Connection(calls.loop, sock, self, opening=True)
 
     def ask(self, method: str, path: str, body: bytes, heard: Heard) -> None:
@@ -46,14 +47,14 @@
         self.calls.bytes_in += len(view)
         self.reader.feed(view)
         message = self.reader.message
-        if message.trouble or not self.heard:
+        if message.error_status or not self.heard:
             return self.ended("no proper answer")
-        if message.whole:
+        if message.complete:
             try:
                 said = orjson.loads(message.body or b"true") if message.status == 200 else None
             except ValueError:
                 said = None
-            self.settle(said, message.lasts)
+            self.settle(said, message.keep_alive)
 
     def settle(self, said: Any, lasts: bool) -> None:
         heard, self.heard = self.heard, None
@@ -130,7 +131,7 @@
 
     def __init__(self, server: RpcServer, sock: socket.socket) -> None:
         self.server, self.since = server, server.loop.now
-        self.reader = codec.ReqReader(MOST)
+        self.reader = RequestReader(MOST)
         self.busy = False
         self.conn = Connection(server.loop, sock, self)
 
@@ -140,7 +141,7 @@
     def received(self, view: memoryview) -> None:
         self.since = self.server.loop.now
         self.reader.feed(view)
-        if len(self.reader.behind) > AT_ONCE:
+        if len(self.reader.pipelined) > AT_ONCE:
             return self.server.drop(self)
         self.step()
 
@@ -148,13 +149,13 @@
         message = self.reader.message
         if self.busy or not self.conn.open:
             return
-        if message.trouble:
-            self.answer(message.trouble, {"why": "malformed"})
-        elif message.whole:
+        if message.error_status:
+            self.answer(message.error_status, {"why": "malformed"})
+        elif message.complete:
             self.busy = True
             try:
                 path = (httptools.parse_url(message.target).path or b"").decode()
-                told = orjson.loads(message.body) if message.size else {}
+                told = orjson.loads(message.body) if message.body_size else {}
                 act = self.server.acts.get(path)
                 if act is None or not isinstance(told, dict):
                     return self.answer(
@@ -177,13 +178,13 @@
         if not self.conn.open:
             return
         message = self.reader.message
-        last = not (message.whole and message.lasts and not message.trouble)
+        last = not (message.complete and message.keep_alive and not message.error_status)
         body = orjson.dumps(said)
-        self.conn.send(codec.answer(status, len(body), last, 0, message.version or "1.1") + body)
+        self.conn.send(response_head(status, len(body), last, 0, message.version or "1.1") + body)
         if last:
             return self.conn.finish()
         self.busy = False
-        self.reader.next()
+        self.reader.advance()
         self.server.loop.call_soon(self.step)
 
     def ended(self, what: str) -> None:
--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -8,7 +8,7 @@
 
 from orchidgap.http1 import request_migration
 from orchidgap.http1.client import Hosts
-from orchidgap.http1.discovery import Registry
+from orchidgap.http1.discovery import DiscoveryClient
 from orchidgap.http1.server import Client
 from orchidgap.net.client_listener import ClientListener
 from orchidgap.net.handover import MigratingRequest
@@ -32,7 +32,7 @@
     def arrives(self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
         request_migration.arrives(node, words, raw, socks)
 
-    def listing(self, node: Node, dial: Dial) -> Registry:
-        return Registry(
+    def listing(self, node: Node, dial: Dial) -> DiscoveryClient:
+        return DiscoveryClient(
             node.loop, node.config.discovery, node.balancer.rng, node.on_list, node.note, dial
         )
--- a/orchidgap/http1/chunked_encoding.py
+++ b/orchidgap/http1/chunked_encoding.py
@@ -1,87 +1,121 @@
-"""Counts along with a body that comes in chunks: where it stands in its framing."""
+"""Position in a body with chunked transfer coding (RFC 9112, section 7.1).
+
+The parser does not tell where in the framing it stands. `ChunkTracker` follows beside it, so that another process can
+go on with a body from the middle.
+
+| state | next |
+| --- | --- |
+| SIZE_LINE | DATA, TRAILERS after a size of 0, UNKNOWN where the size is no number |
+| DATA | DATA_END when all bytes of the chunk have passed |
+| DATA_END | SIZE_LINE |
+| TRAILERS | stays |
+| any | UNKNOWN where a line is longer than `MAX_LINE_BYTES` |
+"""
 
 from __future__ import annotations
 
-from enum import Enum
+from enum import Enum, auto
 
-MOST_LINE = 1 << 14  # bytes of a chunk's first line, or of the trailers, that are kept count of
+MAX_LINE_BYTES = 1 << 14  # of a chunk's size line, or of all trailers
+PLACEHOLDER = b"x"  # stands for a byte of the body in `ChunkTracker.resume_text`
 
 
-class At(Enum):
-    LINE = "the line that tells a chunk's size"
-    DATA = "a chunk"
-    END = "the end of a chunk's line"
-    TRAILERS = "behind the last chunk"
-    LOST = "where it cannot be told"
+class ChunkState(Enum):
+    """What the next byte of the body belongs to."""
 
+    SIZE_LINE = auto()
+    DATA = auto()
+    DATA_END = auto()  # the line break behind a chunk's data
+    TRAILERS = auto()
+    UNKNOWN = auto()
 
-class Chunks:
-    """Counts along with a body that comes in chunks, which a parser has found sound.
 
-    >>> chunks = Chunks(); chunks.feed(b"5;x=y\\r\\nab"); chunks.text()
-    b'3\\r\\n'
-    >>> chunks.feed(b"cde\\r"); chunks.text()
-    b'1\\r\\nx\\r'
-    >>> chunks.feed(b"\\n1"); chunks.text()
+class ChunkTracker:
+    r"""Follows a chunked body that a parser has found valid.
+
+    >>> tracker = ChunkTracker()
+    >>> tracker.feed(b"5;x=y\r\nab"); tracker.resume_text()
+    b'3\r\n'
+    >>> tracker.feed(b"cde\r"); tracker.resume_text()
+    b'1\r\nx\r'
+    >>> tracker.feed(b"\n1"); tracker.resume_text()
     b'1'
-    >>> chunks.feed(b"\\r\\nf\\r\\n0\\r\\nT: "); chunks.text()
-    b'0\\r\\nT: '
+    >>> tracker.feed(b"\r\nf\r\n0\r\nT: "); tracker.resume_text()
+    b'0\r\nT: '
     """
 
-    __slots__ = ("at", "left", "line")
+    __slots__ = ("bytes_remaining", "partial_line", "state")
 
     def __init__(self) -> None:
-        self.at, self.left, self.line = At.LINE, 0, b""
-
-    def feed(self, text: bytes) -> None:
-        place, size = 0, len(text)
-        while place < size and self.at is not At.LOST:
-            if self.at is At.DATA:
-                part = min(self.left, size - place)
-                self.left -= part
-                place += part
-                if not self.left:
-                    self.at, self.line = At.END, b""
+        """Starts behind the head of a message."""
+        self.state = ChunkState.SIZE_LINE
+        self.bytes_remaining = 0  # of the chunk under way
+        self.partial_line = b""
+
+    def feed(self, received: bytes) -> None:
+        """Follows bytes of the body, framing included."""
+        position = 0
+        while position < len(received) and self.state is not ChunkState.UNKNOWN:
+            if self.state is ChunkState.DATA:
+                position += self._skip_data(len(received) - position)
                 continue
-            if self.at is At.TRAILERS:
-                self.line += text[place:]
-                place = size
+            if self.state is ChunkState.TRAILERS:
+                self.partial_line += received[position:]
+                position = len(received)
             else:
-                end = text.find(b"\n", place)
-                self.line += text[place:] if end < 0 else text[place:end]
-                place = size if end < 0 else end + 1
-                if end >= 0:
-                    self.ended()
-            if len(self.line) > MOST_LINE:
-                self.at = At.LOST
-
-    def ended(self) -> None:
-        """A line did."""
-        line, self.line = self.line, b""
-        if self.at is At.END:
-            self.at = At.LINE
+                position = self._feed_line(received, position)
+            if len(self.partial_line) > MAX_LINE_BYTES:
+                self.state = ChunkState.UNKNOWN
+
+    def _skip_data(self, available: int) -> int:
+        """Returns how many of so many bytes are data of the chunk."""
+        size = min(self.bytes_remaining, available)
+        self.bytes_remaining -= size
+        if not self.bytes_remaining:
+            self.state = ChunkState.DATA_END
+            self.partial_line = b""
+        return size
+
+    def _feed_line(self, received: bytes, position: int) -> int:
+        """Takes bytes up to the end of the line and returns the position behind them."""
+        line_end = received.find(b"\n", position)
+        if line_end < 0:
+            self.partial_line += received[position:]
+            return len(received)
+        self.partial_line += received[position:line_end]
+        self._on_line()
+        return line_end + 1
+
+    def _on_line(self) -> None:
+        line = self.partial_line
+        self.partial_line = b""
+        if self.state is ChunkState.DATA_END:
+            self.state = ChunkState.SIZE_LINE
             return
+        size, _, _ = line.partition(b";")
         try:
-            self.left = int(line.partition(b";")[0].strip(), 16)
+            self.bytes_remaining = int(size.strip(), 16)
         except ValueError:
-            self.at = At.LOST
+            self.state = ChunkState.UNKNOWN
             return
-        self.at = At.DATA if self.left else At.TRAILERS
+        self.state = ChunkState.DATA if self.bytes_remaining else ChunkState.TRAILERS
 
-    def text(self) -> bytes | None:
-        """What a parser that awaits a chunk is to be fed to stand here; None where that cannot be told.
+    def resume_text(self) -> bytes | None:
+        """Returns what brings a fresh parser to this position; None where that is unknown.
 
-        Where a chunk's data are over and its line is not, that begins with one byte of a chunk, `x`.
+        Between a chunk's data and the end of its line the text has `PLACEHOLDER` for one byte of data.
         """
-        if self.at is At.LINE:
-            return self.line
-        if self.at is At.DATA:
-            return b"%x\r\n" % self.left
-        if self.at is At.END:
-            return b"1\r\nx" + self.line
-        return b"0\r\n" + self.line if self.at is At.TRAILERS else None
+        if self.state is ChunkState.SIZE_LINE:
+            return self.partial_line
+        if self.state is ChunkState.DATA:
+            return b"%x\r\n" % self.bytes_remaining
+        if self.state is ChunkState.DATA_END:
+            return b"1\r\n" + PLACEHOLDER + self.partial_line
+        if self.state is ChunkState.TRAILERS:
+            return b"0\r\n" + self.partial_line
+        return None
 
     @property
-    def padded(self) -> bool:
-        """Whether the text begins with a byte that is not of the body."""
-        return self.at is At.END
+    def has_placeholder(self) -> bool:
+        """Whether `resume_text` holds a byte that is not of the body."""
+        return self.state is ChunkState.DATA_END
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from orchidgap.decisions.connection_demand import Need
-from orchidgap.http1.codec import LAST_CHUNK, AnswerReader, chunk
+from orchidgap.http1.readers import ResponseReader
+from orchidgap.http1.writers import LAST_CHUNK, encode_chunk
 from orchidgap.net import connection_pools
 from orchidgap.net.connection import Address, Connection, Fault, Reach, broken, dial
 from orchidgap.net.loop import Loop, Timer
@@ -42,7 +43,7 @@
     )
 
     def __init__(self, pool: Pool, sock: socket.socket, attempt: UpstreamAttempt | None) -> None:
-        self.pool, self.reader = pool, AnswerReader()
+        self.pool, self.reader = pool, ResponseReader()
         self.idle_since = self.start = self.heard_at = self.wrote_at = 0
         self.start_idle = 0  # how long it had been idle when its attempt began
         self.chunked = False  # the body under way goes in chunks
@@ -83,8 +84,8 @@
         self.start, self.heard_at, self.wrote_at = self.conn.taken, now, now
         self.start_idle = now - self.idle_since if self.idle_since else 0
         bare = attempt.head.startswith(b"HEAD ")
-        if bare or self.reader.bare:
-            self.reader.renew(bare)
+        if bare or self.reader.bodiless:
+            self.reader.new_parser(bare)
         else:
             self.reader.reset()
         left = max(1, attempt.deadline_us - self.pool.hosts.loop.now)
@@ -103,7 +104,7 @@
 
     def put(self, parts: list[bytes], last: bool) -> None:
         if self.chunked:
-            parts = chunk(parts) + ([LAST_CHUNK] if last else [])
+            parts = encode_chunk(parts) + ([LAST_CHUNK] if last else [])
         if parts and self.conn.open:
             self.conn.send(*parts)
 
@@ -112,23 +113,23 @@
             return self.ended("spoke unasked")
         reader, message = self.reader, self.reader.message
         self.heard_at = self.pool.hosts.loop.now
-        if not reader.begun and self.too_soon():
+        if not reader.started and self.too_soon():
             return self.ended("said before it can have been asked")
         reader.feed(view)
-        if message.trouble:
+        if message.error_status:
             self.ended("no proper answer")
         elif self.taker:
-            self.taker.give(message.take())
-            if message.whole:
+            self.taker.give(message.take_body())
+            if message.complete:
                 self.done("done")
-        elif message.whole:
+        elif message.complete:
             self.done(verdict_of(message.status, message.fields.get(b"not-started") == b"1"))
-        elif message.headed and message.status != 200:
-            if message.large:  # what it says matters, not all of its words
+        elif message.head_complete and message.status != 200:
+            if message.exceeds_buffer:  # what it says matters, not all of its words
                 self.done(verdict_of(message.status, message.fields.get(b"not-started") == b"1"))
-        elif message.large:
+        elif message.exceeds_buffer:
             self.begin(self.attempt)
-        elif message.headed and message.length is None and not self.timer:
+        elif message.head_complete and message.content_length is None and not self.timer:
             self.timer = self.pool.hosts.loop.call_later(
                 self.attempt.hold, self.begin, self.attempt
             )
@@ -151,7 +152,7 @@
 
     def begin(self, attempt: UpstreamAttempt) -> None:
         """The answer is too large to be kept, or too slow to see how large it is: it flows from here on."""
-        if self.attempt is not attempt or self.taker or self.reader.message.whole:
+        if self.attempt is not attempt or self.taker or self.reader.message.complete:
             return
         self.forget_timer()
         taker = attempt.sender.begin(attempt.number)
@@ -159,22 +160,24 @@
             return self.ended("not wanted")
         self.taker = taker
         self.pool.hosts.flows[self] = None
-        taker.begin(self.reader.message.length, self.conn)
+        taker.begin(self.reader.message.content_length, self.conn)
         if self.taker:
-            taker.give(self.reader.message.take())
+            taker.give(self.reader.message.take_body())
 
     def done(self, verdict: str) -> None:
         """The answer is there, or what matters of it."""
         attempt, reader, message = self.attempt, self.reader, self.reader.message
         assert attempt
-        body = b"".join(message.parts) if message.whole else b""
+        body = b"".join(message.body_parts) if message.complete else b""
         attempt.load = message.fields.get(b"server-load", b"")
-        if reader.bare:
-            attempt.length = message.length
+        if reader.bodiless:
+            attempt.length = message.content_length
         lasts = (
-            message.whole
-            and message.lasts
-            and not (reader.extra or self.conn.out or attempt.flow and not attempt.flow.whole)
+            message.complete
+            and message.keep_alive
+            and not (
+                reader.has_excess_data or self.conn.out or attempt.flow and not attempt.flow.whole
+            )
         )
         self.clear()
         if lasts:
@@ -210,12 +213,17 @@
 
     def ended(self, what: str) -> None:
         attempt = self.attempt
-        if attempt and what == "closed" and self.reader.begun and self.reader.ended():
+        if (
+            attempt
+            and what == "closed"
+            and self.reader.started
+            and self.reader.on_connection_closed()
+        ):
             if self.taker:
-                self.taker.give(self.reader.message.take())
+                self.taker.give(self.reader.message.take_body())
                 return self.done("done")
             return self.done(verdict_of(self.reader.message.status, False))
-        stale = attempt is not None and self.idle_since > 0 and not self.reader.begun
+        stale = attempt is not None and self.idle_since > 0 and not self.reader.started
         cause = "stale" if stale else broken(what) if self.conn.opening else "broken"
         fault = Fault(self.reach(), cause, what)
         self.close()
--- a/orchidgap/http1/discovery.py
+++ b/orchidgap/http1/discovery.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from orchidgap.http1.codec import AnswerReader
+from orchidgap.http1.readers import ResponseReader
 from orchidgap.net.connection import Address, Connection, Fault, dial
 from orchidgap.net.endpoints import Entry, Place, decode_list
 from orchidgap.net.loop import Loop, Timer
@@ -28,7 +28,7 @@
 SILENCE = "silence"
 
 
-class Registry:
+class DiscoveryClient:
     def __init__(
         self,
         loop: Loop,
@@ -40,14 +40,14 @@
     ) -> None:
         self.loop, self.address, self.rng, self.heard, self.log = loop, address, rng, heard, log
         self.dialer = dial
-        self.version: int | None = None  # of the list held, None until it was fetched whole
+        self.list_version: int | None = None  # of the list held, None until it was fetched whole
         self.failures = 0
-        self.asked_at = self.wait = (
+        self.polled_at_us = self.wait_ms = (
             0  # when the last call began, and how long it may wait, in milliseconds
         )
-        self.out = False  # a call is out
+        self.call_pending = False  # a call is out
         self.conn: Connection | None = None
-        self.reader = AnswerReader()
+        self.reader = ResponseReader()
         self.timer: Timer | None = None
 
     def set_timer(self, delay: int, act: Callable[..., None], *args: Any) -> None:
@@ -56,30 +56,30 @@
         self.timer = self.loop.call_later(delay, act, *args)
 
     def ask(self) -> None:
-        if self.out:
+        if self.call_pending:
             return
         if self.conn is None or not self.conn.open:
             came = self.dialer(self.address)
             if isinstance(came, Fault):
                 return self.ended(came.what)
-            self.reader = AnswerReader(MOST)
+            self.reader = ResponseReader(MOST)
             self.conn = Connection(self.loop, came, self, opening=True)
         self.reader.reset()
-        self.out, self.asked_at = True, self.loop.now
-        path, self.wait = "/discovery/hosts", 0
-        if self.version is not None:
+        self.call_pending, self.polled_at_us = True, self.loop.now
+        path, self.wait_ms = "/discovery/hosts", 0
+        if self.list_version is not None:
             # after a failure what was missed is asked for at once: a watch would take its whole wait to fail
-            self.wait = 0 if self.failures else WATCH_MS
-            path = f"{path}?after={self.version}&wait_ms={self.wait}"
+            self.wait_ms = 0 if self.failures else WATCH_MS
+            path = f"{path}?after={self.list_version}&wait_ms={self.wait_ms}"
         grace = GRACE if self.failures < 2 else 2 * GRACE
-        self.set_timer(self.wait * 1000 + grace, self.ended, SILENCE)
+        self.set_timer(self.wait_ms * 1000 + grace, self.ended, SILENCE)
         self.conn.send(f"GET {path} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
     def move(self, address: Address) -> None:
         """The list held still applies; versions told elsewhere say nothing at the new address."""
         if address != self.address:
-            self.drop()
-            self.address, self.version, self.failures = address, None, 0
+            self.close_connection()
+            self.address, self.list_version, self.failures = address, None, 0
             self.ask()
 
     def opened(self) -> None:
@@ -87,43 +87,43 @@
 
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
-        if self.reader.message.trouble or not self.out:
+        if self.reader.message.error_status or not self.call_pending:
             self.ended("no proper answer")
-        elif self.reader.message.whole:
-            self.out = False
-            self.answered()
-        elif self.loop.now < self.asked_at + LATEST:  # it comes in pieces
+        elif self.reader.message.complete:
+            self.call_pending = False
+            self.on_response()
+        elif self.loop.now < self.polled_at_us + LATEST:  # it comes in pieces
             self.set_timer(GRACE, self.ended, SILENCE)
 
-    def answered(self) -> None:
+    def on_response(self) -> None:
         reader = self.reader
         try:
             if reader.message.status != 200:
                 raise ValueError(f"status {reader.message.status}")
             version, whole, entries, found = decode_list(orjson.loads(reader.message.body))
-            if self.version is None and not whole:
+            if self.list_version is None and not whole:
                 raise ValueError("changes to a list that is not held")
         except (ValueError, TypeError, KeyError, AttributeError) as trouble:
             if reader.message.status == 200:
-                self.version = None  # the same changes would be as bad when asked for again
+                self.list_version = None  # the same changes would be as bad when asked for again
             return self.ended(f"bad answer: {trouble!r}"[:120])
         if self.failures:
             self.log("list back", failures=self.failures)
-        behind = self.version is not None and version < self.version and not whole
-        self.failures, self.version = (
+        behind = self.list_version is not None and version < self.list_version and not whole
+        self.failures, self.list_version = (
             0,
             None if behind else version,
         )  # it counts anew, so it has forgotten
-        if not reader.message.lasts:
-            self.drop()
+        if not reader.message.keep_alive:
+            self.close_connection()
         if whole or entries:
             self.heard(whole, entries, found)
-        idle = self.wait and not entries and self.loop.now - self.asked_at < SHORTEST
+        idle = self.wait_ms and not entries and self.loop.now - self.polled_at_us < SHORTEST
         self.set_timer(100_000 if idle else 0, self.ask)
 
     def ended(self, what: str) -> None:
         """The list held still applies; ask again, at a random time, as others will."""
-        self.drop()
+        self.close_connection()
         self.failures += 1
         if self.failures in (1, 10, 100):
             self.log("list lost", why=what, failures=self.failures)
@@ -132,8 +132,8 @@
         longest = min(LONGEST, FIRST << min(self.failures - 1, 6))
         self.set_timer(self.rng.randrange(longest // 2, longest), self.ask)
 
-    def drop(self) -> None:
-        self.out = False
+    def close_connection(self) -> None:
+        self.call_pending = False
         if self.conn:
             self.conn.close()
             self.conn = None
--- /dev/null
+++ b/orchidgap/http1/messages.py
@@ -0,0 +1,73 @@
+"""One HTTP/1.1 message as far as it has arrived, and the limits on its size."""
+
+from __future__ import annotations
+
+from orchidgap.http1.chunked_encoding import ChunkTracker
+
+MAX_HEAD_BYTES = 1 << 14
+MAX_BUFFERED_BODY_BYTES = 1 << 16  # a larger body is streamed
+MAX_BODY_BYTES = 40 << 20  # of a streamed body
+
+
+class Message:
+    """A request or response as far as it has arrived.
+
+    The defaults are class attributes: most messages never set them, and setting them for each message would cost
+    time on the hot path.
+
+    Attributes:
+        head_complete: all header fields have arrived.
+        complete: the last byte of the body has arrived.
+        keep_alive: the connection may carry another message after this one.
+        status: status code of a response, 0 for a request.
+        error_status: status code that says what is wrong with the message, 0 while nothing is.
+        method: method of a request.
+        target: request target as it was sent.
+        version: HTTP version, such as `1.1`.
+        content_length: bytes of the body as the head tells, None where it does not.
+        received_at_us: when the last byte arrived, in microseconds of the loop's clock; 0 until it is known.
+        body_size: bytes of the body that have arrived.
+        wire_size: bytes of the whole message that have arrived, framing included.
+        head_bytes: the head so far, where it arrives in pieces; None where it is not known.
+        chunk_tracker: position in the framing of a chunked body, None for other bodies.
+        fields: header fields by lower-case name.
+        body_parts: parts of the body that nobody has taken yet.
+    """
+
+    head_complete = False
+    complete = False
+    keep_alive = False
+    status = 0
+    error_status = 0
+    method = b""
+    target = b""
+    version = ""
+    content_length: int | None = None
+    received_at_us = 0
+    body_size = 0
+    wire_size = 0
+    head_bytes: bytes | None = b""
+    chunk_tracker: ChunkTracker | None = None
+
+    def __init__(self) -> None:
+        """Starts with nothing received."""
+        self.fields: dict[bytes, bytes] = {}
+        self.body_parts: list[bytes] = []
+
+    def take_body(self) -> list[bytes]:
+        """Returns the parts of the body that arrived since the last call."""
+        parts = self.body_parts
+        self.body_parts = []
+        return parts
+
+    @property
+    def body(self) -> bytes:
+        """The parts of the body that nobody has taken yet, joined."""
+        return b"".join(self.body_parts)
+
+    @property
+    def exceeds_buffer(self) -> bool:
+        """Whether the body is known to be larger than what is buffered whole."""
+        if self.body_size > MAX_BUFFERED_BODY_BYTES:
+            return True
+        return self.content_length is not None and self.content_length > MAX_BUFFERED_BODY_BYTES
--- a/orchidgap/http1/parser_resume.py
+++ b/orchidgap/http1/parser_resume.py
@@ -1,47 +1,70 @@
-"""Where a message stands in its framing, and the text that makes a fresh reader stand there.
+"""The text from which a fresh reader goes on in the middle of a message.
 
-Another process can go on with a message from such a text and the connection it comes on.
+Another process gets such a text together with the connection that the message arrives on.
 """
 
 from __future__ import annotations
 
-from orchidgap.http1.codec import Message
+from typing import NamedTuple
 
+from orchidgap.http1.chunked_encoding import PLACEHOLDER
+from orchidgap.http1.messages import Message
 
-def rest_of(message: Message, first: bytes) -> tuple[bytes, int] | None:
-    """Takes a message whose head has come, and a first line for it. Gives the text from which a fresh reader
-    goes on with its body, and how many bytes that text brings along which are none of the body; None where it
-    cannot be told."""
-    if not message.headed or message.whole or message.trouble:
+
+class ResumePoint(NamedTuple):
+    """Where a body stands.
+
+    Attributes:
+        text: a head and framing for a fresh reader.
+        placeholder_bytes: bytes of the body that the text adds and nobody sent.
+    """
+
+    text: bytes
+    placeholder_bytes: int
+
+
+def resume_body(message: Message, start_line: bytes) -> ResumePoint | None:
+    """Returns from where a fresh reader goes on with the body of a message, None where it is unknown.
+
+    `start_line` is the first line of the head that the fresh reader gets, without its line break.
+    """
+    if not message.head_complete or message.complete or message.error_status:
         return None
-    lines = [first]
+    lines = [start_line]
     if b"connection" in message.fields:
         lines.append(b"connection: " + message.fields[b"connection"])
     if b"transfer-encoding" in message.fields:
-        text = message.chunks.text() if message.chunks else None
-        if text is None or message.chunks is None:
+        tracker = message.chunk_tracker
+        framing = tracker.resume_text() if tracker else None
+        if framing is None or tracker is None:
             return None
         lines += [b"transfer-encoding: chunked", b"", b""]
-        return b"\r\n".join(lines) + text, int(message.chunks.padded)
-    if message.length is not None:
-        lines.append(b"content-length: %d" % (message.length - message.size))
-    return b"\r\n".join([*lines, b"", b""]), 0
+        return ResumePoint(b"\r\n".join(lines) + framing, int(tracker.has_placeholder))
+    if message.content_length is not None:
+        bytes_remaining = message.content_length - message.body_size
+        lines.append(b"content-length: %d" % bytes_remaining)
+    return ResumePoint(b"\r\n".join([*lines, b"", b""]), 0)
 
 
-def whole_of(message: Message) -> bytes | None:
-    """Takes a req that has come in part; all of it so far, for a fresh reader. None where it is not known."""
-    if message.trouble or message.whole:
+def resume_request(message: Message) -> bytes | None:
+    """Returns all of a request that has arrived in part, for a fresh reader; None where it is unknown."""
+    if message.error_status or message.complete:
         return None
-    if not message.headed:
-        return message.text
-    first = b"%b %b HTTP/%b" % (message.method, message.target, message.version.encode())
-    lines = [first, *(b"%b: %b" % field for field in message.fields.items()), b"", b""]
+    if not message.head_complete:
+        return message.head_bytes
+    version = message.version.encode()
+    start_line = b"%b %b HTTP/%b" % (message.method, message.target, version)
+    fields = [b"%b: %b" % field for field in message.fields.items()]
+    head = b"\r\n".join([start_line, *fields, b"", b""])
     body = message.body
     if b"transfer-encoding" not in message.fields:
-        return b"\r\n".join(lines) + body
-    text = message.chunks.text() if message.chunks else None
-    if text is None or message.chunks is None:
+        return head + body
+    tracker = message.chunk_tracker
+    framing = tracker.resume_text() if tracker else None
+    if framing is None or tracker is None:
         return None
-    if message.chunks.padded:  # the last byte of the body so far stands in that byte's place
-        body, text = body[:-1], text.replace(b"x", body[-1:], 1)
-    return b"\r\n".join(lines) + (b"%x\r\n%b\r\n" % (len(body), body) if body else b"") + text
+    if tracker.has_placeholder:  # the last byte of the body so far takes its place
+        framing = framing.replace(PLACEHOLDER, body[-1:], 1)
+        body = body[:-1]
+    received = b"%x\r\n%b\r\n" % (len(body), body) if body else b""
+    return head + received + framing
--- /dev/null
+++ b/orchidgap/http1/readers.py
@@ -0,0 +1,344 @@
+"""Readers of HTTP/1.1: bytes in, `Message` out. Parsing is httptools'; nothing here does I/O.
+
+A reader is fed views of a buffer that is reused after the call; the parser copies what is kept. What is malformed or too
+large sets `Message.error_status` and nothing else: the caller answers with it or closes the connection.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+
+import httptools
+
+from orchidgap.http1.chunked_encoding import ChunkTracker
+from orchidgap.http1.messages import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    Message,
+)
+
+BAD_REQUEST = 400
+CONTENT_TOO_LARGE = 413
+HEAD_TOO_LARGE = 431
+MAX_FRAMING_RATIO = 8  # bytes of framing for each byte of a body
+# Two readers of one message could each believe another value of a repeated field (request smuggling).
+SINGLE_VALUE_FIELDS = frozenset(
+    (
+        b"request-id",
+        b"request-class",
+        b"request-timeout",
+        b"tenant",
+        b"idempotency-key",
+        b"host",
+        b"transfer-encoding",
+    )
+)
+
+
+class MessageReader:
+    """Reads one message after another.
+
+    Attributes:
+        max_body_bytes: a larger body is rejected with 413.
+        message: the oldest message that is not done with.
+        incoming: the message that arrives now; another one where messages are pipelined.
+        started: bytes of the oldest message have arrived.
+        has_excess_data: more has arrived than the other side may send.
+        head_count: heads that ended since the oldest message began, interim responses included.
+    """
+
+    parser: httptools.HttpRequestParser | httptools.HttpResponseParser
+
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        """Takes the largest body in bytes."""
+        self.max_body_bytes = max_body_bytes
+        self.message = Message()
+        self.incoming = self.message
+        self.started = False
+        self.has_excess_data = False
+        self.head_count = 0
+
+    def feed(self, view: memoryview) -> None:
+        """Parses what has arrived; the view may be reused after the call."""
+        self.started = True
+        before = self.incoming
+        head_was_complete = before.head_complete
+        before.wire_size += len(view)
+        try:
+            self.parser.feed_data(view)
+        except httptools.HttpParserUpgrade:
+            self.reject(BAD_REQUEST)
+        except httptools.HttpParserError:
+            if self.incoming.complete:
+                self.on_excess_data()
+            else:
+                self.reject(BAD_REQUEST)
+        incoming = self.incoming
+        same_message = incoming is before
+        if same_message and incoming.complete:
+            return
+        if not same_message or not incoming.head_complete:
+            self.record_head(view, same_message)
+        elif incoming.chunk_tracker:
+            self.record_chunks(view, head_was_complete)
+        self.limit_framing(incoming)
+
+    def limit_framing(self, incoming: Message) -> None:
+        """Guards against a head, chunk extensions or trailers without end."""
+        if incoming.wire_size <= MAX_HEAD_BYTES:
+            return
+        if not incoming.head_complete:
+            self.reject(HEAD_TOO_LARGE)
+        body_allowance = MAX_BUFFERED_BODY_BYTES + MAX_FRAMING_RATIO * incoming.body_size
+        if incoming.head_complete and incoming.wire_size > MAX_HEAD_BYTES + body_allowance:
+            self.reject(CONTENT_TOO_LARGE)
+
+    def record_head(self, view: memoryview, same_message: bool) -> None:
+        """Keeps the bytes of a head that arrives in pieces.
+
+        They are not known where its first piece also held the end of another message.
+        """
+        incoming = self.incoming
+        incoming.chunk_tracker = None
+        if same_message and incoming.head_bytes is not None:
+            incoming.head_bytes += bytes(view)
+        else:
+            incoming.head_bytes = None
+
+    def record_chunks(self, view: memoryview, head_was_complete: bool) -> None:
+        """Follows the position in a chunked body, from the end of the head on."""
+        incoming = self.incoming
+        assert incoming.chunk_tracker
+        if head_was_complete:
+            incoming.chunk_tracker.feed(bytes(view))
+            return
+        if incoming.head_bytes is None:
+            incoming.chunk_tracker = None
+            return
+        received = (incoming.head_bytes + bytes(view)).lstrip(b"\r\n")
+        body_start = 0
+        for _ in range(self.head_count):
+            body_start = received.index(b"\r\n\r\n", body_start) + 4
+        incoming.head_bytes = None
+        incoming.chunk_tracker.feed(received[body_start:])
+
+    def on_excess_data(self) -> None:
+        """Bytes behind a complete message are not a message."""
+        self.has_excess_data = True
+
+    def reject(self, status: int) -> None:
+        """Marks the incoming message as bad; the first reason counts."""
+        self.incoming.error_status = self.incoming.error_status or status
+
+    # --- called by the parser
+
+    def on_url(self, url: bytes) -> None:
+        """Takes a part of the request target."""
+        self.incoming.target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Takes one header field; trailers are ignored."""
+        if self.incoming.head_complete:
+            return
+        name = name.lower()
+        fields = self.incoming.fields
+        if name in fields and name in SINGLE_VALUE_FIELDS:
+            self.reject(BAD_REQUEST)
+        fields[name] = value.strip(b" \t")  # the parser leaves the blanks behind a value
+
+    def on_headers_complete(self) -> None:
+        """Checks how the body is framed."""
+        incoming = self.incoming
+        incoming.head_complete = True
+        self.head_count += 1
+        incoming.version = self.parser.get_http_version()
+        encoding = incoming.fields.get(b"transfer-encoding")
+        if encoding is not None:
+            if encoding.lower() == b"chunked" and incoming.version == "1.1":
+                incoming.chunk_tracker = ChunkTracker()
+            else:  # another encoding would be forwarded as if it were the body
+                self.reject(BAD_REQUEST)
+        length = incoming.fields.get(b"content-length")
+        if length is None:
+            return
+        if length.isdigit():
+            incoming.content_length = int(length)
+        if incoming.content_length is None or incoming.content_length > self.max_body_bytes:
+            self.reject(CONTENT_TOO_LARGE)
+
+    def on_body(self, part: bytes) -> None:
+        """Takes a part of the body."""
+        incoming = self.incoming
+        incoming.body_size += len(part)
+        if incoming.body_size > self.max_body_bytes:
+            self.reject(CONTENT_TOO_LARGE)
+        elif not incoming.error_status:
+            incoming.body_parts.append(part)
+
+    def on_message_complete(self) -> None:
+        """The last byte of the incoming message has arrived."""
+        incoming = self.incoming
+        incoming.complete = True
+        # the parser forgets this with the next message
+        incoming.keep_alive = self.parser.should_keep_alive()
+
+
+class RequestReader(MessageReader):
+    r"""Reads requests in the order they arrive, pipelined ones too. The caller bounds how many may wait.
+
+    >>> reader = RequestReader()
+    >>> reader.feed(memoryview(b"PUT /a/b?c HTTP/1.1\r\nTenant: x\r\nContent-Length: 2\r\n\r\nh"))
+    >>> reader.message.complete; reader.feed(memoryview(b"iGET / HTTP/1.1\r\n\r\nGE"))
+    False
+    >>> message = reader.message
+    >>> message.complete, message.method, message.target, message.body_parts
+    (True, b'PUT', b'/a/b?c', [b'h', b'i'])
+    >>> reader.advance(); reader.message.target, reader.message.complete, len(reader.pipelined)
+    (b'/', True, 1)
+    >>> reader.advance(); reader.message.head_complete, reader.started, len(reader.pipelined)
+    (False, True, 0)
+    """
+
+    parser: httptools.HttpRequestParser
+
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        """Takes the largest body in bytes."""
+        super().__init__(max_body_bytes)
+        self.parser = httptools.HttpRequestParser(self)
+        self.pipelined: deque[Message] = deque()  # sent before the oldest was answered
+
+    def on_message_begin(self) -> None:
+        """Called by the parser with the first byte of a request."""
+        if self.incoming.complete:
+            self.start_pipelined()
+
+    def start_pipelined(self) -> None:
+        """What arrives from now on belongs to a further request."""
+        self.incoming = Message()
+        self.pipelined.append(self.incoming)
+
+    def on_headers_complete(self) -> None:
+        """A request without framing fields has no body."""
+        incoming = self.incoming
+        incoming.method = self.parser.get_method()
+        super().on_headers_complete()
+        if incoming.content_length is None and b"transfer-encoding" not in incoming.fields:
+            incoming.content_length = 0
+
+    def on_excess_data(self) -> None:
+        """Bytes that are no request, behind one that does not close the connection."""
+        if self.incoming.keep_alive:
+            self.start_pipelined()
+            self.reject(BAD_REQUEST)
+
+    def advance(self) -> None:
+        """Goes on to the next request: the oldest is done with."""
+        self.head_count = 0
+        if self.pipelined:
+            self.message = self.pipelined.popleft()
+            return
+        self.started = False
+        self.message = Message()
+        self.incoming = self.message
+
+
+class ResponseReader(MessageReader):
+    r"""Reads one response at a time.
+
+    A response without a length ends with its connection: `on_connection_closed` tells the reader.
+
+    >>> reader = ResponseReader()
+    >>> reader.feed(memoryview(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 404 No\r\n"))
+    >>> reader.feed(memoryview(b"Content-Length: 1\r\n\r\nxHT"))
+    >>> reader.message.status, reader.message.complete, reader.has_excess_data
+    (404, True, True)
+    >>> reader = ResponseReader(); reader.feed(memoryview(b"HTTP/1.1 200 OK\r\n\r\nto the end"))
+    >>> message = reader.message
+    >>> message.complete, reader.on_connection_closed(), message.complete, message.body
+    (False, True, True, b'to the end')
+    >>> message.keep_alive
+    False
+    """
+
+    parser: httptools.HttpResponseParser
+
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        """Takes the largest body in bytes."""
+        super().__init__(max_body_bytes)
+        self.new_parser(False)
+
+    def new_parser(self, bodiless: bool) -> None:
+        """Starts anew for a response; a bodiless one (to HEAD) has no body, whatever its head says."""
+        self.bodiless = bodiless
+        self.parser = httptools.HttpResponseParser(self)
+        self.reset()
+
+    def reset(self) -> None:
+        """Makes room for the next response on the same connection."""
+        self.message = Message()
+        self.incoming = self.message
+        self.started = False
+        self.has_excess_data = False
+        self.head_count = 0
+
+    def feed(self, view: memoryview) -> None:
+        """Parses what has arrived; bytes behind a complete response are excess."""
+        if self.incoming.complete:
+            self.has_excess_data = True
+        else:
+            super().feed(view)
+
+    def on_message_begin(self) -> None:
+        """Called by the parser with the first byte of a response."""
+        if self.incoming.complete:
+            self.has_excess_data = True
+            self.incoming = Message()  # nobody reads it
+
+    def on_headers_complete(self) -> None:
+        """A bodiless response is complete with its head."""
+        incoming = self.incoming
+        incoming.status = self.parser.get_status_code()
+        super().on_headers_complete()
+        if self.bodiless and not is_interim(incoming.status):
+            incoming.complete = True
+            incoming.keep_alive = self.parser.should_keep_alive()
+
+    def on_body(self, part: bytes) -> None:
+        """Takes a part of the body; a bodiless response may not have one."""
+        if self.bodiless:
+            self.has_excess_data = True
+        else:
+            super().on_body(part)
+
+    def on_message_complete(self) -> None:
+        """Goes on to the final response after an interim one, in the same place."""
+        incoming = self.incoming
+        if not incoming.complete:
+            super().on_message_complete()
+        if is_interim(incoming.status) and not self.has_excess_data:
+            head_bytes = incoming.head_bytes
+            wire_size = incoming.wire_size
+            incoming.__dict__.clear()
+            incoming.__init__()  # type: ignore[misc]
+            incoming.head_bytes = head_bytes
+            incoming.wire_size = wire_size
+
+    def on_connection_closed(self) -> bool:
+        """Returns whether the response is complete now that the other side has closed in order."""
+        incoming = self.incoming
+        ends_with_connection = (
+            incoming.content_length is None and b"transfer-encoding" not in incoming.fields
+        )
+        if incoming.head_complete and not incoming.error_status and ends_with_connection:
+            incoming.complete = True
+        return incoming.complete
+
+
+def is_interim(status: int) -> bool:
+    """Whether a final response follows one with this status.
+
+    >>> is_interim(100), is_interim(200)
+    (True, False)
+    """
+    return 100 <= status < 200
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from orchidgap.http1.client import Hosts, Link, Pool
-from orchidgap.http1.codec import KEPT, Message
-from orchidgap.http1.parser_resume import rest_of, whole_of
+from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES, Message
+from orchidgap.http1.parser_resume import resume_body, resume_request
 from orchidgap.http1.server import Client
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.handover import MigratingRequest
@@ -27,8 +27,8 @@
         if (
             not client.conn.open
             or client.conn.closing
-            or client.reader.behind
-            or client.reader.extra
+            or client.reader.pipelined
+            or client.reader.has_excess_data
         ):
             continue
         if client.giving:
@@ -45,7 +45,7 @@
 
 def begun(client: Client) -> MigratingRequest | None:
     """A req that has come in part, and that nobody has been asked for."""
-    text = whole_of(client.reader.message)
+    text = resume_request(client.reader.message)
     return MigratingRequest(["begun"], text, [client.conn.sock], client.close) if text else None
 
 
@@ -53,16 +53,22 @@
     """An answer that flows to its client."""
     exchange = client.asked
     link = exchange.giving.link if isinstance(exchange, Exchange) and exchange.giving else None
-    if not isinstance(exchange, Exchange) or not isinstance(link, Link) or link.reader.extra:
+    if (
+        not isinstance(exchange, Exchange)
+        or not isinstance(link, Link)
+        or link.reader.has_excess_data
+    ):
         return None
     message = client.reader.message
-    rest = rest_of(link.reader.message, b"HTTP/%b 200 OK" % link.reader.message.version.encode())
-    if rest is None or not link.conn.open or link.conn.out or link.reader.message.parts:
+    rest = resume_body(
+        link.reader.message, b"HTTP/%b 200 OK" % link.reader.message.version.encode()
+    )
+    if rest is None or not link.conn.open or link.conn.out or link.reader.message.body_parts:
         return None
     told = {
         "name": exchange.name.decode("latin-1"),
         "version": message.version,
-        "lasts": message.lasts,
+        "lasts": message.keep_alive,
         "last": client.last,
         "chunked": client.chunked,
         "head": rest[0].decode("latin-1"),
@@ -91,21 +97,21 @@
     ):
         return None
     link = flow.sink
-    if not isinstance(link, Link) or not link.conn.open or link.conn.opening or link.reader.begun:
+    if not isinstance(link, Link) or not link.conn.open or link.conn.opening or link.reader.started:
         return None
     message = client.reader.message
-    rest = rest_of(message, b"PUT / HTTP/%b" % message.version.encode())
+    rest = resume_body(message, b"PUT / HTTP/%b" % message.version.encode())
     if (
         rest is None
-        or message.parts
+        or message.body_parts
         or sum(not attempt.settled for attempt in exchange.attempts) != 1
     ):
         return None
     told = {
         "name": exchange.name.decode("latin-1"),
         "left": exchange.left,
-        "size": message.size,
-        "length": message.length,
+        "size": message.body_size,
+        "length": message.content_length,
         "chunked": link.chunked,
         "head": rest[0].decode("latin-1"),
         "last_word": node.last_word(exchange.id),
@@ -164,10 +170,10 @@
         exchange = Exchange(node, node.number(), name, client, b"", b"", 0, None, timed=False)
         attempt = link.attempt = attempt_of(exchange, told["host"], link, None)
         link.reader.feed(head)
-        link.reader.message.take()
-        message = client.reader.message = client.reader.into = Message()
-        message.headed = message.whole = True
-        message.method, message.version, message.lasts = (
+        link.reader.message.take_body()
+        message = client.reader.message = client.reader.incoming = Message()
+        message.head_complete = message.complete = True
+        message.method, message.version, message.keep_alive = (
             b"GET",
             str(told["version"]),
             bool(told["lasts"]),
@@ -179,11 +185,14 @@
     else:
         client.reader.feed(head)
         message = client.reader.message
-        message.take()
+        message.take_body()
         length = told["length"]
-        message.size, message.length = int(told["size"]), None if length is None else int(length)
-        flow = Upload(client.conn, message.length, KEPT)
-        flow.gone, flow.size = True, message.size
+        message.body_size, message.content_length = (
+            int(told["size"]),
+            None if length is None else int(length),
+        )
+        flow = Upload(client.conn, message.content_length, MAX_BUFFERED_BODY_BYTES)
+        flow.gone, flow.size = True, message.body_size
         exchange = Exchange(node, node.number(), name, client, b"", b"", int(told["left"]), flow)
         exchange.last_word = int(told["last_word"])
         attempt = link.attempt = attempt_of(exchange, told["host"], link, flow)
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -6,7 +6,17 @@
 
 import httptools
 
-from orchidgap.http1 import codec
+from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES
+from orchidgap.http1.readers import RequestReader
+from orchidgap.http1.writers import (
+    CONTINUE,
+    LAST_CHUNK,
+    encode_chunk,
+    forwarded_head,
+    parse_seconds,
+    response_head,
+    split_target,
+)
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
 from orchidgap.net.connection import Connection
@@ -22,7 +32,7 @@
     __slots__ = ("asked", "chunked", "flow", "giving", "last", "marked", "reader", "source")
 
     def __init__(self, clients: ClientListener, sock: socket.socket) -> None:
-        self.reader = codec.ReqReader()
+        self.reader = RequestReader()
         self.asked: PendingRequest | None = None
         self.flow: Upload | None = None  # the body of the req under way, while it comes
         self.marked = 0  # how far the req had come when its time began anew
@@ -32,23 +42,23 @@
 
     @property
     def came(self) -> int:
-        return self.reader.message.came
+        return self.reader.message.received_at_us
 
     @property
     def begun(self) -> bool:
-        return self.reader.begun
+        return self.reader.started
 
     def received(self, view: memoryview) -> None:
         reader = self.reader
-        if not reader.begun and self in self.clients.idle:
+        if not reader.started and self in self.clients.idle:
             del self.clients.idle[self]
             self.clients.await_req(self)
         reader.feed(view)
-        reader.into.came = self.conn.came
-        if reader.behind:
-            for message in (reader.message, *reader.behind):
-                message.came = message.came or self.conn.came
-            if len(reader.behind) >= AHEAD:
+        reader.incoming.received_at_us = self.conn.came
+        if reader.pipelined:
+            for message in (reader.message, *reader.pipelined):
+                message.received_at_us = message.received_at_us or self.conn.came
+            if len(reader.pipelined) >= AHEAD:
                 self.conn.hold(True)
         self.step()
 
@@ -59,16 +69,20 @@
             self.flow_on()
         elif self.asked or self.giving:
             return  # those behind wait for its answer
-        elif message.trouble:
-            self.refuse(message.trouble)
-        elif message.whole:
+        elif message.error_status:
+            self.refuse(message.error_status)
+        elif message.complete:
             self.clients.unasked.pop(self, None)
             self.take()
-        elif message.headed and message.large:
+        elif message.head_complete and message.exceeds_buffer:
             self.take()
-        elif message.headed:
-            if message.fields.pop(b"expect", b"") and message.version == "1.1" and not message.size:
-                self.conn.send(codec.CONTINUE)
+        elif message.head_complete:
+            if (
+                message.fields.pop(b"expect", b"")
+                and message.version == "1.1"
+                and not message.body_size
+            ):
+                self.conn.send(CONTINUE)
             self.progress()
 
     def next(self) -> None:
@@ -79,20 +93,20 @@
     def progress(self) -> None:
         """Patience goes by what comes, not by the whole time."""
         message = self.reader.message
-        if not self.marked or message.size - self.marked >= STEP:
-            self.marked = max(1, message.size)
+        if not self.marked or message.body_size - self.marked >= STEP:
+            self.marked = max(1, message.body_size)
             self.clients.await_req(self)
 
     def flow_on(self) -> None:
         message, flow = self.reader.message, self.flow
         assert flow
-        if message.trouble:  # what is cut off here never runs
-            return self.stalled(message.trouble)
-        if parts := message.take():
-            flow.add(parts, message.whole)
-        elif message.whole:
+        if message.error_status:  # what is cut off here never runs
+            return self.stalled(message.error_status)
+        if parts := message.take_body():
+            flow.add(parts, message.complete)
+        elif message.complete:
             flow.add([], True)
-        if message.whole:
+        if message.complete:
             self.clients.unasked.pop(self, None)
             self.flow = None
             if self.asked:
@@ -120,7 +134,7 @@
             return
         message, door, fields = self.reader.message, self.clients.door, self.reader.message.fields
         try:
-            first, key = codec.split(message.target)
+            first, key = split_target(message.target)
         except httptools.HttpParserInvalidURLError:
             return self.refuse(400)
         method = message.method
@@ -133,24 +147,24 @@
         rule_set = fields.get(b"request-class", first.encode()).decode(errors="replace")
         if not door.knows(rule_set):
             return self.refuse(404)
-        left = codec.seconds(fields.get(b"request-timeout", b""))
+        left = parse_seconds(fields.get(b"request-timeout", b""))
         id = fields.get(b"request-id", b"")
         if not left or not id:
             return self.refuse(400)
         if door.holds(id):  # one answer would go to the wrong one, and hosts refuse the other
             return self.refuse(409)
         tenant = fields.get(b"tenant", b"").decode(errors="replace")
-        if message.whole:
-            body = b"".join(message.take())
-            head = codec.onward(method, message.target, fields, len(body))
+        if message.complete:
+            body = b"".join(message.take_body())
+            head = forwarded_head(method, message.target, fields, len(body))
             return door.take(self, id, rule_set, left, method == b"PUT", key, tenant, head, body)
-        if fields.pop(b"expect", b"") and message.version == "1.1" and not message.size:
-            self.conn.send(codec.CONTINUE)
-        self.flow = Upload(self.conn, message.length, codec.KEPT)
-        self.flow.add(message.take(), False)
-        self.marked = max(1, message.size)
+        if fields.pop(b"expect", b"") and message.version == "1.1" and not message.body_size:
+            self.conn.send(CONTINUE)
+        self.flow = Upload(self.conn, message.content_length, MAX_BUFFERED_BODY_BYTES)
+        self.flow.add(message.take_body(), False)
+        self.marked = max(1, message.body_size)
         self.clients.await_req(self)
-        head = codec.onward(method, message.target, fields, message.length)
+        head = forwarded_head(method, message.target, fields, message.content_length)
         door.take(
             self, id, rule_set, left, method == b"PUT", key, tenant, head, b"", flow=self.flow
         )
@@ -160,15 +174,17 @@
     def leaves(self) -> bool:
         """Whether the answer to the oldest req is the last here. A req that has come behind it is taken: it
         would be lost with the connection, and has its answer first."""
-        behind = self.reader.behind
-        return self.clients.last and not (behind and behind[0].whole and not behind[0].trouble)
+        behind = self.reader.pipelined
+        return self.clients.last and not (
+            behind and behind[0].complete and not behind[0].error_status
+        )
 
     def answer(
         self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
     ) -> None:
         message, self.asked = self.reader.message, None
-        last = self.leaves() or not (message.whole and message.lasts)
-        head = codec.answer(
+        last = self.leaves() or not (message.complete and message.keep_alive)
+        head = response_head(
             status, len(body) if length is None else length, last, pause, message.version
         )
         self.conn.send(head, b"" if message.method == b"HEAD" else body)
@@ -180,16 +196,16 @@
         self.chunked = length is None and message.version == "1.1"
         self.last = (
             self.leaves()
-            or not (message.whole and message.lasts)
+            or not (message.complete and message.keep_alive)
             or length is None
             and not self.chunked
         )
         self.conn.drained = self.read_on
-        self.conn.send(codec.answer(200, length, self.last, 0, message.version))
+        self.conn.send(response_head(200, length, self.last, 0, message.version))
 
     def give(self, parts: list[bytes]) -> None:
         if parts and self.conn.open:
-            self.conn.send(*(codec.chunk(parts) if self.chunked else parts))
+            self.conn.send(*(encode_chunk(parts) if self.chunked else parts))
             if self.source and self.conn.out:
                 self.source.hold(True)
 
@@ -212,7 +228,7 @@
             chunked,
             last,
         )
-        self.reader.begun = True
+        self.reader.started = True
         self.conn.drained = self.read_on
         if out:
             self.conn.send(out)
@@ -221,7 +237,7 @@
 
     def go_on_flowing(self, asked: PendingRequest, flow: Upload) -> None:
         """It comes from elsewhere, in the middle of a req's body."""
-        self.asked, self.flow, self.marked = asked, flow, self.reader.message.size
+        self.asked, self.flow, self.marked = asked, flow, self.reader.message.body_size
         self.clients.await_req(self)
 
     def read_on(self) -> None:
@@ -234,7 +250,7 @@
             self.conn.reset()
             return self.close()
         if self.chunked:
-            self.conn.send(codec.LAST_CHUNK)
+            self.conn.send(LAST_CHUNK)
         self.done(self.last or self.leaves())  # a drain may have begun since its head went out
 
     def done(self, last: bool) -> None:
@@ -247,11 +263,11 @@
             self.clients.unasked.pop(self, None)
             self.conn.hold(False)
             return self.part()
-        reader.next()
+        reader.advance()
         self.marked = 0
-        if self.conn.holds and len(reader.behind) < AHEAD:
+        if self.conn.holds and len(reader.pipelined) < AHEAD:
             self.conn.hold(False)
-        if reader.begun:
+        if reader.started:
             self.clients.await_req(self)
             self.clients.loop.call_soon(self.next)
         else:
@@ -263,7 +279,7 @@
         self.flow = None
         if self.conn.open and not self.conn.closing:
             self.conn.hold(False)
-            self.conn.send(codec.answer(status, last=True))
+            self.conn.send(response_head(status, close=True))
             self.part()
 
     def quiet(self) -> bool:
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from orchidgap.decisions.slot_map import Range, SlotMap
-from orchidgap.http1.discovery import Registry
+from orchidgap.http1.discovery import DiscoveryClient
 from orchidgap.net.connection import Address, Connection, Fault
 from orchidgap.net.endpoints import Entry, Place, format_address, parse_address
 from orchidgap.net.loop import Timer
@@ -87,9 +87,9 @@
         self.conn: Connection | None = None
         self.reader = codec.Reader(MOST_MAP)
         self.timer: Timer | None = None
-        self.registry: Registry | None = None
+        self.registry: DiscoveryClient | None = None
         if node.config.discovery[1]:
-            self.registry = Registry(
+            self.registry = DiscoveryClient(
                 node.loop, node.config.discovery, node.balancer.rng, self.heard, node.note, dial
             )
         self.loop.call_later(TICK, self.tick)
--- a/orchidgap/trial/callers.py
+++ b/orchidgap/trial/callers.py
@@ -8,7 +8,8 @@
 from itertools import accumulate
 from typing import TYPE_CHECKING
 
-from orchidgap.http1 import codec as http
+from orchidgap.http1.readers import ResponseReader
+from orchidgap.http1.writers import parse_seconds
 from orchidgap.net.connection import Connection, Fault
 from orchidgap.trial.plan import Work, micros, millis
 from orchidgap.trial.referee import SMALL, Ask, Op
@@ -42,7 +43,7 @@
     def __init__(self, callers: Callers, post: str, sock: socket.socket, opening: bool) -> None:
         self.callers, self.post = callers, post
         self.life = callers.scene.life_of(post)
-        self.reader = http.AnswerReader()
+        self.reader = ResponseReader()
         self.ask: Ask | None = None
         self.message: tuple[bytes, ...] = ()
         self.used = 0
@@ -110,16 +111,16 @@
         if self.left:  # answered before it had sent all: what is left does not matter any more
             self.left, self.conn.drained = b"", None
             self.written()
-        if self.pace and not reader.message.whole:
+        if self.pace and not reader.message.complete:
             self.conn.hold(True)
             self.callers.loop.call_later(len(view) * 1_000_000 // self.pace, self.conn.hold, False)
-        if reader.message.whole:
+        if reader.message.complete:
             ask, self.ask = self.ask, None
-            if reader.message.size > SMALL:
+            if reader.message.body_size > SMALL:
                 self.callers.scene.referee.large += 1
             body, status = reader.message.body, reader.message.status
-            pause = http.seconds(reader.message.fields.get(b"retry-after", b"")) or 0
-            extra, lasts = reader.extra, reader.message.lasts
+            pause = parse_seconds(reader.message.fields.get(b"retry-after", b"")) or 0
+            extra, lasts = reader.has_excess_data, reader.message.keep_alive
             self.callers.scene.referee.answer(ask, status, body, self.callers.loop.now)
             if status == 404:
                 self.callers.unknown(ask)
@@ -133,7 +134,7 @@
             self.callers.loop.call_later(
                 self.callers.scene.client_way(), self.callers.heard, ask, status, pause
             )
-        elif reader.message.trouble:
+        elif reader.message.error_status:
             self.conn.end("no proper answer")
 
     def ended(self, what: str) -> None:
@@ -148,15 +149,15 @@
         if not scene.lives(self.post, self.life):
             ask.left = True
             return callers.heard(ask, 0, 0)
-        unread = what != "closed" and not self.reader.begun
+        unread = what != "closed" and not self.reader.started
         if unread:
             scene.referee.doors += 1
         if self.used > 1 and unread:  # it was closed between two reqs, and this one crossed that
             return callers.send(ask, self.message, self.post, fresh=True)
-        if what == "closed" and self.reader.begun and self.reader.ended():
+        if what == "closed" and self.reader.started and self.reader.on_connection_closed():
             why = f"{ask.id.decode()}: no telling where its answer ends"
             scene.referee.breach("lost", callers.loop.now, why)
-        elif self.reader.message.trouble or self.reader.begun:
+        elif self.reader.message.error_status or self.reader.started:
             scene.referee.unfinished(ask, callers.loop.now)  # it can tell that this is not whole
         elif self.used == 1 and not ask.sent:
             ask.status = (
@@ -355,7 +356,7 @@
             ask.op.counts = False
 
     def overdue(self, link: CallerLink, ask: Ask) -> None:
-        if link.ask is ask and not ask.status and not link.reader.begun:
+        if link.ask is ask and not ask.status and not link.reader.started:
             if self.scene.lives(link.post, link.life) and not self.scene.stood(link.post, ask.came):
                 self.scene.referee.silent(ask, self.loop.now)
             link.ask = None
@@ -406,7 +407,7 @@
         self, callers: Callers, sock: socket.socket, text: bytes, leaves: bool, opening: bool
     ) -> None:
         self.callers, self.text = callers, text
-        self.reader = http.AnswerReader()
+        self.reader = ResponseReader()
         self.over = False
         self.conn = Connection(callers.loop, sock, self, opening=opening)
         callers.scene.referee.bad += 1
@@ -423,7 +424,7 @@
 
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
-        if self.reader.message.whole:
+        if self.reader.message.complete:
             if not self.over and self.reader.message.status < 400:
                 self.callers.scene.referee.bad_served += 1
                 what = f"a bad client was answered {self.reader.message.status}: {self.text[:40]!r}"
--- a/orchidgap/trial/listing.py
+++ b/orchidgap/trial/listing.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from orchidgap.http1 import codec as http
+from orchidgap.http1.readers import RequestReader
 from orchidgap.net.connection import Address, Connection
 from orchidgap.trial.plan import micros
 
@@ -173,7 +173,7 @@
 
 class AgentLink:
     def __init__(self, agent: Agent, sock: socket.socket) -> None:
-        self.agent, self.reader = agent, http.ReqReader()
+        self.agent, self.reader = agent, RequestReader()
         self.after: int | None = None
         self.waits_until = 0
         self.pending = False
@@ -184,9 +184,9 @@
 
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
-        if self.reader.message.trouble:
+        if self.reader.message.error_status:
             return self.conn.end("bad call")
-        if self.reader.message.whole and not self.pending:
+        if self.reader.message.complete and not self.pending:
             self.asked()
 
     def asked(self) -> None:
@@ -225,7 +225,7 @@
             agent.balancer, {"seq": seq, "whole": whole, "hosts": entries}
         )
         body = orjson.dumps(told)
-        self.reader.next()
+        self.reader.advance()
         self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body)
 
     def ended(self, what: str) -> None:
--- a/orchidgap/trial/operators.py
+++ b/orchidgap/trial/operators.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from orchidgap.http1 import codec as http
+from orchidgap.http1.readers import ResponseReader
 from orchidgap.net.connection import Connection, Fault
 from orchidgap.trial.plan import OPS_KINDS, Trouble, micros
 
@@ -30,7 +30,7 @@
     """One question of the front: do you serve?"""
 
     def __init__(self, front: Front, post: str, sock: socket.socket, opening: bool) -> None:
-        self.front, self.post, self.reader, self.over = front, post, http.AnswerReader(), False
+        self.front, self.post, self.reader, self.over = front, post, ResponseReader(), False
         self.conn = Connection(front.scene.loop, sock, self, opening=opening)
         self.conn.send(b"GET /up HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")
         front.scene.loop.call_later(ANSWER_WITHIN, self.late)
@@ -39,7 +39,7 @@
 
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
-        if self.reader.message.whole and not self.over:
+        if self.reader.message.complete and not self.over:
             self.over = True
             self.front.heard(self.post, self.reader.message.status == 200)
             self.conn.finish()
--- a/orchidgap/trial/saturate.py
+++ b/orchidgap/trial/saturate.py
@@ -23,7 +23,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from orchidgap.http1 import codec as http
+from orchidgap.http1.readers import RequestReader, ResponseReader
 from orchidgap.net.connection import Address, Connection, Fault, dial
 from orchidgap.net.endpoints import format_address
 from orchidgap.net.loop import Loop
@@ -90,16 +90,16 @@
     """Discovery that has nothing new to tell."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
-        self.loop, self.reader = loop, http.ReqReader()
+        self.loop, self.reader = loop, RequestReader()
         self.conn = Connection(loop, sock, self)
 
     def opened(self) -> None: ...
 
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
-        if self.reader.message.whole:
+        if self.reader.message.complete:
             watch = b"after=" in self.reader.message.target
-            self.reader.next()
+            self.reader.advance()
             self.loop.call_later(1_000_000 if watch else 0, self.tell, not watch)
 
     def tell(self, whole: bool) -> None:
@@ -137,7 +137,7 @@
 
     def __init__(self, loop: Loop, sock: socket.socket, number: int, done: list[int]) -> None:
         self.loop, self.number, self.done, self.left = loop, number, done, 0
-        self.reader = http.AnswerReader()
+        self.reader = ResponseReader()
         self.count = 0
         self.conn = Connection(loop, sock, self, opening=True)
 
@@ -154,7 +154,7 @@
 
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
-        if self.reader.message.whole:
+        if self.reader.message.complete:
             self.done[0 if self.reader.message.status == 200 else 1] += 1
             self.reader.reset()
             self.ask()
--- a/orchidgap/trial/stores.py
+++ b/orchidgap/trial/stores.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict, deque
 from typing import TYPE_CHECKING
 
-from orchidgap.http1 import codec as http
+from orchidgap.http1.readers import RequestReader
 from orchidgap.net.connection import Address, Connection
 from orchidgap.net.loop import Timer
 from orchidgap.trial.plan import Model, micros, millis
@@ -72,7 +72,7 @@
     )
 
     def __init__(self, store: Store, sock: socket.socket, who: str) -> None:
-        self.store, self.who, self.reader = store, who, http.ReqReader()
+        self.store, self.who, self.reader = store, who, RequestReader()
         self.job: Job | None = None
         self.first_at, self.idle_since = 0, store.loop.now
         self.flow: Arrival | None = None  # whose answer is being given, piece by piece
@@ -85,14 +85,14 @@
 
     def received(self, view: memoryview) -> None:
         reader, now = self.reader, self.store.loop.now
-        if not reader.begun:
+        if not reader.started:
             self.first_at = now
         reader.feed(view)
         if self.job:
             return  # more than one at a time: what it says next cannot be told apart
-        if reader.message.trouble:
+        if reader.message.error_status:
             self.store.loop.call_later(self.store.way(self.who), self.close)
-        elif reader.message.whole:
+        elif reader.message.complete:
             self.asked()
 
     def asked(self) -> None:
@@ -103,7 +103,7 @@
         arrival = store.scene.referee.arrival(id, store.id, store.group(), self.first_at, now)
         if arrival is None:
             return self.say(UNFIT)
-        if self.reader.message.size > SMALL:
+        if self.reader.message.body_size > SMALL:
             store.scene.referee.large += 1
         if mark_of(self.reader.message.body) != mark_of(arrival.ask.body):
             what = f"{id.decode()}: another body than its client sent"
@@ -143,7 +143,7 @@
             self.say(*((b"0\r\n\r\n",) if self.chunked else ()))
 
     def say(self, *parts: bytes) -> None:
-        self.reader.next()
+        self.reader.advance()
         self.idle_since = self.store.loop.now
         if parts:
             self.conn.send(*parts)
@@ -218,7 +218,7 @@
     def sweep(self) -> None:
         now, idle_for = self.loop.now, micros(self.model.idle_s)
         for link in list(self.links):
-            if not link.job and not link.reader.begun and now - link.idle_since > idle_for:
+            if not link.job and not link.reader.started and now - link.idle_since > idle_for:
                 link.close()
         self.loop.call_later(SWEEP, self.sweep)
 
--- a/tests/http1/test_lists.py
+++ b/tests/http1/test_discovery.py
@@ -165,7 +165,7 @@
     agent.down, since, longest = True, net.now, 0
     for _ in range(60_000_000 // STEP):
         agent.run(STEP)
-        since = net.now if net.node.registry.out else since
+        since = net.now if net.node.registry.call_pending else since
         longest = max(longest, net.now - since)
     assert 0 < longest <= GAP + STEP < DRAIN and len(agent.calls) < 40, (
         "nor is it asked again and again"
--- a/tests/http1/test_standing.py
+++ b/tests/http1/test_parser_resume.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidgap.http1.chunked_encoding import At, Chunks
-from orchidgap.http1.codec import AnswerReader, ReqReader
-from orchidgap.http1.parser_resume import rest_of, whole_of
+from orchidgap.http1.chunked_encoding import ChunkState, ChunkTracker
+from orchidgap.http1.parser_resume import resume_body, resume_request
+from orchidgap.http1.readers import RequestReader, ResponseReader
 
 CHUNKED = b'3;ext="a;b"\r\nabc\r\n1\r\nx\r\n0010\r\n0123456789abcdef\r\n0\r\nT: y\r\n\r\n'
 REQS = [
@@ -42,10 +42,10 @@
         message.version,
         message.fields,
         message.body,
-        message.whole,
-        message.lasts,
-        message.size,
-        message.trouble,
+        message.complete,
+        message.keep_alive,
+        message.body_size,
+        message.error_status,
     )
 
 
@@ -55,51 +55,53 @@
 @given(st.sampled_from(REQS), st.integers(0, 300), PLACES, PLACES)
 def test_a_req_goes_on_in_another_reader(text, place, before, after):
     place = place % len(text)
-    first = feed(ReqReader(), text[:place], before)
-    so_far = whole_of(first.message)
-    if first.message.whole:
+    first = feed(RequestReader(), text[:place], before)
+    so_far = resume_request(first.message)
+    if first.message.complete:
         assert so_far is None
         return
     assert so_far is not None
-    second = feed(feed(ReqReader(), so_far, ()) if so_far else ReqReader(), text[place:], after)
-    assert told(second.message) == told(feed(ReqReader(), text, ()).message)
+    second = feed(
+        feed(RequestReader(), so_far, ()) if so_far else RequestReader(), text[place:], after
+    )
+    assert told(second.message) == told(feed(RequestReader(), text, ()).message)
 
 
 @given(st.sampled_from(ANSWERS), st.integers(0, 300), PLACES, PLACES)
 def test_an_answer_goes_on_in_another_reader(text, place, before, after):
     place = place % len(text)
-    first = feed(AnswerReader(), text[:place], before)
-    if not first.message.headed or first.message.whole:
-        assert rest_of(first.message, b"HTTP/1.1 200 OK") is None
+    first = feed(ResponseReader(), text[:place], before)
+    if not first.message.head_complete or first.message.complete:
+        assert resume_body(first.message, b"HTTP/1.1 200 OK") is None
         return
-    so_far, padding = rest_of(first.message, b"HTTP/%b 200 OK" % first.message.version.encode())
-    second = feed(AnswerReader(), so_far, ())
-    assert sum(map(len, second.message.take())) == padding
+    so_far, padding = resume_body(first.message, b"HTTP/%b 200 OK" % first.message.version.encode())
+    second = feed(ResponseReader(), so_far, ())
+    assert sum(map(len, second.message.take_body())) == padding
     feed(second, text[place:], after)
-    second.ended()
-    whole = feed(AnswerReader(), text, ())
-    whole.ended()
+    second.on_connection_closed()
+    whole = feed(ResponseReader(), text, ())
+    whole.on_connection_closed()
     assert first.message.body + second.message.body == whole.message.body
     assert (
-        second.message.whole
-        and second.message.lasts == whole.message.lasts
-        and not second.message.trouble
+        second.message.complete
+        and second.message.keep_alive == whole.message.keep_alive
+        and not second.message.error_status
     )
 
 
 @pytest.mark.parametrize("text", [b"zz\r\n", b"\r\n", b"x" * (1 << 14) + b"x"])
 def test_what_is_no_framing_is_lost_count_of(text):
-    chunks = Chunks()
+    chunks = ChunkTracker()
     chunks.feed(text)
-    assert chunks.at is At.LOST and chunks.text() is None
+    assert chunks.state is ChunkState.UNKNOWN and chunks.resume_text() is None
 
 
 def test_a_message_that_shares_its_first_bytes_with_another_is_not_known():
-    reader = ReqReader()
+    reader = RequestReader()
     reader.feed(
         memoryview(
             b"GET / HTTP/1.1\r\n\r\nPUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na"
         )
     )
-    reader.next()
-    assert reader.message.headed and whole_of(reader.message) is None
+    reader.advance()
+    assert reader.message.head_complete and resume_request(reader.message) is None
--- a/tests/http1/test_framing.py
+++ b/tests/http1/test_readers.py
@@ -6,7 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidgap.http1.codec import KEPT, MOST_HEAD, AnswerReader, ReqReader
+from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES
+from orchidgap.http1.readers import RequestReader, ResponseReader
 
 REQS = [
     b"GET /a/b HTTP/1.1\r\nRequest-Id: 1\r\n\r\n",
@@ -39,22 +40,22 @@
         message.version,
         message.fields,
         message.body,
-        message.headed,
-        message.whole,
-        message.lasts,
-        message.length,
-        message.trouble,
+        message.head_complete,
+        message.complete,
+        message.keep_alive,
+        message.content_length,
+        message.error_status,
     )
 
 
 def reqs_of(pieces):
-    reader, found = ReqReader(), []
+    reader, found = RequestReader(), []
     for piece in pieces:
         reader.feed(memoryview(bytearray(piece)))
-        while reader.message.whole and not reader.message.trouble:
+        while reader.message.complete and not reader.message.error_status:
             found.append(told(reader.message))
-            reader.next()
-    return found, reader.message.trouble
+            reader.advance()
+    return found, reader.message.error_status
 
 
 @given(
@@ -74,14 +75,16 @@
     st.lists(st.integers(0, 1000), max_size=30),
 )
 def test_answers_read_the_same_however_they_are_cut(texts, places):
-    reader = AnswerReader()
+    reader = ResponseReader()
     for text in texts:  # one is asked for at a time
-        once = AnswerReader()
+        once = ResponseReader()
         once.feed(memoryview(bytearray(text)))
         for piece in cut(text, places):
             reader.feed(memoryview(bytearray(piece)))
         assert (
-            told(reader.message) == told(once.message) and reader.message.whole and not reader.extra
+            told(reader.message) == told(once.message)
+            and reader.message.complete
+            and not reader.has_excess_data
         )
         reader.reset()
 
@@ -93,17 +96,19 @@
 )
 def test_noise_is_never_an_exception_and_reads_the_same_however_it_is_cut(noise, places, first):
     text = first + noise
-    whole, pieces = ReqReader(), ReqReader()
+    whole, pieces = RequestReader(), RequestReader()
     whole.feed(memoryview(bytearray(text)))
     for piece in cut(text, places):
         pieces.feed(memoryview(bytearray(piece)))
-        if pieces.into.trouble:
+        if pieces.incoming.error_status:
             break
     said = [
-        [told(message)[:4] for message in (reader.message, *reader.behind) if message.whole]
+        [told(message)[:4] for message in (reader.message, *reader.pipelined) if message.complete]
         for reader in (whole, pieces)
     ]
-    assert said[0] == said[1] and bool(whole.into.trouble) == bool(pieces.into.trouble)
+    assert said[0] == said[1] and bool(whole.incoming.error_status) == bool(
+        pieces.incoming.error_status
+    )
 
 
 HEAD = b"PUT /a/b HTTP/1.1\r\n"
@@ -134,46 +139,60 @@
         (HEAD + b"A: b\r\n c: d\r\n\r\n", 400),
         (HEAD + b"A\0: b\r\n\r\n", 400),
         (HEAD + b"A: b\nB: c\r\n\r\n", 400),
-        (HEAD + b"X: " + b"x" * MOST_HEAD, 431),
-        (b"GET /" + b"x" * (MOST_HEAD + 9), 431),
+        (HEAD + b"X: " + b"x" * MAX_HEAD_BYTES, 431),
+        (b"GET /" + b"x" * (MAX_HEAD_BYTES + 9), 431),
         (HEAD + b"Content-Length: 99999999\r\n\r\n", 413),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n1;" + b"x" * (KEPT + MOST_HEAD), 413),
-        (HEAD + b"Transfer-Encoding: chunked\r\n\r\n0\r\nT: " + b"x" * (KEPT + MOST_HEAD), 413),
+        (
+            HEAD
+            + b"Transfer-Encoding: chunked\r\n\r\n1;"
+            + b"x" * (MAX_BUFFERED_BODY_BYTES + MAX_HEAD_BYTES),
+            413,
+        ),
+        (
+            HEAD
+            + b"Transfer-Encoding: chunked\r\n\r\n0\r\nT: "
+            + b"x" * (MAX_BUFFERED_BODY_BYTES + MAX_HEAD_BYTES),
+            413,
+        ),
     ],
 )
 @pytest.mark.parametrize("step", [7, 1 << 16])
 def test_what_two_readers_could_take_in_two_ways_is_turned_down(text, status, step):
-    reader = ReqReader()
+    reader = RequestReader()
     for i in range(0, len(text), step):
         reader.feed(memoryview(bytearray(text[i : i + step])))
-        if reader.message.trouble:
+        if reader.message.error_status:
             break
-    assert reader.message.trouble == status
+    assert reader.message.error_status == status
 
 
 def test_a_body_in_chunks_of_a_byte_is_no_attack():
-    reader = ReqReader()
+    reader = RequestReader()
     reader.feed(
         memoryview(
             HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 50_000 + b"0\r\n\r\n"
         )
     )
-    assert reader.message.whole and reader.message.size == 50_000 and not reader.message.trouble
+    assert (
+        reader.message.complete
+        and reader.message.body_size == 50_000
+        and not reader.message.error_status
+    )
 
 
 def test_a_bare_answer_has_no_body_whatever_its_head_says():
-    reader = AnswerReader()
-    reader.renew(True)
+    reader = ResponseReader()
+    reader.new_parser(True)
     reader.feed(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"))
     assert (
-        reader.message.whole
-        and reader.message.lasts
-        and reader.message.length == 7
-        and not reader.extra
+        reader.message.complete
+        and reader.message.keep_alive
+        and reader.message.content_length == 7
+        and not reader.has_excess_data
     )
-    reader.renew(False)
+    reader.new_parser(False)
     reader.feed(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv"))
-    assert reader.message.whole and reader.message.body == b"v" and not reader.extra
+    assert reader.message.complete and reader.message.body == b"v" and not reader.has_excess_data
 
 
 @pytest.mark.parametrize(
@@ -189,7 +208,7 @@
     ],
 )
 def test_the_end_of_a_connection_ends_only_what_has_no_other_end(text, whole):
-    reader = AnswerReader()
+    reader = ResponseReader()
     if text:
         reader.feed(memoryview(text))
-    assert reader.ended() == whole
+    assert reader.on_connection_closed() == whole
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -12,7 +12,7 @@
     client = net.caller(b"".join(req(f"k{i}") for i in range(400)))
     net.turn()
     caller = next(iter(net.node.clients.open))
-    assert caller.conn.holds and len(caller.reader.behind) < 700, (
+    assert caller.conn.holds and len(caller.reader.pipelined) < 700, (
         "one read's worth is kept, no more"
     )
     client.close()
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -6,7 +6,7 @@
 import pytest
 from desk import Net, heard
 
-from orchidgap.http1.codec import KEPT
+from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES
 
 READ = 1 << 16  # the most that is read at once
 SIZE = 2_000_000
@@ -93,7 +93,7 @@
             and (got.endswith(b"0\r\n\r\n") or framing == "length")
         ):
             break
-    assert most <= 2 * READ + KEPT, "back-pressure"
+    assert most <= 2 * READ + MAX_BUFFERED_BODY_BYTES, "back-pressure"
     head, _, body = got.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200") and (b"chunked" in head) == (
         version == "1.1" and framing != "length"
@@ -261,7 +261,7 @@
             got += drawn(far, 4_000) or b""
             if got.endswith(b"0\r\n\r\n" if framing else BODY[-256:]) and len(got) > SIZE:
                 break
-    assert most <= 2 * READ + KEPT, "back-pressure"
+    assert most <= 2 * READ + MAX_BUFFERED_BODY_BYTES, "back-pressure"
     head, _, body = got.partition(b"\r\n\r\n")
     assert (b"Content-Length: %d" % SIZE in head) == (framing is None)
     assert (unchunked(body) if framing else body) == BODY
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from orchidgap.decisions.balancer import RETRYABLE_OUTCOMES, Balancer, Dispatch, Origin, Placement
-from orchidgap.http1 import codec as http
+from orchidgap.http1.writers import response_head
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 
@@ -46,7 +46,7 @@
 
     def answer(self, status, body=b"", pause=0, length=None):
         self.client.answer(status, body, pause, length)
-        self.client.conn.send(http.answer(200, 0))
+        self.client.conn.send(response_head(200, 0))
 
 
 class NeverAnswers(Defect):
--- a/tests/trial/test_ground.py
+++ b/tests/trial/test_ground.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from orchidgap.http1 import codec as http
+from orchidgap.http1.writers import parse_seconds
 from orchidgap.net.connection import Connection, Fault
 from orchidgap.net.loop import READ
 from orchidgap.trial.baselines import NAMES
@@ -321,6 +321,6 @@
         agent.set()
         wait(scene.loop.time + 10_000)
         assert b"Terminating" in owner.got and scene.referee.told["b0", "c01"][0] == "draining"
-        assert http.seconds(b"1") == 1_000_000
+        assert parse_seconds(b"1") == 1_000_000
     finally:
         scene.close()
