--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -9,7 +9,7 @@
 from orchidgap.decisions.origin import Origin
 from orchidgap.decisions.placement import Placement
 from orchidgap.decisions.retry_policy import RETRYABLE_OUTCOMES
-from orchidgap.http1 import codec as http
+from orchidgap.http1.writers import response_head
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 
@@ -51,7 +51,7 @@
 
     def answer(self, status, body=b"", pause=0, length=None):
         self.client.answer(status, body, pause, length)
-        self.client.conn.send(http.answer(200, 0))
+        self.client.conn.send(response_head(200, 0))
 
 
 class NeverAnswers(Defect):
