--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -1,5 +1,9 @@
-"""What is read at start, decoded once. Setting names of the wire stay in this file, but for those that only
-sockets need (`net/config.py`)."""
+"""The service's settings, decoded once into typed records.
+
+The operators' names of settings, and the words that may stand there, are in this module only (those that sockets
+alone need are in `net/config.py`). They come as a flat map from path to text, `rule-sets.0.name` to `read`.
+Settings that are not named here are left aside.
+"""
 
 from __future__ import annotations
 
@@ -7,36 +11,123 @@
 from math import inf
 from typing import NamedTuple
 
-EFFECTS = ("retryable", "dedup", "fragile")
-GROUPS = ("all", "zone", "cell")
-WEIGHTS = ("off", "nominal", "rough", "live")
-REPORTS = ("off", "on_probe", "inline")
-STARTUP_SETTINGS = ("origin_kind", "subscribes")  # what the records of hosts stand on
+# Names of settings. Those of a request class follow `rule-sets.N.`, those of a tenant `customers.N.`.
+REQUEST_CLASS_COUNT = "rule-sets.count"
+REQUEST_CLASS_PREFIX = "rule-sets.{}."
+CLASS_NAME = "name"
+CLASS_EFFECT = "effect"
+CLASS_CLIENT_TIMEOUT = "client-timeout"
+CLASS_LATENCY_OBJECTIVE = "response-target"
+CLASS_DEDUPLICATION_SCOPE = "group"
+CLASS_DEDUPLICATION_WINDOW = "repeat-window"
+TENANT_COUNT = "customers.count"
+TENANT_PREFIX = "customers.{}."
+TENANT_NAME = "name"
+TENANT_SHARE = "share"
+HOST_KINDS = "kinds"
+ORIGIN_KIND_INDEX = "family-info.origin-kind"
+CACHE_MODE = "family-info.mode"
+BALANCER_COUNT = "instances"
+DISCOVERY_MODE = "registry-mode"
+SUBSCRIBE_WITHIN = "guarantees.ask-within"
+MAX_ATTEMPTS = "ceilings.most-dispatches"
+MAY_CANCEL = "ceilings.may-cancel"
+MAY_HEDGE = "ceilings.may-duplicate"
+SENDS_RETRY_AFTER = "ceilings.retry-after"
+MAX_RETRY_AFTER = "ceilings.max-retry-after"
+SLOW_START_FRACTION = "guarantees.cold-from"
+SLOW_START_DURATION = "guarantees.warm-after"
+LISTED_WEIGHTS = "weights"
+REPORT_MODE = "report.how"
+REPORT_FIELDS = "report.fields"
+
+# Words that may stand at a setting.
+IDEMPOTENT_EFFECT = "retryable"
+KEYED_EFFECT = "dedup"
+EFFECTS = (IDEMPOTENT_EFFECT, KEYED_EFFECT, "fragile")
+DEDUPLICATION_SCOPES = ("all", "zone", "cell")
+DEFAULT_DEDUPLICATION_SCOPE = "cell"
+TRUE_WORDS = ("true", "1")
+FALSE_WORDS = ("false", "0")
+BOOLEANS = (*TRUE_WORDS, *FALSE_WORDS)
+STEADY_WEIGHTS = ("nominal", "rough")  # "live" ones change too fast to place keys by
+WEIGHT_MODES = ("off", *STEADY_WEIGHTS, "live")
+INLINE_REPORTS = "inline"
+REPORT_MODES = ("off", "on_probe", INLINE_REPORTS)
+CACHE_ASIDE_MODE = "aside"
+SUBSCRIBE_MODE = "subscribe"
+
+# What counts where a setting is missing.
+DEFAULT_SUBSCRIBE_WITHIN_US = 10_000_000
+DEFAULT_MAX_ATTEMPTS = 3
+DEFAULT_SLOW_START_FRACTION = 0.1
+DEFAULT_SLOW_START_US = 30_000_000
+DEFAULT_TENANT_SHARE = 1.0
+
+# The records of hosts are built on these, so a running balancer keeps the values that it started with.
+STARTUP_SETTINGS = ("origin_kind", "subscribes")
 
 
 class SettingError(LookupError):
-    """A setting that is missing, or cannot be meant: nothing could be decided by it."""
+    """A setting that is missing or has a value that cannot be used.
+
+    Attributes:
+        setting: The setting's path; empty where several settings are concerned.
+        found: What stood there; None where nothing did.
+        expected: What should have stood there, beginning with `must`.
+    """
+
+    def __init__(
+        self, message: str, setting: str = "", found: str | None = None, expected: str = ""
+    ) -> None:
+        super().__init__(message)
+        self.setting = setting
+        self.found = found
+        self.expected = expected
+
+    @classmethod
+    def missing(cls, setting: str) -> SettingError:
+        """The error for a setting that has to be given and is not.
+
+        >>> SettingError.missing("rule-sets.count")
+        SettingError('setting rule-sets.count is missing')
+        """
+        return cls(f"setting {setting} is missing", setting, None, "must be given")
+
+    @classmethod
+    def unusable(cls, setting: str, found: str, expected: str) -> SettingError:
+        """The error for a setting whose value cannot be used.
+
+        >>> SettingError.unusable("instances", "-1", "must not be under 0")
+        SettingError('setting instances is -1, and must not be under 0')
+        """
+        return cls(f"setting {setting} is {found}, and {expected}", setting, found, expected)
 
 
 class RequestClass(NamedTuple):
+    """What requests of one class have in common."""
+
     latency_objective_us: int
     idempotent: bool
     idempotency_keyed: bool
-    deduplication_scope: str  # who drops repeats: all, zone or cell
+    deduplication_scope: str  # which hosts drop repeats together: all, or those of a zone or cell
     deduplication_window_us: int
     client_timeout_us: int  # of the clients that wait longest
 
 
 class Tenant(NamedTuple):
-    share: float
+    """Whose requests they are."""
+
+    share: float  # the tenant's quota, as a part of all requests
 
 
 class ServiceSettings(NamedTuple):
-    """
+    """All settings that decisions stand on. Never changed: new settings are a new value.
+
     >>> pairs = {"rule-sets.count": "1", "rule-sets.0.name": "a", "rule-sets.0.effect": "dedup",
     ...          "rule-sets.0.client-timeout": "900", "something.new": "7"}
-    >>> terms = ServiceSettings.from_pairs(pairs)
-    >>> terms.request_classes["a"].idempotency_keyed, terms.request_classes["a"].latency_objective_us, terms.tenants
+    >>> settings = ServiceSettings.from_pairs(pairs)
+    >>> settings.request_classes["a"].idempotency_keyed, settings.latency_objective_us, settings.tenants
     (True, 900, {})
     >>> ServiceSettings.from_pairs({"rule-sets.count": "1", "rule-sets.0.name": "a"})
     Traceback (most recent call last):
@@ -48,116 +139,177 @@
     orchidgap.decisions.settings.SettingError: setting rule-sets.0.client-timeout is -5, and must be over 0
     """
 
-    request_classes: dict[str, RequestClass]
-    tenants: dict[str, Tenant]
+    request_classes: dict[str, RequestClass]  # by name
+    tenants: dict[str, Tenant]  # by name
     balancer_count: int
     origin_kind: (
-        str  # the kind whose entry is the origin; empty where the caches fetch for themselves
+        str  # hosts of this kind are the origin; empty where the caches fetch by themselves
     )
-    subscribes: bool
+    subscribes: bool  # discovery sends changes of the endpoint list, in place of being polled
     subscribe_within_us: int
-    max_attempts: int
+    max_attempts: int  # per request
     may_cancel: bool
-    may_hedge: bool  # two dispatches of one req may be out
-    max_retry_after_us: int  # 0 where clients are told no comeback time
-    slow_start_fraction: float
+    may_hedge: bool  # two attempts of one request may be in flight
+    max_retry_after_us: int  # 0 where clients are sent no Retry-After
+    slow_start_fraction: float  # of its usual load, that a host gets right after it started
     slow_start_us: int
-    uses_listed_weights: bool  # what the list says of a host's size can be gone by
-    reported_fields: tuple[str, ...]  # what hosts tell of their load with each answer
+    uses_listed_weights: bool  # the endpoint list says how large a host is
+    reported_fields: tuple[str, ...]  # of the load report that hosts add to each answer
 
-    def keeping_startup_settings(self, now: ServiceSettings) -> ServiceSettings:
-        """These terms, as far as they can follow those that count now without a restart."""
-        return self._replace(**{name: getattr(now, name) for name in STARTUP_SETTINGS})
+    def keeping_startup_settings(self, current: ServiceSettings) -> ServiceSettings:
+        """These settings, but with the current values of those that only a restart can change."""
+        return self._replace(**{name: getattr(current, name) for name in STARTUP_SETTINGS})
 
     @property
     def latency_objective_us(self) -> int:
-        """The shortest response target."""
-        return min(rule_set.latency_objective_us for rule_set in self.request_classes.values())
+        """The shortest latency objective of all request classes."""
+        return min(each.latency_objective_us for each in self.request_classes.values())
 
     @property
     def longest_client_timeout_us(self) -> int:
-        """The longest that any client waits."""
-        return max(rule_set.client_timeout_us for rule_set in self.request_classes.values())
+        """The longest that any client waits for an answer."""
+        return max(each.client_timeout_us for each in self.request_classes.values())
 
     @classmethod
     def from_pairs(cls, pairs: Mapping[str, str]) -> ServiceSettings:
-        def need(path: str) -> str:
-            if path not in pairs:
-                raise SettingError(f"setting {path} is missing")
-            return pairs[path]
-
-        def number(path: str, default: float, over: bool = False) -> float:
-            try:
-                value = float(pairs.get(path, default))
-            except ValueError:
-                raise SettingError(
-                    f"setting {path} is {pairs[path]!r}, and must be a number"
-                ) from None
-            if not (0 < value < inf if over else 0 <= value < inf):
-                raise SettingError(
-                    f"setting {path} is {value:g}, and must be over 0"
-                    if over
-                    else f"setting {path} is {value:g}, and must not be under 0"
-                )
-            return value
-
-        def whole(path: str, default: float) -> int:
-            value = int(number(path, default, over=True))
-            if not value:  # what it would be divided by, or how often a req could be sent
-                raise SettingError(f"setting {path} is {pairs[path]}, and must be 1 or more")
-            return value
-
-        def word(path: str, default: str, among: tuple[str, ...]) -> str:
-            if (value := pairs.get(path, default)) not in among:
-                raise SettingError(
-                    f"setting {path} is {value!r}, and must be one of {', '.join(among)}"
-                )
-            return value
-
-        def yes(path: str) -> bool:
-            return word(path, "false", ("true", "1", "false", "0")) in ("true", "1")
-
-        rule_sets: dict[str, RequestClass] = {}
-        need("rule-sets.count")
-        for i in range(whole("rule-sets.count", 0)):
-            at = f"rule-sets.{i}."
-            need(at + "client-timeout")
-            timeout = whole(at + "client-timeout", 0)
-            need(at + "effect")
-            effect = word(at + "effect", "", EFFECTS)
-            name = need(at + "name")
-            if not name or name in rule_sets:
-                raise SettingError(f"setting {at}name is {name!r}, and must be a name of its own")
-            rule_sets[name] = RequestClass(
-                whole(at + "response-target", timeout),
-                effect == "retryable",
-                effect == "dedup",
-                word(at + "group", "cell", GROUPS),
-                int(number(at + "repeat-window", 0)),
-                timeout,
-            )
-        tenants: dict[str, Tenant] = {}
-        for i in range(int(number("customers.count", 0))):
-            name = need(f"customers.{i}.name")
-            tenants[name] = Tenant(number(f"customers.{i}.share", 1.0, over=True))
-        kinds = pairs.get("kinds", "").split(",")
-        kind = int(number("family-info.origin-kind", len(kinds)))
-        aside = pairs.get("family-info.mode") == "aside" and kind < len(kinds)
+        """Decodes settings from their paths and texts; times stand there in microseconds.
+
+        Raises:
+            SettingError: The first setting that is missing or cannot be used.
+        """
+        values = _SettingValues(pairs)
         return cls(
-            rule_sets,
-            tenants,
-            max(1, int(number("instances", 1))),
-            kinds[kind] if aside else "",
-            pairs.get("registry-mode") == "subscribe",
-            int(number("guarantees.ask-within", 10_000_000)),
-            whole("ceilings.most-dispatches", 3),
-            yes("ceilings.may-cancel"),
-            yes("ceilings.may-duplicate"),
-            int(number("ceilings.max-retry-after", 0)) if yes("ceilings.retry-after") else 0,
-            number("guarantees.cold-from", 0.1),
-            int(number("guarantees.warm-after", 30_000_000)),
-            word("weights", "off", WEIGHTS) in ("nominal", "rough"),  # "live" ones swing
-            tuple(filter(None, pairs.get("report.fields", "").split(",")))
-            if word("report.how", "off", REPORTS) == "inline"
-            else (),
+            request_classes=_request_classes(values),
+            tenants=_tenants(values),
+            origin_kind=_origin_kind(values),
+            balancer_count=max(1, int(values.non_negative(BALANCER_COUNT, 1))),
+            subscribes=values.text(DISCOVERY_MODE) == SUBSCRIBE_MODE,
+            subscribe_within_us=int(
+                values.non_negative(SUBSCRIBE_WITHIN, DEFAULT_SUBSCRIBE_WITHIN_US)
+            ),
+            max_attempts=values.positive_integer(MAX_ATTEMPTS, DEFAULT_MAX_ATTEMPTS),
+            may_cancel=values.boolean(MAY_CANCEL),
+            may_hedge=values.boolean(MAY_HEDGE),
+            max_retry_after_us=_max_retry_after_us(values),
+            slow_start_fraction=values.non_negative(
+                SLOW_START_FRACTION, DEFAULT_SLOW_START_FRACTION
+            ),
+            slow_start_us=int(values.non_negative(SLOW_START_DURATION, DEFAULT_SLOW_START_US)),
+            uses_listed_weights=values.word(LISTED_WEIGHTS, "off", WEIGHT_MODES) in STEADY_WEIGHTS,
+            reported_fields=_reported_fields(values),
         )
+
+
+class _SettingValues:
+    """Reads single settings, each with the check that its kind of value needs."""
+
+    def __init__(self, pairs: Mapping[str, str]) -> None:
+        self.pairs = pairs
+
+    def text(self, path: str) -> str:
+        return self.pairs.get(path, "")
+
+    def required_text(self, path: str) -> str:
+        if path not in self.pairs:
+            raise SettingError.missing(path)
+        return self.pairs[path]
+
+    def word(self, path: str, default: str, allowed: tuple[str, ...]) -> str:
+        value = self.pairs.get(path, default)
+        if value not in allowed:
+            expected = f"must be one of {', '.join(allowed)}"
+            raise SettingError.unusable(path, repr(value), expected)
+        return value
+
+    def boolean(self, path: str) -> bool:
+        return self.word(path, "false", BOOLEANS) in TRUE_WORDS
+
+    def non_negative(self, path: str, default: float) -> float:
+        value = self._number(path, default)
+        if not 0 <= value < inf:  # not a number, too
+            raise SettingError.unusable(path, f"{value:g}", "must not be under 0")
+        return value
+
+    def positive(self, path: str, default: float) -> float:
+        value = self._number(path, default)
+        if not 0 < value < inf:
+            raise SettingError.unusable(path, f"{value:g}", "must be over 0")
+        return value
+
+    def positive_integer(self, path: str, default: int) -> int:
+        value = int(self.positive(path, default))
+        if value == 0:  # a part of one was given
+            raise SettingError.unusable(path, self.pairs[path], "must be 1 or more")
+        return value
+
+    def required_positive_integer(self, path: str) -> int:
+        self.required_text(path)
+        return self.positive_integer(path, 0)
+
+    def _number(self, path: str, default: float) -> float:
+        text = self.pairs.get(path)
+        if text is None:
+            return float(default)
+        try:
+            return float(text)
+        except ValueError:
+            raise SettingError.unusable(path, repr(text), "must be a number") from None
+
+
+def _request_classes(values: _SettingValues) -> dict[str, RequestClass]:
+    classes: dict[str, RequestClass] = {}
+    for index in range(values.required_positive_integer(REQUEST_CLASS_COUNT)):
+        prefix = REQUEST_CLASS_PREFIX.format(index)
+        client_timeout_us = values.required_positive_integer(prefix + CLASS_CLIENT_TIMEOUT)
+        values.required_text(prefix + CLASS_EFFECT)
+        effect = values.word(prefix + CLASS_EFFECT, "", EFFECTS)
+        name = values.required_text(prefix + CLASS_NAME)
+        if not name or name in classes:
+            expected = "must be a name of its own"
+            raise SettingError.unusable(prefix + CLASS_NAME, repr(name), expected)
+        classes[name] = RequestClass(
+            latency_objective_us=values.positive_integer(
+                prefix + CLASS_LATENCY_OBJECTIVE, client_timeout_us
+            ),
+            idempotent=effect == IDEMPOTENT_EFFECT,
+            idempotency_keyed=effect == KEYED_EFFECT,
+            deduplication_scope=values.word(
+                prefix + CLASS_DEDUPLICATION_SCOPE,
+                DEFAULT_DEDUPLICATION_SCOPE,
+                DEDUPLICATION_SCOPES,
+            ),
+            deduplication_window_us=int(
+                values.non_negative(prefix + CLASS_DEDUPLICATION_WINDOW, 0)
+            ),
+            client_timeout_us=client_timeout_us,
+        )
+    return classes
+
+
+def _tenants(values: _SettingValues) -> dict[str, Tenant]:
+    tenants: dict[str, Tenant] = {}
+    for index in range(int(values.non_negative(TENANT_COUNT, 0))):
+        prefix = TENANT_PREFIX.format(index)
+        name = values.required_text(prefix + TENANT_NAME)
+        share = values.positive(prefix + TENANT_SHARE, DEFAULT_TENANT_SHARE)
+        tenants[name] = Tenant(share)
+    return tenants
+
+
+def _origin_kind(values: _SettingValues) -> str:
+    kinds = values.text(HOST_KINDS).split(",")
+    index = int(values.non_negative(ORIGIN_KIND_INDEX, len(kinds)))
+    is_cache_aside = values.text(CACHE_MODE) == CACHE_ASIDE_MODE
+    return kinds[index] if is_cache_aside and index < len(kinds) else ""
+
+
+def _max_retry_after_us(values: _SettingValues) -> int:
+    if not values.boolean(SENDS_RETRY_AFTER):
+        return 0
+    return int(values.non_negative(MAX_RETRY_AFTER, 0))
+
+
+def _reported_fields(values: _SettingValues) -> tuple[str, ...]:
+    if values.word(REPORT_MODE, "off", REPORT_MODES) != INLINE_REPORTS:
+        return ()
+    return tuple(field for field in values.text(REPORT_FIELDS).split(",") if field)
--- /dev/null
+++ b/tests/decisions/test_settings.py
@@ -0,0 +1,43 @@
+"""Settings that cannot be used end in an error that carries what is wrong, for programs and for people."""
+
+import pytest
+
+from orchidgap.decisions.settings import ServiceSettings, SettingError
+
+SETTINGS = {
+    "rule-sets.count": "1",
+    "rule-sets.0.name": "read",
+    "rule-sets.0.effect": "retryable",
+    "rule-sets.0.client-timeout": "900000",
+}
+
+
+@pytest.mark.parametrize(
+    ("setting", "text", "found", "expected"),
+    [
+        ("rule-sets.0.client-timeout", "soon", "'soon'", "must be a number"),
+        ("rule-sets.0.client-timeout", "0.5", "0.5", "must be 1 or more"),
+        ("rule-sets.0.response-target", "0", "0", "must be over 0"),
+        ("rule-sets.0.name", "", "''", "must be a name of its own"),
+        ("rule-sets.0.effect", "none", "'none'", "must be one of retryable, dedup, fragile"),
+        ("guarantees.warm-after", "nan", "nan", "must not be under 0"),
+        ("ceilings.may-cancel", "yes", "'yes'", "must be one of true, 1, false, 0"),
+    ],
+)
+def test_an_error_says_which_setting_what_stood_there_and_what_was_expected(
+    setting, text, found, expected
+):
+    with pytest.raises(SettingError) as raised:
+        ServiceSettings.from_pairs(SETTINGS | {setting: text})
+    error = raised.value
+    assert (error.setting, error.found, error.expected) == (setting, found, expected)
+    assert str(error) == f"setting {setting} is {found}, and {expected}"
+
+
+@pytest.mark.parametrize("setting", SETTINGS)
+def test_a_required_setting_that_is_missing_is_named(setting):
+    pairs = {path: text for path, text in SETTINGS.items() if path != setting}
+    with pytest.raises(SettingError) as raised:
+        ServiceSettings.from_pairs(pairs)
+    assert (raised.value.setting, raised.value.found) == (setting, None)
+    assert str(raised.value) == f"setting {setting} is missing"
