--- a/orchidgap/net/client_listener.py
+++ b/orchidgap/net/client_listener.py
@@ -262,7 +262,7 @@
         """Where more than half of the most are open, let the longest idle go, but for an eighth. Clients too
         hold only so many: those that ask once and stay would leave none long before there is no room here."""
         while (
-            not self.door.life.heir  # which takes them as they are
+            not self.door.life.successor_accepts  # which takes them as they are
             and len(self.idle) > self.most // 8
             and len(self.open) - len(self.parting) > self.most // 2
         ):
@@ -301,7 +301,7 @@
     @property
     def last(self) -> bool:
         """Whether an answer is the last on its connection."""
-        return self.door.life.last
+        return self.door.life.closes_after_answer
 
     def shut(self) -> None:
         """Let nobody in any more."""
--- a/orchidgap/net/handover.py
+++ b/orchidgap/net/handover.py
@@ -291,7 +291,7 @@
             self.tick()
         elif words[0] == "serving":
             kin.serves = True
-            node.life.follow(True)
+            node.life.set_successor_accepts(True)
             node.clients.look_away()
             node.note("heir serves", reqs=len(node.reqs), clients=len(node.clients.open))
         elif words[0] == "now":
@@ -395,7 +395,7 @@
                     "now", sorted(names - kin.told[0]), sorted(kin.told[0] - names), outs
                 )
                 kin.told = names, outs, room
-        if self.heir and self.node.life.hands_over:
+        if self.heir and self.node.life.migrates_connections:
             self.hand()
         self.loop.call_later(TICK, self.tick)
 
@@ -403,7 +403,7 @@
         """While a newer process is there, this one keeps what it holds, or half; the other has the rest."""
         node = self.node
         total, held = node.config.sockets, node.holding()
-        half = 0 if node.life.hands_over else total // 2
+        half = 0 if node.life.migrates_connections else total // 2
         node.allot(min(total - LEAST, max(half, held + 8)))
 
     def hand(self) -> None:
@@ -451,7 +451,7 @@
         """It failed, or left before this one did: all is as before it came."""
         self.node.note("heir gone", why=why)
         self.heir = None
-        self.node.life.follow(False)
+        self.node.life.set_successor_accepts(False)
         self.alone()
         self.node.clients.look_back()
 
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol, cast
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.lifecycle import Lifecycle, State
+from orchidgap.decisions.lifecycle import Lifecycle, LifecycleEvent, State
 from orchidgap.decisions.records import NEVER_EXECUTED
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net.body_stream import Upload
@@ -336,7 +336,7 @@
     # --- what the network tells
 
     def ready(self) -> bool:
-        return self.life.means.yes
+        return self.life.rules.is_ready
 
     def knows(self, rule_set: str) -> bool:
         return rule_set in self.config.settings.request_classes
@@ -416,7 +416,7 @@
     def able(self) -> None:
         """It can serve once it has a list, and what another process of this balancer knows."""
         if self.fleet and self.listed and not self.handover.waiting:
-            self.pass_on("able")
+            self.pass_on(LifecycleEvent.READY)
 
     def reported(self, attempt: UpstreamAttempt) -> None:
         """A host told of its load with an answer."""
@@ -493,7 +493,7 @@
 
     def quiesce(self) -> tuple[bool, str]:
         """Have all clients go elsewhere, none of them unanswered."""
-        self.pass_on("quiesce")
+        self.pass_on(LifecycleEvent.DRAIN)
         return True, self.life.state.value
 
     def watch(self) -> tuple[bool, str]:
@@ -504,8 +504,8 @@
 
     def resume(self) -> tuple[bool, str]:
         """End a drain."""
-        may = self.life.means.resumes
-        self.pass_on("resume")
+        may = self.life.rules.can_resume
+        self.pass_on(LifecycleEvent.RESUME)
         return may, self.life.state.value
 
     def adopt(self, station: BalancerConfig) -> None:
@@ -522,7 +522,7 @@
             settings=terms, **{name: getattr(old, name) for name in AT_NEXT_START}
         )
         self.hold = terms.latency_objective_us // 4
-        self.life.bound(terms.longest_client_timeout_us)
+        self.life.set_longest_client_timeout(terms.longest_client_timeout_us)
         if terms != old.settings:
             self.decide(self.balancer.on_settings, terms)
         self.hosts.bound(station.connect_timeout_us, station.idle_timeout_us)
@@ -536,14 +536,14 @@
         self.registry.move(station.discovery)
 
     def leave(self) -> None:
-        self.pass_on("leave")
+        self.pass_on(LifecycleEvent.SHUT_DOWN)
 
     # --- its life
 
-    def pass_on(self, event: str) -> None:
+    def pass_on(self, event: LifecycleEvent) -> None:
         """To the next state, where the event leads to one."""
-        took = self.loop.now - self.life.since
-        if self.life.on(event, self.loop.now):
+        took = self.loop.now - self.life.since_us
+        if self.life.handle(event, self.loop.now):
             if self.life.state is State.SERVING:
                 self.handover.serves()  # before it is said: who reads of it may tell the older process to end
             self.note(
@@ -552,25 +552,25 @@
                 clients=len(self.clients.open),
                 after_ms=took // 1000,
             )
-            if self.life.means.last:
-                self.attend(self.life.changes)
+            if self.life.rules.closes_after_answer:
+                self.attend(self.life.transition_count)
 
     def attend(self, change: int) -> None:
         """While clients are let go: see who is left, until the state is another one."""
         life, now = self.life, self.loop.now
-        if life.changes != change:
+        if life.transition_count != change:
             return
-        if not life.admits(now):
+        if not life.accepts_connections(now):
             self.clients.shut()
-        if life.lets_go(now):
+        if life.closes_idle(now):
             self.clients.release()
             if not self.clients.open and not self.reqs:
-                self.pass_on("empty")
-        if life.gives_up(now):
+                self.pass_on(LifecycleEvent.EMPTY)
+        if life.must_answer_all(now):
             for exchange in [exchange for exchange in self.reqs.values() if not exchange.over]:
                 exchange.overdue()
         # a client is open while a req of it is, or an answer that it has to read
-        if life.over(
+        if life.is_finished(
             now, len(self.clients.open), any(exchange.giving for exchange in self.reqs.values())
         ):
             return self.end()
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -1,85 +1,111 @@
+"""A process serves, drains, resumes and ends as the table of states says, in whatever order events come."""
+
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from orchidgap.decisions.lifecycle import LAST_CALL, MEANS, NEXT, UNUSED_FOR, Lifecycle, State
-
-EVENTS = ("able", "quiesce", "empty", "resume", "leave")
-
-
-def test_every_state_means_something_and_only_serving_says_yes():
-    assert set(MEANS) == set(State)
-    assert [state for state in State if MEANS[state].yes] == [State.SERVING]
-    for state, means in MEANS.items():
-        assert means.last == (means.quiet_after is not None), (
-            "who is let go with an answer is let go idle too"
+from orchidgap.decisions.lifecycle import (
+    DRAIN_IDLE_US,
+    SHUTDOWN_ACCEPT_US,
+    STATE_RULES,
+    TRANSITIONS,
+    Lifecycle,
+    LifecycleEvent,
+    State,
+)
+
+EVENTS = tuple(LifecycleEvent)
+
+
+def test_every_state_has_rules_and_only_serving_is_ready():
+    assert set(STATE_RULES) == set(State)
+    assert [state for state in State if STATE_RULES[state].is_ready] == [State.SERVING]
+    for state, rules in STATE_RULES.items():
+        assert rules.closes_after_answer == (rules.closes_idle_after_us is not None), (
+            "connections that close after an answer close when idle, too"
+        )
+        assert rules.closes_after_answer or rules.accepts_for_us is None, (
+            f"{state}: an accepted connection is kept"
         )
-        assert means.last or means.admits_for is None, f"{state}: who is let in is kept"
 
 
-def test_each_call_in_each_state_leads_where_the_table_says():
-    table = {  # able, quiesce, empty, resume, leave
+def test_each_event_in_each_state_leads_where_the_table_says():
+    table = {  # ready, drain, empty, resume, shut down
         "starting": ("serving", "draining", "starting", "starting", "leaving"),
         "serving": ("serving", "draining", "serving", "serving", "leaving"),
         "draining": ("draining", "draining", "drained", "serving", "leaving"),
         "drained": ("drained", "drained", "drained", "serving", "leaving"),
         "leaving": ("leaving",) * 5,
     }
-    assert {key[0].value for key in NEXT} <= set(table)
+    assert {key[0].value for key in TRANSITIONS} <= set(table)
     for state in State:
         for event, to in zip(EVENTS, table[state.value]):
-            life = Lifecycle(0)
-            life.enter(state, 0)
-            life.able = state is not State.STARTING
-            assert life.on(event, 5) == (to != state.value), (state, event)
-            assert life.state.value == to and life.since == (5 if to != state.value else 0)
+            lifecycle = Lifecycle(0)
+            lifecycle.enter(state, 0)
+            lifecycle.can_serve = state is not State.STARTING
+            assert lifecycle.handle(event, 5) == (to != state.value), (state, event)
+            assert lifecycle.state.value == to and lifecycle.since_us == (
+                5 if to != state.value else 0
+            )
 
 
-class Lives(RuleBasedStateMachine):
-    """Any order of calls and signals."""
+class LifecycleMachine(RuleBasedStateMachine):
+    """Any order of events, with any time between them."""
 
     def __init__(self):
         super().__init__()
-        self.life, self.now, self.told, self.able, self.left = Lifecycle(0), 0, False, False, None
+        self.lifecycle = Lifecycle(0)
+        self.now = 0
+        self.draining = False
+        self.ready = False
+        self.shut_down_at = None
 
-    @rule(micros=st.sampled_from((0, 1, 1000, LAST_CALL, UNUSED_FOR, 10_000_000)))
+    @rule(micros=st.sampled_from((0, 1, 1000, SHUTDOWN_ACCEPT_US, DRAIN_IDLE_US, 10_000_000)))
     def time_passes(self, micros):
         self.now += micros
 
     @rule(event=st.sampled_from(EVENTS))
     def something_happens(self, event):
-        life, before = self.life, (self.life.state, self.life.changes, self.life.since)
-        moved = life.on(event, self.now)
-        assert moved == (life.state is not before[0]) == (life.changes != before[1])
-        assert moved or life.since == before[2], "what changes nothing starts no time anew"
-        self.able = self.able or event == "able"
-        if event == "leave" and self.left is None:
-            self.left = self.now
-        if event in ("quiesce", "resume") and self.left is None:
-            self.told = event == "quiesce"
-
-    @precondition(lambda self: self.left is None)
+        lifecycle = self.lifecycle
+        state, count, since_us = lifecycle.state, lifecycle.transition_count, lifecycle.since_us
+        changed = lifecycle.handle(event, self.now)
+        assert changed == (lifecycle.state is not state)
+        assert changed == (lifecycle.transition_count != count)
+        assert changed or lifecycle.since_us == since_us, "what changes nothing starts no time anew"
+        self.ready = self.ready or event is LifecycleEvent.READY
+        if event is LifecycleEvent.SHUT_DOWN and self.shut_down_at is None:
+            self.shut_down_at = self.now
+        if event in (LifecycleEvent.DRAIN, LifecycleEvent.RESUME) and self.shut_down_at is None:
+            self.draining = event is LifecycleEvent.DRAIN
+
+    @precondition(lambda self: self.shut_down_at is None)
     @rule()
     def a_resume_brings_all_back(self):
-        self.life.on("quiesce", self.now)
-        self.life.on("resume", self.now)
-        self.told = False
-        assert self.life.state is (State.SERVING if self.able else State.STARTING)
-        assert self.life.admits(self.now) and not self.life.lets_go(self.now + 10**9)
+        self.lifecycle.handle(LifecycleEvent.DRAIN, self.now)
+        self.lifecycle.handle(LifecycleEvent.RESUME, self.now)
+        self.draining = False
+        assert self.lifecycle.state is (State.SERVING if self.ready else State.STARTING)
+        assert self.lifecycle.accepts_connections(self.now) and not self.lifecycle.closes_idle(
+            self.now + 10**9
+        )
 
     @invariant()
-    def yes_only_when_it_serves(self):
-        assert self.life.means.yes == (self.able and not self.told and self.left is None)
+    def ready_only_when_it_serves(self):
+        assert self.lifecycle.rules.is_ready == (
+            self.ready and not self.draining and self.shut_down_at is None
+        )
 
     @invariant()
-    def whoever_is_let_go_is_told_no_first(self):
-        assert not (self.life.means.last and self.life.means.yes)
-        assert not self.life.lets_go(self.now) or self.life.means.last
+    def whose_connections_are_closed_was_told_first_that_it_is_not_ready(self):
+        assert not (self.lifecycle.rules.closes_after_answer and self.lifecycle.rules.is_ready)
+        assert not self.lifecycle.closes_idle(self.now) or self.lifecycle.rules.closes_after_answer
 
     @invariant()
     def leaving_has_no_way_back(self):
-        assert (self.life.state is State.LEAVING) == (self.left is not None)
-        if self.left is not None:
-            assert self.life.admits(self.now) == (self.now - self.left < LAST_CALL)
+        assert (self.lifecycle.state is State.LEAVING) == (self.shut_down_at is not None)
+        if self.shut_down_at is not None:
+            assert self.lifecycle.accepts_connections(self.now) == (
+                self.now - self.shut_down_at < SHUTDOWN_ACCEPT_US
+            )
 
 
-TestLives = Lives.TestCase
+TestLifecycle = LifecycleMachine.TestCase
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -6,7 +6,13 @@
 from loopback import RESET, Loopback, arrived, heard, req, told
 from test_net import signals
 
-from orchidgap.decisions.lifecycle import BEYOND, LAST_CALL, LAST_WORDS, LAST_WRITES, State
+from orchidgap.decisions.lifecycle import (
+    ANSWER_MARGIN_US,
+    FINAL_WRITE_US,
+    MAX_ANSWER_US,
+    SHUTDOWN_ACCEPT_US,
+    State,
+)
 from orchidgap.net.connection import LINGER
 
 
@@ -43,8 +49,11 @@
             signal.raise_signal(signal.SIGTERM)
             signal.raise_signal(signal.SIGHUP)
             net.turn()
-            net.wait(LAST_CALL // 2)
-        assert net.node.life.since <= net.now - times * (LAST_CALL // 2) and net.loop.running
+            net.wait(SHUTDOWN_ACCEPT_US // 2)
+        assert (
+            net.node.life.since_us <= net.now - times * (SHUTDOWN_ACCEPT_US // 2)
+            and net.loop.running
+        )
         assert net.node.clients.listener is None, "shut after the first call's time"
         net.answers(net.far())
         assert "200" in told(client) and "terms kept" in net.log.lines
@@ -56,7 +65,7 @@
     with signals(net, None):
         signal.raise_signal(signal.SIGTERM)
         net.turn()
-        net.wait(LAST_CALL + 20_000)
+        net.wait(SHUTDOWN_ACCEPT_US + 20_000)
         assert not net.loop.running and net.node.life.state is State.LEAVING
 
 
@@ -66,9 +75,9 @@
     client, text = idle_client(net), req("second")
     assert "/read/first" in net.asked()[0]
     # due in the same turn as idle ones are let go, and before that; what was ready in that turn is done with
-    net.loop.call_at(net.now + LAST_CALL, net.brings, client, text[:first])
+    net.loop.call_at(net.now + SHUTDOWN_ACCEPT_US, net.brings, client, text[:first])
     net.node.leave()
-    net.wait(LAST_CALL)
+    net.wait(SHUTDOWN_ACCEPT_US)
     assert told(client) is None and net.loop.running
     if first:
         net.brings(client, text[first:])
@@ -98,7 +107,7 @@
     net = Loopback(2)
     net.opens()
     net.node.leave()
-    net.wait(LAST_CALL - 1)
+    net.wait(SHUTDOWN_ACCEPT_US - 1)
     net.node.clients.look_away()  # as if the loop had not come round to it
     clients = [net.caller(req(f"k{i}")) for i in range(3)]
     net.node.clients.away = False
@@ -115,7 +124,7 @@
     net = Loopback(1)
     client = idle_client(net)
     net.node.leave()
-    net.wait(LAST_CALL + 10_000)
+    net.wait(SHUTDOWN_ACCEPT_US + 10_000)
     assert "/read/first" in net.asked()[0]
     client.sendall(req("crossing"))  # it has not heard of the end
     arrived(net.near(client))
@@ -145,13 +154,17 @@
     net = Loopback(1)
     idle_client(net)
     net.node.leave()
-    net.wait(LAST_CALL + LINGER + 30_000)
+    net.wait(SHUTDOWN_ACCEPT_US + LINGER + 30_000)
     assert not net.loop.running
 
 
 @pytest.mark.parametrize(
     ("timeout", "last_words"),
-    [(2_000_000, 2_000_000 + BEYOND), (300_000, 300_000 + BEYOND), (9_000_000, LAST_WORDS)],
+    [
+        (2_000_000, 2_000_000 + ANSWER_MARGIN_US),
+        (300_000, 300_000 + ANSWER_MARGIN_US),
+        (9_000_000, MAX_ANSWER_US),
+    ],
 )
 def test_what_is_open_at_the_last_has_its_answer_before_the_process_ends(timeout, last_words):
     times = {
@@ -175,5 +188,5 @@
     assert told(client).split()[1] in ("500", "503")
     assert told(late).split()[1] in ("500", "503", "408")
     assert net.loop.running, "time for the answers to be written"
-    net.wait(LAST_WRITES)
+    net.wait(FINAL_WRITE_US)
     assert not net.loop.running
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -331,7 +331,12 @@
     two.new.node.handover.elder.passage.close()
     two.old.turn()
     old = two.old.node
-    assert not old.clients.away and not old.life.heir and old.descriptors == 1024 and old.ready()
+    assert (
+        not old.clients.away
+        and not old.life.successor_accepts
+        and old.descriptors == 1024
+        and old.ready()
+    )
     assert old.balancer.hosts["c0"].in_flight_elsewhere == 0 and not old.handover.holds(b"r-k")
     client = two.old.ask("k2")
     two.old.serve()
@@ -455,7 +460,7 @@
         second.node.start()
         assert second.node.handover.elder and not second.node.ready()
         turn([first, second, first, second])
-        assert second.node.ready() and first.node.life.heir
+        assert second.node.ready() and first.node.life.successor_accepts
         first.node.end()
         turn([second])
         assert second.node.handover.elder is None and second.node.descriptors == 1024
