--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -4,7 +4,7 @@
 import threading
 
 import pytest
-from desk import Net, heard
+from node_harness import NodeHarness, heard
 
 from orchidgap.admin.client import call
 from orchidgap.admin.server import MOST, MOST_LINE, Operators
@@ -39,7 +39,7 @@
 
 
 def test_a_drain_and_its_end_by_calls():
-    net = Net()
+    net = NodeHarness()
     operators = door(net)
     assert say(net, operators, b"health") == "SUCCESS serving\n"
     assert say(net, operators, b"watch") == "FAILURE nothing is watched\n"
@@ -78,7 +78,7 @@
     ],
 )
 def test_whatever_is_called_gets_one_line_and_the_door(text, answer):
-    net = Net()
+    net = NodeHarness()
     operators = door(net)
     far = caller(net, operators, text)
     assert heard(far) == answer and heard(far) == "", "one line, and nothing after it"
@@ -88,7 +88,7 @@
 
 
 def test_a_call_in_pieces():
-    net = Net()
+    net = NodeHarness()
     far = caller(net, operators := door(net))
     for piece in "health\n":
         assert heard(far) is None
@@ -97,7 +97,7 @@
 
 
 def test_a_hundred_callers_that_say_nothing_keep_nobody_out():
-    net = Net()
+    net = NodeHarness()
     operators = door(net)
     silent = [caller(net, operators, b"heal" if i % 2 else b"") for i in range(100)]
     assert len(operators.open) == MOST, "descriptors are bounded"
@@ -112,7 +112,7 @@
 
 def test_calls_have_their_turn_before_clients():
     """Whatever else is ready in a turn of the loop."""
-    net = Net()
+    net = NodeHarness()
     order, pairs = [], [socket.socketpair() for _ in range(20)]
     for number, (near, far) in enumerate(pairs):
         far.send(b"x")
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -1,7 +1,7 @@
 """Connections to hosts: what if the other side says more, breaks or closes just as the next req goes out there?"""
 
 import pytest
-from loopback import RESET, Loopback, arrived, heard, req, told
+from loopback_harness import RESET, LoopbackHarness, arrived, heard, req, told
 
 from orchidgap.http1.client import KNOWN, SETTLE, STALL
 
@@ -34,7 +34,7 @@
 
 
 def test_a_host_that_is_hardly_known_may_be_quicker_than_it_was():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     far = rested(net, wait=0, answers=KNOWN - 1)
     client = net.caller(req("second"))
     net.turn()
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("says", [ANSWER + b"x", b"HTTP/1.1 20", b"\0", None])
 def test_a_link_on_which_something_came_is_not_taken_though_nobody_has_looked(says):
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     old = rested(net)
     ours = near(old, net)
     client = net.caller(req("second"))
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("rest", [0, SETTLE - QUICK])
 def test_a_second_answer_that_crosses_the_next_req_goes_to_nobody(rest):
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     old = rested(net, wait=rest)
     client = net.caller(req("second"))
     net.turn()
@@ -80,7 +80,7 @@
     [(0, QUICK), (0, QUICK - QUICK // 6), (SETTLE, QUICK // 2), (SETTLE - QUICK // 2, QUICK // 2)],
 )
 def test_an_answer_as_quick_as_others_or_well_behind_the_last_one_is_taken(rest, after):
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     far = rested(net, wait=rest)
     client = net.caller(req("second"))
     net.turn()
@@ -90,7 +90,7 @@
 
 
 def test_a_host_that_closes_as_its_link_is_written_to_is_asked_again_on_another():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     old = rested(net)
     client = net.caller(req("second"))
     net.turn()
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("rule_set", ["once", "mark"])
 def test_what_may_have_run_on_a_link_that_broke_runs_no_second_time(rule_set):
-    net = Loopback(1, **{"rule-sets__1__repeat-window": "1"})
+    net = LoopbackHarness(1, **{"rule-sets__1__repeat-window": "1"})
     body = f"PUT /{rule_set}/k HTTP/1.1\r\nRequest-Id: {{}}\r\nIdempotency-Key: m\r\nRequest-Timeout: 2\r\nContent-Length: 1\r\n\r\nv"
     first = net.caller(body.format(1).encode())
     net.turn()
@@ -129,7 +129,7 @@
 
 @pytest.mark.parametrize("reset", [True, False])
 def test_an_answer_without_length_has_ended_only_where_its_host_closed_in_order(reset):
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = net.caller(
         b"PUT /once/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 2\r\nContent-Length: 1\r\n\r\nv"
     )
@@ -149,7 +149,7 @@
 
 
 def test_an_answer_that_flows_and_is_reset_does_not_end_in_order_for_its_client():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = net.caller(req())
     net.turn()
     _, far = net.asked()
@@ -173,7 +173,7 @@
     ],
 )
 def test_an_answer_that_never_ends_or_is_none_costs_its_link_and_not_the_req(spoilt):
-    net = Loopback(2)
+    net = LoopbackHarness(2)
     client = net.caller(req())
     net.turn()
     _, old = net.asked()
@@ -187,7 +187,7 @@
 
 
 def test_an_answer_that_drips_for_ever_holds_its_client_for_a_bounded_time():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = net.caller(req())
     net.turn()
     _, far = net.asked()
--- a/tests/http1/test_lists.py
+++ b/tests/http1/test_lists.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from loopback import Loopback, heard
+from loopback_harness import LoopbackHarness, heard
 
 from orchidgap.http1.discovery import GAP, GRACE, LATEST, LONGEST, SHORTEST, WATCH_MS
 from orchidgap.net.node import FIRST_LIST
@@ -102,7 +102,7 @@
                 self.told = self.net.now
 
 
-class Watched(Loopback):
+class Watched(LoopbackHarness):
     def kill(self, far):
         far.close()
 
--- a/tests/loopback.py
+++ b/tests/loopback_harness.py
@@ -7,7 +7,7 @@
 import socket
 import struct
 
-from desk import Net, heard
+from node_harness import NodeHarness, heard
 
 from orchidgap.net.connection import Address, dial
 
@@ -37,7 +37,7 @@
         return RESET
 
 
-class Loopback(Net):
+class LoopbackHarness(NodeHarness):
     """Hosts and discovery listen on ports of their own; a dial goes to whatever its test port stands for."""
 
     def __init__(self, *args, **more):
@@ -122,4 +122,4 @@
     ).encode()
 
 
-__all__ = ["RESET", "Loopback", "arrived", "heard", "req", "told"]
+__all__ = ["RESET", "LoopbackHarness", "arrived", "heard", "req", "told"]
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -4,7 +4,7 @@
 import contextlib
 
 import pytest
-from loopback import Loopback, arrived, heard, req, told
+from loopback_harness import LoopbackHarness, arrived, heard, req, told
 from test_net import full_pair
 
 from orchidgap.net.endpoints import decode_list
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("settings", [{}, UNCALLED])
 def test_no_attempt_begins_for_a_client_that_left_while_its_connection_came_up(settings):
-    net = Loopback(1, **settings)
+    net = LoopbackHarness(1, **settings)
     far = held_up(net)
     client = net.caller(req())
     net.turn()
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("settings", [{}, UNCALLED])
 def test_its_close_is_seen_also_where_it_comes_in_the_turn_in_which_the_connection_is_up(settings):
-    net = Loopback(1, **settings)
+    net = LoopbackHarness(1, **settings)
     far = held_up(net)
     client = net.caller(req())
     net.turn()
@@ -63,7 +63,7 @@
 
 def test_none_of_those_behind_is_sent_on_once_a_client_that_is_not_read_has_left():
     """It sent much at once: reading is paused, and its end stands behind what is not read."""
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = net.caller(b"".join(req(f"k{i}") for i in range(20)))
     net.turn()
     caller = next(iter(net.node.clients.open))
@@ -79,7 +79,7 @@
 
 
 def test_no_attempt_begins_for_who_left_before_being_let_in():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = net.caller(req())
     client.close()
     net.turn()
@@ -87,7 +87,7 @@
 
 
 def test_none_that_wait_for_a_host_are_sent_on_once_their_clients_left():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     clients = [net.caller(req(f"k{i}")) for i in range(40)]
     net.turn(8)
     asked = [text for far in net.fars() if (text := heard(far))]
@@ -106,7 +106,9 @@
 @pytest.mark.parametrize(("after", "goes"), [(100_000, True), (300_000, False)])
 def test_a_repeat_is_not_written_once_its_mark_may_be_forgotten(after, goes):
     """The decision to repeat is within the window; the connection comes up when it is over."""
-    net = Loopback(0, **{"rule-sets__1__repeat-window": "250000", "rule-sets__1__group": "all"})
+    net = LoopbackHarness(
+        0, **{"rule-sets__1__repeat-window": "250000", "rule-sets__1__group": "all"}
+    )
     client = net.caller(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nIdempotency-Key: m\r\nRequest-Timeout: 2\r\n"
         b"Content-Length: 1\r\n\r\nv"
@@ -129,7 +131,7 @@
 
 
 def test_nothing_is_written_for_a_req_whose_time_is_up_in_that_turn():
-    net = Loopback(1, **UNCALLED)
+    net = LoopbackHarness(1, **UNCALLED)
     far = held_up(net)
     client = net.caller(req(left="0.050"))
     net.turn()
@@ -139,7 +141,7 @@
 
 
 def test_what_may_not_be_called_off_ends_with_its_time_and_not_never():
-    net = Loopback(1, **UNCALLED)
+    net = LoopbackHarness(1, **UNCALLED)
     client = net.caller(req(left="1.0"))
     net.turn()
     net.leaves(client)
@@ -151,7 +153,7 @@
 
 
 def test_no_host_is_told_to_wait_for_longer_than_the_client_does():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     net.caller(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1.5\r\nContent-Length: 100000\r\n\r\n"
         + b"v" * 70_000
@@ -168,7 +170,7 @@
 
 @pytest.mark.parametrize("health", ["Terminating", "Gone"])
 def test_a_host_that_drains_in_the_turn_in_which_its_connection_is_up_is_sent_nothing(health):
-    net = Loopback(2)
+    net = LoopbackHarness(2)
     far = held_up(net)
     net.caller(req())
     net.turn()
@@ -183,7 +185,7 @@
 
 
 def test_a_late_read_whose_client_left_is_not_sent_on_to_the_origin():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = net.caller(req())
     net.turn()
     net.now += 600_000  # its time to be called off and its client's end come in one turn
@@ -194,7 +196,7 @@
 
 @pytest.mark.parametrize("settings", [{}, UNCALLED])
 def test_a_body_that_will_never_be_whole_holds_no_connection_to_a_host(settings):
-    net = Loopback(1, **settings)
+    net = LoopbackHarness(1, **settings)
     client = net.caller(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1.5\r\n"
         b"Content-Length: 100000\r\n\r\n" + b"v" * 70_000
@@ -207,7 +209,7 @@
 
 
 def test_nothing_is_written_for_a_req_that_has_its_answer():
-    net = Loopback(1, **UNCALLED)
+    net = LoopbackHarness(1, **UNCALLED)
     far = held_up(net)
     client = net.caller(req())
     net.turn()
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -1,14 +1,14 @@
 """Floods: who sends much and goes, who fills the descriptors and says nothing, who writes a byte at a time."""
 
 import orjson
-from loopback import Loopback, arrived, heard, req, told
+from loopback_harness import LoopbackHarness, arrived, heard, req, told
 from test_net import tells, watched
 
 from orchidgap.net.client_listener import PATIENCE, SETTLED, TURNED_AWAY
 
 
 def test_hundreds_of_reqs_at_once_from_one_who_goes_are_one_dispatch_and_no_memory():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = net.caller(b"".join(req(f"k{i}") for i in range(400)))
     net.turn()
     caller = next(iter(net.node.clients.open))
@@ -29,7 +29,7 @@
 
 
 def test_idle_clients_at_the_most_keep_out_neither_reqs_nor_the_list():
-    net = Loopback(1, sockets=64)
+    net = LoopbackHarness(1, sockets=64)
     most = net.node.clients.most
     heard(watched(net))
     silent = [net.caller() for _ in range(3 * most)]
@@ -51,7 +51,7 @@
 
 
 def test_service_returns_by_itself_when_those_who_filled_it_have_gone():
-    net = Loopback(1, sockets=64)
+    net = LoopbackHarness(1, sockets=64)
     # each is asked for something, and its host does not answer
     busy = [
         net.caller(
@@ -77,7 +77,7 @@
 
 
 def test_a_req_written_a_byte_at_a_time_is_taken_and_one_that_stands_still_is_let_go():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     text = req()
     client, still = net.caller(text[:1]), net.caller(text[:9])
     net.turn()
@@ -94,7 +94,7 @@
 
 
 def test_a_list_that_comes_while_clients_flood_is_taken_in_the_same_turn():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     agent = watched(net)
     heard(agent)
     body = orjson.dumps({"seq": 8, "whole": True, "hosts": [net.entry(3), net.entry(9)]})
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -3,7 +3,7 @@
 import signal
 
 import pytest
-from loopback import RESET, Loopback, arrived, heard, req, told
+from loopback_harness import RESET, LoopbackHarness, arrived, heard, req, told
 from test_net import signals
 
 from orchidgap.decisions.lifecycle import BEYOND, LAST_CALL, LAST_WORDS, LAST_WRITES, State
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("turns", [0, 1])
 def test_a_req_that_comes_in_the_turn_of_sigterm_has_its_answer(turns):
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     with signals(net, None):
         client = idle_client(net)
         net.brings(client, req("second"))
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("times", [2, 5])
 def test_sigterm_again_starts_no_time_anew_and_sighup_in_a_drain_ends_nothing(times, tmp_path):
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     with signals(net, str(tmp_path / "no file")):
         client = net.caller(req())
         net.turn()
@@ -51,7 +51,7 @@
 
 
 def test_sigterm_before_the_first_list_ends_it():
-    net = Loopback(1, listed=False)
+    net = LoopbackHarness(1, listed=False)
     net.opens()
     with signals(net, None):
         signal.raise_signal(signal.SIGTERM)
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("first", [30, None])
 def test_what_comes_between_the_look_at_a_resting_connection_and_its_end_is_waited_for(first):
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client, text = idle_client(net), req("second")
     assert "/read/first" in net.asked()[0]
     # due in the same turn as idle ones are let go, and before that; what was ready in that turn is done with
@@ -78,7 +78,7 @@
 
 
 def test_a_pipelined_req_is_answered_before_the_connection_is_let_go():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = net.caller(req("a") + req("b") + req("c") + req("d")[:20])
     net.turn()
     net.node.leave()
@@ -95,7 +95,7 @@
 
 
 def test_whoever_waits_in_the_backlog_when_the_listener_is_shut_is_served():
-    net = Loopback(2)
+    net = LoopbackHarness(2)
     net.opens()
     net.node.leave()
     net.wait(LAST_CALL - 1)
@@ -112,7 +112,7 @@
 
 
 def test_a_req_that_crosses_the_end_of_its_connection_is_not_sent_on_and_resets_nothing():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = idle_client(net)
     net.node.leave()
     net.wait(LAST_CALL + 10_000)
@@ -128,7 +128,7 @@
 
 
 def test_the_last_answer_is_not_reset_away_by_what_came_behind_it():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     client = net.caller(req("k"))
     net.turn()
     net.node.leave()
@@ -142,7 +142,7 @@
 
 
 def test_a_client_that_never_closes_keeps_no_process():
-    net = Loopback(1)
+    net = LoopbackHarness(1)
     idle_client(net)
     net.node.leave()
     net.wait(LAST_CALL + LINGER + 30_000)
@@ -160,7 +160,7 @@
         ): str(timeout)
         for i in range(3)
     }
-    net = Loopback(1, **times, **{"ceilings__may-cancel": "false"})
+    net = LoopbackHarness(1, **times, **{"ceilings__may-cancel": "false"})
     client = net.caller(req("early", left="60"))
     net.turn()
     late = net.caller(req("late")[:30])  # begun, and whole only when there is hardly any time left
--- /dev/null
+++ b/tests/node_harness.py
@@ -0,0 +1,173 @@
+"""A node on socket pairs under a clock of its own, for tests that play client and host."""
+
+import socket
+
+from desk import PAIRS
+
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.http1 import Http1
+from orchidgap.net.config import BalancerConfig
+from orchidgap.net.connection import Fault, Reach
+from orchidgap.net.endpoints import decode_list
+from orchidgap.net.loop import Loop
+from orchidgap.net.node import Node
+
+
+class EventRecorder:
+    """Keeps its lines; a trouble that was not expected ends the test."""
+
+    def __init__(self, expects=()):
+        self.lines, self.expects = [], expects
+
+    def __call__(self, event, **facts):
+        self.lines.append(event)
+
+    def trouble(self, trouble):
+        if type(trouble) not in self.expects:
+            raise trouble
+        self.lines.append(type(trouble).__name__)
+
+
+class NodeHarness:
+    """A node on socket pairs under a clock of its own. Hosts listen at the port that is their number."""
+
+    def __init__(
+        self,
+        caches=2,
+        expects=(),
+        sockets=1024,
+        memory=192,
+        start=True,
+        decider=Balancer,
+        listed=True,
+        **pairs,
+    ):
+        self.now, self.log, self.dialled, self.refused, self.kept = (
+            10**12,
+            EventRecorder(expects),
+            [],
+            set(),
+            [],
+        )
+        self.loop = Loop(clock=lambda: self.now, trouble=self.log.trouble)
+        pairs = PAIRS | {name.replace("__", "."): value for name, value in pairs.items()}
+        found = decode_list(
+            {
+                "seq": 7,
+                "whole": True,
+                "hosts": [self.entry(i) for i in range(caches)] + [self.entry(9)],
+            }
+        )
+        self.node = Node(
+            self.loop,
+            BalancerConfig(
+                "n0",
+                ("127.0.0.1", 1),
+                ("127.0.0.1", 8500),
+                7,
+                sockets,
+                memory,
+                found,
+                ServiceSettings.from_pairs(pairs),
+                100_000,
+                30_000_000,
+            ),
+            self.log,
+            Http1(),
+            self.dial,
+            decider,
+        )
+        self.verdicts = []
+        outcome = self.node.balancer.on_outcome
+        self.node.balancer.on_outcome = lambda id, number, verdict, over: (
+            self.verdicts.append(verdict),
+            outcome(id, number, verdict, over),
+        )
+        self.node.listed = (
+            listed  # else it serves once discovery has told its list, or is silent for long
+        )
+        if start:
+            self.node.start()
+            self.turn()
+
+    @staticmethod
+    def entry(number, health="Ready", port=None, born=0):
+        return {
+            "host": f"c{number}" if number < 9 else "o",
+            "dial": f"127.0.0.1:{port or 100 + number}",
+            "site": "z",
+            "class": "cache" if number < 9 else "origin",
+            "block": 1,
+            "health": health,
+            "share": 1.0,
+            "born_ms": born,
+        }
+
+    def dial(self, address):
+        if address[1] in self.refused:
+            return Fault(Reach.UNSENT, "broken", "refused")
+        near, far = socket.socketpair()
+        far.setblocking(False)
+        self.dialled.append((address[1], far))
+        return near
+
+    def turn(self, times=4):
+        for _ in range(times):
+            self.loop.run_once(0)
+
+    def wait(self, micros):
+        """Time passes; what is due on the way happens."""
+        end = self.now + micros
+        while self.loop.timers and self.loop.timers[0][0] <= end:
+            self.now = max(self.now, self.loop.timers[0][0])
+            self.turn()
+        self.now = end
+        self.turn()
+
+    def client(self, text=b""):
+        near, far = socket.socketpair()
+        far.setblocking(False)
+        self.kept.append(far)  # else it would hang up
+        far.sendall(text)
+        self.turn(1)
+        self.node.clients.let_in(near)
+        self.turn()
+        return far
+
+    def ask(self, key="k1", rule_set="read", left="2.0", method="GET", body=""):
+        more = f"Content-Length: {len(body)}\r\nIdempotency-Key: m1\r\n" if method == "PUT" else ""
+        return self.client(
+            f"{method} /{rule_set}/{key}?q=1 HTTP/1.1\r\nHost: s\r\nRequest-Id: r-{key}\r\n{more}"
+            f"Tenant: small\r\nRequest-Timeout: {left}\r\n\r\n{body}".encode()
+        )
+
+    def fars(self):
+        """The hosts' ends of all links, in the order they were dialled."""
+        return [far for port, far in self.dialled if port != 8500]
+
+    def far(self, number=-1):
+        return self.fars()[number]
+
+    def says(self, far, text):
+        far.sendall(text.encode() if isinstance(text, str) else text)
+        self.turn()
+
+    def serve(self):
+        """Every host answers what it was asked."""
+        for far in self.fars():
+            if heard(far):
+                self.answers(far)
+
+    def answers(self, far, status=200, body="v", more=""):
+        self.says(far, f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{more}\r\n{body}")
+
+
+def heard(far):
+    """What has come to this end: text, "" where it was closed, None where there is nothing."""
+    try:
+        return far.recv(1 << 17).decode()
+    except BlockingIOError:
+        return None
+    except ConnectionError:
+        return ""
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from desk import Net, heard
+from node_harness import NodeHarness, heard
 
 from orchidgap.http1.codec import KEPT
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_a_large_answer_flows_bounded_to_a_slow_reader(framing, version):
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.client(
         f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode()
     )
@@ -119,7 +119,7 @@
 
 
 def test_the_first_byte_of_a_large_answer_ends_its_time_and_its_further_dispatches():
-    net = Net(2)
+    net = NodeHarness(2)
     client = net.ask("k", left="0.5")
     far = net.far()
     far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
@@ -145,7 +145,7 @@
 )
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_an_answer_that_breaks_off_shows_it_and_costs_its_host(break_off, version):
-    net = Net(2)
+    net = NodeHarness(2)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client, near = socket.create_connection(listener.getsockname()), listener.accept()[0]
     net.node.clients.let_in(near)
@@ -185,7 +185,7 @@
 
 
 def test_an_answer_of_unknown_length_is_held_for_a_moment_and_not_for_long():
-    net = Net(2)
+    net = NodeHarness(2)
     client = net.ask("k")
     far = net.far()
     net.says(far, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
@@ -206,7 +206,7 @@
 
 
 def test_a_client_that_goes_away_ends_the_flow():
-    net = Net(2)
+    net = NodeHarness(2)
     client = net.ask("k")
     far = net.far()
     heard(far)
@@ -219,7 +219,7 @@
 
 
 def test_a_reader_that_stands_still_makes_way_and_one_that_reads_on_stays():
-    net = Net(1)
+    net = NodeHarness(1)
     client, far = net.ask("k"), net.far()
     for one in net.node.clients.open:
         small_buffers(one.conn.sock)
@@ -238,7 +238,7 @@
 
 @pytest.mark.parametrize("framing", [None, "Transfer-Encoding: chunked"])
 def test_a_large_req_flows_bounded_to_a_slow_host(framing):
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.client()
     rest = put(framing=framing) + (
         BODY
@@ -286,7 +286,7 @@
 
 
 def test_a_slow_client_neither_counts_at_the_host_nor_looks_like_a_slow_one():
-    net = Net(1)
+    net = NodeHarness(1)
     client = flowing(net)
     far, origin, got = net.far(), net.node.balancer.hosts["o"], b""
     parts = pieces(BODY[100_000:], 20_000)
@@ -312,7 +312,7 @@
 
 
 def test_the_time_of_a_large_req_runs_from_its_last_byte():
-    net = Net(1)
+    net = NodeHarness(1)
     client = flowing(net)
     far = net.far()
     net.wait(2_000_000)
@@ -331,7 +331,7 @@
 
 
 def test_a_body_that_has_gone_on_is_sent_no_second_time():
-    net = Net(1)
+    net = NodeHarness(1)
     client = flowing(net)
     drawn(net.far())
     net.far().close()
@@ -341,7 +341,7 @@
 
 
 def test_a_body_that_has_not_gone_on_may_be_sent_again():
-    net = Net(1)
+    net = NodeHarness(1)
     net.refused.add(109)
     client = net.client(
         put(framing="Transfer-Encoding: chunked") + b"8000\r\n" + b"x" * 32_768 + b"\r\n"
@@ -368,7 +368,7 @@
     ],
 )
 def test_a_large_req_that_stands_still_or_goes_wrong_never_runs(how, status):
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.client(put(framing="Transfer-Encoding: chunked"))
     for _ in range(3):
         net.says(client, b"8000\r\n" + b"x" * 32_768 + b"\r\n")
@@ -381,7 +381,7 @@
 
 
 def test_an_early_answer_to_a_large_req_is_not_cut_off_by_what_still_comes():
-    net = Net(1)
+    net = NodeHarness(1)
     client = flowing(net)
     net.answers(net.far(), 500)
     text = heard(client)
@@ -397,7 +397,7 @@
 
 
 def test_a_client_held_up_by_its_host_is_not_taken_for_one_that_stands_still():
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.client(put())
     rest, far = BODY, None
     for _ in range(200):
@@ -422,7 +422,7 @@
 
 
 def test_slow_heads_and_bodies_live():
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.client()
     for letter in REQ.decode():
         net.says(client, letter)
@@ -441,7 +441,7 @@
 
 
 def test_fifty_large_answers_at_once_stay_within_what_is_reckoned_for_each():
-    net = Net(1, sockets=256)
+    net = NodeHarness(1, sockets=256)
     clients = [net.ask(f"k{i}") for i in range(50)]
     for one in net.node.clients.open:
         small_buffers(one.conn.sock)
@@ -460,7 +460,7 @@
 
 
 def test_a_drain_does_not_cut_off_what_flows():
-    net = Net(1)
+    net = NodeHarness(1)
     client, far = net.ask("k"), net.far()
     net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     net.node.quiesce()
@@ -477,7 +477,7 @@
 
 
 def test_a_process_told_to_end_waits_for_what_flows_as_long_as_it_does():
-    net = Net(1)
+    net = NodeHarness(1)
     client, far = net.ask("k"), net.far()
     net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     net.node.leave()
@@ -493,7 +493,7 @@
 
 
 def test_head_is_passed_on_and_answered_without_a_body():
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.client(b"HEAD /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n")
     far = net.far()
     assert heard(far).startswith("HEAD /read/k")
@@ -509,7 +509,7 @@
     ("status", "verdict"), [(204, "error"), (304, "error"), (500, "error"), (404, "miss")]
 )
 def test_answers_without_a_body_leave_the_link_as_it_was(status, verdict):
-    net = Net(1)
+    net = NodeHarness(1)
     net.ask("k")
     net.says(
         net.far(),
@@ -521,7 +521,7 @@
 
 
 def test_a_large_error_is_told_at_once_and_not_read_to_its_end():
-    net = Net(1)
+    net = NodeHarness(1)
     net.ask("k")
     net.says(net.far(), b"HTTP/1.1 500 No\r\nContent-Length: 30000000\r\n\r\n" + b"x" * 1_000)
     assert net.verdicts[:1] == ["error"] and not net.node.hosts.pools["c0"].idle
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from desk import Net, heard
+from node_harness import NodeHarness, heard
 
 from orchidgap.net.config import ConfigError
 from orchidgap.net.endpoints import decode_list
@@ -48,7 +48,7 @@
 
 
 def test_one_listener_in_two_nodes_and_the_old_one_ends_without_a_word_to_the_other():
-    passed, nets = listener(), [Net(1), Net(1)]
+    passed, nets = listener(), [NodeHarness(1), NodeHarness(1)]
     for net in nets:
         net.node.clients.inherit(inherited(str(os.dup(passed.fileno()))))
     old, new = nets
@@ -105,7 +105,7 @@
                     "listen": f"127.0.0.1:{passed.getsockname()[1]}",
                     "discovery": "127.0.0.1:1",
                     "seed": "7",
-                    "known": {"seq": 1, "whole": True, "hosts": [Net.entry(0)]},
+                    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.entry(0)]},
                     "settings": {
                         "rule-sets": [
                             {"name": "read", "effect": "retryable", "client-timeout": 900_000}
@@ -135,7 +135,7 @@
 
 def inheriting(caches, start=True, **more):
     """A process with the inherited listener, which may be either of the two."""
-    net = Net(caches, start=start, **more)
+    net = NodeHarness(caches, start=start, **more)
     net.node.clients.inherit(listener())
     net.node.handover = Handover(net.loop, net.node, None, shared=True)
     return net
@@ -193,7 +193,7 @@
                     {
                         "seq": 8,
                         "whole": False,
-                        "hosts": [Net.entry(1, health="Terminating"), Net.entry(4)],
+                        "hosts": [NodeHarness.entry(1, health="Terminating"), NodeHarness.entry(4)],
                     }
                 )[2:],
             )
@@ -443,7 +443,11 @@
     deep = tmp_path / ("x" * 60) / ("y" * 60)  # more than a Unix socket's address has room for
     deep.mkdir(parents=True)
     for folder in (tmp_path, deep):
-        nets = [Net(1, start=False), Net(1, start=False), Net(1, start=False)]
+        nets = [
+            NodeHarness(1, start=False),
+            NodeHarness(1, start=False),
+            NodeHarness(1, start=False),
+        ]
         for net in nets:
             net.node.clients.inherit(listener())
             net.node.handover = Handover(net.loop, net.node, str(folder), shared=True)
@@ -472,7 +476,7 @@
 
 @pytest.mark.parametrize("folder", [None, "", "/nonexistent/folder"])
 def test_without_a_common_folder_each_does_with_half(folder):
-    net = Net(1, start=False, sockets=400)
+    net = NodeHarness(1, start=False, sockets=400)
     net.node.clients.inherit(listener())
     net.node.handover = Handover(net.loop, net.node, folder, shared=True)
     net.node.handover.begin()
@@ -492,7 +496,7 @@
                     "listen": f"127.0.0.1:{passed.getsockname()[1]}",
                     "seed": "7",
                     "discovery": f"127.0.0.1:{away.getsockname()[1]}",
-                    "known": {"seq": 1, "whole": True, "hosts": [Net.entry(0)]},
+                    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.entry(0)]},
                     "settings": {
                         "rule-sets": [
                             {"name": "read", "effect": "retryable", "client-timeout": 900_000}
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,8 @@
 
 import orjson
 import pytest
-from desk import PAIRS, Net, heard
+from desk import PAIRS
+from node_harness import NodeHarness, heard
 
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.decisions.shadow import ShadowBalancer
@@ -29,7 +30,7 @@
 
 
 def test_a_req_from_end_to_end():
-    net = Net()
+    net = NodeHarness()
     client = net.ask("7f3", method="PUT", rule_set="mark", body="value")
     origin = net.far()
     assert heard(origin) == (
@@ -44,7 +45,7 @@
 
 
 def test_a_miss_goes_on_to_the_origin_and_links_are_used_again():
-    net = Net(1)
+    net = NodeHarness(1)
     for _ in range(3):
         client = net.ask("k")
         net.answers(net.far(0), 404)
@@ -54,7 +55,7 @@
 
 
 def test_what_a_host_tells_of_its_load_reaches_the_decisions():
-    net = Net(3, report__how="inline", report__fields="concurrent,tps")
+    net = NodeHarness(3, report__how="inline", report__fields="concurrent,tps")
     for key in ("k1", "k2", "k3", "k4", "k5", "k6"):
         net.ask(key)
         for far in net.fars():
@@ -72,7 +73,7 @@
 
 
 def test_a_late_read_is_called_off_for_the_origin_and_both_ends_see_it():
-    net = Net(3)
+    net = NodeHarness(3)
     client = net.ask()
     late = net.far()
     assert heard(late).startswith("GET /read/k1")
@@ -86,7 +87,7 @@
 
 
 def test_a_late_read_whose_connection_never_came_up_is_sent_on_as_well():
-    net = Net(3)
+    net = NodeHarness(3)
     client = net.ask()
     attempt = next(iter(net.node.reqs.values())).attempts[0]
     attempt.link.conn.taken = attempt.link.start  # as if nothing had been written yet
@@ -100,8 +101,8 @@
     new = ServiceSettings.from_pairs(
         PAIRS | {"report.how": "inline", "report.fields": "concurrent"}
     )
-    net = Net(3, decider=partial(ShadowBalancer, new), **WAITS)
-    assert Net().node.watch() == (False, "nothing is watched")
+    net = NodeHarness(3, decider=partial(ShadowBalancer, new), **WAITS)
+    assert NodeHarness().node.watch() == (False, "nothing is watched")
     client = net.ask()
     net.wait(600_000)
     assert len(net.fars()) == 1, "nothing can be called off"
@@ -114,7 +115,7 @@
 
 
 def test_a_very_long_key_is_a_key():
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.ask("k" * 9_000)
     assert "/read/" + "k" * 9_000 in heard(net.far())
     net.answers(net.far())
@@ -125,7 +126,7 @@
     ("size", "status"), [(65_536, 200), (400_000, 200), (5 << 20, 200), (50 << 20, 503)]
 )
 def test_large_values_come_through_and_endless_ones_do_not(size, status):
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.ask("k")
     far, said = net.far(), bytearray()
     rest = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"v" * min(size, 6 << 20)
@@ -149,7 +150,7 @@
 
 
 def test_an_answer_that_the_client_reads_slowly_still_comes_whole():
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.ask("k")
     for one in net.node.clients.open:
         one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -165,7 +166,7 @@
 
 
 def test_a_client_that_does_not_read_is_let_go():
-    net = Net(1)
+    net = NodeHarness(1)
     net.ask("k")
     for one in net.node.clients.open:
         one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -218,7 +219,7 @@
     ],
 )
 def test_what_a_host_does_is_told_as_it_is(does, verdict):
-    net = Net(3, **WAITS)
+    net = NodeHarness(3, **WAITS)
     net.ask()
     does(net, net.far())
     net.turn()
@@ -226,11 +227,11 @@
 
 
 def test_hosts_that_refuse_or_never_answer_a_connection():
-    net = Net(1)
+    net = NodeHarness(1)
     net.refused.add(100)
     client = net.ask()
     assert net.verdicts == ["unconnected"] and "503" in heard(client)
-    net = Net(1)
+    net = NodeHarness(1)
     near, _far = full_pair()
     net.node.hosts.dialer = lambda address: near
     client = net.ask()
@@ -241,7 +242,7 @@
 
 
 def test_an_extra_byte_costs_the_link_and_not_the_answer():
-    net = Net(1)
+    net = NodeHarness(1)
     for number, more in ((0, "HTTP/1.1"), (1, "")):
         client = net.ask()
         net.says(net.far(number), "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv" + more)
@@ -251,7 +252,7 @@
 
 
 def test_a_client_that_hangs_up_ends_its_dispatch():
-    net = Net()
+    net = NodeHarness()
     client = net.ask()
     assert heard(net.far()).startswith("GET")
     client.close()
@@ -260,7 +261,7 @@
 
 
 def test_an_answer_goes_out_before_the_client_timeout_and_nothing_after():
-    net = Net()
+    net = NodeHarness()
     client = net.ask(left="0.5")
     net.wait(479_000)
     assert heard(client) is None
@@ -271,7 +272,7 @@
 
 
 def test_time_that_the_loop_was_held_up_is_taken_off():
-    net = Net()
+    net = NodeHarness()
     client = net.client()
     client.sendall(b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 0.5\r\n\r\n")
     net.now += 300_000  # the req may have come at the start of this
@@ -281,13 +282,13 @@
 
 
 def test_a_fault_in_the_decisions_still_brings_an_answer():
-    net = Net(expects=(ZeroDivisionError,))
+    net = NodeHarness(expects=(ZeroDivisionError,))
     net.node.balancer.on_request = lambda *_: 1 / 0
     assert heard(net.ask()).startswith("HTTP/1.1 500") and net.log.lines == [
         "serving",
         "ZeroDivisionError",
     ]
-    net = Net()
+    net = NodeHarness()
     net.node.balancer.on_request = lambda *_: None  # forgets it
     client = net.ask()
     net.wait(2_000_000)
@@ -337,7 +338,7 @@
     ],
 )
 def test_a_bad_req_gets_a_plain_answer_and_the_door(text, status):
-    net = Net()
+    net = NodeHarness()
     client = net.client()
     for i in range(0, len(text), 4096):
         try:
@@ -368,7 +369,7 @@
 
 
 def test_within_three_seconds_a_req_is_whole_or_its_connection_is_let_go():
-    net = Net()
+    net = NodeHarness()
     half, silent, late, served = (
         net.client(b"GET /read/k HT"),
         net.client(),
@@ -396,7 +397,7 @@
 
 @pytest.mark.parametrize("text", [b"", b"PUT /mark/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"])
 def test_who_never_asks_makes_way_for_who_does(text):
-    net = Net(1, sockets=64)
+    net = NodeHarness(1, sockets=64)
     served = net.ask("first")
     net.answers(net.far())
     heard(served)
@@ -414,7 +415,7 @@
 
 
 def test_a_client_whose_req_waits_to_be_read_does_not_make_way():
-    net = Net(1, sockets=64)
+    net = NodeHarness(1, sockets=64)
     first, second = net.ask("k1"), net.ask("k2")
     net.serve()
     assert heard(first) and heard(second)
@@ -426,7 +427,7 @@
 
 
 def test_idle_connections_may_stay_up_to_half_of_the_most():
-    net = Net(1, sockets=64)
+    net = NodeHarness(1, sockets=64)
     clients = [net.ask(f"k{i}") for i in range(7)]
     assert [heard(client) for client in clients] == [None] * 7, "those that have asked stay"
     net.serve()
@@ -437,7 +438,7 @@
 
 
 def test_who_reads_a_last_answer_keeps_nobody_out():
-    net = Net(1, sockets=64)
+    net = NodeHarness(1, sockets=64)
     listener = net.node.clients.listener = Listener([])
     net.loop.watch(listener, READ, net.node.clients.accept)
     for text, begins in [(b"nonsense\r\n\r\n", "HTTP/1.1 400")] * 60 + [(REQ + b"\r\n", None)]:
@@ -453,7 +454,7 @@
 
 
 def test_an_id_that_is_open_here_is_not_taken_twice():
-    net = Net(1)
+    net = NodeHarness(1)
     first, second = net.ask("k"), net.ask("k")
     assert heard(second).startswith("HTTP/1.1 409") and len(net.fars()) == 1
     net.answers(net.far())
@@ -462,7 +463,7 @@
 
 
 def test_a_req_that_a_host_calls_bad_is_not_sent_to_others():
-    net = Net(3)
+    net = NodeHarness(3)
     client = net.ask("k")
     net.answers(net.far(), 400, "")
     assert (
@@ -474,7 +475,7 @@
 
 
 def test_trailers_without_end_are_cut():
-    net = Net()
+    net = NodeHarness()
     client = net.client(REQ + b"Transfer-Encoding: chunked\r\n\r\n0\r\nX: ")
     for _ in range(600):
         try:
@@ -486,7 +487,7 @@
 
 
 def test_a_client_that_waits_to_be_let_send_its_body_is():
-    net = Net()
+    net = NodeHarness()
     client = net.client(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\nContent-Length: 1\r\n"
         b"Expect: 100-continue\r\n\r\n"
@@ -499,7 +500,7 @@
 
 def test_reqs_sent_before_the_answer_are_answered_in_their_order():
     for split in (False, True):
-        net = Net(1)
+        net = NodeHarness(1)
         texts = [
             REQ.replace(b"Id: 1", b"Id: %d" % i).replace(b"/k", b"/k%d" % i) + b"\r\n"
             for i in range(5)
@@ -519,14 +520,14 @@
 
 
 def test_ready_only_with_list_and_until_told_to_stop():
-    net = Net()
+    net = NodeHarness()
     assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 200")
     net.node.leave()
     assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 503")
 
 
 def test_told_to_stop_it_answers_all_and_ends():
-    net = Net()
+    net = NodeHarness()
     idle, busy = net.ask("k1"), net.ask("k2")
     net.answers(net.far(0))
     assert "close" not in heard(idle)
@@ -550,7 +551,7 @@
 
 def test_no_signal_no_stop():
     """The ringing end of the pair was once not kept, and its end read as a signal."""
-    net, told = Net(), []
+    net, told = NodeHarness(), []
     net.node.leave = lambda: told.append(1)
     with signals(net, None):
         net.turn()
@@ -577,7 +578,7 @@
 
 
 def test_sighup_moves_the_watch_and_keeps_the_list_and_a_bad_file_changes_nothing(tmp_path):
-    net, path = Net(1), tmp_path / "c"
+    net, path = NodeHarness(1), tmp_path / "c"
     tells(net, 41, True, [net.entry(0), net.entry(9)])
     [link], before = idle_links(net, 1), listed(net)
     with signals(net, str(path)):
@@ -619,7 +620,7 @@
 
 
 def test_a_drain_turns_nobody_away_and_lets_all_go():
-    net = Net(**WAITS)
+    net = NodeHarness(**WAITS)
     idle, busy = net.ask("k1"), net.ask("k2")
     net.answers(net.far(0))
     assert "close" not in heard(idle)
@@ -644,7 +645,7 @@
 
 
 def test_connections_that_ask_nothing_are_closed_by_a_drain_and_reqs_are_not_cut_off():
-    net = Net(**WAITS)
+    net = NodeHarness(**WAITS)
     silent, half, idle, busy = (
         net.client(),
         net.client(b"GET /read/k9 HTTP/1.1\r\n"),
@@ -677,7 +678,7 @@
 
 
 def test_after_a_resume_all_is_as_before():
-    net = Net()
+    net = NodeHarness()
     net.node.quiesce()
     net.wait(2_000_000)
     net.node.resume()
@@ -773,7 +774,7 @@
     ],
 )
 def test_a_spoilt_file_changes_nothing(tmp_path, spoilt, why):
-    path, net = tmp_path / "c", Net()
+    path, net = tmp_path / "c", NodeHarness()
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
     before, dialled = net.node.config, len(net.dialled)
@@ -810,7 +811,7 @@
 
 
 def test_new_settings_bind_new_reqs_and_open_ones_keep_theirs(tmp_path):
-    path, net = tmp_path / "c", Net(3)
+    path, net = tmp_path / "c", NodeHarness(3)
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
     net.node.decide(net.node.balancer.on_settings, net.node.config.settings)
@@ -836,7 +837,7 @@
 
 
 def test_what_cannot_change_while_it_runs_is_told_and_waits(tmp_path):
-    path, net = tmp_path / "c", Net()
+    path, net = tmp_path / "c", NodeHarness()
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
     path.write_bytes(orjson.dumps(FILE | {"listen": "127.0.0.1:7071", "limits": {"memory_mb": 90}}))
@@ -850,7 +851,7 @@
 
 
 def test_links_from_a_burst_are_not_kept_for_long_and_one_is():
-    net = Net(1)
+    net = NodeHarness(1)
     clients = [net.ask(f"k{i}") for i in range(7)]
     pool = net.node.hosts.pools["c0"]
     net.serve()
@@ -878,7 +879,7 @@
 
 
 def test_the_newest_idle_link_goes_first_and_none_near_its_limit():
-    net = Net(1)
+    net = NodeHarness(1)
     old, new = idle_links(net, 2)
     for far in (old, new):
         heard(far)
@@ -895,7 +896,7 @@
 
 @pytest.mark.parametrize("leaves", [lambda far: far.close(), lambda far: far.sendall(b"?")])
 def test_a_link_that_was_closed_or_spoken_on_is_not_written_to(leaves):
-    net = Net(1)
+    net = NodeHarness(1)
     [link] = idle_links(net, 1)
     leaves(link)
     near, client = (
@@ -909,7 +910,7 @@
 
 @pytest.mark.parametrize(("written", "verdict"), [(True, "stale"), (False, "unconnected")])
 def test_a_stale_link_is_a_reset_unless_nothing_was_sent(written, verdict, monkeypatch):
-    net = Net(1)
+    net = NodeHarness(1)
     [link] = idle_links(net, 1)
     net.verdicts.clear()
     monkeypatch.setattr("orchidgap.net.connection.Connection.stale", lambda conn: False)
@@ -926,7 +927,7 @@
 
 
 def test_a_kept_link_that_breaks_under_its_next_req_takes_older_ones_with_it():
-    net = Net(1)
+    net = NodeHarness(1)
     older, newer = idle_links(net, 2)
     heard(older), heard(newer)
     net.wait(300_000)
@@ -945,7 +946,7 @@
 
 
 def test_a_busy_link_that_breaks_says_nothing_of_those_kept_for_longer():
-    net = Net(1)
+    net = NodeHarness(1)
     older, newer = idle_links(net, 2)
     heard(older), heard(newer)
     net.wait(50_000)
@@ -960,7 +961,7 @@
 
 def test_a_dispatch_still_connecting_is_never_written_once_its_host_drains_or_the_req_is_over():
     for health in ("Terminating", "Gone"):
-        net = Net(2)
+        net = NodeHarness(2)
         near, far = full_pair()
         net.node.hosts.dialer = lambda address, near=near: near
         net.ask()
@@ -974,7 +975,7 @@
             "the other serves it"
         )
         assert b"GET" not in far.recv(1 << 20)
-    net = Net(2)
+    net = NodeHarness(2)
     near, far = full_pair()
     net.node.hosts.dialer = lambda address, near=near: near
     net.ask().close()
@@ -993,7 +994,7 @@
 
 
 def test_idle_links_make_way_where_descriptors_run_short():
-    net = Net(3, sockets=64)  # eight for hosts
+    net = NodeHarness(3, sockets=64)  # eight for hosts
     assert net.node.hosts.most == 8
     answered = 0
     for key in range(30):
@@ -1019,7 +1020,7 @@
 
 
 def test_no_descriptor_to_dial_sheds_an_idle_link_and_dials_again():
-    net = Net(2)
+    net = NodeHarness(2)
     for key in range(8):
         net.ask(f"k{key}")
     net.serve()
@@ -1055,7 +1056,7 @@
 
 
 def test_emfile_sheds_then_rests_and_never_spins():
-    net = Net()
+    net = NodeHarness()
     idle = net.ask("k")
     net.answers(net.far())
     near, far = socket.socketpair()
@@ -1089,12 +1090,12 @@
 def test_clients_have_room_for_a_third_of_the_descriptors_where_memory_allows(
     memory, sockets, most
 ):
-    net = Net(1, memory=memory, sockets=sockets)
+    net = NodeHarness(1, memory=memory, sockets=sockets)
     assert net.node.clients.most == most and net.node.hosts.most + most <= sockets - 48
 
 
 def test_clients_beyond_the_most_are_told_so():
-    net = Net(1, sockets=64)
+    net = NodeHarness(1, sockets=64)
     assert net.node.clients.most == 8
     pairs = [socket.socketpair() for _ in range(30)]
     for i, (_, far) in enumerate(pairs):
@@ -1127,7 +1128,7 @@
 
 
 def test_the_list_is_fetched_whole_and_then_watched_without_a_gap():
-    net = Net(1)
+    net = NodeHarness(1)
     assert heard(watched(net)).startswith(f"GET {LIST} HTTP/1.1")
     tells(net, 41, True, [net.entry(0), net.entry(3), net.entry(9)])
     assert listed(net) == {"c0": "up", "c3": "up", "o": "up"}
@@ -1158,7 +1159,7 @@
     ],
 )
 def test_a_bad_or_missing_answer_keeps_the_list_and_is_asked_again_later(does):
-    net = Net(2)
+    net = NodeHarness(2)
     before = listed(net)
     does(net)
     net.turn()
@@ -1179,7 +1180,7 @@
 
 
 def test_an_odd_entry_costs_its_host_and_not_the_list():
-    net = Net(2)
+    net = NodeHarness(2)
     odd = [
         net.entry(0, "Odd"),
         net.entry(1) | {"dial": "localhost:80"},
@@ -1193,7 +1194,7 @@
 
 def test_a_change_that_cannot_be_read_or_a_version_that_falls_is_followed_by_the_whole_list():
     for seq, hosts, wait in ((42, [{"host": "x"}], 100_000), (3, [], 100_000)):
-        net = Net(1)
+        net = NodeHarness(1)
         tells(net, 41, True, [net.entry(0), net.entry(9)])
         heard(watched(net))
         tells(net, seq, False, hosts)
@@ -1205,7 +1206,7 @@
 
 
 def test_an_address_that_changes_is_dialled_from_then_on():
-    net = Net(1)
+    net = NodeHarness(1)
     tells(net, 41, True, [net.entry(0), net.entry(9)])
     [link] = idle_links(net, 1)
     tells(net, 42, False, [net.entry(0, port=300)])
@@ -1216,7 +1217,7 @@
 
 
 def test_a_restart_is_told_in_milliseconds_of_unix_time():
-    net = Net(2)
+    net = NodeHarness(2)
     tells(net, 41, True, [net.entry(0, born=net.now // 1000), net.entry(1), net.entry(9)])
     assert net.node.balancer.hosts["c0"].warm_at_us == net.now + 10_000_000
 
