--- a/orchidgap/__main__.py
+++ b/orchidgap/__main__.py
@@ -70,7 +70,7 @@
 from orchidgap import VERSION
 from orchidgap.net import config
 from orchidgap.net.server import serve
-from orchidgap.parts import held_of, parts_of, talk_of
+from orchidgap.parts import make_gossip, make_guarded_node, protocol_for
 
 ACTS = ("health", "quiesce", "resume", "watch")
 CHANGES = ("check", "propose", "status", "history", "strike")
@@ -106,16 +106,16 @@
 
             return run(path, told["--new"])
         if told["serve"]:
-            return serve(path, parts_of, held=held_of, talk=talk_of)
+            return serve(path, protocol_for, held=make_guarded_node, talk=make_gossip)
         station = config.read(path)
-        parts_of(station)
+        protocol_for(station)
     except config.ConfigError as trouble:
         sys.exit(f"orchidgap: {trouble}")
     print(
         f"balancer {station.name} on {station.listen[0]}:{station.listen[1]}, list from "
-        f"{station.discovery[0]}:{station.discovery[1]}, {len(station.known_endpoints[2])} hosts known, "
+        f"{station.discovery[0]}:{station.discovery[1]}, {len(station.initial_endpoints[2])} hosts known, "
         f"rule sets {', '.join(station.settings.request_classes)}, "
-        f"{station.sockets} descriptors, {station.memory_mb} MB"
+        f"{station.descriptors} descriptors, {station.memory_mb} MB"
     )
 
 
--- a/orchidgap/admin/server.py
+++ b/orchidgap/admin/server.py
@@ -39,7 +39,7 @@
     def answer(self, done: bool, words: str) -> None:
         self.door.waiting.pop(self, None)
         self.conn.send(f"{'SUCCESS' if done else 'FAILURE'} {words}\n".encode())
-        self.conn.finish()
+        self.conn.close_gracefully()
 
     def ended(self, what: str) -> None:
         self.door.waiting.pop(self, None)
@@ -86,7 +86,7 @@
         call = Call(self, sock)
         self.open[call] = self.waiting[call] = None
         self.loop.call_later(PATIENCE, self.expire, call)
-        call.conn.ready(READ)  # the call has mostly come with it
+        call.conn.on_ready(READ)  # the call has mostly come with it
 
     def shed(self) -> bool:
         """Close who has been silent longest, else who reads its answer; whether there was one."""
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -36,14 +36,14 @@
 
     keeper: Keeper
 
-    def ready(self) -> bool:
-        return self.keeper.may() and super().ready()
+    def is_ready(self) -> bool:
+        return self.keeper.may() and super().is_ready()
 
-    def knows(self, rule_set: str) -> bool:
+    def knows_request_class(self, rule_set: str) -> bool:
         # without a right it must not tell by a 404 what its version says, which may count no more
-        return not self.keeper.may() or super().knows(rule_set)
+        return not self.keeper.may() or super().knows_request_class(rule_set)
 
-    def take(
+    def handle_request(
         self,
         caller: Responder,
         id: bytes,
@@ -63,7 +63,9 @@
             rule_set not in self.config.settings.request_classes
         ):  # the right came back between the two questions
             return caller.answer(503, pause=self.keeper.comeback())
-        super().take(caller, id, rule_set, left, write, key, tenant, head, body, slot, flow)
+        super().handle_request(
+            caller, id, rule_set, left, write, key, tenant, head, body, slot, flow
+        )
 
 
 class Keeper:
@@ -266,10 +268,10 @@
         self.node.settings = doc["settings"]
         if self.opens:  # nothing has begun under other terms yet
             self.node.config = station
-            self.node.hosts.bound(station.connect_timeout_us, station.idle_timeout_us)
-            self.node.decide(self.node.balancer.on_settings, station.settings)
+            self.node.pools.set_timeouts(station.connect_timeout_us, station.idle_timeout_us)
+            self.node.call_decisions(self.node.balancer.on_settings, station.settings)
         else:
-            self.node.adopt(station)
+            self.node.apply_config(station)
         return ""
 
     def standing(self, station: config.BalancerConfig) -> str:
--- a/orchidgap/control/rpc.py
+++ b/orchidgap/control/rpc.py
@@ -10,7 +10,7 @@
 import orjson
 
 from orchidgap.http1 import codec
-from orchidgap.net.connection import Address, Connection, Fault, dial, open_listener
+from orchidgap.net.connection import Address, AttemptFailure, Connection, dial, open_listener
 from orchidgap.net.loop import READ, Loop, Timer
 
 AT_ONCE = 4  # calls that may be out to one address
@@ -106,13 +106,13 @@
         self.bytes_out += len(body)
         while self.idle:
             link = self.idle.pop()
-            if link.conn.open and not link.conn.stale():
+            if link.conn.is_open and not link.conn.is_stale():
                 return link.ask(method, path, body, heard)
             link.close()
         if len(self.open) >= AT_ONCE:
             return self.loop.call_soon(heard, None)
         sock = dial(self.address)
-        if isinstance(sock, Fault):
+        if isinstance(sock, AttemptFailure):
             return self.loop.call_soon(heard, None)
         link = Link(self, sock)
         self.open[link] = None
@@ -146,7 +146,7 @@
 
     def step(self) -> None:
         message = self.reader.message
-        if self.busy or not self.conn.open:
+        if self.busy or not self.conn.is_open:
             return
         if message.trouble:
             self.answer(message.trouble, {"why": "malformed"})
@@ -174,14 +174,14 @@
         self.answer(503 if said is None else 200, said)
 
     def answer(self, status: int, said: Any) -> None:
-        if not self.conn.open:
+        if not self.conn.is_open:
             return
         message = self.reader.message
         last = not (message.whole and message.lasts and not message.trouble)
         body = orjson.dumps(said)
         self.conn.send(codec.answer(status, len(body), last, 0, message.version or "1.1") + body)
         if last:
-            return self.conn.finish()
+            return self.conn.close_gracefully()
         self.busy = False
         self.reader.next()
         self.server.loop.call_soon(self.step)
--- a/orchidgap/control/server.py
+++ b/orchidgap/control/server.py
@@ -358,7 +358,7 @@
             calls(path, told, partial(heard, other))
 
         def once(said: Any) -> None:
-            if timer.act is not None:
+            if timer.callback is not None:
                 timer.cancel()
                 heard(self.name, said)
 
@@ -605,7 +605,7 @@
             "whoever reaches it can change the policy"
         )
     log = EventLog(name)
-    loop = Loop(trouble=log.trouble)
+    loop = Loop(on_error=log.exception)
     try:
         files = make_files(Path(folder))
     except OSError as trouble:
--- a/orchidgap/control/validation.py
+++ b/orchidgap/control/validation.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from orchidgap.decisions.settings import ServiceSettings, SettingError
-from orchidgap.net.config import flat
+from orchidgap.net.config import flatten
 
 NEEDS = 1  # the newest form of a version that this program knows
 
@@ -26,7 +26,7 @@
     if doc.get("needs", NEEDS) != NEEDS:
         return f"it needs form {doc['needs']}, and this program knows {NEEDS}"
     try:
-        ServiceSettings.from_pairs(dict(flat(doc["settings"])))
+        ServiceSettings.from_pairs(dict(flatten(doc["settings"])))
     except SettingError as trouble:
         return str(trouble)
     except (ValueError, TypeError, AttributeError) as trouble:
--- a/orchidgap/drill/process.py
+++ b/orchidgap/drill/process.py
@@ -22,7 +22,7 @@
 from orchidgap.drill.defects import DEFECTS
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
-from orchidgap.parts import parts_of, talk_of
+from orchidgap.parts import make_gossip, protocol_for
 from orchidgap.state.durable_store import DurableStore
 
 STEPS = ("open", "write", "fsync", "rename")
@@ -101,7 +101,10 @@
         if kind == "control":
             return server.run(config, "--new" in sys.argv, make_files=FailingFiles)
         serve(
-            config, parts_of, held=partial(lease_keeper.held, make_files=FailingFiles), talk=talk_of
+            config,
+            protocol_for,
+            held=partial(lease_keeper.held, make_files=FailingFiles),
+            talk=make_gossip,
         )
     except ConfigError as trouble:
         sys.exit(f"orchidgap: {trouble}")
--- a/orchidgap/drill/relay.py
+++ b/orchidgap/drill/relay.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from random import Random
 
-from orchidgap.net.connection import Address, Connection, Fault, dial, open_listener
+from orchidgap.net.connection import Address, AttemptFailure, Connection, dial, open_listener
 from orchidgap.net.loop import READ, Loop
 
 HELD = 1 << 22  # bytes that one stalled connection keeps
@@ -44,7 +44,7 @@
     def pass_on(self, data: bytes) -> None:
         if self.gone and not self.pair.relay.outlives:
             return self.pair.reset()
-        if self.other.conn.open:
+        if self.other.conn.is_open:
             self.other.conn.send(data)
 
     def ended(self, what: str) -> None:
@@ -70,9 +70,9 @@
         self.near.other, self.far.other = self.far, self.near
 
     def finish(self, half: Half) -> None:
-        if half.conn.open:
-            half.conn.finish()
-        if not (self.near.conn.open or self.far.conn.open):
+        if half.conn.is_open:
+            half.conn.close_gracefully()
+        if not (self.near.conn.is_open or self.far.conn.is_open):
             self.relay.pairs.pop(self, None)
 
     def reset(self) -> None:
@@ -137,7 +137,7 @@
             except OSError:
                 return
             far = dial(self.far)
-            if isinstance(far, Fault):
+            if isinstance(far, AttemptFailure):
                 near.close()
             else:
                 self.pairs[Pair(self, near, far)] = None
--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -18,21 +18,23 @@
 class Http1:
     """What a node is made of where HTTP/1.1 is spoken on both sides."""
 
-    def clients(self, node: Node, most: int) -> ClientListener:
+    def make_listener(self, node: Node, most: int) -> ClientListener:
         return ClientListener(node.loop, node, most, Client)
 
-    def hosts(self, node: Node, most: int, dial: Dial) -> Hosts:
+    def make_pools(self, node: Node, most: int, dial: Dial) -> Hosts:
         return Hosts(
             node.loop, most, node.config.connect_timeout_us, node.config.idle_timeout_us, dial
         )
 
-    def under_way(self, node: Node) -> Iterator[MigratingRequest]:
+    def migrating_requests(self, node: Node) -> Iterator[MigratingRequest]:
         return request_migration.under_way(node)
 
-    def arrives(self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
+    def accept_migrated(
+        self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
+    ) -> None:
         request_migration.arrives(node, words, raw, socks)
 
-    def listing(self, node: Node, dial: Dial) -> Registry:
+    def make_discovery(self, node: Node, dial: Dial) -> Registry:
         return Registry(
-            node.loop, node.config.discovery, node.balancer.rng, node.on_list, node.note, dial
+            node.loop, node.config.discovery, node.balancer.rng, node.on_list, node.event_log, dial
         )
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -10,9 +10,16 @@
 from orchidgap.decisions.connection_demand import Need
 from orchidgap.http1.codec import LAST_CHUNK, AnswerReader, chunk
 from orchidgap.net import connection_pools
-from orchidgap.net.connection import Address, Connection, Fault, Reach, broken, dial
+from orchidgap.net.connection import (
+    Address,
+    AttemptFailure,
+    Connection,
+    SendProgress,
+    connect_failure_cause,
+    dial,
+)
 from orchidgap.net.loop import Loop, Timer
-from orchidgap.net.upstream_attempt import Taker, UpstreamAttempt
+from orchidgap.net.upstream_attempt import ResponseSink, UpstreamAttempt
 
 SWEEP = 1_000_000
 SETTLE = 5_000  # for so long after an answer a host may say more, that belongs to nobody
@@ -46,23 +53,23 @@
         self.idle_since = self.start = self.heard_at = self.wrote_at = 0
         self.start_idle = 0  # how long it had been idle when its attempt began
         self.chunked = False  # the body under way goes in chunks
-        self.taker: Taker | None = None  # of the answer, once it flows
+        self.taker: ResponseSink | None = None  # of the answer, once it flows
         self.attempt = attempt
-        self.conn = Connection(pool.hosts.loop, sock, self, opening=attempt is not None)
+        self.conn = Connection(pool.pools.loop, sock, self, opening=attempt is not None)
         self.timer: Timer | None = None
         if attempt:
-            attempt.link = self
-            self.timer = pool.hosts.loop.call_later(
-                pool.hosts.connect_within, self.ended, "never came up"
+            attempt.carrier = self
+            self.timer = pool.pools.loop.call_later(
+                pool.pools.connect_timeout_us, self.ended, "never came up"
             )
 
-    def reach(self) -> Reach:
-        if self.conn.opening or self.conn.taken == self.start:
-            return Reach.UNSENT
-        flows = self.attempt and self.attempt.flow and not self.attempt.flow.whole
-        return Reach.PARTLY if self.conn.out or flows else Reach.WHOLE
+    def reach(self) -> SendProgress:
+        if self.conn.connecting or self.conn.bytes_written == self.start:
+            return SendProgress.UNSENT
+        flows = self.attempt and self.attempt.upload and not self.attempt.upload.complete
+        return SendProgress.PARTIAL if self.conn.write_buffer or flows else SendProgress.COMPLETE
 
-    def drop(self, attempt: UpstreamAttempt) -> Reach:
+    def drop(self, attempt: UpstreamAttempt) -> SendProgress:
         """The host sees its connection close: there is no other way to tell it."""
         reach = self.reach()
         self.close()
@@ -76,42 +83,44 @@
             self.carry(self.attempt)
 
     def carry(self, attempt: UpstreamAttempt) -> None:
-        if not attempt.sender.wants(attempt.number):
+        if not attempt.owner.may_send(attempt.number):
             return self.spare(attempt)
-        self.attempt, attempt.link = attempt, self
-        now = self.pool.hosts.loop.now
-        self.start, self.heard_at, self.wrote_at = self.conn.taken, now, now
+        self.attempt, attempt.carrier = attempt, self
+        now = self.pool.pools.loop.now
+        self.start, self.heard_at, self.wrote_at = self.conn.bytes_written, now, now
         self.start_idle = now - self.idle_since if self.idle_since else 0
         bare = attempt.head.startswith(b"HEAD ")
         if bare or self.reader.bare:
             self.reader.renew(bare)
         else:
             self.reader.reset()
-        left = max(1, attempt.deadline_us - self.pool.hosts.loop.now)
+        left = max(1, attempt.deadline_us - self.pool.pools.loop.now)
         self.conn.send(attempt.head, b"Request-Timeout: %.3f\r\n\r\n" % (left / 1e6), attempt.body)
-        if attempt.flow and self.conn.open:
-            self.chunked = attempt.flow.length is None
-            self.conn.drained = attempt.flow.pace
-            attempt.flow.to(self)
+        if attempt.upload and self.conn.is_open:
+            self.chunked = attempt.upload.length is None
+            self.conn.on_drained = attempt.upload.update_backpressure
+            attempt.upload.send_to(self)
 
     def spare(self, attempt: UpstreamAttempt) -> None:
         """Nobody wants it any more, and nothing of it was written."""
-        self.attempt = attempt.link = None
-        self.idle_since = self.idle_since or self.pool.hosts.loop.now
+        self.attempt = attempt.carrier = None
+        self.idle_since = self.idle_since or self.pool.pools.loop.now
         self.pool.idle.append(self)
-        self.pool.hosts.loop.call_soon(attempt.settle, Fault(Reach.UNSENT, "cancelled").verdict)
+        self.pool.pools.loop.call_soon(
+            attempt.settle, AttemptFailure(SendProgress.UNSENT, "cancelled").outcome
+        )
 
     def put(self, parts: list[bytes], last: bool) -> None:
         if self.chunked:
             parts = chunk(parts) + ([LAST_CHUNK] if last else [])
-        if parts and self.conn.open:
+        if parts and self.conn.is_open:
             self.conn.send(*parts)
 
     def received(self, view: memoryview) -> None:
         if self.attempt is None:  # nobody asked: what it would answer next cannot be trusted
             return self.ended("spoke unasked")
         reader, message = self.reader, self.reader.message
-        self.heard_at = self.pool.hosts.loop.now
+        self.heard_at = self.pool.pools.loop.now
         if not reader.begun and self.too_soon():
             return self.ended("said before it can have been asked")
         reader.feed(view)
@@ -129,8 +138,8 @@
         elif message.large:
             self.begin(self.attempt)
         elif message.headed and message.length is None and not self.timer:
-            self.timer = self.pool.hosts.loop.call_later(
-                self.attempt.hold, self.begin, self.attempt
+            self.timer = self.pool.pools.loop.call_later(
+                self.attempt.response_hold_us, self.begin, self.attempt
             )
 
     def too_soon(self) -> bool:
@@ -154,11 +163,11 @@
         if self.attempt is not attempt or self.taker or self.reader.message.whole:
             return
         self.forget_timer()
-        taker = attempt.sender.begin(attempt.number)
+        taker = attempt.owner.start_streaming(attempt.number)
         if taker is None:
             return self.ended("not wanted")
         self.taker = taker
-        self.pool.hosts.flows[self] = None
+        self.pool.pools.flows[self] = None
         taker.begin(self.reader.message.length, self.conn)
         if self.taker:
             taker.give(self.reader.message.take())
@@ -168,13 +177,18 @@
         attempt, reader, message = self.attempt, self.reader, self.reader.message
         assert attempt
         body = b"".join(message.parts) if message.whole else b""
-        attempt.load = message.fields.get(b"server-load", b"")
+        attempt.load_report = message.fields.get(b"server-load", b"")
         if reader.bare:
             attempt.length = message.length
         lasts = (
             message.whole
             and message.lasts
-            and not (reader.extra or self.conn.out or attempt.flow and not attempt.flow.whole)
+            and not (
+                reader.extra
+                or self.conn.write_buffer
+                or attempt.upload
+                and not attempt.upload.complete
+            )
         )
         self.clear()
         if lasts:
@@ -188,19 +202,19 @@
         attempt, self.attempt = self.attempt, None
         if self.taker:
             self.taker = None
-            self.pool.hosts.flows.pop(self, None)
-            self.conn.hold(False)
+            self.pool.pools.flows.pop(self, None)
+            self.conn.pause_reading(False)
         if self.timer:
             self.forget_timer()
-        if attempt and attempt.flow:
-            self.conn.drained = None
-            attempt.flow.leave(self)
+        if attempt and attempt.upload:
+            self.conn.on_drained = None
+            attempt.upload.detach(self)
 
     def let_go(self) -> None:
         """It goes on in another process: nothing comes of its attempt here."""
         if self.attempt:
-            self.attempt.settled, self.attempt.link = True, None
-            self.attempt.flow = None
+            self.attempt.settled, self.attempt.carrier = True, None
+            self.attempt.upload = None
         self.close()
 
     def forget_timer(self) -> None:
@@ -216,8 +230,10 @@
                 return self.done("done")
             return self.done(verdict_of(self.reader.message.status, False))
         stale = attempt is not None and self.idle_since > 0 and not self.reader.begun
-        cause = "stale" if stale else broken(what) if self.conn.opening else "broken"
-        fault = Fault(self.reach(), cause, what)
+        cause = (
+            "stale" if stale else connect_failure_cause(what) if self.conn.connecting else "broken"
+        )
+        fault = AttemptFailure(self.reach(), cause, what)
         self.close()
         if (
             stale and self.start_idle > SHORT
@@ -226,7 +242,7 @@
                 self.pool.idle[0].close()
         if attempt:
             # not at once: this may be the decision's own call to send
-            self.pool.hosts.loop.call_soon(attempt.settle, fault.verdict)
+            self.pool.pools.loop.call_soon(attempt.settle, fault.outcome)
 
     def close(self) -> None:
         self.clear()
@@ -251,7 +267,7 @@
 class Pool(connection_pools.ConnectionPool[Link]):
     """The connections to one host, one dispatch at a time on each."""
 
-    hosts: Hosts
+    pools: Hosts
 
     def __init__(self, hosts: Hosts, address: Address) -> None:
         super().__init__(hosts, address)
@@ -260,10 +276,10 @@
         self.quickest = self.answers = 0  # the least time in which one came back, and of how many
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        self.need.saw(self.hosts.loop.now, len(self.links) - len(self.idle) + 1)
+        self.need.saw(self.pools.loop.now, len(self.links) - len(self.idle) + 1)
         while self.idle:
             link = self.idle.pop()
-            if self.worn(link) or link.conn.stale():
+            if self.worn(link) or link.conn.is_stale():
                 link.close()
                 continue
             return link.carry(attempt)
@@ -271,18 +287,18 @@
 
     def worn(self, link: Link) -> bool:
         """The host closes it at the limit at the latest, and what is written from then on is a reset."""
-        return self.hosts.loop.now - link.idle_since > self.hosts.idle_for * 9 // 10
+        return self.pools.loop.now - link.idle_since > self.pools.idle_for * 9 // 10
 
     def dial(self, attempt: UpstreamAttempt) -> None:
-        came = self.hosts.dial(self.address)
-        if isinstance(came, Fault):
-            return self.hosts.loop.call_soon(attempt.settle, came.verdict)
+        came = self.pools.dial(self.address)
+        if isinstance(came, AttemptFailure):
+            return self.pools.loop.call_soon(attempt.settle, came.outcome)
         self.add(Link(self, came, attempt))
 
     def rest(self, link: Link) -> None:
         if self.retired:
             return link.close()
-        link.idle_since = self.hosts.loop.now
+        link.idle_since = self.pools.loop.now
         self.idle.append(link)
 
     def forget(self, link: Link) -> None:
@@ -292,14 +308,14 @@
 
     def trim(self) -> None:
         """The host holds only so many, and other balancers may need them."""
-        keep = self.need.keep(self.hosts.loop.now)
+        keep = self.need.keep(self.pools.loop.now)
         while self.idle and (len(self.links) > keep or self.worn(self.idle[0])):
             self.idle[0].close()
 
     def retire(self) -> None:
         self.retired = True
         for link in list(self.links):
-            if link.attempt is None or link.conn.opening:
+            if link.attempt is None or link.conn.connecting:
                 link.ended("host drains")
 
 
@@ -310,49 +326,54 @@
         most: int,
         connect_within: int,
         idle_for: int,
-        dial: Callable[[Address], socket.socket | Fault] = dial,
+        dial: Callable[[Address], socket.socket | AttemptFailure] = dial,
     ) -> None:
         super().__init__(loop, most, connect_within, SWEEP, dial)
         self.idle_for = idle_for
         self.flows: dict[Link, None] = {}  # links whose answers flow
 
-    def bound(self, connect_within: int, idle_for: int) -> None:
-        super().bound(connect_within, idle_for)
+    def set_timeouts(self, connect_within: int, idle_for: int) -> None:
+        super().set_timeouts(connect_within, idle_for)
         self.idle_for = idle_for
 
-    def movable(self) -> list[tuple[Any, socket.socket, Callable[[], None]]]:
+    def transferable(self) -> list[tuple[Any, socket.socket, Callable[[], None]]]:
         return [
             ((id, *pool.address, link.idle_since), link.conn.sock, link.close)
-            for id, pool in self.pools.items()
+            for id, pool in self.by_host.items()
             if not pool.retired
             for link in pool.idle
-            if not pool.worn(link) and not link.conn.out
+            if not pool.worn(link) and not link.conn.write_buffer
         ]
 
-    def adopt(self, tag: Any, sock: socket.socket) -> None:
+    def adopt_connection(self, tag: Any, sock: socket.socket) -> None:
         id, host, port, idle_since = tag
-        pool = self.pools.get(id)
-        if pool is None or pool.retired or pool.address != (host, port) or self.count >= self.most:
+        pool = self.by_host.get(id)
+        if (
+            pool is None
+            or pool.retired
+            or pool.address != (host, port)
+            or self.connection_count >= self.max_connections
+        ):
             return sock.close()
         link = Link(pool, sock, None)
         link.idle_since = min(int(idle_since), self.loop.now)
         pool.add(link)
         pool.idle.append(link)
 
-    def make(self, address: Address) -> Pool:
+    def make_pool(self, address: Address) -> Pool:
         return Pool(self, address)
 
-    def shed(self) -> bool:
-        idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
+    def close_idle(self) -> bool:
+        idle = [pool.idle[0] for pool in self.by_host.values() if pool.idle]
         if idle:
             min(idle, key=lambda link: link.idle_since).close()
         return bool(idle)
 
     def sweep(self) -> None:
-        for pool in self.pools.values():
+        for pool in self.by_host.values():
             pool.trim()
         for link in list(self.flows):
-            if link.conn.holds:  # it waits for the client
+            if link.conn.read_paused:  # it waits for the client
                 link.heard_at = self.loop.now
             elif self.loop.now - link.heard_at > STALL:
                 link.ended("silence")
--- a/orchidgap/http1/discovery.py
+++ b/orchidgap/http1/discovery.py
@@ -10,8 +10,8 @@
 import orjson
 
 from orchidgap.http1.codec import AnswerReader
-from orchidgap.net.connection import Address, Connection, Fault, dial
-from orchidgap.net.endpoints import Entry, Place, decode_list
+from orchidgap.net.connection import Address, AttemptFailure, Connection, dial
+from orchidgap.net.endpoints import Endpoint, EndpointEntry, decode_list
 from orchidgap.net.loop import Loop, Timer
 
 # What discovery tells is to be here within 6 s, whatever calls fail on the way. A watch that fell silent is
@@ -34,9 +34,9 @@
         loop: Loop,
         address: Address,
         rng: Random,
-        heard: Callable[[bool, list[Entry], list[Place]], None],
+        heard: Callable[[bool, list[EndpointEntry], list[Endpoint]], None],
         log: Callable[..., None],
-        dial: Callable[[Address], socket.socket | Fault] = dial,
+        dial: Callable[[Address], socket.socket | AttemptFailure] = dial,
     ) -> None:
         self.loop, self.address, self.rng, self.heard, self.log = loop, address, rng, heard, log
         self.dialer = dial
@@ -55,13 +55,13 @@
             self.timer.cancel()
         self.timer = self.loop.call_later(delay, act, *args)
 
-    def ask(self) -> None:
+    def fetch(self) -> None:
         if self.out:
             return
-        if self.conn is None or not self.conn.open:
+        if self.conn is None or not self.conn.is_open:
             came = self.dialer(self.address)
-            if isinstance(came, Fault):
-                return self.ended(came.what)
+            if isinstance(came, AttemptFailure):
+                return self.ended(came.detail)
             self.reader = AnswerReader(MOST)
             self.conn = Connection(self.loop, came, self, opening=True)
         self.reader.reset()
@@ -80,7 +80,7 @@
         if address != self.address:
             self.drop()
             self.address, self.version, self.failures = address, None, 0
-            self.ask()
+            self.fetch()
 
     def opened(self) -> None:
         pass
@@ -119,7 +119,7 @@
         if whole or entries:
             self.heard(whole, entries, found)
         idle = self.wait and not entries and self.loop.now - self.asked_at < SHORTEST
-        self.set_timer(100_000 if idle else 0, self.ask)
+        self.set_timer(100_000 if idle else 0, self.fetch)
 
     def ended(self, what: str) -> None:
         """The list held still applies; ask again, at a random time, as others will."""
@@ -128,9 +128,9 @@
         if self.failures in (1, 10, 100):
             self.log("list lost", why=what, failures=self.failures)
         if what == SILENCE:
-            return self.set_timer(self.rng.randrange(GAP // 10, GAP), self.ask)
+            return self.set_timer(self.rng.randrange(GAP // 10, GAP), self.fetch)
         longest = min(LONGEST, FIRST << min(self.failures - 1, 6))
-        self.set_timer(self.rng.randrange(longest // 2, longest), self.ask)
+        self.set_timer(self.rng.randrange(longest // 2, longest), self.fetch)
 
     def drop(self) -> None:
         self.out = False
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -22,10 +22,10 @@
 
 def under_way(node: Node) -> Iterator[MigratingRequest]:
     """Those that can go now, each as it stands."""
-    for client in list(node.clients.open):
+    for client in list(node.clients.open_clients):
         assert isinstance(client, Client)
         if (
-            not client.conn.open
+            not client.conn.is_open
             or client.conn.closing
             or client.reader.behind
             or client.reader.extra
@@ -35,7 +35,11 @@
             moving = giving(node, client)
         elif client.flow:
             moving = flowing(node, client)
-        elif client.begun and not client.asked and client in node.clients.unasked:
+        elif (
+            client.request_begun
+            and not client.pending_request
+            and client in node.clients.awaiting_request
+        ):
             moving = begun(client)
         else:
             continue
@@ -51,16 +55,20 @@
 
 def giving(node: Node, client: Client) -> MigratingRequest | None:
     """An answer that flows to its client."""
-    exchange = client.asked
-    link = exchange.giving.link if isinstance(exchange, Exchange) and exchange.giving else None
+    exchange = client.pending_request
+    link = (
+        exchange.streaming_attempt.carrier
+        if isinstance(exchange, Exchange) and exchange.streaming_attempt
+        else None
+    )
     if not isinstance(exchange, Exchange) or not isinstance(link, Link) or link.reader.extra:
         return None
     message = client.reader.message
     rest = rest_of(link.reader.message, b"HTTP/%b 200 OK" % link.reader.message.version.encode())
-    if rest is None or not link.conn.open or link.conn.out or link.reader.message.parts:
+    if rest is None or not link.conn.is_open or link.conn.write_buffer or link.reader.message.parts:
         return None
     told = {
-        "name": exchange.name.decode("latin-1"),
+        "name": exchange.request_id.decode("latin-1"),
         "version": message.version,
         "lasts": message.lasts,
         "last": client.last,
@@ -70,28 +78,36 @@
     }
 
     def let_go() -> None:
-        exchange.let_go()
+        exchange.detach()
         link.let_go()
         client.let_go()
 
     return MigratingRequest(
-        ["answer", told], bytes(client.conn.out), [client.conn.sock, link.conn.sock], let_go
+        ["answer", told],
+        bytes(client.conn.write_buffer),
+        [client.conn.sock, link.conn.sock],
+        let_go,
     )
 
 
 def flowing(node: Node, client: Client) -> MigratingRequest | None:
     """A req whose body flows to a host, and is kept no more."""
-    exchange, flow = client.asked, client.flow
+    exchange, flow = client.pending_request, client.flow
     if (
         not isinstance(exchange, Exchange)
         or flow is None
-        or not flow.gone
-        or flow.whole
-        or exchange.over
+        or not flow.discarded
+        or flow.complete
+        or exchange.closed
     ):
         return None
     link = flow.sink
-    if not isinstance(link, Link) or not link.conn.open or link.conn.opening or link.reader.begun:
+    if (
+        not isinstance(link, Link)
+        or not link.conn.is_open
+        or link.conn.connecting
+        or link.reader.begun
+    ):
         return None
     message = client.reader.message
     rest = rest_of(message, b"PUT / HTTP/%b" % message.version.encode())
@@ -102,29 +118,29 @@
     ):
         return None
     told = {
-        "name": exchange.name.decode("latin-1"),
-        "left": exchange.left,
+        "name": exchange.request_id.decode("latin-1"),
+        "left": exchange.time_remaining_us,
         "size": message.size,
         "length": message.length,
         "chunked": link.chunked,
         "head": rest[0].decode("latin-1"),
-        "last_word": node.last_word(exchange.id),
+        "last_word": node.fallback_status(exchange.number),
         **place_of(exchange, link),
     }
 
     def let_go() -> None:
-        exchange.let_go()
+        exchange.detach()
         link.let_go()
         client.let_go()
-        node.decide(node.balancer.on_client_gone, exchange.id)
+        node.call_decisions(node.balancer.on_client_gone, exchange.number)
 
     return MigratingRequest(
-        ["upload", told], bytes(link.conn.out), [client.conn.sock, link.conn.sock], let_go
+        ["upload", told], bytes(link.conn.write_buffer), [client.conn.sock, link.conn.sock], let_go
     )
 
 
 def place_of(exchange: Exchange, link: Link) -> dict[str, Any]:
-    host = next((attempt.host for attempt in exchange.attempts if attempt.link is link), "")
+    host = next((attempt.host for attempt in exchange.attempts if attempt.carrier is link), "")
     return {"host": host, "at": link.pool.address}
 
 
@@ -136,15 +152,15 @@
         client = enter(node, socks[0])
         ends.append(client)
         if words[0] == "begun":
-            node.clients.await_req(client)
+            node.clients.await_request(client)
             client.received(memoryview(bytearray(raw)))
         else:
             link = link_to(node, words[1]["host"], words[1]["at"], socks[1])
             ends.append(link)
             go_on(node, words, raw, client, link)
-            if link.conn.open:
-                link.conn.ready(READ)
-        client.conn.ready(READ)
+            if link.conn.is_open:
+                link.conn.on_ready(READ)
+        client.conn.on_ready(READ)
     except Exception:
         for end in ends:
             end.close()
@@ -161,7 +177,9 @@
         memoryview(bytearray(told["head"].encode("latin-1"))),
     )
     if words[0] == "answer":
-        exchange = Exchange(node, node.number(), name, client, b"", b"", 0, None, timed=False)
+        exchange = Exchange(
+            node, node.next_request_number(), name, client, b"", b"", 0, None, timed=False
+        )
         attempt = link.attempt = attempt_of(exchange, told["host"], link, None)
         link.reader.feed(head)
         link.reader.message.take()
@@ -172,10 +190,10 @@
             str(told["version"]),
             bool(told["lasts"]),
         )
-        exchange.go_on(attempt, giving=True)
+        exchange.attach(attempt, giving=True)
         client.go_on_giving(exchange, link.conn, bool(told["chunked"]), bool(told["last"]), raw)
         link.taker = client
-        link.pool.hosts.flows[link] = None
+        link.pool.pools.flows[link] = None
     else:
         client.reader.feed(head)
         message = client.reader.message
@@ -183,31 +201,33 @@
         length = told["length"]
         message.size, message.length = int(told["size"]), None if length is None else int(length)
         flow = Upload(client.conn, message.length, KEPT)
-        flow.gone, flow.size = True, message.size
-        exchange = Exchange(node, node.number(), name, client, b"", b"", int(told["left"]), flow)
-        exchange.last_word = int(told["last_word"])
+        flow.discarded, flow.received_bytes = True, message.size
+        exchange = Exchange(
+            node, node.next_request_number(), name, client, b"", b"", int(told["left"]), flow
+        )
+        exchange.fallback_status = int(told["last_word"])
         attempt = link.attempt = attempt_of(exchange, told["host"], link, flow)
-        exchange.go_on(attempt, giving=False)
+        exchange.attach(attempt, giving=False)
         client.go_on_flowing(exchange, flow)
-        link.chunked, link.conn.drained = bool(told["chunked"]), flow.pace
+        link.chunked, link.conn.on_drained = bool(told["chunked"]), flow.update_backpressure
         if raw:
             link.conn.send(raw)
         flow.sink = link
-        flow.pace()
+        flow.update_backpressure()
 
 
 def enter(node: Node, sock: socket.socket) -> Client:
-    client = node.clients.make(node.clients, sock)
+    client = node.clients.make_client(node.clients, sock)
     assert isinstance(client, Client)
-    node.clients.open[client] = None
+    node.clients.open_clients[client] = None
     return client
 
 
 def link_to(node: Node, host: Any, at: Any, sock: socket.socket) -> Link:
     """In the pool of its host; in one that nothing else is sent on, where the list knows no such host."""
-    hosts, address = node.hosts, (str(at[0]), int(at[1]))
+    hosts, address = node.pools, (str(at[0]), int(at[1]))
     assert isinstance(hosts, Hosts)
-    pool = hosts.pools.get(str(host))
+    pool = hosts.by_host.get(str(host))
     if pool is None or pool.address != address:
         pool = Pool(hosts, address)
         pool.retired = True
@@ -219,6 +239,6 @@
 
 
 def attempt_of(exchange: Exchange, host: Any, link: Link, flow: Upload | None) -> UpstreamAttempt:
-    attempt = UpstreamAttempt(b"", b"", exchange.due, exchange, 0, str(host))
-    attempt.flow, attempt.link = flow, link
+    attempt = UpstreamAttempt(b"", b"", exchange.deadline_us, exchange, 0, str(host))
+    attempt.upload, attempt.carrier = flow, link
     return attempt
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -18,12 +18,21 @@
 class Client(ClientConnection):
     """One connection from a client; one of its reqs is under way at a time."""
 
-    movable = True
-    __slots__ = ("asked", "chunked", "flow", "giving", "last", "marked", "reader", "source")
+    is_transferable = True
+    __slots__ = (
+        "chunked",
+        "flow",
+        "giving",
+        "last",
+        "marked",
+        "pending_request",
+        "reader",
+        "source",
+    )
 
     def __init__(self, clients: ClientListener, sock: socket.socket) -> None:
         self.reader = codec.ReqReader()
-        self.asked: PendingRequest | None = None
+        self.pending_request: PendingRequest | None = None
         self.flow: Upload | None = None  # the body of the req under way, while it comes
         self.marked = 0  # how far the req had come when its time began anew
         self.giving = self.last = self.chunked = False  # of an answer that flows
@@ -31,25 +40,25 @@
         super().__init__(clients, sock)
 
     @property
-    def came(self) -> int:
+    def received_at_us(self) -> int:
         return self.reader.message.came
 
     @property
-    def begun(self) -> bool:
+    def request_begun(self) -> bool:
         return self.reader.begun
 
     def received(self, view: memoryview) -> None:
         reader = self.reader
-        if not reader.begun and self in self.clients.idle:
-            del self.clients.idle[self]
-            self.clients.await_req(self)
+        if not reader.begun and self in self.listener.idle:
+            del self.listener.idle[self]
+            self.listener.await_request(self)
         reader.feed(view)
-        reader.into.came = self.conn.came
+        reader.into.came = self.conn.received_at_us
         if reader.behind:
             for message in (reader.message, *reader.behind):
-                message.came = message.came or self.conn.came
+                message.came = message.came or self.conn.received_at_us
             if len(reader.behind) >= AHEAD:
-                self.conn.hold(True)
+                self.conn.pause_reading(True)
         self.step()
 
     def step(self) -> None:
@@ -57,12 +66,12 @@
         message = self.reader.message
         if self.flow:
             self.flow_on()
-        elif self.asked or self.giving:
+        elif self.pending_request or self.giving:
             return  # those behind wait for its answer
         elif message.trouble:
-            self.refuse(message.trouble)
+            self.reject(message.trouble)
         elif message.whole:
-            self.clients.unasked.pop(self, None)
+            self.listener.awaiting_request.pop(self, None)
             self.take()
         elif message.headed and message.large:
             self.take()
@@ -73,7 +82,7 @@
 
     def next(self) -> None:
         """The req behind the one that was answered."""
-        if self.conn.open and not self.conn.closing:
+        if self.conn.is_open and not self.conn.closing:
             self.step()
 
     def progress(self) -> None:
@@ -81,77 +90,85 @@
         message = self.reader.message
         if not self.marked or message.size - self.marked >= STEP:
             self.marked = max(1, message.size)
-            self.clients.await_req(self)
+            self.listener.await_request(self)
 
     def flow_on(self) -> None:
         message, flow = self.reader.message, self.flow
         assert flow
         if message.trouble:  # what is cut off here never runs
-            return self.stalled(message.trouble)
+            return self.on_stalled(message.trouble)
         if parts := message.take():
             flow.add(parts, message.whole)
         elif message.whole:
             flow.add([], True)
         if message.whole:
-            self.clients.unasked.pop(self, None)
+            self.listener.awaiting_request.pop(self, None)
             self.flow = None
-            if self.asked:
-                self.asked.body_came()
-        elif self.conn.holds:  # it is held up here
-            self.clients.unasked.pop(self, None)
+            if self.pending_request:
+                self.pending_request.on_body_complete()
+        elif self.conn.read_paused:  # it is held up here
+            self.listener.awaiting_request.pop(self, None)
         else:
             self.progress()
 
-    def stalled(self, status: int = 408) -> None:
-        asked, self.asked = self.asked, None
+    def on_stalled(self, status: int = 408) -> None:
+        asked, self.pending_request = self.pending_request, None
         if asked:
-            asked.hangup()
-        self.refuse(status)
+            asked.on_client_gone()
+        self.reject(status)
 
     def go_on(self) -> None:
         """What had been read has gone on to its host."""
         if self.flow:
-            self.flow.pace()
-            if not self.conn.holds and self not in self.clients.unasked:
-                self.clients.await_req(self)
+            self.flow.update_backpressure()
+            if not self.conn.read_paused and self not in self.listener.awaiting_request:
+                self.listener.await_request(self)
 
     def take(self) -> None:
-        if self.gone():  # while it waited to be let in, or for those before it
+        if self.has_disconnected():  # while it waited to be let in, or for those before it
             return
-        message, door, fields = self.reader.message, self.clients.door, self.reader.message.fields
+        message, door, fields = (
+            self.reader.message,
+            self.listener.handler,
+            self.reader.message.fields,
+        )
         try:
             first, key = codec.split(message.target)
         except httptools.HttpParserInvalidURLError:
-            return self.refuse(400)
+            return self.reject(400)
         method = message.method
         if message.version not in ("1.0", "1.1"):
-            return self.refuse(505)
+            return self.reject(505)
         if method not in (b"GET", b"PUT", b"HEAD"):
-            return self.refuse(405)
+            return self.reject(405)
         if (first, key) == ("up", b"") and method != b"PUT":
-            return self.answer(200 if door.ready() else 503)
+            return self.answer(200 if door.is_ready() else 503)
         rule_set = fields.get(b"request-class", first.encode()).decode(errors="replace")
-        if not door.knows(rule_set):
-            return self.refuse(404)
+        if not door.knows_request_class(rule_set):
+            return self.reject(404)
         left = codec.seconds(fields.get(b"request-timeout", b""))
         id = fields.get(b"request-id", b"")
         if not left or not id:
-            return self.refuse(400)
-        if door.holds(id):  # one answer would go to the wrong one, and hosts refuse the other
-            return self.refuse(409)
+            return self.reject(400)
+        if door.is_request_open(
+            id
+        ):  # one answer would go to the wrong one, and hosts refuse the other
+            return self.reject(409)
         tenant = fields.get(b"tenant", b"").decode(errors="replace")
         if message.whole:
             body = b"".join(message.take())
             head = codec.onward(method, message.target, fields, len(body))
-            return door.take(self, id, rule_set, left, method == b"PUT", key, tenant, head, body)
+            return door.handle_request(
+                self, id, rule_set, left, method == b"PUT", key, tenant, head, body
+            )
         if fields.pop(b"expect", b"") and message.version == "1.1" and not message.size:
             self.conn.send(codec.CONTINUE)
         self.flow = Upload(self.conn, message.length, codec.KEPT)
         self.flow.add(message.take(), False)
         self.marked = max(1, message.size)
-        self.clients.await_req(self)
+        self.listener.await_request(self)
         head = codec.onward(method, message.target, fields, message.length)
-        door.take(
+        door.handle_request(
             self, id, rule_set, left, method == b"PUT", key, tenant, head, b"", flow=self.flow
         )
 
@@ -161,12 +178,14 @@
         """Whether the answer to the oldest req is the last here. A req that has come behind it is taken: it
         would be lost with the connection, and has its answer first."""
         behind = self.reader.behind
-        return self.clients.last and not (behind and behind[0].whole and not behind[0].trouble)
+        return self.listener.closes_after_response and not (
+            behind and behind[0].whole and not behind[0].trouble
+        )
 
     def answer(
         self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
     ) -> None:
-        message, self.asked = self.reader.message, None
+        message, self.pending_request = self.reader.message, None
         last = self.leaves() or not (message.whole and message.lasts)
         head = codec.answer(
             status, len(body) if length is None else length, last, pause, message.version
@@ -184,20 +203,20 @@
             or length is None
             and not self.chunked
         )
-        self.conn.drained = self.read_on
+        self.conn.on_drained = self.read_on
         self.conn.send(codec.answer(200, length, self.last, 0, message.version))
 
     def give(self, parts: list[bytes]) -> None:
-        if parts and self.conn.open:
+        if parts and self.conn.is_open:
             self.conn.send(*(codec.chunk(parts) if self.chunked else parts))
-            if self.source and self.conn.out:
-                self.source.hold(True)
+            if self.source and self.conn.write_buffer:
+                self.source.pause_reading(True)
 
     # --- between two processes of this balancer
 
     def let_go(self) -> None:
         """It goes on elsewhere: nothing more is done with it here."""
-        self.asked = self.flow = self.source = None
+        self.pending_request = self.flow = self.source = None
         self.giving = False
         self.close()
 
@@ -205,7 +224,7 @@
         self, asked: PendingRequest, source: Connection, chunked: bool, last: bool, out: bytes
     ) -> None:
         """It comes from elsewhere, in the middle of an answer of which this was still to be written."""
-        self.asked, self.giving, self.source, self.chunked, self.last = (
+        self.pending_request, self.giving, self.source, self.chunked, self.last = (
             asked,
             True,
             source,
@@ -213,23 +232,28 @@
             last,
         )
         self.reader.begun = True
-        self.conn.drained = self.read_on
+        self.conn.on_drained = self.read_on
         if out:
             self.conn.send(out)
-        if self.conn.out:
-            source.hold(True)
+        if self.conn.write_buffer:
+            source.pause_reading(True)
 
     def go_on_flowing(self, asked: PendingRequest, flow: Upload) -> None:
         """It comes from elsewhere, in the middle of a req's body."""
-        self.asked, self.flow, self.marked = asked, flow, self.reader.message.size
-        self.clients.await_req(self)
+        self.pending_request, self.flow, self.marked = asked, flow, self.reader.message.size
+        self.listener.await_request(self)
 
     def read_on(self) -> None:
-        if self.source and self.source.open:
-            self.source.hold(False)
+        if self.source and self.source.is_open:
+            self.source.pause_reading(False)
 
     def end(self, whole: bool) -> None:
-        self.giving, self.source, self.asked, self.conn.drained = False, None, None, None
+        self.giving, self.source, self.pending_request, self.conn.on_drained = (
+            False,
+            None,
+            None,
+            None,
+        )
         if not whole:
             self.conn.reset()
             return self.close()
@@ -241,35 +265,35 @@
         """The oldest req has its answer."""
         reader = self.reader
         self.flow = None
-        if not self.conn.open:
+        if not self.conn.is_open:
             return
         if last:
-            self.clients.unasked.pop(self, None)
-            self.conn.hold(False)
-            return self.part()
+            self.listener.awaiting_request.pop(self, None)
+            self.conn.pause_reading(False)
+            return self.finish()
         reader.next()
         self.marked = 0
-        if self.conn.holds and len(reader.behind) < AHEAD:
-            self.conn.hold(False)
+        if self.conn.read_paused and len(reader.behind) < AHEAD:
+            self.conn.pause_reading(False)
         if reader.begun:
-            self.clients.await_req(self)
-            self.clients.loop.call_soon(self.next)
+            self.listener.await_request(self)
+            self.listener.loop.call_soon(self.next)
         else:
-            self.clients.idle[self] = None
-            self.clients.trim()
+            self.listener.idle[self] = None
+            self.listener.trim_idle()
 
-    def refuse(self, status: int) -> None:
-        self.clients.unasked.pop(self, None)
+    def reject(self, status: int) -> None:
+        self.listener.awaiting_request.pop(self, None)
         self.flow = None
-        if self.conn.open and not self.conn.closing:
-            self.conn.hold(False)
+        if self.conn.is_open and not self.conn.closing:
+            self.conn.pause_reading(False)
             self.conn.send(codec.answer(status, last=True))
-            self.part()
+            self.finish()
 
-    def quiet(self) -> bool:
-        return not (self.asked or self.giving) and super().quiet()
+    def is_quiet(self) -> bool:
+        return not (self.pending_request or self.giving) and super().is_quiet()
 
-    def hangup(self) -> None:
-        asked, self.asked = self.asked, None
+    def on_disconnect(self) -> None:
+        asked, self.pending_request = self.pending_request, None
         if asked:
-            asked.hangup()
+            asked.on_client_gone()
--- a/orchidgap/net/body_stream.py
+++ b/orchidgap/net/body_stream.py
@@ -8,7 +8,7 @@
 from orchidgap.net.connection import Connection
 
 
-class Sink(Protocol):
+class UploadSink(Protocol):
     """A connection to a host, as far as a body flows to it."""
 
     conn: Connection
@@ -24,63 +24,65 @@
     """
 
     __slots__ = (
-        "gone",
-        "keep",
+        "complete",
+        "discarded",
+        "kept_bytes",
         "length",
-        "on_gone",
+        "on_discarded",
         "parts",
-        "sent",
+        "received_bytes",
+        "sent_parts",
         "sink",
-        "size",
         "source",
-        "whole",
     )
 
     def __init__(self, source: Connection, length: int | None, keep: int) -> None:
         self.source, self.length = source, length
-        self.keep = keep  # bytes that are kept for another dispatch
-        self.on_gone: Callable[[], None] | None = None  # told once, when no other can have it
+        self.kept_bytes = keep  # bytes that are kept for another dispatch
+        self.on_discarded: Callable[[], None] | None = None  # told once, when no other can have it
         self.parts: list[bytes] = []
-        self.size = 0  # bytes that have come
-        self.sent = 0  # of the parts, those that the sink has been given
-        self.whole = self.gone = False
-        self.sink: Sink | None = None
+        self.received_bytes = 0  # bytes that have come
+        self.sent_parts = 0  # of the parts, those that the sink has been given
+        self.complete = self.discarded = False
+        self.sink: UploadSink | None = None
 
     def add(self, parts: list[bytes], whole: bool) -> None:
         """More of it has come; whether that was the last."""
         self.parts += parts
-        self.size += sum(map(len, parts))
-        self.whole = whole
+        self.received_bytes += sum(map(len, parts))
+        self.complete = whole
         self.push()
 
-    def to(self, sink: Sink) -> None:
+    def send_to(self, sink: UploadSink) -> None:
         """From its first byte on; only while it is not gone."""
-        self.sink, self.sent = sink, 0
+        self.sink, self.sent_parts = sink, 0
         self.push()
 
-    def leave(self, sink: Sink) -> None:
+    def detach(self, sink: UploadSink) -> None:
         """This sink takes no more of it."""
         if self.sink is sink:
             self.sink = None
-            self.pace()
+            self.update_backpressure()
 
     def push(self) -> None:
         sink = self.sink
-        if sink and (self.sent < len(self.parts) or self.whole):
-            parts, self.sent = self.parts[self.sent :], len(self.parts)
-            if self.size > self.keep and not self.gone:
-                self.gone = True
-                if self.on_gone:
-                    self.on_gone()
-            if self.gone:
-                self.parts, self.sent = [], 0
-            sink.put(parts, self.whole)
-        self.pace()
-
-    def pace(self) -> None:
+        if sink and (self.sent_parts < len(self.parts) or self.complete):
+            parts, self.sent_parts = self.parts[self.sent_parts :], len(self.parts)
+            if self.received_bytes > self.kept_bytes and not self.discarded:
+                self.discarded = True
+                if self.on_discarded:
+                    self.on_discarded()
+            if self.discarded:
+                self.parts, self.sent_parts = [], 0
+            sink.put(parts, self.complete)
+        self.update_backpressure()
+
+    def update_backpressure(self) -> None:
         """Read on only where what was read has gone on."""
-        if self.source.open:
+        if self.source.is_open:
             waits = (
-                bool(self.sink.conn.out) if self.sink else not self.gone and self.size >= self.keep
+                bool(self.sink.conn.write_buffer)
+                if self.sink
+                else not self.discarded and self.received_bytes >= self.kept_bytes
             )
-            self.source.hold(waits and not self.whole)
+            self.source.pause_reading(waits and not self.complete)
--- a/orchidgap/net/config.py
+++ b/orchidgap/net/config.py
@@ -13,7 +13,7 @@
 from orchidgap.decisions import config_compatibility
 from orchidgap.decisions.settings import ServiceSettings, SettingError
 from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import Entry, Place, decode_list, parse_address
+from orchidgap.net.endpoints import Endpoint, EndpointEntry, decode_list, parse_address
 
 SHORTEST_KEY = 16
 MOST_PEERS = 512
@@ -31,9 +31,9 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
+    descriptors: int
     memory_mb: int
-    known_endpoints: tuple[int, bool, list[Entry], list[Place]]
+    initial_endpoints: tuple[int, bool, list[EndpointEntry], list[Endpoint]]
     settings: ServiceSettings
     connect_timeout_us: int
     idle_timeout_us: int
@@ -42,27 +42,27 @@
     )
     admin: Address | None = None  # where operators call, if they may
     shadow_settings: ServiceSettings | None = None  # terms that are to be watched, not gone by
-    shape: Mapping[str, str] = {}  # which keys the file had, with the kinds of their values
+    key_shapes: Mapping[str, str] = {}  # which keys the file had, with the kinds of their values
     control: Mapping[str, Any] | None = (
         None  # where the settings come from control: its part of the file
     )
-    pool: Mapping[str, Any] | None = (
+    gossip: Mapping[str, Any] | None = (
         None  # where balancers tell each other counts: its part of the file
     )
 
 
-def flat(tree: Any, path: str = "") -> Iterator[tuple[str, str]]:
+def flatten(tree: Any, path: str = "") -> Iterator[tuple[str, str]]:
     """
-    >>> dict(flat({"a": {"b": 1, "c": True}, "d": [{"e": "x y"}], "f": ["u", "v,w"], "g": None, "h": []}))
+    >>> dict(flatten({"a": {"b": 1, "c": True}, "d": [{"e": "x y"}], "f": ["u", "v,w"], "g": None, "h": []}))
     {'a.b': '1', 'a.c': 'true', 'd.count': '1', 'd.0.e': 'x y', 'f': 'u,v_w', 'h': ''}
     """
     if isinstance(tree, Mapping):
         for name, branch in tree.items():
-            yield from flat(branch, f"{path}.{name}" if path else name)
+            yield from flatten(branch, f"{path}.{name}" if path else name)
     elif isinstance(tree, list) and any(isinstance(branch, Mapping) for branch in tree):
         yield f"{path}.count", str(len(tree))
         for i, branch in enumerate(tree):
-            yield from flat(branch, f"{path}.{i}")
+            yield from flatten(branch, f"{path}.{i}")
     elif isinstance(tree, list):
         yield path, ",".join(str(leaf).replace(",", "_") for leaf in tree)
     elif tree is not None:
@@ -100,7 +100,7 @@
     except ValueError as trouble:
         raise ConfigError(f"{path} is not JSON: {trouble}") from None
     try:
-        return station(told, before)
+        return config_from_document(told, before)
     except SettingError as trouble:
         raise ConfigError(f"{path}: {trouble}") from None
     except KeyError as trouble:
@@ -124,7 +124,7 @@
     if not isinstance(watch, Mapping) or not isinstance(watch.get("settings"), Mapping):
         raise SettingError("watch.settings must be an object")
     try:
-        watched = ServiceSettings.from_pairs({**pairs, **dict(flat(watch["settings"]))})
+        watched = ServiceSettings.from_pairs({**pairs, **dict(flatten(watch["settings"]))})
     except SettingError as trouble:
         raise SettingError(f"watch: {trouble}") from None
     if missing := set(terms.request_classes) - set(watched.request_classes):
@@ -182,17 +182,17 @@
     return {"listen": listen, "peers": peers, "key": part["key"], "gap": gap * 1000}
 
 
-def station(told: Any, before: BalancerConfig | None = None) -> BalancerConfig:
+def config_from_document(told: Any, before: BalancerConfig | None = None) -> BalancerConfig:
     if not isinstance(told, Mapping):
         raise ValueError("an object was expected")
     shape = config_compatibility.shape(told)
     if before and (
         lack := config_compatibility.lacks(
-            before.shape, shape, config_compatibility.empty_lists(told)
+            before.key_shapes, shape, config_compatibility.empty_lists(told)
         )
     ):
         raise SettingError(lack)
-    pairs = dict(flat(told["settings"]))
+    pairs = dict(flatten(told["settings"]))
     terms = ServiceSettings.from_pairs(pairs)
     limits = told.get("limits") or {}
     most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/orchidgap/net/endpoints.py
+++ b/orchidgap/net/endpoints.py
@@ -9,8 +9,8 @@
 
 STATES = {"Ready": "up", "Terminating": "draining", "Gone": "gone"}
 
-Entry = tuple[str, str, int, str, str, str, float]
-Place = tuple[str, str, Address]  # id, state, where
+EndpointEntry = tuple[str, str, int, str, str, str, float]
+Endpoint = tuple[str, str, Address]  # id, state, where
 
 
 def parse_address(text: str) -> Address:
@@ -32,7 +32,7 @@
     return host, int(port)
 
 
-def decode_list(told: Any) -> tuple[int, bool, list[Entry], list[Place]]:
+def decode_list(told: Any) -> tuple[int, bool, list[EndpointEntry], list[Endpoint]]:
     """The version, whether the list is whole, its entries, and where each host is found.
 
     One odd entry must not keep the balancer on an old list: a host in a state that has no name here, or at no
--- a/orchidgap/net/event_log.py
+++ b/orchidgap/net/event_log.py
@@ -39,7 +39,7 @@
         except OSError:
             self.dropped += 1
 
-    def trouble(self, trouble: Exception) -> None:
+    def exception(self, trouble: Exception) -> None:
         last = traceback.extract_tb(trouble.__traceback__)[-4:]
         self(
             "fault",
--- a/orchidgap/net/handover.py
+++ b/orchidgap/net/handover.py
@@ -20,7 +20,7 @@
 
 from orchidgap.decisions import warm_snapshot
 from orchidgap.net.config import ConfigError
-from orchidgap.net.connection import SHORT
+from orchidgap.net.connection import OUT_OF_RESOURCES_ERRNOS
 from orchidgap.net.loop import READ, WRITE, Loop
 
 if TYPE_CHECKING:
@@ -34,11 +34,14 @@
 ESTATE_WITHIN = 1_500_000  # for the other process to tell what it knows; then it is done without
 TICK = 5_000  # how often each tells the other what it holds
 LEAST = 64  # descriptors that a newcomer is left in any case
-LATER = SHORT | {errno.ETOOMANYREFS, errno.EMSGSIZE}  # not now, and perhaps not at all
+LATER = OUT_OF_RESOURCES_ERRNOS | {
+    errno.ETOOMANYREFS,
+    errno.EMSGSIZE,
+}  # not now, and perhaps not at all
 CREDENTIALS = struct.Struct("3i")
 
 
-def inherited(number: str) -> socket.socket:
+def inherited_listener(number: str) -> socket.socket:
     """The listening socket that this process was given, by its descriptor's number. Raises ConfigError."""
     try:
         listener = socket.socket(fileno=int(number))
@@ -66,7 +69,7 @@
     let_go: Callable[[], None]  # called once they have gone
 
 
-class Passage:
+class PacketChannel:
     """Packets between two processes, with the descriptors that go with them. Each is a line that holds a list
     (a word and more), and what is behind that line."""
 
@@ -170,11 +173,11 @@
     """The other process, as far as it has told."""
 
     def __init__(self) -> None:
-        self.passage: Passage
-        self.names: set[str] = set()  # ids of the reqs that are open there
-        self.outs: dict[str, int] = {}  # by host: its dispatches that are out
+        self.channel: PacketChannel
+        self.open_request_ids: set[str] = set()  # ids of the reqs that are open there
+        self.in_flight: dict[str, int] = {}  # by host: its dispatches that are out
         self.told: tuple[set[str], dict[str, int], int] = (set(), {}, 0)  # what it was told last
-        self.serves = False
+        self.is_serving = False
 
 
 class Handover:
@@ -185,10 +188,10 @@
     ) -> None:
         """`folder` is common to all processes of this balancer; `shared` where they share its listener."""
         self.loop, self.node, self.shared = loop, node, shared
-        self.elder: SiblingProcess | None = None
-        self.heir: SiblingProcess | None = None
-        self.on = False  # there is another process
-        self.waiting = False  # for what the elder knows
+        self.predecessor: SiblingProcess | None = None
+        self.successor: SiblingProcess | None = None
+        self.active = False  # there is another process
+        self.awaiting_snapshot = False  # for what the elder knows
         name = f"orchidgap-{crc32(node.config.name.encode()):08x}"
         self.path = os.path.join(folder, name) if folder else ""
         self.listener: socket.socket | None = None
@@ -197,14 +200,14 @@
 
     # --- how they find each other
 
-    def begin(self) -> None:
+    def find_predecessor(self) -> None:
         """Look for a process that serves already. Where that could not be seen, both must do with half."""
         if not self.shared:
             return
         if not (self.path and os.path.isdir(os.path.dirname(self.path))):
-            half = self.node.config.sockets // 2
-            self.node.note("companion unseen", why="no folder that both see", descriptors=half)
-            return self.node.allot(half)
+            half = self.node.config.descriptors // 2
+            self.node.event_log("companion unseen", why="no folder that both see", descriptors=half)
+            return self.node.set_descriptor_limit(half)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             with At(self.path) as path:
@@ -212,24 +215,24 @@
                 sock.connect(path)
         except OSError:  # nobody there, or nobody who answers
             return sock.close()
-        self.call(sock)
+        self.join_predecessor(sock)
 
-    def call(self, sock: socket.socket) -> None:
+    def join_predecessor(self, sock: socket.socket) -> None:
         """There is one: it lets clients in until this one can."""
-        self.elder, self.on = (kin := SiblingProcess()), True
-        kin.passage = Passage(self.loop, sock, self.from_elder, self.elder_gone)
-        self.waiting = True
-        self.node.clients.look_away()
-        self.node.allot(LEAST)
-        kin.passage.send("hello", FORM, self.node.config.name)
+        self.predecessor, self.active = (kin := SiblingProcess()), True
+        kin.channel = PacketChannel(self.loop, sock, self.from_elder, self.elder_gone)
+        self.awaiting_snapshot = True
+        self.node.clients.leave_listener()
+        self.node.set_descriptor_limit(LEAST)
+        kin.channel.send("hello", FORM, self.node.config.name)
         self.loop.call_later(ESTATE_WITHIN, self.wait_no_more)
         self.tick()
 
-    def serves(self) -> None:
+    def announce_serving(self) -> None:
         """From now on clients come here, and a newer process finds this one."""
-        self.node.clients.look_back()
-        if self.elder:
-            self.elder.passage.send("serving")
+        self.node.clients.return_to_listener()
+        if self.predecessor:
+            self.predecessor.channel.send("serving")
         if self.path and self.shared and not self.listener:
             listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
             try:
@@ -242,7 +245,9 @@
                 os.replace(f"{self.path}.{os.getpid()}", self.path)
             except OSError as trouble:
                 listener.close()
-                return self.node.note("companion unseen", why=f"{self.path}: {trouble.strerror}")
+                return self.node.event_log(
+                    "companion unseen", why=f"{self.path}: {trouble.strerror}"
+                )
             self.listener = listener
             self.loop.watch(listener, READ, self.accept)
 
@@ -256,54 +261,58 @@
             if CREDENTIALS.unpack(who)[1] != os.getuid():
                 sock.close()
                 continue
-            self.called(sock)
+            self.accept_successor(sock)
 
-    def called(self, sock: socket.socket) -> None:
+    def accept_successor(self, sock: socket.socket) -> None:
         """A newer process is there. Should there have been one before, it has failed."""
-        if self.heir:
-            self.heir.passage.end("another came")
-        self.heir, self.on = (kin := SiblingProcess()), True
-        kin.passage = Passage(self.loop, sock, self.from_heir, self.heir_gone)
+        if self.successor:
+            self.successor.channel.end("another came")
+        self.successor, self.active = (kin := SiblingProcess()), True
+        kin.channel = PacketChannel(self.loop, sock, self.from_heir, self.heir_gone)
 
     # --- what they say
 
     def from_heir(self, words: list[Any], raw: bytes, fds: list[int]) -> None:
-        kin, node = self.heir, self.node
+        kin, node = self.successor, self.node
         assert kin
         if words[0] == "hello":
             if words[1:] != [FORM, node.config.name]:
                 raise ValueError(f"not of this balancer: {words!r}")
-            node.note("heir found", reqs=len(node.reqs), clients=len(node.clients.open))
+            node.event_log(
+                "heir found", reqs=len(node.exchanges), clients=len(node.clients.open_clients)
+            )
             self.bound()
-            kin.passage.send("room", node.config.sockets - node.descriptors)
-            ids = list(node.fleet)
+            kin.channel.send("room", node.config.descriptors - node.descriptor_limit)
+            ids = list(node.endpoints)
             for at in range(0, len(ids), PART):
-                kin.passage.send("list", [[*node.fleet[id]] for id in ids[at : at + PART]])
+                kin.channel.send("list", [[*node.endpoints[id]] for id in ids[at : at + PART]])
             known = (
                 warm_snapshot.export_snapshot(node.balancer)
-                if node.has_estate
+                if node.has_warm_state
                 else {"hosts": {}, "tenants": {}}
             )
             hosts = list(known["hosts"].items())
             for at in range(0, len(hosts), PART):
-                kin.passage.send("estate", dict(hosts[at : at + PART]))
-            kin.passage.send("all", known["tenants"])
+                kin.channel.send("estate", dict(hosts[at : at + PART]))
+            kin.channel.send("all", known["tenants"])
             self.tick()
         elif words[0] == "serving":
-            kin.serves = True
-            node.life.follow(True)
-            node.clients.look_away()
-            node.note("heir serves", reqs=len(node.reqs), clients=len(node.clients.open))
+            kin.is_serving = True
+            node.lifecycle.follow(True)
+            node.clients.leave_listener()
+            node.event_log(
+                "heir serves", reqs=len(node.exchanges), clients=len(node.clients.open_clients)
+            )
         elif words[0] == "now":
             self.hear(kin, *words[1:])
         else:
             raise ValueError(f"what is {words[0]!r}?")
 
     def from_elder(self, words: list[Any], raw: bytes, fds: list[int]) -> None:
-        kin, node = self.elder, self.node
+        kin, node = self.predecessor, self.node
         assert kin
         if words[0] == "room":
-            node.allot(max(LEAST, min(int(words[1]), node.config.sockets)))
+            node.set_descriptor_limit(max(LEAST, min(int(words[1]), node.config.descriptors)))
         elif words[0] == "list":
             for entry, (id, state, (host, port)) in words[1]:
                 if [type(value) for value in entry[:6]] != [str, str, int, str, str, str] or len(
@@ -317,16 +326,18 @@
         elif words[0] == "estate":
             self.known.update(words[1])
         elif words[0] == "all":
-            if self.waiting:
+            if self.awaiting_snapshot:
                 self.inherit(words[1])
         elif words[0] == "clients":
             for fd in fds:
-                node.clients.adopt(socket.socket(fileno=os.dup(fd)))
+                node.clients.adopt_connection(socket.socket(fileno=os.dup(fd)))
         elif words[0] == "links":
             for fd, tag in zip(fds, words[1]):
-                node.hosts.adopt(tag, socket.socket(fileno=os.dup(fd)))
+                node.pools.adopt_connection(tag, socket.socket(fileno=os.dup(fd)))
         elif words[0] in ("begun", "answer", "upload"):
-            node.parts.arrives(node, words, raw, [socket.socket(fileno=os.dup(fd)) for fd in fds])
+            node.protocol.accept_migrated(
+                node, words, raw, [socket.socket(fileno=os.dup(fd)) for fd in fds]
+            )
         elif words[0] == "now":
             self.hear(kin, *words[1:])
         else:
@@ -339,85 +350,89 @@
             entries, found = zip(*self.fleet.values())
             node.on_list(True, list(entries), list(found))
         taken = 0
-        if node.has_estate:
+        if node.has_warm_state:
             node.balancer.now = self.loop.now
             taken = warm_snapshot.restore_snapshot(
                 node.balancer, {"hosts": self.known, "tenants": tenants}
             )
         self.fleet, self.known = {}, {}
-        node.note("estate taken", hosts=taken)
+        node.event_log("estate taken", hosts=taken)
         self.wait_no_more()
 
     def hear(
         self, kin: SiblingProcess, added: list[str], gone: list[str], outs: dict[str, int]
     ) -> None:
-        kin.names.update(added)
-        kin.names.difference_update(gone)
-        if outs != kin.outs:
-            kin.outs = {str(id): int(out) for id, out in outs.items()}
+        kin.open_request_ids.update(added)
+        kin.open_request_ids.difference_update(gone)
+        if outs != kin.in_flight:
+            kin.in_flight = {str(id): int(out) for id, out in outs.items()}
             self.weigh()
 
     def weigh(self) -> None:
         """What other processes have out at a host counts there."""
         outs: dict[str, int] = {}
         for kin in self.kin():
-            for id, out in kin.outs.items():
+            for id, out in kin.in_flight.items():
                 outs[id] = outs.get(id, 0) + out
-        self.node.decide(self.node.balancer.on_sibling_in_flight, outs)
+        self.node.call_decisions(self.node.balancer.on_sibling_in_flight, outs)
 
     # --- what each keeps telling
 
     def kin(self) -> Iterable[SiblingProcess]:
-        return [kin for kin in (self.elder, self.heir) if kin]
+        return [kin for kin in (self.predecessor, self.successor) if kin]
 
-    def holds(self, id: bytes) -> bool:
+    def is_request_open(self, id: bytes) -> bool:
         """Whether a req of this id is open in another process."""
         name = id.decode("latin-1")
-        return any(name in kin.names for kin in self.kin())
+        return any(name in kin.open_request_ids for kin in self.kin())
 
     def tick(self) -> None:
         """As long as there is another process."""
         kins = self.kin()
         if not kins:
             return
-        names = {name.decode("latin-1") for name in self.node.names}
+        names = {name.decode("latin-1") for name in self.node.open_request_ids}
         outs = {
             host.id: host.in_flight for host in self.node.balancer.hosts.values() if host.in_flight
         }
-        if self.heir:
+        if self.successor:
             self.bound()
         for kin in kins:
-            room = self.node.config.sockets - self.node.descriptors if kin is self.heir else 0
+            room = (
+                self.node.config.descriptors - self.node.descriptor_limit
+                if kin is self.successor
+                else 0
+            )
             if (names, outs, room) != kin.told:
                 if room != kin.told[2]:
-                    kin.passage.send("room", room)
-                kin.passage.send(
+                    kin.channel.send("room", room)
+                kin.channel.send(
                     "now", sorted(names - kin.told[0]), sorted(kin.told[0] - names), outs
                 )
                 kin.told = names, outs, room
-        if self.heir and self.node.life.hands_over:
+        if self.successor and self.node.lifecycle.hands_over:
             self.hand()
         self.loop.call_later(TICK, self.tick)
 
     def bound(self) -> None:
         """While a newer process is there, this one keeps what it holds, or half; the other has the rest."""
         node = self.node
-        total, held = node.config.sockets, node.holding()
-        half = 0 if node.life.hands_over else total // 2
-        node.allot(min(total - LEAST, max(half, held + 8)))
+        total, held = node.config.descriptors, node.descriptors_needed()
+        half = 0 if node.lifecycle.hands_over else total // 2
+        node.set_descriptor_limit(min(total - LEAST, max(half, held + 8)))
 
     def hand(self) -> None:
         """Connections on which no req is go over as they are."""
-        assert self.heir
-        passage = self.heir.passage
-        clients = self.node.clients.movable()
+        assert self.successor
+        passage = self.successor.channel
+        clients = self.node.clients.transferable()
         for at in range(0, len(clients), AT_ONCE):
             group = clients[at : at + AT_ONCE]
             if not passage.hand(["clients"], [client.conn.sock for client in group]):
                 return
             for client in group:
                 client.close()
-        links = self.node.hosts.movable()
+        links = self.node.pools.transferable()
         for at in range(0, len(links), AT_ONCE):
             some = links[at : at + AT_ONCE]
             if not passage.hand(
@@ -426,7 +441,7 @@
                 return
             for _, _, close in some:
                 close()
-        for moving in self.node.parts.under_way(self.node):
+        for moving in self.node.protocol.migrating_requests(self.node):
             if not passage.hand(moving.words, moving.socks, moving.raw):
                 return
             moving.let_go()
@@ -434,40 +449,44 @@
     # --- how they part
 
     def wait_no_more(self) -> None:
-        if self.waiting:
-            self.waiting = False
-            self.node.able()
+        if self.awaiting_snapshot:
+            self.awaiting_snapshot = False
+            self.node.check_ready()
 
     def elder_gone(self, why: str) -> None:
-        self.node.note("elder gone", why=why, reqs=len(self.elder.names) if self.elder else 0)
-        self.elder = None
-        self.waiting, waited = False, self.waiting
+        self.node.event_log(
+            "elder gone",
+            why=why,
+            reqs=len(self.predecessor.open_request_ids) if self.predecessor else 0,
+        )
+        self.predecessor = None
+        self.awaiting_snapshot, waited = False, self.awaiting_snapshot
         self.alone()
-        self.node.clients.look_back()
+        self.node.clients.return_to_listener()
         if waited:
-            self.node.able()
+            self.node.check_ready()
 
     def heir_gone(self, why: str) -> None:
         """It failed, or left before this one did: all is as before it came."""
-        self.node.note("heir gone", why=why)
-        self.heir = None
-        self.node.life.follow(False)
+        self.node.event_log("heir gone", why=why)
+        self.successor = None
+        self.node.lifecycle.follow(False)
         self.alone()
-        self.node.clients.look_back()
+        self.node.clients.return_to_listener()
 
     def alone(self) -> None:
-        self.on = bool(self.kin())
-        if not self.on:
-            self.node.allot(self.node.config.sockets)
+        self.active = bool(self.kin())
+        if not self.active:
+            self.node.set_descriptor_limit(self.node.config.descriptors)
         self.weigh()
 
     def close(self) -> None:
         """This process ends."""
         for kin in self.kin():
-            kin.passage.close()
+            kin.channel.close()
         if self.listener:
             with suppress(OSError):
-                if not self.heir:  # else the file is the heir's by now
+                if not self.successor:  # else the file is the heir's by now
                     os.unlink(self.path)
             self.loop.unwatch(self.listener)
             self.listener.close()
--- a/orchidgap/net/loop.py
+++ b/orchidgap/net/loop.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
-LONGEST = 1_000_000  # of one wait
+MAX_WAIT_US = 1_000_000  # of one wait
 AT_ONCE = 1_000  # a wait shorter than this found something that was there before
 
 
@@ -27,13 +27,16 @@
 
 
 class Timer:
-    __slots__ = ("act", "args")
+    __slots__ = (
+        "args",
+        "callback",
+    )
 
     def __init__(self, act: Callable[..., None] | None, args: tuple[Any, ...]) -> None:
-        self.act, self.args = act, args
+        self.callback, self.args = act, args
 
     def cancel(self) -> None:
-        self.act, self.args = None, ()
+        self.callback, self.args = None, ()
 
 
 class Loop:
@@ -48,18 +51,20 @@
     def __init__(
         self,
         clock: Callable[[], int] | None = None,
-        trouble: Callable[[Exception], None] | None = None,
+        on_error: Callable[[Exception], None] | None = None,
     ) -> None:
         self.clock = clock or system_clock()
-        self.on_error = trouble  # told of what escapes a call; without it the loop ends
+        self.on_error = on_error  # told of what escapes a call; without it the loop ends
         self.selector = selectors.DefaultSelector()
-        self.first: set[Callable[[int], None]] = set()  # whose turn comes before all others'
+        self.priority_callbacks: set[Callable[[int], None]] = (
+            set()
+        )  # whose turn comes before all others'
         self.timers: list[tuple[int, int, Timer]] = []
-        self.next: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
-        self.count = 0
+        self.soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
+        self.timer_count = 0
         self.running = True
-        self.longest = 0  # microseconds that one round has taken, but for its wait
-        self.now = self.looked = self.since = (
+        self.longest_turn_us = 0  # microseconds that one round has taken, but for its wait
+        self.now = self.last_poll_us = self.ready_since_us = (
             self.clock()
         )  # since: nothing that is ready now was so before
         self.buffer = memoryview(bytearray(1 << 16))  # what is read stands here until the next read
@@ -69,7 +74,7 @@
     ) -> None:
         self.selector.register(sock, mask, act)
         if first:
-            self.first.add(act)
+            self.priority_callbacks.add(act)
 
     def rewatch(self, sock: socket.socket, mask: int, act: Callable[[int], None]) -> None:
         self.selector.modify(sock, mask, act)
@@ -82,44 +87,44 @@
 
     def call_at(self, when: int, act: Callable[..., None], *args: Any) -> Timer:
         timer = Timer(act, args)
-        self.count += 1
-        heappush(self.timers, (when, self.count, timer))
+        self.timer_count += 1
+        heappush(self.timers, (when, self.timer_count, timer))
         return timer
 
     def call_soon(self, act: Callable[..., None], *args: Any) -> None:
         """After the call under way: what comes of a dispatch must not run into the decision to send it."""
-        self.next.append((act, args))
+        self.soon.append((act, args))
 
     def run(self) -> None:
         while self.running:
             self.run_once()
 
-    def run_once(self, longest: int = LONGEST) -> None:
+    def run_once(self, longest: int = MAX_WAIT_US) -> None:
         """One round. What is ready comes before what is due: an answer that is there beats its time-out."""
         entered = self.clock()
-        wait = 0 if self.next else longest
+        wait = 0 if self.soon else longest
         if self.timers:
             wait = max(0, min(wait, self.timers[0][0] - entered))
         events = self.selector.select(wait / 1e6)
         now = self.clock()
-        self.since = self.looked if now - entered < AT_ONCE else now
-        self.now = self.looked = now
-        if self.first and len(events) > 1:
-            events.sort(key=lambda event: event[0].data not in self.first)
+        self.ready_since_us = self.last_poll_us if now - entered < AT_ONCE else now
+        self.now = self.last_poll_us = now
+        if self.priority_callbacks and len(events) > 1:
+            events.sort(key=lambda event: event[0].data not in self.priority_callbacks)
         for key, mask in events:
-            self.call(key.data, mask)
+            self.run_callback(key.data, mask)
         self.now = self.clock()
         while self.timers and self.timers[0][0] <= self.now:
             timer = heappop(self.timers)[2]
-            if timer.act is not None:
-                self.call(timer.act, *timer.args)
-        for _ in range(len(self.next)):
-            act, args = self.next.popleft()
-            self.call(act, *args)
-        if (took := self.clock() - self.looked) > self.longest:
-            self.longest = took
-
-    def call(self, act: Callable[..., None], *args: Any) -> None:
+            if timer.callback is not None:
+                self.run_callback(timer.callback, *timer.args)
+        for _ in range(len(self.soon)):
+            act, args = self.soon.popleft()
+            self.run_callback(act, *args)
+        if (took := self.clock() - self.last_poll_us) > self.longest_turn_us:
+            self.longest_turn_us = took
+
+    def run_callback(self, act: Callable[..., None], *args: Any) -> None:
         try:
             act(*args)
         except Exception as trouble:  # one call that fails must not end all others
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -14,13 +14,13 @@
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.client_listener import ClientListener, Responder
 from orchidgap.net.config import BalancerConfig
-from orchidgap.net.connection import Address, Fault, dial
+from orchidgap.net.connection import Address, AttemptFailure, dial
 from orchidgap.net.connection_pools import ConnectionPools
-from orchidgap.net.endpoints import Entry, Place
+from orchidgap.net.endpoints import Endpoint, EndpointEntry
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.handover import Handover, MigratingRequest
 from orchidgap.net.loop import Loop, Timer
-from orchidgap.net.upstream_attempt import Taker, UpstreamAttempt, loads
+from orchidgap.net.upstream_attempt import ResponseSink, UpstreamAttempt, parse_load_report
 
 GUARD = 20_000  # the answer is out this long before the client timeout: a timer can be late
 FIRST_LIST = 1_000_000  # for discovery to tell its list before a new process serves
@@ -29,17 +29,17 @@
 )
 TICK = 10_000
 # of what a new file may bring
-AT_NEXT_START = (
-    "name",
-    "listen",
-    "sockets",
-    "memory_mb",
-    "resp",
-    "admin",
-    "shadow_settings",
-    "control",
-    "pool",
-)
+AT_NEXT_START = {
+    "name": "name",
+    "listen": "listen",
+    "descriptors": "sockets",
+    "memory_mb": "memory_mb",
+    "resp": "resp",
+    "admin": "admin",
+    "shadow_settings": "watched",
+    "control": "control",
+    "gossip": "pool",
+}
 LONG_KEY = 32
 SPARE = 48  # descriptors for all but clients and hosts, and for clients turned away
 HELD_KB = (
@@ -48,9 +48,9 @@
 BASE_MB = 16  # what the program itself needs (11 measured), with room to spare
 
 
-def number_of(key: bytes) -> int | None:
+def key_number(key: bytes) -> int | None:
     """
-    >>> number_of(b""), number_of(b"a1"), number_of(b"x" * 33) < 1 << 128
+    >>> key_number(b""), key_number(b"a1"), key_number(b"x" * 33) < 1 << 128
     (None, 24881, True)
     """
     if (
@@ -67,17 +67,17 @@
         "attempts",
         "body",
         "client",
-        "due",
-        "flow",
-        "giving",
+        "closed",
+        "deadline_timer",
+        "deadline_us",
+        "fallback_status",
         "head",
-        "id",
-        "last_word",
-        "left",
-        "name",
         "node",
-        "over",
-        "timer",
+        "number",
+        "request_id",
+        "streaming_attempt",
+        "time_remaining_us",
+        "upload",
     )
 
     def __init__(
@@ -92,7 +92,7 @@
         flow: Upload | None,
         timed: bool = True,
     ) -> None:
-        self.node, self.id, self.client, self.head, self.body, self.left = (
+        self.node, self.number, self.client, self.head, self.body, self.time_remaining_us = (
             node,
             id,
             client,
@@ -100,172 +100,182 @@
             body,
             left,
         )
-        self.name = name  # its id with the client
-        node.names.add(name)
-        self.over = False
-        self.giving: UpstreamAttempt | None = None  # whose answer flows to the client
+        self.request_id = name  # its id with the client
+        node.open_request_ids.add(name)
+        self.closed = False
+        self.streaming_attempt: UpstreamAttempt | None = None  # whose answer flows to the client
         self.attempts: list[UpstreamAttempt] = []
-        self.flow = flow  # its body, while that comes
-        self.timer: Timer | None = None
-        self.last_word = (
+        self.upload = flow  # its body, while that comes
+        self.deadline_timer: Timer | None = None
+        self.fallback_status = (
             0  # its answer, should its dispatch fail, where the decisions do not know it
         )
         if not flow and timed:
             # the client counts from its send, which a loop that was held up learns late
-            self.due = client.came + left - min(GUARD, left // 4)
-            self.timer = node.loop.call_at(self.due, self.overdue)
+            self.deadline_us = client.received_at_us + left - min(GUARD, left // 4)
+            self.deadline_timer = node.loop.call_at(self.deadline_us, self.on_deadline)
             return
-        self.due = node.loop.now + UPLOAD
+        self.deadline_us = node.loop.now + UPLOAD
         if flow:
-            flow.on_gone = self.body_gone
+            flow.on_discarded = self.on_body_discarded
 
-    def body_came(self) -> None:
+    def on_body_complete(self) -> None:
         """The last byte of a body that flows is there: from here on its time runs."""
-        self.due = self.client.came + self.left - min(GUARD, self.left // 4)
-        if not self.over:
-            self.timer = self.node.loop.call_at(self.due, self.overdue)
+        self.deadline_us = (
+            self.client.received_at_us
+            + self.time_remaining_us
+            - min(GUARD, self.time_remaining_us // 4)
+        )
+        if not self.closed:
+            self.deadline_timer = self.node.loop.call_at(self.deadline_us, self.on_deadline)
             for attempt in self.attempts:
-                attempt.deadline_us = self.due
-            self.node.decide(
+                attempt.deadline_us = self.deadline_us
+            self.node.call_decisions(
                 self.node.balancer.on_body_complete,
-                self.id,
-                max(0, self.due - self.node.loop.now),
+                self.number,
+                max(0, self.deadline_us - self.node.loop.now),
                 exchange=self,
             )
 
-    def body_gone(self) -> None:
+    def on_body_discarded(self) -> None:
         """It cannot be sent another time."""
-        self.node.decide(self.node.balancer.on_body_discarded, self.id, exchange=self)
+        self.node.call_decisions(self.node.balancer.on_body_discarded, self.number, exchange=self)
 
     def answer(
         self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
     ) -> None:
-        if not self.over:
+        if not self.closed:
             self.close()
             self.client.answer(status, body, pause, length)
 
     def close(self) -> None:
         """It has its answer, or nobody waits for one. Its time runs on for what is still out, which may not
         be called off everywhere and would be waited for without end."""
-        self.over = True
+        self.closed = True
         for attempt in self.attempts:
             # what will not come whole never runs, so this calls nothing off; its host would wait for ever
-            if attempt.flow and not (
-                attempt.flow.whole or attempt.settled or attempt is self.giving
+            if attempt.upload and not (
+                attempt.upload.complete or attempt.settled or attempt is self.streaming_attempt
             ):
-                self.node.loop.call_soon(attempt.settle, attempt.stop("cancelled").verdict)
-        if not self.giving:
-            self.node.names.discard(self.name)
-            self.node.tidy(self)
+                self.node.loop.call_soon(attempt.settle, attempt.abandon("cancelled").outcome)
+        if not self.streaming_attempt:
+            self.node.open_request_ids.discard(self.request_id)
+            self.node.release_if_done(self)
 
-    def begin(self, number: int) -> Taker | None:
+    def start_streaming(self, number: int) -> ResponseSink | None:
         """The answer of this dispatch is the final one, and its body follows."""
-        if self.over:
+        if self.closed:
             return None
-        self.giving = self.attempts[number]
+        self.streaming_attempt = self.attempts[number]
         self.close()
-        self.node.decide(self.node.balancer.on_outcome, self.id, number, "done", True)
-        return cast(Taker, self.client)  # only pools whose door takes flows ask
+        self.node.call_decisions(self.node.balancer.on_outcome, self.number, number, "done", True)
+        return cast(ResponseSink, self.client)  # only pools whose door takes flows ask
 
-    def given(self, whole: bool) -> None:
+    def finish_streaming(self, whole: bool) -> None:
         """What there is of that body has been passed on."""
-        attempt, self.giving = self.giving, None
-        self.node.names.discard(self.name)
-        cast(Taker, self.client).end(whole)
+        attempt, self.streaming_attempt = self.streaming_attempt, None
+        self.node.open_request_ids.discard(self.request_id)
+        cast(ResponseSink, self.client).end(whole)
         if not whole and attempt:
-            self.node.decide(self.node.balancer.on_response_truncated, attempt.host)
-
-    def hangup(self) -> None:
-        if self.giving:
-            attempt, self.giving = self.giving, None
-            self.node.names.discard(self.name)
-            self.node.loop.call_soon(attempt.settle, attempt.stop("cancelled").verdict)
-        if not self.over:
+            self.node.call_decisions(self.node.balancer.on_response_truncated, attempt.host)
+
+    def on_client_gone(self) -> None:
+        if self.streaming_attempt:
+            attempt, self.streaming_attempt = self.streaming_attempt, None
+            self.node.open_request_ids.discard(self.request_id)
+            self.node.loop.call_soon(attempt.settle, attempt.abandon("cancelled").outcome)
+        if not self.closed:
             self.close()
-            self.node.decide(self.node.balancer.on_client_gone, self.id)
-            for attempt in self.attempts if self.last_word else ():  # the decisions do not know it
-                self.node.loop.call_soon(attempt.settle, attempt.stop("cancelled").verdict)
+            self.node.call_decisions(self.node.balancer.on_client_gone, self.number)
+            for attempt in (
+                self.attempts if self.fallback_status else ()
+            ):  # the decisions do not know it
+                self.node.loop.call_soon(attempt.settle, attempt.abandon("cancelled").outcome)
 
-    def overdue(self) -> None:
+    def on_deadline(self) -> None:
         """Its time is up: what is out has timed out, and the answer goes out now whatever comes of that."""
         for attempt in self.attempts:
-            if not attempt.settled and attempt is not self.giving:
-                attempt.settle(attempt.stop("overdue").verdict)
-        if not self.over:
-            self.node.note("unanswered", req=self.id)
-            self.node.decide(self.node.balancer.on_client_gone, self.id)
+            if not attempt.settled and attempt is not self.streaming_attempt:
+                attempt.settle(attempt.abandon("overdue").outcome)
+        if not self.closed:
+            self.node.event_log("unanswered", req=self.number)
+            self.node.call_decisions(self.node.balancer.on_client_gone, self.number)
             self.answer(500)
 
-    def wants(self, number: int) -> bool:
-        if self.over or self.node.loop.now >= min(
-            self.due, self.node.balancer.latest_start_us(self.id, number)
+    def may_send(self, number: int) -> bool:
+        if self.closed or self.node.loop.now >= min(
+            self.deadline_us, self.node.balancer.latest_start_us(self.number, number)
         ):
             return False
-        return not self.client.gone()
+        return not self.client.has_disconnected()
 
-    def came_back(self, number: int, verdict: str, body: bytes) -> None:
+    def on_settled(self, number: int, verdict: str, body: bytes) -> None:
         """Of a dispatch, by its number."""
         if verdict == "moved":
-            to = self.attempts[number].to
-            self.node.decide(self.node.balancer.on_redirected, self.id, number, to, exchange=self)
-            return self.node.tidy(self)
-        if self.giving is self.attempts[number]:
-            self.given(verdict == "done")
-            return self.node.tidy(self)
+            to = self.attempts[number].redirect_host
+            self.node.call_decisions(
+                self.node.balancer.on_redirected, self.number, number, to, exchange=self
+            )
+            return self.node.release_if_done(self)
+        if self.streaming_attempt is self.attempts[number]:
+            self.finish_streaming(verdict == "done")
+            return self.node.release_if_done(self)
         attempt = self.attempts[number]
         if verdict in ("done", "unfit"):
             self.answer(200 if verdict == "done" else 400, body, length=attempt.length)
-        self.node.decide(
-            self.node.balancer.on_outcome, self.id, number, verdict, self.over, exchange=self
+        self.node.call_decisions(
+            self.node.balancer.on_outcome, self.number, number, verdict, self.closed, exchange=self
         )
-        if attempt.load:
-            self.node.reported(attempt)
-        if self.last_word and not self.over:
-            self.answer(503 if verdict in NEVER_EXECUTED else self.last_word)
-        self.node.tidy(self)
+        if attempt.load_report:
+            self.node.on_load_report(attempt)
+        if self.fallback_status and not self.closed:
+            self.answer(503 if verdict in NEVER_EXECUTED else self.fallback_status)
+        self.node.release_if_done(self)
 
     # --- between two processes of this balancer
 
-    def let_go(self) -> None:
+    def detach(self) -> None:
         """It goes on elsewhere."""
-        self.over, self.giving = True, None
-        if self.timer:
-            self.timer.cancel()
-        self.node.names.discard(self.name)
-        self.node.reqs.pop(self.id, None)
+        self.closed, self.streaming_attempt = True, None
+        if self.deadline_timer:
+            self.deadline_timer.cancel()
+        self.node.open_request_ids.discard(self.request_id)
+        self.node.exchanges.pop(self.number, None)
 
-    def go_on(self, attempt: UpstreamAttempt, giving: bool) -> None:
+    def attach(self, attempt: UpstreamAttempt, giving: bool) -> None:
         """It comes from elsewhere, with its dispatch, whose answer flows already or is awaited."""
-        self.attempts, self.over = [attempt], giving
-        self.giving = attempt if giving else None
-        self.node.reqs[self.id] = self
+        self.attempts, self.closed = [attempt], giving
+        self.streaming_attempt = attempt if giving else None
+        self.node.exchanges[self.number] = self
 
 
-class Listing(Protocol):
+class HostDiscovery(Protocol):
     """Who tells of the hosts."""
 
-    def ask(self) -> None:
+    def fetch(self) -> None:
         """Fetch the list, unless that is under way."""
 
     def move(self, address: Address) -> None: ...
 
 
-Dial = Callable[[Address], socket.socket | Fault]
+Dial = Callable[[Address], socket.socket | AttemptFailure]
 
 
 class ProtocolParts(Protocol):
     """One protocol, as far as the node needs it: its door, its pools, and who tells of hosts."""
 
-    def clients(self, node: Node, most: int) -> ClientListener: ...
+    def make_listener(self, node: Node, most: int) -> ClientListener: ...
 
-    def hosts(self, node: Node, most: int, dial: Dial) -> ConnectionPools[Any]: ...
+    def make_pools(self, node: Node, most: int, dial: Dial) -> ConnectionPools[Any]: ...
 
-    def listing(self, node: Node, dial: Dial) -> Listing: ...
+    def make_discovery(self, node: Node, dial: Dial) -> HostDiscovery: ...
 
-    def under_way(self, node: Node) -> Iterable[MigratingRequest]:
+    def migrating_requests(self, node: Node) -> Iterable[MigratingRequest]:
         """Reqs that can go on in another process of this balancer."""
 
-    def arrives(self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
+    def accept_migrated(
+        self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
+    ) -> None:
         """One that came from another; what makes no sense raises ValueError, or the like."""
 
 
@@ -283,76 +293,82 @@
         dial: Dial = dial,
         decider: Callable[..., Any] = Balancer,
     ) -> None:
-        self.loop, self.note = loop, log
-        self.config, self.parts = station, parts
-        self.reqs: dict[int, Exchange] = {}
-        self.names: set[bytes] = set()  # of reqs that are owed an answer
-        self.count = 0
-        self.life = Lifecycle(loop.now, station.settings.longest_client_timeout_us)
-        self.descriptors = station.sockets  # that this process may hold
+        self.loop, self.event_log = loop, log
+        self.config, self.protocol = station, parts
+        self.exchanges: dict[int, Exchange] = {}
+        self.open_request_ids: set[bytes] = set()  # of reqs that are owed an answer
+        self.last_request_number = 0
+        self.lifecycle = Lifecycle(loop.now, station.settings.longest_client_timeout_us)
+        self.descriptor_limit = station.descriptors  # that this process may hold
         self.handover = Handover(loop, self)
-        self.fleet: dict[str, tuple[Entry, Place]] = {}  # the list as it was told
-        self.listed = False  # by discovery, or it did not answer in time
-        self.clients = parts.clients(self, 8)
-        self.hosts = parts.hosts(self, 8, dial)
-        self.allot(station.sockets)
-        self.hold = (
+        self.endpoints: dict[str, tuple[EndpointEntry, Endpoint]] = {}  # the list as it was told
+        self.list_received = False  # by discovery, or it did not answer in time
+        self.clients = parts.make_listener(self, 8)
+        self.pools = parts.make_pools(self, 8, dial)
+        self.set_descriptor_limit(station.descriptors)
+        self.response_hold_us = (
             station.settings.latency_objective_us // 4
         )  # how long an answer of unknown length may be held
         self.balancer: Balancer = decider(
             station.settings, self, station.seed, loop.now
         )  # or what has its face
-        self.registry = parts.listing(self, dial)
+        self.discovery = parts.make_discovery(self, dial)
 
     def start(self) -> None:
-        _, _, entries, found = self.config.known_endpoints
-        self.keep(True, entries, found)
-        self.decide(self.balancer.on_hosts, "recalled", entries)
-        self.able()
+        _, _, entries, found = self.config.initial_endpoints
+        self.apply_endpoints(True, entries, found)
+        self.call_decisions(self.balancer.on_hosts, "recalled", entries)
+        self.check_ready()
         # what it was started with may be old, and what discovery has counts as told from the first moment
-        self.loop.call_later(FIRST_LIST, self.heard_enough)
-        self.registry.ask()
+        self.loop.call_later(FIRST_LIST, self.end_list_wait)
+        self.discovery.fetch()
 
     # --- what it may hold
 
-    def allot(self, descriptors: int) -> None:
+    def set_descriptor_limit(self, descriptors: int) -> None:
         """So many for all that this process holds; whoever has come already is not thrown out for it."""
-        station, self.descriptors = self.config, descriptors
+        station, self.descriptor_limit = self.config, descriptors
         room = max(16, descriptors - SPARE)
-        memory_mb = station.memory_mb * descriptors // station.sockets
+        memory_mb = station.memory_mb * descriptors // station.descriptors
         most = min(room // 2, (memory_mb - BASE_MB) * 1024 // HELD_KB)
-        self.clients.most = max(8, most, min(len(self.clients.open) + 8, room - self.hosts.count))
-        self.hosts.most = max(8, room - self.clients.most)
+        self.clients.max_clients = max(
+            8, most, min(len(self.clients.open_clients) + 8, room - self.pools.connection_count)
+        )
+        self.pools.max_connections = max(8, room - self.clients.max_clients)
 
-    def holding(self) -> int:
+    def descriptors_needed(self) -> int:
         """Descriptors that this process holds, or needs at once."""
-        return len(self.clients.open) + self.hosts.count + SPARE
+        return len(self.clients.open_clients) + self.pools.connection_count + SPARE
 
     @property
-    def has_estate(self) -> bool:
+    def has_warm_state(self) -> bool:
         """Whether what decides here has something to leave, or can take it."""
         return isinstance(self.balancer, Balancer)
 
     # --- what the network tells
 
-    def ready(self) -> bool:
-        return self.life.means.yes
+    def is_ready(self) -> bool:
+        return self.lifecycle.means.yes
 
-    def knows(self, rule_set: str) -> bool:
+    def knows_request_class(self, rule_set: str) -> bool:
         return rule_set in self.config.settings.request_classes
 
-    def holds(self, id: bytes) -> bool:
-        return id in self.names or self.handover.on and self.handover.holds(id)
+    def is_request_open(self, id: bytes) -> bool:
+        return (
+            id in self.open_request_ids
+            or self.handover.active
+            and self.handover.is_request_open(id)
+        )
 
-    def shed(self) -> bool:
-        return self.hosts.shed()
+    def close_idle_connection(self) -> bool:
+        return self.pools.close_idle()
 
-    def number(self) -> int:
+    def next_request_number(self) -> int:
         """Of the next req."""
-        self.count += 1
-        return self.count
+        self.last_request_number += 1
+        return self.last_request_number
 
-    def last_word(self, id: int) -> int:
+    def fallback_status(self, id: int) -> int:
         """The answer to a req whose one dispatch may have run and failed: whether a retry is harmless."""
         req = self.balancer.requests.get(id)
         rule_set = req.request_class if req else None
@@ -363,7 +379,7 @@
         )
         return 503 if harmless else 500
 
-    def take(
+    def handle_request(
         self,
         caller: Responder,
         id: bytes,
@@ -377,55 +393,57 @@
         slot: int = -1,
         flow: Upload | None = None,
     ) -> None:
-        self.count += 1
-        exchange = caller.asked = self.reqs[self.count] = Exchange(
-            self, self.count, id, caller, head, body, left, flow
+        self.last_request_number += 1
+        exchange = caller.pending_request = self.exchanges[self.last_request_number] = Exchange(
+            self, self.last_request_number, id, caller, head, body, left, flow
         )
         more = () if slot < 0 and not flow else (slot, True) if flow else (slot,)
-        self.decide(
+        self.call_decisions(
             self.balancer.on_request,
-            self.count,
-            max(0, exchange.due - self.loop.now),
+            self.last_request_number,
+            max(0, exchange.deadline_us - self.loop.now),
             write,
             rule_set,
-            number_of(key),
+            key_number(key),
             tenant,
             *more,
             exchange=exchange,
         )
 
-    def on_list(self, whole: bool, entries: list[Entry], found: list[Place]) -> None:
-        self.keep(whole, entries, found)
-        self.decide(self.balancer.on_hosts, "whole" if whole else "changes", entries)
-        self.heard_enough()
+    def on_list(self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]) -> None:
+        self.apply_endpoints(whole, entries, found)
+        self.call_decisions(self.balancer.on_hosts, "whole" if whole else "changes", entries)
+        self.end_list_wait()
 
-    def heard_enough(self) -> None:
+    def end_list_wait(self) -> None:
         """Discovery has told its list, or is silent: then what it was started with has to do."""
-        self.listed = True
-        self.able()
+        self.list_received = True
+        self.check_ready()
 
-    def keep(self, whole: bool, entries: list[Entry], found: list[Place]) -> None:
-        self.hosts.follow(whole, found)
+    def apply_endpoints(
+        self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]
+    ) -> None:
+        self.pools.apply_endpoints(whole, found)
         if whole:
-            self.fleet.clear()
+            self.endpoints.clear()
         for entry, place in zip(entries, found):
-            self.fleet[entry[0]] = entry, place
+            self.endpoints[entry[0]] = entry, place
             if entry[1] == "gone":
-                del self.fleet[entry[0]]
+                del self.endpoints[entry[0]]
 
-    def able(self) -> None:
+    def check_ready(self) -> None:
         """It can serve once it has a list, and what another process of this balancer knows."""
-        if self.fleet and self.listed and not self.handover.waiting:
-            self.pass_on("able")
+        if self.endpoints and self.list_received and not self.handover.awaiting_snapshot:
+            self.transition("able")
 
-    def reported(self, attempt: UpstreamAttempt) -> None:
+    def on_load_report(self, attempt: UpstreamAttempt) -> None:
         """A host told of its load with an answer."""
-        fields = loads(attempt.load)
-        self.decide(
+        fields = parse_load_report(attempt.load_report)
+        self.call_decisions(
             self.balancer.on_load_report, attempt.host, fields.get("tps"), fields.get("concurrent")
         )
 
-    def decide(
+    def call_decisions(
         self, call: Callable[..., None], *args: Any, exchange: Exchange | None = None
     ) -> None:
         """One call of the decisions. Where it fails, the req it was about is still answered."""
@@ -433,70 +451,70 @@
         try:
             call(*args)
         except Exception as trouble:
-            self.note.trouble(trouble)
+            self.event_log.exception(trouble)
             if exchange:
                 exchange.answer(500)
 
-    def tidy(self, exchange: Exchange) -> None:
-        if exchange.over and all(attempt.settled for attempt in exchange.attempts):
-            self.reqs.pop(exchange.id, None)
-            if exchange.timer:
-                exchange.timer.cancel()
+    def release_if_done(self, exchange: Exchange) -> None:
+        if exchange.closed and all(attempt.settled for attempt in exchange.attempts):
+            self.exchanges.pop(exchange.number, None)
+            if exchange.deadline_timer:
+                exchange.deadline_timer.cancel()
 
     # --- what the decisions ask for
 
     def dispatch(self, req: int, host: str) -> None:
-        exchange = self.reqs[req]
+        exchange = self.exchanges[req]
         # of a body that flows its last byte is still to come; no host is to wait for longer than the client
-        due = min(exchange.due, self.loop.now + exchange.left)
+        due = min(exchange.deadline_us, self.loop.now + exchange.time_remaining_us)
         attempt = UpstreamAttempt(
             exchange.head, exchange.body, due, exchange, len(exchange.attempts), host
         )
-        attempt.flow, attempt.hold = exchange.flow, self.hold
+        attempt.upload, attempt.response_hold_us = exchange.upload, self.response_hold_us
         last = exchange.attempts[-1] if exchange.attempts else None
-        attempt.asking = last is not None and last.ask and last.to == host
+        attempt.asking = last is not None and last.redirect_once and last.redirect_host == host
         exchange.attempts.append(attempt)
-        if exchange.over or self.loop.now >= exchange.due:
+        if exchange.closed or self.loop.now >= exchange.deadline_us:
             return self.loop.call_soon(attempt.settle, "moot")
-        self.hosts.send(host, attempt)
+        self.pools.send(host, attempt)
 
     def deny(self, req: int, pause: int) -> None:
-        if req in self.reqs:
-            self.reqs[req].answer(503, pause=pause)
+        if req in self.exchanges:
+            self.exchanges[req].answer(503, pause=pause)
 
     def abort(self, req: int) -> None:
-        if req in self.reqs:
-            self.reqs[req].answer(500)
+        if req in self.exchanges:
+            self.exchanges[req].answer(500)
 
     def cancel(self, req: int, number: int) -> None:
-        if req in self.reqs:
-            attempt = self.reqs[req].attempts[number]
-            self.loop.call_soon(attempt.settle, attempt.stop("cancelled").verdict)
+        if req in self.exchanges:
+            attempt = self.exchanges[req].attempts[number]
+            self.loop.call_soon(attempt.settle, attempt.abandon("cancelled").outcome)
 
     def wake(self, delay: int, token: int) -> None:
-        self.loop.call_later(delay, self.woke, token)
+        self.loop.call_later(delay, self.on_timer, token)
 
-    def woke(self, token: int) -> None:
-        self.decide(self.balancer.on_wake, token)
+    def on_timer(self, token: int) -> None:
+        self.call_decisions(self.balancer.on_wake, token)
 
     def subscribe(self) -> None:
-        self.registry.ask()
+        self.discovery.fetch()
 
     def log(self, line: str) -> None:
-        self.note("mode", what=line)
+        self.event_log("mode", what=line)
 
     # --- what operators ask for
 
     def health(self) -> tuple[bool, str]:
         """Whether it serves, and one plain word on it; so do the other acts."""
-        return self.ready(), self.life.state.value
+        return self.is_ready(), self.lifecycle.state.value
 
     def quiesce(self) -> tuple[bool, str]:
         """Have all clients go elsewhere, none of them unanswered."""
-        self.pass_on("quiesce")
-        return True, self.life.state.value
+        self.transition("quiesce")
+        return True, self.lifecycle.state.value
 
-    def watch(self) -> tuple[bool, str]:
+    def shadow_report(self) -> tuple[bool, str]:
         """What the terms that are watched would have decided otherwise, by kind."""
         if not isinstance(self.balancer, ShadowBalancer):
             return False, "nothing is watched"
@@ -504,14 +522,18 @@
 
     def resume(self) -> tuple[bool, str]:
         """End a drain."""
-        may = self.life.means.resumes
-        self.pass_on("resume")
-        return may, self.life.state.value
+        may = self.lifecycle.means.resumes
+        self.transition("resume")
+        return may, self.lifecycle.state.value
 
-    def adopt(self, station: BalancerConfig) -> None:
+    def apply_config(self, station: BalancerConfig) -> None:
         """New terms count for reqs from now on; what cannot change while it runs waits for the next start."""
         old = self.config
-        later = [name for name in AT_NEXT_START if getattr(station, name) != getattr(old, name)]
+        later = [
+            word
+            for name, word in AT_NEXT_START.items()
+            if getattr(station, name) != getattr(old, name)
+        ]
         terms = station.settings.keeping_startup_settings(old.settings)
         later += [
             name
@@ -521,68 +543,72 @@
         self.config = station._replace(
             settings=terms, **{name: getattr(old, name) for name in AT_NEXT_START}
         )
-        self.hold = terms.latency_objective_us // 4
-        self.life.bound(terms.longest_client_timeout_us)
+        self.response_hold_us = terms.latency_objective_us // 4
+        self.lifecycle.bound(terms.longest_client_timeout_us)
         if terms != old.settings:
-            self.decide(self.balancer.on_settings, terms)
-        self.hosts.bound(station.connect_timeout_us, station.idle_timeout_us)
-        self.note(
+            self.call_decisions(self.balancer.on_settings, terms)
+        self.pools.set_timeouts(station.connect_timeout_us, station.idle_timeout_us)
+        self.event_log(
             "terms read",
             discovery=station.discovery,
             rule_sets=list(terms.request_classes),
             dispatches=terms.max_attempts,
             **({"at_next_start": later} if later else {}),
         )
-        self.registry.move(station.discovery)
+        self.discovery.move(station.discovery)
 
-    def leave(self) -> None:
-        self.pass_on("leave")
+    def begin_shutdown(self) -> None:
+        self.transition("leave")
 
     # --- its life
 
-    def pass_on(self, event: str) -> None:
+    def transition(self, event: str) -> None:
         """To the next state, where the event leads to one."""
-        took = self.loop.now - self.life.since
-        if self.life.on(event, self.loop.now):
-            if self.life.state is State.SERVING:
-                self.handover.serves()  # before it is said: who reads of it may tell the older process to end
-            self.note(
-                self.life.state.value,
-                reqs=len(self.reqs),
-                clients=len(self.clients.open),
+        took = self.loop.now - self.lifecycle.since
+        if self.lifecycle.on(event, self.loop.now):
+            if self.lifecycle.state is State.SERVING:
+                self.handover.announce_serving()  # before it is said: who reads of it may tell the older process to end
+            self.event_log(
+                self.lifecycle.state.value,
+                reqs=len(self.exchanges),
+                clients=len(self.clients.open_clients),
                 after_ms=took // 1000,
             )
-            if self.life.means.last:
-                self.attend(self.life.changes)
+            if self.lifecycle.means.last:
+                self.drain_step(self.lifecycle.changes)
 
-    def attend(self, change: int) -> None:
+    def drain_step(self, change: int) -> None:
         """While clients are let go: see who is left, until the state is another one."""
-        life, now = self.life, self.loop.now
+        life, now = self.lifecycle, self.loop.now
         if life.changes != change:
             return
         if not life.admits(now):
-            self.clients.shut()
+            self.clients.close_listener()
         if life.lets_go(now):
-            self.clients.release()
-            if not self.clients.open and not self.reqs:
-                self.pass_on("empty")
+            self.clients.release_idle()
+            if not self.clients.open_clients and not self.exchanges:
+                self.transition("empty")
         if life.gives_up(now):
-            for exchange in [exchange for exchange in self.reqs.values() if not exchange.over]:
-                exchange.overdue()
+            for exchange in [
+                exchange for exchange in self.exchanges.values() if not exchange.closed
+            ]:
+                exchange.on_deadline()
         # a client is open while a req of it is, or an answer that it has to read
         if life.over(
-            now, len(self.clients.open), any(exchange.giving for exchange in self.reqs.values())
+            now,
+            len(self.clients.open_clients),
+            any(exchange.streaming_attempt for exchange in self.exchanges.values()),
         ):
-            return self.end()
-        self.loop.call_later(TICK, self.attend, change)
+            return self.stop()
+        self.loop.call_later(TICK, self.drain_step, change)
 
-    def end(self) -> None:
-        self.note(
+    def stop(self) -> None:
+        self.event_log(
             "stopped",
-            reqs=sum(not exchange.over for exchange in self.reqs.values()),
-            longest_turn_ms=self.loop.longest // 1000,
+            reqs=sum(not exchange.closed for exchange in self.exchanges.values()),
+            longest_turn_ms=self.loop.longest_turn_us // 1000,
         )
         if isinstance(self.balancer, ShadowBalancer):
-            self.note("watched", what=self.balancer.told())
+            self.event_log("watched", what=self.balancer.told())
         self.handover.close()
         self.loop.running = False
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -18,7 +18,7 @@
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import format_address
 from orchidgap.net.event_log import EventLog
-from orchidgap.net.handover import Handover, inherited
+from orchidgap.net.handover import Handover, inherited_listener
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node, ProtocolParts
 from orchidgap.net.signals import watch_signals
@@ -26,7 +26,7 @@
 BIND_FOR = 10.0  # seconds: a forerunner that was killed may still hold the address
 
 
-class Held(Protocol):
+class LeaseHolder(Protocol):
     """What says when a balancer may let clients in."""
 
     def begin(self, opens: Callable[[], None]) -> None: ...
@@ -38,7 +38,7 @@
     path: str | None,
     parts: Callable[[config.BalancerConfig], ProtocolParts],
     decider: Callable[..., Any] = Balancer,
-    held: Callable[..., tuple[Node, Held]] | None = None,
+    held: Callable[..., tuple[Node, LeaseHolder]] | None = None,
     talk: Callable[..., Any] | None = None,
 ) -> None:
     """Takes the configuration's path, what is spoken, what decides, who makes a node that control holds, and
@@ -47,15 +47,15 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
     station = config.read(path)
     log = EventLog(station.name)
-    loop = Loop(trouble=log.trouble)
+    loop = Loop(on_error=log.exception)
     if station.shadow_settings:
         decider = partial(ShadowBalancer, station.shadow_settings)
-    holder: Held | None = None
+    holder: LeaseHolder | None = None
     if station.control and held:
         node, holder = held(path, loop, station, log, parts(station), decider=decider)
     else:
         node = Node(loop, station, log, parts(station), decider=decider)
-    bell = on_signal(loop, node, path)
+    bell = handle_signals(loop, node, path)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP,))
     if station.admin:
         operators = Operators(
@@ -64,29 +64,29 @@
                 "health": node.health,
                 "quiesce": node.quiesce,
                 "resume": node.resume,
-                "watch": node.watch,
+                "watch": node.shadow_report,
             },
         )
-        listen(operators.listen, station.admin)
+        listen_with_retry(operators.listen, station.admin)
 
     def opens() -> None:
         if passed := os.environ.get("GW_PASSED_SOCKET"):
-            node.clients.inherit(inherited(passed))
+            node.clients.use_listening_socket(inherited_listener(passed))
             node.handover = Handover(loop, node, os.environ.get("TMPDIR"), shared=True)
-            node.handover.begin()
+            node.handover.find_predecessor()
         else:
-            listen(node.clients.listen, station.listen)
+            listen_with_retry(node.clients.listen, station.listen)
         log(
             "listening",
             listen=format_address(station.listen),
             operators=station.admin and format_address(station.admin),
-            hosts=len(station.known_endpoints[3]),
-            clients=node.clients.most,
-            links=node.hosts.most,
+            hosts=len(station.initial_endpoints[3]),
+            clients=node.clients.max_clients,
+            links=node.pools.max_connections,
         )
         node.start()
 
-    talks = talk(loop, node, log, station) if station.pool and talk else None
+    talks = talk(loop, node, log, station) if station.gossip and talk else None
     if holder:
         holder.begin(opens)
     else:
@@ -99,7 +99,7 @@
     bell.close()
 
 
-def listen(at: Callable[[Address], None], address: Address) -> None:
+def listen_with_retry(at: Callable[[Address], None], address: Address) -> None:
     """Raises ConfigError where the address cannot be had in time."""
     until = time.monotonic() + BIND_FOR
     while True:
@@ -113,21 +113,21 @@
             time.sleep(0.05)
 
 
-def on_signal(loop: Loop, node: Node, path: str | None) -> socket.socket:
+def handle_signals(loop: Loop, node: Node, path: str | None) -> socket.socket:
     """What the node does on a signal, as long as the socket returned is kept."""
 
     def heard(told: bytes) -> None:
         if signal.SIGHUP in told:
-            read_anew(node, path)
+            reload_config(node, path)
         if signal.SIGTERM in told or signal.SIGINT in told:
-            node.leave()
+            node.begin_shutdown()
 
     return watch_signals(loop, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT), heard)
 
 
-def read_anew(node: Node, path: str | None) -> None:
+def reload_config(node: Node, path: str | None) -> None:
     """A file that cannot be used, or is only half there, must not cost what is known."""
     try:
-        node.adopt(config.read(path, node.config, node.settings))
+        node.apply_config(config.read(path, node.config, node.settings))
     except config.ConfigError as trouble:
-        node.note("terms kept", why=str(trouble))
+        node.event_log("terms kept", why=str(trouble))
--- a/orchidgap/net/upstream_attempt.py
+++ b/orchidgap/net/upstream_attempt.py
@@ -5,15 +5,15 @@
 from typing import Protocol
 
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.connection import Connection, Fault, Reach
+from orchidgap.net.connection import AttemptFailure, Connection, SendProgress
 
 MOST_LOAD = 256  # bytes of a load report that are looked at
 
 
-def loads(text: bytes) -> dict[str, float]:
+def parse_load_report(text: bytes) -> dict[str, float]:
     """A load report; what is no number that could be meant is left out.
 
-    >>> loads(b"concurrent=3, mean_ms=12.5"), loads(b"concurrent=nan,tps=-1,x,=,mean_ms=1e99,concurrent=2")
+    >>> parse_load_report(b"concurrent=3, mean_ms=12.5"), parse_load_report(b"concurrent=nan,tps=-1,x,=,mean_ms=1e99,concurrent=2")
     ({'concurrent': 3.0, 'mean_ms': 12.5}, {'concurrent': 2.0})
     """
     found = {}
@@ -31,11 +31,11 @@
 class Carrier(Protocol):
     """A connection to a host that carries dispatches."""
 
-    def drop(self, attempt: UpstreamAttempt) -> Reach:
+    def drop(self, attempt: UpstreamAttempt) -> SendProgress:
         """Carry it no further; how far it came."""
 
 
-class Taker(Protocol):
+class ResponseSink(Protocol):
     """Who takes an answer that flows."""
 
     def begin(self, length: int | None, source: Connection) -> None:
@@ -48,17 +48,17 @@
         """There is no more; if what was given is not all of it, that must show."""
 
 
-class Sender(Protocol):
+class AttemptOwner(Protocol):
     """Whose dispatch it is."""
 
-    def wants(self, number: int) -> bool:
+    def may_send(self, number: int) -> bool:
         """Whether that dispatch may still begin. Asked in the moment before its first byte is written: a
         connection can have come up long after the decision to send."""
 
-    def came_back(self, number: int, verdict: str, body: bytes) -> None:
+    def on_settled(self, number: int, verdict: str, body: bytes) -> None:
         """What came of that dispatch of its own."""
 
-    def begin(self, number: int) -> Taker | None:
+    def start_streaming(self, number: int) -> ResponseSink | None:
         """Who takes its answer, which flows; None: nobody wants it any more."""
 
 
@@ -66,27 +66,33 @@
     """One attempt on the network. Exactly one thing comes of it."""
 
     __slots__ = (
-        "ask",
         "asking",
         "body",
+        "carrier",
         "deadline_us",
-        "flow",
         "head",
-        "hold",
         "host",
         "length",
-        "link",
-        "load",
+        "load_report",
         "number",
-        "sender",
+        "owner",
+        "redirect_host",
+        "redirect_once",
+        "response_hold_us",
         "settled",
-        "to",
+        "upload",
     )
 
     def __init__(
-        self, head: bytes, body: bytes, due: int, sender: Sender, number: int = 0, host: str = ""
+        self,
+        head: bytes,
+        body: bytes,
+        due: int,
+        sender: AttemptOwner,
+        number: int = 0,
+        host: str = "",
     ) -> None:
-        self.head, self.body, self.deadline_us, self.sender, self.number = (
+        self.head, self.body, self.deadline_us, self.owner, self.number = (
             head,
             body,
             due,
@@ -94,14 +100,14 @@
             number,
         )
         self.host = host  # the id of where it goes
-        self.flow: Upload | None = None  # its body, where that is not kept whole
-        self.hold = 0  # how long an answer of unknown length may be held
-        self.load = b""  # what its host told of itself with the answer
+        self.upload: Upload | None = None  # its body, where that is not kept whole
+        self.response_hold_us = 0  # how long an answer of unknown length may be held
+        self.load_report = b""  # what its host told of itself with the answer
         self.length: int | None = None  # of the body that an answer without one tells of
-        self.link: Carrier | None = None
+        self.carrier: Carrier | None = None
         self.settled = False
         self.asking = False  # it goes where an ASK sent it
-        self.to, self.ask = (
+        self.redirect_host, self.redirect_once = (
             "",
             False,
         )  # where its host sent it on to, and whether only this one time
@@ -109,10 +115,10 @@
     def settle(self, verdict: str, body: bytes = b"") -> None:
         if not self.settled:
             self.settled = True
-            self.link = None
-            self.sender.came_back(self.number, verdict, body)
+            self.carrier = None
+            self.owner.on_settled(self.number, verdict, body)
 
-    def stop(self, cause: str) -> Fault:
+    def abandon(self, cause: str) -> AttemptFailure:
         """Give it up where it stands."""
-        link, self.link = self.link, None
-        return Fault(Reach.UNSENT if link is None else link.drop(self), cause)
+        link, self.carrier = self.carrier, None
+        return AttemptFailure(SendProgress.UNSENT if link is None else link.drop(self), cause)
--- a/orchidgap/parts.py
+++ b/orchidgap/parts.py
@@ -7,10 +7,10 @@
 from orchidgap.http1 import Http1
 from orchidgap.net import config
 from orchidgap.net.node import Node, ProtocolParts
-from orchidgap.net.server import Held
+from orchidgap.net.server import LeaseHolder
 
 
-def parts_of(station: config.BalancerConfig) -> ProtocolParts:
+def protocol_for(station: config.BalancerConfig) -> ProtocolParts:
     """What the program speaks: RESP where the configuration has a part for it, else HTTP. Raises ConfigError."""
     if station.resp is None:
         return Http1()
@@ -22,14 +22,14 @@
         raise config.ConfigError(f"resp: {trouble}") from None
 
 
-def held_of(*told: Any, **named: Any) -> tuple[Node, Held]:
+def make_guarded_node(*told: Any, **named: Any) -> tuple[Node, LeaseHolder]:
     """A node whose settings come from control; loaded only where a configuration has a part for it."""
     from orchidgap.control.lease_keeper import held
 
     return held(*told, **named)
 
 
-def talk_of(*told: Any) -> Any:
+def make_gossip(*told: Any) -> Any:
     """What balancers tell each other; loaded only where a configuration has a part for it."""
     from orchidgap.peers.gossip_transport import talk_of as made
 
--- a/orchidgap/peers/gossip_transport.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -137,7 +137,7 @@
     def beat(self) -> None:
         self.loop.call_later(self.rng.randrange(BEAT // 2, BEAT * 3 // 2), self.beat)
         now = self.loop.now
-        self.node.decide(self.look, now)
+        self.node.call_decisions(self.look, now)
         if self.peers:
             data = self.datagram(now)
             for peer in self.rng.sample(self.peers, min(TOLD, len(self.peers))):
@@ -262,12 +262,12 @@
 
 def talk_of(loop: Loop, node: Node, log: EventLog, station: BalancerConfig) -> Talk:
     """Raises ConfigError where the address cannot be had."""
-    assert station.pool
-    talk = Talk(loop, node, log, station.name, station.pool, station.seed)
+    assert station.gossip
+    talk = Talk(loop, node, log, station.name, station.gossip, station.seed)
     try:
-        talk.listen(station.pool["listen"], "GW_PASSED_SOCKET" in os.environ)
+        talk.listen(station.gossip["listen"], "GW_PASSED_SOCKET" in os.environ)
     except OSError as trouble:
         raise ConfigError(
-            f"cannot hear at {format_address(station.pool['listen'])}: {trouble.strerror}"
+            f"cannot hear at {format_address(station.gossip['listen'])}: {trouble.strerror}"
         ) from None
     return talk
--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -72,13 +72,13 @@
         """The rule set of a command, and how long its client waits."""
         return self.sets[command.write], self.left
 
-    def clients(self, node: Node, most: int) -> ClientListener:
+    def make_listener(self, node: Node, most: int) -> ClientListener:
         def make(clients: ClientListener, sock: socket.socket) -> RespCaller:
             return RespCaller(clients, sock, self)
 
         return ClientListener(node.loop, node, most, make)
 
-    def hosts(self, node: Node, most: int, dial: Dial) -> Hosts:
+    def make_pools(self, node: Node, most: int, dial: Dial) -> Hosts:
         return Hosts(
             node.loop,
             most,
@@ -89,14 +89,16 @@
             self.doubted,
         )
 
-    def under_way(self, node: Node) -> list[MigratingRequest]:
+    def migrating_requests(self, node: Node) -> list[MigratingRequest]:
         """Where their links stand cannot be told in a few words: clients are let go with their answers."""
         return []
 
-    def arrives(self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
+    def accept_migrated(
+        self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
+    ) -> None:
         raise ValueError("nothing comes over here")
 
-    def listing(self, node: Node, dial: Dial) -> Mapper:
+    def make_discovery(self, node: Node, dial: Dial) -> Mapper:
         node.balancer.slot_map = SlotMap(node.balancer.rng, node.loop.now)
         self.mapper = Mapper(node, node.balancer.slot_map, self.seeds, self.secret, dial)
         return self.mapper
--- a/orchidgap/resp/front.py
+++ b/orchidgap/resp/front.py
@@ -38,13 +38,22 @@
 class Answer:
     """The place of one command in the order of answers; what the decisions answer comes here."""
 
-    __slots__ = ("after", "asked", "bytes", "caller", "came", "slot", "whole", "write")
+    __slots__ = (
+        "after",
+        "bytes",
+        "caller",
+        "pending_request",
+        "received_at_us",
+        "slot",
+        "whole",
+        "write",
+    )
 
     def __init__(self, caller: RespCaller, whole: Joined | None = None) -> None:
         self.caller, self.whole = caller, whole
-        self.asked: PendingRequest | None = None
+        self.pending_request: PendingRequest | None = None
         self.bytes: bytes | None = None
-        self.came = caller.conn.came
+        self.received_at_us = caller.conn.received_at_us
         self.slot, self.write = -1, False
         self.after: Callable[[], None] | None = None  # asks, once it may
 
@@ -52,7 +61,7 @@
         self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
     ) -> None:
         """The outcome codes that all protocols share, as RESP words them."""
-        self.asked = None
+        self.pending_request = None
         if status == 503:
             when = f"; come back in {pause // 1000} ms" if pause else ""
             body = codec.error(f"TRYAGAIN turned away, nothing was done{when}")
@@ -65,11 +74,11 @@
         self.put(body)
 
     def hangup(self) -> None:
-        if self.asked:
-            self.asked.hangup()
+        if self.pending_request:
+            self.pending_request.on_client_gone()
 
-    def gone(self) -> bool:
-        return self.caller.gone()
+    def has_disconnected(self) -> bool:
+        return self.caller.has_disconnected()
 
     def put(self, body: bytes) -> None:
         self.bytes = body
@@ -86,7 +95,11 @@
     answer, and the others may have run: the client is told so.
     """
 
-    __slots__ = ("how", "parts", "places")
+    __slots__ = (
+        "how",
+        "parts",
+        "places",
+    )
 
     def __init__(self, caller: RespCaller, how: str) -> None:
         super().__init__(caller)
@@ -180,12 +193,12 @@
     # --- what all callers answer for
 
     @property
-    def begun(self) -> bool:
+    def request_begun(self) -> bool:
         return self.reader.waiting() > 0 or bool(self.waiting)
 
-    def refuse(self, status: int) -> None:
-        self.clients.unasked.pop(self, None)
-        if self.conn.open and not self.conn.closing:
+    def reject(self, status: int) -> None:
+        self.listener.awaiting_request.pop(self, None)
+        if self.conn.is_open and not self.conn.closing:
             self.conn.send(
                 codec.error(
                     {
@@ -194,54 +207,54 @@
                     }.get(status, f"ERR {status}")
                 )
             )
-            self.part()
+            self.finish()
 
-    def hangup(self) -> None:
+    def on_disconnect(self) -> None:
         waiting, self.waiting, self.busy = list(self.waiting), deque(), {}
         for answer in waiting:
             answer.hangup()
 
-    def quiet(self) -> bool:
-        return not self.waiting and super().quiet()
+    def is_quiet(self) -> bool:
+        return not self.waiting and super().is_quiet()
 
     def received(self, view: memoryview) -> None:
-        self.clients.idle.pop(self, None)
+        self.listener.idle.pop(self, None)
         self.reader.feed(view)
         self.go_on()
 
     def go_on(self) -> None:
         """Take what has come, as far as there is room for its answers."""
-        while self.conn.open and not self.conn.closing:
+        while self.conn.is_open and not self.conn.closing:
             if (
-                len(self.conn.out) > MOST_HELD
+                len(self.conn.write_buffer) > MOST_HELD
             ):  # it does not read: look again, as nobody tells when it does
-                self.conn.hold(True)
-                self.clients.loop.call_later(LOOK_AGAIN, self.look)
+                self.conn.pause_reading(True)
+                self.listener.loop.call_later(LOOK_AGAIN, self.look)
                 return
             if len(self.waiting) >= MOST_WAITING or len(self.waiting) * self.large > MOST_HELD:
-                return self.conn.hold(True)
+                return self.conn.pause_reading(True)
             words = self.reader.command()
             if words is None:
                 break
             if words:
-                self.clients.unasked.pop(self, None)
+                self.listener.awaiting_request.pop(self, None)
                 self.take(words)
-        self.conn.hold(False)
-        if self.reader.broken and self.conn.open and not self.conn.closing:
+        self.conn.pause_reading(False)
+        if self.reader.broken and self.conn.is_open and not self.conn.closing:
             self.waiting.append(Answer(self))
             self.waiting[-1].put(codec.error(f"ERR Protocol error: {self.reader.broken}"))
-            self.part()
-        elif self.conn.open and not self.conn.closing and not self.waiting:
+            self.finish()
+        elif self.conn.is_open and not self.conn.closing and not self.waiting:
             if self.reader.waiting():
-                if self not in self.clients.unasked:
-                    self.clients.await_req(self)
+                if self not in self.listener.awaiting_request:
+                    self.listener.await_request(self)
             else:
-                self.clients.unasked.pop(self, None)
-                self.clients.idle[self] = None
-                self.clients.trim()
+                self.listener.awaiting_request.pop(self, None)
+                self.listener.idle[self] = None
+                self.listener.trim_idle()
 
     def look(self) -> None:
-        if self.conn.open and self.conn.holds:
+        if self.conn.is_open and self.conn.read_paused:
             self.go_on()
 
     def flush(self) -> None:
@@ -250,17 +263,17 @@
         while self.waiting and self.waiting[0].bytes is not None:
             out.append(self.waiting.popleft().bytes or b"")
             self.large += (len(out[-1]) - self.large) // 8
-        if out and self.conn.open:
+        if out and self.conn.is_open:
             self.conn.send(b"".join(out))
-            if self.clients.last and not self.waiting:
-                return self.part()
+            if self.listener.closes_after_response and not self.waiting:
+                return self.finish()
         if (
             out
-            and self.conn.open
+            and self.conn.is_open
             and not self.conn.closing
-            and (self.conn.holds or not self.waiting)
+            and (self.conn.read_paused or not self.waiting)
         ):
-            self.clients.loop.call_soon(self.go_on)
+            self.listener.loop.call_soon(self.go_on)
 
     # --- commands
 
@@ -311,7 +324,7 @@
         answer.slot, answer.write = slot, command.write
         id = b"%d-%d" % (self.number, self.count)
         answer.after = partial(
-            self.clients.door.take,
+            self.listener.handler.handle_request,
             answer,
             id,
             rule_set,
@@ -345,11 +358,11 @@
         if not line:
             self.busy.pop(answer.slot, None)
         else:
-            self.clients.loop.call_soon(self.release, answer.slot)
+            self.listener.loop.call_soon(self.release, answer.slot)
 
     def release(self, slot: int) -> None:
         for answer in list(self.busy.get(slot, ())):
-            if self.conn.open and answer in self.busy.get(slot, ()):
+            if self.conn.is_open and answer in self.busy.get(slot, ()):
                 self.go_if_may(self.busy[slot], answer)
 
     # --- what needs no host
@@ -446,7 +459,7 @@
         return codec.error("ERR unknown subcommand or wrong number of arguments for 'COMMAND'")
 
     def info(self, words: list[bytes]) -> bytes:
-        clients = len(self.clients.open)
+        clients = len(self.listener.open_clients)
         return codec.bulk(
             b"# Server\r\nredis_version:7.0.0\r\nredis_mode:cluster\r\n"
             b"# Clients\r\nconnected_clients:%d\r\n# Cluster\r\ncluster_enabled:1\r\n" % clients
@@ -513,7 +526,7 @@
         return b"+RESET\r\n"
 
     def quit(self, words: list[bytes]) -> bytes:
-        self.clients.loop.call_soon(self.part)
+        self.listener.loop.call_soon(self.finish)
         return OK
 
 
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -7,8 +7,8 @@
 
 from orchidgap.decisions.slot_map import Range, SlotMap
 from orchidgap.http1.discovery import Registry
-from orchidgap.net.connection import Address, Connection, Fault
-from orchidgap.net.endpoints import Entry, Place, format_address, parse_address
+from orchidgap.net.connection import Address, AttemptFailure, Connection
+from orchidgap.net.endpoints import Endpoint, EndpointEntry, format_address, parse_address
 from orchidgap.net.loop import Timer
 from orchidgap.resp import codec
 
@@ -90,13 +90,18 @@
         self.registry: Registry | None = None
         if node.config.discovery[1]:
             self.registry = Registry(
-                node.loop, node.config.discovery, node.balancer.rng, self.heard, node.note, dial
+                node.loop,
+                node.config.discovery,
+                node.balancer.rng,
+                self.heard,
+                node.event_log,
+                dial,
             )
         self.loop.call_later(TICK, self.tick)
 
-    def ask(self) -> None:
+    def fetch(self) -> None:
         if self.registry:
-            self.registry.ask()
+            self.registry.fetch()
         self.tell()
         self.look()
 
@@ -104,7 +109,7 @@
         if self.registry:
             self.registry.move(address)
 
-    def heard(self, whole: bool, entries: list[Entry], found: list[Place]) -> None:
+    def heard(self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]) -> None:
         """Discovery's word on states; its ids are not the cluster's, addresses are."""
         if whole:
             self.states = {}
@@ -121,7 +126,7 @@
         if now == self.told:
             return
         self.told = now
-        entries: list[Entry] = [
+        entries: list[EndpointEntry] = [
             (name, state, 0, "", "slots", name, 1.0)
             for name, state in now.items()
             if state != "gone"
@@ -156,8 +161,8 @@
                 self.turn % len(names)
             ]  # each in turn: one that is gone must not be asked for ever
             self.turn += 1
-            came: socket.socket | Fault = self.dial(self.nodes[name])
-            if isinstance(came, Fault):
+            came: socket.socket | AttemptFailure = self.dial(self.nodes[name])
+            if isinstance(came, AttemptFailure):
                 return self.slots.lost(self.loop.now)
             self.reader = codec.Reader(MOST_MAP)
             self.conn = Connection(self.loop, came, self, opening=True)
@@ -196,9 +201,9 @@
         self.nodes = {name: parse_address(name) for name in names} | kept
         if (left := self.slots.holes()) != holes or failed or self.slots.clashes:
             owners = len({entry.owner for entry in ranges})
-            self.node.note("slots", owners=owners, holes=left, clashes=self.slots.clashes)
+            self.node.event_log("slots", owners=owners, holes=left, clashes=self.slots.clashes)
         self.tell()
-        self.node.decide(self.node.balancer.pump)
+        self.node.call_decisions(self.node.balancer.pump)
 
     def ended(self, what: str) -> None:
         self.drop()
--- a/orchidgap/resp/upstream.py
+++ b/orchidgap/resp/upstream.py
@@ -8,7 +8,13 @@
 from typing import NamedTuple
 
 from orchidgap.net import connection_pools
-from orchidgap.net.connection import Address, Connection, Fault, Reach, broken
+from orchidgap.net.connection import (
+    Address,
+    AttemptFailure,
+    Connection,
+    SendProgress,
+    connect_failure_cause,
+)
 from orchidgap.net.endpoints import format_address, parse_address
 from orchidgap.net.loop import Loop, Timer
 from orchidgap.net.upstream_attempt import UpstreamAttempt
@@ -65,11 +71,11 @@
         self.pool, self.reader = pool, codec.Reader()
         self.dues: deque[Due] = deque()
         self.written = 0  # bytes handed to the connection so far
-        hosts = pool.hosts
+        hosts = pool.pools
         self.heard_at = hosts.loop.now
         self.conn = Connection(hosts.loop, sock, self, opening=True)
         self.timer: Timer | None = hosts.loop.call_later(
-            hosts.connect_within, self.ended, "never came up"
+            hosts.connect_timeout_us, self.ended, "never came up"
         )
         if hosts.secret:
             self.write(None, codec.command(b"AUTH", *hosts.secret))
@@ -77,47 +83,53 @@
     def write(self, attempt: UpstreamAttempt | None, *parts: bytes) -> None:
         size = sum(map(len, parts))
         if not self.dues:
-            self.heard_at = self.pool.hosts.loop.now
+            self.heard_at = self.pool.pools.loop.now
         self.dues.append(Due(attempt, self.written, self.written + size))
         self.written += size
         self.conn.send(*parts)
 
     def carry(self, attempt: UpstreamAttempt) -> None:
-        attempt.link = self
+        attempt.carrier = self
         if attempt.asking:  # on the same link, with nothing in between
             self.write(None, ASKING)
-        if self.conn.open:
+        if self.conn.is_open:
             self.write(attempt, attempt.head)
         else:
-            self.pool.hosts.loop.call_soon(attempt.settle, Fault(Reach.UNSENT, "broken").verdict)
+            self.pool.pools.loop.call_soon(
+                attempt.settle, AttemptFailure(SendProgress.UNSENT, "broken").outcome
+            )
 
-    def drop(self, attempt: UpstreamAttempt) -> Reach:
+    def drop(self, attempt: UpstreamAttempt) -> SendProgress:
         """Its answer, should it come, belongs to nobody; the others on this link go on."""
         for due in self.dues:
             if due.attempt is attempt:
                 due.attempt = None
                 # what waits to be written goes out all the same, so it may yet run
-                return Reach.UNSENT if self.conn.opening and self.forget(due) else Reach.WHOLE
-        return Reach.WHOLE
+                return (
+                    SendProgress.UNSENT
+                    if self.conn.connecting and self.forget(due)
+                    else SendProgress.COMPLETE
+                )
+        return SendProgress.COMPLETE
 
     def forget(self, due: Due) -> bool:
         """While it is still connecting nothing was written: what waits last can be taken back."""
         if self.dues and self.dues[-1] is due:
             size = due.ends - due.starts
-            del self.conn.out[len(self.conn.out) - size :]
+            del self.conn.write_buffer[len(self.conn.write_buffer) - size :]
             self.written -= size
             self.dues.pop()
             return True
         return False
 
-    def reach(self, due: Due) -> Reach:
-        taken = self.conn.taken
+    def reach(self, due: Due) -> SendProgress:
+        taken = self.conn.bytes_written
         return (
-            Reach.WHOLE
+            SendProgress.COMPLETE
             if taken >= due.ends
-            else Reach.PARTLY
+            else SendProgress.PARTIAL
             if taken > due.starts
-            else Reach.UNSENT
+            else SendProgress.UNSENT
         )
 
     def opened(self) -> None:
@@ -127,7 +139,7 @@
 
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
-        self.heard_at = self.pool.hosts.loop.now
+        self.heard_at = self.pool.pools.loop.now
         while (text := self.reader.raw()) is not None:
             if text[:1] == b">":
                 continue  # pushed unasked: no answer to anything
@@ -136,16 +148,19 @@
             due = self.dues.popleft()
             if due.attempt:
                 self.told(due.attempt, text)
-            if not self.conn.open:
+            if not self.conn.is_open:
                 return
         if self.reader.broken:
             self.ended("no proper answer")
 
     def told(self, attempt: UpstreamAttempt, text: bytes) -> None:
-        hosts = self.pool.hosts
+        hosts = self.pool.pools
         if sent_on := redirect(text):
             hosts.redirected(sent_on)
-            attempt.to, attempt.ask = format_address(sent_on.address), sent_on.ask
+            attempt.redirect_host, attempt.redirect_once = (
+                format_address(sent_on.address),
+                sent_on.ask,
+            )
             return attempt.settle("moved", text)
         if text.startswith(NOT_NOW):
             hosts.doubted()
@@ -154,17 +169,22 @@
 
     def ended(self, what: str) -> None:
         """What had been written whole may have run; the rest never did."""
-        opening, dues = self.conn.opening, list(self.dues)
+        opening, dues = self.conn.connecting, list(self.dues)
         self.dues.clear()
         faults = [
-            (due.attempt, Fault(self.reach(due), broken(what) if opening else "broken", what))
+            (
+                due.attempt,
+                AttemptFailure(
+                    self.reach(due), connect_failure_cause(what) if opening else "broken", what
+                ),
+            )
             for due in dues
         ]
         self.close()
-        self.pool.hosts.doubted()
+        self.pool.pools.doubted()
         for attempt, fault in faults:
             if attempt:
-                self.pool.hosts.loop.call_soon(attempt.settle, fault.verdict)
+                self.pool.pools.loop.call_soon(attempt.settle, fault.outcome)
 
     def close(self) -> None:
         if self.timer:
@@ -177,15 +197,15 @@
 class Pool(connection_pools.ConnectionPool[Link]):
     """The links to one host, many commands on each."""
 
-    hosts: Hosts
+    pools: Hosts
 
     def send(self, attempt: UpstreamAttempt) -> None:
         link = min(self.links, key=lambda at: len(at.dues), default=None)
         if link is None or link.dues and len(self.links) < LINKS:
-            came = self.hosts.dial(self.address)
-            if isinstance(came, Fault):
+            came = self.pools.dial(self.address)
+            if isinstance(came, AttemptFailure):
                 if link is None:
-                    return self.hosts.loop.call_soon(attempt.settle, came.verdict)
+                    return self.pools.loop.call_soon(attempt.settle, came.outcome)
             else:
                 link = Link(self, came)
                 self.add(link)
@@ -195,7 +215,7 @@
     def retire(self) -> None:
         self.retired = True
         for link in list(self.links):
-            if not link.dues or link.conn.opening:
+            if not link.dues or link.conn.connecting:
                 link.ended("host drains")
 
 
@@ -208,24 +228,24 @@
         most: int,
         connect_within: int,
         secret: tuple[bytes, ...],
-        dial: Callable[[Address], socket.socket | Fault],
+        dial: Callable[[Address], socket.socket | AttemptFailure],
         redirected: Callable[[Redirect], None],
         doubted: Callable[[], None],
     ) -> None:
         super().__init__(loop, most, connect_within, SWEEP, dial)
         self.secret, self.redirected, self.doubted = secret, redirected, doubted
 
-    def make(self, address: Address) -> Pool:
+    def make_pool(self, address: Address) -> Pool:
         return Pool(self, address)
 
-    def shed(self) -> bool:
-        idle = [link for pool in self.pools.values() for link in pool.links if not link.dues]
+    def close_idle(self) -> bool:
+        idle = [link for pool in self.by_host.values() for link in pool.links if not link.dues]
         if idle:
             min(idle, key=lambda link: link.heard_at).close()
         return bool(idle)
 
     def sweep(self) -> None:
-        for pool in list(self.pools.values()):
+        for pool in list(self.by_host.values()):
             for link in list(pool.links):
-                if link.dues and not link.conn.opening and self.loop.now - link.heard_at > STUCK:
+                if link.dues and not link.conn.connecting and self.loop.now - link.heard_at > STUCK:
                     link.ended("silence")
--- a/orchidgap/trial/callers.py
+++ b/orchidgap/trial/callers.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import Connection, Fault
+from orchidgap.net.connection import AttemptFailure, Connection
 from orchidgap.trial.plan import Work, micros, millis
 from orchidgap.trial.referee import SMALL, Ask, Op
 
@@ -60,18 +60,18 @@
         self.pace = round(bulk.pace_kb * 1_000) if slow else 0
         if len(message) > 1 and len(message[1]) > SMALL:
             self.left = message[1]
-            self.conn.drained = self.more
+            self.conn.on_drained = self.more
             self.conn.send(message[0])
-            if self.ask is ask and not self.conn.opening and not self.conn.out:
+            if self.ask is ask and not self.conn.connecting and not self.conn.write_buffer:
                 self.more()
             return
         self.conn.send(*message)
-        if self.ask is ask and not self.conn.opening:
+        if self.ask is ask and not self.conn.connecting:
             self.written()
 
     def more(self) -> None:
         """The next pieces of a large req."""
-        while self.left and self.conn.open and not self.conn.out and self.ask:
+        while self.left and self.conn.is_open and not self.conn.write_buffer and self.ask:
             piece, self.left = self.left[:PIECE], self.left[PIECE:]
             last = not self.left
             self.conn.send(piece)
@@ -80,8 +80,8 @@
             if self.pace:
                 self.callers.loop.call_later(len(piece) * 1_000_000 // self.pace, self.more)
                 return
-        if not self.left and not self.conn.out and self.ask and not self.ask.came:
-            self.conn.drained = None
+        if not self.left and not self.conn.write_buffer and self.ask and not self.ask.came:
+            self.conn.on_drained = None
             self.written()
 
     def opened(self) -> None:
@@ -108,11 +108,13 @@
         if not self.ask.first_at:
             self.ask.first_at = self.callers.loop.now
         if self.left:  # answered before it had sent all: what is left does not matter any more
-            self.left, self.conn.drained = b"", None
+            self.left, self.conn.on_drained = b"", None
             self.written()
         if self.pace and not reader.message.whole:
-            self.conn.hold(True)
-            self.callers.loop.call_later(len(view) * 1_000_000 // self.pace, self.conn.hold, False)
+            self.conn.pause_reading(True)
+            self.callers.loop.call_later(
+                len(view) * 1_000_000 // self.pace, self.conn.pause_reading, False
+            )
         if reader.message.whole:
             ask, self.ask = self.ask, None
             if reader.message.size > SMALL:
@@ -129,12 +131,12 @@
             if lasts and not extra:
                 self.callers.idle[self.post].append(self)
             else:
-                self.conn.finish()
+                self.conn.close_gracefully()
             self.callers.loop.call_later(
                 self.callers.scene.client_way(), self.callers.heard, ask, status, pause
             )
         elif reader.message.trouble:
-            self.conn.end("no proper answer")
+            self.conn.fail("no proper answer")
 
     def ended(self, what: str) -> None:
         callers, ask = self.callers, self.ask
@@ -257,7 +259,7 @@
 
     def open_links(self, post: str) -> list[CallerLink]:
         """Connections to this balancer that have not ended."""
-        return [link for link in self.links[post] if link.conn.open]
+        return [link for link in self.links[post] if link.conn.is_open]
 
     def unknown(self, ask: Ask) -> None:
         """Its balancer does not know its class."""
@@ -329,13 +331,13 @@
         idle = self.idle[post]
         while idle and not fresh:
             link = idle.pop()
-            if link.conn.open and link.life == ask.life:
+            if link.conn.is_open and link.life == ask.life:
                 return link.carry(ask, message)
             link.close()
         if self.scene.front.closed(post) and not fresh:
             return self.refused(ask, post)
         came = self.scene.ground.dial(self.scene.address_of(post))
-        if isinstance(came, Fault):
+        if isinstance(came, AttemptFailure):
             self.scene.referee.doors += 1
             return self.refused(ask, post)
         CallerLink(self, post, came, not self.scene.ground.virtual).carry(ask, message)
@@ -411,7 +413,7 @@
         self.conn = Connection(callers.loop, sock, self, opening=opening)
         callers.scene.referee.bad += 1
         for at in range(0, len(text), 4_096):
-            if self.conn.open:
+            if self.conn.is_open:
                 self.conn.send(text[at : at + 4_096])
         if leaves:
             self.over = True
@@ -431,7 +433,7 @@
             self.over = True
 
     def due(self) -> None:
-        if not self.over and self.conn.open:
+        if not self.over and self.conn.is_open:
             self.callers.scene.referee.bad_ignored += 1
         self.conn.close()
 
@@ -447,6 +449,6 @@
     post = callers.choose()
     if post:
         came = scene.ground.dial(scene.address_of(post))
-        if not isinstance(came, Fault):
+        if not isinstance(came, AttemptFailure):
             RudeLink(callers, came, rng.choice(RUDE), rng.random() < 0.2, not scene.ground.virtual)
     callers.loop.call_later(max(1, round(rng.expovariate(1.0) * each)), rude, callers, until, each)
--- a/orchidgap/trial/fabric.py
+++ b/orchidgap/trial/fabric.py
@@ -17,8 +17,8 @@
 from typing import Any
 from weakref import WeakKeyDictionary
 
-from orchidgap.net.connection import RESET, Address, Fault, Reach, dial
-from orchidgap.net.loop import LONGEST, READ, Loop, Timer
+from orchidgap.net.connection import RESET, Address, AttemptFailure, SendProgress, dial
+from orchidgap.net.loop import MAX_WAIT_US, READ, Loop, Timer
 
 START = 1_700_000_000_000_000  # Unix time in microseconds that virtual time begins at
 STILL = 200_000  # rounds without time going on: something asks itself for more, for ever
@@ -76,27 +76,27 @@
         self.selector: selectors.DefaultSelector = Ordered()  # type: ignore[assignment]  # epoll, as on Linux
         self.still = 0
 
-    def run_once(self, longest: int = LONGEST) -> None:
-        self.now = self.looked = self.since = self.time
+    def run_once(self, longest: int = MAX_WAIT_US) -> None:
+        self.now = self.last_poll_us = self.ready_since_us = self.time
         worked = False
         for key, mask in self.selector.select(0):
             worked = True
-            self.call(key.data, mask)
+            self.run_callback(key.data, mask)
         while self.timers and self.timers[0][0] <= self.time:
             timer = heappop(self.timers)[2]
-            if timer.act is not None:
+            if timer.callback is not None:
                 worked = True
-                self.call(timer.act, *timer.args)
-        for _ in range(len(self.next)):
+                self.run_callback(timer.callback, *timer.args)
+        for _ in range(len(self.soon)):
             worked = True
-            act, args = self.next.popleft()
-            self.call(act, *args)
+            act, args = self.soon.popleft()
+            self.run_callback(act, *args)
         if worked:
             self.still += 1
             if self.still >= STILL:
                 raise TimeStandsStill(f"{STILL} rounds at {self.time - START} us")
         else:
-            while self.timers and self.timers[0][2].act is None:
+            while self.timers and self.timers[0][2].callback is None:
                 heappop(self.timers)
             self.time = min(
                 self.time + longest, self.timers[0][0] if self.timers else self.time + longest
@@ -173,9 +173,9 @@
         self.world, self.on_error = world, trouble
         self.clock = world.clock
         self.buffer = world.buffer
-        self.now = self.looked = self.since = world.time
+        self.now = self.last_poll_us = self.ready_since_us = world.time
         self.running, self.dead = True, False
-        self.longest = 0  # in virtual time no turn takes any
+        self.longest_turn_us = 0  # in virtual time no turn takes any
         self.stands_until = 0
         self.socks: dict[Any, tuple[int, Callable[[int], None]]] = {}
         self.opening: dict[socket.socket, int | None] = {}  # dialled: when it is up; None for never
@@ -185,16 +185,16 @@
             if self.stands_until > self.world.time:
                 self.world.call_at(self.stands_until, self.enter, act, *args)
                 return
-            self.now, self.looked = self.world.time, self.world.time
-            self.since = min(self.world.time, self.stands_until or self.world.time)
-            self.call(act, *args)
+            self.now, self.last_poll_us = self.world.time, self.world.time
+            self.ready_since_us = min(self.world.time, self.stands_until or self.world.time)
+            self.run_callback(act, *args)
 
     def fire(self, timer: Timer) -> None:
-        if timer.act is not None:
+        if timer.callback is not None:
             if self.stands_until > self.world.time:
                 self.world.call_at(self.stands_until, self.fire, timer)
                 return
-            self.enter(timer.act, *timer.args)
+            self.enter(timer.callback, *timer.args)
 
     def call_at(self, when: int, act: Callable[..., None], *args: Any) -> Timer:
         timer = Timer(act, args)
@@ -294,16 +294,16 @@
     def hush(self, address: Address, silent: bool) -> None:
         self.silent[address] = silent
 
-    def dial(self, address: Address) -> socket.socket | Fault:
+    def dial(self, address: Address) -> socket.socket | AttemptFailure:
         """A client's call, which takes its way into account itself."""
         door = self.doors.get(address)
         if door is None:
-            return Fault(Reach.UNSENT, "broken", "Connection refused")
+            return AttemptFailure(SendProgress.UNSENT, "broken", "Connection refused")
         near, far = pair()
         door.bring(far) if isinstance(door, Queue) else door(far, "")
         return near
 
-    def dial_from(self, share: Share, who: str, address: Address) -> socket.socket | Fault:
+    def dial_from(self, share: Share, who: str, address: Address) -> socket.socket | AttemptFailure:
         """A balancer's call: it is up a round trip later, or refused then, or never."""
         near, far = pair()
         if self.silent.get(address) or self.cut.get((who, address)):
@@ -400,7 +400,7 @@
                     listener.accept()[0].close()
             self.loop.watch(listener, READ, ready)
 
-    def dial(self, address: Address) -> socket.socket | Fault:
+    def dial(self, address: Address) -> socket.socket | AttemptFailure:
         return dial(address)
 
 
--- a/orchidgap/trial/listing.py
+++ b/orchidgap/trial/listing.py
@@ -185,7 +185,7 @@
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
         if self.reader.message.trouble:
-            return self.conn.end("bad call")
+            return self.conn.fail("bad call")
         if self.reader.message.whole and not self.pending:
             self.asked()
 
@@ -205,7 +205,7 @@
 
     def wake(self, due: bool = False) -> None:
         agent = self.agent
-        if not self.pending or agent.gone or not self.conn.open:
+        if not self.pending or agent.gone or not self.conn.is_open:
             return
         listing = agent.listing
         due = due or self.waits_until <= agent.loop.now
--- a/orchidgap/trial/operators.py
+++ b/orchidgap/trial/operators.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Any
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import Connection, Fault
+from orchidgap.net.connection import AttemptFailure, Connection
 from orchidgap.trial.plan import OPS_KINDS, Trouble, micros
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         if self.reader.message.whole and not self.over:
             self.over = True
             self.front.heard(self.post, self.reader.message.status == 200)
-            self.conn.finish()
+            self.conn.close_gracefully()
 
     def ended(self, what: str) -> None:
         if not self.over:
@@ -51,7 +51,7 @@
 
     def late(self) -> None:
         if not self.over:
-            self.conn.end("late")
+            self.conn.fail("late")
 
 
 class Front:
@@ -71,7 +71,7 @@
         for name, post in scene.posts.items():
             if post.alive and post.ready_at:
                 came = scene.ground.dial(post.address)
-                if isinstance(came, Fault):
+                if isinstance(came, AttemptFailure):
                     self.heard(name, False)
                 else:
                     Probe(self, name, came, not scene.ground.virtual)
@@ -96,7 +96,7 @@
         self.over = False
         scene.referee.calls += 1
         came = scene.ground.dial(scene.posts[post].admin)
-        if isinstance(came, Fault):
+        if isinstance(came, AttemptFailure):
             return self.wrong("nobody lets it in")
         self.conn = Connection(scene.loop, came, self, opening=not scene.ground.virtual)
         if name:
@@ -113,7 +113,7 @@
             self.over = True
             said = self.line.decode(errors="replace").strip()
             self.scene.loop.call_soon(self.heard, said)
-            self.conn.finish()
+            self.conn.close_gracefully()
 
     def ended(self, what: str) -> None:
         if self.name and not self.over:
--- a/orchidgap/trial/process.py
+++ b/orchidgap/trial/process.py
@@ -6,14 +6,14 @@
 
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
-from orchidgap.parts import parts_of
+from orchidgap.parts import protocol_for
 from orchidgap.trial.baselines import KINDS
 
 
 def main() -> None:
     name, config = sys.argv[1], sys.argv[2].partition("=")[2]
     try:
-        serve(config, parts_of, KINDS[name])
+        serve(config, protocol_for, KINDS[name])
     except ConfigError as trouble:
         sys.exit(f"orchidgap: {trouble}")
 
--- a/orchidgap/trial/resp.py
+++ b/orchidgap/trial/resp.py
@@ -12,7 +12,7 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING, Any
 
-from orchidgap.net.connection import Address, Connection, Fault
+from orchidgap.net.connection import Address, AttemptFailure, Connection
 from orchidgap.net.endpoints import format_address
 from orchidgap.resp import codec
 from orchidgap.resp.front import slot_of as slot_at
@@ -80,7 +80,7 @@
 
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
-        while self.conn.open and (words := self.reader.command()) is not None:
+        while self.conn.is_open and (words := self.reader.command()) is not None:
             self.asked(words)
 
     def asked(self, words: list[bytes]) -> None:
@@ -132,7 +132,7 @@
             self.store.loop.call_at(self.put_at, self.put, place.text, place.job, place.outcome)
 
     def put(self, text: bytes, job: Job | None, outcome: str) -> None:
-        if not self.conn.open or self.store.vanished or self.store.cut.get(self.who):
+        if not self.conn.is_open or self.store.vanished or self.store.cut.get(self.who):
             return
         if job:
             self.jobs.remove(job)
@@ -146,7 +146,7 @@
         self.store.links.pop(self, None)  # type: ignore[call-overload]
 
     def close(self) -> None:
-        if self.conn.open:
+        if self.conn.is_open:
             self.conn.close()
             self.ended("")
 
@@ -261,7 +261,7 @@
     def carry(self, ask: Ask, message: tuple[bytes, ...]) -> None:
         self.asks.append(ask)
         self.conn.send(*message)
-        if self.conn.open:
+        if self.conn.is_open:
             now = self.callers.loop.now
             ask.came, ask.due = now, now + millis(ask.op.work.timeout_ms)
             self.callers.scene.referee.taken(ask)
@@ -320,11 +320,11 @@
         room = [
             link
             for link in self.lanes[post]
-            if len(link.asks) < DEPTH and link.life == ask.life and link.conn.open
+            if len(link.asks) < DEPTH and link.life == ask.life and link.conn.is_open
         ]
         if not room:
             came = self.scene.ground.dial(self.scene.address_of(post))
-            if isinstance(came, Fault):
+            if isinstance(came, AttemptFailure):
                 return self.refused(ask, post)
             room = [RespLink(self, post, came, not self.scene.ground.virtual)]
             self.lanes[post] += room
--- a/orchidgap/trial/saturate.py
+++ b/orchidgap/trial/saturate.py
@@ -24,11 +24,11 @@
 from rich.table import Table
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import Address, Connection, Fault, dial
+from orchidgap.net.connection import Address, AttemptFailure, Connection, dial
 from orchidgap.net.endpoints import format_address
 from orchidgap.net.loop import Loop
 from orchidgap.net.server import serve
-from orchidgap.parts import parts_of
+from orchidgap.parts import protocol_for
 from orchidgap.trial.fabric import Wires, cpu_of
 
 HOSTS = 3
@@ -104,7 +104,7 @@
 
     def tell(self, whole: bool) -> None:
         body = orjson.dumps({"seq": 1, "whole": whole, "hosts": known()["hosts"] if whole else []})
-        if self.conn.open:
+        if self.conn.is_open:
             self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body)
 
     def ended(self, what: str) -> None: ...
@@ -117,7 +117,7 @@
         self.conn = Connection(loop, sock, self, opening=other is not None)
         if other is None:
             came = dial(host_of(sock.fileno() % HOSTS))
-            if isinstance(came, Fault):
+            if isinstance(came, AttemptFailure):
                 self.conn.close()
                 return
             other = Passing(loop, came, self)
@@ -219,9 +219,9 @@
 
 def run_front(kind: str, path: str) -> None:
     if kind == "balancer":
-        return serve(path, parts_of)
+        return serve(path, protocol_for)
     if kind == "relay":
-        return serve(path, parts_of, Relay)
+        return serve(path, protocol_for, Relay)
     ground = Wires()
     ground.listen(FRONT, lambda sock, who: void(Passing(ground.loop, sock)))
     ground.loop.run()
@@ -232,7 +232,7 @@
     loop, done = Loop(), [0, 0]
     for number in range(CONNECTIONS):
         came = dial(FRONT)
-        if not isinstance(came, Fault):
+        if not isinstance(came, AttemptFailure):
             Asking(loop, came, number, done)
     until = loop.clock() + seconds * 250_000
     while loop.clock() < until:
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -28,8 +28,8 @@
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.handover import Handover
 from orchidgap.net.loop import Loop
-from orchidgap.net.node import Node, number_of
-from orchidgap.parts import parts_of
+from orchidgap.net.node import Node, key_number
+from orchidgap.parts import protocol_for
 from orchidgap.peers.gossip_transport import Talk
 from orchidgap.trial.baselines import decider as decider_of
 from orchidgap.trial.baselines import even
@@ -62,7 +62,7 @@
         if len(self.lines) < KEPT_LINES:
             self.lines.append(((self.scene.loop.now - self.scene.start) / 1e6, event, facts))
 
-    def trouble(self, trouble: Exception) -> None:
+    def exception(self, trouble: Exception) -> None:
         where = trouble.__traceback__
         while where and where.tb_next:
             where = where.tb_next
@@ -157,23 +157,25 @@
         """One process: a node on a share of its own, that has a hold on the listener."""
         scene = self.scene
         assert isinstance(scene.ground, Pairs)
-        share = self.share = Share(scene.ground.loop, self.log.trouble)
-        station = config.station(scene.told(self, known))
+        share = self.share = Share(scene.ground.loop, self.log.exception)
+        station = config.config_from_document(scene.told(self, known))
         ground = scene.ground
         node = self.node = Node(
             share,
             station,
             self.log,
-            parts_of(station),
+            protocol_for(station),
             lambda address: ground.dial_from(share, self.name, address),
             self.decider,
         )
         door = ground.doors[self.address]
         assert isinstance(door, Shared)
-        node.clients.inherit(cast("socket.socket", Face(door)))  # it has the face of one
-        if station.pool:
+        node.clients.use_listening_socket(
+            cast("socket.socket", Face(door))
+        )  # it has the face of one
+        if station.gossip:
             self.talk = Talk(
-                share, node, self.log, self.name, station.pool, station.seed, scene.carry
+                share, node, self.log, self.name, station.gossip, station.seed, scene.carry
             )
         if scene.front.on:
             operators = Operators(
@@ -201,9 +203,9 @@
     @staticmethod
     def read(node: Node, text: bytes) -> None:
         try:
-            node.adopt(config.parse(text, "the file", node.config))
+            node.apply_config(config.parse(text, "the file", node.config))
         except config.ConfigError as trouble:
-            node.note("terms kept", why=str(trouble))
+            node.event_log("terms kept", why=str(trouble))
 
     def begin_beside(self, known: dict[str, Any]) -> None:
         assert self.share and self.node
@@ -216,16 +218,16 @@
         assert self.share
         new.handover = Handover(self.share, new, None, shared=True)
         near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        share.call_soon(node.handover.called, near)
-        self.share.call_soon(new.handover.call, far)
+        share.call_soon(node.handover.accept_successor, near)
+        self.share.call_soon(new.handover.join_predecessor, far)
         self.share.call_soon(new.start)
 
     def new_ready(self) -> bool:
-        return self.node is not None and self.node.ready()
+        return self.node is not None and self.node.is_ready()
 
     def leave_old(self) -> None:
         if self.old:
-            self.old[0].call_soon(self.old[1].leave)
+            self.old[0].call_soon(self.old[1].begin_shutdown)
             self.look_old()
 
     def look_old(self) -> None:
@@ -243,7 +245,7 @@
         """As by SIGTERM."""
         if self.alive and self.node and self.share:
             self.leaving = True
-            self.share.call_soon(self.node.leave)
+            self.share.call_soon(self.node.begin_shutdown)
             self.look()
 
     def ended(self) -> bool:
@@ -748,4 +750,4 @@
 
 def slot_of(key: bytes) -> int:
     """The slot that the decisions will find for a key of the path."""
-    return crc_hqx(b"%d" % (number_of(key) or 0), 0) & (SLOT_COUNT - 1)
+    return crc_hqx(b"%d" % (key_number(key) or 0), 0) & (SLOT_COUNT - 1)
--- a/orchidgap/trial/stores.py
+++ b/orchidgap/trial/stores.py
@@ -121,13 +121,13 @@
         }[way]
         self.flow, self.left, self.chunked = arrival, body, way == "chunks"
         arrival.flows = True
-        self.conn.drained = lambda: self.more(pace, way)
+        self.conn.on_drained = lambda: self.more(pace, way)
         self.conn.send(b"HTTP/1.1 200 OK\r\n%b\r\nCache-Result: hit\r\n\r\n" % head)
-        if not self.conn.out:
+        if not self.conn.write_buffer:
             self.more(pace, way)
 
     def more(self, pace: int, way: str) -> None:
-        while self.left and self.conn.open and not self.conn.out:
+        while self.left and self.conn.is_open and not self.conn.write_buffer:
             piece, self.left = self.left[:PIECE], self.left[PIECE:]
             self.conn.send(
                 *((b"%x\r\n" % len(piece), piece, b"\r\n") if self.chunked else (piece,))
@@ -135,8 +135,8 @@
             if pace and self.left:
                 self.store.loop.call_later(len(piece) * 1_000_000 // pace, self.more, pace, way)
                 return
-        if self.flow and not self.left and self.conn.open and not self.conn.out:
-            arrival, self.flow, self.conn.drained = self.flow, None, None
+        if self.flow and not self.left and self.conn.is_open and not self.conn.write_buffer:
+            arrival, self.flow, self.conn.on_drained = self.flow, None, None
             arrival.flows = False
             if way == "close":
                 return self.close()
@@ -156,7 +156,7 @@
     def close(self) -> None:
         if self.flow:
             self.flow.flows = False  # it gives no more by itself
-        if self.conn.open:
+        if self.conn.is_open:
             self.conn.close()
             self.ended("")
 
@@ -291,7 +291,7 @@
             and self.loop.now >= self.frozen_until
         ):
             job = self.waiting.popleft()
-            if not job.link.conn.open and self.model.forgets_expired:
+            if not job.link.conn.is_open and self.model.forgets_expired:
                 continue  # nobody waits for it
             self.begin(job)
 
@@ -363,7 +363,7 @@
     def put(self, job: Job, outcome: str) -> None:
         """What was decided is written now, unless nobody can hear it."""
         link = job.link
-        if not link.conn.open or self.vanished:
+        if not link.conn.is_open or self.vanished:
             return
         if self.cut.get(link.who):
             self.held.append(job)
@@ -392,7 +392,7 @@
         else:
             link.say({"miss": MISS, "full": TOO_MANY if link.beyond else FULL}.get(outcome, ERROR))
             if link.beyond:
-                link.conn.finish()
+                link.conn.close_gracefully()
 
     def spoil(self, job: Job, body: bytes) -> None:
         """The work has run, and what is written of it is not what was asked for, or more than that."""
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -19,7 +19,7 @@
             "health": net.node.health,
             "quiesce": net.node.quiesce,
             "resume": net.node.resume,
-            "watch": net.node.watch,
+            "watch": net.node.shadow_report,
         },
     )
 
@@ -52,7 +52,7 @@
     assert say(net, operators, b"health") == "FAILURE drained\n"
     assert say(net, operators, b"resume") == "SUCCESS serving\n" == say(net, operators, b"resume")
     assert heard(net.client(UP)).startswith("HTTP/1.1 200")
-    net.node.leave()
+    net.node.begin_shutdown()
     assert say(net, operators, b"quiesce") == "SUCCESS leaving\n"
     assert say(net, operators, b"resume") == "FAILURE leaving\n" == say(net, operators, b"health")
 
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -13,7 +13,7 @@
     """Our end of this connection."""
     return next(
         link.conn.sock
-        for pool in net.node.hosts.pools.values()
+        for pool in net.node.pools.by_host.values()
         for link in pool.links
         if link.conn.sock.getsockname() == far.getpeername()
     )
@@ -49,7 +49,7 @@
     ours = near(old, net)
     client = net.caller(req("second"))
     old.sendall(says) if says else old.close()
-    arrived(ours, net.node.clients.listener)
+    arrived(ours, net.node.clients.listening_socket)
     net.node.clients.accept()  # the client is looked at first
     net.turn()
     text, new = net.asked()
@@ -156,7 +156,7 @@
     ours = near(far, net)
     far.sendall(b"HTTP/1.1 200 OK\r\n\r\nas far as it")
     net.turn()
-    net.wait(net.node.hold)
+    net.wait(net.node.response_hold_us)
     assert "as far as it" in told(client)
     net.resets(far)
     arrived(ours)
@@ -195,4 +195,4 @@
     net.turn()
     net.wait(STALL + 2_000_000)  # it says no more
     told(client)
-    assert told(client) == RESET and net.node.hosts.count == 0 and not net.node.reqs
+    assert told(client) == RESET and net.node.pools.connection_count == 0 and not net.node.exchanges
--- a/tests/http1/test_lists.py
+++ b/tests/http1/test_lists.py
@@ -165,7 +165,7 @@
     agent.down, since, longest = True, net.now, 0
     for _ in range(60_000_000 // STEP):
         agent.run(STEP)
-        since = net.now if net.node.registry.out else since
+        since = net.now if net.node.discovery.out else since
         longest = max(longest, net.now - since)
     assert 0 < longest <= GAP + STEP < DRAIN and len(agent.calls) < 40, (
         "nor is it asked again and again"
@@ -221,7 +221,7 @@
 
 def test_a_new_process_serves_only_with_the_list_that_counts_as_told_to_it():
     net = Watched(2, listed=False)
-    assert up(net) == "503" and len(net.node.fleet) == 3, "what it was started with may be old"
+    assert up(net) == "503" and len(net.node.endpoints) == 3, "what it was started with may be old"
     agent = Agent(net)
     agent.change, agent.seq = net.now, 8
     agent.look()
@@ -239,7 +239,7 @@
 
 def test_a_new_process_without_any_list_does_not_serve():
     net = Watched(2, listed=False, start=False)
-    net.node.config = net.node.config._replace(known_endpoints=(0, True, [], []))
+    net.node.config = net.node.config._replace(initial_endpoints=(0, True, [], []))
     net.node.start()
     net.wait(5 * FIRST_LIST)
     assert up(net) == "503"
@@ -252,7 +252,7 @@
     agent.run(700_000)
     agent.fates = iter(fates)
     agent.seq, agent.change = 3, net.now  # it counts anew there, and one of its hosts drains
-    net.node.registry.move(("127.0.0.1", 8501))
+    net.node.discovery.move(("127.0.0.1", 8501))
     for _ in range(400):
         net.wait(STEP)
         net.dialled = [(8500 if port == 8501 else port, far) for port, far in net.dialled]
--- a/tests/loopback_harness.py
+++ b/tests/loopback_harness.py
@@ -59,17 +59,17 @@
     def opens(self) -> Address:
         """Listens for clients; where."""
         self.node.clients.listen(("127.0.0.1", 0))
-        return self.node.clients.listener.getsockname()
+        return self.node.clients.listening_socket.getsockname()
 
     def caller(self, text=b""):
         """A client whose connection and bytes are there, and which the node has not looked at."""
-        if self.node.clients.listener is None:
+        if self.node.clients.listening_socket is None:
             self.opens()
-        sock = socket.create_connection(self.node.clients.listener.getsockname(), PATIENCE)
+        sock = socket.create_connection(self.node.clients.listening_socket.getsockname(), PATIENCE)
         prompt(sock)
         sock.sendall(text)
         self.kept.append(sock)
-        arrived(self.node.clients.listener)
+        arrived(self.node.clients.listening_socket)
         return sock
 
     def near(self, client):
@@ -77,7 +77,7 @@
         name = client.getsockname()
         return next(
             caller.conn.sock
-            for caller in self.node.clients.open
+            for caller in self.node.clients.open_clients
             if caller.conn.sock.getpeername() == name
         )
 
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -16,7 +16,7 @@
     """From now on connections do not come up; what would come of the first, once it does."""
     near, far = full_pair()
     far.setblocking(False)
-    net.node.hosts.dialer = lambda address: near
+    net.node.pools.dial_address = lambda address: near
     return far
 
 
@@ -40,11 +40,11 @@
     far = held_up(net)
     client = net.caller(req())
     net.turn()
-    assert len(net.node.reqs) == 1
+    assert len(net.node.exchanges) == 1
     net.leaves(client)
     net.turn()
     comes_up(net, far)
-    assert b"GET" not in written(far) and not net.node.reqs and net.verdicts == ["moot"]
+    assert b"GET" not in written(far) and not net.node.exchanges and net.verdicts == ["moot"]
 
 
 @pytest.mark.parametrize("settings", [{}, UNCALLED])
@@ -55,10 +55,10 @@
     net.turn()
     assert written(far) == b""
     net.leaves(client)  # both are there; the connection to the host is looked at first
-    link = next(iter(net.node.hosts.pools["c0"].links))
-    link.conn.ready(2)
+    link = next(iter(net.node.pools.by_host["c0"].links))
+    link.conn.on_ready(2)
     net.turn()
-    assert b"GET" not in written(far) and not net.node.reqs
+    assert b"GET" not in written(far) and not net.node.exchanges
 
 
 def test_none_of_those_behind_is_sent_on_once_a_client_that_is_not_read_has_left():
@@ -66,8 +66,8 @@
     net = LoopbackHarness(1)
     client = net.caller(b"".join(req(f"k{i}") for i in range(20)))
     net.turn()
-    caller = next(iter(net.node.clients.open))
-    assert caller.conn.holds
+    caller = next(iter(net.node.clients.open_clients))
+    assert caller.conn.read_paused
     text, far = net.asked()
     assert "/read/k0" in text
     net.brings(client, req("k20"))
@@ -75,7 +75,11 @@
     net.gone(caller)
     net.answers(far)
     net.wait(10_000)
-    assert net.asked()[0] == "" and not net.node.reqs and caller not in net.node.clients.open
+    assert (
+        net.asked()[0] == ""
+        and not net.node.exchanges
+        and caller not in net.node.clients.open_clients
+    )
 
 
 def test_no_attempt_begins_for_who_left_before_being_let_in():
@@ -83,7 +87,7 @@
     client = net.caller(req())
     client.close()
     net.turn()
-    assert net.fars() == [] and not net.node.reqs and not net.node.clients.open
+    assert net.fars() == [] and not net.node.exchanges and not net.node.clients.open_clients
 
 
 def test_none_that_wait_for_a_host_are_sent_on_once_their_clients_left():
@@ -100,7 +104,7 @@
         with contextlib.suppress(OSError):
             net.answers(far)
     net.wait(200_000)
-    assert net.asked()[0] == "" and not net.node.reqs
+    assert net.asked()[0] == "" and not net.node.exchanges
 
 
 @pytest.mark.parametrize(("after", "goes"), [(100_000, True), (300_000, False)])
@@ -118,11 +122,11 @@
     assert text.startswith("PUT")
     far = held_up(net)
     origin.close()  # it may have run
-    arrived(next(iter(net.node.hosts.pools["o"].links)).conn.sock)
+    arrived(next(iter(net.node.pools.by_host["o"].links)).conn.sock)
     net.turn()
-    assert net.verdicts == ["reset"] and len(net.node.reqs) == 1, "a repeat is on its way"
-    net.node.hosts.connect_within = 10_000_000
-    for link in net.node.hosts.pools["o"].links:
+    assert net.verdicts == ["reset"] and len(net.node.exchanges) == 1, "a repeat is on its way"
+    net.node.pools.connect_timeout_us = 10_000_000
+    for link in net.node.pools.by_host["o"].links:
         link.forget_timer()
     net.wait(after)
     comes_up(net, far)
@@ -146,10 +150,10 @@
     net.turn()
     net.leaves(client)
     net.turn()
-    assert len(net.node.reqs) == 1, "it runs on"
+    assert len(net.node.exchanges) == 1, "it runs on"
     net.wait(1_000_000)
-    assert not net.node.reqs and not net.node.balancer.requests and net.verdicts == ["timeout"]
-    assert sum(len(pool.links) for pool in net.node.hosts.pools.values()) == 0
+    assert not net.node.exchanges and not net.node.balancer.requests and net.verdicts == ["timeout"]
+    assert sum(len(pool.links) for pool in net.node.pools.by_host.values()) == 0
 
 
 def test_no_host_is_told_to_wait_for_longer_than_the_client_does():
@@ -174,12 +178,12 @@
     far = held_up(net)
     net.caller(req())
     net.turn()
-    owner = next(id for id, pool in net.node.hosts.pools.items() if pool.links)
-    link = next(iter(net.node.hosts.pools[owner].links))
-    net.node.hosts.dialer = net.dial
+    owner = next(id for id, pool in net.node.pools.by_host.items() if pool.links)
+    link = next(iter(net.node.pools.by_host[owner].links))
+    net.node.pools.dial_address = net.dial
     told_of = decode_list({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
     net.node.on_list(False, *told_of[2:])
-    link.conn.ready(2)  # it was ready in the same turn
+    link.conn.on_ready(2)  # it was ready in the same turn
     net.turn()
     assert b"GET" not in written(far) and net.asked()[0].startswith("GET"), "the other serves it"
 
@@ -191,7 +195,7 @@
     net.now += 600_000  # its time to be called off and its client's end come in one turn
     net.leaves(client)
     net.turn()
-    assert [port for port, _ in net.dialled if port == 109] == [] and not net.node.reqs
+    assert [port for port, _ in net.dialled if port == 109] == [] and not net.node.exchanges
 
 
 @pytest.mark.parametrize("settings", [{}, UNCALLED])
@@ -202,10 +206,14 @@
         b"Content-Length: 100000\r\n\r\n" + b"v" * 70_000
     )
     net.turn()
-    assert net.asked()[0].startswith("PUT") and net.node.hosts.count == 1
+    assert net.asked()[0].startswith("PUT") and net.node.pools.connection_count == 1
     net.leaves(client)
     net.turn()
-    assert net.node.hosts.count == 0 and not net.node.reqs and not net.node.balancer.requests
+    assert (
+        net.node.pools.connection_count == 0
+        and not net.node.exchanges
+        and not net.node.balancer.requests
+    )
 
 
 def test_nothing_is_written_for_a_req_that_has_its_answer():
@@ -216,4 +224,4 @@
     net.node.deny(1, 0)
     assert "503" in told(client)
     comes_up(net, far)
-    assert b"GET" not in written(far) and not net.node.reqs
+    assert b"GET" not in written(far) and not net.node.exchanges
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -11,8 +11,8 @@
     net = LoopbackHarness(1)
     client = net.caller(b"".join(req(f"k{i}") for i in range(400)))
     net.turn()
-    caller = next(iter(net.node.clients.open))
-    assert caller.conn.holds and len(caller.reader.behind) < 700, (
+    caller = next(iter(net.node.clients.open_clients))
+    assert caller.conn.read_paused and len(caller.reader.behind) < 700, (
         "one read's worth is kept, no more"
     )
     client.close()
@@ -22,19 +22,19 @@
     net.wait(20_000)
     assert (
         net.asked()[0] == ""
-        and not net.node.reqs
-        and not net.node.clients.open
-        and not net.node.names
+        and not net.node.exchanges
+        and not net.node.clients.open_clients
+        and not net.node.open_request_ids
     )
 
 
 def test_idle_clients_at_the_most_keep_out_neither_reqs_nor_the_list():
     net = LoopbackHarness(1, sockets=64)
-    most = net.node.clients.most
+    most = net.node.clients.max_clients
     heard(watched(net))
     silent = [net.caller() for _ in range(3 * most)]
     net.turn(8)
-    assert len(net.node.clients.open) <= most + TURNED_AWAY
+    assert len(net.node.clients.open_clients) <= most + TURNED_AWAY
     net.wait(SETTLED)  # who has asked nothing for so long is the first to make way
     late = net.caller(req("late"))
     net.turn(8)
@@ -59,7 +59,7 @@
             % (i, i)
             + b"v" * 70_000
         )
-        for i in range(net.node.clients.most)
+        for i in range(net.node.clients.max_clients)
     ]
     net.turn(8)
     shut_out = net.caller(req("out"))
@@ -73,7 +73,7 @@
     while "/read/in" not in (found := net.asked())[0]:
         assert found[0], "never sent on"
     net.answers(found[1])
-    assert "200" in told(client) and len(net.node.clients.open) <= 2
+    assert "200" in told(client) and len(net.node.clients.open_clients) <= 2
 
 
 def test_a_req_written_a_byte_at_a_time_is_taken_and_one_that_stands_still_is_let_go():
@@ -99,7 +99,7 @@
     heard(agent)
     body = orjson.dumps({"seq": 8, "whole": True, "hosts": [net.entry(3), net.entry(9)]})
     agent.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    arrived(net.node.registry.conn.sock)
+    arrived(net.node.discovery.conn.sock)
     for i in range(100):
         net.caller(req(f"k{i}"))
     net.loop.run_once(0)
