--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -26,7 +26,7 @@
         net.brings(client, req("second"))
         signal.raise_signal(signal.SIGTERM)  # both are there before the loop looks
         net.turn(1 + turns)
-        assert net.node.life.state is State.LEAVING
+        assert net.node.lifecycle.state is State.LEAVING
         net.turn()
         net.answers(net.far())
         said = told(client)
@@ -44,8 +44,8 @@
             signal.raise_signal(signal.SIGHUP)
             net.turn()
             net.wait(LAST_CALL // 2)
-        assert net.node.life.since <= net.now - times * (LAST_CALL // 2) and net.loop.running
-        assert net.node.clients.listener is None, "shut after the first call's time"
+        assert net.node.lifecycle.since <= net.now - times * (LAST_CALL // 2) and net.loop.running
+        assert net.node.clients.listening_socket is None, "shut after the first call's time"
         net.answers(net.far())
         assert "200" in told(client) and "terms kept" in net.log.lines
 
@@ -57,7 +57,7 @@
         signal.raise_signal(signal.SIGTERM)
         net.turn()
         net.wait(LAST_CALL + 20_000)
-        assert not net.loop.running and net.node.life.state is State.LEAVING
+        assert not net.loop.running and net.node.lifecycle.state is State.LEAVING
 
 
 @pytest.mark.parametrize("first", [30, None])
@@ -67,7 +67,7 @@
     assert "/read/first" in net.asked()[0]
     # due in the same turn as idle ones are let go, and before that; what was ready in that turn is done with
     net.loop.call_at(net.now + LAST_CALL, net.brings, client, text[:first])
-    net.node.leave()
+    net.node.begin_shutdown()
     net.wait(LAST_CALL)
     assert told(client) is None and net.loop.running
     if first:
@@ -81,7 +81,7 @@
     net = LoopbackHarness(1)
     client = net.caller(req("a") + req("b") + req("c") + req("d")[:20])
     net.turn()
-    net.node.leave()
+    net.node.begin_shutdown()
     for key in "abc":
         text, far = net.asked()
         assert f"/read/{key}" in text
@@ -97,14 +97,14 @@
 def test_whoever_waits_in_the_backlog_when_the_listener_is_shut_is_served():
     net = LoopbackHarness(2)
     net.opens()
-    net.node.leave()
+    net.node.begin_shutdown()
     net.wait(LAST_CALL - 1)
-    net.node.clients.look_away()  # as if the loop had not come round to it
+    net.node.clients.leave_listener()  # as if the loop had not come round to it
     clients = [net.caller(req(f"k{i}")) for i in range(3)]
-    net.node.clients.away = False
-    net.loop.watch(net.node.clients.listener, 1, lambda mask: None)
+    net.node.clients.accepts_elsewhere = False
+    net.loop.watch(net.node.clients.listening_socket, 1, lambda mask: None)
     net.wait(10_000)
-    assert net.node.clients.listener is None
+    assert net.node.clients.listening_socket is None
     for far in net.fars():
         if heard(far):
             net.answers(far)
@@ -114,13 +114,13 @@
 def test_a_req_that_crosses_the_end_of_its_connection_is_not_sent_on_and_resets_nothing():
     net = LoopbackHarness(1)
     client = idle_client(net)
-    net.node.leave()
+    net.node.begin_shutdown()
     net.wait(LAST_CALL + 10_000)
     assert "/read/first" in net.asked()[0]
     client.sendall(req("crossing"))  # it has not heard of the end
     arrived(net.near(client))
     net.turn()
-    assert not net.node.reqs and net.asked()[0] == ""
+    assert not net.node.exchanges and net.asked()[0] == ""
     assert told(client) == "", "an end in order, so that it asks elsewhere"
     client.close()
     net.wait(20_000)
@@ -131,9 +131,9 @@
     net = LoopbackHarness(1)
     client = net.caller(req("k"))
     net.turn()
-    net.node.leave()
+    net.node.begin_shutdown()
     net.answered(net.far())
-    arrived(next(iter(net.node.hosts.pools["c0"].links)).conn.sock)
+    arrived(next(iter(net.node.pools.by_host["c0"].links)).conn.sock)
     net.brings(client, req("behind")[:40])  # both are there: the answer goes out over unread bytes
     net.turn()
     client.sendall(b"x" * 5000)
@@ -144,7 +144,7 @@
 def test_a_client_that_never_closes_keeps_no_process():
     net = LoopbackHarness(1)
     idle_client(net)
-    net.node.leave()
+    net.node.begin_shutdown()
     net.wait(LAST_CALL + LINGER + 30_000)
     assert not net.loop.running
 
@@ -165,7 +165,7 @@
     net.turn()
     late = net.caller(req("late")[:30])  # begun, and whole only when there is hardly any time left
     net.turn()
-    net.node.leave()
+    net.node.begin_shutdown()
     net.wait(last_words - 20_000)
     if timeout < 9_000_000:  # else its patience is over
         net.brings(late, req("late")[30:])
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -8,7 +8,7 @@
 
 from orchidgap.net import config, server
 from orchidgap.net.loop import Loop
-from orchidgap.parts import parts_of
+from orchidgap.parts import protocol_for
 
 GOOD = {
     "name": "n",
@@ -58,13 +58,13 @@
     monkeypatch.setattr(server, "Loop", Once)
     monkeypatch.setattr(server, "Node", Seen)
     try:
-        server.serve(str(path), parts_of)
+        server.serve(str(path), protocol_for)
     finally:
         signal.set_wakeup_fd(-1)
         for number, handler in kept.items():
             signal.signal(number, handler)
-    assert nodes[0].knows("later") and not nodes[0].knows("read")
-    nodes[0].clients.listener.close()
+    assert nodes[0].knows_request_class("later") and not nodes[0].knows_request_class("read")
+    nodes[0].clients.listening_socket.close()
 
 
 # --- another customer's settings
@@ -180,7 +180,7 @@
             )
             assert (
                 min(station.connect_timeout_us, station.idle_timeout_us) >= 1
-                and station.sockets >= 64
+                and station.descriptors >= 64
             ), (
                 path,
                 value,
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -8,7 +8,7 @@
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.http1 import Http1
 from orchidgap.net.config import BalancerConfig
-from orchidgap.net.connection import Fault, Reach
+from orchidgap.net.connection import AttemptFailure, SendProgress
 from orchidgap.net.endpoints import decode_list
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
@@ -23,7 +23,7 @@
     def __call__(self, event, **facts):
         self.lines.append(event)
 
-    def trouble(self, trouble):
+    def exception(self, trouble):
         if type(trouble) not in self.expects:
             raise trouble
         self.lines.append(type(trouble).__name__)
@@ -50,7 +50,7 @@
             set(),
             [],
         )
-        self.loop = Loop(clock=lambda: self.now, trouble=self.log.trouble)
+        self.loop = Loop(clock=lambda: self.now, on_error=self.log.exception)
         pairs = PAIRS | {name.replace("__", "."): value for name, value in pairs.items()}
         found = decode_list(
             {
@@ -84,7 +84,7 @@
             self.verdicts.append(verdict),
             outcome(id, number, verdict, over),
         )
-        self.node.listed = (
+        self.node.list_received = (
             listed  # else it serves once discovery has told its list, or is silent for long
         )
         if start:
@@ -106,7 +106,7 @@
 
     def dial(self, address):
         if address[1] in self.refused:
-            return Fault(Reach.UNSENT, "broken", "refused")
+            return AttemptFailure(SendProgress.UNSENT, "broken", "refused")
         near, far = socket.socketpair()
         far.setblocking(False)
         self.dialled.append((address[1], far))
@@ -131,7 +131,7 @@
         self.kept.append(far)  # else it would hang up
         far.sendall(text)
         self.turn(1)
-        self.node.clients.let_in(near)
+        self.node.clients.admit(near)
         self.turn()
         return far
 
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -20,7 +20,7 @@
     def __init__(self, caches):
         self.balancer = Desk(caches)
 
-    def decide(self, call, *args):
+    def call_decisions(self, call, *args):
         call(*args)
 
 
--- a/tests/resp/test_resp.py
+++ b/tests/resp/test_resp.py
@@ -5,7 +5,7 @@
 import pytest
 from town import Client, Server, Town
 
-from orchidgap.net.config import station
+from orchidgap.net.config import config_from_document
 from orchidgap.resp import codec
 from orchidgap.resp.front import slot_of
 
@@ -68,7 +68,7 @@
         assert client.ask(b"SET", key, b"v%d" % number) == b"+OK\r\n"
         assert client.ask(b"GET", key) == b"$2\r\nv%d\r\n" % number
         assert [words[0] for words in town.servers[number].seen] == [b"SET", b"GET"]
-    assert not town.node.reqs and not town.node.balancer.requests
+    assert not town.node.exchanges and not town.node.balancer.requests
 
 
 def test_keys_of_several_slots_are_split_and_joined(town):
@@ -114,7 +114,7 @@
 
     town.servers[0].answer = answer
     said = client.says(b"".join(codec.command(b"INCR", key) for key in keys), 2_000_000)
-    assert said.count(b"\r\n") == 1_000 and not town.node.reqs
+    assert said.count(b"\r\n") == 1_000 and not town.node.exchanges
     ran = [words[1] for words in town.seen(b"INCR")]
     assert len(ran) == len(set(ran)), "no write twice"
     assert said.count(b"-ERR given up, it may have run") > 0 and said.count(b":1\r\n") >= 400
@@ -200,12 +200,16 @@
 def test_a_client_that_stops_reading_is_not_read_further(town):
     client, key = Client(town), key_of(town, 0)
     client.ask(b"SET", key, b"v" * 60_000)
-    client.conn.hold(True)
+    client.conn.pause_reading(True)
     client.conn.send(codec.command(b"GET", key) * 500)
     town.wait(3_000_000)
-    [caller] = town.node.clients.open
-    assert caller.conn.holds and len(caller.conn.out) < 2 << 20 and len(caller.waiting) <= 1_024
-    client.conn.hold(False)
+    [caller] = town.node.clients.open_clients
+    assert (
+        caller.conn.read_paused
+        and len(caller.conn.write_buffer) < 2 << 20
+        and len(caller.waiting) <= 1_024
+    )
+    client.conn.pause_reading(False)
     town.wait(5_000_000)
     assert client.got.count(b"$60000\r\n") + client.got.count(b"-TRYAGAIN") == 500
 
@@ -235,4 +239,4 @@
         "settings": {"rule-sets": [{"name": "read", "effect": "retryable", "client-timeout": 1}]},
         "resp": {"seeds": []},
     }
-    assert station(told).discovery == ("", 0)
+    assert config_from_document(told).discovery == ("", 0)
--- a/tests/resp/town.py
+++ b/tests/resp/town.py
@@ -19,7 +19,7 @@
     def __call__(self, event, **facts):
         self.lines.append((event, facts))
 
-    def trouble(self, trouble):
+    def exception(self, trouble):
         self.faults.append(trouble)
         raise trouble
 
@@ -70,7 +70,7 @@
 
     def received(self, view):
         self.reader.feed(view)
-        while self.conn.open and (words := self.reader.command()) is not None:
+        while self.conn.is_open and (words := self.reader.command()) is not None:
             said = self.server.answer(words)
             if said == "cut":
                 self.conn.close()
@@ -134,8 +134,8 @@
             },
             "resp": {"seeds": [server.name for server in self.servers]} | resp,
         }
-        station = config.station(told)
-        self.share = Share(self.ground.loop, self.log.trouble)
+        station = config.config_from_document(told)
+        self.share = Share(self.ground.loop, self.log.exception)
         self.node = Node(
             self.share,
             station,
@@ -145,7 +145,7 @@
         )
         door = Queue(self.ground.loop)
         self.ground.doors[self.address] = door
-        self.node.clients.listener = door
+        self.node.clients.listening_socket = door
         self.share.watch(door, 1, self.node.clients.accept)
         self.node.start()
         self.wait(50_000)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -36,10 +36,12 @@
 
 def held(net):
     """Bytes that the node holds for clients and hosts."""
-    conns = [client.conn for client in net.node.clients.open]
-    conns += [link.conn for pool in net.node.hosts.pools.values() for link in pool.links]
-    flows = [client.flow for client in net.node.clients.open if client.flow]
-    return sum(len(conn.out) for conn in conns) + sum(sum(map(len, flow.parts)) for flow in flows)
+    conns = [client.conn for client in net.node.clients.open_clients]
+    conns += [link.conn for pool in net.node.pools.by_host.values() for link in pool.links]
+    flows = [client.flow for client in net.node.clients.open_clients if client.flow]
+    return sum(len(conn.write_buffer) for conn in conns) + sum(
+        sum(map(len, flow.parts)) for flow in flows
+    )
 
 
 def push(net, far, text, most=1 << 16):
@@ -58,7 +60,7 @@
     )
     far = net.far()
     heard(far)
-    for one in net.node.clients.open:
+    for one in net.node.clients.open_clients:
         small_buffers(one.conn.sock)
     head = {
         "length": f"Content-Length: {SIZE}",
@@ -100,7 +102,12 @@
     )
     if b"chunked" in head:
         body = unchunked(body)
-    assert body == BODY and net.verdicts == ["done"] and not net.node.reqs and not net.node.names
+    assert (
+        body == BODY
+        and net.verdicts == ["done"]
+        and not net.node.exchanges
+        and not net.node.open_request_ids
+    )
     assert (b"Connection: close" in head) == (version == "1.0")
     if version == "1.1":
         net.says(client, b"GET /read/k2 HTTP/1.1\r\nRequest-Id: 2\r\nRequest-Timeout: 1\r\n\r\n")
@@ -128,10 +135,14 @@
         "at once, whatever is still to come"
     )
     net.wait(3_000_000)
-    assert heard(client) is None and net.node.reqs
-    assert net.node.holds(b"r-k"), "the id is open until the end"
+    assert heard(client) is None and net.node.exchanges
+    assert net.node.is_request_open(b"r-k"), "the id is open until the end"
     net.says(far, b"x" * 99_995)
-    assert heard(client) == "x" * 99_995 and not net.node.reqs and not net.node.holds(b"r-k")
+    assert (
+        heard(client) == "x" * 99_995
+        and not net.node.exchanges
+        and not net.node.is_request_open(b"r-k")
+    )
     assert len(net.fars()) == 1
 
 
@@ -148,7 +159,7 @@
     net = NodeHarness(2)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client, near = socket.create_connection(listener.getsockname()), listener.accept()[0]
-    net.node.clients.let_in(near)
+    net.node.clients.admit(near)
     net.says(client, f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n")
     client.setblocking(False)
     far = net.far()
@@ -178,9 +189,9 @@
     )
     assert (
         host.retry_budget == before - 1.0
-        and not net.node.reqs
-        and not net.node.names
-        and not net.node.hosts.flows
+        and not net.node.exchanges
+        and not net.node.open_request_ids
+        and not net.node.pools.flows
     )
 
 
@@ -214,14 +225,17 @@
     client.close()
     net.turn()
     assert (
-        heard(far) == "" and not net.node.reqs and not net.node.names and not net.node.hosts.flows
+        heard(far) == ""
+        and not net.node.exchanges
+        and not net.node.open_request_ids
+        and not net.node.pools.flows
     )
 
 
 def test_a_reader_that_stands_still_makes_way_and_one_that_reads_on_stays():
     net = NodeHarness(1)
     client, far = net.ask("k"), net.far()
-    for one in net.node.clients.open:
+    for one in net.node.clients.open_clients:
         small_buffers(one.conn.sock)
     rest = push(net, far, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % SIZE + BODY)
     for _ in range(8):
@@ -230,7 +244,9 @@
         rest = push(net, far, rest)
         net.turn()
     net.wait(10_100_000)
-    assert not net.node.clients.open and not net.node.reqs, "ten seconds without a byte"
+    assert not net.node.clients.open_clients and not net.node.exchanges, (
+        "ten seconds without a byte"
+    )
 
 
 # --- reqs
@@ -255,7 +271,7 @@
         if net.fars():
             if far is None:
                 far = net.far()
-                for pool in net.node.hosts.pools.values():
+                for pool in net.node.pools.by_host.values():
                     for link in pool.links:
                         small_buffers(link.conn.sock)
             got += drawn(far, 4_000) or b""
@@ -267,7 +283,7 @@
     assert (unchunked(body) if framing else body) == BODY
     assert net.node.balancer.hosts["o"].in_flight == 1
     net.answers(far, body="stored")
-    assert heard(client).endswith("stored") and net.verdicts == ["done"] and not net.node.reqs
+    assert heard(client).endswith("stored") and net.verdicts == ["done"] and not net.node.exchanges
     assert net.node.balancer.hosts["o"].in_flight == 0
     net.says(client, b"GET /up HTTP/1.1\r\n\r\n")
     assert heard(client).startswith("HTTP/1.1 200"), "the connection goes on"
@@ -349,9 +365,9 @@
     assert net.verdicts == [] and heard(client) is None and not net.fars(), (
         "small ones are taken when they are whole"
     )
-    first = net.node.hosts.dialer
+    first = net.node.pools.dial_address
     tries = []
-    net.node.hosts.dialer = lambda address: (
+    net.node.pools.dial_address = lambda address: (
         tries.append(address) or (net.refused.clear() if len(tries) > 1 else None) or first(address)
     )
     net.says(client, b"ffff\r\n" + b"y" * 65_535 + b"\r\n")
@@ -377,7 +393,9 @@
     how(net, client)
     assert heard(client).startswith(f"HTTP/1.1 {status}") and drawn(far) is None
     assert net.verdicts == ["moot"] or net.verdicts == ["cancelled"]
-    assert not net.node.reqs and not net.node.names and not net.node.balancer.requests
+    assert (
+        not net.node.exchanges and not net.node.open_request_ids and not net.node.balancer.requests
+    )
 
 
 def test_an_early_answer_to_a_large_req_is_not_cut_off_by_what_still_comes():
@@ -389,11 +407,11 @@
     for part in pieces(BODY[100_000:700_000], 50_000):
         net.wait(500_000)
         net.says(client, part)
-    assert net.node.clients.open, (
+    assert net.node.clients.open_clients, (
         "what still comes is dropped; closing on it would reset the answer away"
     )
     net.wait(9_000_000)
-    assert not net.node.clients.open
+    assert not net.node.clients.open_clients
 
 
 def test_a_client_held_up_by_its_host_is_not_taken_for_one_that_stands_still():
@@ -405,13 +423,13 @@
         net.turn(1)
         if far is None and net.fars():
             far = net.far()
-            for pool in net.node.hosts.pools.values():
+            for pool in net.node.pools.by_host.values():
                 for link in pool.links:
                     small_buffers(link.conn.sock)
-    [one] = net.node.clients.open
-    assert one.conn.holds
+    [one] = net.node.clients.open_clients
+    assert one.conn.read_paused
     net.wait(6_000_000)
-    assert heard(client) is None and net.node.reqs
+    assert heard(client) is None and net.node.exchanges
     got = b""
     while len(got) < SIZE:
         got += drawn(far) or b""
@@ -443,7 +461,7 @@
 def test_fifty_large_answers_at_once_stay_within_what_is_reckoned_for_each():
     net = NodeHarness(1, sockets=256)
     clients = [net.ask(f"k{i}") for i in range(50)]
-    for one in net.node.clients.open:
+    for one in net.node.clients.open_clients:
         small_buffers(one.conn.sock)
     net.wait(1_000)
     fars = net.fars()
@@ -456,7 +474,7 @@
         net.turn(1)
         most = max(most, held(net))
     assert 0 < most <= len(fars) * (1 << 17)
-    assert clients and net.node.reqs
+    assert clients and net.node.exchanges
 
 
 def test_a_drain_does_not_cut_off_what_flows():
@@ -465,7 +483,7 @@
     net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     net.node.quiesce()
     net.wait(4_000_000)
-    assert net.node.life.state.value == "draining"
+    assert net.node.lifecycle.state.value == "draining"
     net.says(far, b"x" * 99_995)
     assert len(heard(client)) > 99_995
     assert heard(client) == "", (
@@ -473,14 +491,14 @@
     )
     client.close()
     net.wait(100_000)
-    assert net.node.life.state.value == "drained"
+    assert net.node.lifecycle.state.value == "drained"
 
 
 def test_a_process_told_to_end_waits_for_what_flows_as_long_as_it_does():
     net = NodeHarness(1)
     client, far = net.ask("k"), net.far()
     net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
-    net.node.leave()
+    net.node.begin_shutdown()
     for _ in range(9):
         net.wait(1_000_000)
         net.says(far, b"x" * 10_000)
@@ -517,11 +535,11 @@
         + ("" if status in (204, 304) else "Content-Length: 0\r\n")
         + "\r\n",
     )
-    assert net.verdicts[0] == verdict and list(net.node.hosts.pools["c0"].idle)
+    assert net.verdicts[0] == verdict and list(net.node.pools.by_host["c0"].idle)
 
 
 def test_a_large_error_is_told_at_once_and_not_read_to_its_end():
     net = NodeHarness(1)
     net.ask("k")
     net.says(net.far(), b"HTTP/1.1 500 No\r\nContent-Length: 30000000\r\n\r\n" + b"x" * 1_000)
-    assert net.verdicts[:1] == ["error"] and not net.node.hosts.pools["c0"].idle
+    assert net.verdicts[:1] == ["error"] and not net.node.pools.by_host["c0"].idle
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,7 +11,7 @@
 
 from orchidgap.net.config import ConfigError
 from orchidgap.net.endpoints import decode_list
-from orchidgap.net.handover import Handover, inherited
+from orchidgap.net.handover import Handover, inherited_listener
 
 UP = b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n"
 
@@ -42,7 +42,7 @@
 def test_what_is_passed_must_be_a_listening_socket(make, why):
     number = make()
     with pytest.raises(ConfigError, match=why):
-        inherited(str(number))
+        inherited_listener(str(number))
     if isinstance(number, int):
         os.close(number)  # it is still open: it is not ours to close
 
@@ -50,27 +50,27 @@
 def test_one_listener_in_two_nodes_and_the_old_one_ends_without_a_word_to_the_other():
     passed, nets = listener(), [NodeHarness(1), NodeHarness(1)]
     for net in nets:
-        net.node.clients.inherit(inherited(str(os.dup(passed.fileno()))))
+        net.node.clients.use_listening_socket(inherited_listener(str(os.dup(passed.fileno()))))
     old, new = nets
-    new.node.clients.look_away()
+    new.node.clients.leave_listener()
     first = ask(passed)
     turn(nets)
-    assert old.node.clients.open and not new.node.clients.open
-    new.node.clients.look_back()
-    old.node.clients.look_away()
+    assert old.node.clients.open_clients and not new.node.clients.open_clients
+    new.node.clients.return_to_listener()
+    old.node.clients.leave_listener()
     second = ask(passed)
     turn(nets)
-    assert len(old.node.clients.open) == len(new.node.clients.open) == 1
-    old.node.leave()
+    assert len(old.node.clients.open_clients) == len(new.node.clients.open_clients) == 1
+    old.node.begin_shutdown()
     old.wait(450_000)
-    assert old.node.clients.listener is None
+    assert old.node.clients.listening_socket is None
     third = ask(passed)
     turn(nets)
-    assert len(new.node.clients.open) == 2, "nobody shut the listener down"
+    assert len(new.node.clients.open_clients) == 2, "nobody shut the listener down"
     for net in nets:
         net.serve()
     assert [heard(one)[:15] for one in (first, second, third)] == ["HTTP/1.1 200 OK"] * 3
-    for one in (first, second, third, passed, new.node.clients.listener):
+    for one in (first, second, third, passed, new.node.clients.listening_socket):
         one.close()
 
 
@@ -136,7 +136,7 @@
 def inheriting(caches, start=True, **more):
     """A process with the inherited listener, which may be either of the two."""
     net = NodeHarness(caches, start=start, **more)
-    net.node.clients.inherit(listener())
+    net.node.clients.use_listening_socket(listener())
     net.node.handover = Handover(net.loop, net.node, None, shared=True)
     return net
 
@@ -152,12 +152,12 @@
     def __init__(self, caches=3, serves=True, **more):
         self.old, self.new = inheriting(caches, **more), inheriting(caches, start=False, **more)
         self.new.dial = self.old.dial  # hosts are common
-        self.new.node.hosts.dialer = self.new.node.registry.dialer = self.old.dial
+        self.new.node.pools.dial_address = self.new.node.discovery.dialer = self.old.dial
         self.known = {host.id: host for host in self.old.node.balancer.hosts.values()}
         near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self.prepare()
-        self.old.node.handover.called(near)
-        self.new.node.handover.call(far)
+        self.old.node.handover.accept_successor(near)
+        self.new.node.handover.join_predecessor(far)
         self.new.node.start()
         if serves:
             self.wait(0)
@@ -179,9 +179,9 @@
     def end(self):
         for net in (self.old, self.new):
             for kin in net.node.handover.kin():
-                kin.passage.close()
-            if net.node.clients.listener:
-                net.node.clients.listener.close()
+                kin.channel.close()
+            if net.node.clients.listening_socket:
+                net.node.clients.listening_socket.close()
 
 
 def test_the_new_one_says_yes_only_with_what_the_old_one_knows():
@@ -213,12 +213,21 @@
 
     two = Knowing(serves=False)
     old, new = two.old.node, two.new.node
-    assert not new.ready() and new.fleet and new.handover.waiting, (
+    assert not new.is_ready() and new.endpoints and new.handover.awaiting_snapshot, (
         "it has a list, and waits for more"
     )
-    assert old.life.state.value == "serving" and not old.clients.away and new.clients.away
+    assert (
+        old.lifecycle.state.value == "serving"
+        and not old.clients.accepts_elsewhere
+        and new.clients.accepts_elsewhere
+    )
     two.turn()
-    assert new.ready() and not new.handover.waiting and old.clients.away and not new.clients.away
+    assert (
+        new.is_ready()
+        and not new.handover.awaiting_snapshot
+        and old.clients.accepts_elsewhere
+        and not new.clients.accepts_elsewhere
+    )
     assert listed(two.new) == listed(two.old) and listed(two.new)["c1"] == "draining"
     c0 = new.balancer.hosts["c0"]
     assert (
@@ -237,15 +246,15 @@
 
 def test_without_an_answer_from_the_old_one_it_serves_all_the_same():
     net, near, far = one_side(2, start=False)
-    net.node.handover.call(far)
+    net.node.handover.join_predecessor(far)
     net.node.start()
     net.wait(1_490_000)
-    assert not net.node.ready()
+    assert not net.node.is_ready()
     net.wait(20_000)
-    assert net.node.ready() and not net.node.clients.away
+    assert net.node.is_ready() and not net.node.clients.accepts_elsewhere
     near.close()
     net.turn()
-    assert net.node.handover.elder is None and net.node.descriptors == 1024
+    assert net.node.handover.predecessor is None and net.node.descriptor_limit == 1024
 
 
 def test_connections_go_over_and_no_client_and_no_host_notices():
@@ -256,17 +265,22 @@
         two.old.answers(far)
         assert "close" not in heard(client)
     dialled = len(two.old.dialled)
-    two.old.node.leave()
+    two.old.node.begin_shutdown()
     two.wait(10_000)
-    assert len(two.new.node.clients.open) == 6 and len(two.old.node.clients.open) == 1
-    assert len(two.new.node.hosts.pools["c0"].idle) == 5 and not two.old.node.hosts.pools["c0"].idle
+    assert (
+        len(two.new.node.clients.open_clients) == 6 and len(two.old.node.clients.open_clients) == 1
+    )
+    assert (
+        len(two.new.node.pools.by_host["c0"].idle) == 5
+        and not two.old.node.pools.by_host["c0"].idle
+    )
     for i, client in enumerate([*kept, fresh]):
         assert heard(client) is None
         client.sendall(
             f"GET /read/n{i} HTTP/1.1\r\nRequest-Id: n{i}\r\nRequest-Timeout: 1\r\n\r\n".encode()
         )
     two.turn()
-    assert len(two.new.node.reqs) == 6 and len(two.old.dialled) == dialled + 1, (
+    assert len(two.new.node.exchanges) == 6 and len(two.old.dialled) == dialled + 1, (
         "five links came along"
     )
     two.old.serve()
@@ -274,7 +288,7 @@
         "it is not told to go either"
     )
     two.wait(10_000)
-    assert len(two.new.node.clients.open) == 7 and not two.old.node.clients.open
+    assert len(two.new.node.clients.open_clients) == 7 and not two.old.node.clients.open_clients
     two.turn()
     assert not two.old.loop.running, "all have gone over"
     two.new.turn()
@@ -310,29 +324,43 @@
     two = Busy(1, sockets=256)
     two.wait(10_000)
     old, new = two.old.node, two.new.node
-    assert old.descriptors + new.descriptors <= 256 and old.descriptors >= old.holding() >= 90
+    assert (
+        old.descriptor_limit + new.descriptor_limit <= 256
+        and old.descriptor_limit >= old.descriptors_needed() >= 90
+    )
     for _ in range(4):
         two.old.serve()
         two.wait(10_000)
-    old.leave()
+    old.begin_shutdown()
     while two.old.loop.running:
-        assert old.descriptors + new.descriptors <= 256
+        assert old.descriptor_limit + new.descriptor_limit <= 256
         two.wait(5_000)
-    assert len(new.clients.open) > 20 and not old.clients.open and new.descriptors == 256
+    assert (
+        len(new.clients.open_clients) > 20
+        and not old.clients.open_clients
+        and new.descriptor_limit == 256
+    )
     two.end()
 
 
 def test_a_new_one_that_dies_leaves_all_as_it_was():
     two = Two(1)
-    assert two.old.node.clients.away
+    assert two.old.node.clients.accepts_elsewhere
     two.new.ask("k")
     two.wait(10_000)
     assert two.old.node.balancer.hosts["c0"].in_flight_elsewhere == 1
-    two.new.node.handover.elder.passage.close()
+    two.new.node.handover.predecessor.channel.close()
     two.old.turn()
     old = two.old.node
-    assert not old.clients.away and not old.life.heir and old.descriptors == 1024 and old.ready()
-    assert old.balancer.hosts["c0"].in_flight_elsewhere == 0 and not old.handover.holds(b"r-k")
+    assert (
+        not old.clients.accepts_elsewhere
+        and not old.lifecycle.heir
+        and old.descriptor_limit == 1024
+        and old.is_ready()
+    )
+    assert old.balancer.hosts["c0"].in_flight_elsewhere == 0 and not old.handover.is_request_open(
+        b"r-k"
+    )
     client = two.old.ask("k2")
     two.old.serve()
     assert heard(client).startswith("HTTP/1.1 200")
@@ -342,9 +370,9 @@
 def test_a_new_one_that_dies_while_the_old_one_leaves():
     two = Two(1)
     busy = two.old.ask("busy")
-    two.old.node.leave()
+    two.old.node.begin_shutdown()
     two.wait(10_000)
-    two.new.node.handover.elder.passage.close()
+    two.new.node.handover.predecessor.channel.close()
     two.old.turn()
     two.old.serve()
     assert "Connection: close" in heard(busy), "nobody is there to take the connection"
@@ -362,7 +390,7 @@
     client.sendall(b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n")
     two.turn()
     two.old.serve()
-    assert heard(client).endswith("v") and two.old.loop.running and two.new.node.ready()
+    assert heard(client).endswith("v") and two.old.loop.running and two.new.node.is_ready()
     two.end()
 
 
@@ -388,14 +416,18 @@
 )
 def test_whatever_is_said_to_the_old_one_costs_the_passage_and_nothing_else(packet):
     net, near, far = one_side(1)
-    net.node.handover.called(near)
+    net.node.handover.accept_successor(near)
     far.send(packet) if packet else far.close()
     net.turn()
-    assert net.node.handover.heir is None and not net.node.clients.away and near.fileno() < 0
+    assert (
+        net.node.handover.successor is None
+        and not net.node.clients.accepts_elsewhere
+        and near.fileno() < 0
+    )
     client = net.ask("k")
     net.serve()
     assert heard(client).startswith("HTTP/1.1 200")
-    net.node.clients.listener.close()
+    net.node.clients.listening_socket.close()
 
 
 @pytest.mark.parametrize(
@@ -415,28 +447,28 @@
 )
 def test_whatever_is_said_to_the_new_one_it_serves(packet):
     net, near, far = one_side(1, start=False)
-    net.node.handover.call(far)
+    net.node.handover.join_predecessor(far)
     net.node.start()
     near.send(packet) if packet else near.close()
     net.turn()
     net.wait(1_600_000)
-    assert net.node.ready() and not net.node.clients.away
+    assert net.node.is_ready() and not net.node.clients.accepts_elsewhere
     client = net.ask("k")
     net.serve()
     assert heard(client).startswith("HTTP/1.1 200")
-    net.node.clients.listener.close()
+    net.node.clients.listening_socket.close()
 
 
 def test_descriptors_that_come_with_an_odd_packet_are_closed():
     net, near, far = one_side(1)
-    net.node.handover.called(near)
+    net.node.handover.accept_successor(near)
     left, right = socket.socketpair()
     socket.send_fds(far, [b'["clients"]'], [left.fileno()])
     left.close()
     net.turn()
     right.settimeout(5)
     assert right.recv(1) == b"", "nobody holds the other end"
-    net.node.clients.listener.close()
+    net.node.clients.listening_socket.close()
 
 
 def test_processes_find_each_other_by_a_folder_and_a_stale_file_is_nobody(tmp_path):
@@ -449,40 +481,44 @@
             NodeHarness(1, start=False),
         ]
         for net in nets:
-            net.node.clients.inherit(listener())
+            net.node.clients.use_listening_socket(listener())
             net.node.handover = Handover(net.loop, net.node, str(folder), shared=True)
         first, second, third = nets
-        first.node.handover.begin()
+        first.node.handover.find_predecessor()
         first.node.start()
-        assert first.node.ready() and first.node.handover.elder is None
-        second.node.handover.begin()
+        assert first.node.is_ready() and first.node.handover.predecessor is None
+        second.node.handover.find_predecessor()
         second.node.start()
-        assert second.node.handover.elder and not second.node.ready()
+        assert second.node.handover.predecessor and not second.node.is_ready()
         turn([first, second, first, second])
-        assert second.node.ready() and first.node.life.heir
-        first.node.end()
+        assert second.node.is_ready() and first.node.lifecycle.heir
+        first.node.stop()
         turn([second])
-        assert second.node.handover.elder is None and second.node.descriptors == 1024
+        assert second.node.handover.predecessor is None and second.node.descriptor_limit == 1024
         second.node.handover.listener.close()  # as by a kill: the file stays
-        third.node.handover.begin()
+        third.node.handover.find_predecessor()
         third.node.start()
-        assert third.node.handover.elder is None and third.node.ready()
-        third.node.end()
+        assert third.node.handover.predecessor is None and third.node.is_ready()
+        third.node.stop()
         assert not [path for path in folder.iterdir() if path.is_socket()]
         for net in nets:
-            if net.node.clients.listener:
-                net.node.clients.listener.close()
+            if net.node.clients.listening_socket:
+                net.node.clients.listening_socket.close()
 
 
 @pytest.mark.parametrize("folder", [None, "", "/nonexistent/folder"])
 def test_without_a_common_folder_each_does_with_half(folder):
     net = NodeHarness(1, start=False, sockets=400)
-    net.node.clients.inherit(listener())
+    net.node.clients.use_listening_socket(listener())
     net.node.handover = Handover(net.loop, net.node, folder, shared=True)
-    net.node.handover.begin()
+    net.node.handover.find_predecessor()
     net.node.start()
-    assert net.node.ready() and net.node.descriptors == 200 and "companion unseen" in net.log.lines
-    net.node.clients.listener.close()
+    assert (
+        net.node.is_ready()
+        and net.node.descriptor_limit == 200
+        and "companion unseen" in net.log.lines
+    )
+    net.node.clients.listening_socket.close()
 
 
 def test_a_process_takes_the_place_of_another_under_load(tmp_path):
@@ -548,7 +584,7 @@
 
 def going_over(two):
     """The old one is told to end, and what can go has gone."""
-    two.old.node.leave()
+    two.old.node.begin_shutdown()
     two.wait(15_000)
     two.turn()
 
@@ -574,8 +610,8 @@
         two.old.says(client, text[at : min(place, at + 50)])
     going_over(two)
     assert (
-        not two.old.node.clients.open
-        and len(two.new.node.clients.open) == 1
+        not two.old.node.clients.open_clients
+        and len(two.new.node.clients.open_clients) == 1
         and not two.old.loop.running
     )
     client.sendall(text[place:])
@@ -614,7 +650,7 @@
     )
     text = b"HTTP/1.1 200 OK\r\n" + head[framing] + b"\r\n\r\n" + text
     got = b""
-    for one in two.old.node.clients.open:
+    for one in two.old.node.clients.open_clients:
         one.conn.sock.setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, 8_192
         )  # some of it waits to be written
@@ -627,7 +663,7 @@
                 got += client.recv(9_000)
     assert not rest
     going_over(two)
-    assert two.new.node.holds(b"1") and not two.old.node.clients.open
+    assert two.new.node.is_request_open(b"1") and not two.old.node.clients.open_clients
     rest = text[place:]
     for _ in range(200):
         if rest:
@@ -649,8 +685,8 @@
         body = plain
     assert (
         body == BODY
-        and not two.new.node.reqs
-        and not two.new.node.names
+        and not two.new.node.exchanges
+        and not two.new.node.open_request_ids
         and not two.new.log.lines.count("fault")
     )
     if version == "1.1":
@@ -684,7 +720,7 @@
     two.turn()
     assert raw(client).endswith(b"first") and client.recv(1) == b""
     assert two.new.node.balancer.hosts["c0"].retry_budget < before or before == 0
-    assert not two.new.node.reqs and not two.new.node.names
+    assert not two.new.node.exchanges and not two.new.node.open_request_ids
     two.end()
 
 
@@ -712,7 +748,7 @@
     far = two.old.far()
     got = raw(far)
     going_over(two)
-    assert not two.old.node.clients.open and two.new.node.holds(b"r1")
+    assert not two.old.node.clients.open_clients and two.new.node.is_request_open(b"r1")
     if ends == "stalls":
         two.wait(3_000_000)
     else:
@@ -736,7 +772,7 @@
             two.wait(1_000_000)
         two.turn()
     assert heard(client).startswith(f"HTTP/1.1 {status}")
-    assert not two.new.node.reqs and not two.new.node.names
+    assert not two.new.node.exchanges and not two.new.node.open_request_ids
     two.end()
 
 
@@ -753,7 +789,7 @@
 @pytest.mark.parametrize("fds", [0, 1, 2])
 def test_a_req_under_way_that_makes_no_sense_costs_nothing(packet, fds):
     net, near, far = one_side(1, start=False)
-    net.node.handover.call(far)
+    net.node.handover.join_predecessor(far)
     net.node.start()
     pairs = [socket.socketpair() for _ in range(fds)]
     socket.send_fds(near, [packet + b"\nGET"], [pair[0].fileno() for pair in pairs])
@@ -764,11 +800,11 @@
     near.close()
     net.turn()
     net.wait(20_000_000)
-    assert net.node.ready() and not net.node.reqs and not net.node.hosts.count
+    assert net.node.is_ready() and not net.node.exchanges and not net.node.pools.connection_count
     assert all(pair[1].recv(99) == b"" or pair[1].recv(99) == b"" for pair in pairs), (
         "nobody holds their other ends"
     )
     client = net.ask("k")
     net.serve()
     assert heard(client).startswith("HTTP/1.1 200")
-    net.node.clients.listener.close()
+    net.node.clients.listening_socket.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,11 +16,11 @@
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net import config
-from orchidgap.net.connection import Fault, Reach
+from orchidgap.net.connection import AttemptFailure, SendProgress
 from orchidgap.net.endpoints import decode_list
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ
-from orchidgap.net.server import on_signal, read_anew
+from orchidgap.net.server import handle_signals, reload_config
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 LIST = "/discovery/hosts"
@@ -41,7 +41,7 @@
     assert heard(client) is None, "not a byte before the body is whole"
     net.says(origin, "ok")
     assert heard(client) == "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nstok"
-    assert not net.node.reqs and not net.node.balancer.requests
+    assert not net.node.exchanges and not net.node.balancer.requests
 
 
 def test_a_miss_goes_on_to_the_origin_and_links_are_used_again():
@@ -69,7 +69,7 @@
     for far in net.fars():
         if heard(far):
             net.answers(far, more="Server-Load: concurrent=all of it,tps\r\n")
-    assert {host.reported_in_flight for host in told} == {7.0} and not net.node.reqs
+    assert {host.reported_in_flight for host in told} == {7.0} and not net.node.exchanges
 
 
 def test_a_late_read_is_called_off_for_the_origin_and_both_ends_see_it():
@@ -83,14 +83,16 @@
         "the origin's port"
     )
     net.answers(net.far())
-    assert "200" in heard(client) and net.verdicts == ["cancelled", "done"] and not net.node.reqs
+    assert (
+        "200" in heard(client) and net.verdicts == ["cancelled", "done"] and not net.node.exchanges
+    )
 
 
 def test_a_late_read_whose_connection_never_came_up_is_sent_on_as_well():
     net = NodeHarness(3)
     client = net.ask()
-    attempt = next(iter(net.node.reqs.values())).attempts[0]
-    attempt.link.conn.taken = attempt.link.start  # as if nothing had been written yet
+    attempt = next(iter(net.node.exchanges.values())).attempts[0]
+    attempt.carrier.conn.bytes_written = attempt.carrier.start  # as if nothing had been written yet
     net.wait(600_000)
     assert net.verdicts[0] == "moot" and net.dialled[-1][0] == 109
     net.answers(net.far())
@@ -102,13 +104,13 @@
         PAIRS | {"report.how": "inline", "report.fields": "concurrent"}
     )
     net = NodeHarness(3, decider=partial(ShadowBalancer, new), **WAITS)
-    assert NodeHarness().node.watch() == (False, "nothing is watched")
+    assert NodeHarness().node.shadow_report() == (False, "nothing is watched")
     client = net.ask()
     net.wait(600_000)
     assert len(net.fars()) == 1, "nothing can be called off"
     net.answers(net.far(), more="Server-Load: concurrent=7\r\n")
     assert "200" in heard(client)
-    done, words = net.node.watch()
+    done, words = net.node.shadow_report()
     assert done and words == (
         "1 dispatches, owner 0, copy 0, repeat 0, call-off 1, answer 0, pause 0, limit 0"
     )
@@ -152,11 +154,11 @@
 def test_an_answer_that_the_client_reads_slowly_still_comes_whole():
     net = NodeHarness(1)
     client = net.ask("k")
-    for one in net.node.clients.open:
+    for one in net.node.clients.open_clients:
         one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     net.answers(net.far(), body="v" * 60_000)
-    assert not net.node.clients.shed(), "it is not idle before that was read"
-    net.node.leave()
+    assert not net.node.clients.close_unneeded(), "it is not idle before that was read"
+    net.node.begin_shutdown()
     net.wait(401_000)
     parts = []
     while part := heard(client):
@@ -168,13 +170,13 @@
 def test_a_client_that_does_not_read_is_let_go():
     net = NodeHarness(1)
     net.ask("k")
-    for one in net.node.clients.open:
+    for one in net.node.clients.open_clients:
         one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     net.answers(net.far(), body="v" * 60_000)
     net.wait(9_900_000)
-    assert net.node.clients.open
+    assert net.node.clients.open_clients
     net.wait(200_000)
-    assert not net.node.clients.open
+    assert not net.node.clients.open_clients
 
 
 @pytest.mark.parametrize(
@@ -233,7 +235,7 @@
     assert net.verdicts == ["unconnected"] and "503" in heard(client)
     net = NodeHarness(1)
     near, _far = full_pair()
-    net.node.hosts.dialer = lambda address: near
+    net.node.pools.dial_address = lambda address: near
     client = net.ask()
     net.wait(99_000)
     assert net.verdicts == [] and heard(client) is None
@@ -248,7 +250,7 @@
         net.says(net.far(number), "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv" + more)
         assert heard(client).endswith("v") and len(net.dialled) == 2 + number
     net.says(net.far(), "more, unasked")
-    assert not net.node.hosts.pools["c0"].idle
+    assert not net.node.pools.by_host["c0"].idle
 
 
 def test_a_client_that_hangs_up_ends_its_dispatch():
@@ -257,7 +259,7 @@
     assert heard(net.far()).startswith("GET")
     client.close()
     net.turn()
-    assert heard(net.far()) == "" and net.verdicts == ["cancelled"] and not net.node.reqs
+    assert heard(net.far()) == "" and net.verdicts == ["cancelled"] and not net.node.exchanges
 
 
 def test_an_answer_goes_out_before_the_client_timeout_and_nothing_after():
@@ -351,10 +353,10 @@
     )
     with contextlib.suppress(OSError):
         net.says(client, REQ + b"\r\n")  # comes too late
-    assert net.node.clients.open, "closed on unread bytes, the answer would be lost"
-    assert heard(client) == "" and not net.verdicts and not net.node.reqs
+    assert net.node.clients.open_clients, "closed on unread bytes, the answer would be lost"
+    assert heard(client) == "" and not net.verdicts and not net.node.exchanges
     net.wait(1_100_000)
-    assert not net.node.clients.open, "it may stay no longer than it takes to read that"
+    assert not net.node.clients.open_clients, "it may stay no longer than it takes to read that"
 
 
 def start_line(status):
@@ -387,7 +389,7 @@
         and heard(late).startswith("HTTP/1.1 408")
         and heard(silent) == ""
     )
-    assert heard(served) is None and len(net.node.clients.open) <= 3
+    assert heard(served) is None and len(net.node.clients.open_clients) <= 3
     net.says(served, "GET /read")
     net.wait(2_000_000)
     assert heard(served) is None, "its time is anew"
@@ -404,13 +406,13 @@
     others = [net.client(text) for _ in range(7)]
     net.wait(600_000)
     clients = net.node.clients
-    assert len(clients.open) == clients.most == 8
+    assert len(clients.open_clients) == clients.max_clients == 8
     for i in range(7):
         net.client(REQ.replace(b"Id: 1", b"Id: %d" % i) + b"\r\n")
     assert (
         [heard(far) for far in others] == [""] * 7
         and heard(served) is None
-        and len(net.node.reqs) == 7
+        and len(net.node.exchanges) == 7
     )
 
 
@@ -420,7 +422,9 @@
     net.serve()
     assert heard(first) and heard(second)
     first.sendall(REQ + b"\r\n")
-    assert net.node.clients.shed() and heard(second) == "", "the longest idle one has asked by now"
+    assert net.node.clients.close_unneeded() and heard(second) == "", (
+        "the longest idle one has asked by now"
+    )
     net.turn()
     net.serve()
     assert heard(first).startswith("HTTP/1.1 200")
@@ -439,7 +443,7 @@
 
 def test_who_reads_a_last_answer_keeps_nobody_out():
     net = NodeHarness(1, sockets=64)
-    listener = net.node.clients.listener = Listener([])
+    listener = net.node.clients.listening_socket = Listener([])
     net.loop.watch(listener, READ, net.node.clients.accept)
     for text, begins in [(b"nonsense\r\n\r\n", "HTTP/1.1 400")] * 60 + [(REQ + b"\r\n", None)]:
         near, far = socket.socketpair()
@@ -449,8 +453,8 @@
         listener.given.append(near)
         net.wait(10_000)
         assert (heard(far) or "")[:12] == (begins or "")
-        assert len(net.node.clients.open) <= net.node.clients.most + 16
-    assert len(net.node.reqs) == 1
+        assert len(net.node.clients.open_clients) <= net.node.clients.max_clients + 16
+    assert len(net.node.exchanges) == 1
 
 
 def test_an_id_that_is_open_here_is_not_taken_twice():
@@ -458,7 +462,7 @@
     first, second = net.ask("k"), net.ask("k")
     assert heard(second).startswith("HTTP/1.1 409") and len(net.fars()) == 1
     net.answers(net.far())
-    assert heard(first).startswith("HTTP/1.1 200") and not net.node.names
+    assert heard(first).startswith("HTTP/1.1 200") and not net.node.open_request_ids
     assert heard(net.ask("k")) is None, "it may come again once that is answered"
 
 
@@ -471,7 +475,7 @@
         and net.verdicts == ["unfit"]
         and len(net.fars()) == 1
     )
-    assert not net.node.reqs and not net.node.balancer.requests
+    assert not net.node.exchanges and not net.node.balancer.requests
 
 
 def test_trailers_without_end_are_cut():
@@ -522,7 +526,7 @@
 def test_ready_only_with_list_and_until_told_to_stop():
     net = NodeHarness()
     assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 200")
-    net.node.leave()
+    net.node.begin_shutdown()
     assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 503")
 
 
@@ -531,7 +535,7 @@
     idle, busy = net.ask("k1"), net.ask("k2")
     net.answers(net.far(0))
     assert "close" not in heard(idle)
-    net.node.leave()
+    net.node.begin_shutdown()
     net.wait(300_000)
     late = net.ask("k3")
     net.wait(101_000)
@@ -552,7 +556,7 @@
 def test_no_signal_no_stop():
     """The ringing end of the pair was once not kept, and its end read as a signal."""
     net, told = NodeHarness(), []
-    net.node.leave = lambda: told.append(1)
+    net.node.begin_shutdown = lambda: told.append(1)
     with signals(net, None):
         net.turn()
         assert not told
@@ -567,7 +571,7 @@
         number: signal.getsignal(number)
         for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
     }
-    bell = on_signal(net.loop, net.node, path)
+    bell = handle_signals(net.loop, net.node, path)
     try:
         yield
     finally:
@@ -596,7 +600,7 @@
             signal.raise_signal(signal.SIGHUP)
             net.turn()
             assert net.log.lines[-1] == "terms kept" if round < 2 else "terms read" in net.log.lines
-            assert net.loop.running and listed(net) == before and net.node.hosts.pools["c0"].idle
+            assert net.loop.running and listed(net) == before and net.node.pools.by_host["c0"].idle
             assert [port for port, _ in net.dialled if port > 8000] == [8500, 8501][: max(1, round)]
             if round == 2:  # the versions of another agent mean nothing here
                 assert heard(net.far()).startswith(f"GET {LIST} HTTP/1.1")
@@ -609,7 +613,7 @@
                 assert heard(net.far()).startswith(f"GET {LIST}?after=3&")
             elif round == 3:
                 net.refused.clear()
-                net.node.leave()
+                net.node.begin_shutdown()
                 net.wait(110_000)
                 assert net.dialled[-1][0] == 8502, "asked again soon, also while it ends"
     heard(link)
@@ -627,7 +631,7 @@
     net.node.quiesce()
     asked, late = net.ask("k3"), net.ask("k4")
     net.wait(500_000)
-    assert heard(idle) is None and net.node.clients.listener is None
+    assert heard(idle) is None and net.node.clients.listening_socket is None
     net.serve()
     assert all(
         "Connection: close" in heard(client) and heard(client) == ""
@@ -641,7 +645,11 @@
     for client in (idle, busy, asked, late):
         client.close()
     net.wait(600_000)
-    assert net.node.life.state.value == "drained" and net.loop.running and not net.node.clients.open
+    assert (
+        net.node.lifecycle.state.value == "drained"
+        and net.loop.running
+        and not net.node.clients.open_clients
+    )
 
 
 def test_connections_that_ask_nothing_are_closed_by_a_drain_and_reqs_are_not_cut_off():
@@ -659,7 +667,7 @@
     assert heard(idle) is None
     net.wait(20_000)
     assert heard(idle) == "" == heard(silent) and heard(half) is None is heard(busy)
-    assert net.node.life.state.value == "draining"
+    assert net.node.lifecycle.state.value == "draining"
     net.says(half, "Request-Id: 9\r\nRequest-Timeout: 1\r\n\r\n")
     net.serve()
     assert "200" in heard(half) and "200" in heard(busy)
@@ -671,10 +679,10 @@
     half.close()
     busy.close()
     net.wait(100_000)
-    assert net.node.life.state.value == "draining", "one has heard its end, and may yet read"
+    assert net.node.lifecycle.state.value == "draining", "one has heard its end, and may yet read"
     idle.close()
     net.wait(10_000)
-    assert net.node.life.state.value == "drained"
+    assert net.node.lifecycle.state.value == "drained"
 
 
 def test_after_a_resume_all_is_as_before():
@@ -695,7 +703,7 @@
     net.node.resume()
     net.wait(5_000_000)
     assert heard(client) is None, "what the first drain had set up is off"
-    net.node.leave()
+    net.node.begin_shutdown()
     net.wait(450_000)
     assert heard(client) == "" and net.loop.running
     client.close()
@@ -786,8 +794,8 @@
     else:
         path.write_bytes(spoilt)
     told = []
-    net.node.note = lambda event, **facts: told.append((event, facts.get("why")))
-    read_anew(net.node, str(path))
+    net.node.event_log = lambda event, **facts: told.append((event, facts.get("why")))
+    reload_config(net.node, str(path))
     assert (
         net.node.config is before
         and len(net.dialled) == dialled
@@ -814,7 +822,7 @@
     path, net = tmp_path / "c", NodeHarness(3)
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
-    net.node.decide(net.node.balancer.on_settings, net.node.config.settings)
+    net.node.call_decisions(net.node.balancer.on_settings, net.node.config.settings)
     old = net.ask("k1")
     file = copy.deepcopy(FILE)
     file["settings"]["rule-sets"] = rules("once", effect="fragile") + rules("fresh")
@@ -822,7 +830,7 @@
     file["settings"]["customers"] = []
     path.write_bytes(orjson.dumps(file))
     for _ in range(2):  # told twice, as well
-        read_anew(net.node, str(path))
+        reload_config(net.node, str(path))
     assert net.log.lines[-1] == "terms read"
     assert heard(net.ask("k2")).startswith("HTTP/1.1 404"), (
         "a class that was dropped is unknown to new reqs"
@@ -842,8 +850,8 @@
     net.node.config = config.read(str(path))
     path.write_bytes(orjson.dumps(FILE | {"listen": "127.0.0.1:7071", "limits": {"memory_mb": 90}}))
     told = []
-    net.node.note = lambda event, **facts: told.append(facts.get("at_next_start"))
-    read_anew(net.node, str(path))
+    net.node.event_log = lambda event, **facts: told.append(facts.get("at_next_start"))
+    reload_config(net.node, str(path))
     assert told == [["listen", "memory_mb"]] and net.node.config.memory_mb == 80
 
 
@@ -853,7 +861,7 @@
 def test_links_from_a_burst_are_not_kept_for_long_and_one_is():
     net = NodeHarness(1)
     clients = [net.ask(f"k{i}") for i in range(7)]
-    pool = net.node.hosts.pools["c0"]
+    pool = net.node.pools.by_host["c0"]
     net.serve()
     assert len(pool.idle) == 7 and all(heard(client) for client in clients)
     net.wait(900_000)
@@ -903,7 +911,7 @@
         socket.socketpair()
     )  # the req comes in the same round, before the end of the link is seen
     client.sendall(REQ + b"\r\n")
-    net.node.clients.let_in(near)
+    net.node.clients.admit(near)
     net.turn()
     assert len(net.dialled) == 3 and heard(net.far()).startswith("GET") and net.verdicts == ["done"]
 
@@ -913,12 +921,12 @@
     net = NodeHarness(1)
     [link] = idle_links(net, 1)
     net.verdicts.clear()
-    monkeypatch.setattr("orchidgap.net.connection.Connection.stale", lambda conn: False)
+    monkeypatch.setattr("orchidgap.net.connection.Connection.is_stale", lambda conn: False)
     near, client = socket.socketpair()
     client.sendall(REQ + b"\r\n")
     if not written:
         link.close()  # between the look and the write
-    net.node.clients.let_in(near)
+    net.node.clients.admit(near)
     link.close()
     net.turn()
     assert net.verdicts == [verdict] and len(net.dialled) == 2 + written, (
@@ -963,11 +971,11 @@
     for health in ("Terminating", "Gone"):
         net = NodeHarness(2)
         near, far = full_pair()
-        net.node.hosts.dialer = lambda address, near=near: near
+        net.node.pools.dial_address = lambda address, near=near: near
         net.ask()
         assert net.verdicts == []
-        net.node.hosts.dialer = net.dial
-        owner = next(id for id, pool in net.node.hosts.pools.items() if pool.links)
+        net.node.pools.dial_address = net.dial
+        owner = next(id for id, pool in net.node.pools.by_host.items() if pool.links)
         told = decode_list({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
         net.node.on_list(False, *told[2:])
         net.turn()
@@ -977,7 +985,7 @@
         assert b"GET" not in far.recv(1 << 20)
     net = NodeHarness(2)
     near, far = full_pair()
-    net.node.hosts.dialer = lambda address, near=near: near
+    net.node.pools.dial_address = lambda address, near=near: near
     net.ask().close()
     net.turn()
     assert net.verdicts == ["moot"] and b"GET" not in far.recv(1 << 20)
@@ -995,27 +1003,29 @@
 
 def test_idle_links_make_way_where_descriptors_run_short():
     net = NodeHarness(3, sockets=64)  # eight for hosts
-    assert net.node.hosts.most == 8
+    assert net.node.pools.max_connections == 8
     answered = 0
     for key in range(30):
         client = net.ask(f"k{key}")
         net.serve()
         answered += "200" in (heard(client) or "")
         client.close()
-    assert answered == 30 and net.node.hosts.count <= 8
-    net.node.clients.most = 9
+    assert answered == 30 and net.node.pools.connection_count <= 8
+    net.node.clients.max_clients = 9
     clients = [net.ask(f"b{key}") for key in range(9)]
-    assert net.node.hosts.count == 8 and net.verdicts[-1] == "moot", "no fault of the host"
+    assert net.node.pools.connection_count == 8 and net.verdicts[-1] == "moot", (
+        "no fault of the host"
+    )
     assert "503" in heard(clients[-1])
 
 
 class Nobody:
-    def wants(self, number):
+    def may_send(self, number):
         return True
 
     """Whose dispatch nobody waits for."""
 
-    def came_back(self, number, verdict, body):
+    def on_settled(self, number, outcome, body):
         pass
 
 
@@ -1024,12 +1034,16 @@
     for key in range(8):
         net.ask(f"k{key}")
     net.serve()
-    short = [Fault(Reach.UNSENT, "short", "none left")]
-    net.node.hosts.dialer = lambda address: short.pop() if short else net.dial(address)
-    idle, dialled = net.node.hosts.count, len(net.dialled)
+    short = [AttemptFailure(SendProgress.UNSENT, "short", "none left")]
+    net.node.pools.dial_address = lambda address: short.pop() if short else net.dial(address)
+    idle, dialled = net.node.pools.connection_count, len(net.dialled)
     attempt = UpstreamAttempt(b"GET / HTTP/1.1\r\n", b"", net.now + 10**6, Nobody())
-    net.node.hosts.pools["c0"].dial(attempt)
-    assert idle == net.node.hosts.count == 8 and len(net.dialled) == dialled + 1 and not short
+    net.node.pools.by_host["c0"].dial(attempt)
+    assert (
+        idle == net.node.pools.connection_count == 8
+        and len(net.dialled) == dialled + 1
+        and not short
+    )
 
 
 class Listener:
@@ -1061,19 +1075,19 @@
     net.answers(net.far())
     near, far = socket.socketpair()
     gone = OSError(errno.ECONNABORTED, "")
-    listener = net.node.clients.listener = Listener(
+    listener = net.node.clients.listening_socket = Listener(
         [gone] + [OSError(errno.EMFILE, "")] * 3 + [near]
     )
     net.loop.watch(listener, READ, net.node.clients.accept)
     net.loop.run_once(0)
     assert heard(idle).startswith("HTTP") and heard(idle) == "", "the idle client made way"
     net.loop.run_once(0)
-    assert net.node.hosts.count == 0, "then the idle link"
+    assert net.node.pools.connection_count == 0, "then the idle link"
     net.loop.run_once(0)
     net.turn(20)
     assert listener.calls == 4, "with nothing to shed it waits"
     net.wait(51_000)
-    assert listener.calls > 4 and len(net.node.clients.open) == 1 and far.fileno() > 0
+    assert listener.calls > 4 and len(net.node.clients.open_clients) == 1 and far.fileno() > 0
 
 
 @pytest.mark.parametrize(
@@ -1091,22 +1105,25 @@
     memory, sockets, most
 ):
     net = NodeHarness(1, memory=memory, sockets=sockets)
-    assert net.node.clients.most == most and net.node.hosts.most + most <= sockets - 48
+    assert (
+        net.node.clients.max_clients == most
+        and net.node.pools.max_connections + most <= sockets - 48
+    )
 
 
 def test_clients_beyond_the_most_are_told_so():
     net = NodeHarness(1, sockets=64)
-    assert net.node.clients.most == 8
+    assert net.node.clients.max_clients == 8
     pairs = [socket.socketpair() for _ in range(30)]
     for i, (_, far) in enumerate(pairs):
         far.setblocking(False)
         far.sendall(REQ.replace(b"Id: 1", b"Id: %d" % i) + b"\r\n")
-    listener = net.node.clients.listener = Listener([near for near, _ in pairs])
+    listener = net.node.clients.listening_socket = Listener([near for near, _ in pairs])
     net.loop.watch(listener, READ, net.node.clients.accept)
     net.turn(8)
     said = [heard(far) for _, far in pairs]
     assert all(said) is False and sum("503" in (text or "") for text in said) >= 16
-    assert len(net.node.clients.open) <= 24
+    assert len(net.node.clients.open_clients) <= 24
 
 
 # --- the list
@@ -1242,7 +1259,7 @@
 def test_start_reads_names_and_units(tmp_path):
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
     station = config.read(str(tmp_path / "c"))
-    assert (station.listen, station.seed, station.idle_timeout_us, station.sockets) == (
+    assert (station.listen, station.seed, station.idle_timeout_us, station.descriptors) == (
         ("127.0.0.1", 1),
         255,
         7,
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -12,7 +12,7 @@
     """The port of a balancer in a trial is its node: a defect can be anywhere behind it."""
 
     def exchange(self, req):
-        return self.port.reqs.get(req.id)
+        return self.port.exchanges.get(req.id)
 
 
 class ResendsAnything(Defect):
@@ -25,7 +25,7 @@
 class AnswersTwice(Defect):
     def on_request(self, id, left, write, rule_set, key, tenant):
         if id % 50 == 0:
-            exchange = self.port.reqs[id]
+            exchange = self.port.exchanges[id]
             exchange.client = Twice(exchange.client)
         super().on_request(id, left, write, rule_set, key, tenant)
 
@@ -33,10 +33,10 @@
 class Nobody:
     """Whose dispatch nobody waits for."""
 
-    def wants(self, number):
+    def may_send(self, number):
         return True
 
-    def came_back(self, number, verdict, body):
+    def on_settled(self, number, outcome, body):
         pass
 
 
@@ -51,7 +51,7 @@
 
 class NeverAnswers(Defect):
     def finish(self, req):
-        self.exchange(req).timer.cancel()
+        self.exchange(req).deadline_timer.cancel()
         self.end(req)
 
 
@@ -60,9 +60,9 @@
 
     def finish(self, req):
         exchange = self.exchange(req)
-        exchange.timer.cancel()
+        exchange.deadline_timer.cancel()
         self.call_later(
-            max(0, exchange.due - self.now) + 90_000, lambda _: Balancer.finish(self, req)
+            max(0, exchange.deadline_us - self.now) + 90_000, lambda _: Balancer.finish(self, req)
         )
 
 
@@ -71,15 +71,16 @@
 
     def finish(self, req):
         self.call_later(
-            max(0, self.exchange(req).due - self.now - 40_000), lambda _: Balancer.finish(self, req)
+            max(0, self.exchange(req).deadline_us - self.now - 40_000),
+            lambda _: Balancer.finish(self, req),
         )
 
 
 class IgnoresDrains(Defect):
     def __init__(self, terms, port, seed, now):
         super().__init__(terms, port, seed, now)
-        follow = port.hosts.follow
-        port.hosts.follow = lambda whole, told: follow(
+        follow = port.pools.apply_endpoints
+        port.pools.apply_endpoints = lambda whole, told: follow(
             whole,
             [(id, "up" if state == "draining" else state, address) for id, state, address in told],
         )
@@ -93,7 +94,7 @@
 
 class NeverAsksForTheList(Defect):
     def on_hosts(self, scope, entries):
-        self.port.registry.ask = lambda: None
+        self.port.discovery.fetch = lambda: None
         super().on_hosts(scope, entries)
 
 
@@ -143,7 +144,7 @@
 
     def __init__(self, terms, port, seed, now):
         super().__init__(terms, port, seed, now)
-        port.clients.release = lambda: None
+        port.clients.release_idle = lambda: None
 
 
 class KeepsItsCount(Defect):
@@ -158,30 +159,34 @@
 
     def __init__(self, terms, port, seed, now):
         super().__init__(terms, port, seed, now)
-        port.leave = port.end
+        port.begin_shutdown = port.stop
 
 
 class CutsFlows(Defect):
     """A large answer is cut off when its req's time would have been up."""
 
     def on_outcome(self, id, number, verdict, over):
-        exchange = self.port.reqs.get(id)
-        if exchange and exchange.giving:
+        exchange = self.port.exchanges.get(id)
+        if exchange and exchange.streaming_attempt:
             self.port.loop.call_later(200_000, self.cut, exchange)
         super().on_outcome(id, number, verdict, over)
 
     def cut(self, exchange):
-        if exchange.giving:
-            exchange.giving.settle(exchange.giving.stop("overdue").verdict)
+        if exchange.streaming_attempt:
+            attempt = exchange.streaming_attempt
+            attempt.settle(attempt.abandon("overdue").outcome)
 
 
 class AsksForEver(Defect):
     """Discovery that turns it away is asked again at once."""
 
     def on_hosts(self, scope, entries):
-        registry = getattr(self.port, "registry", None)
+        registry = getattr(self.port, "discovery", None)
         if registry:
-            registry.ended = lambda what: (registry.drop(), registry.set_timer(1_000, registry.ask))
+            registry.ended = lambda what: (
+                registry.drop(),
+                registry.set_timer(1_000, registry.fetch),
+            )
         super().on_hosts(scope, entries)
 
 
@@ -224,7 +229,7 @@
 
     def on_request(self, id, left, write, rule_set, key, tenant):
         if id % 40 == 0 and not write:
-            return self.port.reqs[id].answer(200, b"an old value")
+            return self.port.exchanges[id].answer(200, b"an old value")
         super().on_request(id, left, write, rule_set, key, tenant)
 
 
@@ -258,12 +263,15 @@
 
 class SendsAfterTheAnswer(Defect):
     def on_request(self, id, left, write, rule_set, key, tenant):
-        exchange = self.port.reqs[id]
+        exchange = self.port.exchanges[id]
         super().on_request(id, left, write, rule_set, key, tenant)
         if id % 30 == 0:
-            attempt = UpstreamAttempt(exchange.head, exchange.body, exchange.due, Nobody())
+            attempt = UpstreamAttempt(exchange.head, exchange.body, exchange.deadline_us, Nobody())
             self.port.loop.call_at(
-                exchange.due - 50_000, self.port.hosts.send, self.placement.ring[0].id, attempt
+                exchange.deadline_us - 50_000,
+                self.port.pools.send,
+                self.placement.ring[0].id,
+                attempt,
             )
 
 
@@ -280,7 +288,7 @@
 class MakesUpIds(Defect):
     def on_request(self, id, left, write, rule_set, key, tenant):
         if id % 40 == 0:
-            exchange = self.port.reqs[id]
+            exchange = self.port.exchanges[id]
             exchange.head = exchange.head.replace(b"Request-Id: q", b"Request-Id: z")
         super().on_request(id, left, write, rule_set, key, tenant)
 
@@ -298,7 +306,7 @@
 
     def on_request(self, id, left, write, rule_set, key, tenant):
         if id % 40 == 0:
-            self.port.reqs[id].client = Cut(self.port.reqs[id].client)
+            self.port.exchanges[id].client = Cut(self.port.exchanges[id].client)
         super().on_request(id, left, write, rule_set, key, tenant)
 
 
--- a/tests/trial/test_ground.py
+++ b/tests/trial/test_ground.py
@@ -5,7 +5,7 @@
 import pytest
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import Connection, Fault
+from orchidgap.net.connection import AttemptFailure, Connection
 from orchidgap.net.loop import READ
 from orchidgap.trial.baselines import NAMES
 from orchidgap.trial.callers import CallerLink
@@ -49,7 +49,7 @@
     conn = Connection(share, ground.dial_from(share, "b0", ("h", 1)), owner, opening=True)
     start = ground.loop.time
     ground.loop.run_until(start + 399)
-    assert not owner.got and conn.opening
+    assert not owner.got and conn.connecting
     ground.loop.run_until(start + 401)
     assert owner.got == b"^" and far_ends[0][1] == "b0"
 
@@ -74,10 +74,10 @@
     conn = Connection(ground.loop, near, writer)
     conn.send(bytes(1_500_000))
     ground.loop.run_until(ground.loop.time + 1_000_000)
-    assert 0 < len(conn.out) < 1_500_000
+    assert 0 < len(conn.write_buffer) < 1_500_000
     Connection(ground.loop, far, reader)
     ground.loop.run_until(ground.loop.time + 1)
-    assert len(reader.got) == 1_500_000 and not conn.out
+    assert len(reader.got) == 1_500_000 and not conn.write_buffer
 
 
 def test_a_killed_share_closes_all_it_had_and_runs_no_more(ground):
@@ -304,7 +304,7 @@
     try:
         agent = scene.listing.agents["b0"]
         near, owner = scene.ground.dial(scene.posts["b0"].agent), Owner()
-        assert not isinstance(near, Fault) and isinstance(near, socket.socket)
+        assert not isinstance(near, AttemptFailure) and isinstance(near, socket.socket)
         conn = Connection(scene.loop, near, owner)
         wait = scene.loop.run_until
         conn.send(b"GET /discovery/hosts?after=1&wait_ms=500 HTTP/1.1\r\n\r\n")
