--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -17,7 +17,7 @@
 from orchidgap.control.server import Control
 from orchidgap.http1 import Http1
 from orchidgap.net import config as config_module
-from orchidgap.net.handover import Handover, inherited
+from orchidgap.net.handover import Handover, inherited_listener
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
 from orchidgap.peers.gossip_transport import Talk
@@ -51,7 +51,7 @@
     def __call__(self, *event: object, **facts: object) -> None:
         pass
 
-    def trouble(self, error: Exception) -> None:
+    def exception(self, error: Exception) -> None:
         raise error
 
 
@@ -69,7 +69,7 @@
         self.loop.run_once(wait_us)
 
     def has_pending_callbacks(self) -> bool:
-        return bool(self.loop.next)
+        return bool(self.loop.soon)
 
     def next_timer_us(self) -> int | None:
         return self.loop.timers[0][0] if self.loop.timers else None
@@ -167,7 +167,7 @@
             Http1(),
             self.dial,
         )
-        self.node.listed = True
+        self.node.list_received = True
 
     def dial(self, address: Address) -> socket.socket:
         near, far = socket.socketpair()
@@ -180,24 +180,24 @@
 
     def share_listener(self, listener: socket.socket) -> None:
         """As if started with GW_PASSED_SOCKET."""
-        self.node.clients.inherit(inherited(str(listener.detach())))
+        self.node.clients.use_listening_socket(inherited_listener(str(listener.detach())))
         self.node.handover = Handover(self.events.loop, self.node, None, shared=True)
 
     def accept_successor(self, sock: socket.socket) -> None:
-        self.node.handover.called(sock)
+        self.node.handover.accept_successor(sock)
 
     def call_predecessor(self, sock: socket.socket) -> None:
-        self.node.handover.call(sock)
+        self.node.handover.join_predecessor(sock)
 
     def leave(self) -> None:
         """As on SIGTERM."""
-        self.node.leave()
+        self.node.begin_shutdown()
 
     def is_ready(self) -> bool:
-        return self.node.ready()
+        return self.node.is_ready()
 
     def accept_client(self, sock: socket.socket) -> None:
-        self.node.clients.let_in(sock)
+        self.node.clients.admit(sock)
 
 
 class GossipPeer:
@@ -218,4 +218,4 @@
 
 def gossip_part(config: dict[str, object]) -> dict[str, object]:
     """The configuration's part for gossip as the program reads it."""
-    return config_module.parse(orjson.dumps(config), "config").pool
+    return config_module.parse(orjson.dumps(config), "config").gossip
