--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -7,6 +7,8 @@
 from math import inf
 from typing import NamedTuple
 
+from orchidgap.errors import SettingError as SettingError
+
 EFFECTS = ("retryable", "dedup", "fragile")
 GROUPS = ("all", "zone", "cell")
 WEIGHTS = ("off", "nominal", "rough", "live")
@@ -14,10 +16,6 @@
 STARTUP_SETTINGS = ("origin_kind", "subscribes")  # what the records of hosts stand on
 
 
-class SettingError(LookupError):
-    """A setting that is missing, or cannot be meant: nothing could be decided by it."""
-
-
 class RequestClass(NamedTuple):
     latency_objective_us: int
     idempotent: bool
@@ -41,11 +39,11 @@
     >>> ServiceSettings.from_pairs({"rule-sets.count": "1", "rule-sets.0.name": "a"})
     Traceback (most recent call last):
         ...
-    orchidgap.decisions.settings.SettingError: setting rule-sets.0.client-timeout is missing
+    orchidgap.errors.SettingError: setting rule-sets.0.client-timeout is missing
     >>> ServiceSettings.from_pairs(pairs | {"rule-sets.0.client-timeout": "-5"})
     Traceback (most recent call last):
         ...
-    orchidgap.decisions.settings.SettingError: setting rule-sets.0.client-timeout is -5, and must be over 0
+    orchidgap.errors.SettingError: setting rule-sets.0.client-timeout is -5, and must be over 0
     """
 
     request_classes: dict[str, RequestClass]
--- a/orchidgap/net/config.py
+++ b/orchidgap/net/config.py
@@ -11,7 +11,9 @@
 import orjson
 
 from orchidgap.decisions import config_compatibility
-from orchidgap.decisions.settings import ServiceSettings, SettingError
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.errors import ConfigError as ConfigError
+from orchidgap.errors import SettingError
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import Entry, Place, decode_list, parse_address
 
@@ -20,10 +22,6 @@
 SHORTEST_GAP = 5_000  # ms: a redraw waits for as long
 
 
-class ConfigError(Exception):
-    """One plain line that tells why the program cannot start."""
-
-
 class BalancerConfig(NamedTuple):
     """Where this balancer stands and what it may use."""
 
--- a/orchidgap/state/durable_store.py
+++ b/orchidgap/state/durable_store.py
@@ -15,14 +15,12 @@
 
 import orjson
 
+from orchidgap.errors import CorruptFileError as CorruptFileError
+
 MARK = b"orchidgap 1 "
 MOST = 1 << 22  # bytes of a file
 
 
-class CorruptFileError(Exception):
-    """The file is there and cannot be what was written."""
-
-
 class DurableStore:
     """One process's folder. Every method raises OSError where the disk fails. Each step of a
     write is a method, for whoever has to see that a failing disk is borne."""
@@ -67,14 +65,14 @@
             os.close(folder)
 
     def read(self, name: str) -> object | None:
-        """What was written last, None where nothing was. Raises Damaged."""
+        """What was written last, None where nothing was. Raises CorruptFileError."""
         try:
             text = (self.folder / name).read_bytes()
         except FileNotFoundError:
             return None
         head, _, body = text.partition(b"\n")
         if head != MARK + blake2b(body, digest_size=16).hexdigest().encode():
-            raise CorruptFileError(f"{self.folder / name} is damaged or cut off")
+            raise CorruptFileError(self.folder / name)
         found: object = orjson.loads(body)
         return found
 
--- a/orchidgap/trial/plan.py
+++ b/orchidgap/trial/plan.py
@@ -12,6 +12,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
+from orchidgap.errors import ScenarioError
+
 MOST_BALANCERS = 400
 
 Part = Annotated[float, Meta(ge=0.0, le=1.0)]
@@ -53,7 +55,7 @@
 RESP_KINDS = ("reshuffle", "failover", "pointing")  # with slot servers only
 
 
-class BadPlan(Exception):
+class BadPlan(ScenarioError):
     """One plain line: the file, the path in it, what was expected."""
 
 
