--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -11,8 +11,14 @@
 
 from orchidgap.control.rpc import RpcClient
 from orchidgap.control.validation import fit
-from orchidgap.decisions.cas_register import Ballot, Value, majority
-from orchidgap.decisions.policy_rollout import STAY, Right, Tenure, answered
+from orchidgap.decisions.cas_register import Ballot, quorum_size
+from orchidgap.decisions.leases import (
+    LeaseState,
+    NextStep,
+    OnLostQuorum,
+    ServingPermission,
+    evaluate_answers,
+)
 from orchidgap.net import config
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.client_listener import Responder
@@ -93,7 +99,7 @@
         self.name = station.name
         self.life = f"{rng.getrandbits(64):x}"
         self.calls = [RpcClient(loop, address, WITHIN) for address in station.control["at"]]
-        self.tenure = Tenure(station.control["alone"], 0)
+        self.tenure = LeaseState(OnLostQuorum(station.control["alone"]), 0)
         self.node: Node
         self.opens: Callable[[], None] | None = None
         self.turn = 0  # of its calls: an answer to an earlier one is told in none
@@ -106,12 +112,12 @@
         )  # when each of them gave the last answer heard, by its clock
         self.failures = 0  # calls in a row that taught nothing
         self.learned = False  # what is chosen, by those of this call
-        self.shown = Right.NONE
+        self.shown = ServingPermission.DENIED
         self.unfit = 0  # the version that it cannot take
         self.ending = False
 
     def may(self) -> bool:
-        return self.tenure.right(self.clock()) is not Right.NONE
+        return self.tenure.permission(self.clock()) is not ServingPermission.DENIED
 
     def comeback(self) -> int:
         return self.rng.randrange(COMEBACK // 2, COMEBACK * 3 // 2)
@@ -125,7 +131,12 @@
         except CorruptFileError as trouble:
             self.log("policy damaged", why=str(trouble))
             self.files.set_aside("policy")
-        self.log("asks control", life=self.life, of=len(self.calls), alone=self.tenure.alone)
+        self.log(
+            "asks control",
+            life=self.life,
+            of=len(self.calls),
+            alone=self.tenure.on_lost_quorum.value,
+        )
         self.call()
 
     def close(self) -> None:
@@ -152,11 +163,11 @@
         told = {
             "name": self.name,
             "life": self.life,
-            "alone": tenure.alone,
-            "runs": tenure.runs,
-            "promised": tenure.promised,
-            "refused": tenure.refused,
-            "why": tenure.why,
+            "alone": tenure.on_lost_quorum.value,
+            "runs": tenure.version,
+            "promised": tenure.promised_proposal,
+            "refused": tenure.refused_proposal,
+            "why": tenure.refusal_reason,
         }
         for i, calls in enumerate(self.calls):
             calls("/lease", told | {"heard": self.last[i]}, partial(self.heard, self.turn, i))
@@ -192,7 +203,7 @@
             said = None
         self.answers.append(said)
         told = [(self.ballot(one), one, one["grants"]) for one in self.answers if one]
-        value, granted = answered(len(self.calls), told)
+        value, granted = evaluate_answers(len(self.calls), told)
         if value is not None and (granted or not self.learned):
             self.learned, self.failures = True, 0
             if granted:
@@ -203,7 +214,7 @@
         if granted:
             self.turn += 1  # what others say of the same call adds nothing
         elif len(self.answers) == len(self.calls) and not self.learned:
-            if len(told) >= majority(len(self.calls)):
+            if len(told) >= quorum_size(len(self.calls)):
                 self.one("/settle", {})  # they differ: one of them has to find out what is chosen
                 self.failures = 0
             self.next(FIRST << min(self.failures, 4))
@@ -219,21 +230,23 @@
 
     # --- what is chosen
 
-    def learn(self, value: Value, granted: bool) -> None:
+    def learn(self, value: Any, granted: bool) -> None:
         tenure = self.tenure
-        tenure.lease = int(value["lease"])
+        tenure.lease_us = int(value["lease"])
         self.again = min(one["again"] for one in self.answers if one)
         registered = value["stay"].get(self.name) == self.life
-        what = tenure.told(value, registered, self.asked, granted)
-        if what == "take" and self.take(value):
-            what = tenure.told(value, registered, self.asked, granted)
+        version, proposed = value["n"], value["next"]["try"] if value["next"] else 0
+        what = tenure.on_chosen_state(version, proposed, registered, self.asked, granted)
+        if what is NextStep.ADOPT_VERSION and self.take(value):
+            what = tenure.on_chosen_state(version, proposed, registered, self.asked, granted)
             self.next(0)
-        if what == "check":
+        if what is NextStep.CHECK_PROPOSAL:
             self.check(value["next"])
-        if tenure.alone == STAY and not registered and tenure.runs >= 0:
+        serves_alone = tenure.on_lost_quorum is OnLostQuorum.SERVE
+        if serves_alone and not registered and tenure.version >= 0:
             self.one("/join", {"name": self.name, "life": self.life})
 
-    def take(self, value: Value) -> bool:
+    def take(self, value: Any) -> bool:
         """A decided version: reqs that come from now on are under it."""
         n, doc = int(value["n"]), value.get("doc")
         why = self.adopt(doc) if doc else "it did not come with the answer"
@@ -243,7 +256,7 @@
                 self.log("version unfit", n=n, why=why)
             return False
         self.unfit = 0
-        self.tenure.takes(n)
+        self.tenure.on_version_adopted(n)
         self.log("version runs", n=n, id=value["id"])
         # it stands in the register: nothing is lost where this fails
         self.disk(
@@ -261,7 +274,7 @@
             station = config.read(self.path, None, doc["settings"])
         except config.ConfigError as trouble:
             return str(trouble)
-        if self.tenure.runs >= 0 and (why := self.standing(station)):
+        if self.tenure.version >= 0 and (why := self.standing(station)):
             return why
         self.node.settings = doc["settings"]
         if self.opens:  # nothing has begun under other terms yet
@@ -281,7 +294,7 @@
                 return f"{name} cannot change while a balancer runs"
         return ""
 
-    def check(self, new: Value) -> None:
+    def check(self, new: Any) -> None:
         """What is proposed: promised only once it is on the disk."""
         number, why = int(new["try"]), fit(new["doc"])
         if not why:
@@ -291,20 +304,20 @@
                 )
             except config.ConfigError as trouble:
                 why = str(trouble)
-        self.tenure.writes(number)
+        self.tenure.on_write_started(number)
         if why:
             self.checked(new, why)
         else:
             self.disk("promise", new, lambda why: self.checked(new, why and f"disk: {why}"))
 
-    def checked(self, new: Value, why: str) -> None:
-        if self.tenure.writing != new["try"] or self.ending:
+    def checked(self, new: Any, why: str) -> None:
+        if self.tenure.writing_proposal != new["try"] or self.ending:
             return  # it took so long that something else is proposed, or nothing
         if why:
             self.tenure.refuse(new["try"], why)
             self.log("version refused", n=new["n"], id=new["id"], why=why)
         else:
-            self.tenure.promise(new["try"])
+            self.tenure.on_promise_durable(new["try"])
             self.log("version promised", n=new["n"], id=new["id"])
         self.next(0)
 
@@ -312,8 +325,8 @@
 
     def show(self) -> None:
         """One line where it has changed, and the door where it is the first."""
-        right = self.tenure.right(self.clock())
-        if right is Right.SERVES and self.opens:
+        right = self.tenure.permission(self.clock())
+        if right is ServingPermission.LEASE and self.opens:
             opens, self.opens = self.opens, None
             try:
                 opens()
@@ -322,7 +335,7 @@
                 self.loop.running = False
         if right is not self.shown:
             was, self.shown = self.shown, right
-            self.log("right", now=right.value, before=was.value, n=self.tenure.runs)
+            self.log("right", now=right.value, before=was.value, n=self.tenure.version)
 
 
 def held(
--- a/orchidgap/control/server.py
+++ b/orchidgap/control/server.py
@@ -19,8 +19,23 @@
 from orchidgap.control.rpc import Heard, RpcClient, RpcServer
 from orchidgap.control.validation import fit
 from orchidgap.decisions import policy_rollout
-from orchidgap.decisions.cas_register import NONE, Acceptor, Ballot, Kept, Round, Value, majority
-from orchidgap.decisions.policy_rollout import Leases, Row
+from orchidgap.decisions.cas_register import (
+    NO_BALLOT,
+    Acceptor,
+    AcceptorState,
+    Ballot,
+    Proposer,
+    quorum_size,
+)
+from orchidgap.decisions.leases import LeaseHolder, LeaseTable
+from orchidgap.decisions.policy_rollout import (
+    INITIAL_STATE,
+    ChangeResult,
+    PolicyState,
+    from_wire,
+    proposal_to_wire,
+    to_wire,
+)
 from orchidgap.net.config import ConfigError
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import format_address, parse_address
@@ -30,7 +45,8 @@
 from orchidgap.state.background_writer import BackgroundWriter
 from orchidgap.state.durable_store import CorruptFileError, DurableStore
 
-Turn = Callable[[Acceptor, Heard], None]
+Kept = AcceptorState[PolicyState]
+Turn = Callable[[Acceptor[PolicyState], Heard], None]
 
 WITHIN = 500_000  # for a control process to answer another, or itself
 HOLD = 30.0  # seconds for a process before this one to end
@@ -49,7 +65,11 @@
 def kept_of(found: Any) -> Kept:
     """As it was written."""
     (count, who), (of, by), value = found
-    return Kept((int(count), str(who)), (int(of), str(by)), value)
+    return Kept((int(count), str(who)), (int(of), str(by)), from_wire(value))
+
+
+def kept_to_wire(kept: Kept) -> Any:
+    return kept.promised_ballot, kept.accepted_ballot, to_wire(kept.value)
 
 
 class Control:
@@ -78,11 +98,13 @@
             other: RpcClient(loop, peers[other], WITHIN) for other in self.names if other != name
         }
         self.lease, self.give_up = lease, give_up
-        self.leases = Leases(lease, clock())
-        self.acceptor: Acceptor | None = None  # none while it has lost its disk and is not back yet
+        self.leases = LeaseTable(lease, clock())
+        self.acceptor: Acceptor[PolicyState] | None = (
+            None  # none while it has lost its disk and is not back yet
+        )
         self.highest = 0  # count of any ballot seen
-        self.ballot = NONE  # of the round of its own that ended last
-        self.queue: deque[tuple[Callable[[Value], Value], Heard, bool]] = deque()
+        self.ballot = NO_BALLOT  # of the round of its own that ended last
+        self.queue: deque[tuple[Callable[[PolicyState], PolicyState], Heard, bool]] = deque()
         self.shared = 1  # how many of them the round under way is for
         self.running = False  # a round of this process
         self.disk = BackgroundWriter(loop, files)
@@ -112,9 +134,9 @@
         )
 
     @property
-    def value(self) -> Value:
+    def value(self) -> PolicyState:
         """As taken here, which need not be chosen."""
-        return self.acceptor.kept.value if self.acceptor else policy_rollout.EMPTY
+        return self.acceptor.state.value if self.acceptor else INITIAL_STATE
 
     # --- its disk
 
@@ -130,10 +152,12 @@
             self.stand(kept_of(kept))
         elif new and not lost:
             try:
-                self.files.write("register", tuple(Kept(NONE, NONE, policy_rollout.EMPTY)))
+                self.files.write(
+                    "register", kept_to_wire(Kept(NO_BALLOT, NO_BALLOT, INITIAL_STATE))
+                )
             except OSError as trouble:
                 raise ConfigError(f"{self.files.folder}: {trouble.strerror}") from None
-            self.stand(Kept(NONE, NONE, policy_rollout.EMPTY))
+            self.stand(Kept(NO_BALLOT, NO_BALLOT, INITIAL_STATE))
         elif not self.others:
             lost = lost or f"{self.files.folder} holds no register"
             raise ConfigError(f"{lost}; --new begins with none decided")
@@ -143,12 +167,12 @@
 
     def stand(self, kept: Kept) -> None:
         self.acceptor = Acceptor(kept)
-        self.highest = max(self.highest, kept.promised[0])
+        self.highest = max(self.highest, kept.promised_ballot[0])
 
     def write(self, kept: Kept, done: Callable[[bool], None]) -> None:
         """`done` is told whether it is durable. Leases are granted meanwhile, however long the disk takes."""
         self.writes = self.clock()
-        self.disk("register", tuple(kept), partial(self.written, done))
+        self.disk("register", kept_to_wire(kept), partial(self.written, done))
 
     def written(self, done: Callable[[bool], None], why: str) -> None:
         spent, self.writes = self.clock() - self.writes, 0
@@ -193,7 +217,7 @@
     def on_lease(self, told: dict[str, Any], done: Heard) -> None:
         if self.acceptor is None:
             return done(None)
-        row = Row(
+        row = LeaseHolder(
             str(told["name"])[:100],
             str(told["life"])[:40],
             str(told["alone"])[:5],
@@ -205,44 +229,44 @@
             0,
         )
         now = self.clock()
-        grants = self.leases.hear(row, now, int(told["heard"]))
-        value, new = self.value, self.value["next"]
+        grants = self.leases.on_heartbeat(row, now, int(told["heard"]))
+        value, new = self.value, self.value.proposal
         said = {
-            "ballot": self.acceptor.kept.ballot,
+            "ballot": self.acceptor.state.accepted_ballot,
             "grants": grants,
             "at": now,
             "lease": self.lease,
             "again": self.again(),
             "size": len(self.names),
-            "n": value["n"],
-            "id": value["id"],
-            "try": value["try"],
-            "stay": {row.name: value["stay"].get(row.name)},
+            "n": value.version,
+            "id": value.change_id,
+            "try": value.proposal_number,
+            "stay": {row.name: value.members_without_quorum.get(row.name)},
             "next": None,
         }
-        if value["n"] > row.runs:
-            said["doc"] = value["doc"]
+        if value.version > row.version:
+            said["doc"] = value.document
         if new:
             said["next"] = (
-                new
-                if new["try"] not in (row.promised, row.refused)
-                else {"try": new["try"], "n": new["n"], "id": new["id"]}
+                proposal_to_wire(new)
+                if new.proposal_number not in (row.promised_proposal, row.refused_proposal)
+                else {"try": new.proposal_number, "n": new.version, "id": new.change_id}
             )
         done(said)
 
     def again(self) -> int:
         """When a balancer is to call next: often while something is proposed, as far as one process can
         hear all."""
-        if self.value["next"]:
-            return min(max(SOONEST, len(self.leases.rows) * CALL_US), self.lease // LEASE_PART)
+        if self.value.proposal:
+            return min(max(SOONEST, len(self.leases.holders) * CALL_US), self.lease // LEASE_PART)
         return self.lease // LEASE_PART
 
     def on_part(self, told: dict[str, Any], done: Heard) -> None:
         name, life = str(told["name"]), str(told["life"])
-        self.leases.part(name, life)
-        if self.value["stay"].get(name) == life:
+        self.leases.deregister(name, life)
+        if self.value.members_without_quorum.get(name) == life:
             self.cas(
-                lambda value: policy_rollout.struck(value, name, life) or value,
+                lambda value: policy_rollout.evict_member(value, name, life),
                 lambda value: None,
                 True,
             )
@@ -251,7 +275,7 @@
     def on_join(self, told: dict[str, Any], done: Heard) -> None:
         name, life = str(told["name"]), str(told["life"])
         self.cas(
-            lambda value: policy_rollout.joined(value, name, life) or value,
+            lambda value: policy_rollout.register_member(value, name, life),
             lambda value: done(value and {}),
             True,
         )
@@ -265,36 +289,47 @@
     def on_prepare(self, told: dict[str, Any], done: Heard) -> None:
         self.asks(partial(self.prepare, tuple(told["ballot"])), done)
 
-    def prepare(self, ballot: Ballot, acceptor: Acceptor, done: Heard) -> None:
+    def prepare(self, ballot: Ballot, acceptor: Acceptor[PolicyState], done: Heard) -> None:
         self.highest = max(self.highest, ballot[0])
         kept = acceptor.prepare(ballot)
         if kept is None:
-            return done({"ok": False, "promised": acceptor.kept.promised})
+            return done({"ok": False, "promised": acceptor.state.promised_ballot})
 
         def written(durable: bool) -> None:
             if durable:
-                acceptor.stands(kept)
-            done({"ok": True, **kept._asdict()} if durable else None)
+                acceptor.on_durable(kept)
+            done(
+                {
+                    "ok": True,
+                    "promised": kept.promised_ballot,
+                    "ballot": kept.accepted_ballot,
+                    "value": to_wire(kept.value),
+                }
+                if durable
+                else None
+            )
 
         self.write(kept, written)
 
     def on_accept(self, told: dict[str, Any], done: Heard) -> None:
-        self.asks(partial(self.accept, tuple(told["ballot"]), told["value"]), done)
+        self.asks(partial(self.accept, tuple(told["ballot"]), from_wire(told["value"])), done)
 
-    def accept(self, ballot: Ballot, value: Value, acceptor: Acceptor, done: Heard) -> None:
+    def accept(
+        self, ballot: Ballot, value: PolicyState, acceptor: Acceptor[PolicyState], done: Heard
+    ) -> None:
         kept = acceptor.accept(ballot, value)
         if kept is None:
             return done({"ok": False})
-        old = acceptor.kept.value
-        if late := self.leases.takes(old, value, self.clock()):
-            return done({"ok": False, "late": late})
+        old = acceptor.state.value
+        if late := self.leases.begin_decision(old, value, self.clock()):
+            return done({"ok": False, "late": [list(one) for one in late]})
 
         def written(durable: bool) -> None:
             if durable:
-                self.leases.written()
-                acceptor.stands(kept)
-                if value["n"] != old["n"]:
-                    self.log("version taken", n=value["n"], id=value["id"], ballot=ballot[0])
+                self.leases.on_accepted()
+                acceptor.on_durable(kept)
+                if value.version != old.version:
+                    self.log("version taken", n=value.version, id=value.change_id, ballot=ballot[0])
             done({"ok": True} if durable else None)
 
         self.write(kept, written)
@@ -304,16 +339,18 @@
 
     def waits(self) -> dict[str, Any]:
         """Of what is proposed, as far as this process knows: who is waited for, who refused."""
-        now, new = self.clock(), self.value["next"]
+        now, new = self.clock(), self.value.proposal
         return {
-            "try": new["try"] if new else 0,
-            "late": self.leases.waits(self.value, now),
-            "refused": self.leases.refusals(self.value, now),
+            "try": new.proposal_number if new else 0,
+            "late": [list(one) for one in self.leases.pending_members(self.value, now)],
+            "refused": [list(one) for one in self.leases.refusals(self.value, now)],
         }
 
     # --- a change of the register
 
-    def cas(self, make: Callable[[Value], Value], done: Heard, light: bool = False) -> None:
+    def cas(
+        self, make: Callable[[PolicyState], PolicyState], done: Heard, light: bool = False
+    ) -> None:
         """`done` gets the value that is chosen now, or None where that is not known. Light ones, which no
         acceptor waits for anybody with, share a round: hundreds of balancers register at once."""
         if len(self.queue) >= QUEUE:
@@ -333,14 +370,14 @@
         light = list(takewhile(lambda one: one[2], self.queue))
         self.shared = max(1, len(light))
 
-        def make(value: Value) -> Value:
+        def make(value: PolicyState) -> PolicyState:
             for one, _, _ in islice(self.queue, self.shared):
                 value = one(value)
             return value
 
-        Attempt(self, Round(ballot, len(self.names), make, self.name if lost else ""), tries)
+        Attempt(self, Proposer(ballot, len(self.names), make, self.name if lost else ""), tries)
 
-    def round_over(self, value: Value | None, tries: int, ballot: Ballot) -> None:
+    def round_over(self, value: PolicyState | None, tries: int, ballot: Ballot) -> None:
         self.ballot = ballot
         if value is None and tries > 1:
             # at a random time, as another proposer would
@@ -370,14 +407,14 @@
     def tick(self) -> None:
         self.loop.call_later(TICK + self.rng.randrange(TICK // 4), self.tick)
         now = self.clock()
-        self.leases.sweep(now)
+        self.leases.remove_expired(now)
         self.look_at_disk()
         if self.acceptor is None:
             if not self.running and not self.writes:
                 self.come_back()
             return
-        new = self.value["next"]
-        number = new["try"] if new else 0
+        new = self.value.proposal
+        number = new.proposal_number if new else 0
         if number != self.seen[0]:
             self.seen = number, now
         rank = 0 if number == self.own else self.names.index(self.name) * RANK
@@ -388,7 +425,7 @@
         """Its disk was lost, and with it what it had promised: a round of all others, under a ballot higher
         than any that it may have had a part in, and only what that finds is taken up."""
 
-        def back(value: Value | None) -> None:
+        def back(value: PolicyState | None) -> None:
             if value is None or self.acceptor:
                 return
             # the round's own ballot: under a higher one something else may be chosen
@@ -397,7 +434,7 @@
             def written(durable: bool) -> None:
                 if durable:
                     self.stand(kept)
-                    self.log("register back", n=value["n"])
+                    self.log("register back", n=value.version)
 
             self.write(kept, written)
 
@@ -412,7 +449,7 @@
         def over() -> None:
             self.driving = False
             agreed = [one for one in asked.values() if one and one["try"] == number]
-            if len(agreed) < majority(len(self.names)):
+            if len(agreed) < quorum_size(len(self.names)):
                 return
             if refused:
                 why = "; ".join(f"{name}: {why}" for name, why in refused.items())
@@ -421,10 +458,8 @@
             elif late:
                 return
             else:
-                return self.cas(
-                    lambda value: policy_rollout.decided(value, number) or value, self.driven
-                )
-            self.cas(lambda value: policy_rollout.dropped(value, number, why) or value, self.driven)
+                return self.cas(lambda value: policy_rollout.decide(value, number), self.driven)
+            self.cas(lambda value: policy_rollout.drop(value, number, why), self.driven)
 
         def heard(name: str, said: Any) -> None:
             asked[name] = said
@@ -436,10 +471,11 @@
 
         self.call_all("/waits", {}, heard)
 
-    def driven(self, value: Value | None) -> None:
-        if value and value["past"] and not value["next"]:
-            n, id, word, why = value["past"][-1]
-            self.log("change " + word, id=id, n=n, **({"why": why} if why else {}))
+    def driven(self, value: PolicyState | None) -> None:
+        if value and value.history and not value.proposal:
+            last = value.history[-1]
+            more = {"why": last.reason} if last.reason else {}
+            self.log("change " + last.result.value, id=last.change_id, n=last.version, **more)
 
     # --- operators' acts
 
@@ -456,46 +492,59 @@
         if why := fit(doc):
             return done({"state": "unfit", "why": why})
 
-        def made(value: Value | None) -> None:
-            if value and value["next"] and value["next"]["id"] == id:
-                self.own = value["next"]["try"]
+        def made(value: PolicyState | None) -> None:
+            if value and value.proposal and value.proposal.change_id == id:
+                self.own = value.proposal.proposal_number
             done(value and self.told(value, id))
 
-        self.cas(lambda value: policy_rollout.asked(value, id, doc, again, after), made)
+        self.cas(lambda value: policy_rollout.submit(value, id, doc, again, after), made)
 
     def on_change(self, told: dict[str, Any], done: Heard) -> None:
         """What became of one: how far it is by what is known here, its end only from a majority."""
         id = str(told["id"])
-        if self.value["next"] and self.value["next"]["id"] == id:
+        if self.value.proposal and self.value.proposal.change_id == id:
             return done(self.told(self.value, id))
         self.cas(lambda value: value, lambda value: done(value and self.told(value, id)))
 
-    def told(self, value: Value, id: str) -> dict[str, Any]:
-        return self.state(value, id) | {"tries": value["tries"]}
+    def told(self, value: PolicyState, id: str) -> dict[str, Any]:
+        return self.state(value, id) | {"tries": value.proposal_count}
 
-    def state(self, value: Value, id: str) -> dict[str, Any]:
-        new, known = value["next"], policy_rollout.outcome(value, id)
-        if new and new["id"] == id:
-            return {"state": "proposed", "n": new["n"], "try": new["try"], **self.waits()}
-        if known and known[2] == "decided":
-            return {"state": "decided", "n": known[0], "now": value["n"], "lease": self.lease}
+    def state(self, value: PolicyState, id: str) -> dict[str, Any]:
+        new, known = value.proposal, policy_rollout.find_record(value, id)
+        if new and new.change_id == id:
+            return {
+                "state": "proposed",
+                "n": new.version,
+                "try": new.proposal_number,
+                **self.waits(),
+            }
+        if known and known.result is ChangeResult.DECIDED:
+            return {
+                "state": "decided",
+                "n": known.version,
+                "now": value.version,
+                "lease": self.lease,
+            }
         if known:
-            return {"state": "nowhere", "why": known[3]}
+            return {"state": "nowhere", "why": known.reason}
         if new:
-            return {"state": "busy", "why": f"{new['id']} is proposed and not decided yet"}
+            return {"state": "busy", "why": f"{new.change_id} is proposed and not decided yet"}
         return {"state": "unknown", "why": "no such change"}
 
     def on_strike(self, told: dict[str, Any], done: Heard) -> None:
         """Of one life only: a call that comes late must not strike off who has come back."""
         name, life = str(told["name"]), str(told["life"])
         self.cas(
-            lambda value: policy_rollout.struck(value, name, life) or value,
-            lambda value: done(value and {"struck": value["stay"].get(name) != life}),
+            lambda value: policy_rollout.evict_member(value, name, life),
+            lambda value: done(
+                value and {"struck": value.members_without_quorum.get(name) != life}
+            ),
             True,
         )
 
     def on_status(self, told: dict[str, Any], done: Heard) -> None:
-        now, value, new = self.clock(), self.value, self.value["next"]
+        now, value, new = self.clock(), self.value, self.value.proposal
+        wire = to_wire(value)
         done(
             {
                 "name": self.name,
@@ -503,16 +552,26 @@
                 "lost": self.acceptor is None,
                 "lease": self.lease,
                 "disk": self.disk_state,
-                "ballot": self.acceptor.kept.ballot if self.acceptor else NONE,
-                "n": value["n"],
-                "id": value["id"],
-                "stay": value["stay"],
-                "past": value["past"],
-                "next": new and {"id": new["id"], "n": new["n"], "try": new["try"]},
+                "ballot": self.acceptor.state.accepted_ballot if self.acceptor else NO_BALLOT,
+                "n": value.version,
+                "id": value.change_id,
+                "stay": wire["stay"],
+                "past": wire["past"],
+                "next": new and {"id": new.change_id, "n": new.version, "try": new.proposal_number},
                 **self.waits(),
                 "rows": [
-                    row._replace(heard=now - row.heard, until=row.until - now)._asdict()
-                    for row in self.leases.rows.values()
+                    {
+                        "name": row.name,
+                        "life": row.incarnation,
+                        "alone": row.on_lost_quorum,
+                        "runs": row.version,
+                        "promised": row.promised_proposal,
+                        "refused": row.refused_proposal,
+                        "why": row.refusal_reason,
+                        "heard": now - row.heard_at_us,
+                        "until": row.lease_expires_at_us - now,
+                    }
+                    for row in self.leases.holders.values()
                 ],
             }
         )
@@ -521,7 +580,7 @@
 class Attempt:
     """One round on the network."""
 
-    def __init__(self, control: Control, round: Round, tries: int) -> None:
+    def __init__(self, control: Control, round: Proposer[PolicyState], tries: int) -> None:
         self.control, self.round, self.tries, self.over = control, round, tries, False
         self.heard = self.heard_accept = 0
         control.call_all("/prepare", {"ballot": round.ballot}, self.prepared)
@@ -533,11 +592,11 @@
         if self.over:
             return
         if said and said["ok"]:
-            if self.round.prepared(name, tuple(said["ballot"]), said["value"]):
+            if self.round.on_promise(name, tuple(said["ballot"]), from_wire(said["value"])):
                 value, ballot = self.round.value, self.round.ballot
                 assert value is not None
                 return self.control.call_all(
-                    "/accept", {"ballot": ballot, "value": value}, self.accepted
+                    "/accept", {"ballot": ballot, "value": to_wire(value)}, self.accepted
                 )
         if self.heard == len(self.control.names) and self.round.value is None:
             self.end(None)
@@ -546,13 +605,13 @@
         self.heard_accept += 1
         if self.over:
             return
-        if said and said["ok"] and self.round.accepted(name):
+        if said and said["ok"] and self.round.on_accepted(name):
             return self.end(self.round.value)
         if self.heard_accept == len(self.control.names):
             # waiting for balancers is not for the next round: who drives asks first
             self.end(None, 1 if said and said.get("late") else self.tries)
 
-    def end(self, value: Value | None, tries: int = 0) -> None:
+    def end(self, value: PolicyState | None, tries: int = 0) -> None:
         self.over = True
         self.control.round_over(value, tries or self.tries, self.round.ballot)
 
@@ -626,7 +685,7 @@
         "control",
         listen=format_address(peers[name]),
         of=len(peers),
-        n=control.value["n"],
+        n=control.value.version,
         lease_ms=lease // 1000,
     )
     loop.run()
--- a/orchidgap/decisions/cas_register.py
+++ b/orchidgap/decisions/cas_register.py
@@ -1,118 +1,171 @@
-"""One value that a majority of control processes keeps: read, changed and written whole by compare-and-set.
+"""A compare-and-set register that a majority of control processes keeps (CASPaxos, Rystsov 2018).
 
-CASPaxos (Rystsov 2018): every change is one round of two phases under a ballot of its own, and an acceptor
-needs no log. No I/O: what an `Acceptor` gives has to be durable before anybody is told.
+Every change of the value is one round of two phases under a ballot of its own; an acceptor keeps one
+value and needs no log. States of an acceptor, and what may follow:
+
+    | message         | accepted if                                | next state                    |
+    | --------------- | ------------------------------------------ | ----------------------------- |
+    | prepare(ballot) | ballot is higher than the promised one     | promised ballot is the new one |
+    | accept(ballot)  | ballot is not lower than the promised one  | both ballots new, value new   |
+
+States of a proposer: collecting promises, until a quorum has given one and `value` is known; then
+collecting acceptances, until a quorum has accepted it.
+
+No I/O: what an `Acceptor` returns has to be durable before anybody is told of it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from typing import Any, NamedTuple
+from typing import Generic, NamedTuple, TypeVar
 
-Ballot = tuple[int, str]  # a count, and who proposes: two never propose under one
-NONE: Ballot = (0, "")
+Ballot = tuple[int, str]
+"""A count and the proposer's name; no two proposers use the same ballot."""
 
-Value = dict[str, Any]  # never changed in place
+NO_BALLOT: Ballot = (0, "")
 
+Value = TypeVar("Value")
 
-class Kept(NamedTuple):
-    """What an acceptor has on its disk."""
 
-    promised: Ballot  # nothing under a lower ballot is taken any more
-    ballot: Ballot  # of the value
+class AcceptorState(NamedTuple, Generic[Value]):
+    """What an acceptor has on its disk.
+
+    Attributes:
+        promised_ballot: Nothing under a lower ballot is accepted any more.
+        accepted_ballot: The ballot under which the value was accepted.
+        value: The value that was accepted last; never changed in place.
+    """
+
+    promised_ballot: Ballot
+    accepted_ballot: Ballot
     value: Value
 
 
-def majority(count: int) -> int:
-    """
-    >>> [majority(count) for count in (1, 2, 3, 5)]
+def quorum_size(count: int) -> int:
+    """Return how many of `count` acceptors are a majority.
+
+    >>> [quorum_size(count) for count in (1, 2, 3, 5)]
     [1, 2, 2, 3]
     """
     return count // 2 + 1
 
 
-class Acceptor:
-    """What it gives has to be written; it counts, and may be told, once `stands` was called with it. Nothing
-    else is asked meanwhile: a promise made beside a write would be overwritten by it.
+class Acceptor(Generic[Value]):
+    """One acceptor. It never changes its state by itself.
 
-    >>> acceptor = Acceptor(Kept(NONE, NONE, {}))
-    >>> acceptor.stands(acceptor.prepare((1, "a"))), acceptor.prepare((1, "a"))
-    (None, None)
-    >>> acceptor.stands(acceptor.accept((1, "a"), {"n": 1})), acceptor.stands(acceptor.prepare((2, "b")))
+    What `prepare` and `accept` return has to be written first; `on_durable` then puts it into force,
+    and only then may the answer be sent. Nothing else may be asked meanwhile: a promise made beside a
+    write would be overwritten by that write.
+
+    >>> acceptor = Acceptor(AcceptorState(NO_BALLOT, NO_BALLOT, {}))
+    >>> acceptor.on_durable(acceptor.prepare((1, "a"))), acceptor.prepare((1, "a"))
     (None, None)
-    >>> acceptor.accept((1, "a"), {"n": 9}), acceptor.kept
-    (None, Kept(promised=(2, 'b'), ballot=(1, 'a'), value={'n': 1}))
+    >>> acceptor.on_durable(acceptor.accept((1, "a"), {"n": 1}))
+    >>> acceptor.on_durable(acceptor.prepare((2, "b")))
+    >>> acceptor.accept((1, "a"), {"n": 9})
+    >>> acceptor.state
+    AcceptorState(promised_ballot=(2, 'b'), accepted_ballot=(1, 'a'), value={'n': 1})
     """
 
-    def __init__(self, kept: Kept) -> None:
-        self.kept = kept
-
-    def prepare(self, ballot: Ballot) -> Kept | None:
-        """The promise to take nothing under a lower ballot; None where it is not given."""
-        return self.kept._replace(promised=ballot) if ballot > self.kept.promised else None
-
-    def accept(self, ballot: Ballot, value: Value) -> Kept | None:
-        """With the value taken; None where a higher ballot was promised."""
-        return Kept(ballot, ballot, value) if ballot >= self.kept.promised else None
-
-    def stands(self, kept: Kept) -> None:
-        self.kept = kept
-
-
-class Round:
-    """One compare-and-set as its proposer sees it. `change` makes the new value of the old one; it may be
-    the old one itself, which then is known to be chosen.
-
-    >>> there = [Acceptor(Kept(NONE, NONE, {"n": 0})) for _ in range(3)]
-    >>> round = Round((1, "a"), 3, lambda value: value | {"n": value["n"] + 1})
-    >>> for name, one in zip("xyz", there):
-    ...     one.stands(one.prepare((1, "a")))
-    ...     _ = round.prepared(name, one.kept.ballot, one.kept.value)
-    >>> took = [name for name, one in zip("xyz", there) if one.accept((1, "a"), round.value)]
-    >>> round.value, [round.accepted(name) for name in took]
-    ({'n': 1}, [False, True, True])
+    def __init__(self, state: AcceptorState[Value]) -> None:
+        self.state = state
+
+    def prepare(self, ballot: Ballot) -> AcceptorState[Value] | None:
+        """Return the state with the promise given, None if the promise is not given."""
+        if ballot <= self.state.promised_ballot:
+            return None
+        return self.state._replace(promised_ballot=ballot)
+
+    def accept(self, ballot: Ballot, value: Value) -> AcceptorState[Value] | None:
+        """Return the state with the value accepted, None if a higher ballot was promised."""
+        if ballot < self.state.promised_ballot:
+            return None
+        return AcceptorState(ballot, ballot, value)
+
+    def on_durable(self, state: AcceptorState[Value]) -> None:
+        """Put a state into force that is on the disk now."""
+        self.state = state
+
+
+class Proposer(Generic[Value]):
+    """One round of compare-and-set, as its proposer sees it.
+
+    >>> acceptors = {name: Acceptor(AcceptorState(NO_BALLOT, NO_BALLOT, 0)) for name in "xyz"}
+    >>> proposer = Proposer((1, "a"), 3, lambda value: value + 1)
+    >>> for name, acceptor in acceptors.items():
+    ...     acceptor.on_durable(acceptor.prepare(proposer.ballot))
+    ...     state = acceptor.state
+    ...     _ = proposer.on_promise(name, state.accepted_ballot, state.value)
+    >>> proposer.value, [proposer.on_accepted(name) for name in acceptors]
+    (1, [False, True, True])
     """
 
     def __init__(
-        self, ballot: Ballot, count: int, change: Callable[[Value], Value], but: str = ""
+        self,
+        ballot: Ballot,
+        acceptor_count: int,
+        update: Callable[[Value], Value],
+        excluded: str = "",
     ) -> None:
-        self.ballot, self.need, self.change = ballot, majority(count), change
-        self.but = but  # an acceptor that does not count: it has lost what it had promised
-        self.heard: dict[str, tuple[Ballot, Value]] = {}
-        self.took: dict[str, None] = {}
-        self.value: Value | None = None  # what is to be accepted, once the old value is known
-
-    def prepared(self, name: str, ballot: Ballot, value: Value) -> bool:
-        """A promise, with what its acceptor had taken; whether `value` is known by it."""
-        if self.value is not None or name == self.but:
+        """Begin a round.
+
+        Args:
+            ballot: A ballot that was never used before.
+            acceptor_count: How many acceptors there are.
+            update: Makes the new value of the old one. It may return the old one, which is then
+                known to be chosen.
+            excluded: The name of an acceptor whose answers do not count, since it has lost its disk
+                and with it what it had promised.
+        """
+        self.ballot = ballot
+        self.quorum = quorum_size(acceptor_count)
+        self.update = update
+        self.excluded = excluded
+        self.promises: dict[str, tuple[Ballot, Value]] = {}
+        self.accepted_by: set[str] = set()
+        self.value: Value | None = None  # to be accepted; known once a quorum has promised
+
+    def on_promise(self, acceptor: str, accepted_ballot: Ballot, value: Value) -> bool:
+        """Take in a promise and what its acceptor had accepted before.
+
+        Returns:
+            Whether the value to be accepted became known by this promise.
+        """
+        if self.value is not None or acceptor == self.excluded:
             return False
-        self.heard[name] = ballot, value
-        if len(self.heard) < self.need:
+        self.promises[acceptor] = accepted_ballot, value
+        if len(self.promises) < self.quorum:
             return False
-        # under the highest ballot: that one may have been chosen, and no other can have been since
-        old = max(self.heard.values(), key=lambda heard: heard[0])[1]
-        self.value = self.change(old)
+        # The value under the highest ballot may have been chosen; none under a lower one can have
+        # been chosen since.
+        _, current = max(self.promises.values(), key=lambda promise: promise[0])
+        self.value = self.update(current)
         return True
 
-    def accepted(self, name: str) -> bool:
-        """Whether the value is chosen."""
-        if name != self.but:
-            self.took[name] = None
-        return len(self.took) >= self.need
+    def on_accepted(self, acceptor: str) -> bool:
+        """Take in an acceptance; return whether the value is chosen."""
+        if acceptor != self.excluded:
+            self.accepted_by.add(acceptor)
+        return len(self.accepted_by) >= self.quorum
+
 
+def find_chosen_value(acceptor_count: int, answers: Iterable[tuple[Ballot, Value]]) -> Value | None:
+    """Return the value that is certainly chosen, None if that cannot be told.
 
-def chosen(count: int, told: Iterable[tuple[Ballot, Value]]) -> Value | None:
-    """What is certainly chosen, by what acceptors told that they have: one ballot at a majority, or nothing.
+    A value is chosen if a quorum accepted it under one ballot. Equal values under several ballots
+    prove nothing: a value between them may have been chosen, or be chosen yet.
 
-    Equal values under several ballots do not do: a value between them may have been chosen, or be chosen yet.
+    Args:
+        acceptor_count: How many acceptors there are.
+        answers: The accepted ballot and value of each acceptor that answered.
 
-    >>> chosen(3, [((1, "a"), {"n": 1}), ((2, "b"), {"n": 1})])
-    >>> chosen(3, [((2, "b"), {"n": 1}), ((1, "a"), {"n": 0}), ((2, "b"), {"n": 1})])
-    {'n': 1}
+    >>> find_chosen_value(3, [((1, "a"), "x"), ((2, "b"), "x")])
+    >>> find_chosen_value(3, [((2, "b"), "x"), ((1, "a"), "w"), ((2, "b"), "x")])
+    'x'
     """
-    seen: dict[Ballot, int] = {}
-    for ballot, value in told:
-        seen[ballot] = seen.get(ballot, 0) + 1
-        if seen[ballot] >= majority(count):
+    counts: dict[Ballot, int] = {}
+    for ballot, value in answers:
+        counts[ballot] = counts.get(ballot, 0) + 1
+        if counts[ballot] >= quorum_size(acceptor_count):
             return value
     return None
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -10,10 +10,9 @@
 
 from orchidgap.control.lease_keeper import Keeper
 from orchidgap.control.server import Control
-from orchidgap.decisions.cas_register import Value
 from orchidgap.decisions.gossip_counts import Pool, Row
 from orchidgap.decisions.hot_keys import HotKeyDetector
-from orchidgap.decisions.policy_rollout import Leases, Right, Tenure
+from orchidgap.decisions.leases import LeaseState, LeaseTable, ServingPermission
 from orchidgap.http1.server import Client
 
 
@@ -21,7 +20,7 @@
     """It says that it runs a version, and goes on under the one before."""
     adopt = Keeper.adopt
 
-    Keeper.adopt = lambda self, doc: adopt(self, doc) if self.tenure.runs < 0 else ""
+    Keeper.adopt = lambda self, doc: adopt(self, doc) if self.tenure.version < 0 else ""
 
 
 def early() -> None:
@@ -38,20 +37,20 @@
 
 def forgets() -> None:
     """It loses its promise: alone, it goes on as if it had given none."""
-    Tenure.promise = lambda self, number: True
+    LeaseState.on_promise_durable = lambda self, proposal_number: True
     call = Keeper.call
 
     def say(self: Keeper) -> None:
         if self.seen_try:
-            self.tenure.promised, kept = self.seen_try, self.tenure.promised
+            self.tenure.promised_proposal, kept = self.seen_try, self.tenure.promised_proposal
             call(self)
-            self.tenure.promised = kept
+            self.tenure.promised_proposal = kept
         else:
             call(self)
 
     check = Keeper.check
 
-    def saw(self: Keeper, new: Value) -> None:
+    def saw(self: Keeper, new: Any) -> None:
         self.seen_try = new["try"]
         check(self, new)
 
@@ -75,9 +74,9 @@
     """It takes a version that it has only promised."""
     checked = Keeper.checked
 
-    def take(self: Keeper, new: Value, why: str) -> None:
+    def take(self: Keeper, new: Any, why: str) -> None:
         checked(self, new, why)
-        if self.tenure.promised == new["try"]:
+        if self.tenure.promised_proposal == new["try"]:
             self.adopt(new["doc"])
 
     Keeper.checked = take
@@ -86,7 +85,10 @@
 def leaseless() -> None:
     """Once it had a lease it serves for ever."""
 
-    Tenure.right = lambda self, now: Right.SERVES if self.runs >= 0 else Right.NONE
+    def permission(self: LeaseState, now_us: int) -> ServingPermission:
+        return ServingPermission.LEASE if self.version >= 0 else ServingPermission.DENIED
+
+    LeaseState.permission = permission
 
 
 def dozes() -> None:
@@ -112,7 +114,7 @@
 
 def impatient() -> None:
     """Control decides without waiting for anybody."""
-    Leases.behind = lambda self, *told: []
+    LeaseTable.unprepared_members = lambda self, *told: []
 
 
 def amnesic() -> None:
--- a/orchidgap/drill/explore.py
+++ b/orchidgap/drill/explore.py
@@ -20,6 +20,7 @@
 import time
 from collections import deque
 from collections.abc import Callable, Iterator
+from dataclasses import replace
 from functools import cache
 from itertools import combinations, pairwise
 from random import Random
@@ -28,8 +29,25 @@
 import orjson
 
 from orchidgap.decisions import policy_rollout
-from orchidgap.decisions.cas_register import NONE, Acceptor, Ballot, Kept, Round, Value
-from orchidgap.decisions.policy_rollout import Leases, Right, Row, Tenure, answered
+from orchidgap.decisions.cas_register import (
+    NO_BALLOT,
+    Acceptor,
+    AcceptorState,
+    Ballot,
+    Proposer,
+)
+from orchidgap.decisions.leases import (
+    LeaseHolder,
+    LeaseState,
+    LeaseTable,
+    NextStep,
+    OnLostQuorum,
+    ServingPermission,
+    evaluate_answers,
+)
+from orchidgap.decisions.policy_rollout import PolicyState
+
+Value = Any  # of the register: a list of labels in `Rounds`, a `PolicyState` in `Fleet`
 
 TICK, LEASE = 100, 200
 DEPTH = 120
@@ -116,28 +134,28 @@
         self.blank: tuple[Ballot, Ballot, int] | None = (
             None  # of what an acceptor knows without its disk
         )
-        self.first = State(((NONE, NONE, empty),) * 3, (), frozenset(), 0)
+        self.first = State(((NO_BALLOT, NO_BALLOT, empty),) * 3, (), frozenset(), 0)
 
-    def acceptor(self, state: State, x: int) -> Acceptor | None:
+    def acceptor(self, state: State, x: int) -> Acceptor[Value] | None:
         row = state.kept[x]
-        return Acceptor(Kept(row[0], row[1], self.store.values[row[2]])) if row else None
+        return Acceptor(AcceptorState(row[0], row[1], self.store.values[row[2]])) if row else None
 
-    def put(self, state: State, x: int, kept: Kept) -> tuple[Any, ...]:
+    def put(self, state: State, x: int, kept: AcceptorState[Value]) -> tuple[Any, ...]:
         """Written, and counts."""
-        row = kept.promised, kept.ballot, self.store.number(kept.value)
+        row = kept.promised_ballot, kept.accepted_ballot, self.store.number(kept.value)
         return (*state.kept[:x], row, *state.kept[x + 1 :])
 
-    def round(self, job: Job) -> Round:
+    def round(self, job: Job) -> Proposer[Value]:
         """As it stands, from what has come."""
 
         def longer(value: Value) -> Value:
             return {"list": [*value["list"], job.label]} if job.label else value
 
-        made = Round(job.ballot, 3, longer, str(job.but) if job.but >= 0 else "")
+        made = Proposer(job.ballot, 3, longer, str(job.but) if job.but >= 0 else "")
         for x, ballot, value in job.heard:
-            made.prepared(str(x), ballot, self.store.values[value])
+            made.on_promise(str(x), ballot, self.store.values[value])
         for x in job.took:
-            made.accepted(str(x))
+            made.on_accepted(str(x))
         return made
 
     def after(self, state: State) -> Iterator[State]:
@@ -176,7 +194,7 @@
                     yield after  # and its answer is lost
                     # one that comes late tells the proposer no more than one that comes at once
                     if job.value < 0:
-                        heard = (*job.heard, (x, now.ballot, self.store.number(now.value)))
+                        heard = (*job.heard, (x, now.accepted_ballot, self.store.number(now.value)))
                         new = job._replace(heard=heard)
                         if (value := self.round(new).value) is not None:
                             new = new._replace(value=self.store.number(value))
@@ -201,7 +219,7 @@
     def told(self, state: State, i: int, job: Job) -> State:
         """An acceptance is heard of; whoever had lost its disk comes back with what is chosen then."""
         kept = state.kept
-        if job.but >= 0 and kept[job.but] is None and self.round(job).accepted(str(job.but)):
+        if job.but >= 0 and kept[job.but] is None and self.round(job).on_accepted(str(job.but)):
             kept = (*kept[: job.but], (job.ballot, job.ballot, job.value), *kept[job.but + 1 :])
         return state._replace(kept=kept, jobs=(*state.jobs[:i], job, *state.jobs[i + 1 :]))
 
@@ -228,7 +246,7 @@
 
 
 class Held(NamedTuple):
-    """A balancer: its life, what its `Tenure` holds, and the call that it has out. Times from now."""
+    """A balancer: its life, what its `LeaseState` holds, and the call that it has out. Times from now."""
 
     life: int
     runs: int
@@ -247,7 +265,7 @@
     promised: Ballot
     ballot: Ballot
     value: int
-    rows: tuple[Row, ...]
+    rows: tuple[LeaseHolder, ...]
     unknown_until: int
     locked: tuple[int, int] | None
     writing: int  # which acceptance is on its way to the disk, -1 for none
@@ -303,8 +321,12 @@
         self.store, self.held, self.seats, self.rests = Store(), Parts(), Parts(), Parts()
         self.proposals, self.rounds, self.starts, self.alone = proposals, rounds, starts, alone
         stay = {f"b{b}": "0" for b in range(balancers)} if alone == "stay" else {}
-        empty = self.store.number(policy_rollout.EMPTY | {"stay": stay})
-        seat = self.seats(Seat(NONE, NONE, empty, (), 0, None, -1, -1, (None,) * balancers, 0))
+        empty = self.store.number(
+            replace(policy_rollout.INITIAL_STATE, members_without_quorum=stay)
+        )
+        seat = self.seats(
+            Seat(NO_BALLOT, NO_BALLOT, empty, (), 0, None, -1, -1, (None,) * balancers, 0)
+        )
         held = self.held(Held(0, 0, 0, 0, 0, alone == "stay", None, (0, 0)))
         self.first = Town((held,) * balancers, (seat,) * 3, self.rests(Rest((), (), 0)))
         # what one part comes to is found once, and not for every state that has it
@@ -327,33 +349,41 @@
 
     # --- the modules' own objects, from parts and back
 
-    def tenure(self, held: Held) -> Tenure:
-        tenure = Tenure(self.alone, LEASE)
-        tenure.runs, tenure.promised, tenure.writing = held.runs, held.promised, held.writing
-        tenure.until, tenure.stays = held.until, held.stays
-        return tenure
+    def tenure(self, held: Held) -> LeaseState:
+        lease = LeaseState(OnLostQuorum(self.alone), LEASE)
+        lease.version = held.runs
+        lease.promised_proposal = held.promised
+        lease.writing_proposal = held.writing
+        lease.expires_at_us = held.until
+        lease.registered = held.stays
+        return lease
 
     @staticmethod
-    def holds(held: Held, tenure: Tenure) -> Held:
+    def holds(held: Held, lease: LeaseState) -> Held:
         return held._replace(
-            runs=tenure.runs,
-            promised=tenure.promised,
-            writing=tenure.writing,
-            until=max(0, tenure.until),
-            stays=tenure.stays,
+            runs=lease.version,
+            promised=lease.promised_proposal,
+            writing=lease.writing_proposal,
+            until=max(0, lease.expires_at_us),
+            stays=lease.registered,
         )
 
     @staticmethod
-    def leases(seat: Seat) -> Leases:
-        leases = Leases(LEASE, 0)
-        leases.unknown_until, leases.locked = seat.unknown_until, seat.locked
-        leases.rows = {(row.name, row.life): row for row in seat.rows}
+    def leases(seat: Seat) -> LeaseTable:
+        leases = LeaseTable(LEASE, 0)
+        leases.unknown_holders_until_us = seat.unknown_until
+        leases.pending_decision = seat.locked
+        leases.holders = {(row.name, row.incarnation): row for row in seat.rows}
         return leases
 
     @staticmethod
-    def granting(seat: Seat, leases: Leases) -> Seat:
-        rows = sorted(row._replace(heard=0) for row in leases.rows.values() if row.until > 0)
-        return seat._replace(rows=tuple(rows), locked=leases.locked)
+    def granting(seat: Seat, leases: LeaseTable) -> Seat:
+        rows = sorted(
+            row._replace(heard_at_us=0)
+            for row in leases.holders.values()
+            if row.lease_expires_at_us > 0
+        )
+        return seat._replace(rows=tuple(rows), locked=leases.pending_decision)
 
     # --- steps
 
@@ -370,7 +400,7 @@
         took = sum(
             1 << i
             for i, value in enumerate(there.sent)
-            if seat.took >> i & 1 and self.store.values[value]["n"] > last
+            if seat.took >> i & 1 and self.store.values[value].version > last
         )
         ghost = seat.ghost if there.starts < self.starts else -1
         return self.seats(seat._replace(took=took, ghost=ghost))
@@ -432,7 +462,11 @@
 
     def later_seat(self, number: int) -> int:
         seat: Seat = self.seats.all[number]
-        rows = tuple(row._replace(until=row.until - TICK) for row in seat.rows if row.until > TICK)
+        rows = tuple(
+            row._replace(lease_expires_at_us=row.lease_expires_at_us - TICK)
+            for row in seat.rows
+            if row.lease_expires_at_us > TICK
+        )
         return self.seats(seat._replace(rows=rows, unknown_until=max(0, seat.unknown_until - TICK)))
 
     def later_rest(self, number: int) -> int:
@@ -443,9 +477,9 @@
     def wrote(self, number: int) -> int:
         """A balancer has a promise on its disk. One that refuses is as one that never gets there."""
         held: Held = self.held.all[number]
-        tenure = self.tenure(held)
-        tenure.promise(held.writing)
-        return self.held(self.holds(held, tenure))
+        lease = self.tenure(held)
+        lease.on_promise_durable(held.writing)
+        return self.held(self.holds(held, lease))
 
     def come(self, town: Town, b: int) -> Iterator[tuple[tuple[int, ...], tuple[int, ...], int]]:
         """Two or three answers have come to the balancer; one tells it nothing."""
@@ -460,21 +494,22 @@
     def heard(self, b: int, number: int, came: tuple[Answer, ...]) -> tuple[int, bool]:
         """What it then is, and whether the call is over."""
         held: Held = self.held.all[number]
-        value, granted = answered(
+        value, granted = evaluate_answers(
             3, [(at, self.store.values[value], grants) for at, value, grants in came]
         )
         if value is None:
             return number, False
         assert held.asked is not None
-        registered = value["stay"].get(f"b{b}") == str(held.life)
-        tenure = self.tenure(held)
-        what = tenure.told(value, registered, held.asked, granted)
-        if what == "take":
-            tenure.takes(value["n"])
-            what = tenure.told(value, registered, held.asked, granted)
-        if what == "check":
-            tenure.writes(value["next"]["try"])
-        new = self.holds(held, tenure)
+        proposed = value.proposal.proposal_number if value.proposal else 0
+        registered = value.members_without_quorum.get(f"b{b}") == str(held.life)
+        lease = self.tenure(held)
+        step = lease.on_chosen_state(value.version, proposed, registered, held.asked, granted)
+        if step is NextStep.ADOPT_VERSION:
+            lease.on_version_adopted(value.version)
+            step = lease.on_chosen_state(value.version, proposed, registered, held.asked, granted)
+        if step is NextStep.CHECK_PROPOSAL:
+            lease.on_write_started(proposed)
+        new = self.holds(held, lease)
         if granted:
             new = new._replace(asked=None, said=(0, 0))
         return self.held(new), granted
@@ -489,25 +524,27 @@
         seat, one = self.seats.all[number], self.held.all[held]
         leases = self.leases(seat)
         runs, promised = one.said
-        row = Row(f"b{b}", str(one.life), self.alone, runs, promised, 0, "", 0, 0)
-        grants = leases.hear(row, 0, 0)
+        row = LeaseHolder(f"b{b}", str(one.life), self.alone, runs, promised, 0, "", 0, 0)
+        grants = leases.on_heartbeat(row, 0, 0)
         told = Answer(seat.ballot, seat.value, grants)
         return self.seats(self.granting(seat, leases)._replace(answers=but(seat.answers, b, told)))
 
     def arrive(self, number: int, i: int, value: int) -> list[int]:
         """An acceptance, as `Control.accept` takes it: it waits, or is on its way to the disk."""
         seat: Seat = self.seats.all[number]
-        acceptor = Acceptor(Kept(seat.promised, seat.ballot, self.store.values[seat.value]))
+        acceptor = Acceptor(
+            AcceptorState(seat.promised, seat.ballot, self.store.values[seat.value])
+        )
         if (
             seat.ballot == ballot_of(i)
             or acceptor.accept(ballot_of(i), self.store.values[value]) is None
         ):
             return []
         leases = self.leases(seat)
-        late = leases.takes(acceptor.kept.value, self.store.values[value], 0)
+        late = leases.begin_decision(acceptor.state.value, self.store.values[value], 0)
         after = self.granting(seat, leases)
         # it may wait for this balancer, or for another one that is not looked at here
-        found = [self.seats(after)] if leases.locked else []
+        found = [self.seats(after)] if leases.pending_decision else []
         return found if late else [*found, self.seats(after._replace(writing=i))]
 
     def ended(self, number: int) -> int:
@@ -517,7 +554,7 @@
 
     def restarted(self, number: int) -> int:
         seat: Seat = self.seats.all[number]
-        unknown = Leases(LEASE, 0).unknown_until  # as a new process reckons it
+        unknown = LeaseTable(LEASE, 0).unknown_holders_until_us  # as a new process reckons it
         return self.seats(
             seat._replace(rows=(), unknown_until=unknown, locked=None, writing=-1, ghost=-1)
         )
@@ -535,7 +572,7 @@
     def take(self, number: int, i: int, value: int) -> int:
         seat: Seat = self.seats.all[number]
         leases = self.leases(seat)
-        leases.written()
+        leases.on_accepted()
         return self.seats(
             self.granting(seat, leases)._replace(
                 promised=ballot_of(i),
@@ -547,14 +584,14 @@
             )
         )
 
-    def chosen(self, held: tuple[int, ...], rest: Rest, value: Value) -> int:
+    def chosen(self, held: tuple[int, ...], rest: Rest, value: PolicyState) -> int:
         """At this moment: whoever may serve has to have promised what is decided by it."""
-        n = value["n"]
+        n = value.version
         if n <= max((one for one, _ in rest.decided), default=0):
             return self.rests(rest)
         for b, number in enumerate(held):
             one = self.held.all[number]
-            if self.rights(number) and one.runs < n and one.promised != value["try"]:
+            if self.rights(number) and one.runs < n and one.promised != value.proposal_number:
                 raise Broken(
                     f"version {n} was decided while b{b} may serve under {one.runs} unpromised"
                 )
@@ -574,32 +611,28 @@
                 seats[x] = self.seats(seat._replace(promised=ballot, ghost=-1))
             value = self.store.values[max(asked, key=lambda seat: seat.ballot).value]
             for made in self.made_of(town, value):
-                if made is not None:
-                    yield (
-                        tuple(seats),
-                        self.rests(rest._replace(sent=(*rest.sent, self.store.number(made)))),
-                    )
+                yield (
+                    tuple(seats),
+                    self.rests(rest._replace(sent=(*rest.sent, self.store.number(made)))),
+                )
 
-    def made_of(self, town: Town, value: Value) -> list[Value | None]:
-        new: list[Value | None] = [value]
-        if value["tries"] < self.proposals:
-            new.append(policy_rollout.proposed(value, f"p{value['tries']}", {}))
-        if value["next"]:
-            number = value["next"]["try"]
-            new += [
-                policy_rollout.decided(value, number),
-                policy_rollout.dropped(value, number, ""),
-            ]
+    def made_of(self, town: Town, value: PolicyState) -> list[PolicyState]:
+        new: list[PolicyState] = []
+        if value.proposal_count < self.proposals:
+            new.append(policy_rollout.propose(value, f"p{value.proposal_count}", {}))
+        if value.proposal:
+            number = value.proposal.proposal_number
+            new += [policy_rollout.decide(value, number), policy_rollout.drop(value, number, "")]
         if self.alone == "stay":
             new += [
-                policy_rollout.joined(value, f"b{b}", str(self.held.all[held].life))
+                policy_rollout.register_member(value, f"b{b}", str(self.held.all[held].life))
                 for b, held in enumerate(town.held)
             ]
-        return new
+        return [value, *(made for made in new if made is not value)]
 
     def rights(self, number: int) -> bool:
         """Whether it may serve."""
-        return self.tenure(self.held.all[number]).right(0) is not Right.NONE
+        return self.tenure(self.held.all[number]).permission(0) is not ServingPermission.DENIED
 
     def check(self, held: tuple[int, ...], rest: int) -> None:
         decided = self.rests.all[rest].decided
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -13,7 +13,8 @@
 from orchidgap.control.server import Control
 from orchidgap.control.validation import fit
 from orchidgap.decisions import policy_rollout
-from orchidgap.decisions.policy_rollout import EMPTY, PAST, Right
+from orchidgap.decisions.leases import ServingPermission
+from orchidgap.decisions.policy_rollout import INITIAL_STATE, MAX_HISTORY
 from orchidgap.net import config
 from orchidgap.net.config import ConfigError
 from orchidgap.net.loop import Loop
@@ -22,6 +23,7 @@
 from orchidgap.trial.fabric import World
 
 LEASE = 2_000_000
+EMPTY = policy_rollout.to_wire(INITIAL_STATE)
 DOC = {"settings": {"rule-sets": [{"name": "a", "effect": "retryable", "client-timeout": 9}]}}
 
 
@@ -106,14 +108,14 @@
     won = next(id for id, said in heard.items() if said["state"] == "proposed")
     town.run(3 * LEASE)
     assert town.ask("k2", "/change", {"id": won})["state"] == "decided"
-    assert {control.value["n"] for control in town.all.values()} == {1}
+    assert {control.value.version for control in town.all.values()} == {1}
     # the loser's call comes once more: its caller was told that it holds nowhere
     lost = "y" if won == "x" else "x"
     assert (
         town.ask("k2", "/propose", {"id": lost, "doc": DOC, "again": False, "after": 0})["state"]
         == "unknown"
     )
-    assert town.all["k2"].value["next"] is None
+    assert town.all["k2"].value.proposal is None
 
 
 def test_an_acceptor_without_its_disk_comes_back_under_the_ballot_of_its_round(town):
@@ -135,8 +137,8 @@
     lost.round_over = hears_of_a_higher_one
     lost.come_back()
     town.run(3_000_000)
-    assert lost.acceptor and lost.acceptor.kept.ballot in rounds
-    assert lost.acceptor.kept.value["n"] == 1
+    assert lost.acceptor and lost.acceptor.state.accepted_ballot in rounds
+    assert lost.acceptor.state.value.version == 1
 
 
 def test_a_minority_decides_nothing_and_what_was_decided_without_it_reaches_it(town):
@@ -152,7 +154,7 @@
     town.run(3 * LEASE)
     town.cut = set()
     assert town.ask("k0", "/change", {"id": "y"})["state"] == "decided"
-    assert town.all["k0"].value["id"] == "y"
+    assert town.all["k0"].value.change_id == "y"
 
 
 def test_who_hears_no_answer_is_waited_for_no_longer_than_its_lease(town):
@@ -163,7 +165,9 @@
         town.run(LEASE // 2)
         town.lease("k0", "b0")
     assert not town.lease("k0", "b0")["grants"]
-    assert all(row.until < town.loop.now for row in town.all["k0"].leases.rows.values())
+    assert all(
+        row.lease_expires_at_us < town.loop.now for row in town.all["k0"].leases.holders.values()
+    )
     assert town.lease("k0", "b0", heard=town.loop.now)["grants"]
 
 
@@ -182,9 +186,11 @@
     town.run(2 * LEASE)
     assert town.lease("k0", "b0", promised=1)["grants"]
     town.all["k0"].disk = disk
-    value = policy_rollout.decided(policy_rollout.proposed(EMPTY, "x", DOC), 1)
+    value = policy_rollout.decide(policy_rollout.propose(INITIAL_STATE, "x", DOC), 1)
     heard = []
-    town.all["k0"].server.acts["/accept"]({"ballot": [9, "k1"], "value": value}, heard.append)
+    town.all["k0"].server.acts["/accept"](
+        {"ballot": [9, "k1"], "value": policy_rollout.to_wire(value)}, heard.append
+    )
     town.run(0)
     town.run(1_000)
     return heard
@@ -193,12 +199,12 @@
 def test_leases_go_on_beside_a_write_for_those_who_are_ready_for_it(town):
     disk = Slow()
     heard = ready_to_accept(town, disk)
-    assert not heard and town.all["k0"].value["n"] == 0
+    assert not heard and town.all["k0"].value.version == 0
     assert (
         town.lease("k0", "b0", 1, town.loop.now)["grants"] and not town.lease("k0", "b1")["grants"]
     )
     disk.dones.pop()("")
-    assert heard == [{"ok": True}] and town.all["k0"].value["n"] == 1
+    assert heard == [{"ok": True}] and town.all["k0"].value.version == 1
     # it is told of version 1 in the same answer
     assert town.lease("k0", "b1", heard=town.loop.now)["grants"]
 
@@ -230,7 +236,9 @@
         and heard[200]["state"] == "proposed"
         and heard[201] == {"struck": True}
     )
-    assert len(control.value["stay"]) == 199 and [one for one in rounds if one > 1] == [200]
+    assert len(control.value.members_without_quorum) == 199 and [
+        one for one in rounds if one > 1
+    ] == [200]
 
 
 def test_what_waits_for_a_disk_that_stands_still_is_given_up(town):
@@ -348,14 +356,14 @@
     one = keeper(tmp_path, loop)
     one.calls[0].answer = answer(EMPTY)
     one.begin(lambda: None)
-    assert one.may() and one.tenure.runs == 0
+    assert one.may() and one.tenure.version == 0
     rights = []
     one.adopt = lambda doc: rights.append("adopted") or ""
     show = one.show
     one.show = lambda: (show(), rights.append(one.may()))
     one.calls[0].answer = answer(EMPTY | {"n": 1, "id": "x", "try": 1}, doc=DOC)
     loop.run_until(loop.now + LEASE)
-    assert one.tenure.runs == 1 and "adopted" in rights and False not in rights
+    assert one.tenure.version == 1 and "adopted" in rights and False not in rights
     assert DurableStore(tmp_path).read("policy")["doc"] == DOC
 
 
@@ -372,7 +380,10 @@
 
     monkeypatch.setattr(one.files, fails, full)
     one.check({"try": 3, "n": 1, "id": "x", "doc": DOC})
-    assert (one.tenure.promised, one.tenure.refused) == (0, 3) and "No space left" in one.tenure.why
+    assert (one.tenure.promised_proposal, one.tenure.refused_proposal) == (
+        0,
+        3,
+    ) and "No space left" in one.tenure.refusal_reason
 
 
 def test_alone_it_stays_only_without_a_promise(tmp_path):
@@ -382,10 +393,10 @@
     one.begin(lambda: None)
     one.calls[0].answer = None
     loop.run_until(loop.now + 2 * LEASE)
-    assert one.tenure.right(loop.now) is Right.STAYS
-    one.tenure.writes(1)
-    assert one.tenure.promise(1)
-    assert one.tenure.right(loop.now) is Right.NONE
+    assert one.tenure.permission(loop.now) is ServingPermission.WITHOUT_QUORUM
+    one.tenure.on_write_started(1)
+    assert one.tenure.on_promise_durable(1)
+    assert one.tenure.permission(loop.now) is ServingPermission.DENIED
 
 
 # --- files, versions
@@ -465,11 +476,11 @@
 def test_a_promise_that_took_too_long_binds_nobody(tmp_path):
     loop = World()
     one = keeper(tmp_path, loop)
-    one.tenure.told(EMPTY | {"next": {"try": 3}}, False, 0)
-    one.tenure.writes(3)
-    one.tenure.told(EMPTY, False, 0)
+    one.tenure.on_chosen_state(0, 3, False, 0)
+    one.tenure.on_write_started(3)
+    one.tenure.on_chosen_state(0, 0, False, 0)
     one.checked({"try": 3, "n": 1, "id": "x"}, "")
-    assert (one.tenure.promised, one.tenure.refused) == (0, 0)
+    assert (one.tenure.promised_proposal, one.tenure.refused_proposal) == (0, 0)
 
 
 @pytest.mark.parametrize(
@@ -502,25 +513,28 @@
 
 
 ACTS = {
-    "p": lambda value, number: policy_rollout.proposed(value, f"c{number}", DOC),
-    "d": lambda value, number: policy_rollout.decided(value, value["tries"] - number),
-    "x": lambda value, number: policy_rollout.dropped(value, value["tries"] - number, "no"),
-    "j": lambda value, number: policy_rollout.joined(value, f"b{number}", "1"),
-    "s": lambda value, number: policy_rollout.struck(value, f"b{number}", "1"),
+    "p": lambda state, number: policy_rollout.propose(state, f"c{number}", DOC),
+    "d": lambda state, number: policy_rollout.decide(state, state.proposal_count - number),
+    "x": lambda state, number: policy_rollout.drop(state, state.proposal_count - number, "no"),
+    "j": lambda state, number: policy_rollout.register_member(state, f"b{number}", "1"),
+    "s": lambda state, number: policy_rollout.evict_member(state, f"b{number}", "1"),
 }
 
 
 @given(st.lists(st.tuples(st.sampled_from(sorted(ACTS)), st.integers(0, 3)), max_size=120))
 def test_versions_only_go_up_and_one_is_proposed_at_a_time(acts):
-    value = EMPTY
+    state = INITIAL_STATE
     for act, number in acts:
-        last, value = value, ACTS[act](value, number) or value
-        assert value["n"] - last["n"] in (0, 1) and value["tries"] >= last["tries"]
+        last, state = state, ACTS[act](state, number)
+        assert state.version - last.version in (0, 1)
+        assert state.proposal_count >= last.proposal_count
         assert (
-            value["n"] == last["n"]
-            or last["next"]
-            and value["id"] == last["next"]["id"]
+            state.version == last.version
+            or last.proposal
+            and state.change_id == last.proposal.change_id
             and act == "d"
         )
-        assert value["next"] is None or value["next"]["n"] == value["n"] + 1
-        assert len(value["past"]) <= PAST
+        assert state.proposal is None or state.proposal.version == state.version + 1
+        assert len(state.history) <= MAX_HISTORY
+        # what is written and read again is the same
+        assert policy_rollout.from_wire(policy_rollout.to_wire(state)) == state
--- a/tests/drill/test_explore.py
+++ b/tests/drill/test_explore.py
@@ -6,7 +6,14 @@
 
 from orchidgap.decisions import cas_register, policy_rollout
 from orchidgap.decisions.cas_register import Acceptor
-from orchidgap.decisions.policy_rollout import DRIFT, Leases, Right, Tenure
+from orchidgap.decisions.leases import (
+    MAX_CLOCK_DRIFT_RATIO,
+    LeaseHolder,
+    LeaseState,
+    LeaseTable,
+    ServingPermission,
+)
+from orchidgap.decisions.policy_rollout import INITIAL_STATE
 from orchidgap.drill import explore
 from orchidgap.drill.explore import Broken, Fleet, Rounds, walk
 
@@ -25,24 +32,26 @@
 
 
 def stale_accept(self, ballot, value):
-    return cas_register.Kept(max(ballot, self.kept.promised), ballot, value)
+    return cas_register.AcceptorState(max(ballot, self.state.promised_ballot), ballot, value)
 
 
-def from_the_answer(self, value, registered, asked, granted=True, told=Tenure.told):
-    return told(self, value, registered, asked + explore.TICK, granted)
+def from_the_answer(
+    self, version, proposal, registered, asked, granted=True, on_chosen=LeaseState.on_chosen_state
+):
+    return on_chosen(self, version, proposal, registered, asked + explore.TICK, granted)
 
 
 def by_value(count, answers):
     told = list(answers)
     for _, value, _ in told:
-        if sum(other == value for _, other, _ in told) >= cas_register.majority(count):
+        if sum(other == value for _, other, _ in told) >= cas_register.quorum_size(count):
             return value, True
     return None, False
 
 
-def unlocked(self, old, new, now, takes=Leases.takes):
-    late = takes(self, old, new, now)
-    self.locked = self.locked if late else None
+def unlocked(self, old, new, now, begin=LeaseTable.begin_decision):
+    late = begin(self, old, new, now)
+    self.pending_decision = self.pending_decision if late else None
     return late
 
 
@@ -51,39 +60,71 @@
     "an acceptor promises twice": (
         Acceptor,
         "prepare",
-        lambda self, ballot: self.kept._replace(promised=max(ballot, self.kept.promised)),
+        lambda self, ballot: self.state._replace(
+            promised_ballot=max(ballot, self.state.promised_ballot)
+        ),
         Rounds(2, 0),
     ),
-    "nobody is waited for": (Leases, "behind", lambda self, *told: [], Fleet(1, 1, 3, 0, "leave")),
-    "leases go on beside a write": (Leases, "takes", unlocked, Fleet(1, 1, 2, 0, "leave")),
+    "nobody is waited for": (
+        LeaseTable,
+        "unprepared_members",
+        lambda self, *told: [],
+        Fleet(1, 1, 3, 0, "leave"),
+    ),
+    "leases go on beside a write": (
+        LeaseTable,
+        "begin_decision",
+        unlocked,
+        Fleet(1, 1, 2, 0, "leave"),
+    ),
     "a start forgets who holds a lease": (
-        Leases,
-        "longest",
-        property(lambda self: 0 if not self.rows else round(self.lease * (1 + DRIFT))),
+        LeaseTable,
+        "max_lease_us",
+        property(
+            lambda self: (
+                0 if not self.holders else round(self.lease_us * (1 + MAX_CLOCK_DRIFT_RATIO))
+            )
+        ),
         Fleet(1, 1, 2, 1, "leave"),
     ),
-    "a lease counts from its answer": (Tenure, "told", from_the_answer, Fleet(1, 1, 2, 0, "leave")),
+    "a lease counts from its answer": (
+        LeaseState,
+        "on_chosen_state",
+        from_the_answer,
+        Fleet(1, 1, 2, 0, "leave"),
+    ),
     "a lease has no end": (
-        Tenure,
-        "right",
-        lambda self, now: Right.SERVES if self.runs >= 0 else Right.NONE,
+        LeaseState,
+        "permission",
+        lambda self, now: (
+            ServingPermission.LEASE if self.version >= 0 else ServingPermission.DENIED
+        ),
         Fleet(1, 1, 2, 0, "leave"),
     ),
     "a promise is forgotten when alone": (
-        Tenure,
-        "right",
+        LeaseState,
+        "permission",
         lambda self, now: (
-            Right.SERVES if now < self.until else Right.STAYS if self.stays else Right.NONE
+            ServingPermission.LEASE
+            if now < self.expires_at_us
+            else ServingPermission.WITHOUT_QUORUM
+            if self.registered
+            else ServingPermission.DENIED
         ),
         Fleet(1, 1, 2, 0, "stay"),
     ),
     "a promise is taken for a decision": (
-        Tenure,
-        "promise",
-        lambda self, number: self.takes(self.runs + 1),
+        LeaseState,
+        "on_promise_durable",
+        lambda self, number: self.on_version_adopted(self.version + 1),
         Fleet(1, 1, 2, 0, "leave"),
     ),
-    "equal values do for one ballot": (explore, "answered", by_value, Fleet(1, 1, 4, 0, "leave")),
+    "equal values do for one ballot": (
+        explore,
+        "evaluate_answers",
+        by_value,
+        Fleet(1, 1, 4, 0, "leave"),
+    ),
 }
 
 
@@ -104,10 +145,11 @@
 
 def test_a_promise_counts_for_its_own_try_only():
     """One that was dropped and proposed anew has to be promised anew, or who stays alone would not know."""
-    leases = Leases(1_000_000, -2_000_000)
-    leases.hear(policy_rollout.Row("b", "1", "stay", 0, 1, 0, "", 0, 0), 0)
-    value = policy_rollout.joined(policy_rollout.proposed(policy_rollout.EMPTY, "x", {}), "b", "1")
-    assert leases.waits(value, 10) == []
-    again = policy_rollout.proposed(policy_rollout.dropped(value, 1, "b2: no"), "x", {})
-    assert again["next"]["try"] == 2 and leases.waits(again, 10) == [("b", 1_009_990)]
-    assert leases.waits(again, 2_000_000) == [("b", 0)]
+    leases = LeaseTable(1_000_000, -2_000_000)
+    leases.on_heartbeat(LeaseHolder("b", "1", "stay", 0, 1, 0, "", 0, 0), 0)
+    value = policy_rollout.register_member(policy_rollout.propose(INITIAL_STATE, "x", {}), "b", "1")
+    assert leases.pending_members(value, 10) == []
+    again = policy_rollout.propose(policy_rollout.drop(value, 1, "b2: no"), "x", {})
+    assert again.proposal.proposal_number == 2
+    assert leases.pending_members(again, 10) == [("b", 1_009_990)]
+    assert leases.pending_members(again, 2_000_000) == [("b", 0)]
