--- /dev/null
+++ b/orchidgap/control/guarded_node.py
@@ -0,0 +1,87 @@
+"""A node that accepts requests only while the balancer has permission to serve.
+
+It asks at each request, so that a process that was stopped for longer than its lease finds out before
+the first request that it accepts.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, Protocol
+
+from orchidgap.net.body_stream import Upload
+from orchidgap.net.client_listener import Responder
+from orchidgap.net.config import BalancerConfig
+from orchidgap.net.node import Node
+
+SERVICE_UNAVAILABLE = 503
+
+
+class ServingGuard(Protocol):
+    """Knows whether the balancer may serve now."""
+
+    def may_serve(self) -> bool:
+        """Return whether it may accept a request at this moment."""
+        ...
+
+    def retry_after_us(self) -> int:
+        """Return when a client that is denied may come back, in microseconds."""
+        ...
+
+
+class LeaseGuardedNode(Node):
+    """A node that a guard has to allow each request."""
+
+    guard: ServingGuard
+
+    def ready(self) -> bool:
+        """Return whether it serves."""
+        return self.guard.may_serve() and super().ready()
+
+    def knows(self, rule_set: str) -> bool:
+        """Return whether the request class exists; any may while it must not serve.
+
+        Without permission it must not answer 404 by a policy that may no longer be in force.
+        """
+        return not self.guard.may_serve() or super().knows(rule_set)
+
+    def take(
+        self,
+        caller: Responder,
+        id: bytes,
+        rule_set: str,
+        left: int,
+        write: bool,
+        key: bytes,
+        tenant: str,
+        head: bytes,
+        body: bytes,
+        slot: int = -1,
+        flow: Upload | None = None,
+    ) -> None:
+        """Accept a request, or answer 503 with a time to come back."""
+        # The permission may have come back since `knows` was asked, with a policy that does not have
+        # the request class.
+        known = rule_set in self.config.settings.request_classes
+        if not self.guard.may_serve() or not known:
+            return caller.answer(SERVICE_UNAVAILABLE, pause=self.guard.retry_after_us())
+        super().take(caller, id, rule_set, left, write, key, tenant, head, body, slot, flow)
+
+    def put_policy_into_force(
+        self, settings: Mapping[str, Any], config: BalancerConfig, accepting: bool
+    ) -> None:
+        """Decide by these settings from the next request on.
+
+        Args:
+            settings: The policy's settings, which count when the file is read again.
+            config: The balancer's configuration under them.
+            accepting: Whether the listener is open. If not, nothing depends on the settings before,
+                and those that take effect at startup only are put into force too.
+        """
+        self.settings = settings
+        if accepting:
+            self.adopt(config)
+            return
+        self.config = config
+        self.hosts.bound(config.connect_timeout_us, config.idle_timeout_us)
+        self.decide(self.balancer.on_settings, config.settings)
--- /dev/null
+++ b/orchidgap/control/messages/stored.py
@@ -0,0 +1,20 @@
+"""The files that a balancer keeps in its own folder, beside those of the register."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from msgspec import field
+
+from orchidgap.control.messages.base import WireMessage
+
+ADOPTED_POLICY_FILE = "policy"
+PROMISED_PROPOSAL_FILE = "promise"  # a `ProposalMessage`
+
+
+class AdoptedPolicy(WireMessage, frozen=True):
+    """The policy that a balancer put into force last."""
+
+    version: int = field(name="n")
+    change_id: str = field(name="id", default="")
+    document: Any = field(name="doc", default=None)
--- a/orchidgap/control/rpc.py
+++ b/orchidgap/control/rpc.py
@@ -9,6 +9,7 @@
 import httptools
 import orjson
 
+from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
 from orchidgap.http1 import codec
 from orchidgap.net.connection import Address, Connection, Fault, dial, open_listener
 from orchidgap.net.loop import READ, Loop, Timer
@@ -90,6 +91,26 @@
         """`heard` is called once, after the call under way."""
         self.send("PUT", path, orjson.dumps(told), heard)
 
+    def call(
+        self,
+        method: RpcMethod[RequestT, AnswerT],
+        request: RequestT,
+        on_answer: Callable[[AnswerT | None], None],
+    ) -> None:
+        """`on_answer` is called once, after the call under way; with None where there was no answer."""
+
+        def heard(said: Any) -> None:
+            on_answer(None if said is None else method.answer_type.from_wire(said))
+
+        self(method.path, request.to_wire(), heard)
+
+    def call_and_wait(
+        self, method: RpcMethod[RequestT, AnswerT], request: RequestT
+    ) -> AnswerT | None:
+        """The answer, or None; from outside of the loop, which runs until then."""
+        said = self.wait(method.path, request.to_wire())
+        return None if said is None else method.answer_type.from_wire(said)
+
     def wait(self, path: str, told: Any) -> Any:
         """The answer, or None; from outside of the loop, which runs until then."""
         heard: list[Any] = []
--- a/orchidgap/control/server.py
+++ b/orchidgap/control/server.py
@@ -17,7 +17,7 @@
 import orjson
 
 from orchidgap.control.rpc import Heard, RpcClient, RpcServer
-from orchidgap.control.validation import fit
+from orchidgap.control.validation import InvalidPolicyError, validate
 from orchidgap.decisions import policy_rollout
 from orchidgap.decisions.cas_register import (
     NO_BALLOT,
@@ -480,7 +480,11 @@
     # --- operators' acts
 
     def on_check(self, told: dict[str, Any], done: Heard) -> None:
-        done({"why": fit(told["doc"])})
+        try:
+            validate(told["doc"])
+        except InvalidPolicyError as error:
+            return done({"why": str(error)})
+        done({"why": ""})
 
     def on_propose(self, told: dict[str, Any], done: Heard) -> None:
         id, doc, again, after = (
@@ -489,8 +493,10 @@
             bool(told["again"]),
             int(told["after"]),
         )
-        if why := fit(doc):
-            return done({"state": "unfit", "why": why})
+        try:
+            validate(doc)
+        except InvalidPolicyError as error:
+            return done({"state": "unfit", "why": str(error)})
 
         def made(value: PolicyState | None) -> None:
             if value and value.proposal and value.proposal.change_id == id:
--- a/orchidgap/control/validation.py
+++ b/orchidgap/control/validation.py
@@ -1,34 +1,92 @@
-"""What can be a version, as far as that shows without a balancer."""
+"""Checks of a proposed policy: what can be seen without a balancer, and what a balancer looks at.
+
+A proposed policy is a JSON object `{"settings": {...}}`, whole, with `"needs"` where it requires a
+certain format.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any
 
+from orchidgap.decisions.policy_rollout import Document
 from orchidgap.decisions.settings import ServiceSettings, SettingError
-from orchidgap.net.config import flat
+from orchidgap.errors import OrchidgapError
+from orchidgap.net.config import BalancerConfig, ConfigError, flat, read
+
+SETTINGS_KEY = "settings"
+FORMAT_KEY = "needs"
+SUPPORTED_FORMAT = 1  # the newest format of a policy that this program knows
+
 
-NEEDS = 1  # the newest form of a version that this program knows
+class InvalidPolicyError(OrchidgapError):
+    """A policy cannot be put into force; the message tells operators why."""
 
 
-def fit(doc: Any) -> str:
-    """Why this can be no version, in plain words; empty where it can. A balancer looks closer.
+def validate(document: Document) -> None:
+    """Check all of a proposed policy that does not depend on the balancer.
 
-    >>> fit({"settings": {"rule-sets": [{"name": "a", "effect": "retryable", "client-timeout": 9}]}}), fit({})
-    ('', 'settings must be an object')
-    >>> fit({"settings": {}, "needs": 7}), fit({"settings": {}})
-    ('it needs form 7, and this program knows 1', 'setting rule-sets.count is missing')
+    Raises:
+        InvalidPolicyError: No balancer could run it.
+
+    >>> rule_set = {"name": "a", "effect": "retryable", "client-timeout": 9}
+    >>> validate({"settings": {"rule-sets": [rule_set]}})
+    >>> validate({"settings": {}, "needs": 7})
+    Traceback (most recent call last):
+    orchidgap.control.validation.InvalidPolicyError: it needs form 7, and this program knows 1
     """
-    if not isinstance(doc, Mapping) or not isinstance(doc.get("settings"), Mapping):
-        return "settings must be an object"
-    if unknown := sorted(set(doc) - {"settings", "needs"}):
-        return f"{unknown[0]} is no part of a version"
-    if doc.get("needs", NEEDS) != NEEDS:
-        return f"it needs form {doc['needs']}, and this program knows {NEEDS}"
+    if not isinstance(document, Mapping) or not isinstance(document.get(SETTINGS_KEY), Mapping):
+        raise InvalidPolicyError("settings must be an object")
+    if unknown := sorted(set(document) - {SETTINGS_KEY, FORMAT_KEY}):
+        raise InvalidPolicyError(f"{unknown[0]} is no part of a version")
+    needed_format = document.get(FORMAT_KEY, SUPPORTED_FORMAT)
+    if needed_format != SUPPORTED_FORMAT:
+        raise InvalidPolicyError(
+            f"it needs form {needed_format}, and this program knows {SUPPORTED_FORMAT}"
+        )
     try:
-        ServiceSettings.from_pairs(dict(flat(doc["settings"])))
-    except SettingError as trouble:
-        return str(trouble)
-    except (ValueError, TypeError, AttributeError) as trouble:
-        return f"settings: {trouble}"
-    return ""
+        ServiceSettings.from_pairs(dict(flat(document[SETTINGS_KEY])))
+    except SettingError as error:
+        raise InvalidPolicyError(str(error)) from None
+    except (ValueError, TypeError, AttributeError) as error:
+        raise InvalidPolicyError(f"settings: {error}") from None
+
+
+def settings_of(document: Document) -> Mapping[str, Any]:
+    """Return the settings of a valid policy."""
+    settings: Mapping[str, Any] = document[SETTINGS_KEY]
+    return settings
+
+
+def config_under(
+    document: Document, config_path: str | None, before: BalancerConfig | None
+) -> BalancerConfig:
+    """Return the balancer's configuration with the settings of a policy in place of its own.
+
+    Args:
+        document: The policy.
+        config_path: The balancer's own file.
+        before: The configuration that it has to be able to follow, if any.
+
+    Raises:
+        InvalidPolicyError: The policy is not valid, or the file does not go with it.
+    """
+    validate(document)
+    try:
+        return read(config_path, before, settings_of(document))
+    except ConfigError as error:
+        raise InvalidPolicyError(str(error)) from None
+
+
+def check_startup_settings(current: ServiceSettings, new: ServiceSettings) -> None:
+    """Check that no setting differs that takes effect at a restart only.
+
+    Such a policy could not be in force everywhere at once.
+
+    Raises:
+        InvalidPolicyError: One differs.
+    """
+    kept = new.keeping_startup_settings(current)
+    for name in kept._fields:
+        if getattr(kept, name) != getattr(new, name):
+            raise InvalidPolicyError(f"{name} cannot change while a balancer runs")
--- a/orchidgap/drill/process.py
+++ b/orchidgap/drill/process.py
@@ -101,7 +101,10 @@
         if kind == "control":
             return server.run(config, "--new" in sys.argv, make_files=FailingFiles)
         serve(
-            config, parts_of, held=partial(lease_keeper.held, make_files=FailingFiles), talk=talk_of
+            config,
+            parts_of,
+            held=partial(lease_keeper.create_guarded_node, make_store=FailingFiles),
+            talk=talk_of,
         )
     except ConfigError as trouble:
         sys.exit(f"orchidgap: {trouble}")
--- a/orchidgap/parts.py
+++ b/orchidgap/parts.py
@@ -24,9 +24,9 @@
 
 def held_of(*told: Any, **named: Any) -> tuple[Node, Held]:
     """A node whose settings come from control; loaded only where a configuration has a part for it."""
-    from orchidgap.control.lease_keeper import held
+    from orchidgap.control.lease_keeper import create_guarded_node
 
-    return held(*told, **named)
+    return create_guarded_node(*told, **named)
 
 
 def talk_of(*told: Any) -> Any:
