--- a/orchidgap/control/server.py
+++ b/orchidgap/control/server.py
@@ -312,11 +312,14 @@
         self.write(kept, written)
 
     def on_accept(self, told: dict[str, Any], done: Heard) -> None:
-        self.asks(partial(self.accept, tuple(told["ballot"]), from_wire(told["value"])), done)
+        self.asks(partial(self.accept, tuple(told["ballot"]), told["value"]), done)
 
     def accept(
-        self, ballot: Ballot, value: PolicyState, acceptor: Acceptor[PolicyState], done: Heard
+        self, ballot: Ballot, told: Any, acceptor: Acceptor[PolicyState], done: Heard
     ) -> None:
+        if ballot < acceptor.state.promised_ballot:
+            return done({"ok": False})
+        value = from_wire(told)
         kept = acceptor.accept(ballot, value)
         if kept is None:
             return done({"ok": False})
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -12,7 +12,8 @@
 
 import orjson
 
-from orchidgap.control.lease_keeper import HeldNode, Keeper
+from orchidgap.control.guarded_node import LeaseGuardedNode
+from orchidgap.control.lease_keeper import LeaseKeeper
 from orchidgap.control.rpc import RpcClient
 from orchidgap.control.server import Control
 from orchidgap.http1 import Http1
@@ -28,7 +29,12 @@
 CorruptFile = CorruptFileError
 
 # events of the log that tell what a balancer found in its folder; the log's words may change
-VERSION_FOUND, VERSION_DAMAGED, CALLS_CONTROL = "policy kept", "policy damaged", "asks control"
+VERSION_FOUND, VERSION_DAMAGED, CALLS_CONTROL = (
+    "stored policy found",
+    "stored policy corrupt",
+    "lease requested",
+)
+VERSION_FACT = "version"  # the name under which the first of them tells the version
 
 
 def write_folder_file(folder: Path, name: str, content: object) -> None:
@@ -125,7 +131,7 @@
 
     def __init__(self, events: EventLoop, config_path: Path, folder: Path, seed: int) -> None:
         config = config_module.read(str(config_path))
-        self.keeper = Keeper(
+        self.keeper = LeaseKeeper(
             str(config_path),
             events.loop,
             config,
@@ -134,20 +140,20 @@
             Random(seed),
             events.clock,
         )
-        node = HeldNode(events.loop, config, SilentLog(), Http1())
-        node.keeper, self.keeper.node = self.keeper, node
+        node = LeaseGuardedNode(events.loop, config, SilentLog(), Http1())
+        node.guard, self.keeper.node = self.keeper, node
 
     def begin(self) -> None:
         self.keeper.begin(lambda: None)
 
     def is_busy(self) -> bool:
-        return self.keeper.disk.busy or any(map(has_call_out, self.keeper.calls))
+        return self.keeper.writer.busy or any(map(has_call_out, self.keeper.clients))
 
     def may_serve(self) -> bool:
-        return self.keeper.may()
+        return self.keeper.may_serve()
 
     def version(self) -> int:
-        return self.keeper.tenure.runs
+        return self.keeper.lease.version
 
     def end(self) -> None:
         """Tells control that this process ends."""
--- a/tests/compatibility/test_compatible_control.py
+++ b/tests/compatibility/test_compatible_control.py
@@ -166,7 +166,7 @@
         assert first["event"] == program.VERSION_DAMAGED
         assert (folder / "policy.damaged").exists() and not (folder / "policy").exists()
     else:
-        assert (first["event"], first["n"]) == (program.VERSION_FOUND, 1)
+        assert (first["event"], first[program.VERSION_FACT]) == (program.VERSION_FOUND, 1)
 
 
 def test_each_change_command_prints_exits_and_calls_as_recorded(tmp_path):
