--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -1,223 +1,311 @@
-"""What operators ask of control, from a shell: a table or JSON, and an exit code."""
+"""The command `orchidgap change`: what operators ask of control from a shell.
+
+Each command prints text or JSON and ends with an `ExitCode`.
+"""
 
 from __future__ import annotations
 
 import json
 import sys
 import time
+from collections.abc import Mapping
+from enum import IntEnum
 from hashlib import blake2b
 from pathlib import Path
 from typing import Any
 
 import orjson
 
+from orchidgap.control.messages import (
+    CHANGE,
+    CHECK,
+    EVICT,
+    PROPOSE,
+    STATUS,
+    ChangeAnswer,
+    ChangeRequest,
+    ChangeState,
+    CheckRequest,
+    EmptyMessage,
+    EvictAnswer,
+    MemberRequest,
+    ProposeRequest,
+    StatusAnswer,
+)
+from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
+from orchidgap.control.messages.reports import change_report_to_wire
 from orchidgap.control.rpc import RpcClient
+from orchidgap.control.status_report import (
+    format_history,
+    format_pending_members,
+    format_status,
+    merge_status,
+)
+from orchidgap.decisions.policy_rollout import Document
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import parse_address
 from orchidgap.net.loop import Loop
 
-WITHIN = 3_000_000  # for control to answer, who may have to ask the others
-EACH = 0.1  # seconds between looks at how far a change is
-DECIDED, BAD, NOWHERE, UNKNOWN = 0, 1, 2, 3
+CALL_TIMEOUT_US = 3_000_000  # a control process may have to ask the others
+POLL_INTERVAL_S = 0.1
+CHANGE_ID_BYTES = 6  # of the digest that names a change without a name
+
+
+class ExitCode(IntEnum):
+    """What a command ends with."""
+
+    DONE = 0
+    BAD_INPUT = 1
+    DROPPED = 2
+    UNKNOWN = 3
+
 
+class ControlClient:
+    """Calls to control from outside of any loop.
 
-class Shell:
-    """Calls from outside of any loop."""
+    Attributes:
+        answer_lost: A call had no answer; it may have been heard all the same.
+    """
 
     def __init__(self, addresses: list[Address]) -> None:
+        """Make a client of these control processes."""
         loop = Loop()
-        self.calls = [RpcClient(loop, address, WITHIN) for address in addresses]
-        self.lost = False  # a call had no answer, and may have been heard
-
-    def any(self, path: str, told: Any) -> Any:
-        """Of the first that answers: they all know the same, or find out."""
-        for calls in list(self.calls):
-            said = calls.wait(path, told)
-            if said is not None:
-                return said
-            self.lost = True
-            self.calls.append(self.calls.pop(0))
+        self.clients = [RpcClient(loop, address, CALL_TIMEOUT_US) for address in addresses]
+        self.answer_lost = False
+
+    def call_any(self, method: RpcMethod[RequestT, AnswerT], request: RequestT) -> AnswerT | None:
+        """Return the first answer of any process: they all know the same, or find out."""
+        for client in list(self.clients):
+            answer = client.call_and_wait(method, request)
+            if answer is not None:
+                return answer
+            self.answer_lost = True
+            self.clients.append(self.clients.pop(0))
         return None
 
-    def all(self, path: str) -> list[Any]:
-        return [said for calls in self.calls if (said := calls.wait(path, {})) is not None]
+    def status_of_all(self) -> list[StatusAnswer]:
+        """Return the status of each process that answers."""
+        answers = [client.call_and_wait(STATUS, EmptyMessage()) for client in self.clients]
+        return [answer for answer in answers if answer is not None]
+
+
+def main(command: str, arguments: Mapping[str, Any]) -> int:
+    """Run one command.
 
+    Args:
+        command: check, propose, status, history or strike.
+        arguments: As docopt has them.
 
-def main(act: str, told: dict[str, Any]) -> int | str:
-    """One act; what to exit with."""
+    Returns:
+        What to exit with.
+    """
     try:
-        shell = Shell([parse_address(one.strip()) for one in told["--at"].split(",")])
-        wait = float(told["--wait"])
-        doc = orjson.loads(Path(told["FILE"]).read_bytes()) if told["FILE"] else None
-    except (OSError, ValueError) as trouble:
-        print(f"orchidgap: {trouble}", file=sys.stderr)
-        return BAD
-    if act == "check":
-        return check(shell, doc, told["--json"])
-    if act == "propose":
-        text = orjson.dumps(doc, option=orjson.OPT_SORT_KEYS)
-        id = told["--id"] or blake2b(text, digest_size=6).hexdigest()
-        return propose(shell, id, doc, told["--again"], wait, told["--json"])
-    if act == "strike":
-        return strike(shell, told["NAME"], told["--json"])
-    return status(shell, act == "history", told["--json"])
-
-
-def show(said: Any, as_json: bool, text: str) -> None:
-    print(json.dumps(said) if as_json else text)
-
-
-def unknown(as_json: bool) -> int:
-    show(
-        {"state": "unknown", "why": "control does not answer"},
-        as_json,
-        "not known: control does not answer, or too few of its processes do; ask again",
-    )
-    return UNKNOWN
-
-
-def check(shell: Shell, doc: Any, as_json: bool) -> int:
-    said = shell.any("/check", {"doc": doc})
-    if said is None:
-        return unknown(as_json)
-    show(
-        said,
-        as_json,
-        f"cannot be: {said['why']}"
-        if said["why"]
-        else "can be proposed; each balancer looks closer then",
-    )
-    return NOWHERE if said["why"] else DECIDED
+        addresses = [parse_address(text.strip()) for text in arguments["--at"].split(",")]
+        wait_s = float(arguments["--wait"])
+        file_name = arguments["FILE"]
+        document = orjson.loads(Path(file_name).read_bytes()) if file_name else None
+    except (OSError, ValueError) as error:
+        print(f"orchidgap: {error}", file=sys.stderr)
+        return ExitCode.BAD_INPUT
+    control = ControlClient(addresses)
+    as_json = bool(arguments["--json"])
+    if command == "check":
+        return check(control, document, as_json)
+    if command == "propose":
+        change_id = arguments["--id"] or _digest(document)
+        attempt = ProposeCommand(control, change_id, document, arguments["--again"], as_json)
+        return attempt.run(wait_s)
+    if command == "strike":
+        return evict(control, arguments["NAME"], as_json)
+    return status(control, command == "history", as_json)
 
 
-def waited_for(said: Any) -> str:
-    return ", ".join(
-        f"{name} ({f'{left / 1e6:.1f} s at most' if left else 'until it is back or struck off'})"
-        for name, left in said["late"]
-    )
+def _digest(document: Document) -> str:
+    text = orjson.dumps(document, option=orjson.OPT_SORT_KEYS)
+    return blake2b(text, digest_size=CHANGE_ID_BYTES).hexdigest()
+
+
+def _show(wire: dict[str, object], as_json: bool, text: str) -> None:
+    print(json.dumps(wire) if as_json else text)
+
+
+def _show_unknown(as_json: bool) -> ExitCode:
+    answer = ChangeAnswer(state=ChangeState.UNKNOWN, reason="control does not answer")
+    text = "not known: control does not answer, or too few of its processes do; ask again"
+    _show(answer.to_wire(), as_json, text)
+    return ExitCode.UNKNOWN
+
+
+def check(control: ControlClient, document: Document, as_json: bool) -> ExitCode:
+    """Say whether a policy could be proposed."""
+    answer = control.call_any(CHECK, CheckRequest(document=document))
+    if answer is None:
+        return _show_unknown(as_json)
+    if answer.reason:
+        _show(answer.to_wire(), as_json, f"cannot be: {answer.reason}")
+        return ExitCode.DROPPED
+    _show(answer.to_wire(), as_json, "can be proposed; each balancer looks closer then")
+    return ExitCode.DONE
+
+
+class ProposeCommand:
+    """Proposes a change and waits for its end.
 
+    The same request may be sent again while no answer comes: control counts it once, by the proposal
+    count that it carries.
+    """
 
-def propose(shell: Shell, id: str, doc: Any, again: bool, wait: float, as_json: bool) -> int:
-    until = time.monotonic() + wait
-    after, shown = -1, ""
-    said = shell.any("/change", {"id": id})
-    while True:
-        state = said["state"] if said else "unknown"
-        # whether this may be about this call, and not an earlier one of the same name
-        mine = after >= 0 and (bool(shown) or shell.lost)
-        if state == "decided" and (mine or not again or said["now"] == said["n"]):
-            since = (
-                f"; {said['now']} counts now, --again decides it anew"
-                if said["now"] != said["n"]
-                else ""
-            )
-            show(
-                {"id": id, **said},
-                as_json,
-                f"{id} decided as version {said['n']}, in force everywhere "
-                f"within {said['lease'] / 1e6:g} s{since}",
-            )
-            return DECIDED
-        if state == "unfit" or state == "busy" and after >= 0 or state == "nowhere" and mine:
-            show({"id": id, **said}, as_json, f"{id} holds nowhere: {said['why']}")
-            return NOWHERE
-        if state == "proposed":
-            after = said["tries"]
-            names = ", ".join(name for name, _ in said["late"]) or "the decision"
-            if names != shown and not as_json:
-                now = waited_for(said) or names
-                print(f"{id} proposed as version {said['n']}; waits for {now}", flush=True)
-            shown = names
-        if time.monotonic() > until:
-            return unknown(as_json)
-        if shown:
-            time.sleep(EACH)
-            said = shell.any("/change", {"id": id})
-        elif said is not None or after < 0:
-            if said is None:
-                time.sleep(EACH)
-                said = shell.any("/change", {"id": id})
-            if said is not None:
-                after, shell.lost = said["tries"], False
-                said = shell.any("/propose", {"id": id, "doc": doc, "again": again, "after": after})
-        else:  # not known whether it was heard: the same call, which counts once
-            time.sleep(EACH)
-            said = shell.any("/propose", {"id": id, "doc": doc, "again": again, "after": after})
-
-
-def strike(shell: Shell, name: str, as_json: bool) -> int:
-    there = shell.any("/status", {})
-    if there is None:
-        return unknown(as_json)
-    life = there["stay"].get(name)
-    said = shell.any("/strike", {"name": name, "life": life}) if life else {"struck": False}
-    if said is None:
-        return unknown(as_json)
-    show(
-        said,
-        as_json,
+    def __init__(
+        self,
+        control: ControlClient,
+        change_id: str,
+        document: Document,
+        again: bool,
+        as_json: bool,
+    ) -> None:
+        """Prepare to propose.
+
+        Args:
+            control: Whom to call.
+            change_id: The change's name.
+            document: The policy.
+            again: Propose it even though it was decided before.
+            as_json: Print JSON in place of text.
+        """
+        self.control = control
+        self.change_id = change_id
+        self.document = document
+        self.again = again
+        self.as_json = as_json
+        self.proposal_count: int | None = None  # as told last; None before anything was proposed
+        self.waits_for = ""  # who is waited for, as told last; empty before it is proposed
+
+    def run(self, wait_s: float) -> ExitCode:
+        """Propose the change, wait for its end at most this long, and print what came of it."""
+        give_up_at_s = time.monotonic() + wait_s
+        answer = self._ask()
+        while True:
+            exit_code = self._show_end(answer)
+            if exit_code is not None:
+                return exit_code
+            if answer and answer.state is ChangeState.PROPOSED:
+                self._show_progress(answer)
+            if time.monotonic() > give_up_at_s:
+                return _show_unknown(self.as_json)
+            answer = self._next_answer(answer)
+
+    def _ask(self) -> ChangeAnswer | None:
+        return self.control.call_any(CHANGE, ChangeRequest(change_id=self.change_id))
+
+    def _propose(self) -> ChangeAnswer | None:
+        assert self.proposal_count is not None
+        request = ProposeRequest(
+            change_id=self.change_id,
+            document=self.document,
+            again=self.again,
+            known_proposal_count=self.proposal_count,
+        )
+        return self.control.call_any(PROPOSE, request)
+
+    def _next_answer(self, answer: ChangeAnswer | None) -> ChangeAnswer | None:
+        """Ask how far the change is, or propose it."""
+        if self.waits_for:
+            time.sleep(POLL_INTERVAL_S)
+            return self._ask()
+        if answer is None and self.proposal_count is not None:
+            # Whether it was heard is not known: the same request again, which counts once.
+            time.sleep(POLL_INTERVAL_S)
+            return self._propose()
+        if answer is None:
+            time.sleep(POLL_INTERVAL_S)
+            answer = self._ask()
+        if answer is None:
+            return None
+        self.proposal_count = answer.proposal_count
+        self.control.answer_lost = False
+        return self._propose()
+
+    def _show_end(self, answer: ChangeAnswer | None) -> ExitCode | None:
+        """Print how the change ended; return None if that is not known yet."""
+        if answer is None:
+            return None
+        state = answer.state
+        sent = self.proposal_count is not None
+        # Whether the answer may be about this call, and not about an earlier one of the same name.
+        about_this_call = sent and (bool(self.waits_for) or self.control.answer_lost)
+        in_force = answer.current_version == answer.version
+        if state is ChangeState.DECIDED and (about_this_call or not self.again or in_force):
+            return self._show_decided(answer)
+        ended = (
+            state is ChangeState.INVALID
+            or (state is ChangeState.BUSY and sent)
+            or (state is ChangeState.DROPPED and about_this_call)
+        )
+        if not ended:
+            return None
+        self._show_answer(answer, f"{self.change_id} holds nowhere: {answer.reason}")
+        return ExitCode.DROPPED
+
+    def _show_decided(self, answer: ChangeAnswer) -> ExitCode:
+        replaced = ""
+        if answer.current_version != answer.version:
+            replaced = f"; {answer.current_version} counts now, --again decides it anew"
+        lease_s = (answer.lease_us or 0) / 1e6
+        text = (
+            f"{self.change_id} decided as version {answer.version}, in force everywhere "
+            f"within {lease_s:g} s{replaced}"
+        )
+        self._show_answer(answer, text)
+        return ExitCode.DONE
+
+    def _show_progress(self, answer: ChangeAnswer) -> None:
+        """Print who is waited for, if that has changed."""
+        self.proposal_count = answer.proposal_count
+        pending_members = answer.pending_members or ()
+        waits_for = ", ".join(member.name for member in pending_members) or "the decision"
+        if waits_for != self.waits_for and not self.as_json:
+            details = format_pending_members(pending_members) or waits_for
+            text = f"{self.change_id} proposed as version {answer.version}; waits for {details}"
+            print(text, flush=True)
+        self.waits_for = waits_for
+
+    def _show_answer(self, answer: ChangeAnswer, text: str) -> None:
+        _show(change_report_to_wire(self.change_id, answer), self.as_json, text)
+
+
+def evict(control: ControlClient, name: str, as_json: bool) -> ExitCode:
+    """Evict a balancer that serves without a quorum, so that no change waits for it."""
+    known = control.call_any(STATUS, EmptyMessage())
+    if known is None:
+        return _show_unknown(as_json)
+    incarnation = known.members_without_quorum.get(name)
+    answer: EvictAnswer | None = EvictAnswer(evicted=False)
+    if incarnation:
+        answer = control.call_any(EVICT, MemberRequest(name=name, incarnation=incarnation))
+    if answer is None:
+        return _show_unknown(as_json)
+    if not answer.evicted:
+        text = f"{name} is not among those that stay alone; a lease runs out by itself"
+        _show(answer.to_wire(), as_json, text)
+        return ExitCode.DROPPED
+    text = (
         f"{name} struck off: no change waits for it. Make sure that it serves no client: it "
         "goes on under the old version until it hears of control"
-        if said["struck"]
-        else f"{name} is not among those that stay alone; a lease runs out by itself",
     )
-    return DECIDED if said["struck"] else NOWHERE
-
-
-def status(shell: Shell, past: bool, as_json: bool) -> int:
-    """Of all control processes that answer, laid together."""
-    told = shell.all("/status")
-    if not told:
-        return unknown(as_json)
-    newest = max(told, key=lambda one: one["ballot"])
-    rows: dict[tuple[str, str], Any] = {}
-    for one in told:
-        for row in one["rows"]:
-            key = row["name"], row["life"]
-            if key not in rows or row["heard"] < rows[key]["heard"]:
-                rows[key] = row | {"until": max(row["until"], rows.get(key, row)["until"])}
-    count, up = len(newest["controls"]), len([one for one in told if not one["lost"]])
-    late: dict[str, int] = {}
-    refused: dict[str, str] = {}
-    for one in told:
-        if one["try"] == newest["try"]:
-            late.update(dict(one["late"]))
-            refused.update(dict(one["refused"]))
-    said = {
-        "n": newest["n"],
-        "id": newest["id"],
-        "next": newest["next"],
-        "late": late,
-        "refused": refused,
-        "control": {"of": count, "up": up, "decides": up > count // 2},
-        "lease": newest["lease"],
-        "balancers": sorted(rows.values(), key=lambda row: (row["name"], row["life"])),
-        "stay": newest["stay"],
-        "past": newest["past"],
-    }
+    _show(answer.to_wire(), as_json, text)
+    return ExitCode.DONE
+
+
+def status(control: ControlClient, history_only: bool, as_json: bool) -> ExitCode:
+    """Print what all control processes that answer know, or only the changes that ended."""
+    answers = control.status_of_all()
+    if not answers:
+        return _show_unknown(as_json)
+    report = merge_status(answers)
     if as_json:
-        print(json.dumps(said))
-        return 0
-    if past:
-        for n, id, word, why in newest["past"]:
-            print(f"{id:<14} {word if not n else f'version {n}'}{': ' + why if why else ''}")
-        return 0
-    print(
-        f"version {said['n']} {said['id']} counts; control: {up} of {count} answer"
-        + ("" if up > count // 2 else ", too few: leases run out, nothing can be decided")
-    )
-    if said["next"]:
-        print(
-            f"proposed as version {said['next']['n']}: {said['next']['id']}; waits for "
-            + (waited_for({"late": late.items()}) or "the decision")
-        )
-    for name, why in refused.items():
-        print(f"refused by {name}: {why}")
-    print(f"{'balancer':<16} {'version':>7} {'promised':>8} {'alone':>6} {'heard':>8} {'lease':>8}")
-    for row in said["balancers"]:
-        left = "none" if row["until"] <= 0 else f"{row['until'] / 1e6:.1f} s"
-        print(
-            f"{row['name']:<16} {row['runs']:>7} {row['promised'] or '':>8} {row['alone']:>6} "
-            f"{row['heard'] / 1e6:>6.1f} s {left:>8}"
-        )
-    return 0
+        print(json.dumps(report.to_wire()))
+        return ExitCode.DONE
+    lines = format_history(report.history) if history_only else format_status(report)
+    for line in lines:
+        print(line)
+    return ExitCode.DONE
