--- a/orchidgap/decisions/leases.py
+++ b/orchidgap/decisions/leases.py
@@ -4,18 +4,17 @@
 (`LeaseState`), so whoever serves while a majority accepts a decision is known to one acceptor of that
 majority, and that acceptor waits for its promise. Leases are those of Gray and Cheriton (1989).
 
-States of a balancer, and what follows:
-
-    | state                              | event                          | next                            |
-    | ---------------------------------- | ------------------------------ | ------------------------------- |
-    | any version                        | a higher version is chosen     | adopt it, then a new lease      |
-    | version n                          | n is chosen, nothing proposed  | a lease; a promise is void      |
-    | version n, no promise              | a proposal                     | validate and write it           |
-    | a proposal is being written        | the same proposal              | unchanged                       |
-    | a proposal is being written        | the write ends                 | a promise, or a refusal         |
-    | a promise, and the lease runs out  | none                           | may not serve                   |
-    | no promise, the lease runs out     | none                           | serves if registered to serve   |
-    |                                    |                                | without a quorum                |
+A balancer serves while it holds a lease. Without one it serves only if it is registered to and has not
+promised a proposal, which may be decided by now. What it holds of a proposal (`PROMISE_PHASE_AFTER` has
+the same table):
+
+    | phase    | event                                  | next phase | what else                         |
+    | -------- | -------------------------------------- | ---------- | --------------------------------- |
+    | none     | a proposal is chosen: it is checked    | writing    | serving goes on                   |
+    | writing  | it is on the disk                      | promised   | control is told                   |
+    | writing  | it cannot be run, or not be written    | none       | control is told why               |
+    | any      | it is not proposed any more            | none       | what the disk has binds nobody    |
+    | any      | a higher version is adopted            | none       | a lease under that version        |
 
 Times are whole microseconds on a clock that goes on while the machine sleeps. No I/O.
 """
@@ -283,6 +282,45 @@
     return find_chosen_value(acceptor_count, [(ballot, value) for ballot, value, _ in told]), False
 
 
+class PromisePhase(Enum):
+    """What a balancer holds of a proposal."""
+
+    NONE = "none"
+    WRITING = "writing"  # on its way to the disk
+    PROMISED = "promised"
+
+
+class PromiseEvent(Enum):
+    """What changes that."""
+
+    WRITE_STARTED = "write started"
+    DURABLE = "durable"
+    REFUSED = "refused"
+    PROPOSAL_ENDED = "proposal ended"
+    VERSION_ADOPTED = "version adopted"
+
+
+PROMISE_PHASE_AFTER: Mapping[PromisePhase, Mapping[PromiseEvent, PromisePhase]] = {
+    PromisePhase.NONE: {
+        PromiseEvent.WRITE_STARTED: PromisePhase.WRITING,
+        PromiseEvent.REFUSED: PromisePhase.NONE,
+        PromiseEvent.PROPOSAL_ENDED: PromisePhase.NONE,
+        PromiseEvent.VERSION_ADOPTED: PromisePhase.NONE,
+    },
+    PromisePhase.WRITING: {
+        PromiseEvent.DURABLE: PromisePhase.PROMISED,
+        PromiseEvent.REFUSED: PromisePhase.NONE,
+        PromiseEvent.PROPOSAL_ENDED: PromisePhase.NONE,
+        PromiseEvent.VERSION_ADOPTED: PromisePhase.NONE,
+    },
+    PromisePhase.PROMISED: {
+        PromiseEvent.PROPOSAL_ENDED: PromisePhase.NONE,
+        PromiseEvent.VERSION_ADOPTED: PromisePhase.NONE,
+    },
+}
+"""Which events a phase allows, and the phase that follows."""
+
+
 class LeaseState:
     """One balancer's permission to serve, and the version under which it does.
 
@@ -313,13 +351,28 @@
         self.on_lost_quorum = on_lost_quorum
         self.lease_us = lease_us
         self.version = -1  # under which it accepts requests; none before control was heard
-        self.promised_proposal = 0
-        self.writing_proposal = 0  # on its way to the disk
+        self.promise_phase = PromisePhase.NONE
+        self.proposal_number = 0  # that the phase is about, 0 for none
         self.refused_proposal = 0
         self.refusal_reason = ""
         self.expires_at_us = 0  # by its own clock
         self.registered = False  # the register knows that it serves without a quorum
 
+    @property
+    def promised_proposal(self) -> int:
+        """The number of the proposal that is promised, 0 for none."""
+        return self.proposal_number if self.promise_phase is PromisePhase.PROMISED else 0
+
+    @property
+    def writing_proposal(self) -> int:
+        """The number of the proposal that is on its way to the disk, 0 for none."""
+        return self.proposal_number if self.promise_phase is PromisePhase.WRITING else 0
+
+    def _on_promise_event(self, event: PromiseEvent, proposal_number: int = 0) -> None:
+        """Change the phase. Raises KeyError for an event that the phase does not allow."""
+        self.promise_phase = PROMISE_PHASE_AFTER[self.promise_phase][event]
+        self.proposal_number = proposal_number
+
     def on_chosen_state(
         self,
         version: int,
@@ -349,18 +402,16 @@
             min_lease_us = round(self.lease_us * (1 - MAX_CLOCK_DRIFT_RATIO))
             self.expires_at_us = max(self.expires_at_us, asked_at_us + min_lease_us)
         self.registered = registered and self.on_lost_quorum is OnLostQuorum.SERVE
-        if self.promised_proposal != proposal_number:
-            self.promised_proposal = 0
-        if self.writing_proposal != proposal_number:
-            self.writing_proposal = 0
-        known = (self.promised_proposal, self.refused_proposal, self.writing_proposal)
+        if self.proposal_number != proposal_number:
+            self._on_promise_event(PromiseEvent.PROPOSAL_ENDED)
+        known = (self.proposal_number, self.refused_proposal)
         if proposal_number and proposal_number not in known:
             return NextStep.CHECK_PROPOSAL
         return NextStep.NONE
 
     def on_write_started(self, proposal_number: int) -> None:
         """Note that a proposal is on its way to the disk; serving goes on meanwhile."""
-        self.writing_proposal = proposal_number
+        self._on_promise_event(PromiseEvent.WRITE_STARTED, proposal_number)
 
     def on_promise_durable(self, proposal_number: int) -> bool:
         """Note that a proposal is on the disk; return whether that makes a promise.
@@ -370,21 +421,19 @@
         """
         if proposal_number != self.writing_proposal:
             return False
-        self.promised_proposal = proposal_number
-        self.writing_proposal = 0
+        self._on_promise_event(PromiseEvent.DURABLE, proposal_number)
         return True
 
     def refuse(self, proposal_number: int, reason: str) -> None:
         """Refuse a proposal; `reason` is for operators."""
+        self._on_promise_event(PromiseEvent.REFUSED)
         self.refused_proposal = proposal_number
         self.refusal_reason = reason
-        self.writing_proposal = 0
 
     def on_version_adopted(self, version: int) -> None:
         """Note that requests are accepted under this version from now on."""
+        self._on_promise_event(PromiseEvent.VERSION_ADOPTED)
         self.version = version
-        self.promised_proposal = 0
-        self.writing_proposal = 0
 
     def permission(self, now_us: int) -> ServingPermission:
         """Return whether it may serve now."""
--- a/orchidgap/decisions/policy_rollout.py
+++ b/orchidgap/decisions/policy_rollout.py
@@ -1,14 +1,14 @@
 """The states of a policy change: what is proposed, decided or dropped, and who has registered.
 
-The compare-and-set register holds one `PolicyState`. The functions here are the only transitions:
+The compare-and-set register holds one `PolicyState`. The functions here are the only transitions, and
+`PHASE_AFTER` has the same table:
 
-    | state                | transition                                      | next state                     |
-    | -------------------- | ----------------------------------------------- | ------------------------------ |
-    | no proposal          | `propose`                                       | proposal under a new number    |
-    | proposal outstanding | `decide`: all members hold a promise            | `version` + 1, no proposal     |
-    | proposal outstanding | `drop`: a member refused, or one does not answer | no proposal, reason in history |
-    | any                  | `register_member`, `evict_member`               | another set of members that    |
-    |                      |                                                 | serve without a quorum         |
+    | phase    | transition                                       | next phase | what changes              |
+    | -------- | ------------------------------------------------ | ---------- | ------------------------- |
+    | idle     | `propose`                                        | proposed   | a new proposal number     |
+    | proposed | `decide`: all members hold a promise             | idle       | the version goes up by 1  |
+    | proposed | `drop`: a member refused, or one does not answer | idle       | the reason is in history  |
+    | any      | `register_member`, `evict_member`                | the same   | who serves without quorum |
 
 Each takes a state and returns the next one, or the very same object where the transition does not
 apply. No I/O.
@@ -34,6 +34,39 @@
     DROPPED = "nowhere"
 
 
+class Phase(Enum):
+    """Whether something is proposed."""
+
+    IDLE = "idle"
+    PROPOSED = "proposed"
+
+
+class Transition(Enum):
+    """What may happen to a state; each is a function of this module."""
+
+    PROPOSE = "propose"
+    DECIDE = "decide"
+    DROP = "drop"
+    REGISTER_MEMBER = "register member"
+    EVICT_MEMBER = "evict member"
+
+
+PHASE_AFTER: Mapping[Phase, Mapping[Transition, Phase]] = {
+    Phase.IDLE: {
+        Transition.PROPOSE: Phase.PROPOSED,
+        Transition.REGISTER_MEMBER: Phase.IDLE,
+        Transition.EVICT_MEMBER: Phase.IDLE,
+    },
+    Phase.PROPOSED: {
+        Transition.DECIDE: Phase.IDLE,
+        Transition.DROP: Phase.IDLE,
+        Transition.REGISTER_MEMBER: Phase.PROPOSED,
+        Transition.EVICT_MEMBER: Phase.PROPOSED,
+    },
+}
+"""Which transitions a phase allows, and the phase that follows."""
+
+
 @dataclass(frozen=True, slots=True)
 class Proposal:
     """A change that is proposed and neither decided nor dropped yet.
@@ -93,6 +126,15 @@
     members_without_quorum: Mapping[str, str]
     history: tuple[ChangeRecord, ...]
 
+    @property
+    def phase(self) -> Phase:
+        """Whether something is proposed."""
+        return Phase.IDLE if self.proposal is None else Phase.PROPOSED
+
+    def allows(self, transition: Transition) -> bool:
+        """Return whether the transition may follow."""
+        return transition in PHASE_AFTER[self.phase]
+
 
 INITIAL_STATE = PolicyState(
     version=0,
@@ -123,7 +165,7 @@
     >>> propose(state, "y", {}) is state
     True
     """
-    if state.proposal is not None or state.change_id == change_id:
+    if not state.allows(Transition.PROPOSE) or state.change_id == change_id:
         return state
     # A promise holds for one proposal number: a change that is proposed again needs new promises.
     number = state.proposal_count + 1
@@ -173,8 +215,8 @@
     >>> decide(state, 1) is state
     True
     """
-    proposal = state.proposal
-    if proposal is None or proposal.proposal_number != proposal_number:
+    proposal = _proposal_of(state, proposal_number, Transition.DECIDE)
+    if proposal is None:
         return state
     record = ChangeRecord(proposal.version, proposal.change_id, ChangeResult.DECIDED, "")
     return replace(
@@ -194,8 +236,8 @@
     >>> find_record(drop(propose(INITIAL_STATE, "x", {}), 1, "b2: disk full"), "x").reason
     'b2: disk full'
     """
-    proposal = state.proposal
-    if proposal is None or proposal.proposal_number != proposal_number:
+    proposal = _proposal_of(state, proposal_number, Transition.DROP)
+    if proposal is None:
         return state
     record = ChangeRecord(0, proposal.change_id, ChangeResult.DROPPED, reason)
     return replace(state, proposal=None, history=_with_record(state, record))
@@ -220,6 +262,16 @@
     return replace(state, members_without_quorum=members)
 
 
+def _proposal_of(
+    state: PolicyState, proposal_number: int, transition: Transition
+) -> Proposal | None:
+    """Return the proposal of this number, None if the transition does not apply to it."""
+    proposal = state.proposal if state.allows(transition) else None
+    if proposal is None or proposal.proposal_number != proposal_number:
+        return None
+    return proposal
+
+
 def _with_record(state: PolicyState, record: ChangeRecord) -> tuple[ChangeRecord, ...]:
     return (*state.history, record)[-MAX_HISTORY:]
 
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -15,7 +15,12 @@
 from orchidgap.control.validation import InvalidPolicyError
 from orchidgap.decisions.gossip_counts import Pool, Row
 from orchidgap.decisions.hot_keys import HotKeyDetector
-from orchidgap.decisions.leases import LeaseState, LeaseTable, ServingPermission
+from orchidgap.decisions.leases import (
+    LeaseState,
+    LeaseTable,
+    PromisePhase,
+    ServingPermission,
+)
 from orchidgap.http1.server import Client
 
 
@@ -49,9 +54,11 @@
 
     def say(self: LeaseKeeper) -> None:
         if self.seen_try:
-            self.lease.promised_proposal, kept = self.seen_try, self.lease.promised_proposal
+            lease = self.lease
+            kept = lease.promise_phase, lease.proposal_number
+            lease.promise_phase, lease.proposal_number = PromisePhase.PROMISED, self.seen_try
             call(self)
-            self.lease.promised_proposal = kept
+            lease.promise_phase, lease.proposal_number = kept
         else:
             call(self)
 
--- a/orchidgap/drill/explore.py
+++ b/orchidgap/drill/explore.py
@@ -42,6 +42,7 @@
     LeaseTable,
     NextStep,
     OnLostQuorum,
+    PromisePhase,
     ServingPermission,
     evaluate_answers,
 )
@@ -352,8 +353,11 @@
     def tenure(self, held: Held) -> LeaseState:
         lease = LeaseState(OnLostQuorum(self.alone), LEASE)
         lease.version = held.runs
-        lease.promised_proposal = held.promised
-        lease.writing_proposal = held.writing
+        if held.promised:
+            lease.promise_phase = PromisePhase.PROMISED
+        elif held.writing:
+            lease.promise_phase = PromisePhase.WRITING
+        lease.proposal_number = held.promised or held.writing
         lease.expires_at_us = held.until
         lease.registered = held.stays
         return lease
--- a/tests/decisions/test_policy_rollout.py
+++ b/tests/decisions/test_policy_rollout.py
@@ -4,20 +4,33 @@
 from hypothesis import strategies as st
 
 from orchidgap.decisions import policy_rollout
-from orchidgap.decisions.policy_rollout import INITIAL_STATE, MAX_HISTORY
+from orchidgap.decisions.policy_rollout import (
+    INITIAL_STATE,
+    MAX_HISTORY,
+    PHASE_AFTER,
+    Transition,
+)
 
 DOC = {"settings": {}}
 
 ACTS = {
-    "p": lambda state, number: policy_rollout.propose(state, f"c{number}", DOC),
-    "d": lambda state, number: policy_rollout.decide(state, state.proposal_count - number),
-    "x": lambda state, number: policy_rollout.drop(state, state.proposal_count - number, "no"),
-    "j": lambda state, number: policy_rollout.register_member(state, f"b{number}", "1"),
-    "s": lambda state, number: policy_rollout.evict_member(state, f"b{number}", "1"),
+    Transition.PROPOSE: lambda state, number: policy_rollout.propose(state, f"c{number}", DOC),
+    Transition.DECIDE: lambda state, number: policy_rollout.decide(
+        state, state.proposal_count - number
+    ),
+    Transition.DROP: lambda state, number: policy_rollout.drop(
+        state, state.proposal_count - number, "no"
+    ),
+    Transition.REGISTER_MEMBER: lambda state, number: policy_rollout.register_member(
+        state, f"b{number}", "1"
+    ),
+    Transition.EVICT_MEMBER: lambda state, number: policy_rollout.evict_member(
+        state, f"b{number}", "1"
+    ),
 }
 
 
-@given(st.lists(st.tuples(st.sampled_from(sorted(ACTS)), st.integers(0, 3)), max_size=120))
+@given(st.lists(st.tuples(st.sampled_from(Transition), st.integers(0, 3)), max_size=120))
 def test_versions_only_go_up_and_one_is_proposed_at_a_time(acts):
     state = INITIAL_STATE
     for act, number in acts:
@@ -28,9 +41,10 @@
             state.version == last.version
             or last.proposal
             and state.change_id == last.proposal.change_id
-            and act == "d"
+            and act is Transition.DECIDE
         )
         assert state.proposal is None or state.proposal.version == state.version + 1
         assert len(state.history) <= MAX_HISTORY
+        assert state is last or state.phase is PHASE_AFTER[last.phase][act]
         # what is written and read again is the same
         assert policy_rollout.from_wire(policy_rollout.to_wire(state)) == state
