--- a/orchidgap/decisions/config_compatibility.py
+++ b/orchidgap/decisions/config_compatibility.py
@@ -1,6 +1,16 @@
-"""Which configuration may follow which: one that is short of a key, or holds another kind of value, may not.
+"""Whether one configuration may follow another while a process runs.
 
-Nothing here does I/O.
+A configuration may follow if it has every key of the one before, with the same kind of value. A key that
+is missing, or holds another kind, is more often a slip than an intention:
+
+    | key before | key in the new one      | may follow                                |
+    | ---------- | ----------------------- | ----------------------------------------- |
+    | present    | present, the same kind  | yes                                       |
+    | present    | present, another kind   | no                                        |
+    | present    | missing                 | only below a list that has become empty   |
+    | missing    | anything                | yes                                       |
+
+`find_incompatibility` decides that, by the two shapes. No I/O.
 """
 
 from __future__ import annotations
@@ -8,60 +18,90 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-ALONE = frozenset(
-    ("known", "seed", "watch")
-)  # they say how things stand for a time, and may be left out
+Shape = Mapping[str, str]
+"""The path of every key, such as `a.b` or `list.*.name`, with the kind of its value."""
+
+OPTIONAL_KEYS = frozenset(("known", "seed", "watch"))
+"""Keys at the top that describe a moment, and may be left out."""
+
+KINDS = {str: "a text", type(None): "nothing", list: "a list"}
+NUMBER_KIND = "a number"
+FLAG_KIND = "a yes or no"
+OBJECT_KIND = "an object"
 
 
 def kind_of(value: Any) -> str:
-    """
+    """Return the kind of a JSON value, as operators read it.
+
     >>> [kind_of(value) for value in (True, 1, 1.5, "x", None, [], {})]
     ['a yes or no', 'a number', 'a number', 'a text', 'nothing', 'a list', 'an object']
     """
     if isinstance(value, bool):
-        return "a yes or no"
+        return FLAG_KIND
     if isinstance(value, int | float):
-        return "a number"
-    return {str: "a text", type(None): "nothing", list: "a list"}.get(type(value), "an object")
+        return NUMBER_KIND
+    return KINDS.get(type(value), OBJECT_KIND)
+
 
+def shape_of(tree: Mapping[str, Any], path: str = "") -> dict[str, str]:
+    """Return every key with the kind of its value; of a list of objects, the keys that all have.
 
-def shape(tree: Mapping[str, Any], path: str = "") -> dict[str, str]:
-    """Every key with the kind of its value; of a list of objects, the keys that all of them have.
+    Args:
+        tree: A configuration, or a part of one.
+        path: Where the part is, with a dot at its end; empty for the whole.
 
-    >>> shape({"a": {"b": 1}, "c": [{"d": "x", "e": 2}, {"d": "y"}], "known": {"seq": 1}})
+    >>> shape_of({"a": {"b": 1}, "c": [{"d": "x", "e": 2}, {"d": "y"}], "known": {"seq": 1}})
     {'a': 'an object', 'a.b': 'a number', 'c': 'a list', 'c.*.d': 'a text'}
     """
-    keys: dict[str, str] = {}
+    shape: dict[str, str] = {}
     for name, value in tree.items():
-        if not path and name in ALONE:
+        if not path and name in OPTIONAL_KEYS:
             continue
-        at = f"{path}{name}"
-        keys[at] = kind_of(value)
+        key = f"{path}{name}"
+        shape[key] = kind_of(value)
         if isinstance(value, Mapping):
-            keys |= shape(value, at + ".")
-        elif isinstance(value, list) and value and all(isinstance(one, Mapping) for one in value):
-            first, *others = (shape(one, at + ".*.") for one in value)
-            keys |= {
-                key: kind for key, kind in first.items() if all(key in other for other in others)
-            }
-    return keys
+            shape |= shape_of(value, f"{key}.")
+        elif _is_list_of_objects(value):
+            shape |= _common_shape(value, f"{key}.*.")
+    return shape
 
 
-def lacks(old: Mapping[str, str], new: Mapping[str, str], emptied: Iterable[str] = ()) -> str:
-    """What the new shape lacks of the old one, in plain words; empty where it may follow.
+def _is_list_of_objects(value: Any) -> bool:
+    if not isinstance(value, list) or not value:
+        return False
+    return all(isinstance(item, Mapping) for item in value)
 
-    `emptied` are lists that hold nothing any more, which is no lack of keys.
 
-    >>> old = shape({"a": {"b": 1}, "c": [{"d": "x"}]})
-    >>> lacks(old, shape({"a": {"b": 2}, "c": [{"d": "z", "more": 1}], "f": 1}))
+def _common_shape(items: Iterable[Mapping[str, Any]], path: str) -> dict[str, str]:
+    """Return the keys that all items have, with the kinds of the first one's values."""
+    first, *others = (shape_of(item, path) for item in items)
+    return {key: kind for key, kind in first.items() if all(key in other for other in others)}
+
+
+def find_incompatibility(old: Shape, new: Shape, emptied_lists: Iterable[str] = ()) -> str:
+    """Return why a configuration may not follow, in plain words; empty if it may.
+
+    Args:
+        old: The shape of the configuration before.
+        new: The shape of the one that is to follow.
+        emptied_lists: Paths of lists that are empty in the new one, whose items' keys are not
+            missed.
+
+    >>> old = shape_of({"a": {"b": 1}, "c": [{"d": "x"}]})
+    >>> find_incompatibility(old, shape_of({"a": {"b": 2}, "c": [{"d": "z", "more": 1}], "f": 1}))
+    ''
+    >>> find_incompatibility(old, shape_of({"a": {}, "c": []}))
+    'a.b is missing'
+    >>> find_incompatibility(old, shape_of({"a": {"b": "1"}, "c": [{"d": "x"}]}))
+    'a.b is a text, where a number was'
+    >>> find_incompatibility(old, shape_of({"a": {"b": 1}, "c": []}))
+    'c.*.d is missing'
+    >>> find_incompatibility(old, shape_of({"a": {"b": 1}, "c": []}), ["c"])
     ''
-    >>> lacks(old, shape({"a": {}, "c": []})), lacks(old, shape({"a": {"b": "1"}, "c": [{"d": "x"}]}))
-    ('a.b is missing', 'a.b is a text, where a number was')
-    >>> lacks(old, shape({"a": {"b": 1}, "c": []})), lacks(old, shape({"a": {"b": 1}, "c": []}), ["c"])
-    ('c.*.d is missing', '')
     """
+    exempt = tuple(f"{name}.*." for name in emptied_lists)
     for path, kind in old.items():
-        if any(path.startswith(f"{name}.*.") for name in emptied):
+        if path.startswith(exempt):
             continue
         if path not in new:
             return f"{path} is missing"
@@ -71,14 +111,16 @@
 
 
 def empty_lists(tree: Mapping[str, Any], path: str = "") -> list[str]:
-    """
+    """Return the paths of all lists that hold nothing.
+
     >>> empty_lists({"a": {"b": []}, "c": [1], "d": []})
     ['a.b', 'd']
     """
     found = []
     for name, value in tree.items():
+        key = f"{path}{name}"
         if isinstance(value, Mapping):
-            found += empty_lists(value, f"{path}{name}.")
+            found += empty_lists(value, f"{key}.")
         elif value == []:
-            found.append(f"{path}{name}")
+            found.append(key)
     return found
--- a/orchidgap/net/config.py
+++ b/orchidgap/net/config.py
@@ -183,9 +183,9 @@
 def station(told: Any, before: BalancerConfig | None = None) -> BalancerConfig:
     if not isinstance(told, Mapping):
         raise ValueError("an object was expected")
-    shape = config_compatibility.shape(told)
+    shape = config_compatibility.shape_of(told)
     if before and (
-        lack := config_compatibility.lacks(
+        lack := config_compatibility.find_incompatibility(
             before.shape, shape, config_compatibility.empty_lists(told)
         )
     ):
--- /dev/null
+++ b/tests/decisions/test_config_compatibility.py
@@ -0,0 +1,61 @@
+"""Which configuration may follow which."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from orchidgap.decisions.config_compatibility import (
+    OPTIONAL_KEYS,
+    empty_lists,
+    find_incompatibility,
+    shape_of,
+)
+
+NAMES = st.sampled_from(["a", "b", "c", *sorted(OPTIONAL_KEYS)])
+LEAVES = st.one_of(st.none(), st.booleans(), st.integers(), st.floats(), st.text(max_size=2))
+TREES = st.dictionaries(
+    NAMES,
+    st.recursive(
+        LEAVES,
+        lambda inner: st.one_of(
+            st.lists(inner, max_size=3),
+            st.dictionaries(NAMES, inner, max_size=3),
+            st.lists(st.dictionaries(NAMES, inner, max_size=3), max_size=3),
+        ),
+        max_leaves=8,
+    ),
+    max_size=4,
+)
+
+
+@given(TREES)
+def test_a_configuration_may_follow_itself(tree):
+    assert find_incompatibility(shape_of(tree), shape_of(tree), empty_lists(tree)) == ""
+
+
+@given(TREES, LEAVES)
+def test_a_key_may_be_added_and_then_not_be_left_out(tree, value):
+    """Somebody adds a key that nothing had before; the file after that lacks it again."""
+    with_key = tree | {"new": value}
+    assert find_incompatibility(shape_of(tree), shape_of(with_key), empty_lists(with_key)) == ""
+    told = find_incompatibility(shape_of(with_key), shape_of(tree), empty_lists(tree))
+    assert told == "new is missing"
+
+
+@given(TREES, st.integers(), st.text())
+def test_a_value_stays_of_its_kind(tree, number, text):
+    """A number becomes a text, as by a pair of quotes too many."""
+    told = find_incompatibility(shape_of({"new": number}), shape_of(tree | {"new": text}))
+    assert told == "new is a text, where a number was"
+
+
+@given(TREES, st.sampled_from(sorted(OPTIONAL_KEYS)))
+def test_what_describes_a_moment_may_be_left_out(tree, name):
+    without = {key: value for key, value in tree.items() if key != name}
+    assert find_incompatibility(shape_of(tree), shape_of(without), empty_lists(without)) == ""
+
+
+def test_a_list_that_becomes_empty_is_no_lack_of_its_items_keys():
+    old = shape_of({"hosts": [{"name": "x"}]})
+    emptied = {"hosts": []}
+    assert find_incompatibility(old, shape_of(emptied)) == "hosts.*.name is missing"
+    assert find_incompatibility(old, shape_of(emptied), empty_lists(emptied)) == ""
