--- a/orchidgap/__main__.py
+++ b/orchidgap/__main__.py
@@ -102,7 +102,7 @@
     try:
         path = told["--config"] or os.environ.get("GW_CONFIG")
         if told["control"]:
-            from orchidgap.control.server import run
+            from orchidgap.control.process import run
 
             return run(path, told["--new"])
         if told["serve"]:
--- a/orchidgap/control/messages/__init__.py
+++ b/orchidgap/control/messages/__init__.py
@@ -10,6 +10,7 @@
 
 from orchidgap.control.messages.base import (
     EmptyMessage,
+    ErrorAnswer,
     MemberRequest,
     RpcMethod,
     WireMessage,
@@ -84,6 +85,7 @@
     "CheckRequest",
     "DiskState",
     "EmptyMessage",
+    "ErrorAnswer",
     "EvictAnswer",
     "HolderStatus",
     "LeaseAnswer",
--- a/orchidgap/control/messages/base.py
+++ b/orchidgap/control/messages/base.py
@@ -60,6 +60,12 @@
     """A request without arguments, or an answer that only says that it was done."""
 
 
+class ErrorAnswer(WireMessage, frozen=True):
+    """Why a call was refused."""
+
+    reason: str = field(name="why")
+
+
 class MemberRequest(WireMessage, frozen=True):
     """Names one process of a balancer."""
 
--- /dev/null
+++ b/orchidgap/control/process.py
@@ -0,0 +1,243 @@
+"""A control process: its parts, its start and its end."""
+
+from __future__ import annotations
+
+import signal
+import time
+from collections.abc import Callable, Mapping
+from pathlib import Path
+from random import Random
+
+from orchidgap.control.acceptor import DurableAcceptor
+from orchidgap.control.lease_service import LeaseService
+from orchidgap.control.messages import (
+    ACCEPT,
+    CHANGE,
+    CHECK,
+    DEREGISTER,
+    EVICT,
+    LEASE,
+    PREPARE,
+    PROGRESS,
+    PROPOSE,
+    REGISTER,
+    SETTLE,
+    STATUS,
+)
+from orchidgap.control.operator_service import OperatorService
+from orchidgap.control.process_config import ProcessConfig, read_process_config
+from orchidgap.control.process_group import ANSWER_TIMEOUT_US, Caller, ProcessGroup
+from orchidgap.control.proposer import RegisterProposer
+from orchidgap.control.rollout_driver import RolloutDriver
+from orchidgap.control.rpc_client import RpcClient
+from orchidgap.control.rpc_server import RpcServer
+from orchidgap.decisions.cas_register import AcceptorState
+from orchidgap.decisions.leases import LeaseTable
+from orchidgap.decisions.policy_rollout import PolicyState
+from orchidgap.errors import ConfigError
+from orchidgap.net.endpoints import format_address
+from orchidgap.net.event_log import EventLog
+from orchidgap.net.loop import Loop, boot_clock
+from orchidgap.net.signals import watch_signals
+from orchidgap.state.durable_store import DurableStore
+
+TICK_US = 100_000  # a quarter more at most, by chance
+LOCK_TIMEOUT_S = 30.0
+LOCK_RETRY_S = 0.05
+
+
+class ControlProcess:
+    """One control process, without its sockets and signals.
+
+    Attributes:
+        acceptor: Its acceptor of the register.
+        leases: The leases that it has granted.
+        proposer: Changes the register.
+        driver: Drives what is proposed.
+        group: All control processes.
+        server: Its calls.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        config: ProcessConfig,
+        others: Mapping[str, Caller],
+        store: DurableStore,
+        log: EventLog,
+        rng: Random,
+        clock: Callable[[], int] = boot_clock,
+    ) -> None:
+        """Make a process that has not begun.
+
+        Args:
+            loop: The loop that it runs on.
+            config: Its configuration.
+            others: Whoever brings calls to each of the other processes.
+            store: Its folder.
+            log: Is told what happens.
+            rng: Spreads its ticks and its next rounds.
+            clock: Microseconds that go on while the machine sleeps.
+        """
+        self.loop = loop
+        self.rng = rng
+        self.clock = clock
+        self.server = RpcServer(loop)
+        self.group = ProcessGroup(loop, config.name, others, self.server)
+        self.leases = LeaseTable(config.lease_us, clock())
+        self.acceptor = DurableAcceptor(config.name, loop, clock, store, self.leases, log)
+        self.proposer = RegisterProposer(loop, rng, self.group, self.acceptor)
+        self.driver = RolloutDriver(
+            clock,
+            self.group,
+            self.acceptor,
+            self.leases,
+            self.proposer,
+            config.give_up_us,
+            log,
+        )
+        self._add_handlers()
+
+    def _add_handlers(self) -> None:
+        lease_service = LeaseService(
+            self.clock, self.acceptor, self.leases, self.proposer, len(self.group.names)
+        )
+        operator_service = OperatorService(
+            self.clock, self.group, self.acceptor, self.leases, self.proposer, self.driver
+        )
+        server = self.server
+        server.add_handler(LEASE, lease_service.on_lease)
+        server.add_handler(DEREGISTER, lease_service.on_deregister)
+        server.add_handler(REGISTER, lease_service.on_register)
+        server.add_handler(SETTLE, lease_service.on_settle)
+        server.add_handler(PREPARE, self.acceptor.on_prepare)
+        server.add_handler(ACCEPT, self.acceptor.on_accept)
+        server.add_handler(PROGRESS, self.driver.on_progress)
+        server.add_handler(CHECK, operator_service.on_check)
+        server.add_handler(PROPOSE, operator_service.on_propose)
+        server.add_handler(CHANGE, operator_service.on_change)
+        server.add_handler(EVICT, operator_service.on_evict)
+        server.add_handler(STATUS, operator_service.on_status)
+
+    def start(self, begin_anew: bool) -> None:
+        """Read the register and begin to tick.
+
+        Args:
+            begin_anew: Begin with nothing decided where there is no register.
+
+        Raises:
+            ConfigError: There is no register, and it can't be had.
+        """
+        self.acceptor.load(begin_anew, has_others=bool(self.group.others))
+        self._tick()
+
+    def _tick(self) -> None:
+        self.loop.call_later(TICK_US + self.rng.randrange(TICK_US // 4), self._tick)
+        self.leases.remove_expired(self.clock())
+        self.acceptor.check_disk()
+        if not self.acceptor.is_lost:
+            self.driver.tick()
+        elif not self.proposer.running and not self.acceptor.is_writing:
+            self.recover_register()
+
+    def recover_register(self) -> None:
+        """Get the lost register back from the others.
+
+        What this process had promised is lost with it. A round of a majority of the others, under a
+        ballot higher than any that it may have had a part in, makes up for that: only what this round
+        finds is taken up.
+        """
+
+        def on_value(value: PolicyState | None) -> None:
+            if value is None or not self.acceptor.is_lost:
+                return
+            # the round's own ballot: under a higher one something else may be chosen
+            ballot = self.proposer.last_ballot
+            self.acceptor.recover(AcceptorState(ballot, ballot, value))
+
+        self.proposer.read(on_value)
+
+
+def run(
+    path: str | None,
+    begin_anew: bool,
+    make_store: Callable[[Path], DurableStore] = DurableStore,
+) -> None:
+    """Run a control process until SIGTERM or SIGINT.
+
+    Args:
+        path: Its configuration.
+        begin_anew: Begin with nothing decided where there is no register.
+        make_store: Opens its folder.
+
+    Raises:
+        ConfigError: It can't start.
+    """
+    if not path:
+        raise ConfigError("--config names no file", expected="a file")
+    config = read_process_config(path)
+    log = EventLog(config.name)
+    loop = Loop(trouble=log.trouble)
+    store = _open_store(config.folder, make_store, log)
+    others = {
+        name: RpcClient(loop, address, ANSWER_TIMEOUT_US)
+        for name, address in config.addresses.items()
+        if name != config.name
+    }
+    process = ControlProcess(loop, config, others, store, log, Random())
+    process.start(begin_anew)
+    _listen(process.server, config)
+    signal_socket = watch_signals(
+        loop, (signal.SIGTERM, signal.SIGINT), lambda numbers: setattr(loop, "running", False)
+    )
+    log(
+        "control started",
+        listen=format_address(config.listen_address),
+        process_count=len(config.addresses),
+        version=process.acceptor.policy.version,
+        lease_ms=config.lease_us // 1000,
+    )
+    loop.run()
+    signal_socket.close()
+    log("stopped")
+
+
+def _listen(server: RpcServer, config: ProcessConfig) -> None:
+    try:
+        server.listen(config.listen_address)
+    except OSError as error:
+        address = format_address(config.listen_address)
+        raise ConfigError(
+            f"cannot listen on {address}: {error.strerror}", location=address
+        ) from None
+
+
+def _open_store(
+    folder: str, make_store: Callable[[Path], DurableStore], log: EventLog
+) -> DurableStore:
+    """Open the folder and have it for this process alone."""
+    try:
+        store = make_store(Path(folder))
+    except OSError as error:
+        raise ConfigError(f"{folder}: {error.strerror}", location=folder) from None
+    try:
+        _lock(store, log)
+    except OSError as error:
+        raise ConfigError(f"{store.folder}: {error.strerror}", location=folder) from None
+    return store
+
+
+def _lock(store: DurableStore, log: EventLog) -> None:
+    """Wait for the folder's lock, which a process before this one may hold yet."""
+    if store.lock():
+        return
+    log("waiting for folder lock", reason="a process before it still writes")
+    give_up_at_s = time.monotonic() + LOCK_TIMEOUT_S
+    while not store.lock():
+        if time.monotonic() > give_up_at_s:
+            raise ConfigError(
+                f"{store.folder} is another process's",
+                location=str(store.folder),
+                expected="a folder of its own",
+            )
+        time.sleep(LOCK_RETRY_S)
--- /dev/null
+++ b/orchidgap/control/rollout_driver.py
@@ -0,0 +1,169 @@
+"""Drives what is proposed: asks all control processes how far it is, and decides or drops it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from functools import partial
+
+from orchidgap.control.acceptor import DurableAcceptor
+from orchidgap.control.messages import PROGRESS, EmptyMessage, ProgressAnswer
+from orchidgap.control.process_group import ProcessGroup
+from orchidgap.control.proposer import RegisterProposer
+from orchidgap.decisions import policy_rollout
+from orchidgap.decisions.leases import LeaseTable
+from orchidgap.decisions.policy_rollout import ChangeResult, PolicyState
+from orchidgap.net.event_log import EventLog
+
+RANK_DELAY_US = 1_000_000
+"""So much later each further process drives what another one proposed."""
+
+END_EVENTS = {ChangeResult.DECIDED: "change decided", ChangeResult.DROPPED: "change dropped"}
+
+
+@dataclass
+class ProgressPoll:
+    """What all processes answered of one proposal.
+
+    Attributes:
+        proposal_number: The proposal.
+        answer_count: Processes whose answer has come, or will not come.
+        agreeing_count: Those that know this proposal.
+        pending_members: Balancers that any of these waits for.
+        refusals: Why any balancer refused, by its name.
+    """
+
+    proposal_number: int
+    answer_count: int = 0
+    agreeing_count: int = 0
+    pending_members: dict[str, None] = field(default_factory=dict)
+    refusals: dict[str, str] = field(default_factory=dict)
+
+    def add(self, answer: ProgressAnswer | None) -> None:
+        """Take in one process's answer, None where it gave none."""
+        self.answer_count += 1
+        if answer is None or answer.proposal_number != self.proposal_number:
+            return
+        self.agreeing_count += 1
+        self.pending_members.update(dict.fromkeys(member.name for member in answer.pending_members))
+        self.refusals.update((refusal.name, refusal.reason) for refusal in answer.refusals)
+
+
+class RolloutDriver:
+    """Decides or drops what is proposed, in any control process.
+
+    The process that was asked to propose it drives it at once, the others one after another later.
+
+    Attributes:
+        own_proposal: The number of the proposal that was made here last.
+        polling: Whether the other processes are being asked.
+    """
+
+    def __init__(
+        self,
+        clock: Callable[[], int],
+        group: ProcessGroup,
+        acceptor: DurableAcceptor,
+        leases: LeaseTable,
+        proposer: RegisterProposer,
+        give_up_us: int,
+        log: EventLog,
+    ) -> None:
+        """Make a driver.
+
+        Args:
+            clock: Microseconds that go on while the machine sleeps.
+            group: All control processes.
+            acceptor: This process's acceptor.
+            leases: The leases that it has granted.
+            proposer: Changes the register.
+            give_up_us: How long a proposal may wait for balancers.
+            log: Is told how changes end.
+        """
+        self.clock = clock
+        self.group = group
+        self.acceptor = acceptor
+        self.leases = leases
+        self.proposer = proposer
+        self.give_up_us = give_up_us
+        self.log = log
+        self.own_proposal = 0
+        self.polling = False
+        self._seen_proposal = 0
+        self._seen_since_us = 0
+
+    def progress(self) -> ProgressAnswer:
+        """Return how far the proposal is, as far as this process knows."""
+        now_us = self.clock()
+        policy = self.acceptor.policy
+        return ProgressAnswer(
+            proposal_number=policy.proposal.proposal_number if policy.proposal else 0,
+            pending_members=tuple(self.leases.pending_members(policy, now_us)),
+            refusals=tuple(self.leases.refusals(policy, now_us)),
+        )
+
+    def on_progress(
+        self, request: EmptyMessage, on_answer: Callable[[ProgressAnswer | None], None]
+    ) -> None:
+        """Answer another process that drives."""
+        on_answer(None if self.acceptor.is_lost else self.progress())
+
+    def tick(self) -> None:
+        """Drive what is proposed, if it is this process's turn; called regularly."""
+        now_us = self.clock()
+        proposal = self.acceptor.policy.proposal
+        number = proposal.proposal_number if proposal else 0
+        if number != self._seen_proposal:
+            self._seen_proposal = number
+            self._seen_since_us = now_us
+        rank = 0 if number == self.own_proposal else self.group.rank
+        is_turn = now_us - self._seen_since_us >= rank * RANK_DELAY_US
+        if number and is_turn and not self.polling and not self.proposer.running:
+            self._begin_poll(number)
+
+    def _begin_poll(self, proposal_number: int) -> None:
+        self.polling = True
+        poll = ProgressPoll(proposal_number)
+
+        def on_answer(process: str, answer: ProgressAnswer | None) -> None:
+            poll.add(answer)
+            if poll.answer_count == len(self.group.names):
+                self.polling = False
+                self._end_poll(poll)
+
+        self.group.call_all(PROGRESS, EmptyMessage(), on_answer)
+
+    def _end_poll(self, poll: ProgressPoll) -> None:
+        """Decide or drop the proposal, or wait on.
+
+        A balancer that may serve is known to one process of any majority, so a majority that waits for
+        nobody suffices. A refusal ends the proposal, whatever else is known.
+        """
+        if poll.agreeing_count < self.group.quorum:
+            return
+        waited_too_long = self.clock() - self._seen_since_us > self.give_up_us
+        if poll.refusals:
+            reason = "; ".join(f"{name}: {reason}" for name, reason in poll.refusals.items())
+            self._drop(poll.proposal_number, reason)
+        elif poll.pending_members and waited_too_long:
+            self._drop(
+                poll.proposal_number, "no promise in time from " + ", ".join(poll.pending_members)
+            )
+        elif not poll.pending_members:
+            self._decide(poll.proposal_number)
+
+    def _decide(self, proposal_number: int) -> None:
+        update = partial(policy_rollout.decide, proposal_number=proposal_number)
+        self.proposer.update(update, self._on_ended)
+
+    def _drop(self, proposal_number: int, reason: str) -> None:
+        update = partial(policy_rollout.drop, proposal_number=proposal_number, reason=reason)
+        self.proposer.update(update, self._on_ended)
+
+    def _on_ended(self, policy: PolicyState | None) -> None:
+        if policy is None or policy.proposal or not policy.history:
+            return
+        record = policy.history[-1]
+        facts = {"reason": record.reason} if record.reason else {}
+        event = END_EVENTS[record.result]
+        self.log(event, change_id=record.change_id, version=record.version, **facts)
--- /dev/null
+++ b/orchidgap/control/rpc_client.py
@@ -0,0 +1,185 @@
+"""The calling side of control's RPC: short JSON calls over HTTP/1.1, on the loop."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from typing import Any
+
+import orjson
+
+from orchidgap.control.messages import WireObject
+from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
+from orchidgap.http1 import codec
+from orchidgap.net.connection import Address, Connection, Fault, dial
+from orchidgap.net.loop import Loop, Timer
+
+MAX_CONNECTIONS = 4  # to one address; one call at a time on each
+MAX_ANSWER_BYTES = 1 << 22
+MAX_WAIT_US = 10_000  # of one turn of the loop while a call is waited for
+
+OnBody = Callable[[bytes | None], None]
+"""Is told an answer's body, None where there was no proper answer."""
+
+
+class RpcClientConnection:
+    """One connection, on which one call at a time may be under way."""
+
+    def __init__(self, client: RpcClient, sock: socket.socket) -> None:
+        """Take over a socket that is connected or connecting."""
+        self.client = client
+        self.on_body: OnBody | None = None  # of the call under way
+        self.timer: Timer | None = None
+        self.reader = codec.AnswerReader(MAX_ANSWER_BYTES)
+        self.conn = Connection(client.loop, sock, self, opening=True)
+
+    def send(self, verb: str, path: str, body: bytes, on_body: OnBody) -> None:
+        """Send a call; `on_body` is called once."""
+        self.on_body = on_body
+        self.reader.reset()
+        self.timer = self.client.loop.call_later(self.client.timeout_us, self.ended, "timeout")
+        self.conn.send(
+            b"%b %b HTTP/1.1\r\nHost: control\r\nContent-Length: %d\r\n\r\n%b"
+            % (verb.encode(), path.encode(), len(body), body)
+        )
+
+    def opened(self) -> None:
+        """Nothing: what is sent before waits in the connection."""
+
+    def received(self, view: memoryview) -> None:
+        """Take in a part of an answer."""
+        self.reader.feed(view)
+        message = self.reader.message
+        if message.trouble or self.on_body is None:
+            self.ended("no proper answer")
+        elif message.whole:
+            self._end_call(message.body if message.status == 200 else None, message.lasts)
+
+    def ended(self, reason: str) -> None:
+        """Give up the connection and the call under way."""
+        if self in self.client.idle:
+            self.client.idle.remove(self)
+        self._end_call(None, reusable=False)
+
+    def close(self) -> None:
+        """Close the connection; nobody is told."""
+        self.conn.close()
+        self.client.connections.pop(self, None)
+
+    def _end_call(self, body: bytes | None, reusable: bool) -> None:
+        on_body, self.on_body = self.on_body, None
+        if self.timer:
+            self.timer.cancel()
+        if reusable:
+            self.client.idle.append(self)
+        else:
+            self.close()
+        if on_body:
+            on_body(body)
+
+
+class RpcClient:
+    """Calls to one address.
+
+    An answer that doesn't come in time counts as none. The call may have been heard all the same.
+
+    Attributes:
+        loop: The loop that calls back.
+        address: Whom it calls.
+        timeout_us: How long a call may take.
+        connections: All open connections.
+        idle: Those without a call under way.
+    """
+
+    def __init__(self, loop: Loop, address: Address, timeout_us: int) -> None:
+        """Make a client; it connects with its first call."""
+        self.loop = loop
+        self.address = address
+        self.timeout_us = timeout_us
+        self.connections: dict[RpcClientConnection, None] = {}
+        self.idle: list[RpcClientConnection] = []
+
+    def call(
+        self,
+        method: RpcMethod[RequestT, AnswerT],
+        request: RequestT,
+        on_answer: Callable[[AnswerT | None], None],
+    ) -> None:
+        """Call a method.
+
+        Args:
+            method: What is called.
+            request: The request.
+            on_answer: Called once, after the call under way; with None where there was no answer, or
+                none that can be read.
+        """
+
+        def on_body(body: bytes | None) -> None:
+            on_answer(None if body is None else _read_answer(method, body))
+
+        self._send("PUT", method.path, orjson.dumps(request.to_wire()), on_body)
+
+    def call_and_wait(
+        self, method: RpcMethod[RequestT, AnswerT], request: RequestT
+    ) -> AnswerT | None:
+        """Call a method from outside of the loop, which runs until the answer is there."""
+        answers: list[AnswerT | None] = []
+        self.call(method, request, answers.append)
+        while not answers:
+            self.loop.run_once(MAX_WAIT_US)
+        return answers[0]
+
+    def probe(self, path: str, on_answer: Callable[[bool], None]) -> None:
+        """Ask for a path with GET; `on_answer` is told whether the answer was 200."""
+        self._send("GET", path, b"", lambda body: on_answer(body is not None))
+
+    def close(self) -> None:
+        """Close all connections; who waits for an answer isn't called."""
+        for connection in list(self.connections):
+            connection.on_body = None
+            connection.close()
+        self.idle.clear()
+
+    def _send(self, verb: str, path: str, body: bytes, on_body: OnBody) -> None:
+        while self.idle:
+            connection = self.idle.pop()
+            if connection.conn.open and not connection.conn.stale():
+                connection.send(verb, path, body, on_body)
+                return
+            connection.close()
+        if len(self.connections) >= MAX_CONNECTIONS:
+            self.loop.call_soon(on_body, None)
+            return
+        sock = dial(self.address)
+        if isinstance(sock, Fault):
+            self.loop.call_soon(on_body, None)
+            return
+        connection = RpcClientConnection(self, sock)
+        self.connections[connection] = None
+        connection.send(verb, path, body, on_body)
+
+    # Calls without types, until their last caller has moved.
+
+    def __call__(self, path: str, wire: Any, on_answer: Callable[[Any], None]) -> None:
+        """Call a path with any JSON."""
+
+        def on_body(body: bytes | None) -> None:
+            on_answer(None if body is None else orjson.loads(body))
+
+        self._send("PUT", path, orjson.dumps(wire), on_body)
+
+    def wait(self, path: str, wire: Any) -> Any:
+        """Call a path with any JSON from outside of the loop."""
+        answers: list[Any] = []
+        self(path, wire, answers.append)
+        while not answers:
+            self.loop.run_once(MAX_WAIT_US)
+        return answers[0]
+
+
+def _read_answer(method: RpcMethod[RequestT, AnswerT], body: bytes) -> AnswerT | None:
+    try:
+        wire: WireObject | None = orjson.loads(body)
+        return None if wire is None else method.answer_type.from_wire(wire)
+    except (KeyError, TypeError, ValueError):
+        return None
--- /dev/null
+++ b/orchidgap/control/rpc_server.py
@@ -0,0 +1,203 @@
+"""The answering side of control's RPC: short JSON calls over HTTP/1.1, on the loop."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from typing import Any
+
+import httptools
+import orjson
+
+from orchidgap.control.messages import ErrorAnswer, WireObject
+from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
+from orchidgap.http1 import codec
+from orchidgap.net.connection import Address, Connection, open_listener
+from orchidgap.net.loop import READ, Loop
+
+MAX_REQUEST_BYTES = 1 << 22
+MAX_PIPELINED = 4  # requests that may wait on one connection
+MAX_CONNECTIONS = 4_096
+MAX_ACCEPTED_AT_ONCE = 64
+BACKLOG = 512
+IDLE_TIMEOUT_US = 60_000_000
+MAX_REASON_CHARS = 200
+
+OnWireAnswer = Callable[[WireObject | None], None]
+"""Is told a call's answer, None where the process can't give one now."""
+
+WireHandler = Callable[[WireObject, OnWireAnswer], None]
+
+
+class UnknownCallError(Exception):
+    """A call that isn't one.
+
+    Attributes:
+        status: The HTTP status that says so.
+        path: What was called.
+    """
+
+    def __init__(self, status: int, path: str) -> None:
+        """Keep the status and the path."""
+        super().__init__(f"no such call: {path}")
+        self.status = status
+        self.path = path
+
+
+class RpcServerConnection:
+    """One connection to the server; a call is answered before the next one begins."""
+
+    def __init__(self, server: RpcServer, sock: socket.socket) -> None:
+        """Take over a connected socket."""
+        self.server = server
+        self.last_active_us = server.loop.now
+        self.reader = codec.ReqReader(MAX_REQUEST_BYTES)
+        self.answering = False  # a call is under way
+        self.conn = Connection(server.loop, sock, self)
+
+    def opened(self) -> None:
+        """Nothing: it was connected when it came."""
+
+    def received(self, view: memoryview) -> None:
+        """Take in a part of a request."""
+        self.last_active_us = self.server.loop.now
+        self.reader.feed(view)
+        if len(self.reader.behind) > MAX_PIPELINED:
+            self.server.drop(self)
+            return
+        self._begin_call()
+
+    def ended(self, reason: str) -> None:
+        """Forget the connection, which has ended."""
+        self.server.connections.pop(self, None)
+
+    def _begin_call(self) -> None:
+        message = self.reader.message
+        if self.answering or not self.conn.open:
+            return
+        if message.trouble:
+            self._refuse(message.trouble, "malformed")
+        elif message.whole:
+            self.answering = True
+            self._dispatch(message)
+
+    def _dispatch(self, message: codec.Message) -> None:
+        try:
+            path = (httptools.parse_url(message.target).path or b"").decode()
+            wire = orjson.loads(message.body) if message.size else {}
+            self.server.dispatch(path, wire, self._on_answer)
+        except UnknownCallError as error:
+            self._refuse(error.status, str(error))
+        except (ValueError, KeyError, TypeError, httptools.HttpParserInvalidURLError) as error:
+            self._refuse(400, f"bad call: {error!r}"[:MAX_REASON_CHARS])
+
+    def _on_answer(self, answer: WireObject | None) -> None:
+        self._send(503 if answer is None else 200, answer)
+
+    def _refuse(self, status: int, reason: str) -> None:
+        self._send(status, ErrorAnswer(reason=reason).to_wire())
+
+    def _send(self, status: int, answer: WireObject | None) -> None:
+        if not self.conn.open:
+            return
+        message = self.reader.message
+        reusable = message.whole and message.lasts and not message.trouble
+        body = orjson.dumps(answer)
+        version = message.version or "1.1"
+        head = codec.answer(status, len(body), last=not reusable, version=version)
+        self.conn.send(head + body)
+        if not reusable:
+            self.conn.finish()
+            return
+        self.answering = False
+        self.reader.next()
+        self.server.loop.call_soon(self._begin_call)
+
+
+class RpcServer:
+    """Takes calls by their paths, and hands each to its handler.
+
+    Attributes:
+        loop: The loop that it runs on.
+        connections: All open connections.
+    """
+
+    def __init__(self, loop: Loop) -> None:
+        """Make a server without handlers that doesn't listen yet."""
+        self.loop = loop
+        self.connections: dict[RpcServerConnection, None] = {}
+        self._handlers: dict[str, WireHandler] = {}
+        self._listener: socket.socket | None = None
+        self._close_idle()
+
+    def add_handler(
+        self,
+        method: RpcMethod[RequestT, AnswerT],
+        handler: Callable[[RequestT, Callable[[AnswerT | None], None]], None],
+    ) -> None:
+        """Have a method's calls answered.
+
+        Args:
+            method: What is called.
+            handler: Told the request, and whom to call with the answer: once, with None where the
+                process can't answer now.
+        """
+
+        def handle(wire: WireObject, on_wire_answer: OnWireAnswer) -> None:
+            def on_answer(answer: AnswerT | None) -> None:
+                on_wire_answer(None if answer is None else answer.to_wire())
+
+            handler(method.request_type.from_wire(wire), on_answer)
+
+        self._handlers[method.path] = handle
+
+    def dispatch(self, path: str, wire: Any, on_answer: OnWireAnswer) -> None:
+        """Hand a call to its handler.
+
+        Args:
+            path: What is called.
+            wire: The request as JSON has it.
+            on_answer: Called once, perhaps later.
+
+        Raises:
+            UnknownCallError: There is no such call, or the request is no object.
+            KeyError, TypeError, ValueError: The request can't be read.
+        """
+        handler = self._handlers.get(path)
+        if handler is None:
+            raise UnknownCallError(404, path)
+        if not isinstance(wire, dict):
+            raise UnknownCallError(400, path)
+        handler(wire, on_answer)
+
+    def listen(self, address: Address) -> None:
+        """Begin to accept connections.
+
+        Raises:
+            OSError: The address can't be had.
+        """
+        self._listener = open_listener(address, BACKLOG)
+        self.loop.watch(self._listener, READ, self._accept)
+
+    def drop(self, connection: RpcServerConnection) -> None:
+        """Close a connection at once."""
+        connection.conn.close()
+        self.connections.pop(connection, None)
+
+    def _accept(self, mask: int) -> None:
+        assert self._listener
+        for _ in range(MAX_ACCEPTED_AT_ONCE):
+            try:
+                sock, _ = self._listener.accept()
+            except OSError:
+                return
+            if len(self.connections) >= MAX_CONNECTIONS:
+                self.drop(min(self.connections, key=lambda oldest: oldest.last_active_us))
+            self.connections[RpcServerConnection(self, sock)] = None
+
+    def _close_idle(self) -> None:
+        active_since_us = self.loop.now - IDLE_TIMEOUT_US
+        for connection in list(self.connections):
+            if connection.last_active_us < active_since_us:
+                self.drop(connection)
+        self.loop.call_later(IDLE_TIMEOUT_US // 4, self._close_idle)
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from orchidgap.control.acceptor import DurableAcceptor
 from orchidgap.control.lease_keeper import Keeper
-from orchidgap.control.server import Control
 from orchidgap.decisions.gossip_counts import Pool, Row
 from orchidgap.decisions.hot_keys import HotKeyDetector
 from orchidgap.decisions.leases import LeaseState, LeaseTable, ServingPermission
@@ -119,7 +119,9 @@
 
 def amnesic() -> None:
     """Control tells what it never wrote."""
-    Control.write = lambda self, kept, done: self.loop.call_soon(done, True)
+    DurableAcceptor.write_state = lambda self, state, on_written: self.loop.call_soon(
+        on_written, True
+    )
 
 
 def blind() -> None:
--- a/orchidgap/drill/process.py
+++ b/orchidgap/drill/process.py
@@ -18,7 +18,7 @@
 from mmap import mmap
 from pathlib import Path
 
-from orchidgap.control import lease_keeper, server
+from orchidgap.control import lease_keeper, process
 from orchidgap.drill.defects import DEFECTS
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
@@ -99,7 +99,7 @@
         defect()
     try:
         if kind == "control":
-            return server.run(config, "--new" in sys.argv, make_files=FailingFiles)
+            return process.run(config, "--new" in sys.argv, make_store=FailingFiles)
         serve(
             config, parts_of, held=partial(lease_keeper.held, make_files=FailingFiles), talk=talk_of
         )
--- a/orchidgap/drill/town.py
+++ b/orchidgap/drill/town.py
@@ -23,7 +23,17 @@
 
 import orjson
 
-from orchidgap.control.rpc import RpcClient
+from orchidgap.control.messages import (
+    CHANGE,
+    SETTLE,
+    STATUS,
+    ChangeRequest,
+    ChangeState,
+    EmptyMessage,
+    StatusAnswer,
+)
+from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
+from orchidgap.control.rpc_client import RpcClient
 from orchidgap.drill.judge import Fate, Judge
 from orchidgap.drill.plan import DO, SEEN, Drill, versions_of, words
 from orchidgap.drill.relay import Datagrams, Relay
@@ -73,6 +83,13 @@
     raise RuntimeError(f"{SLOTS} drills run already")
 
 
+def has_taken(status: StatusAnswer, change_id: str) -> bool:
+    """Whether that control process has taken the change as decided."""
+    if status.change_id == change_id:
+        return True
+    return any(record.change_id == change_id and record.version for record in status.history)
+
+
 class Witnesses(Callers):
     """Clients that ask, beside the usual, for the classes of the versions that may govern now."""
 
@@ -120,16 +137,16 @@
         if self.alive and not self.ready_at:
             calls = RpcClient(self.scene.loop, self.address, 200_000)
 
-            def heard(said: Any) -> None:
+            def heard(is_up: bool) -> None:
                 calls.close()
-                if said:
+                if is_up:
                     self.ready_at = self.scene.loop.now
                 else:
                     self.scene.loop.call_later(
                         50_000 + 2_000 * len(self.scene.posts), self.until_up
                     )
 
-            calls.ask("/up", heard)
+            calls.probe("/up", heard)
 
     def gone(self) -> None:
         super().gone()
@@ -672,24 +689,21 @@
     def watch(self) -> None:
         """Until when a version was certainly not decided: a majority of control had not taken it."""
         self.loop.call_later(WATCH, self.watch)
-        asked, heard = self.loop.clock(), []
+        asked = self.loop.clock()
+        heard: list[StatusAnswer] = []
         open_ = [fate for fate in self.judge.fates.values() if fate.number and not fate.outcome]
 
-        def told(said: Any) -> None:
-            if said and not said["lost"]:
-                heard.append(said)
+        def told(status: StatusAnswer | None) -> None:
+            if status and not status.lost_register:
+                heard.append(status)
             if len(heard) == len(self.controls) // 2 + 1:
                 for fate in open_:
-                    if not any(
-                        one["id"] == f"v{fate.number}"
-                        or any(row[1] == f"v{fate.number}" and row[0] for row in one["past"])
-                        for one in heard
-                    ):
+                    if not any(has_taken(status, f"v{fate.number}") for status in heard):
                         fate.not_before = max(fate.not_before, asked)
 
         if open_:
             for calls in self.watches:
-                calls("/status", {}, told)
+                calls.call(STATUS, EmptyMessage(), told)
 
     def play(self, tick: Callable[[float], None] | None = None) -> dict[str, Any]:
         """The steps in their order, then all healed; the verdict."""
@@ -806,27 +820,26 @@
     def settle(self) -> None:
         """All is healed: what counts has to be what all serve under, and what all callers are told."""
         numbers = [number for number in self.judge.fates if number]
-        if self.controls and self.ask("/settle", {}) is None:
+        if self.controls and self.ask(SETTLE, EmptyMessage()) is None:
             return self.judge.breach("stuck", self.loop.now, "control does not come back")
         if self.controls:
             wait = self.drill.control.give_up_ms / 1e3 * TRIED + 5
-            self.until(
-                lambda: not (self.ask("/status", {}) or {"next": 1})["next"], wait, "none proposed"
-            )
+            self.until(self.nothing_proposed, wait, "none proposed")
         for number in numbers:
             fate = self.judge.fates[number]
             if not self.controls:
                 continue
-            said = self.ask("/change", {"id": f"v{number}"})
-            state = said["state"] if said else "nothing"
-            if state in ("decided", "nowhere"):
-                self.judge.told(fate, state, said.get("n", 0), said.get("why", ""), self.loop.now)
-            elif state == "unknown" and fate.outcome != "decided":
+            answer = self.ask(CHANGE, ChangeRequest(change_id=f"v{number}"))
+            state = answer.state if answer else None
+            if answer and state in (ChangeState.DECIDED, ChangeState.DROPPED):
+                version, reason = answer.version or 0, answer.reason or ""
+                self.judge.told(fate, answer.state.value, version, reason, self.loop.now)
+            elif state is ChangeState.UNKNOWN and fate.outcome != "decided":
                 fate.outcome = "nowhere"  # nobody took it, and nobody was told otherwise
             else:
-                rule = "stuck" if state in ("nothing", "proposed") else "untrue"
-                was = fate.outcome or "nothing"
-                self.judge.breach(rule, self.loop.now, f"v{number}: {state}, after {was}")
+                rule = "stuck" if state in (None, ChangeState.PROPOSED) else "untrue"
+                was, word = fate.outcome or "nothing", state.value if state else "nothing"
+                self.judge.breach(rule, self.loop.now, f"v{number}: {word}, after {was}")
         if not numbers:
             return
         best = max(
@@ -843,12 +856,16 @@
             whys = "; ".join(self.judge.fates[number].why for number in numbers)
             self.judge.breach("stuck", self.loop.now, f"outcomes {', '.join(found)}: {whys}")
 
-    def ask(self, path: str, told: Any) -> Any:
+    def nothing_proposed(self) -> bool:
+        status = self.ask(STATUS, EmptyMessage())
+        return status is not None and status.proposal is None
+
+    def ask(self, method: RpcMethod[RequestT, AnswerT], request: RequestT) -> AnswerT | None:
         """Of any control process, now that all are there."""
         for _ in range(10):
             for calls in self.questions:
-                if (said := calls.wait(path, told)) is not None:
-                    return said
+                if (answer := calls.call_and_wait(method, request)) is not None:
+                    return answer
             end = self.loop.clock() + 200_000
             while self.loop.clock() < end:
                 self.loop.run_once(10_000)
--- /dev/null
+++ b/tests/control/control_cluster.py
@@ -0,0 +1,128 @@
+"""Control processes on a virtual clock that call each other through the loop, a millisecond each way."""
+
+import json
+from random import Random
+
+import orjson
+
+from orchidgap.control.messages import LEASE, LeaseRequest
+from orchidgap.control.process import ControlProcess
+from orchidgap.control.process_config import ProcessConfig
+from orchidgap.state.background_writer import BackgroundWriter
+from orchidgap.state.durable_store import DurableStore
+from orchidgap.trial.fabric import World
+
+LEASE_US = 2_000_000
+DELAY_US = 1_000
+TIMEOUT_US = 500_000
+DOCUMENT = {"settings": {"rule-sets": [{"name": "a", "effect": "retryable", "client-timeout": 9}]}}
+
+
+def over_the_wire(wire):
+    return json.loads(orjson.dumps(wire))
+
+
+class ImmediateWriter(BackgroundWriter):
+    """No child: a virtual clock does not wait for one."""
+
+    def write(self, name, content, on_written):
+        try:
+            self.store.write(name, content)
+        except OSError as error:
+            on_written(error.strerror)
+            return
+        on_written("")
+
+
+class HeldWriter:
+    """A disk whose writes end when the test calls what is in `pending`."""
+
+    def __init__(self):
+        self.pending = []
+
+    def write(self, name, content, on_written):
+        self.pending.append(on_written)
+
+
+class LocalCaller:
+    """Brings one process's calls to another one, unless one of them is cut off."""
+
+    def __init__(self, cluster, caller, target):
+        self.cluster, self.caller, self.target = cluster, caller, target
+
+    def call(self, method, request, on_answer):
+        loop = self.cluster.loop
+        if {self.caller, self.target} & self.cluster.cut_off:
+            loop.call_later(TIMEOUT_US, on_answer, None)
+            return
+
+        def on_wire_answer(wire):
+            answer = wire and method.answer_type.from_wire(over_the_wire(wire))
+            loop.call_later(DELAY_US, on_answer, answer)
+
+        server = self.cluster.processes[self.target].server
+        wire = over_the_wire(request.to_wire())
+        loop.call_later(DELAY_US, server.dispatch, method.path, wire, on_wire_answer)
+
+
+class ControlCluster:
+    """So many control processes, each with a folder of its own; `cut_off` names those nobody reaches."""
+
+    def __init__(self, folder, count):
+        self.loop, self.cut_off, self.log = World(), set(), []
+        names = [f"k{number}" for number in range(count)]
+        self.processes = {}
+        for name in names:
+            others = {other: LocalCaller(self, name, other) for other in names if other != name}
+            addresses = dict.fromkeys(names, ("127.0.0.1", 1))
+            store = DurableStore(folder / name)
+            process = ControlProcess(
+                self.loop,
+                ProcessConfig(name, addresses, str(folder), LEASE_US, 6 * LEASE_US, False),
+                others,
+                store,
+                lambda event, name=name, **facts: self.log.append((name, event, facts)),
+                Random(name),
+                lambda: self.loop.now,
+            )
+            process.acceptor.writer = ImmediateWriter(self.loop, store)
+            self.processes[name] = process
+
+    def start(self):
+        for process in self.processes.values():
+            process.start(begin_anew=True)
+
+    def run(self, duration_us):
+        self.loop.run_until(self.loop.now + duration_us)
+
+    def call(self, name, method, request):
+        """Calls one process; the list that its answer comes into."""
+        answers = []
+
+        def on_wire_answer(wire):
+            answers.append(
+                None if wire is None else method.answer_type.from_wire(over_the_wire(wire))
+            )
+
+        wire = over_the_wire(request.to_wire())
+        self.processes[name].server.dispatch(method.path, wire, on_wire_answer)
+        return answers
+
+    def ask(self, name, method, request, within_us=5_000_000):
+        """Calls one process and lets time pass; its answer, None where there was none."""
+        answers = self.call(name, method, request)
+        self.run(within_us)
+        return answers[0] if answers else None
+
+    def ask_lease(self, name, balancer, promised=0, last_answer_at_us=0, version=0):
+        request = LeaseRequest(
+            name=balancer,
+            incarnation="1",
+            on_lost_quorum="leave",
+            version=version,
+            promised_proposal=promised,
+            refused_proposal=0,
+            refusal_reason="",
+            last_answer_at_us=last_answer_at_us,
+        )
+        return self.ask(name, LEASE, request, 0)
