--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from orchidgap.control.rpc import RpcClient
+from orchidgap.control.rpc_client import RpcClient
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import parse_address
 from orchidgap.net.loop import Loop
--- a/orchidgap/control/operator_service.py
+++ b/orchidgap/control/operator_service.py
@@ -24,7 +24,7 @@
 from orchidgap.control.process_group import ProcessGroup
 from orchidgap.control.proposer import RegisterProposer
 from orchidgap.control.rollout_driver import RolloutDriver
-from orchidgap.control.validation import fit
+from orchidgap.control.validation import InvalidPolicyError, validate
 from orchidgap.decisions import policy_rollout
 from orchidgap.decisions.leases import LeaseTable
 from orchidgap.decisions.policy_rollout import ChangeResult, PolicyState
@@ -65,12 +65,19 @@
         self, request: CheckRequest, on_answer: Callable[[CheckAnswer | None], None]
     ) -> None:
         """Tell whether a policy could be proposed."""
-        on_answer(CheckAnswer(reason=fit(request.document)))
+        reason = ""
+        try:
+            validate(request.document)
+        except InvalidPolicyError as error:
+            reason = str(error)
+        on_answer(CheckAnswer(reason=reason))
 
     def on_propose(self, request: ProposeRequest, on_answer: OnChangeAnswer) -> None:
         """Propose a change, and tell how far it is then."""
-        if reason := fit(request.document):
-            on_answer(ChangeAnswer(state=ChangeState.INVALID, reason=reason))
+        try:
+            validate(request.document)
+        except InvalidPolicyError as error:
+            on_answer(ChangeAnswer(state=ChangeState.INVALID, reason=str(error)))
             return
 
         def on_value(policy: PolicyState | None) -> None:
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -4,11 +4,11 @@
 from random import Random
 
 import orjson
+from immediate_writer import ImmediateWriter
 
 from orchidgap.control.messages import LEASE, LeaseRequest
 from orchidgap.control.process import ControlProcess
 from orchidgap.control.process_config import ProcessConfig
-from orchidgap.state.background_writer import BackgroundWriter
 from orchidgap.state.durable_store import DurableStore
 from orchidgap.trial.fabric import World
 
@@ -22,18 +22,6 @@
     return json.loads(orjson.dumps(wire))
 
 
-class ImmediateWriter(BackgroundWriter):
-    """No child: a virtual clock does not wait for one."""
-
-    def write(self, name, content, on_written):
-        try:
-            self.store.write(name, content)
-        except OSError as error:
-            on_written(error.strerror)
-            return
-        on_written("")
-
-
 class HeldWriter:
     """A disk whose writes end when the test calls what is in `pending`."""
 
