--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -120,6 +120,7 @@
     Attributes:
         loop: The loop that it runs on.
         connections: All open connections.
+        listener: Its socket, once it listens.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -127,7 +128,7 @@
         self.loop = loop
         self.connections: dict[RpcServerConnection, None] = {}
         self._handlers: dict[str, WireHandler] = {}
-        self._listener: socket.socket | None = None
+        self.listener: socket.socket | None = None
         self._close_idle()
 
     def add_handler(
@@ -176,8 +177,8 @@
         Raises:
             OSError: The address can't be had.
         """
-        self._listener = open_listener(address, BACKLOG)
-        self.loop.watch(self._listener, READ, self._accept)
+        self.listener = open_listener(address, BACKLOG)
+        self.loop.watch(self.listener, READ, self._accept)
 
     def drop(self, connection: RpcServerConnection) -> None:
         """Close a connection at once."""
@@ -185,10 +186,10 @@
         self.connections.pop(connection, None)
 
     def _accept(self, mask: int) -> None:
-        assert self._listener
+        assert self.listener
         for _ in range(MAX_ACCEPTED_AT_ONCE):
             try:
-                sock, _ = self._listener.accept()
+                sock, _ = self.listener.accept()
             except OSError:
                 return
             if len(self.connections) >= MAX_CONNECTIONS:
