--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -34,7 +34,7 @@
 )
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
 from orchidgap.control.messages.reports import change_report_to_wire
-from orchidgap.control.rpc import RpcClient
+from orchidgap.control.rpc_client import RpcClient
 from orchidgap.control.status_report import (
     format_history,
     format_pending_members,
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -38,7 +38,7 @@
     PROMISED_PROPOSAL_FILE,
     AdoptedPolicy,
 )
-from orchidgap.control.rpc import RpcClient
+from orchidgap.control.rpc_client import RpcClient
 from orchidgap.control.validation import (
     InvalidPolicyError,
     check_startup_settings,
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -9,9 +9,9 @@
 from contextlib import suppress
 from typing import Any
 
+from orchidgap.control.acceptor import DurableAcceptor
 from orchidgap.control.lease_keeper import LeaseKeeper
 from orchidgap.control.messages import ProposalMessage
-from orchidgap.control.server import Control
 from orchidgap.control.validation import InvalidPolicyError
 from orchidgap.decisions.gossip_counts import Pool, Row
 from orchidgap.decisions.hot_keys import HotKeyDetector
@@ -134,7 +134,9 @@
 
 def amnesic() -> None:
     """Control tells what it never wrote."""
-    Control.write = lambda self, kept, done: self.loop.call_soon(done, True)
+    DurableAcceptor.write_state = lambda self, state, on_written: self.loop.call_soon(
+        on_written, True
+    )
 
 
 def blind() -> None:
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -14,8 +14,10 @@
 
 from orchidgap.control.guarded_node import LeaseGuardedNode
 from orchidgap.control.lease_keeper import LeaseKeeper
-from orchidgap.control.rpc import RpcClient
-from orchidgap.control.server import Control
+from orchidgap.control.process import ControlProcess as ProgramControlProcess
+from orchidgap.control.process_config import ProcessConfig
+from orchidgap.control.process_group import ANSWER_TIMEOUT_US
+from orchidgap.control.rpc_client import RpcClient
 from orchidgap.http1 import Http1
 from orchidgap.net import config as config_module
 from orchidgap.net.handover import Handover, inherited
@@ -82,7 +84,7 @@
 
 
 def has_call_out(calls: RpcClient) -> bool:
-    return any(link.heard is not None for link in calls.open)
+    return any(connection.on_body is not None for connection in calls.connections)
 
 
 class ControlProcess:
@@ -97,12 +99,16 @@
         folder: Path,
         lease_us: int,
     ) -> None:
-        self.control = Control(
+        self.loop = events.loop
+        self.others = {
+            other: RpcClient(events.loop, address, ANSWER_TIMEOUT_US)
+            for other, address in sorted(addresses.items())
+            if other != name
+        }
+        self.control = ProgramControlProcess(
             events.loop,
-            name,
-            addresses,
-            lease_us,
-            6 * lease_us,
+            ProcessConfig(name, addresses, str(folder), lease_us, 6 * lease_us, False),
+            self.others,
             DurableStore(folder),
             quiet_log,
             Random(name),
@@ -111,19 +117,19 @@
         self.control.server.listen(listen)
 
     def begin(self, new: bool) -> None:
-        self.control.begin(new)
+        self.control.start(new)
 
     def is_busy(self) -> bool:
-        return self.control.disk.busy or any(map(has_call_out, self.control.others.values()))
+        return self.control.acceptor.writer.busy or any(map(has_call_out, self.others.values()))
 
     def close(self) -> None:
-        loop, server = self.control.loop, self.control.server
-        loop.unwatch(server.listener)
+        server = self.control.server
+        self.loop.unwatch(server.listener)
         server.listener.close()
-        for calls in self.control.others.values():
-            calls.close()
-        for caller in list(server.callers):
-            server.drop(caller)
+        for client in self.others.values():
+            client.close()
+        for connection in list(server.connections):
+            server.drop(connection)
 
 
 class LeaseHolder:
