--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -46,13 +46,13 @@
     settings_of,
 )
 from orchidgap.decisions.cas_register import quorum_size
-from orchidgap.decisions.leases import (
+from orchidgap.decisions.lease_state import (
     LeaseState,
     NextStep,
-    OnLostQuorum,
     ServingPermission,
     evaluate_answers,
 )
+from orchidgap.decisions.leases import OnLostQuorum
 from orchidgap.decisions.policy_rollout import Document
 from orchidgap.errors import CorruptFileError
 from orchidgap.net.config import BalancerConfig, ConfigError
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -15,12 +15,12 @@
 from orchidgap.control.validation import InvalidPolicyError
 from orchidgap.decisions.gossip_counts import Pool, Row
 from orchidgap.decisions.hot_keys import HotKeyDetector
-from orchidgap.decisions.leases import (
+from orchidgap.decisions.lease_state import (
     LeaseState,
-    LeaseTable,
     PromisePhase,
     ServingPermission,
 )
+from orchidgap.decisions.leases import LeaseTable
 from orchidgap.http1.server import Client
 
 
--- a/orchidgap/drill/explore.py
+++ b/orchidgap/drill/explore.py
@@ -36,16 +36,18 @@
     Ballot,
     Proposer,
 )
-from orchidgap.decisions.leases import (
-    LeaseHolder,
+from orchidgap.decisions.lease_state import (
     LeaseState,
-    LeaseTable,
     NextStep,
-    OnLostQuorum,
     PromisePhase,
     ServingPermission,
     evaluate_answers,
 )
+from orchidgap.decisions.leases import (
+    LeaseHolder,
+    LeaseTable,
+    OnLostQuorum,
+)
 from orchidgap.decisions.policy_rollout import PolicyState
 
 Value = Any  # of the register: a list of labels in `Rounds`, a `PolicyState` in `Fleet`
--- a/tests/control/test_lease_keeper.py
+++ b/tests/control/test_lease_keeper.py
@@ -11,7 +11,7 @@
 from orchidgap.control import lease_keeper, validation
 from orchidgap.control.lease_keeper import LeaseKeeper
 from orchidgap.control.messages import LEASE, ProposalMessage
-from orchidgap.decisions.leases import ServingPermission
+from orchidgap.decisions.lease_state import ServingPermission
 from orchidgap.state.durable_store import DurableStore
 from orchidgap.trial.fabric import World
 
