--- a/orchidgap/control/acceptor.py
+++ b/orchidgap/control/acceptor.py
@@ -145,7 +145,7 @@
         elif begin_anew and not problem:
             self._create()
         elif has_others:
-            self.log("register lost", reason=problem or "nothing there")
+            self.log("register lost", why=problem or "nothing there")
         else:
             problem = problem or f"{self.store.folder} holds no register"
             raise ConfigError(
@@ -190,7 +190,7 @@
         duration_us = self.clock() - self._writing_since_us
         self._writing_since_us = None
         if error:
-            self._set_disk_state(DiskState.FAILING, reason=error)
+            self._set_disk_state(DiskState.FAILING, why=error)
         else:
             slow = duration_us > SLOW_WRITE_US
             state = DiskState.SLOW if slow else DiskState.SOUND
@@ -311,6 +311,6 @@
         self.log(
             "version accepted",
             version=policy.version,
-            change_id=policy.change_id,
+            change=policy.change_id,
             ballot=ballot[0],
         )
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -284,7 +284,7 @@
 
     def _on_policy_written(self, failure: str) -> None:
         if failure:
-            self.log("disk fails", why=failure)
+            self.log("disk failing", why=failure)
 
     def adopt(self, document: Document) -> None:
         """Decide by this policy from the next request on.
--- a/orchidgap/control/process.py
+++ b/orchidgap/control/process.py
@@ -231,7 +231,7 @@
     """Wait for the folder's lock, which a process before this one may hold yet."""
     if store.lock():
         return
-    log("waiting for folder lock", reason="a process before it still writes")
+    log("waiting for folder lock", why="a process before it still writes")
     give_up_at_s = time.monotonic() + LOCK_TIMEOUT_S
     while not store.lock():
         if time.monotonic() > give_up_at_s:
--- a/orchidgap/control/rollout_driver.py
+++ b/orchidgap/control/rollout_driver.py
@@ -164,6 +164,6 @@
         if policy is None or policy.proposal or not policy.history:
             return
         record = policy.history[-1]
-        facts = {"reason": record.reason} if record.reason else {}
+        facts = {"why": record.reason} if record.reason else {}
         event = END_EVENTS[record.result]
-        self.log(event, change_id=record.change_id, version=record.version, **facts)
+        self.log(event, change=record.change_id, version=record.version, **facts)
--- a/orchidgap/control/rpc_client.py
+++ b/orchidgap/control/rpc_client.py
@@ -4,7 +4,6 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any
 
 import orjson
 
@@ -158,24 +157,6 @@
         self.connections[connection] = None
         connection.send(verb, path, body, on_body)
 
-    # Calls without types, until their last caller has moved.
-
-    def __call__(self, path: str, wire: Any, on_answer: Callable[[Any], None]) -> None:
-        """Call a path with any JSON."""
-
-        def on_body(body: bytes | None) -> None:
-            on_answer(None if body is None else orjson.loads(body))
-
-        self._send("PUT", path, orjson.dumps(wire), on_body)
-
-    def wait(self, path: str, wire: Any) -> Any:
-        """Call a path with any JSON from outside of the loop."""
-        answers: list[Any] = []
-        self(path, wire, answers.append)
-        while not answers:
-            self.loop.run_once(MAX_WAIT_US)
-        return answers[0]
-
 
 def _read_answer(method: RpcMethod[RequestT, AnswerT], body: bytes) -> AnswerT | None:
     try:
--- a/orchidgap/state/background_writer.py
+++ b/orchidgap/state/background_writer.py
@@ -54,10 +54,6 @@
             self.busy = True
             self.loop.call_soon(self._begin_next)
 
-    def __call__(self, name: str, content: object, on_written: OnWritten) -> None:
-        """Write a file in the background, as `write` does."""
-        self.write(name, content, on_written)
-
     def _begin_next(self) -> None:
         if not self._waiting:
             self.busy = False
