--- a/orchidgap/control/acceptor.py
+++ b/orchidgap/control/acceptor.py
@@ -58,8 +58,8 @@
 class DurableAcceptor:
     """The acceptor of one control process.
 
-    What it promises and accepts is durable before it is told. Leases are granted meanwhile, however long
-    the disk takes.
+    What it promises and accepts is durable before it is told. Leases are granted meanwhile,
+    however long the disk takes.
 
     Attributes:
         name: The control process.
--- a/orchidgap/control/messages/__init__.py
+++ b/orchidgap/control/messages/__init__.py
@@ -1,11 +1,11 @@
 """Every message of control and the register's file, typed, with the words that stand in their JSON.
 
-No other module of control knows a JSON key, a path or a word of the wire. A message's fields stand in the
-order in which JSON has them. Who reads one passes over keys that it doesn't know, as a newer program may
-have sent them.
+No other module of control knows a JSON key, a path or a word of the wire. A message's fields stand
+in the order in which JSON has them. Who reads one passes over keys that it doesn't know, as a
+newer program may have sent them.
 
-Balancers and the command line call control; control processes call each other. An `RpcMethod` names each
-call with its request and its answer. Times are whole microseconds.
+Balancers and the command line call control; control processes call each other. An `RpcMethod`
+names each call with its request and its answer. Times are whole microseconds.
 """
 
 from orchidgap.control.messages.base import (
--- a/orchidgap/control/messages/lease.py
+++ b/orchidgap/control/messages/lease.py
@@ -1,4 +1,4 @@
-"""What balancers say to control processes: heartbeats that ask for a lease, and coming and going."""
+"""What balancers say to control processes: heartbeats for a lease, and coming and going."""
 
 from __future__ import annotations
 
@@ -59,8 +59,8 @@
         proposal_number: The proposal by which it was decided.
         members_without_quorum: The caller's own entry: its name, and the incarnation that is
             registered, None for none.
-        proposal: What is proposed; without its document where the caller has promised or refused it.
-        document: The policy in force, only where the caller runs an earlier version.
+        proposal: What is proposed; without its document where the caller has promised or refused
+        it. document: The policy in force, only where the caller runs an earlier version.
     """
 
     ballot: Ballot
--- a/orchidgap/control/process.py
+++ b/orchidgap/control/process.py
@@ -144,8 +144,8 @@
         """Get the lost register back from the others.
 
         What this process had promised is lost with it. A round of a majority of the others, under a
-        ballot higher than any that it may have had a part in, makes up for that: only what this round
-        finds is taken up.
+        ballot higher than any that it may have had a part in, makes up for that: only what this
+        round finds is taken up.
         """
 
         def on_value(value: PolicyState | None) -> None:
--- a/orchidgap/control/process_config.py
+++ b/orchidgap/control/process_config.py
@@ -105,8 +105,8 @@
     host = config.listen_address[0]
     if not ipaddress.IPv4Address(host).is_loopback and not config.beyond_loopback:
         raise ConfigError(
-            f"{path}: {format_address(config.listen_address)} is beyond loopback; set beyond-loopback "
-            "to true, as whoever reaches it can change the policy",
+            f"{path}: {format_address(config.listen_address)} is beyond loopback; "
+            "set beyond-loopback to true, as whoever reaches it can change the policy",
             location=path,
             key=BEYOND_LOOPBACK,
             expected="true",
--- a/orchidgap/control/process_group.py
+++ b/orchidgap/control/process_group.py
@@ -69,8 +69,8 @@
         Args:
             method: What is called.
             request: The request.
-            on_answer: Called once for each process with its name and its answer, None where there is
-                none in time.
+            on_answer: Called once for each process with its name and its answer, None where there
+                is none in time.
         """
         for other, caller in self.others.items():
             caller.call(method, request, partial(on_answer, other))
--- a/orchidgap/control/rollout_driver.py
+++ b/orchidgap/control/rollout_driver.py
@@ -136,8 +136,8 @@
     def _end_poll(self, poll: ProgressPoll) -> None:
         """Decide or drop the proposal, or wait on.
 
-        A balancer that may serve is known to one process of any majority, so a majority that waits for
-        nobody suffices. A refusal ends the proposal, whatever else is known.
+        A balancer that may serve is known to one process of any majority, so a majority that waits
+        for nobody suffices. A refusal ends the proposal, whatever else is known.
         """
         if poll.agreeing_count < self.group.quorum:
             return
--- a/orchidgap/control/rpc_client.py
+++ b/orchidgap/control/rpc_client.py
@@ -9,7 +9,7 @@
 
 from orchidgap.control.messages import WireObject
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
-from orchidgap.http1 import codec
+from orchidgap.http1.readers import ResponseReader
 from orchidgap.net.connection import Address, Connection, Fault, dial
 from orchidgap.net.loop import Loop, Timer
 
@@ -29,7 +29,7 @@
         self.client = client
         self.on_body: OnBody | None = None  # of the call under way
         self.timer: Timer | None = None
-        self.reader = codec.AnswerReader(MAX_ANSWER_BYTES)
+        self.reader = ResponseReader(MAX_ANSWER_BYTES)
         self.conn = Connection(client.loop, sock, self, opening=True)
 
     def send(self, verb: str, path: str, body: bytes, on_body: OnBody) -> None:
@@ -49,10 +49,10 @@
         """Take in a part of an answer."""
         self.reader.feed(view)
         message = self.reader.message
-        if message.trouble or self.on_body is None:
+        if message.error_status or self.on_body is None:
             self.ended("no proper answer")
-        elif message.whole:
-            self._end_call(message.body if message.status == 200 else None, message.lasts)
+        elif message.complete:
+            self._end_call(message.body if message.status == 200 else None, message.keep_alive)
 
     def ended(self, reason: str) -> None:
         """Give up the connection and the call under way."""
@@ -109,8 +109,8 @@
         Args:
             method: What is called.
             request: The request.
-            on_answer: Called once, after the call under way; with None where there was no answer, or
-                none that can be read.
+            on_answer: Called once, after the call under way; with None where there was no answer,
+                or none that can be read.
         """
 
         def on_body(body: bytes | None) -> None:
--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -11,7 +11,9 @@
 
 from orchidgap.control.messages import ErrorAnswer, WireObject
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
-from orchidgap.http1 import codec
+from orchidgap.http1.messages import Message
+from orchidgap.http1.readers import RequestReader
+from orchidgap.http1.writers import response_head
 from orchidgap.net.connection import Address, Connection, open_listener
 from orchidgap.net.loop import READ, Loop
 
@@ -51,7 +53,7 @@
         """Take over a connected socket."""
         self.server = server
         self.last_active_us = server.loop.now
-        self.reader = codec.ReqReader(MAX_REQUEST_BYTES)
+        self.reader = RequestReader(MAX_REQUEST_BYTES)
         self.answering = False  # a call is under way
         self.conn = Connection(server.loop, sock, self)
 
@@ -62,7 +64,7 @@
         """Take in a part of a request."""
         self.last_active_us = self.server.loop.now
         self.reader.feed(view)
-        if len(self.reader.behind) > MAX_PIPELINED:
+        if len(self.reader.pipelined) > MAX_PIPELINED:
             self.server.drop(self)
             return
         self._begin_call()
@@ -75,16 +77,16 @@
         message = self.reader.message
         if self.answering or not self.conn.open:
             return
-        if message.trouble:
-            self._refuse(message.trouble, "malformed")
-        elif message.whole:
+        if message.error_status:
+            self._refuse(message.error_status, "malformed")
+        elif message.complete:
             self.answering = True
             self._dispatch(message)
 
-    def _dispatch(self, message: codec.Message) -> None:
+    def _dispatch(self, message: Message) -> None:
         try:
             path = (httptools.parse_url(message.target).path or b"").decode()
-            wire = orjson.loads(message.body) if message.size else {}
+            wire = orjson.loads(message.body) if message.body_size else {}
             self.server.dispatch(path, wire, self._on_answer)
         except UnknownCallError as error:
             self._refuse(error.status, str(error))
@@ -101,16 +103,16 @@
         if not self.conn.open:
             return
         message = self.reader.message
-        reusable = message.whole and message.lasts and not message.trouble
+        reusable = message.complete and message.keep_alive and not message.error_status
         body = orjson.dumps(answer)
         version = message.version or "1.1"
-        head = codec.answer(status, len(body), last=not reusable, version=version)
+        head = response_head(status, len(body), close=not reusable, version=version)
         self.conn.send(head + body)
         if not reusable:
             self.conn.finish()
             return
         self.answering = False
-        self.reader.next()
+        self.reader.advance()
         self.server.loop.call_soon(self._begin_call)
 
 
--- a/orchidgap/state/durable_store.py
+++ b/orchidgap/state/durable_store.py
@@ -1,8 +1,8 @@
 """The only layer through which the program writes what it has to find again: whole, or not at all.
 
-A file is written beside the old one, forced to the disk, renamed over it, and the folder is forced too. It
-begins with a digest of its content, so that a torn, cut or changed file is told apart from one that was
-never written.
+A file is written beside the old one, forced to the disk, renamed over it, and the folder is forced
+too. It begins with a digest of its content, so that a torn, cut or changed file is told apart from
+one that was never written.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 class DurableStore:
     """One process's folder, with files of JSON by name.
 
-    Every method raises OSError where the disk fails. Each step of a write is a method, so that a fault
-    test can make it fail.
+    Every method raises OSError where the disk fails. Each step of a write is a method, so that a
+    fault test can make it fail.
 
     Attributes:
         folder: The folder.
