--- a/orchidgap/control/lease_service.py
+++ b/orchidgap/control/lease_service.py
@@ -105,7 +105,7 @@
         self.proposer.update(register, _once_chosen(on_answer), shareable=True)
 
     def on_settle(self, request: EmptyMessage, on_answer: OnEmptyAnswer) -> None:
-        """Find out what is chosen, for a balancer that different processes told different things."""
+        """Find out what is chosen, for a balancer that was told different things."""
         self.proposer.read(_once_chosen(on_answer), shareable=True)
 
     def _call_interval_us(self) -> int:
--- a/orchidgap/control/messages/consensus.py
+++ b/orchidgap/control/messages/consensus.py
@@ -1,4 +1,4 @@
-"""What control processes say to each other: the two phases of a round, and how far a proposal is."""
+"""What control processes say to each other: a round's two phases, and how far a proposal is."""
 
 from __future__ import annotations
 
--- a/orchidgap/control/process.py
+++ b/orchidgap/control/process.py
@@ -144,8 +144,8 @@
         """Get the lost register back from the others.
 
         What this process had promised is lost with it. A round of a majority of the others, under a
-        ballot higher than any that it may have had a part in, makes up for that: only what this round
-        finds is taken up.
+        ballot higher than any that it may have had a part in, makes up for that: only what this
+        round finds is taken up.
         """
 
         def on_value(value: PolicyState | None) -> None:
@@ -231,7 +231,7 @@
     """Wait for the folder's lock, which a process before this one may hold yet."""
     if store.lock():
         return
-    log("waiting for folder lock", reason="a process before it still writes")
+    log("waiting for folder lock", why="a process before it still writes")
     give_up_at_s = time.monotonic() + LOCK_TIMEOUT_S
     while not store.lock():
         if time.monotonic() > give_up_at_s:
--- a/orchidgap/control/proposer.py
+++ b/orchidgap/control/proposer.py
@@ -1,4 +1,4 @@
-"""A control process's proposer: changes of the register, one round of compare-and-set after another."""
+"""A control process's proposer: changes of the register, one round after another."""
 
 from __future__ import annotations
 
@@ -53,8 +53,8 @@
 class RegisterProposer:
     """Changes the register, for this process and for whoever calls it.
 
-    Updates take turns. Shareable ones that follow each other share a round, as hundreds of balancers
-    register at once.
+    Updates take turns. Shareable ones that follow each other share a round, as hundreds of
+    balancers register at once.
 
     Attributes:
         running: Whether a round of this process is under way or about to begin.
@@ -182,7 +182,7 @@
             return
         if self.accept_answers == len(self.owner.group.names):
             if answer and answer.pending_members:
-                # another round would wait for the same balancers; the rollout driver asks for them first
+                # Another round would wait for the same balancers; the driver asks for them first.
                 self.attempts_left = 1
             self._end(None)
 
--- a/orchidgap/control/rollout_driver.py
+++ b/orchidgap/control/rollout_driver.py
@@ -136,8 +136,8 @@
     def _end_poll(self, poll: ProgressPoll) -> None:
         """Decide or drop the proposal, or wait on.
 
-        A balancer that may serve is known to one process of any majority, so a majority that waits for
-        nobody suffices. A refusal ends the proposal, whatever else is known.
+        A balancer that may serve is known to one process of any majority, so a majority that waits
+        for nobody suffices. A refusal ends the proposal, whatever else is known.
         """
         if poll.agreeing_count < self.group.quorum:
             return
@@ -164,6 +164,6 @@
         if policy is None or policy.proposal or not policy.history:
             return
         record = policy.history[-1]
-        facts = {"reason": record.reason} if record.reason else {}
+        facts = {"why": record.reason} if record.reason else {}
         event = END_EVENTS[record.result]
-        self.log(event, change_id=record.change_id, version=record.version, **facts)
+        self.log(event, change=record.change_id, version=record.version, **facts)
--- a/orchidgap/control/rpc_client.py
+++ b/orchidgap/control/rpc_client.py
@@ -4,13 +4,12 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any
 
 import orjson
 
 from orchidgap.control.messages import WireObject
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
-from orchidgap.http1 import codec
+from orchidgap.http1.readers import ResponseReader
 from orchidgap.net.connection import Address, Connection, Fault, dial
 from orchidgap.net.loop import Loop, Timer
 
@@ -30,7 +29,7 @@
         self.client = client
         self.on_body: OnBody | None = None  # of the call under way
         self.timer: Timer | None = None
-        self.reader = codec.AnswerReader(MAX_ANSWER_BYTES)
+        self.reader = ResponseReader(MAX_ANSWER_BYTES)
         self.conn = Connection(client.loop, sock, self, opening=True)
 
     def send(self, verb: str, path: str, body: bytes, on_body: OnBody) -> None:
@@ -50,10 +49,10 @@
         """Take in a part of an answer."""
         self.reader.feed(view)
         message = self.reader.message
-        if message.trouble or self.on_body is None:
+        if message.error_status or self.on_body is None:
             self.ended("no proper answer")
-        elif message.whole:
-            self._end_call(message.body if message.status == 200 else None, message.lasts)
+        elif message.complete:
+            self._end_call(message.body if message.status == 200 else None, message.keep_alive)
 
     def ended(self, reason: str) -> None:
         """Give up the connection and the call under way."""
@@ -110,8 +109,8 @@
         Args:
             method: What is called.
             request: The request.
-            on_answer: Called once, after the call under way; with None where there was no answer, or
-                none that can be read.
+            on_answer: Called once, after the call under way; with None where there was no answer,
+                or none that can be read.
         """
 
         def on_body(body: bytes | None) -> None:
@@ -158,24 +157,6 @@
         self.connections[connection] = None
         connection.send(verb, path, body, on_body)
 
-    # Calls without types, until their last caller has moved.
-
-    def __call__(self, path: str, wire: Any, on_answer: Callable[[Any], None]) -> None:
-        """Call a path with any JSON."""
-
-        def on_body(body: bytes | None) -> None:
-            on_answer(None if body is None else orjson.loads(body))
-
-        self._send("PUT", path, orjson.dumps(wire), on_body)
-
-    def wait(self, path: str, wire: Any) -> Any:
-        """Call a path with any JSON from outside of the loop."""
-        answers: list[Any] = []
-        self(path, wire, answers.append)
-        while not answers:
-            self.loop.run_once(MAX_WAIT_US)
-        return answers[0]
-
 
 def _read_answer(method: RpcMethod[RequestT, AnswerT], body: bytes) -> AnswerT | None:
     try:
--- a/orchidgap/errors.py
+++ b/orchidgap/errors.py
@@ -1,7 +1,7 @@
 """The errors that the program raises for its callers, all below `OrchidgapError`.
 
-Each one's text is a whole line for an operator; its fields say the same to code. This module imports
-nothing, so that every package may use it.
+Each one's text is a whole line for an operator; its fields say the same to code. This module
+imports nothing, so that every package may use it.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
     """
 
     def __init__(self, message: str) -> None:
+        """Keep the message."""
         super().__init__(message)
         self.message = message
 
@@ -34,6 +35,7 @@
     def __init__(
         self, message: str, *, location: str = "", key: str = "", expected: str = ""
     ) -> None:
+        """Keep what failed, where, and what was expected."""
         super().__init__(message)
         self.location = location
         self.key = key
@@ -53,6 +55,7 @@
     def __init__(
         self, message: str, *, setting: str = "", value: object = None, expected: str = ""
     ) -> None:
+        """Keep what failed, what it is, and what was expected."""
         super().__init__(message)
         self.setting = setting
         self.value = value
@@ -70,6 +73,7 @@
     def __init__(
         self, path: PathLike[str], expected: str = "content that matches the digest before it"
     ) -> None:
+        """Keep the file and what was expected."""
         super().__init__(f"{path} is damaged or cut off")
         self.path = path
         self.expected = expected
@@ -88,6 +92,7 @@
     def __init__(
         self, message: str, *, location: str = "", key: str = "", expected: str = ""
     ) -> None:
+        """Keep what failed, where, and what was expected."""
         super().__init__(message)
         self.location = location
         self.key = key
--- a/orchidgap/state/background_writer.py
+++ b/orchidgap/state/background_writer.py
@@ -1,4 +1,7 @@
-"""Durable writes that don't hold up the loop: a child process does each, as a disk may take seconds."""
+"""Durable writes that don't hold up the loop: a child process does each.
+
+A disk may take seconds over a write.
+"""
 
 from __future__ import annotations
 
@@ -23,8 +26,8 @@
 class BackgroundWriter:
     """Writes one file at a time.
 
-    Of the writes of one name that wait, only the latest is done: writes must not pile up behind a disk
-    that stands still.
+    Of the writes of one name that wait, only the latest is done: writes must not pile up behind a
+    disk that stands still.
 
     Attributes:
         loop: The loop that calls back.
@@ -54,10 +57,6 @@
             self.busy = True
             self.loop.call_soon(self._begin_next)
 
-    def __call__(self, name: str, content: object, on_written: OnWritten) -> None:
-        """Write a file in the background, as `write` does."""
-        self.write(name, content, on_written)
-
     def _begin_next(self) -> None:
         if not self._waiting:
             self.busy = False
