--- a/orchidgap/parts.py
+++ b/orchidgap/parts.py
@@ -24,9 +24,9 @@
 
 def make_guarded_node(*told: Any, **named: Any) -> tuple[Node, LeaseHolder]:
     """A node whose settings come from control; loaded only where a configuration has a part for it."""
-    from orchidgap.control.lease_keeper import held
+    from orchidgap.control.lease_keeper import create_guarded_node
 
-    return held(*told, **named)
+    return create_guarded_node(*told, **named)
 
 
 def make_gossip(*told: Any) -> Any:
