--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -6,7 +6,14 @@
 import orjson
 from immediate_writer import ImmediateWriter
 
-from orchidgap.control.messages import LEASE, LeaseRequest
+from orchidgap.control.messages import (
+    CHANGE,
+    LEASE,
+    PROPOSE,
+    ChangeRequest,
+    LeaseRequest,
+    ProposeRequest,
+)
 from orchidgap.control.process import ControlProcess
 from orchidgap.control.process_config import ProcessConfig
 from orchidgap.state.durable_store import DurableStore
@@ -102,15 +109,43 @@
         self.run(within_us)
         return answers[0] if answers else None
 
-    def ask_lease(self, name, balancer, promised=0, last_answer_at_us=0, version=0):
+    def ask_lease(
+        self,
+        name,
+        balancer,
+        promised=0,
+        last_answer_at_us=0,
+        version=0,
+        refused=0,
+        reason="",
+    ):
         request = LeaseRequest(
             name=balancer,
             incarnation="1",
             on_lost_quorum="leave",
             version=version,
             promised_proposal=promised,
-            refused_proposal=0,
-            refusal_reason="",
+            refused_proposal=refused,
+            refusal_reason=reason,
             last_answer_at_us=last_answer_at_us,
         )
         return self.ask(name, LEASE, request, 0)
+
+    def ask_all_leases(self, balancer, **facts):
+        """Asks every process for a lease, as a balancer that has heard all answers so far."""
+        return [
+            self.ask_lease(name, balancer, last_answer_at_us=self.loop.now, **facts)
+            for name in self.processes
+        ]
+
+    def propose(self, name, change_id, known_proposal_count=0):
+        request = ProposeRequest(
+            change_id=change_id,
+            document=DOCUMENT,
+            again=False,
+            known_proposal_count=known_proposal_count,
+        )
+        return self.ask(name, PROPOSE, request, 200_000)
+
+    def state_of(self, name, change_id):
+        return self.ask(name, CHANGE, ChangeRequest(change_id=change_id), 1_000_000)
--- /dev/null
+++ b/tests/control/test_process_config.py
@@ -0,0 +1,77 @@
+"""A control process's configuration: what it may be, and what is told where it can't be meant."""
+
+import json
+
+import pytest
+
+from orchidgap.control.process_config import read_process_config
+from orchidgap.errors import ConfigError
+
+GOOD = {
+    "name": "k0",
+    "dir": "/var/lib/x",
+    "control": {"k0": "127.0.0.1:7500", "k1": "127.0.0.2:7500", "k2": "127.0.0.3:7500"},
+}
+
+
+def read(tmp_path, wire):
+    path = tmp_path / "control.json"
+    path.write_text(wire if isinstance(wire, str) else json.dumps(wire))
+    return read_process_config(str(path))
+
+
+def test_what_is_left_out_has_its_default(tmp_path):
+    """A file with the least that it may have. Leases last 10 s, and a proposal waits for six of them."""
+    config = read(tmp_path, GOOD)
+    assert (config.lease_us, config.give_up_us) == (10_000_000, 60_000_000)
+    assert config.listen_address == ("127.0.0.1", 7500) and config.folder == "/var/lib/x"
+    config = read(tmp_path, GOOD | {"lease-ms": 2_000, "give-up-ms": 5_000})
+    assert (config.lease_us, config.give_up_us) == (2_000_000, 5_000_000)
+
+
+@pytest.mark.parametrize(
+    ("wire", "text"),
+    [
+        ("{", "unexpected end of data: line 1 column 2 (char 1)"),
+        ({}, "name is missing"),
+        ({"name": "k0"}, "control is missing"),
+        ({"name": "k0", "control": {}}, "dir is missing"),
+        (GOOD | {"name": "k9"}, "control has no address for k9"),
+        (
+            GOOD | {"control": {"k0": "127.0.0.1:1", "k1": "127.0.0.1:2"}},
+            "2 control processes; 1, 3 or 5 can be",
+        ),
+        (GOOD | {"lease-ms": 10}, "lease-ms goes from 1000 to 600000, and give-up-ms is no less"),
+        (
+            GOOD | {"lease-ms": 2_000, "give-up-ms": 1_000},
+            "lease-ms goes from 1000 to 600000, and give-up-ms is no less",
+        ),
+        (
+            GOOD | {"control": {"k0": "10.0.0.1:7500"}},
+            "10.0.0.1:7500 is beyond loopback; set beyond-loopback to true, as whoever reaches it "
+            "can change the policy",
+        ),
+    ],
+)
+def test_a_bad_file_is_told_in_one_line(tmp_path, wire, text):
+    """Somebody starts a control process with a file that can't be meant. One line names file and fault."""
+    with pytest.raises(ConfigError) as caught:
+        read(tmp_path, wire)
+    assert str(caught.value) == f"{tmp_path / 'control.json'}: {text}"
+    assert caught.value.location == str(tmp_path / "control.json")
+
+
+def test_a_file_that_is_not_there_is_told(tmp_path):
+    """The file's name is wrong. The line says so in the system's words."""
+    path = tmp_path / "nowhere.json"
+    with pytest.raises(ConfigError) as caught:
+        read_process_config(str(path))
+    assert str(caught.value) == f"{path}: No such file or directory"
+
+
+def test_other_addresses_than_loopback_s_have_to_be_asked_for(tmp_path):
+    """A fleet's control listens beyond loopback: only where the file says so in so many words."""
+    wire = GOOD | {"control": {"k0": "10.0.0.1:7500"}, "beyond-loopback": True}
+    assert read(tmp_path, wire).listen_address == ("10.0.0.1", 7500)
+    with pytest.raises(ConfigError, match="beyond loopback"):
+        read(tmp_path, wire | {"beyond-loopback": 1})
--- /dev/null
+++ b/tests/control/test_rollout_driver.py
@@ -0,0 +1,82 @@
+"""How a proposal ends: decided, refused, given up, or driven by another process."""
+
+from control_cluster import LEASE_US
+
+from orchidgap.control.messages import ChangeState, ProgressAnswer
+from orchidgap.control.rollout_driver import RANK_DELAY_US, ProgressPoll
+from orchidgap.decisions.leases import PendingMember, Refusal
+
+
+def hold_lease_and_propose(cluster):
+    """b0 holds a lease, and k0 proposes x, which b0 has not promised."""
+    cluster.run(2 * LEASE_US)
+    assert all(answer.granted for answer in cluster.ask_all_leases("b0"))
+    answer = cluster.propose("k0", "x")
+    assert answer.state is ChangeState.PROPOSED
+    assert [member.name for member in answer.pending_members] == ["b0"]
+
+
+def events_of_changes(cluster):
+    return [(event, facts) for _, event, facts in cluster.log if event.startswith("change ")]
+
+
+def test_a_change_is_decided_once_all_have_promised(cluster):
+    """A balancer holds a lease and promises the proposal. The next look decides it."""
+    hold_lease_and_propose(cluster)
+    cluster.ask_all_leases("b0", promised=1)
+    cluster.run(500_000)
+    assert cluster.state_of("k1", "x").state is ChangeState.DECIDED
+    assert events_of_changes(cluster) == [("change decided", {"change": "x", "version": 1})]
+
+
+def test_a_refusal_drops_the_change_and_says_why(cluster):
+    """A balancer that holds a lease refuses. The change is dropped, and whoever asks is told why."""
+    hold_lease_and_propose(cluster)
+    cluster.ask_all_leases("b0", refused=1, reason="disk: full")
+    cluster.run(500_000)
+    answer = cluster.state_of("k1", "x")
+    assert (answer.state, answer.reason) == (ChangeState.DROPPED, "b0: disk: full")
+    expected = {"change": "x", "version": 0, "why": "b0: disk: full"}
+    assert events_of_changes(cluster) == [("change dropped", expected)]
+
+
+def test_a_change_that_waits_too_long_is_dropped(cluster):
+    """A balancer renews its lease and never answers the proposal. After the time that the configuration
+    gives, the change is dropped, with the balancer's name."""
+    hold_lease_and_propose(cluster)
+    for _ in range(11):
+        cluster.run(LEASE_US // 2)
+        cluster.ask_all_leases("b0")
+    assert cluster.processes["k1"].acceptor.policy.proposal is not None
+    for _ in range(3):
+        cluster.run(LEASE_US // 2)
+        cluster.ask_all_leases("b0")
+    answer = cluster.state_of("k1", "x")
+    assert answer.state is ChangeState.DROPPED
+    assert answer.reason == "no promise in time from b0"
+
+
+def test_another_process_drives_what_a_lost_one_proposed(cluster):
+    """The process that proposed a change is cut off at once. The next one in rank drives it, later."""
+    cluster.run(2 * LEASE_US)
+    cluster.ask_all_leases("b0")
+    assert cluster.propose("k0", "x").state is ChangeState.PROPOSED
+    cluster.cut_off = {"k0"}
+    cluster.ask_all_leases("b0", promised=1)
+    cluster.run(RANK_DELAY_US // 2)
+    assert cluster.processes["k1"].acceptor.policy.version == 0
+    cluster.run(RANK_DELAY_US * 2)
+    assert cluster.processes["k1"].acceptor.policy.version == 1
+
+
+def test_answers_about_another_proposal_do_not_count():
+    """One process knows the proposal, one another, one does not answer. Only the first counts."""
+    poll = ProgressPoll(7)
+    member, refusal = PendingMember("b0", 9), Refusal("b1", "no")
+    for number, answers in ((7, (member,)), (8, (PendingMember("b2", 1),))):
+        poll.add(
+            ProgressAnswer(proposal_number=number, pending_members=answers, refusals=(refusal,))
+        )
+    poll.add(None)
+    assert (poll.answer_count, poll.agreeing_count) == (3, 1)
+    assert list(poll.pending_members) == ["b0"] and poll.refusals == {"b1": "no"}
