--- a/orchidgap/decisions/leases.py
+++ b/orchidgap/decisions/leases.py
@@ -1,32 +1,27 @@
-"""Leases: which balancers may serve, and under which version of the policy.
+"""The leases that an acceptor grants to balancers, and for whom a decision has to wait.
 
-An acceptor grants leases (`LeaseTable`). A balancer that holds grants of a majority may serve
-(`LeaseState`), so whoever serves while a majority accepts a decision is known to one acceptor of that
-majority, and that acceptor waits for its promise. Leases are those of Gray and Cheriton (1989).
+A balancer that holds grants of a majority may serve (`lease_state`), so whoever serves while a majority
+accepts a decision is known to one acceptor of that majority, and that acceptor waits for its promise.
+Leases are those of Gray and Cheriton (1989). A balancer, as an acceptor knows it:
 
-States of a balancer, and what follows:
-
-    | state                              | event                          | next                            |
-    | ---------------------------------- | ------------------------------ | ------------------------------- |
-    | any version                        | a higher version is chosen     | adopt it, then a new lease      |
-    | version n                          | n is chosen, nothing proposed  | a lease; a promise is void      |
-    | version n, no promise              | a proposal                     | validate and write it           |
-    | a proposal is being written        | the same proposal              | unchanged                       |
-    | a proposal is being written        | the write ends                 | a promise, or a refusal         |
-    | a promise, and the lease runs out  | none                           | may not serve                   |
-    | no promise, the lease runs out     | none                           | serves if registered to serve   |
-    |                                    |                                | without a quorum                |
+    | state      | event                                              | next state                     |
+    | ---------- | -------------------------------------------------- | ------------------------------ |
+    | unknown    | heartbeat, prepared for any pending decision       | holds a lease                  |
+    | unknown    | heartbeat, not prepared for one                    | known without a lease          |
+    | any known  | heartbeat, hears answers, is prepared              | holds a lease from now on      |
+    | any known  | heartbeat, hears no answers or is not prepared     | the lease that it has runs out |
+    | any known  | `deregister`                                       | unknown                        |
+    | no lease   | not heard for `FORGET_AFTER_US`, or the table full | unknown                        |
 
 Times are whole microseconds on a clock that goes on while the machine sleeps. No I/O.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Mapping
 from enum import Enum
-from typing import NamedTuple, TypeVar
+from typing import NamedTuple
 
-from orchidgap.decisions.cas_register import Ballot, find_chosen_value
 from orchidgap.decisions.policy_rollout import PolicyState
 
 MAX_CLOCK_DRIFT_RATIO = 0.01  # how much faster or slower than true time a clock may run
@@ -34,8 +29,6 @@
 FORGET_AFTER_US = 600_000_000  # after this a balancer that left is no longer listed
 UNKNOWN_HOLDERS = "whoever held a lease before control started"
 
-Value = TypeVar("Value")
-
 
 class OnLostQuorum(Enum):
     """What a balancer does without a lease. The values are the words of settings and wire."""
@@ -241,156 +234,3 @@
         next process to find; so whoever is not prepared gets no lease until another write succeeds.
         """
         self.pending_decision = None
-
-
-class ServingPermission(Enum):
-    """Whether a balancer may serve now."""
-
-    LEASE = "lease"  # it holds a lease
-    WITHOUT_QUORUM = "without quorum"  # it has none; nothing is decided without its promise
-    DENIED = "denied"  # something may have been decided that it does not know
-
-
-class NextStep(Enum):
-    """What a balancer has to do first about a chosen value."""
-
-    NONE = "none"
-    ADOPT_VERSION = "adopt version"  # and then call `LeaseState.on_chosen_state` again
-    CHECK_PROPOSAL = "check proposal"
-
-
-def evaluate_answers(
-    acceptor_count: int, answers: Iterable[tuple[Ballot, Value, bool]]
-) -> tuple[Value | None, bool]:
-    """Return the chosen value, None if that cannot be told, and whether a lease is granted.
-
-    A lease is granted if a majority that agrees on the value grants one.
-
-    Args:
-        acceptor_count: How many control processes there are.
-        answers: The accepted ballot, its value, and whether a lease is granted, of each answer.
-
-    >>> evaluate_answers(3, [((1, "a"), "x", False), ((1, "a"), "x", True)])
-    ('x', False)
-    >>> evaluate_answers(3, [((1, "a"), "x", True), ((2, "a"), "y", True)])
-    (None, False)
-    """
-    told = list(answers)
-    granting = [(ballot, value) for ballot, value, grants in told if grants]
-    granted = find_chosen_value(acceptor_count, granting)
-    if granted is not None:
-        return granted, True
-    return find_chosen_value(acceptor_count, [(ballot, value) for ballot, value, _ in told]), False
-
-
-class LeaseState:
-    """One balancer's permission to serve, and the version under which it does.
-
-    >>> lease = LeaseState(OnLostQuorum.SERVE, 1_000_000)
-    >>> lease.permission(0)
-    <ServingPermission.DENIED: 'denied'>
-    >>> lease.on_chosen_state(0, 0, registered=True, asked_at_us=100)
-    <NextStep.NONE: 'none'>
-    >>> lease.permission(200), lease.permission(1_000_000)
-    (<ServingPermission.LEASE: 'lease'>, <ServingPermission.WITHOUT_QUORUM: 'without quorum'>)
-    >>> lease.on_chosen_state(0, 1, registered=True, asked_at_us=1_100_000)
-    <NextStep.CHECK_PROPOSAL: 'check proposal'>
-    >>> lease.on_write_started(1)
-    >>> lease.permission(3_000_000)
-    <ServingPermission.WITHOUT_QUORUM: 'without quorum'>
-    >>> lease.on_promise_durable(1), lease.permission(3_000_000)
-    (True, <ServingPermission.DENIED: 'denied'>)
-    >>> lease.on_chosen_state(1, 0, registered=True, asked_at_us=4_000_000)
-    <NextStep.ADOPT_VERSION: 'adopt version'>
-    >>> lease.on_version_adopted(1)
-    >>> lease.on_chosen_state(1, 0, registered=True, asked_at_us=4_000_000)
-    <NextStep.NONE: 'none'>
-    >>> lease.permission(4_000_040)
-    <ServingPermission.LEASE: 'lease'>
-    """
-
-    def __init__(self, on_lost_quorum: OnLostQuorum, lease_us: int) -> None:
-        self.on_lost_quorum = on_lost_quorum
-        self.lease_us = lease_us
-        self.version = -1  # under which it accepts requests; none before control was heard
-        self.promised_proposal = 0
-        self.writing_proposal = 0  # on its way to the disk
-        self.refused_proposal = 0
-        self.refusal_reason = ""
-        self.expires_at_us = 0  # by its own clock
-        self.registered = False  # the register knows that it serves without a quorum
-
-    def on_chosen_state(
-        self,
-        version: int,
-        proposal_number: int,
-        registered: bool,
-        asked_at_us: int,
-        granted: bool = True,
-    ) -> NextStep:
-        """Take in a chosen value; return what has to be done about it first.
-
-        Args:
-            version: The version in force.
-            proposal_number: What is proposed, 0 for nothing.
-            registered: Whether the register knows this incarnation to serve without a quorum.
-            asked_at_us: When the heartbeat was sent whose answers these are.
-            granted: Whether a majority grants a lease.
-        """
-        if version < self.version:
-            return NextStep.NONE  # an old answer
-        if version > max(self.version, 0):
-            self.expires_at_us = 0
-            self.registered = False
-            return NextStep.ADOPT_VERSION
-        self.version = version
-        if granted:
-            # From when it was asked: the answer may have been on its way for as long as a lease.
-            min_lease_us = round(self.lease_us * (1 - MAX_CLOCK_DRIFT_RATIO))
-            self.expires_at_us = max(self.expires_at_us, asked_at_us + min_lease_us)
-        self.registered = registered and self.on_lost_quorum is OnLostQuorum.SERVE
-        if self.promised_proposal != proposal_number:
-            self.promised_proposal = 0
-        if self.writing_proposal != proposal_number:
-            self.writing_proposal = 0
-        known = (self.promised_proposal, self.refused_proposal, self.writing_proposal)
-        if proposal_number and proposal_number not in known:
-            return NextStep.CHECK_PROPOSAL
-        return NextStep.NONE
-
-    def on_write_started(self, proposal_number: int) -> None:
-        """Note that a proposal is on its way to the disk; serving goes on meanwhile."""
-        self.writing_proposal = proposal_number
-
-    def on_promise_durable(self, proposal_number: int) -> bool:
-        """Note that a proposal is on the disk; return whether that makes a promise.
-
-        It makes none if the proposal is no longer current: a promise that nobody asks for would only
-        take the permission away.
-        """
-        if proposal_number != self.writing_proposal:
-            return False
-        self.promised_proposal = proposal_number
-        self.writing_proposal = 0
-        return True
-
-    def refuse(self, proposal_number: int, reason: str) -> None:
-        """Refuse a proposal; `reason` is for operators."""
-        self.refused_proposal = proposal_number
-        self.refusal_reason = reason
-        self.writing_proposal = 0
-
-    def on_version_adopted(self, version: int) -> None:
-        """Note that requests are accepted under this version from now on."""
-        self.version = version
-        self.promised_proposal = 0
-        self.writing_proposal = 0
-
-    def permission(self, now_us: int) -> ServingPermission:
-        """Return whether it may serve now."""
-        if self.version >= 0 and now_us < self.expires_at_us:
-            return ServingPermission.LEASE
-        # A promise may have been counted on, so that something is decided by now.
-        if self.registered and not self.promised_proposal:
-            return ServingPermission.WITHOUT_QUORUM
-        return ServingPermission.DENIED
--- a/orchidgap/drill/explore.py
+++ b/orchidgap/drill/explore.py
@@ -36,15 +36,18 @@
     Ballot,
     Proposer,
 )
-from orchidgap.decisions.leases import (
-    LeaseHolder,
+from orchidgap.decisions.lease_state import (
     LeaseState,
-    LeaseTable,
     NextStep,
-    OnLostQuorum,
+    PromisePhase,
     ServingPermission,
     evaluate_answers,
 )
+from orchidgap.decisions.leases import (
+    LeaseHolder,
+    LeaseTable,
+    OnLostQuorum,
+)
 from orchidgap.decisions.policy_rollout import PolicyState
 
 Value = Any  # of the register: a list of labels in `Rounds`, a `PolicyState` in `Fleet`
@@ -352,8 +355,11 @@
     def tenure(self, held: Held) -> LeaseState:
         lease = LeaseState(OnLostQuorum(self.alone), LEASE)
         lease.version = held.runs
-        lease.promised_proposal = held.promised
-        lease.writing_proposal = held.writing
+        if held.promised:
+            lease.promise_phase = PromisePhase.PROMISED
+        elif held.writing:
+            lease.promise_phase = PromisePhase.WRITING
+        lease.proposal_number = held.promised or held.writing
         lease.expires_at_us = held.until
         lease.registered = held.stays
         return lease
