--- a/orchidgap/control/guarded_node.py
+++ b/orchidgap/control/guarded_node.py
@@ -34,18 +34,18 @@
 
     guard: ServingGuard
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether it serves."""
-        return self.guard.may_serve() and super().ready()
+        return self.guard.may_serve() and super().is_ready()
 
-    def knows(self, rule_set: str) -> bool:
+    def knows_request_class(self, rule_set: str) -> bool:
         """Return whether the request class exists; any may while it must not serve.
 
         Without permission it must not answer 404 by a policy that may no longer be in force.
         """
-        return not self.guard.may_serve() or super().knows(rule_set)
+        return not self.guard.may_serve() or super().knows_request_class(rule_set)
 
-    def take(
+    def handle_request(
         self,
         caller: Responder,
         id: bytes,
@@ -60,12 +60,14 @@
         flow: Upload | None = None,
     ) -> None:
         """Accept a request, or answer 503 with a time to come back."""
-        # The permission may have come back since `knows` was asked, with a policy that does not have
+        # The permission may have come back since `knows_request_class` was asked, with a policy that does not have
         # the request class.
         known = rule_set in self.config.settings.request_classes
         if not self.guard.may_serve() or not known:
             return caller.answer(SERVICE_UNAVAILABLE, pause=self.guard.retry_after_us())
-        super().take(caller, id, rule_set, left, write, key, tenant, head, body, slot, flow)
+        super().handle_request(
+            caller, id, rule_set, left, write, key, tenant, head, body, slot, flow
+        )
 
     def put_policy_into_force(
         self, settings: Mapping[str, Any], config: BalancerConfig, accepting: bool
@@ -80,8 +82,8 @@
         """
         self.settings = settings
         if accepting:
-            self.adopt(config)
+            self.apply_config(config)
             return
         self.config = config
-        self.hosts.bound(config.connect_timeout_us, config.idle_timeout_us)
-        self.decide(self.balancer.on_settings, config.settings)
+        self.pools.set_timeouts(config.connect_timeout_us, config.idle_timeout_us)
+        self.call_decisions(self.balancer.on_settings, config.settings)
--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -75,7 +75,7 @@
 
     def _begin_call(self) -> None:
         message = self.reader.message
-        if self.answering or not self.conn.open:
+        if self.answering or not self.conn.is_open:
             return
         if message.error_status:
             self._refuse(message.error_status, "malformed")
@@ -100,7 +100,7 @@
         self._send(status, ErrorAnswer(reason=reason).to_wire())
 
     def _send(self, status: int, answer: WireObject | None) -> None:
-        if not self.conn.open:
+        if not self.conn.is_open:
             return
         message = self.reader.message
         reusable = message.complete and message.keep_alive and not message.error_status
@@ -109,7 +109,7 @@
         head = response_head(status, len(body), close=not reusable, version=version)
         self.conn.send(head + body)
         if not reusable:
-            self.conn.finish()
+            self.conn.close_gracefully()
             return
         self.answering = False
         self.reader.advance()
--- a/orchidgap/control/validation.py
+++ b/orchidgap/control/validation.py
@@ -12,7 +12,7 @@
 from orchidgap.decisions.policy_rollout import Document
 from orchidgap.decisions.settings import ServiceSettings, SettingError
 from orchidgap.errors import OrchidgapError
-from orchidgap.net.config import BalancerConfig, ConfigError, flat, read
+from orchidgap.net.config import BalancerConfig, ConfigError, flatten, read
 
 SETTINGS_KEY = "settings"
 FORMAT_KEY = "needs"
@@ -45,7 +45,7 @@
             f"it needs form {needed_format}, and this program knows {SUPPORTED_FORMAT}"
         )
     try:
-        ServiceSettings.from_pairs(dict(flat(document[SETTINGS_KEY])))
+        ServiceSettings.from_pairs(dict(flatten(document[SETTINGS_KEY])))
     except SettingError as error:
         raise InvalidPolicyError(str(error)) from None
     except (ValueError, TypeError, AttributeError) as error:
