--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -31,7 +31,7 @@
     with pytest.raises(SettingError) as raised:
         ServiceSettings.from_pairs(SETTINGS | {setting: text})
     error = raised.value
-    assert (error.setting, error.value, error.expected) == (setting, found, expected)
+    assert (error.setting, error.found, error.expected) == (setting, found, expected)
     assert str(error) == f"setting {setting} is {found}, and {expected}"
 
 
@@ -40,5 +40,5 @@
     pairs = {path: text for path, text in SETTINGS.items() if path != setting}
     with pytest.raises(SettingError) as raised:
         ServiceSettings.from_pairs(pairs)
-    assert (raised.value.setting, raised.value.value) == (setting, None)
+    assert (raised.value.setting, raised.value.found) == (setting, None)
     assert str(raised.value) == f"setting {setting} is missing"
