--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -21,7 +21,7 @@
     ServingPermission,
 )
 from orchidgap.decisions.leases import LeaseTable
-from orchidgap.http1.server import Client
+from orchidgap.http1.server import Http1ClientConnection
 
 
 def skips() -> None:
@@ -74,14 +74,14 @@
 
 def twice() -> None:
     """It answers a req two times."""
-    answer = Client.answer
+    answer = Http1ClientConnection.answer
 
-    def again(self: Client, status: int, *more: Any, **named: Any) -> None:
+    def again(self: Http1ClientConnection, status: int, *more: Any, **named: Any) -> None:
         answer(self, status, *more, **named)
         if status == 200 and more:
             self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-    Client.answer = again
+    Http1ClientConnection.answer = again
 
 
 def hasty() -> None:
--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -1,4 +1,6 @@
-"""HTTP/1.1, both sides: `codec` (messages), `front` (clients), `upstream` (hosts), `registry` (the list)."""
+"""HTTP/1.1, both sides: `codec` (messages), `front` (clients), `upstream` (hosts), `registry` (the
+list).
+"""
 
 from __future__ import annotations
 
@@ -7,9 +9,9 @@
 from typing import Any
 
 from orchidgap.http1 import request_migration
-from orchidgap.http1.client import Hosts
+from orchidgap.http1.client import HostConnectionPools
 from orchidgap.http1.discovery import DiscoveryClient
-from orchidgap.http1.server import Client
+from orchidgap.http1.server import Http1ClientConnection
 from orchidgap.net.client_listener import ClientListener
 from orchidgap.net.handover import MigratingRequest
 from orchidgap.net.node import Dial, Node
@@ -19,20 +21,20 @@
     """What a node is made of where HTTP/1.1 is spoken on both sides."""
 
     def make_listener(self, node: Node, most: int) -> ClientListener:
-        return ClientListener(node.loop, node, most, Client)
+        return ClientListener(node.loop, node, most, Http1ClientConnection)
 
-    def make_pools(self, node: Node, most: int, dial: Dial) -> Hosts:
-        return Hosts(
+    def make_pools(self, node: Node, most: int, dial: Dial) -> HostConnectionPools:
+        return HostConnectionPools(
             node.loop, most, node.config.connect_timeout_us, node.config.idle_timeout_us, dial
         )
 
     def migrating_requests(self, node: Node) -> Iterator[MigratingRequest]:
-        return request_migration.under_way(node)
+        return request_migration.migrating_requests(node)
 
     def accept_migrated(
         self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
     ) -> None:
-        request_migration.arrives(node, words, raw, socks)
+        request_migration.accept_migrated(node, words, raw, socks)
 
     def make_discovery(self, node: Node, dial: Dial) -> DiscoveryClient:
         return DiscoveryClient(
--- a/orchidgap/http1/chunked_encoding.py
+++ b/orchidgap/http1/chunked_encoding.py
@@ -1,7 +1,7 @@
 """Position in a body with chunked transfer coding (RFC 9112, section 7.1).
 
-The parser does not tell where in the framing it stands. `ChunkTracker` follows beside it, so that another process can
-go on with a body from the middle.
+The parser does not tell where in the framing it stands. `ChunkTracker` follows beside it, so that
+another process can go on with a body from the middle.
 
 | state | next |
 | --- | --- |
@@ -103,7 +103,8 @@
     def resume_text(self) -> bytes | None:
         """Returns what brings a fresh parser to this position; None where that is unknown.
 
-        Between a chunk's data and the end of its line the text has `PLACEHOLDER` for one byte of data.
+        Between a chunk's data and the end of its line the text has `PLACEHOLDER` for one byte of
+        data.
         """
         if self.state is ChunkState.SIZE_LINE:
             return self.partial_line
--- a/orchidgap/http1/discovery.py
+++ b/orchidgap/http1/discovery.py
@@ -14,17 +14,22 @@
 from orchidgap.net.endpoints import Endpoint, EndpointEntry, decode_list
 from orchidgap.net.loop import Loop, Timer
 
-# What discovery tells is to be here within 6 s, whatever calls fail on the way. A watch that fell silent is
-# noticed in 4 s at most; then a lost call costs 1 s, each behind it 2 s, and a failed one 1 s at most.
-# While discovery is down it is silent, and who has a call open when it is back hears at once: so silence is
-# followed by the next call as good as at once, and what fails or is refused by a wait.
-WATCH_MS = 3_000  # how long a watch may wait: silence beyond it is noticed
-GRACE = 1_000_000  # after which an answer that is due, or the rest of one, is held to be lost
-FIRST, LONGEST = 100_000, 1_000_000  # back-off
-GAP = 100_000  # between a call that was met with silence and the next, at most
-SHORTEST = 20_000  # a watch that tells nothing in less is not asked again at once
-LATEST = WATCH_MS * 1000 + 2 * GRACE  # for an answer to come whole, however small its pieces
-MOST = 1 << 22  # bytes of a list
+# What discovery tells is to be here within 6 s, whatever calls fail on the way. A watch that fell
+# silent is noticed in 4 s at most; then a lost call costs 1 s, each behind it 2 s, and a failed one
+# 1 s at most. While discovery is down it is silent, and who has a call open when it is back hears
+# at once: so silence is followed by the next call as good as at once, and what fails or is refused
+# by a wait.
+WATCH_TIMEOUT_MS = 3_000  # how long a watch may wait: silence beyond it is noticed
+RESPONSE_GRACE_US = (
+    1_000_000  # after which an answer that is due, or the rest of one, is held to be lost
+)
+MIN_BACKOFF_US, MAX_BACKOFF_US = 100_000, 1_000_000  # back-off
+MAX_RETRY_GAP_US = 100_000  # between a call that was met with silence and the next, at most
+MIN_WATCH_US = 20_000  # a watch that tells nothing in less is not asked again at once
+MAX_RESPONSE_US = (
+    WATCH_TIMEOUT_MS * 1000 + 2 * RESPONSE_GRACE_US
+)  # for an answer to come whole, however small its pieces
+MAX_LIST_BYTES = 1 << 22  # bytes of a list
 SILENCE = "silence"
 
 
@@ -38,7 +43,7 @@
         log: Callable[..., None],
         dial: Callable[[Address], socket.socket | AttemptFailure] = dial,
     ) -> None:
-        self.loop, self.address, self.rng, self.heard, self.log = loop, address, rng, heard, log
+        self.loop, self.address, self.rng, self.on_list, self.log = loop, address, rng, heard, log
         self.dialer = dial
         self.list_version: int | None = None  # of the list held, None until it was fetched whole
         self.failures = 0
@@ -62,16 +67,17 @@
             came = self.dialer(self.address)
             if isinstance(came, AttemptFailure):
                 return self.ended(came.detail)
-            self.reader = ResponseReader(MOST)
+            self.reader = ResponseReader(MAX_LIST_BYTES)
             self.conn = Connection(self.loop, came, self, opening=True)
         self.reader.reset()
         self.call_pending, self.polled_at_us = True, self.loop.now
         path, self.wait_ms = "/discovery/hosts", 0
         if self.list_version is not None:
-            # after a failure what was missed is asked for at once: a watch would take its whole wait to fail
-            self.wait_ms = 0 if self.failures else WATCH_MS
+            # after a failure what was missed is asked for at once: a watch would take its whole
+            # wait to fail
+            self.wait_ms = 0 if self.failures else WATCH_TIMEOUT_MS
             path = f"{path}?after={self.list_version}&wait_ms={self.wait_ms}"
-        grace = GRACE if self.failures < 2 else 2 * GRACE
+        grace = RESPONSE_GRACE_US if self.failures < 2 else 2 * RESPONSE_GRACE_US
         self.set_timer(self.wait_ms * 1000 + grace, self.ended, SILENCE)
         self.conn.send(f"GET {path} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
@@ -92,8 +98,8 @@
         elif self.reader.message.complete:
             self.call_pending = False
             self.on_response()
-        elif self.loop.now < self.polled_at_us + LATEST:  # it comes in pieces
-            self.set_timer(GRACE, self.ended, SILENCE)
+        elif self.loop.now < self.polled_at_us + MAX_RESPONSE_US:  # it comes in pieces
+            self.set_timer(RESPONSE_GRACE_US, self.ended, SILENCE)
 
     def on_response(self) -> None:
         reader = self.reader
@@ -117,8 +123,8 @@
         if not reader.message.keep_alive:
             self.close_connection()
         if whole or entries:
-            self.heard(whole, entries, found)
-        idle = self.wait_ms and not entries and self.loop.now - self.polled_at_us < SHORTEST
+            self.on_list(whole, entries, found)
+        idle = self.wait_ms and not entries and self.loop.now - self.polled_at_us < MIN_WATCH_US
         self.set_timer(100_000 if idle else 0, self.fetch)
 
     def ended(self, what: str) -> None:
@@ -128,8 +134,10 @@
         if self.failures in (1, 10, 100):
             self.log("list lost", why=what, failures=self.failures)
         if what == SILENCE:
-            return self.set_timer(self.rng.randrange(GAP // 10, GAP), self.fetch)
-        longest = min(LONGEST, FIRST << min(self.failures - 1, 6))
+            return self.set_timer(
+                self.rng.randrange(MAX_RETRY_GAP_US // 10, MAX_RETRY_GAP_US), self.fetch
+            )
+        longest = min(MAX_BACKOFF_US, MIN_BACKOFF_US << min(self.failures - 1, 6))
         self.set_timer(self.rng.randrange(longest // 2, longest), self.fetch)
 
     def close_connection(self) -> None:
--- /dev/null
+++ b/orchidgap/http1/host_connection.py
@@ -0,0 +1,380 @@
+"""One HTTP/1.1 connection to a host: connecting, idle, or carrying one attempt."""
+
+from __future__ import annotations
+
+import socket
+from typing import Protocol
+
+from orchidgap.http1.messages import Message
+from orchidgap.http1.readers import ResponseReader
+from orchidgap.http1.writers import LAST_CHUNK, encode_chunk
+from orchidgap.net.connection import (
+    AttemptFailure,
+    Connection,
+    SendProgress,
+    connect_failure_cause,
+)
+from orchidgap.net.loop import Loop, Timer
+from orchidgap.net.upstream_attempt import ResponseSink, UpstreamAttempt
+
+# For so long after a response a host may still send bytes that belong to no request.
+EXCESS_DATA_WINDOW_US = 5_000
+MIN_LATENCY_SAMPLES = 20  # responses after which a host's shortest latency is known
+# A connection that breaks after it was idle for less says nothing of those that were idle longer.
+SHORT_IDLE_US = 200_000
+MICROSECONDS_PER_SECOND = 1e6
+
+
+class OwningPool(Protocol):
+    """What a connection needs of the pool that it belongs to.
+
+    Attributes:
+        shortest_latency_us: the shortest time in which the host answered.
+        response_count: how many responses that was learned from.
+    """
+
+    shortest_latency_us: int
+    response_count: int
+
+    @property
+    def loop(self) -> Loop:
+        """The loop that events come from."""
+
+    @property
+    def connect_timeout_us(self) -> int:
+        """How long a connection may take to come up, in microseconds."""
+
+    def keep_idle(self, connection: HostConnection) -> None:
+        """The connection may carry another attempt."""
+
+    def keep_unused(self, connection: HostConnection) -> None:
+        """The connection may carry another attempt: nothing of the last one was written."""
+
+    def close_all_idle(self) -> None:
+        """Closes all idle connections to this host."""
+
+    def add_streaming(self, connection: HostConnection) -> None:
+        """The connection has begun to stream a response."""
+
+    def remove_streaming(self, connection: HostConnection) -> None:
+        """The connection streams no more."""
+
+    def forget(self, connection: HostConnection) -> None:
+        """The connection is closed."""
+
+
+class HostConnection:
+    """A connection and the attempt on it.
+
+    Attributes:
+        pool: the pool of its host.
+        attempt: what it carries, None while it is idle.
+        reader: the responses that arrive on it.
+        conn: the socket with its buffers.
+        idle_since_us: when it was last done with an attempt, by the loop's clock; 0 before that.
+        idle_before_us: how long it had been idle when its attempt began.
+        bytes_written_at_start: bytes written before its attempt began.
+        written_at_us: when its attempt was written.
+        received_at_us: when the host last sent something, or the attempt began.
+        chunked: the body under way is chunked.
+        response_sink: who takes the response, once it is streamed.
+        timer: ends the connecting, or the wait for the rest of a response without a length.
+    """
+
+    __slots__ = (
+        "attempt",
+        "bytes_written_at_start",
+        "chunked",
+        "conn",
+        "idle_before_us",
+        "idle_since_us",
+        "loop",
+        "pool",
+        "reader",
+        "received_at_us",
+        "response_sink",
+        "timer",
+        "written_at_us",
+    )
+
+    def __init__(
+        self, pool: OwningPool, sock: socket.socket, attempt: UpstreamAttempt | None
+    ) -> None:
+        """Takes a socket that is connecting for an attempt, or one that is connected for none."""
+        self.pool = pool
+        self.loop = pool.loop
+        self.reader = ResponseReader()
+        self.idle_since_us = 0
+        self.idle_before_us = 0
+        self.bytes_written_at_start = 0
+        self.written_at_us = 0
+        self.received_at_us = 0
+        self.chunked = False
+        self.response_sink: ResponseSink | None = None
+        self.attempt = attempt
+        self.conn = Connection(self.loop, sock, self, opening=attempt is not None)
+        self.timer: Timer | None = None
+        if attempt:
+            attempt.carrier = self
+            timeout_us = pool.connect_timeout_us
+            self.timer = self.loop.call_later(timeout_us, self.ended, "never came up")
+
+    # --- requests
+
+    def opened(self) -> None:
+        """The connection has come up."""
+        self.cancel_timer()
+        if self.attempt:
+            self.start_attempt(self.attempt)
+
+    def start_attempt(self, attempt: UpstreamAttempt) -> None:
+        """Writes an attempt, unless it is no longer wanted.
+
+        The connection may have come up long after the decision to send.
+        """
+        if not attempt.owner.may_send(attempt.number):
+            self.release_unsent(attempt)
+            return
+        self.attempt = attempt
+        attempt.carrier = self
+        now = self.loop.now
+        self.bytes_written_at_start = self.conn.bytes_written
+        self.received_at_us = now
+        self.written_at_us = now
+        self.idle_before_us = now - self.idle_since_us if self.idle_since_us else 0
+        bodiless = attempt.head.startswith(b"HEAD ")
+        if bodiless or self.reader.bodiless:
+            self.reader.new_parser(bodiless)
+        else:
+            self.reader.reset()
+        timeout_s = max(1, attempt.deadline_us - now) / MICROSECONDS_PER_SECOND
+        end_of_head = b"Request-Timeout: %.3f\r\n\r\n" % timeout_s
+        self.conn.send(attempt.head, end_of_head, attempt.body)
+        if attempt.upload and self.conn.is_open:
+            self.chunked = attempt.upload.length is None
+            self.conn.on_drained = attempt.upload.update_backpressure
+            attempt.upload.send_to(self)
+
+    def release_unsent(self, attempt: UpstreamAttempt) -> None:
+        """The attempt is not wanted any more, and nothing of it was written."""
+        self.attempt = None
+        attempt.carrier = None
+        self.idle_since_us = self.idle_since_us or self.loop.now
+        self.pool.keep_unused(self)
+        failure = AttemptFailure(SendProgress.UNSENT, "cancelled")
+        self.loop.call_soon(attempt.settle, failure.outcome)
+
+    def put(self, parts: list[bytes], last: bool) -> None:
+        """Writes parts of a streamed request body."""
+        if self.chunked:
+            parts = encode_chunk(parts) + ([LAST_CHUNK] if last else [])
+        if parts and self.conn.is_open:
+            self.conn.send(*parts)
+
+    def send_progress(self) -> SendProgress:
+        """How much of the attempt has been written."""
+        if self.conn.connecting or self.conn.bytes_written == self.bytes_written_at_start:
+            return SendProgress.UNSENT
+        upload = self.attempt.upload if self.attempt else None
+        body_to_come = upload is not None and not upload.complete
+        if self.conn.write_buffer or body_to_come:
+            return SendProgress.PARTIAL
+        return SendProgress.COMPLETE
+
+    def drop(self, attempt: UpstreamAttempt) -> SendProgress:
+        """Gives the attempt up and returns how much of it was written.
+
+        The connection is closed: the protocol has no other way to tell the host.
+        """
+        progress = self.send_progress()
+        self.close()
+        return progress
+
+    # --- responses
+
+    def received(self, view: memoryview) -> None:
+        """Takes bytes from the host."""
+        if self.attempt is None:
+            # What this host would answer next could not be trusted.
+            self.ended("spoke unasked")
+            return
+        self.received_at_us = self.loop.now
+        if not self.reader.started and self.precedes_request():
+            self.ended("said before it can have been asked")
+            return
+        self.reader.feed(view)
+        message = self.reader.message
+        if message.error_status:
+            self.ended("no proper answer")
+        elif self.response_sink:
+            self.response_sink.give(message.take_body())
+            if message.complete:
+                self.finish_attempt("done")
+        elif message.complete:
+            self.finish_attempt(outcome_of_response(message))
+        elif message.head_complete:
+            self.on_partial_response(self.attempt, message)
+
+    def on_partial_response(self, attempt: UpstreamAttempt, message: Message) -> None:
+        """Decides whether the rest of a response is waited for or streamed."""
+        if message.status != 200:
+            if message.exceeds_buffer:  # its status counts, the rest of its body does not
+                self.finish_attempt(outcome_of_response(message))
+        elif message.exceeds_buffer:
+            self.start_streaming(attempt)
+        elif message.content_length is None and not self.timer:
+            hold_us = attempt.response_hold_us
+            self.timer = self.loop.call_later(hold_us, self.start_streaming, attempt)
+
+    def precedes_request(self) -> bool:
+        """Whether the bytes that arrive cannot be the answer to the attempt.
+
+        They come right after the last response, and sooner than this host ever answered: the host
+        said more than its last response, and that crossed the request. Taken for the answer, it
+        would reach the wrong client.
+        """
+        latency_us = self.received_at_us - self.written_at_us
+        pool = self.pool
+        latency_is_known = pool.response_count >= MIN_LATENCY_SAMPLES
+        follows_response = (
+            self.idle_since_us > 0 and self.idle_before_us + latency_us < EXCESS_DATA_WINDOW_US
+        )
+        if follows_response and latency_is_known and latency_us < pool.shortest_latency_us * 4 // 5:
+            return True
+        if pool.response_count:
+            pool.shortest_latency_us = min(pool.shortest_latency_us, latency_us)
+        else:
+            pool.shortest_latency_us = latency_us
+        pool.response_count += 1
+        return False
+
+    def start_streaming(self, attempt: UpstreamAttempt) -> None:
+        """Streams the response from here on: it is too large to buffer, or too slow to tell."""
+        if self.attempt is not attempt or self.response_sink or self.reader.message.complete:
+            return
+        self.cancel_timer()
+        sink = attempt.owner.start_streaming(attempt.number)
+        if sink is None:
+            self.ended("not wanted")
+            return
+        self.response_sink = sink
+        self.pool.add_streaming(self)
+        sink.begin(self.reader.message.content_length, self.conn)
+        if self.response_sink:
+            sink.give(self.reader.message.take_body())
+
+    def finish_attempt(self, outcome: str) -> None:
+        """The response has arrived, or all of it that counts."""
+        attempt = self.attempt
+        assert attempt
+        message = self.reader.message
+        body = b"".join(message.body_parts) if message.complete else b""
+        attempt.load_report = message.fields.get(b"server-load", b"")
+        if self.reader.bodiless:
+            attempt.length = message.content_length
+        reusable = self.is_reusable(attempt)
+        self.release_attempt()
+        if reusable:
+            self.pool.keep_idle(self)
+        else:
+            self.close()
+        attempt.settle(outcome, body)
+
+    def is_reusable(self, attempt: UpstreamAttempt) -> bool:
+        """Whether another attempt may follow this one: both sides are done with their messages."""
+        message = self.reader.message
+        response_is_over = message.complete and message.keep_alive
+        upload_is_over = attempt.upload is None or attempt.upload.complete
+        nothing_is_left = not (self.reader.has_excess_data or self.conn.write_buffer)
+        return response_is_over and upload_is_over and nothing_is_left
+
+    def release_attempt(self) -> None:
+        """The connection carries nothing any more."""
+        attempt = self.attempt
+        self.attempt = None
+        if self.response_sink:
+            self.response_sink = None
+            self.pool.remove_streaming(self)
+            self.conn.pause_reading(False)
+        self.cancel_timer()
+        if attempt and attempt.upload:
+            self.conn.on_drained = None
+            attempt.upload.detach(self)
+
+    def cancel_timer(self) -> None:
+        """Stops the timer, if one runs."""
+        if self.timer:
+            self.timer.cancel()
+            self.timer = None
+
+    # --- the end
+
+    def ended(self, what: str) -> None:
+        """The connection has ended; `what` says how, as far as it is known."""
+        attempt = self.attempt
+        response_started = self.reader.started
+        closed_in_order = what == "closed"
+        if attempt and closed_in_order and response_started and self.reader.on_connection_closed():
+            self.finish_with_connection()
+            return
+        # A connection that the host closed while it was idle says nothing of the host.
+        stale = attempt is not None and self.idle_since_us > 0 and not response_started
+        cause = "broken"
+        if stale:
+            cause = "stale"
+        elif self.conn.connecting:
+            cause = connect_failure_cause(what)
+        failure = AttemptFailure(self.send_progress(), cause, what)
+        self.close()
+        if stale and self.idle_before_us > SHORT_IDLE_US:
+            # Older ones have gone the same way: the next attempt needs a connection that holds.
+            self.pool.close_all_idle()
+        if attempt:
+            # not at once: this may be within the decision's own call to send
+            self.loop.call_soon(attempt.settle, failure.outcome)
+
+    def finish_with_connection(self) -> None:
+        """A response without a length is complete now that its connection has ended."""
+        message = self.reader.message
+        if self.response_sink:
+            self.response_sink.give(message.take_body())
+            self.finish_attempt("done")
+        else:
+            self.finish_attempt(outcome_of_status(message.status, False))
+
+    def detach(self) -> None:
+        """The connection goes on in another process: nothing comes of its attempt here."""
+        if self.attempt:
+            self.attempt.settled = True
+            self.attempt.carrier = None
+            self.attempt.upload = None
+        self.close()
+
+    def close(self) -> None:
+        """Closes the connection; nothing is told."""
+        self.release_attempt()
+        self.conn.close()
+        self.pool.forget(self)
+
+
+def outcome_of_response(message: Message) -> str:
+    """The outcome of an attempt by its response."""
+    not_started = message.fields.get(b"not-started") == b"1"
+    return outcome_of_status(message.status, not_started)
+
+
+def outcome_of_status(status: int, not_started: bool) -> str:
+    """The outcome of an attempt by the status of its response.
+
+    `not_started`: the host promises that the request was never executed (`Not-Started: 1`).
+
+    >>> [outcome_of_status(status, True) for status in (200, 404, 503, 504, 500)]
+    ['done', 'miss', 'full', 'full', 'error']
+    >>> [outcome_of_status(status, False) for status in (503, 400, 429)]
+    ['error', 'unfit', 'error']
+    """
+    if status in (503, 504) and not_started:
+        return "full"
+    if status == 400:  # the request itself is at fault: any other host would say the same
+        return "unfit"
+    return {200: "done", 404: "miss"}.get(status, "error")
--- a/orchidgap/http1/messages.py
+++ b/orchidgap/http1/messages.py
@@ -12,8 +12,8 @@
 class Message:
     """A request or response as far as it has arrived.
 
-    The defaults are class attributes: most messages never set them, and setting them for each message would cost
-    time on the hot path.
+    The defaults are class attributes: most messages never set them, and setting them for each
+    message would cost time on the hot path.
 
     Attributes:
         head_complete: all header fields have arrived.
@@ -25,7 +25,8 @@
         target: request target as it was sent.
         version: HTTP version, such as `1.1`.
         content_length: bytes of the body as the head tells, None where it does not.
-        received_at_us: when the last byte arrived, in microseconds of the loop's clock; 0 until it is known.
+        received_at_us: when the last byte arrived, in microseconds of the loop's clock; 0 until it
+            is known.
         body_size: bytes of the body that have arrived.
         wire_size: bytes of the whole message that have arrived, framing included.
         head_bytes: the head so far, where it arrives in pieces; None where it is not known.
--- a/orchidgap/http1/parser_resume.py
+++ b/orchidgap/http1/parser_resume.py
@@ -24,7 +24,8 @@
 
 
 def resume_body(message: Message, start_line: bytes) -> ResumePoint | None:
-    """Returns from where a fresh reader goes on with the body of a message, None where it is unknown.
+    """Returns from where a fresh reader goes on with the body of a message, None where it is
+    unknown.
 
     `start_line` is the first line of the head that the fresh reader gets, without its line break.
     """
@@ -47,7 +48,9 @@
 
 
 def resume_request(message: Message) -> bytes | None:
-    """Returns all of a request that has arrived in part, for a fresh reader; None where it is unknown."""
+    """Returns all of a request that has arrived in part, for a fresh reader; None where it is
+    unknown.
+    """
     if message.error_status or message.complete:
         return None
     if not message.head_complete:
--- a/orchidgap/http1/readers.py
+++ b/orchidgap/http1/readers.py
@@ -1,7 +1,8 @@
 """Readers of HTTP/1.1: bytes in, `Message` out. Parsing is httptools'; nothing here does I/O.
 
-A reader is fed views of a buffer that is reused after the call; the parser copies what is kept. What is malformed or too
-large sets `Message.error_status` and nothing else: the caller answers with it or closes the connection.
+A reader is fed views of a buffer that is reused after the call; the parser copies what is kept.
+What is malformed or too large sets `Message.error_status` and nothing else: the caller answers with
+it or closes the connection.
 """
 
 from __future__ import annotations
@@ -22,7 +23,8 @@
 CONTENT_TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
 MAX_FRAMING_RATIO = 8  # bytes of framing for each byte of a body
-# Two readers of one message could each believe another value of a repeated field (request smuggling).
+# Two readers of one message could each believe another value of a repeated field (request
+# smuggling).
 SINGLE_VALUE_FIELDS = frozenset(
     (
         b"request-id",
@@ -185,7 +187,8 @@
 
 
 class RequestReader(MessageReader):
-    r"""Reads requests in the order they arrive, pipelined ones too. The caller bounds how many may wait.
+    r"""Reads requests in the order they arrive, pipelined ones too. The caller bounds how many may
+    wait.
 
     >>> reader = RequestReader()
     >>> reader.feed(memoryview(b"PUT /a/b?c HTTP/1.1\r\nTenant: x\r\nContent-Length: 2\r\n\r\nh"))
@@ -269,7 +272,9 @@
         self.new_parser(False)
 
     def new_parser(self, bodiless: bool) -> None:
-        """Starts anew for a response; a bodiless one (to HEAD) has no body, whatever its head says."""
+        """Starts anew for a response; a bodiless one (to HEAD) has no body, whatever its head
+        says.
+        """
         self.bodiless = bodiless
         self.parser = httptools.HttpResponseParser(self)
         self.reset()
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -1,29 +1,31 @@
-"""Reqs under way that go over to another process of this balancer: what is sent with their connections, and
-how they go on there."""
+"""Reqs under way that go over to another process of this balancer: what is sent with their
+connections, and how they go on there.
+"""
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, cast
 
-from orchidgap.http1.client import Hosts, Link, Pool
+from orchidgap.http1.client import HostConnectionPool, HostConnectionPools
+from orchidgap.http1.host_connection import HostConnection
 from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES, Message
 from orchidgap.http1.parser_resume import resume_body, resume_request
-from orchidgap.http1.server import Client
+from orchidgap.http1.server import Http1ClientConnection
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.handover import MigratingRequest
 from orchidgap.net.loop import READ
 from orchidgap.net.node import Exchange, Node
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
-MOST = 120_000  # bytes that still wait to be written, with which one goes
+MAX_UNWRITTEN_BYTES = 120_000  # bytes that still wait to be written, with which one goes
 
 
-def under_way(node: Node) -> Iterator[MigratingRequest]:
+def migrating_requests(node: Node) -> Iterator[MigratingRequest]:
     """Those that can go now, each as it stands."""
     for client in list(node.clients.open_clients):
-        assert isinstance(client, Client)
+        assert isinstance(client, Http1ClientConnection)
         if (
             not client.conn.is_open
             or client.conn.closing
@@ -31,29 +33,29 @@
             or client.reader.has_excess_data
         ):
             continue
-        if client.giving:
-            moving = giving(node, client)
-        elif client.flow:
-            moving = flowing(node, client)
+        if client.streaming:
+            moving = export_streaming_response(node, client)
+        elif client.upload:
+            moving = export_streaming_upload(node, client)
         elif (
             client.request_begun
             and not client.pending_request
             and client in node.clients.awaiting_request
         ):
-            moving = begun(client)
+            moving = export_partial_request(client)
         else:
             continue
-        if moving and len(moving.raw) <= MOST:
+        if moving and len(moving.raw) <= MAX_UNWRITTEN_BYTES:
             yield moving
 
 
-def begun(client: Client) -> MigratingRequest | None:
+def export_partial_request(client: Http1ClientConnection) -> MigratingRequest | None:
     """A req that has come in part, and that nobody has been asked for."""
     text = resume_request(client.reader.message)
     return MigratingRequest(["begun"], text, [client.conn.sock], client.close) if text else None
 
 
-def giving(node: Node, client: Client) -> MigratingRequest | None:
+def export_streaming_response(node: Node, client: Http1ClientConnection) -> MigratingRequest | None:
     """An answer that flows to its client."""
     exchange = client.pending_request
     link = (
@@ -63,7 +65,7 @@
     )
     if (
         not isinstance(exchange, Exchange)
-        or not isinstance(link, Link)
+        or not isinstance(link, HostConnection)
         or link.reader.has_excess_data
     ):
         return None
@@ -82,16 +84,16 @@
         "name": exchange.request_id.decode("latin-1"),
         "version": message.version,
         "lasts": message.keep_alive,
-        "last": client.last,
+        "last": client.closes_after_stream,
         "chunked": client.chunked,
         "head": rest[0].decode("latin-1"),
-        **place_of(exchange, link),
+        **host_location(exchange, link),
     }
 
     def let_go() -> None:
         exchange.detach()
-        link.let_go()
-        client.let_go()
+        link.detach()
+        client.detach()
 
     return MigratingRequest(
         ["answer", told],
@@ -101,9 +103,9 @@
     )
 
 
-def flowing(node: Node, client: Client) -> MigratingRequest | None:
+def export_streaming_upload(node: Node, client: Http1ClientConnection) -> MigratingRequest | None:
     """A req whose body flows to a host, and is kept no more."""
-    exchange, flow = client.pending_request, client.flow
+    exchange, flow = client.pending_request, client.upload
     if (
         not isinstance(exchange, Exchange)
         or flow is None
@@ -114,7 +116,7 @@
         return None
     link = flow.sink
     if (
-        not isinstance(link, Link)
+        not isinstance(link, HostConnection)
         or not link.conn.is_open
         or link.conn.connecting
         or link.reader.started
@@ -136,13 +138,13 @@
         "chunked": link.chunked,
         "head": rest[0].decode("latin-1"),
         "last_word": node.fallback_status(exchange.number),
-        **place_of(exchange, link),
+        **host_location(exchange, link),
     }
 
     def let_go() -> None:
         exchange.detach()
-        link.let_go()
-        client.let_go()
+        link.detach()
+        client.detach()
         node.call_decisions(node.balancer.on_client_gone, exchange.number)
 
     return MigratingRequest(
@@ -150,25 +152,26 @@
     )
 
 
-def place_of(exchange: Exchange, link: Link) -> dict[str, Any]:
+def host_location(exchange: Exchange, link: HostConnection) -> dict[str, Any]:
     host = next((attempt.host for attempt in exchange.attempts if attempt.carrier is link), "")
-    return {"host": host, "at": link.pool.address}
+    return {"host": host, "at": cast(HostConnectionPool, link.pool).address}
 
 
-def arrives(node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
-    """One of them, with its connections. Raises ValueError and the like where it makes no sense, and closes
-    both then."""
-    ends: list[Client | Link] = []
+def accept_migrated(node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
+    """One of them, with its connections. Raises ValueError and the like where it makes no sense,
+    and closes both then.
+    """
+    ends: list[Http1ClientConnection | HostConnection] = []
     try:
-        client = enter(node, socks[0])
+        client = add_client(node, socks[0])
         ends.append(client)
         if words[0] == "begun":
             node.clients.await_request(client)
             client.received(memoryview(bytearray(raw)))
         else:
-            link = link_to(node, words[1]["host"], words[1]["at"], socks[1])
+            link = add_host_connection(node, words[1]["host"], words[1]["at"], socks[1])
             ends.append(link)
-            go_on(node, words, raw, client, link)
+            resume_exchange(node, words, raw, client, link)
             if link.conn.is_open:
                 link.conn.on_ready(READ)
         client.conn.on_ready(READ)
@@ -180,7 +183,9 @@
         raise
 
 
-def go_on(node: Node, words: list[Any], raw: bytes, client: Client, link: Link) -> None:
+def resume_exchange(
+    node: Node, words: list[Any], raw: bytes, client: Http1ClientConnection, link: HostConnection
+) -> None:
     """Both as they stood there."""
     told = words[1]
     name, head = (
@@ -191,7 +196,7 @@
         exchange = Exchange(
             node, node.next_request_number(), name, client, b"", b"", 0, None, timed=False
         )
-        attempt = link.attempt = attempt_of(exchange, told["host"], link, None)
+        attempt = link.attempt = make_attempt(exchange, told["host"], link, None)
         link.reader.feed(head)
         link.reader.message.take_body()
         message = client.reader.message = client.reader.incoming = Message()
@@ -202,9 +207,9 @@
             bool(told["lasts"]),
         )
         exchange.attach(attempt, giving=True)
-        client.go_on_giving(exchange, link.conn, bool(told["chunked"]), bool(told["last"]), raw)
-        link.taker = client
-        link.pool.pools.flows[link] = None
+        client.attach_response(exchange, link.conn, bool(told["chunked"]), bool(told["last"]), raw)
+        link.response_sink = client
+        link.pool.add_streaming(link)
     else:
         client.reader.feed(head)
         message = client.reader.message
@@ -220,9 +225,9 @@
             node, node.next_request_number(), name, client, b"", b"", int(told["left"]), flow
         )
         exchange.fallback_status = int(told["last_word"])
-        attempt = link.attempt = attempt_of(exchange, told["host"], link, flow)
+        attempt = link.attempt = make_attempt(exchange, told["host"], link, flow)
         exchange.attach(attempt, giving=False)
-        client.go_on_flowing(exchange, flow)
+        client.attach_upload(exchange, flow)
         link.chunked, link.conn.on_drained = bool(told["chunked"]), flow.update_backpressure
         if raw:
             link.conn.send(raw)
@@ -230,29 +235,33 @@
         flow.update_backpressure()
 
 
-def enter(node: Node, sock: socket.socket) -> Client:
+def add_client(node: Node, sock: socket.socket) -> Http1ClientConnection:
     client = node.clients.make_client(node.clients, sock)
-    assert isinstance(client, Client)
+    assert isinstance(client, Http1ClientConnection)
     node.clients.open_clients[client] = None
     return client
 
 
-def link_to(node: Node, host: Any, at: Any, sock: socket.socket) -> Link:
-    """In the pool of its host; in one that nothing else is sent on, where the list knows no such host."""
+def add_host_connection(node: Node, host: Any, at: Any, sock: socket.socket) -> HostConnection:
+    """In the pool of its host; in one that nothing else is sent on, where the list knows no such
+    host.
+    """
     hosts, address = node.pools, (str(at[0]), int(at[1]))
-    assert isinstance(hosts, Hosts)
+    assert isinstance(hosts, HostConnectionPools)
     pool = hosts.by_host.get(str(host))
     if pool is None or pool.address != address:
-        pool = Pool(hosts, address)
+        pool = HostConnectionPool(hosts, address)
         pool.retired = True
-    link = Link(pool, sock, None)
-    link.start = -1  # it has been written on
-    link.heard_at = node.loop.now
+    link = HostConnection(pool, sock, None)
+    link.bytes_written_at_start = -1  # it has been written on
+    link.received_at_us = node.loop.now
     pool.add(link)
     return link
 
 
-def attempt_of(exchange: Exchange, host: Any, link: Link, flow: Upload | None) -> UpstreamAttempt:
+def make_attempt(
+    exchange: Exchange, host: Any, link: HostConnection, flow: Upload | None
+) -> UpstreamAttempt:
     attempt = UpstreamAttempt(b"", b"", exchange.deadline_us, exchange, 0, str(host))
     attempt.upload, attempt.carrier = flow, link
     return attempt
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -1,12 +1,18 @@
-"""Connections from clients over HTTP/1.1: read into reqs, answered once each, in their order."""
+"""Connections from clients over HTTP/1.1: bytes become requests, each answered once, in order.
+
+One request of a connection is handled at a time. Pipelined ones wait in the reader; a connection
+with too many of them is read no further.
+"""
 
 from __future__ import annotations
 
 import socket
+from typing import NamedTuple
 
 import httptools
 
-from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES
+from orchidgap.errors import OrchidgapError
+from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES, Message
 from orchidgap.http1.readers import RequestReader
 from orchidgap.http1.writers import (
     CONTINUE,
@@ -21,43 +27,116 @@
 from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
 from orchidgap.net.connection import Connection
 
-STEP = 1 << 14  # bytes of a body that count as going on
-AHEAD = 8  # reqs that may wait behind one before nothing more is read
-
-
-class Client(ClientConnection):
-    """One connection from a client; one of its reqs is under way at a time."""
+BODY_PROGRESS_BYTES = 1 << 14  # of a body that has to arrive within the time for one request
+MAX_PIPELINED = 8  # requests that may wait behind one
+SUPPORTED_VERSIONS = ("1.0", "1.1")
+SUPPORTED_METHODS = (b"GET", b"PUT", b"HEAD")
+READINESS_TARGET = ("up", b"")  # `GET /up` asks whether this balancer serves
+
+
+class RequestFields(NamedTuple):
+    """What the head of a valid request says.
+
+    Attributes:
+        request_id: its id, new with every request.
+        request_class: name of its class.
+        timeout_us: how long the client waits, counted from the request's last byte.
+        key: what the request is about, empty where it has no key.
+        tenant: whose request it is, empty where that is not said.
+    """
+
+    request_id: bytes
+    request_class: str
+    timeout_us: int
+    key: bytes
+    tenant: str
+
+
+class InvalidRequestError(OrchidgapError):
+    """A request that is answered without a look at any host.
+
+    Attributes:
+        status: the status code of its answer.
+    """
+
+    def __init__(self, status: int) -> None:
+        """Takes the status code of the answer."""
+        super().__init__(f"answered {status}")
+        self.status = status
+
+
+def check_start_line(message: Message) -> tuple[str, bytes]:
+    """Returns the first part of the path and the last of several.
+
+    Raises:
+        InvalidRequestError: the target, the version or the method cannot be served.
+    """
+    try:
+        path_class, key = split_target(message.target)
+    except httptools.HttpParserInvalidURLError:
+        raise InvalidRequestError(400) from None
+    if message.version not in SUPPORTED_VERSIONS:
+        raise InvalidRequestError(505)
+    if message.method not in SUPPORTED_METHODS:
+        raise InvalidRequestError(405)
+    return path_class, key
+
+
+class Http1ClientConnection(ClientConnection):
+    """One connection from a client.
+
+    Attributes:
+        reader: the messages that arrive on it.
+        pending_request: the request that is handled, None between requests.
+        upload: the body of that request while it arrives, where it is streamed.
+        body_size_at_progress: bytes of the body that had arrived when the time for the rest began
+            anew.
+        streaming: a response is being streamed.
+        closes_after_stream: the connection ends with that response.
+        chunked: the body of that response is chunked.
+        stream_source: the host's connection that the response comes from.
+    """
 
     is_transferable = True
     __slots__ = (
+        "body_size_at_progress",
         "chunked",
-        "flow",
-        "giving",
-        "last",
-        "marked",
+        "closes_after_stream",
         "pending_request",
         "reader",
-        "source",
+        "stream_source",
+        "streaming",
+        "upload",
     )
 
     def __init__(self, clients: ClientListener, sock: socket.socket) -> None:
+        """Takes an accepted socket."""
         self.reader = RequestReader()
         self.pending_request: PendingRequest | None = None
-        self.flow: Upload | None = None  # the body of the req under way, while it comes
-        self.marked = 0  # how far the req had come when its time began anew
-        self.giving = self.last = self.chunked = False  # of an answer that flows
-        self.source: Connection | None = None
+        self.upload: Upload | None = None
+        self.body_size_at_progress = 0
+        self.streaming = False
+        self.closes_after_stream = False
+        self.chunked = False
+        self.stream_source: Connection | None = None
         super().__init__(clients, sock)
 
     @property
     def received_at_us(self) -> int:
+        """When the last byte of the oldest request arrived, by the loop's clock; 0 until it is
+        known.
+        """
         return self.reader.message.received_at_us
 
     @property
     def request_begun(self) -> bool:
+        """Whether part of a request has arrived."""
         return self.reader.started
 
+    # --- requests
+
     def received(self, view: memoryview) -> None:
+        """Takes bytes from the client."""
         reader = self.reader
         if not reader.started and self in self.listener.idle:
             del self.listener.idle[self]
@@ -67,247 +146,308 @@
         if reader.pipelined:
             for message in (reader.message, *reader.pipelined):
                 message.received_at_us = message.received_at_us or self.conn.received_at_us
-            if len(reader.pipelined) >= AHEAD:
+            if len(reader.pipelined) >= MAX_PIPELINED:
                 self.conn.pause_reading(True)
-        self.step()
+        self.process_message()
 
-    def step(self) -> None:
-        """As far as the oldest req has come: take it, or more of its body."""
+    def process_message(self) -> None:
+        """Goes as far as the oldest request has arrived: handles it, or more of its body."""
         message = self.reader.message
-        if self.flow:
-            self.flow_on()
-        elif self.pending_request or self.giving:
-            return  # those behind wait for its answer
+        if self.upload:
+            self.feed_upload()
+        elif self.pending_request or self.streaming:
+            return  # pipelined requests wait for the answer
         elif message.error_status:
             self.reject(message.error_status)
         elif message.complete:
             self.listener.awaiting_request.pop(self, None)
-            self.take()
+            self.accept_request()
         elif message.head_complete and message.exceeds_buffer:
-            self.take()
+            self.accept_request()
         elif message.head_complete:
-            if (
-                message.fields.pop(b"expect", b"")
-                and message.version == "1.1"
-                and not message.body_size
-            ):
-                self.conn.send(CONTINUE)
-            self.progress()
-
-    def next(self) -> None:
-        """The req behind the one that was answered."""
+            self.send_continue(message)
+            self.on_body_progress()
+
+    def process_next(self) -> None:
+        """Goes on with the request behind the one that was answered."""
         if self.conn.is_open and not self.conn.closing:
-            self.step()
+            self.process_message()
 
-    def progress(self) -> None:
-        """Patience goes by what comes, not by the whole time."""
-        message = self.reader.message
-        if not self.marked or message.body_size - self.marked >= STEP:
-            self.marked = max(1, message.body_size)
+    def send_continue(self, message: Message) -> None:
+        """Sends an interim response to a client that waits for it before it sends a body."""
+        expects = message.fields.pop(b"expect", b"")
+        if expects and message.version == "1.1" and not message.body_size:
+            self.conn.send(CONTINUE)
+
+    def on_body_progress(self) -> None:
+        """Starts the time for the rest of a request anew as its body arrives.
+
+        A large body may take longer than one request's time as long as it goes on.
+        """
+        size = self.reader.message.body_size
+        if (
+            not self.body_size_at_progress
+            or size - self.body_size_at_progress >= BODY_PROGRESS_BYTES
+        ):
+            self.body_size_at_progress = max(1, size)
             self.listener.await_request(self)
 
-    def flow_on(self) -> None:
-        message, flow = self.reader.message, self.flow
-        assert flow
-        if message.error_status:  # what is cut off here never runs
-            return self.on_stalled(message.error_status)
+    def feed_upload(self) -> None:
+        """Passes on what has arrived of a streamed body."""
+        message = self.reader.message
+        upload = self.upload
+        assert upload
+        if message.error_status:  # a body that is cut off here never executes at its host
+            self.on_stalled(message.error_status)
+            return
         if parts := message.take_body():
-            flow.add(parts, message.complete)
+            upload.add(parts, message.complete)
         elif message.complete:
-            flow.add([], True)
+            upload.add([], True)
         if message.complete:
             self.listener.awaiting_request.pop(self, None)
-            self.flow = None
+            self.upload = None
             if self.pending_request:
                 self.pending_request.on_body_complete()
-        elif self.conn.read_paused:  # it is held up here
+        elif self.conn.read_paused:  # the client waits for the host, not the reverse
             self.listener.awaiting_request.pop(self, None)
         else:
-            self.progress()
+            self.on_body_progress()
 
     def on_stalled(self, status: int = 408) -> None:
-        asked, self.pending_request = self.pending_request, None
-        if asked:
-            asked.on_client_gone()
+        """A request that began does not go on."""
+        pending = self.pending_request
+        self.pending_request = None
+        if pending:
+            pending.on_client_gone()
         self.reject(status)
 
-    def go_on(self) -> None:
-        """What had been read has gone on to its host."""
-        if self.flow:
-            self.flow.update_backpressure()
-            if not self.conn.read_paused and self not in self.listener.awaiting_request:
-                self.listener.await_request(self)
-
-    def take(self) -> None:
-        if self.has_disconnected():  # while it waited to be let in, or for those before it
+    def accept_request(self) -> None:
+        """Hands the oldest request to the handler, or answers it here where it is not valid."""
+        if self.has_disconnected():  # while it waited for those before it
             return
-        message, door, fields = (
-            self.reader.message,
-            self.listener.handler,
-            self.reader.message.fields,
-        )
+        message = self.reader.message
         try:
-            first, key = split_target(message.target)
-        except httptools.HttpParserInvalidURLError:
-            return self.reject(400)
-        method = message.method
-        if message.version not in ("1.0", "1.1"):
-            return self.reject(505)
-        if method not in (b"GET", b"PUT", b"HEAD"):
-            return self.reject(405)
-        if (first, key) == ("up", b"") and method != b"PUT":
-            return self.answer(200 if door.is_ready() else 503)
-        rule_set = fields.get(b"request-class", first.encode()).decode(errors="replace")
-        if not door.knows_request_class(rule_set):
-            return self.reject(404)
-        left = parse_seconds(fields.get(b"request-timeout", b""))
-        id = fields.get(b"request-id", b"")
-        if not left or not id:
-            return self.reject(400)
-        if door.is_request_open(
-            id
-        ):  # one answer would go to the wrong one, and hosts refuse the other
-            return self.reject(409)
-        tenant = fields.get(b"tenant", b"").decode(errors="replace")
+            path_class, key = check_start_line(message)
+            if (path_class, key) == READINESS_TARGET and message.method != b"PUT":
+                self.answer(200 if self.listener.handler.is_ready() else 503)
+                return
+            fields = self.check_fields(message, path_class, key)
+        except InvalidRequestError as error:
+            self.reject(error.status)
+            return
         if message.complete:
             body = b"".join(message.take_body())
-            head = forwarded_head(method, message.target, fields, len(body))
-            return door.handle_request(
-                self, id, rule_set, left, method == b"PUT", key, tenant, head, body
-            )
-        if fields.pop(b"expect", b"") and message.version == "1.1" and not message.body_size:
-            self.conn.send(CONTINUE)
-        self.flow = Upload(self.conn, message.content_length, MAX_BUFFERED_BODY_BYTES)
-        self.flow.add(message.take_body(), False)
-        self.marked = max(1, message.body_size)
+            self.hand_over(message, fields, len(body), body, None)
+            return
+        self.send_continue(message)
+        self.upload = Upload(self.conn, message.content_length, MAX_BUFFERED_BODY_BYTES)
+        self.upload.add(message.take_body(), False)
+        self.body_size_at_progress = max(1, message.body_size)
         self.listener.await_request(self)
-        head = forwarded_head(method, message.target, fields, message.content_length)
-        door.handle_request(
-            self, id, rule_set, left, method == b"PUT", key, tenant, head, b"", flow=self.flow
+        self.hand_over(message, fields, message.content_length, b"", self.upload)
+
+    def check_fields(self, message: Message, path_class: str, key: bytes) -> RequestFields:
+        """Returns what the head says of the request.
+
+        Raises:
+            InvalidRequestError: the class is unknown, a field is missing, or the id is in use.
+        """
+        handler = self.listener.handler
+        fields = message.fields
+        class_field = fields.get(b"request-class", path_class.encode())
+        request_class = class_field.decode(errors="replace")
+        if not handler.knows_request_class(request_class):
+            raise InvalidRequestError(404)
+        timeout_us = parse_seconds(fields.get(b"request-timeout", b""))
+        request_id = fields.get(b"request-id", b"")
+        if not timeout_us or not request_id:
+            raise InvalidRequestError(400)
+        if handler.is_request_open(request_id):
+            # One of the two could get the other's answer, and hosts reject the second.
+            raise InvalidRequestError(409)
+        tenant = fields.get(b"tenant", b"").decode(errors="replace")
+        return RequestFields(request_id, request_class, timeout_us, key, tenant)
+
+    def hand_over(
+        self,
+        message: Message,
+        fields: RequestFields,
+        content_length: int | None,
+        body: bytes,
+        upload: Upload | None,
+    ) -> None:
+        """Has the handler answer a valid request."""
+        head = forwarded_head(message.method, message.target, message.fields, content_length)
+        self.listener.handler.handle_request(
+            self,
+            fields.request_id,
+            fields.request_class,
+            fields.timeout_us,
+            message.method == b"PUT",
+            fields.key,
+            fields.tenant,
+            head,
+            body,
+            flow=upload,
         )
 
-    # --- its answer
+    # --- responses
 
-    def leaves(self) -> bool:
-        """Whether the answer to the oldest req is the last here. A req that has come behind it is taken: it
-        would be lost with the connection, and has its answer first."""
-        behind = self.reader.pipelined
-        return self.listener.closes_after_response and not (
-            behind and behind[0].complete and not behind[0].error_status
-        )
+    def closes_after_answer(self) -> bool:
+        """Whether the connection ends with the answer to the oldest request.
+
+        A request that has arrived whole behind it is answered first: it would be lost with the
+        connection.
+        """
+        if not self.listener.closes_after_response:
+            return False
+        pipelined = self.reader.pipelined
+        if not pipelined:
+            return True
+        return not pipelined[0].complete or bool(pipelined[0].error_status)
 
     def answer(
         self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
     ) -> None:
-        message, self.pending_request = self.reader.message, None
-        last = self.leaves() or not (message.complete and message.keep_alive)
-        head = response_head(
-            status, len(body) if length is None else length, last, pause, message.version
-        )
+        """Sends the whole answer to the oldest request.
+
+        Args:
+            status: the status code.
+            body: its body; not sent to HEAD.
+            pause: value of Retry-After in microseconds, 0 for none.
+            length: Content-Length where it is not that of the body.
+        """
+        message = self.reader.message
+        self.pending_request = None
+        close = self.closes_after_answer() or not (message.complete and message.keep_alive)
+        content_length = len(body) if length is None else length
+        head = response_head(status, content_length, close, pause, message.version)
         self.conn.send(head, b"" if message.method == b"HEAD" else body)
-        self.done(last)
+        self.on_answered(close)
 
     def begin(self, length: int | None, source: Connection) -> None:
+        """Starts a streamed response of this length, where that is known."""
         message = self.reader.message
-        self.giving, self.source = True, source
+        self.streaming = True
+        self.stream_source = source
         self.chunked = length is None and message.version == "1.1"
-        self.last = (
-            self.leaves()
-            or not (message.complete and message.keep_alive)
-            or length is None
-            and not self.chunked
+        ends_with_connection = length is None and not self.chunked
+        request_allows_more = message.complete and message.keep_alive
+        self.closes_after_stream = (
+            self.closes_after_answer() or not request_allows_more or ends_with_connection
         )
-        self.conn.on_drained = self.read_on
-        self.conn.send(response_head(200, length, self.last, 0, message.version))
+        self.conn.on_drained = self.resume_source
+        self.conn.send(response_head(200, length, self.closes_after_stream, 0, message.version))
 
     def give(self, parts: list[bytes]) -> None:
+        """Sends more of a streamed body; its source is paused while the client does not read."""
         if parts and self.conn.is_open:
             self.conn.send(*(encode_chunk(parts) if self.chunked else parts))
-            if self.source and self.conn.write_buffer:
-                self.source.pause_reading(True)
+            if self.stream_source and self.conn.write_buffer:
+                self.stream_source.pause_reading(True)
 
-    # --- between two processes of this balancer
-
-    def let_go(self) -> None:
-        """It goes on elsewhere: nothing more is done with it here."""
-        self.pending_request = self.flow = self.source = None
-        self.giving = False
-        self.close()
-
-    def go_on_giving(
-        self, asked: PendingRequest, source: Connection, chunked: bool, last: bool, out: bytes
-    ) -> None:
-        """It comes from elsewhere, in the middle of an answer of which this was still to be written."""
-        self.pending_request, self.giving, self.source, self.chunked, self.last = (
-            asked,
-            True,
-            source,
-            chunked,
-            last,
-        )
-        self.reader.started = True
-        self.conn.on_drained = self.read_on
-        if out:
-            self.conn.send(out)
-        if self.conn.write_buffer:
-            source.pause_reading(True)
-
-    def go_on_flowing(self, asked: PendingRequest, flow: Upload) -> None:
-        """It comes from elsewhere, in the middle of a req's body."""
-        self.pending_request, self.flow, self.marked = asked, flow, self.reader.message.body_size
-        self.listener.await_request(self)
-
-    def read_on(self) -> None:
-        if self.source and self.source.is_open:
-            self.source.pause_reading(False)
+    def resume_source(self) -> None:
+        """The client has read what was sent."""
+        if self.stream_source and self.stream_source.is_open:
+            self.stream_source.pause_reading(False)
 
     def end(self, whole: bool) -> None:
-        self.giving, self.source, self.pending_request, self.conn.on_drained = (
-            False,
-            None,
-            None,
-            None,
-        )
+        """Ends a streamed response; the connection is reset where it is not whole, so that this
+        shows.
+        """
+        self.streaming = False
+        self.stream_source = None
+        self.pending_request = None
+        self.conn.on_drained = None
         if not whole:
             self.conn.reset()
-            return self.close()
+            self.close()
+            return
         if self.chunked:
             self.conn.send(LAST_CHUNK)
-        self.done(self.last or self.leaves())  # a drain may have begun since its head went out
+        # a drain may have begun since the head was sent
+        self.on_answered(self.closes_after_stream or self.closes_after_answer())
 
-    def done(self, last: bool) -> None:
-        """The oldest req has its answer."""
+    def on_answered(self, close: bool) -> None:
+        """Goes on after the answer to the oldest request."""
         reader = self.reader
-        self.flow = None
+        self.upload = None
         if not self.conn.is_open:
             return
-        if last:
+        if close:
             self.listener.awaiting_request.pop(self, None)
             self.conn.pause_reading(False)
-            return self.finish()
+            self.finish()
+            return
         reader.advance()
-        self.marked = 0
-        if self.conn.read_paused and len(reader.pipelined) < AHEAD:
+        self.body_size_at_progress = 0
+        if self.conn.read_paused and len(reader.pipelined) < MAX_PIPELINED:
             self.conn.pause_reading(False)
         if reader.started:
             self.listener.await_request(self)
-            self.listener.loop.call_soon(self.next)
+            self.listener.loop.call_soon(self.process_next)
         else:
             self.listener.idle[self] = None
             self.listener.trim_idle()
 
     def reject(self, status: int) -> None:
+        """Answers what is not a valid request, and ends the connection."""
         self.listener.awaiting_request.pop(self, None)
-        self.flow = None
+        self.upload = None
         if self.conn.is_open and not self.conn.closing:
             self.conn.pause_reading(False)
             self.conn.send(response_head(status, close=True))
             self.finish()
 
     def is_quiet(self) -> bool:
-        return not (self.pending_request or self.giving) and super().is_quiet()
+        """Whether nothing is owed to this client, and nothing of it waits to be read."""
+        return not (self.pending_request or self.streaming) and super().is_quiet()
 
     def on_disconnect(self) -> None:
-        asked, self.pending_request = self.pending_request, None
-        if asked:
-            asked.on_client_gone()
+        """The client has gone: its request is of no use any more."""
+        pending = self.pending_request
+        self.pending_request = None
+        if pending:
+            pending.on_client_gone()
+
+    # --- migration between two processes of one balancer
+
+    def detach(self) -> None:
+        """The connection goes on in another process: nothing more is done with it here."""
+        self.pending_request = None
+        self.upload = None
+        self.stream_source = None
+        self.streaming = False
+        self.close()
+
+    def attach_response(
+        self, pending: PendingRequest, source: Connection, chunked: bool, close: bool, unsent: bytes
+    ) -> None:
+        """Goes on with a streamed response from another process.
+
+        Args:
+            pending: the request.
+            source: the host's connection.
+            chunked: the body is chunked.
+            close: the connection ends with the response.
+            unsent: bytes that were still to be written there.
+        """
+        self.pending_request = pending
+        self.streaming = True
+        self.stream_source = source
+        self.chunked = chunked
+        self.closes_after_stream = close
+        self.reader.started = True
+        self.conn.on_drained = self.resume_source
+        if unsent:
+            self.conn.send(unsent)
+        if self.conn.write_buffer:
+            source.pause_reading(True)
+
+    def attach_upload(self, pending: PendingRequest, upload: Upload) -> None:
+        """Goes on with a streamed request body from another process."""
+        self.pending_request = pending
+        self.upload = upload
+        self.body_size_at_progress = self.reader.message.body_size
+        self.listener.await_request(self)
--- a/orchidgap/http1/writers.py
+++ b/orchidgap/http1/writers.py
@@ -1,4 +1,6 @@
-"""Writers of HTTP/1.1: heads of requests and responses, chunks, and the values in them. Nothing here does I/O."""
+"""Writers of HTTP/1.1: heads of requests and responses, chunks, and the values in them. Nothing
+here does I/O.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +32,8 @@
 
 
 def split_target(target: bytes) -> tuple[str, bytes]:
-    """Returns the first part of the path (the request class) and the last part of several (the key).
+    """Returns the first part of the path (the request class) and the last part of several (the
+    key).
 
     Raises httptools.HttpParserInvalidURLError.
 
@@ -69,8 +72,8 @@
 
     Args:
         status: one of `REASONS`.
-        content_length: bytes of the body. None: the body is chunked, or ends with the connection where the client
-            knows no chunks.
+        content_length: bytes of the body. None: the body is chunked, or ends with the connection
+            where the client knows no chunks.
         close: the connection ends after this response.
         retry_after_us: value of Retry-After in microseconds, 0 for none.
         version: the HTTP version of the request.
@@ -101,7 +104,8 @@
 
 
 def encode_chunk(parts: list[bytes]) -> list[bytes]:
-    r"""Returns the parts framed as one chunk, nothing for no bytes: an empty chunk would end the body.
+    r"""Returns the parts framed as one chunk, nothing for no bytes: an empty chunk would end the
+    body.
 
     >>> encode_chunk([b"ab", b"c"]), encode_chunk([])
     ([b'3\r\n', b'ab', b'c', b'\r\n'], [])
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -3,7 +3,8 @@
 import pytest
 from loopback_harness import RESET, LoopbackHarness, arrived, heard, req, told
 
-from orchidgap.http1.client import KNOWN, SETTLE, STALL
+from orchidgap.http1.client import STREAM_STALL_TIMEOUT_US
+from orchidgap.http1.host_connection import EXCESS_DATA_WINDOW_US, MIN_LATENCY_SAMPLES
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
 QUICK = 2_000  # in which these hosts answer
@@ -19,10 +20,10 @@
     )
 
 
-def rested(net, wait=100_000, answers=KNOWN):
+def rested(net, wait=100_000, answers=MIN_LATENCY_SAMPLES):
     """A link to the one cache that is idle, and has been for so long since these answers; its far end."""
     for i in range(answers):
-        net.wait(SETTLE)
+        net.wait(EXCESS_DATA_WINDOW_US)
         client = net.caller(req("first", id=str(i)))
         net.turn()
         _, far = net.asked()
@@ -35,7 +36,7 @@
 
 def test_a_host_that_is_hardly_known_may_be_quicker_than_it_was():
     net = LoopbackHarness(1)
-    far = rested(net, wait=0, answers=KNOWN - 1)
+    far = rested(net, wait=0, answers=MIN_LATENCY_SAMPLES - 1)
     client = net.caller(req("second"))
     net.turn()
     net.answers(far, body="mine")
@@ -58,7 +59,7 @@
     assert told(client).endswith("mine")
 
 
-@pytest.mark.parametrize("rest", [0, SETTLE - QUICK])
+@pytest.mark.parametrize("rest", [0, EXCESS_DATA_WINDOW_US - QUICK])
 def test_a_second_answer_that_crosses_the_next_req_goes_to_nobody(rest):
     net = LoopbackHarness(1)
     old = rested(net, wait=rest)
@@ -77,7 +78,12 @@
 
 @pytest.mark.parametrize(
     ("rest", "after"),
-    [(0, QUICK), (0, QUICK - QUICK // 6), (SETTLE, QUICK // 2), (SETTLE - QUICK // 2, QUICK // 2)],
+    [
+        (0, QUICK),
+        (0, QUICK - QUICK // 6),
+        (EXCESS_DATA_WINDOW_US, QUICK // 2),
+        (EXCESS_DATA_WINDOW_US - QUICK // 2, QUICK // 2),
+    ],
 )
 def test_an_answer_as_quick_as_others_or_well_behind_the_last_one_is_taken(rest, after):
     net = LoopbackHarness(1)
@@ -193,6 +199,6 @@
     _, far = net.asked()
     far.sendall(b"HTTP/1.1 200 OK\r\n\r\nx")
     net.turn()
-    net.wait(STALL + 2_000_000)  # it says no more
+    net.wait(STREAM_STALL_TIMEOUT_US + 2_000_000)  # it says no more
     told(client)
     assert told(client) == RESET and net.node.pools.connection_count == 0 and not net.node.exchanges
--- a/tests/http1/test_discovery.py
+++ b/tests/http1/test_discovery.py
@@ -8,7 +8,14 @@
 from hypothesis import strategies as st
 from loopback_harness import LoopbackHarness, heard
 
-from orchidgap.http1.discovery import GAP, GRACE, LATEST, LONGEST, SHORTEST, WATCH_MS
+from orchidgap.http1.discovery import (
+    MAX_BACKOFF_US,
+    MAX_RESPONSE_US,
+    MAX_RETRY_GAP_US,
+    MIN_WATCH_US,
+    RESPONSE_GRACE_US,
+    WATCH_TIMEOUT_MS,
+)
 from orchidgap.net.node import FIRST_LIST
 
 TOLD = 6_000_000  # after discovery had it and could be reached, it counts as told
@@ -108,15 +115,17 @@
 
 
 def test_the_sums_fit_within_what_counts_as_told():
-    silent_watch = WATCH_MS * 1000 + GRACE
-    assert silent_watch + LONGEST // 8 + GRACE < TOLD, "a silent watch, and one lost call behind it"
-    assert GRACE + LONGEST + 2 * GRACE + LONGEST < TOLD, (
+    silent_watch = WATCH_TIMEOUT_MS * 1000 + RESPONSE_GRACE_US
+    assert silent_watch + MAX_BACKOFF_US // 8 + RESPONSE_GRACE_US < TOLD, (
+        "a silent watch, and one lost call behind it"
+    )
+    assert RESPONSE_GRACE_US + MAX_BACKOFF_US + 2 * RESPONSE_GRACE_US + MAX_BACKOFF_US < TOLD, (
         "two lost calls after a return, with the longest waits"
     )
-    assert 2 * (2 * GRACE + GAP) < TOLD and GAP < DRAIN, (
+    assert 2 * (2 * RESPONSE_GRACE_US + MAX_RETRY_GAP_US) < TOLD and MAX_RETRY_GAP_US < DRAIN, (
         "two silent ones, and none leaves a gap that counts"
     )
-    assert SHORTEST < 200_000
+    assert MIN_WATCH_US < 200_000
 
 
 FATES = ("silent", "reset", "spoilt", "half")
@@ -130,7 +139,7 @@
     net = Watched(2)
     agent = Agent(net, ["answer", first, second])  # the list, the first watch, what follows it
     agent.run(200_000)
-    assert agent.calls[1][1] == WATCH_MS * 1000
+    assert agent.calls[1][1] == WATCH_TIMEOUT_MS * 1000
     agent.changes()  # right after the watch has gone wrong
     agent.run(TOLD)
     assert agent.told and agent.told - agent.change < TOLD, agent.calls
@@ -167,20 +176,25 @@
         agent.run(STEP)
         since = net.now if net.node.discovery.call_pending else since
         longest = max(longest, net.now - since)
-    assert 0 < longest <= GAP + STEP < DRAIN and len(agent.calls) < 40, (
+    assert 0 < longest <= MAX_RETRY_GAP_US + STEP < DRAIN and len(agent.calls) < 40, (
         "nor is it asked again and again"
     )
     agent.down = False  # the call that is open is answered now
     agent.changes()
     agent.run(DRAIN)
-    assert agent.told and agent.told - agent.change <= GAP + 2 * STEP
+    assert agent.told and agent.told - agent.change <= MAX_RETRY_GAP_US + 2 * STEP
 
 
 def test_after_a_failed_call_what_was_missed_is_asked_for_at_once_and_then_watched():
     net = Watched(2)
     agent = Agent(net, ["answer", "reset"])
     agent.run(400_000)
-    assert [wait for _, wait, _ in agent.calls] == [0, WATCH_MS * 1000, 0, WATCH_MS * 1000]
+    assert [wait for _, wait, _ in agent.calls] == [
+        0,
+        WATCH_TIMEOUT_MS * 1000,
+        0,
+        WATCH_TIMEOUT_MS * 1000,
+    ]
     gap = agent.calls[3][0] - agent.calls[2][0]
     assert gap <= 2 * STEP, "no watch stays closed for longer than it has to"
 
@@ -193,7 +207,7 @@
     for piece in (text[:50], text[50:90], text[90:150]):
         far.sendall(piece)
         net.turn()
-        net.wait(GRACE - STEP)
+        net.wait(RESPONSE_GRACE_US - STEP)
     far.sendall(text[150:])
     net.turn()
     assert set(net.node.balancer.hosts) == {"c3", "o"} and "list lost" not in net.log.lines
@@ -202,8 +216,8 @@
     far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n")
     net.turn()
     for _ in range(8):
-        assert "list lost" not in net.log.lines or net.now >= begun + LATEST
-        net.wait(GRACE - STEP)
+        assert "list lost" not in net.log.lines or net.now >= begun + MAX_RESPONSE_US
+        net.wait(RESPONSE_GRACE_US - STEP)
         with contextlib.suppress(OSError):
             far.sendall(b" ")
         net.turn()
@@ -259,4 +273,4 @@
         agent.look()
         net.turn(2)
     assert net.node.balancer.hosts["c0"].state == "draining", agent.calls
-    assert agent.calls[-1][1] == WATCH_MS * 1000, "and is watched"
+    assert agent.calls[-1][1] == WATCH_TIMEOUT_MS * 1000, "and is watched"
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -127,7 +127,7 @@
     assert net.verdicts == ["reset"] and len(net.node.exchanges) == 1, "a repeat is on its way"
     net.node.pools.connect_timeout_us = 10_000_000
     for link in net.node.pools.by_host["o"].links:
-        link.forget_timer()
+        link.cancel_timer()
     net.wait(after)
     comes_up(net, far)
     assert (b"PUT" in written(far)) == goes
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -38,7 +38,7 @@
     """Bytes that the node holds for clients and hosts."""
     conns = [client.conn for client in net.node.clients.open_clients]
     conns += [link.conn for pool in net.node.pools.by_host.values() for link in pool.links]
-    flows = [client.flow for client in net.node.clients.open_clients if client.flow]
+    flows = [client.upload for client in net.node.clients.open_clients if client.upload]
     return sum(len(conn.write_buffer) for conn in conns) + sum(
         sum(map(len, flow.parts)) for flow in flows
     )
@@ -191,7 +191,7 @@
         host.retry_budget == before - 1.0
         and not net.node.exchanges
         and not net.node.open_request_ids
-        and not net.node.pools.flows
+        and not net.node.pools.streaming_connections
     )
 
 
@@ -228,7 +228,7 @@
         heard(far) == ""
         and not net.node.exchanges
         and not net.node.open_request_ids
-        and not net.node.pools.flows
+        and not net.node.pools.streaming_connections
     )
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -92,7 +92,9 @@
     net = NodeHarness(3)
     client = net.ask()
     attempt = next(iter(net.node.exchanges.values())).attempts[0]
-    attempt.carrier.conn.bytes_written = attempt.carrier.start  # as if nothing had been written yet
+    attempt.carrier.conn.bytes_written = (
+        attempt.carrier.bytes_written_at_start
+    )  # as if nothing had been written yet
     net.wait(600_000)
     assert net.verdicts[0] == "moot" and net.dialled[-1][0] == 109
     net.answers(net.far())
