--- a/orchidgap/__main__.py
+++ b/orchidgap/__main__.py
@@ -122,7 +122,7 @@
 def admin(act: str, address: str | None, path: str | None) -> int | str:
     """Makes a call, prints the answer; what to exit with."""
     from orchidgap.admin.client import call
-    from orchidgap.net.endpoints import parse_address
+    from orchidgap.net.addresses import parse_address
 
     try:
         address = address or (None if path else os.environ.get("GW_ADMIN_ADDR"))
--- a/orchidgap/admin/client.py
+++ b/orchidgap/admin/client.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from orchidgap.net.connection import Address
+from orchidgap.net.addresses import Address
 
 WITHIN = 5.0  # seconds for the answer
 MOST = 1 << 12  # bytes of it
--- a/orchidgap/admin/server.py
+++ b/orchidgap/admin/server.py
@@ -5,7 +5,9 @@
 import socket
 from collections.abc import Callable
 
-from orchidgap.net.connection import Address, Connection, open_listener
+from orchidgap.net.addresses import Address
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import open_listener
 from orchidgap.net.loop import READ, Loop
 
 MOST = 12  # calls at once; the descriptors are set aside by the node
--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -12,8 +12,7 @@
 import orjson
 
 from orchidgap.control.rpc import RpcClient
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import parse_address
+from orchidgap.net.addresses import Address, parse_address
 from orchidgap.net.loop import Loop
 
 WITHIN = 3_000_000  # for control to answer, who may have to ask the others
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -15,10 +15,10 @@
 from orchidgap.decisions.policy_rollout import STAY, Right, Tenure, answered
 from orchidgap.net import config
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.client_listener import Responder
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import Loop, Timer, boot_clock
 from orchidgap.net.node import Node
+from orchidgap.net.request_handler import Responder
 from orchidgap.state.background_writer import BackgroundWriter
 from orchidgap.state.durable_store import CorruptFileError, DurableStore
 
--- a/orchidgap/control/rpc.py
+++ b/orchidgap/control/rpc.py
@@ -10,7 +10,10 @@
 import orjson
 
 from orchidgap.http1 import codec
-from orchidgap.net.connection import Address, AttemptFailure, Connection, dial, open_listener
+from orchidgap.net.addresses import Address
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import dial, open_listener
 from orchidgap.net.loop import READ, Loop, Timer
 
 AT_ONCE = 4  # calls that may be out to one address
--- a/orchidgap/control/server.py
+++ b/orchidgap/control/server.py
@@ -21,9 +21,8 @@
 from orchidgap.decisions import policy_rollout
 from orchidgap.decisions.cas_register import NONE, Acceptor, Ballot, Kept, Round, Value, majority
 from orchidgap.decisions.policy_rollout import Leases, Row
+from orchidgap.net.addresses import Address, format_address, parse_address
 from orchidgap.net.config import ConfigError
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import format_address, parse_address
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import Loop, boot_clock
 from orchidgap.net.signals import watch_signals
--- a/orchidgap/drill/relay.py
+++ b/orchidgap/drill/relay.py
@@ -7,7 +7,10 @@
 from contextlib import suppress
 from random import Random
 
-from orchidgap.net.connection import Address, AttemptFailure, Connection, dial, open_listener
+from orchidgap.net.addresses import Address
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import dial, open_listener
 from orchidgap.net.loop import READ, Loop
 
 HELD = 1 << 22  # bytes that one stalled connection keeps
--- a/orchidgap/drill/town.py
+++ b/orchidgap/drill/town.py
@@ -27,8 +27,7 @@
 from orchidgap.drill.judge import Fate, Judge
 from orchidgap.drill.plan import DO, SEEN, Drill, versions_of, words
 from orchidgap.drill.relay import Datagrams, Relay
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import format_address
+from orchidgap.net.addresses import Address, format_address
 from orchidgap.trial.callers import Callers
 from orchidgap.trial.fabric import Wires, cpu_of
 from orchidgap.trial.faces import Decider
--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -11,8 +11,9 @@
 from orchidgap.http1.discovery import Registry
 from orchidgap.http1.server import Client
 from orchidgap.net.client_listener import ClientListener
+from orchidgap.net.discovery import Dial
 from orchidgap.net.handover import MigratingRequest
-from orchidgap.net.node import Dial, Node
+from orchidgap.net.node import Node
 
 
 class Http1:
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -10,14 +10,10 @@
 from orchidgap.decisions.connection_demand import Need
 from orchidgap.http1.codec import LAST_CHUNK, AnswerReader, chunk
 from orchidgap.net import connection_pools
-from orchidgap.net.connection import (
-    Address,
-    AttemptFailure,
-    Connection,
-    SendProgress,
-    connect_failure_cause,
-    dial,
-)
+from orchidgap.net.addresses import Address
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress, connect_failure_cause
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import dial
 from orchidgap.net.loop import Loop, Timer
 from orchidgap.net.upstream_attempt import ResponseSink, UpstreamAttempt
 
--- a/orchidgap/http1/discovery.py
+++ b/orchidgap/http1/discovery.py
@@ -10,7 +10,10 @@
 import orjson
 
 from orchidgap.http1.codec import AnswerReader
-from orchidgap.net.connection import Address, AttemptFailure, Connection, dial
+from orchidgap.net.addresses import Address
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import dial
 from orchidgap.net.endpoints import Endpoint, EndpointEntry, decode_list
 from orchidgap.net.loop import Loop, Timer
 
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -12,9 +12,10 @@
 from orchidgap.http1.parser_resume import rest_of, whole_of
 from orchidgap.http1.server import Client
 from orchidgap.net.body_stream import Upload
+from orchidgap.net.exchange import Exchange
 from orchidgap.net.handover import MigratingRequest
 from orchidgap.net.loop import READ
-from orchidgap.net.node import Exchange, Node
+from orchidgap.net.node import Node
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 MOST = 120_000  # bytes that still wait to be written, with which one goes
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -8,8 +8,9 @@
 
 from orchidgap.http1 import codec
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
+from orchidgap.net.client_listener import ClientConnection, ClientListener
 from orchidgap.net.connection import Connection
+from orchidgap.net.request_handler import PendingRequest
 
 STEP = 1 << 14  # bytes of a body that count as going on
 AHEAD = 8  # reqs that may wait behind one before nothing more is read
--- a/orchidgap/net/client_listener.py
+++ b/orchidgap/net/client_listener.py
@@ -5,12 +5,12 @@
 import errno
 import socket
 from collections.abc import Callable
-from typing import Protocol
 
-from orchidgap.decisions.lifecycle import Lifecycle
-from orchidgap.net.body_stream import Upload
-from orchidgap.net.connection import OUT_OF_RESOURCES_ERRNOS, Address, Connection, open_listener
+from orchidgap.net.addresses import Address
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import OUT_OF_RESOURCES_ERRNOS, open_listener
 from orchidgap.net.loop import READ, Loop, Timer
+from orchidgap.net.request_handler import RequestHandler
 
 PATIENCE = 2_500_000  # for a req to come whole, since its connection or its first byte came
 SETTLED = 500_000  # after which who has asked nothing yet is the first to make way
@@ -22,65 +22,6 @@
 TURNED_AWAY = 16  # connections beyond the most that may still read their last answer
 
 
-class PendingRequest(Protocol):
-    """A req as the door keeps it."""
-
-    def on_client_gone(self) -> None:
-        """Its client has gone away."""
-
-    def on_body_complete(self) -> None:
-        """The last byte of a body that flows is there; `came` says since when."""
-
-
-class Responder(Protocol):
-    """Whoever is owed the answer to one req; the codes are 200, 400, 500 and 503, whatever is spoken."""
-
-    pending_request: PendingRequest | None
-
-    @property
-    def received_at_us(self) -> int:
-        """When its last byte came, in microseconds of the loop's clock."""
-
-    def has_disconnected(self) -> bool:
-        """Whether its client has closed; it is let go then, though not within this call."""
-
-    def answer(
-        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
-    ) -> None:
-        """The whole answer. `length` is what its head tells where it has no body."""
-
-
-class RequestHandler(Protocol):
-    lifecycle: Lifecycle
-
-    def is_ready(self) -> bool: ...
-
-    def knows_request_class(self, rule_set: str) -> bool: ...
-
-    def is_request_open(self, id: bytes) -> bool:
-        """Whether a req of this id is open."""
-
-    def close_idle_connection(self) -> bool:
-        """Close an idle connection elsewhere; whether there was one."""
-
-    def handle_request(
-        self,
-        caller: Responder,
-        id: bytes,
-        rule_set: str,
-        left: int,
-        write: bool,
-        key: bytes,
-        tenant: str,
-        head: bytes,
-        body: bytes,
-        slot: int = -1,
-        flow: Upload | None = None,
-    ) -> None:
-        """Sets `caller.asked`, and has `caller.answer` called once. `left` is in microseconds; a slot below 0
-        is drawn from the key. A body that flows is not in `body`; `asked.on_body_complete` is called at its end."""
-
-
 class ClientConnection:
     """A connection from a client, as far as all protocols have the same need of it."""
 
--- /dev/null
+++ b/orchidgap/net/config/__init__.py
@@ -0,0 +1,17 @@
+"""What the program is told at start: one JSON file, named by GW_CONFIG."""
+
+from orchidgap.net.config.model import BalancerConfig, ConfigError, keep_until_restart
+from orchidgap.net.config.optional_parts import control_part
+from orchidgap.net.config.reading import config_from_document, parse, read
+from orchidgap.net.config.settings_tree import flatten
+
+__all__ = [
+    "BalancerConfig",
+    "ConfigError",
+    "config_from_document",
+    "control_part",
+    "flatten",
+    "keep_until_restart",
+    "parse",
+    "read",
+]
--- a/orchidgap/net/connection_pools.py
+++ b/orchidgap/net/connection_pools.py
@@ -6,7 +6,9 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Generic, TypeVar
 
-from orchidgap.net.connection import Address, AttemptFailure, SendProgress, dial
+from orchidgap.net.addresses import Address
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
+from orchidgap.net.dialing import dial
 from orchidgap.net.loop import Loop
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
--- /dev/null
+++ b/orchidgap/net/decisions_port.py
@@ -0,0 +1,86 @@
+"""What the decisions ask for, done on the network: the `ports.Port` of a node."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from orchidgap.net.connection_pools import ConnectionPools
+from orchidgap.net.discovery import HostDiscovery
+from orchidgap.net.event_log import EventLog
+from orchidgap.net.exchange import Exchange
+from orchidgap.net.loop import Loop
+from orchidgap.net.upstream_attempt import UpstreamAttempt
+
+if TYPE_CHECKING:
+    from orchidgap.decisions.balancer import Balancer
+
+
+class DecisionsPort:
+    """The part of a node that the decisions call."""
+
+    loop: Loop
+    event_log: EventLog
+    balancer: Balancer
+    discovery: HostDiscovery
+    pools: ConnectionPools[Any]
+    exchanges: dict[int, Exchange]
+    response_hold_us: int  # how long an answer of unknown length may be held
+
+    def call_decisions(
+        self, call: Callable[..., None], *args: Any, exchange: Exchange | None = None
+    ) -> None:
+        """One call of the decisions."""
+        raise NotImplementedError
+
+    def dispatch(self, req: int, host: str) -> None:
+        """Send an attempt of a request to a host."""
+        exchange = self.exchanges[req]
+        # of a body that flows the last byte is still to come; no host is to wait for longer than the client
+        deadline_us = min(exchange.deadline_us, self.loop.now + exchange.time_remaining_us)
+        attempts = exchange.attempts
+        attempt = UpstreamAttempt(
+            exchange.head, exchange.body, deadline_us, exchange, len(attempts), host
+        )
+        attempt.upload = exchange.upload
+        attempt.response_hold_us = self.response_hold_us
+        if attempts:
+            last = attempts[-1]
+            attempt.asking = last.redirect_once and last.redirect_host == host
+        attempts.append(attempt)
+        if exchange.closed or self.loop.now >= exchange.deadline_us:
+            self.loop.call_soon(attempt.settle, "moot")
+        else:
+            self.pools.send(host, attempt)
+
+    def deny(self, req: int, pause: int) -> None:
+        """Answer that the client may come back after so many microseconds."""
+        if req in self.exchanges:
+            self.exchanges[req].answer(503, pause=pause)
+
+    def abort(self, req: int) -> None:
+        """Answer that the request has failed."""
+        if req in self.exchanges:
+            self.exchanges[req].answer(500)
+
+    def cancel(self, req: int, number: int) -> None:
+        """End an attempt in flight."""
+        if req in self.exchanges:
+            exchange = self.exchanges[req]
+            exchange.cancel_attempt(exchange.attempts[number])
+
+    def wake(self, delay: int, token: int) -> None:
+        """Call the decisions after so many microseconds."""
+        self.loop.call_later(delay, self.on_timer, token)
+
+    def on_timer(self, token: int) -> None:
+        """The time that the decisions asked for has come."""
+        self.call_decisions(self.balancer.on_wake, token)
+
+    def subscribe(self) -> None:
+        """Ask for the list of hosts."""
+        self.discovery.fetch()
+
+    def log(self, line: str) -> None:
+        """Log what the decisions tell."""
+        self.event_log("mode", what=line)
--- a/orchidgap/net/endpoints.py
+++ b/orchidgap/net/endpoints.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from ipaddress import IPv4Address
 from typing import Any
 
-from orchidgap.net.connection import Address
+from orchidgap.net.addresses import Address, parse_address
 
 STATES = {"Ready": "up", "Terminating": "draining", "Gone": "gone"}
 
@@ -13,25 +12,6 @@
 Endpoint = tuple[str, str, Address]  # id, state, where
 
 
-def parse_address(text: str) -> Address:
-    """
-    >>> parse_address("127.0.0.1:80")
-    ('127.0.0.1', 80)
-    >>> parse_address("cache.internal:80")
-    Traceback (most recent call last):
-        ...
-    ValueError: not an address: 'cache.internal:80'
-    """
-    host, _, port = text.rpartition(":")
-    try:
-        IPv4Address(host)  # a name would be looked up, and the loop would wait for that
-        if not 0 < int(port) < 1 << 16:
-            raise ValueError
-    except ValueError:
-        raise ValueError(f"not an address: {text!r}") from None
-    return host, int(port)
-
-
 def decode_list(told: Any) -> tuple[int, bool, list[EndpointEntry], list[Endpoint]]:
     """The version, whether the list is whole, its entries, and where each host is found.
 
@@ -66,11 +46,3 @@
         )
         found.append((id, state, address))
     return int(told["seq"]), bool(told["whole"]), entries, found
-
-
-def format_address(address: Address) -> str:
-    """
-    >>> format_address(("127.0.0.1", 80))
-    '127.0.0.1:80'
-    """
-    return f"{address[0]}:{address[1]}"
--- /dev/null
+++ b/orchidgap/net/exchange.py
@@ -0,0 +1,275 @@
+"""One request on the network: from its last byte to its answer and the end of the last of its attempts."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, MutableMapping
+from typing import TYPE_CHECKING, Any, Protocol, cast
+
+from orchidgap.decisions.records import NEVER_EXECUTED
+from orchidgap.net.body_stream import Upload
+from orchidgap.net.event_log import EventLog
+from orchidgap.net.loop import Loop, Timer
+from orchidgap.net.request_handler import Responder
+from orchidgap.net.upstream_attempt import ResponseSink, UpstreamAttempt
+
+if TYPE_CHECKING:
+    from orchidgap.decisions.balancer import Balancer
+
+ANSWER_MARGIN_US = (
+    20_000  # the answer is out this long before the client timeout: timers can be late
+)
+# the time of a request whose body still comes; until its end it goes by what comes, see the protocol's server
+UPLOAD_TIME_US = 3_600_000_000
+
+
+class ExchangeNode(Protocol):
+    """The node, as far as its exchanges use it."""
+
+    open_request_ids: set[bytes]
+
+    @property
+    def loop(self) -> Loop: ...
+
+    @property
+    def balancer(self) -> Balancer: ...
+
+    @property
+    def event_log(self) -> EventLog: ...
+
+    @property
+    def exchanges(self) -> MutableMapping[int, Exchange]: ...
+
+    def call_decisions(
+        self, call: Callable[..., None], *args: Any, exchange: Exchange | None = None
+    ) -> None: ...
+
+    def on_load_report(self, attempt: UpstreamAttempt) -> None: ...
+
+    def release_if_done(self, exchange: Exchange) -> None: ...
+
+
+class Exchange:
+    """One request on the network. It is closed once it has its answer, or nobody waits for one."""
+
+    __slots__ = (
+        "attempts",
+        "body",
+        "client",
+        "closed",
+        "deadline_timer",
+        "deadline_us",
+        "fallback_status",
+        "head",
+        "node",
+        "number",
+        "request_id",
+        "streaming_attempt",
+        "time_remaining_us",
+        "upload",
+    )
+
+    def __init__(
+        self,
+        node: ExchangeNode,
+        number: int,
+        request_id: bytes,
+        client: Responder,
+        head: bytes,
+        body: bytes,
+        time_remaining_us: int,
+        upload: Upload | None,
+        timed: bool = True,
+    ) -> None:
+        """`number` is the node's own, `request_id` the client's; `upload` is the body, while that still comes.
+        `timed` is false for an exchange that only ends an answer that flows already."""
+        self.node = node
+        self.number = number
+        self.request_id = request_id
+        self.client = client
+        self.head = head
+        self.body = body
+        self.time_remaining_us = time_remaining_us  # when the last byte came
+        self.upload = upload
+        self.closed = False
+        self.streaming_attempt: UpstreamAttempt | None = None  # whose answer flows to the client
+        self.attempts: list[UpstreamAttempt] = []
+        self.deadline_timer: Timer | None = None
+        self.fallback_status = 0  # the answer to a failed attempt that the decisions do not know of
+        node.open_request_ids.add(request_id)
+        if not upload and timed:
+            self.start_deadline()
+            return
+        self.deadline_us = node.loop.now + UPLOAD_TIME_US
+        if upload:
+            upload.on_discarded = self.on_body_discarded
+
+    def start_deadline(self) -> None:
+        """The time runs from the last byte. The client counts from its send, and a loop that was held up learns
+        of that late."""
+        margin_us = min(ANSWER_MARGIN_US, self.time_remaining_us // 4)
+        self.deadline_us = self.client.received_at_us + self.time_remaining_us - margin_us
+        if not self.closed:
+            self.deadline_timer = self.node.loop.call_at(self.deadline_us, self.on_deadline)
+
+    def on_body_complete(self) -> None:
+        """The last byte of a body that flows is there."""
+        self.start_deadline()
+        if self.closed:
+            return
+        for attempt in self.attempts:
+            attempt.deadline_us = self.deadline_us
+        self.node.call_decisions(
+            self.node.balancer.on_body_complete,
+            self.number,
+            max(0, self.deadline_us - self.node.loop.now),
+            exchange=self,
+        )
+
+    def on_body_discarded(self) -> None:
+        """The body cannot be sent another time."""
+        self.node.call_decisions(self.node.balancer.on_body_discarded, self.number, exchange=self)
+
+    # --- its answer
+
+    def answer(
+        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
+    ) -> None:
+        """Answer the client, unless it has its answer; `pause` is in microseconds."""
+        if not self.closed:
+            self.close()
+            self.client.answer(status, body, pause, length)
+
+    def close(self) -> None:
+        """It has its answer, or nobody waits for one. Its deadline timer runs on for the attempts in flight: they
+        cannot be cancelled everywhere, and would be waited for without end."""
+        self.closed = True
+        for attempt in self.attempts:
+            upload = attempt.upload
+            if upload and not (
+                upload.complete or attempt.settled or attempt is self.streaming_attempt
+            ):
+                # what never comes whole is never executed, so this cancels nothing; its host would wait for ever
+                self.cancel_attempt(attempt)
+        if not self.streaming_attempt:
+            self.node.open_request_ids.discard(self.request_id)
+            self.node.release_if_done(self)
+
+    def start_streaming(self, number: int) -> ResponseSink | None:
+        """The answer of this attempt is the final one, and its body flows: who takes it, or None."""
+        if self.closed:
+            return None
+        self.streaming_attempt = self.attempts[number]
+        self.close()
+        self.node.call_decisions(self.node.balancer.on_outcome, self.number, number, "done", True)
+        return cast(
+            ResponseSink, self.client
+        )  # only protocols whose clients take bodies that flow ask
+
+    def finish_streaming(self, whole: bool) -> None:
+        """All that there is of the body has been passed on; whether that is the whole."""
+        attempt = self.streaming_attempt
+        self.streaming_attempt = None
+        self.node.open_request_ids.discard(self.request_id)
+        cast(ResponseSink, self.client).end(whole)
+        if not whole and attempt:
+            self.node.call_decisions(self.node.balancer.on_response_truncated, attempt.host)
+
+    # --- what ends it early
+
+    def cancel_attempt(self, attempt: UpstreamAttempt) -> None:
+        """End an attempt; its owner is told after the call under way."""
+        failure = attempt.abandon("cancelled")
+        self.node.loop.call_soon(attempt.settle, failure.outcome)
+
+    def on_client_gone(self) -> None:
+        """Nobody waits for the answer any more."""
+        if self.streaming_attempt:
+            attempt = self.streaming_attempt
+            self.streaming_attempt = None
+            self.node.open_request_ids.discard(self.request_id)
+            self.cancel_attempt(attempt)
+        if self.closed:
+            return
+        self.close()
+        self.node.call_decisions(self.node.balancer.on_client_gone, self.number)
+        if self.fallback_status:  # the decisions do not know of its attempts
+            for attempt in self.attempts:
+                self.cancel_attempt(attempt)
+
+    def on_deadline(self) -> None:
+        """Its time is up: attempts in flight have timed out, and the answer goes out now whatever comes of
+        that."""
+        for attempt in self.attempts:
+            if not attempt.settled and attempt is not self.streaming_attempt:
+                attempt.settle(attempt.abandon("overdue").outcome)
+        if not self.closed:
+            self.node.event_log("unanswered", req=self.number)
+            self.node.call_decisions(self.node.balancer.on_client_gone, self.number)
+            self.answer(500)
+
+    # --- what its attempts ask and tell
+
+    def may_send(self, number: int) -> bool:
+        """Whether this attempt may still begin; asked in the moment before its first byte is written."""
+        if self.closed:
+            return False
+        latest_us = min(self.deadline_us, self.node.balancer.latest_start_us(self.number, number))
+        if self.node.loop.now >= latest_us:
+            return False
+        return not self.client.has_disconnected()
+
+    def on_settled(self, number: int, outcome: str, body: bytes) -> None:
+        """What came of an attempt."""
+        attempt = self.attempts[number]
+        if outcome == "moved":
+            self.node.call_decisions(
+                self.node.balancer.on_redirected,
+                self.number,
+                number,
+                attempt.redirect_host,
+                exchange=self,
+            )
+        elif self.streaming_attempt is attempt:
+            self.finish_streaming(outcome == "done")
+        else:
+            self.on_outcome(attempt, number, outcome, body)
+        self.node.release_if_done(self)
+
+    def on_outcome(self, attempt: UpstreamAttempt, number: int, outcome: str, body: bytes) -> None:
+        """Answer what has its final answer, then tell the decisions."""
+        if outcome == "done":
+            self.answer(200, body, length=attempt.length)
+        elif (
+            outcome == "unfit"
+        ):  # a host's 400: the request's own fault, any other host says the same
+            self.answer(400, body, length=attempt.length)
+        self.node.call_decisions(
+            self.node.balancer.on_outcome,
+            self.number,
+            number,
+            outcome,
+            self.closed,
+            exchange=self,
+        )
+        if attempt.load_report:
+            self.node.on_load_report(attempt)
+        if self.fallback_status and not self.closed:
+            self.answer(503 if outcome in NEVER_EXECUTED else self.fallback_status)
+
+    # --- between two processes of this balancer
+
+    def detach(self) -> None:
+        """It goes on in another process."""
+        self.closed = True
+        self.streaming_attempt = None
+        if self.deadline_timer:
+            self.deadline_timer.cancel()
+        self.node.open_request_ids.discard(self.request_id)
+        self.node.exchanges.pop(self.number, None)
+
+    def attach(self, attempt: UpstreamAttempt, giving: bool) -> None:
+        """It comes from another process with its attempt, whose answer flows already or is awaited."""
+        self.attempts = [attempt]
+        self.closed = giving
+        self.streaming_attempt = attempt if giving else None
+        self.node.exchanges[self.number] = self
--- /dev/null
+++ b/orchidgap/net/request_handler.py
@@ -0,0 +1,76 @@
+"""What the clients' side of a protocol and the node ask of each other, one request at a time."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from orchidgap.decisions.lifecycle import Lifecycle
+from orchidgap.net.body_stream import Upload
+
+
+class PendingRequest(Protocol):
+    """A request that was handed to the node and has no answer yet."""
+
+    def on_client_gone(self) -> None:
+        """Its client has gone away."""
+
+    def on_body_complete(self) -> None:
+        """The last byte of a body that flows is there; the responder's `received_at_us` says since when."""
+
+
+class Responder(Protocol):
+    """Whoever is owed the answer to one request."""
+
+    pending_request: PendingRequest | None
+
+    @property
+    def received_at_us(self) -> int:
+        """When the request's last byte came, on the loop's clock."""
+
+    def has_disconnected(self) -> bool:
+        """Whether its client has closed; it is let go then, though not within this call."""
+
+    def answer(
+        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
+    ) -> None:
+        """Send the whole answer. The status is 200, 400, 500 or 503, whatever is spoken; `pause` is how long the
+        client is asked to wait before it comes back, in microseconds; `length` is what the head tells where it
+        has no body."""
+
+
+class RequestHandler(Protocol):
+    """The node, as the clients' side of a protocol sees it."""
+
+    lifecycle: Lifecycle
+
+    def is_ready(self) -> bool:
+        """Whether the balancer says that it serves."""
+
+    def knows_request_class(self, rule_set: str) -> bool:
+        """Whether there is a request class of this name."""
+
+    def is_request_open(self, id: bytes) -> bool:
+        """Whether a request of this id is open."""
+
+    def close_idle_connection(self) -> bool:
+        """Close an idle connection to a host; whether there was one."""
+
+    def handle_request(
+        self,
+        caller: Responder,
+        id: bytes,
+        rule_set: str,
+        left: int,
+        write: bool,
+        key: bytes,
+        tenant: str,
+        head: bytes,
+        body: bytes,
+        slot: int = -1,
+        flow: Upload | None = None,
+    ) -> None:
+        """Take a request. Sets `caller.pending_request`, and has `caller.answer` called once.
+
+        `left` is the time that the client waits, in microseconds; a slot below 0 is drawn from the key. A body
+        that flows is not in `body`; `pending_request.on_body_complete` is called at its end.
+        """
--- /dev/null
+++ b/orchidgap/net/request_key.py
@@ -0,0 +1,21 @@
+"""The number by which the decisions know a request's key."""
+
+from __future__ import annotations
+
+from hashlib import blake2b
+
+MAX_KEY_BYTES = (
+    32  # longer keys are hashed: the decisions write the number out, and Python limits its digits
+)
+DIGEST_BYTES = 16
+
+
+def key_number(key: bytes) -> int | None:
+    """The number of a key; None for an empty one.
+
+    >>> key_number(b""), key_number(b"a1"), key_number(b"x" * 33) < 1 << 128
+    (None, 24881, True)
+    """
+    if len(key) > MAX_KEY_BYTES:
+        key = blake2b(key, digest_size=DIGEST_BYTES).digest()
+    return int.from_bytes(key) if key else None
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -1,4 +1,4 @@
-"""The running program: the loop, the node, and the signals that end them or have the terms read anew."""
+"""The running program: the loop, the node, and the signals that end them or have the configuration read anew."""
 
 from __future__ import annotations
 
@@ -15,8 +15,7 @@
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net import config
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import format_address
+from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.handover import Handover, inherited_listener
 from orchidgap.net.loop import Loop
@@ -130,4 +129,4 @@
     try:
         node.apply_config(config.read(path, node.config, node.settings))
     except config.ConfigError as trouble:
-        node.event_log("terms kept", why=str(trouble))
+        node.event_log("config rejected", why=str(trouble))
--- a/orchidgap/net/upstream_attempt.py
+++ b/orchidgap/net/upstream_attempt.py
@@ -4,8 +4,9 @@
 
 from typing import Protocol
 
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.connection import AttemptFailure, Connection, SendProgress
+from orchidgap.net.connection import Connection
 
 MOST_LOAD = 256  # bytes of a load report that are looked at
 
--- a/orchidgap/peers/gossip_transport.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -20,9 +20,8 @@
 import orjson
 
 from orchidgap.decisions.gossip_counts import MOST_KEYS, Pool, Row
+from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.config import BalancerConfig, ConfigError
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import format_address
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ, Loop
 from orchidgap.net.node import Node
--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from orchidgap.decisions.slot_map import SlotMap
+from orchidgap.net.addresses import Address, parse_address
 from orchidgap.net.client_listener import ClientListener
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import parse_address
+from orchidgap.net.discovery import Dial
 from orchidgap.net.handover import MigratingRequest
-from orchidgap.net.node import Dial, Node
+from orchidgap.net.node import Node
 from orchidgap.resp.commands import Command
 from orchidgap.resp.front import RespCaller
 from orchidgap.resp.mapper import Mapper
--- a/orchidgap/resp/front.py
+++ b/orchidgap/resp/front.py
@@ -12,7 +12,8 @@
 from typing import TYPE_CHECKING
 
 from orchidgap.decisions.slot_map import SPACE, tag
-from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
+from orchidgap.net.client_listener import ClientConnection, ClientListener
+from orchidgap.net.request_handler import PendingRequest
 from orchidgap.resp import codec
 from orchidgap.resp.commands import COMMANDS, REFUSED, Command, fits, keys
 
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -7,13 +7,16 @@
 
 from orchidgap.decisions.slot_map import Range, SlotMap
 from orchidgap.http1.discovery import Registry
-from orchidgap.net.connection import Address, AttemptFailure, Connection
-from orchidgap.net.endpoints import Endpoint, EndpointEntry, format_address, parse_address
+from orchidgap.net.addresses import Address, format_address, parse_address
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
+from orchidgap.net.endpoints import Endpoint, EndpointEntry
 from orchidgap.net.loop import Timer
 from orchidgap.resp import codec
 
 if TYPE_CHECKING:
-    from orchidgap.net.node import Dial, Node
+    from orchidgap.net.discovery import Dial
+    from orchidgap.net.node import Node
     from orchidgap.resp.upstream import Redirect
 
 TICK = 100_000
--- a/orchidgap/resp/upstream.py
+++ b/orchidgap/resp/upstream.py
@@ -8,14 +8,9 @@
 from typing import NamedTuple
 
 from orchidgap.net import connection_pools
-from orchidgap.net.connection import (
-    Address,
-    AttemptFailure,
-    Connection,
-    SendProgress,
-    connect_failure_cause,
-)
-from orchidgap.net.endpoints import format_address, parse_address
+from orchidgap.net.addresses import Address, format_address, parse_address
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress, connect_failure_cause
+from orchidgap.net.connection import Connection
 from orchidgap.net.loop import Loop, Timer
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 from orchidgap.resp import codec
--- a/orchidgap/trial/callers.py
+++ b/orchidgap/trial/callers.py
@@ -9,7 +9,8 @@
 from typing import TYPE_CHECKING
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import AttemptFailure, Connection
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
 from orchidgap.trial.plan import Work, micros, millis
 from orchidgap.trial.referee import SMALL, Ask, Op
 
--- a/orchidgap/trial/fabric.py
+++ b/orchidgap/trial/fabric.py
@@ -17,7 +17,10 @@
 from typing import Any
 from weakref import WeakKeyDictionary
 
-from orchidgap.net.connection import RESET, Address, AttemptFailure, SendProgress, dial
+from orchidgap.net.addresses import Address
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
+from orchidgap.net.connection import LINGER_RESET
+from orchidgap.net.dialing import dial
 from orchidgap.net.loop import MAX_WAIT_US, READ, Loop, Timer
 
 START = 1_700_000_000_000_000  # Unix time in microseconds that virtual time begins at
@@ -385,7 +388,7 @@
 
     def reset(self, far: socket.socket) -> None:
         with suppress(OSError):
-            far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
     def hush(self, address: Address, silent: bool) -> None:
         """The system still lets some connections in; nobody reads what comes on them."""
--- a/orchidgap/trial/faces.py
+++ b/orchidgap/trial/faces.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from orchidgap.net.connection import Address
+from orchidgap.net.addresses import Address
 from orchidgap.net.loop import Loop
 from orchidgap.trial.plan import Plan
 from orchidgap.trial.referee import Referee
--- a/orchidgap/trial/listing.py
+++ b/orchidgap/trial/listing.py
@@ -9,7 +9,8 @@
 import orjson
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import Address, Connection
+from orchidgap.net.addresses import Address
+from orchidgap.net.connection import Connection
 from orchidgap.trial.plan import micros
 
 if TYPE_CHECKING:
--- a/orchidgap/trial/operators.py
+++ b/orchidgap/trial/operators.py
@@ -9,7 +9,8 @@
 from typing import TYPE_CHECKING, Any
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import AttemptFailure, Connection
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
 from orchidgap.trial.plan import OPS_KINDS, Trouble, micros
 
 if TYPE_CHECKING:
--- a/orchidgap/trial/resp.py
+++ b/orchidgap/trial/resp.py
@@ -12,8 +12,9 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING, Any
 
-from orchidgap.net.connection import Address, AttemptFailure, Connection
-from orchidgap.net.endpoints import format_address
+from orchidgap.net.addresses import Address, format_address
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
 from orchidgap.resp import codec
 from orchidgap.resp.front import slot_of as slot_at
 from orchidgap.trial.baselines import even
--- a/orchidgap/trial/saturate.py
+++ b/orchidgap/trial/saturate.py
@@ -24,8 +24,10 @@
 from rich.table import Table
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import Address, AttemptFailure, Connection, dial
-from orchidgap.net.endpoints import format_address
+from orchidgap.net.addresses import Address, format_address
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import dial
 from orchidgap.net.loop import Loop
 from orchidgap.net.server import serve
 from orchidgap.parts import protocol_for
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -23,12 +23,12 @@
 from orchidgap.admin.server import Operators
 from orchidgap.decisions.balancer import SLOT_COUNT
 from orchidgap.net import config
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import format_address
+from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.handover import Handover
 from orchidgap.net.loop import Loop
-from orchidgap.net.node import Node, key_number
+from orchidgap.net.node import Node
+from orchidgap.net.request_key import key_number
 from orchidgap.parts import protocol_for
 from orchidgap.peers.gossip_transport import Talk
 from orchidgap.trial.baselines import decider as decider_of
@@ -205,7 +205,7 @@
         try:
             node.apply_config(config.parse(text, "the file", node.config))
         except config.ConfigError as trouble:
-            node.event_log("terms kept", why=str(trouble))
+            node.event_log("config rejected", why=str(trouble))
 
     def begin_beside(self, known: dict[str, Any]) -> None:
         assert self.share and self.node
--- a/orchidgap/trial/stores.py
+++ b/orchidgap/trial/stores.py
@@ -7,7 +7,8 @@
 from typing import TYPE_CHECKING
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import Address, Connection
+from orchidgap.net.addresses import Address
+from orchidgap.net.connection import Connection
 from orchidgap.net.loop import Timer
 from orchidgap.trial.plan import Model, micros, millis
 from orchidgap.trial.referee import SMALL, Arrival, mark_of
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -498,7 +498,7 @@
 )
 def test_a_bad_part_control_is_told_in_words(part, why):
     with pytest.raises((LookupError, ValueError), match=why):
-        config.controlled(part)
+        config.control_part(part)
 
 
 ACTS = {
--- a/tests/http1/test_lists.py
+++ b/tests/http1/test_lists.py
@@ -9,7 +9,7 @@
 from loopback_harness import LoopbackHarness, heard
 
 from orchidgap.http1.discovery import GAP, GRACE, LATEST, LONGEST, SHORTEST, WATCH_MS
-from orchidgap.net.node import FIRST_LIST
+from orchidgap.net.node import FIRST_LIST_TIMEOUT_US
 
 TOLD = 6_000_000  # after discovery had it and could be reached, it counts as told
 DRAIN = 250_000  # the shortest grace that any deployment gives
@@ -231,7 +231,7 @@
 
 def test_a_new_process_serves_by_the_list_it_was_started_with_where_discovery_is_silent():
     net = Watched(2, listed=False)
-    net.wait(FIRST_LIST - 1)
+    net.wait(FIRST_LIST_TIMEOUT_US - 1)
     assert up(net) == "503"
     net.wait(1)
     assert up(net) == "200"
@@ -241,7 +241,7 @@
     net = Watched(2, listed=False, start=False)
     net.node.config = net.node.config._replace(initial_endpoints=(0, True, [], []))
     net.node.start()
-    net.wait(5 * FIRST_LIST)
+    net.wait(5 * FIRST_LIST_TIMEOUT_US)
     assert up(net) == "503"
 
 
--- a/tests/loopback_harness.py
+++ b/tests/loopback_harness.py
@@ -9,7 +9,8 @@
 
 from node_harness import NodeHarness, heard
 
-from orchidgap.net.connection import Address, dial
+from orchidgap.net.addresses import Address
+from orchidgap.net.dialing import dial
 
 PATIENCE = 10  # seconds for the kernel to bring what was sent; never waited for when all is well
 RESET = "reset"
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -7,7 +7,7 @@
 from test_net import signals
 
 from orchidgap.decisions.lifecycle import BEYOND, LAST_CALL, LAST_WORDS, LAST_WRITES, State
-from orchidgap.net.connection import LINGER
+from orchidgap.net.connection import LINGER_US
 
 
 def idle_client(net):
@@ -47,7 +47,7 @@
         assert net.node.lifecycle.since <= net.now - times * (LAST_CALL // 2) and net.loop.running
         assert net.node.clients.listening_socket is None, "shut after the first call's time"
         net.answers(net.far())
-        assert "200" in told(client) and "terms kept" in net.log.lines
+        assert "200" in told(client) and "config rejected" in net.log.lines
 
 
 def test_sigterm_before_the_first_list_ends_it():
@@ -145,7 +145,7 @@
     net = LoopbackHarness(1)
     idle_client(net)
     net.node.begin_shutdown()
-    net.wait(LAST_CALL + LINGER + 30_000)
+    net.wait(LAST_CALL + LINGER_US + 30_000)
     assert not net.loop.running
 
 
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -7,8 +7,8 @@
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.http1 import Http1
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
 from orchidgap.net.config import BalancerConfig
-from orchidgap.net.connection import AttemptFailure, SendProgress
 from orchidgap.net.endpoints import decode_list
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -178,7 +178,7 @@
 
     def end(self):
         for net in (self.old, self.new):
-            for kin in net.node.handover.kin():
+            for kin in net.node.handover.siblings():
                 kin.channel.close()
             if net.node.clients.listening_socket:
                 net.node.clients.listening_socket.close()
@@ -495,7 +495,7 @@
         first.node.stop()
         turn([second])
         assert second.node.handover.predecessor is None and second.node.descriptor_limit == 1024
-        second.node.handover.listener.close()  # as by a kill: the file stays
+        second.node.handover.rendezvous.listener.close()  # as by a kill: the file stays
         third.node.handover.find_predecessor()
         third.node.start()
         assert third.node.handover.predecessor is None and third.node.is_ready()
@@ -516,7 +516,7 @@
     assert (
         net.node.is_ready()
         and net.node.descriptor_limit == 200
-        and "companion unseen" in net.log.lines
+        and "handover unavailable" in net.log.lines
     )
     net.node.clients.listening_socket.close()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,7 +16,7 @@
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net import config
-from orchidgap.net.connection import AttemptFailure, SendProgress
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
 from orchidgap.net.endpoints import decode_list
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ
@@ -599,7 +599,7 @@
             net.refused.add(8502)
             signal.raise_signal(signal.SIGHUP)
             net.turn()
-            assert net.log.lines[-1] == "terms kept" if round < 2 else "terms read" in net.log.lines
+            assert net.log.lines[-1] == "config rejected" if round < 2 else "config applied" in net.log.lines
             assert net.loop.running and listed(net) == before and net.node.pools.by_host["c0"].idle
             assert [port for port, _ in net.dialled if port > 8000] == [8500, 8501][: max(1, round)]
             if round == 2:  # the versions of another agent mean nothing here
@@ -801,7 +801,7 @@
         and len(net.dialled) == dialled
         and net.node.balancer.settings is not before.settings
     )
-    assert [event for event, _ in told] == ["terms kept"] and why in told[0][1]
+    assert [event for event, _ in told] == ["config rejected"] and why in told[0][1]
 
 
 FILE = {
@@ -831,7 +831,7 @@
     path.write_bytes(orjson.dumps(file))
     for _ in range(2):  # told twice, as well
         reload_config(net.node, str(path))
-    assert net.log.lines[-1] == "terms read"
+    assert net.log.lines[-1] == "config applied"
     assert heard(net.ask("k2")).startswith("HTTP/1.1 404"), (
         "a class that was dropped is unknown to new reqs"
     )
--- a/tests/trial/test_ground.py
+++ b/tests/trial/test_ground.py
@@ -5,7 +5,8 @@
 import pytest
 
 from orchidgap.http1 import codec as http
-from orchidgap.net.connection import AttemptFailure, Connection
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
 from orchidgap.net.loop import READ
 from orchidgap.trial.baselines import NAMES
 from orchidgap.trial.callers import CallerLink
