--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from orchidgap.http1.client import Hosts, Link, Pool
-from orchidgap.http1.codec import KEPT, Message
-from orchidgap.http1.parser_resume import rest_of, whole_of
+from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES, Message
+from orchidgap.http1.parser_resume import resume_body, resume_request
 from orchidgap.http1.server import Client
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.exchange import Exchange
@@ -28,8 +28,8 @@
         if (
             not client.conn.is_open
             or client.conn.closing
-            or client.reader.behind
-            or client.reader.extra
+            or client.reader.pipelined
+            or client.reader.has_excess_data
         ):
             continue
         if client.giving:
@@ -50,7 +50,7 @@
 
 def begun(client: Client) -> MigratingRequest | None:
     """A req that has come in part, and that nobody has been asked for."""
-    text = whole_of(client.reader.message)
+    text = resume_request(client.reader.message)
     return MigratingRequest(["begun"], text, [client.conn.sock], client.close) if text else None
 
 
@@ -62,16 +62,27 @@
         if isinstance(exchange, Exchange) and exchange.streaming_attempt
         else None
     )
-    if not isinstance(exchange, Exchange) or not isinstance(link, Link) or link.reader.extra:
+    if (
+        not isinstance(exchange, Exchange)
+        or not isinstance(link, Link)
+        or link.reader.has_excess_data
+    ):
         return None
     message = client.reader.message
-    rest = rest_of(link.reader.message, b"HTTP/%b 200 OK" % link.reader.message.version.encode())
-    if rest is None or not link.conn.is_open or link.conn.write_buffer or link.reader.message.parts:
+    rest = resume_body(
+        link.reader.message, b"HTTP/%b 200 OK" % link.reader.message.version.encode()
+    )
+    if (
+        rest is None
+        or not link.conn.is_open
+        or link.conn.write_buffer
+        or link.reader.message.body_parts
+    ):
         return None
     told = {
         "name": exchange.request_id.decode("latin-1"),
         "version": message.version,
-        "lasts": message.lasts,
+        "lasts": message.keep_alive,
         "last": client.last,
         "chunked": client.chunked,
         "head": rest[0].decode("latin-1"),
@@ -107,22 +118,22 @@
         not isinstance(link, Link)
         or not link.conn.is_open
         or link.conn.connecting
-        or link.reader.begun
+        or link.reader.started
     ):
         return None
     message = client.reader.message
-    rest = rest_of(message, b"PUT / HTTP/%b" % message.version.encode())
+    rest = resume_body(message, b"PUT / HTTP/%b" % message.version.encode())
     if (
         rest is None
-        or message.parts
+        or message.body_parts
         or sum(not attempt.settled for attempt in exchange.attempts) != 1
     ):
         return None
     told = {
         "name": exchange.request_id.decode("latin-1"),
         "left": exchange.time_remaining_us,
-        "size": message.size,
-        "length": message.length,
+        "size": message.body_size,
+        "length": message.content_length,
         "chunked": link.chunked,
         "head": rest[0].decode("latin-1"),
         "last_word": node.fallback_status(exchange.number),
@@ -183,10 +194,10 @@
         )
         attempt = link.attempt = attempt_of(exchange, told["host"], link, None)
         link.reader.feed(head)
-        link.reader.message.take()
-        message = client.reader.message = client.reader.into = Message()
-        message.headed = message.whole = True
-        message.method, message.version, message.lasts = (
+        link.reader.message.take_body()
+        message = client.reader.message = client.reader.incoming = Message()
+        message.head_complete = message.complete = True
+        message.method, message.version, message.keep_alive = (
             b"GET",
             str(told["version"]),
             bool(told["lasts"]),
@@ -198,11 +209,14 @@
     else:
         client.reader.feed(head)
         message = client.reader.message
-        message.take()
+        message.take_body()
         length = told["length"]
-        message.size, message.length = int(told["size"]), None if length is None else int(length)
-        flow = Upload(client.conn, message.length, KEPT)
-        flow.discarded, flow.received_bytes = True, message.size
+        message.body_size, message.content_length = (
+            int(told["size"]),
+            None if length is None else int(length),
+        )
+        flow = Upload(client.conn, message.content_length, MAX_BUFFERED_BODY_BYTES)
+        flow.discarded, flow.received_bytes = True, message.body_size
         exchange = Exchange(
             node, node.next_request_number(), name, client, b"", b"", int(told["left"]), flow
         )
--- a/orchidgap/net/client_listener.py
+++ b/orchidgap/net/client_listener.py
@@ -219,7 +219,7 @@
         """Where more than half of the most are open, let the longest idle go, but for an eighth. Clients too
         hold only so many: those that ask once and stay would leave none long before there is no room here."""
         while (
-            not self.handler.lifecycle.heir  # which takes them as they are
+            not self.handler.lifecycle.successor_accepts  # which takes them as they are
             and len(self.idle) > self.max_clients // 8
             and len(self.open_clients) - len(self.closing) > self.max_clients // 2
         ):
@@ -258,7 +258,7 @@
     @property
     def closes_after_response(self) -> bool:
         """Whether an answer is the last on its connection."""
-        return self.handler.lifecycle.last
+        return self.handler.lifecycle.closes_after_answer
 
     def close_listener(self) -> None:
         """Let nobody in any more."""
--- a/orchidgap/net/config/model.py
+++ b/orchidgap/net/config/model.py
@@ -10,10 +10,6 @@
 from orchidgap.net.endpoints import Endpoint, EndpointEntry
 
 
-class ConfigError(Exception):
-    """One plain line that tells why the program cannot start."""
-
-
 class BalancerConfig(NamedTuple):
     """Where this balancer stands and what it may use."""
 
--- a/orchidgap/net/config/optional_parts.py
+++ b/orchidgap/net/config/optional_parts.py
@@ -9,7 +9,8 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from orchidgap.decisions.settings import ServiceSettings, SettingError
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.errors import SettingError
 from orchidgap.net.addresses import parse_address
 from orchidgap.net.config.settings_tree import flatten
 
--- a/orchidgap/net/config/reading.py
+++ b/orchidgap/net/config/reading.py
@@ -10,9 +10,10 @@
 import orjson
 
 from orchidgap.decisions import config_compatibility
-from orchidgap.decisions.settings import ServiceSettings, SettingError
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.errors import ConfigError, SettingError
 from orchidgap.net.addresses import Address, parse_address
-from orchidgap.net.config.model import BalancerConfig, ConfigError
+from orchidgap.net.config.model import BalancerConfig
 from orchidgap.net.config.optional_parts import control_part, gossip_part, shadow_settings
 from orchidgap.net.config.settings_tree import flatten
 from orchidgap.net.endpoints import decode_list
@@ -106,10 +107,10 @@
 ) -> Mapping[str, str]:
     """Which keys the file has, with the kinds of their values. Raises SettingError where it lacks what the one
     before had: a file that was written in part must not be taken for a whole one."""
-    shapes = config_compatibility.shape(document)
+    shapes = config_compatibility.shape_of(document)
     if before:
         empty_lists = config_compatibility.empty_lists(document)
-        lack = config_compatibility.lacks(before.key_shapes, shapes, empty_lists)
+        lack = config_compatibility.find_incompatibility(before.key_shapes, shapes, empty_lists)
         if lack:
             raise SettingError(lack)
     return shapes
--- a/orchidgap/net/handover/coordinator.py
+++ b/orchidgap/net/handover/coordinator.py
@@ -104,7 +104,7 @@
             self.predecessor.notify(now, 0)
         if self.successor:
             self.successor.notify(now, self.successor.descriptors_left())
-        if self.successor and self.node.lifecycle.hands_over:
+        if self.successor and self.node.lifecycle.migrates_connections:
             self.successor.hand_over_connections()
         self.loop.call_later(NOTIFY_INTERVAL_US, self.notify_siblings)
 
@@ -146,7 +146,7 @@
         """It failed, or ended before this process: all is as before it came."""
         self.node.event_log("successor gone", why=why)
         self.successor = None
-        self.node.lifecycle.follow(False)
+        self.node.lifecycle.set_successor_accepts(False)
         self.on_sibling_gone()
         self.node.clients.return_to_listener()
 
--- a/orchidgap/net/handover/listener_inheritance.py
+++ b/orchidgap/net/handover/listener_inheritance.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from orchidgap.net.config import ConfigError
+from orchidgap.errors import ConfigError
 
 VARIABLE = "GW_PASSED_SOCKET"
 
--- a/orchidgap/net/handover/successor.py
+++ b/orchidgap/net/handover/successor.py
@@ -70,7 +70,7 @@
     def on_serving(self) -> None:
         """Clients are its own from now on."""
         node = self.node
-        node.lifecycle.follow(True)
+        node.lifecycle.set_successor_accepts(True)
         node.clients.leave_listener()
         node.event_log(
             "successor serving", reqs=len(node.exchanges), clients=len(node.clients.open_clients)
@@ -99,7 +99,7 @@
         """While a successor is there this process keeps what it holds, or half; the successor has the rest."""
         node = self.node
         total = node.config.descriptors
-        half = 0 if node.lifecycle.hands_over else total // 2
+        half = 0 if node.lifecycle.migrates_connections else total // 2
         needed = node.descriptors_needed() + SPARE_DESCRIPTORS
         node.set_descriptor_limit(min(total - MIN_DESCRIPTORS, max(half, needed)))
 
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.lifecycle import Lifecycle, State
+from orchidgap.decisions.lifecycle import Lifecycle, LifecycleEvent, State
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.client_listener import ClientListener
@@ -119,7 +119,7 @@
 
     def is_ready(self) -> bool:
         """Whether the balancer says that it serves."""
-        return self.lifecycle.means.yes
+        return self.lifecycle.rules.is_ready
 
     def knows_request_class(self, rule_set: str) -> bool:
         """Whether there is a request class of this name."""
@@ -205,7 +205,7 @@
     def check_ready(self) -> None:
         """It can serve once it has a list, and what another process of this balancer knows."""
         if self.endpoints and self.list_received and not self.handover.awaiting_snapshot:
-            self.transition("able")
+            self.transition(LifecycleEvent.READY)
 
     # --- what exchanges tell
 
@@ -270,20 +270,20 @@
 
     def quiesce(self) -> tuple[bool, str]:
         """Have all clients go elsewhere, none of them unanswered."""
-        self.transition("quiesce")
+        self.transition(LifecycleEvent.DRAIN)
         return True, self.lifecycle.state.value
 
     def resume(self) -> tuple[bool, str]:
         """End a drain."""
-        may_resume = self.lifecycle.means.resumes
-        self.transition("resume")
+        may_resume = self.lifecycle.rules.can_resume
+        self.transition(LifecycleEvent.RESUME)
         return may_resume, self.lifecycle.state.value
 
     def shadow_report(self) -> tuple[bool, str]:
         """What the settings that are watched would have decided otherwise, by kind."""
         if not isinstance(self.balancer, ShadowBalancer):
             return False, "nothing is watched"
-        return True, self.balancer.told()
+        return True, self.balancer.summary()
 
     def apply_config(self, config: BalancerConfig) -> None:
         """New settings count for requests from now on; what cannot change while it runs waits for the next
@@ -292,7 +292,7 @@
         self.config, waiting = keep_until_restart(old, config)
         settings = self.config.settings
         self.set_response_hold()
-        self.lifecycle.bound(settings.longest_client_timeout_us)
+        self.lifecycle.set_longest_client_timeout(settings.longest_client_timeout_us)
         if settings != old.settings:
             self.call_decisions(self.balancer.on_settings, settings)
         self.pools.set_timeouts(config.connect_timeout_us, config.idle_timeout_us)
@@ -313,12 +313,12 @@
 
     def begin_shutdown(self) -> None:
         """Answer what is open, let clients go, and end."""
-        self.transition("leave")
+        self.transition(LifecycleEvent.SHUT_DOWN)
 
-    def transition(self, event: str) -> None:
+    def transition(self, event: LifecycleEvent) -> None:
         """Go to the next state, where the event leads to one."""
-        elapsed_us = self.loop.now - self.lifecycle.since
-        if not self.lifecycle.on(event, self.loop.now):
+        elapsed_us = self.loop.now - self.lifecycle.since_us
+        if not self.lifecycle.handle(event, self.loop.now):
             return
         if self.lifecycle.state is State.SERVING:
             # before it is logged: who reads of it may tell the older process to end
@@ -329,27 +329,27 @@
             clients=len(self.clients.open_clients),
             after_ms=elapsed_us // 1000,
         )
-        if self.lifecycle.means.last:
-            self.drain_step(self.lifecycle.changes)
+        if self.lifecycle.rules.closes_after_answer:
+            self.drain_step(self.lifecycle.transition_count)
 
     def drain_step(self, change: int) -> None:
         """Look who is left, again and again while clients are let go, until the state is another one."""
         lifecycle = self.lifecycle
         now = self.loop.now
-        if lifecycle.changes != change:
+        if lifecycle.transition_count != change:
             return
-        if not lifecycle.admits(now):
+        if not lifecycle.accepts_connections(now):
             self.clients.close_listener()
-        if lifecycle.lets_go(now):
+        if lifecycle.closes_idle(now):
             self.clients.release_idle()
             if not self.clients.open_clients and not self.exchanges:
-                self.transition("empty")
-        if lifecycle.gives_up(now):
+                self.transition(LifecycleEvent.EMPTY)
+        if lifecycle.must_answer_all(now):
             for exchange in [each for each in self.exchanges.values() if not each.closed]:
                 exchange.on_deadline()
         # a client is open while a request of it is, or an answer that it has to read
         is_streaming = any(exchange.streaming_attempt for exchange in self.exchanges.values())
-        if lifecycle.over(now, len(self.clients.open_clients), is_streaming):
+        if lifecycle.is_finished(now, len(self.clients.open_clients), is_streaming):
             self.stop()
         else:
             self.loop.call_later(DRAIN_STEP_US, self.drain_step, change)
@@ -362,6 +362,6 @@
             longest_turn_ms=self.loop.longest_turn_us // 1000,
         )
         if isinstance(self.balancer, ShadowBalancer):
-            self.event_log("shadow report", what=self.balancer.told())
+            self.event_log("shadow report", what=self.balancer.summary())
         self.handover.close()
         self.loop.running = False
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from orchidgap.decisions.slot_map import Range, SlotMap
-from orchidgap.http1.discovery import Registry
+from orchidgap.http1.discovery import DiscoveryClient
 from orchidgap.net.addresses import Address, format_address, parse_address
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
@@ -90,9 +90,9 @@
         self.conn: Connection | None = None
         self.reader = codec.Reader(MOST_MAP)
         self.timer: Timer | None = None
-        self.registry: Registry | None = None
+        self.registry: DiscoveryClient | None = None
         if node.config.discovery[1]:
-            self.registry = Registry(
+            self.registry = DiscoveryClient(
                 node.loop,
                 node.config.discovery,
                 node.balancer.rng,
@@ -206,7 +206,7 @@
             owners = len({entry.owner for entry in ranges})
             self.node.event_log("slots", owners=owners, holes=left, clashes=self.slots.clashes)
         self.tell()
-        self.node.call_decisions(self.node.balancer.pump)
+        self.node.call_decisions(self.node.balancer.drain_queues)
 
     def ended(self, what: str) -> None:
         self.drop()
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -12,9 +12,12 @@
 
 import orjson
 
-from orchidgap.control.lease_keeper import HeldNode, Keeper
-from orchidgap.control.rpc import RpcClient
-from orchidgap.control.server import Control
+from orchidgap.control.guarded_node import LeaseGuardedNode
+from orchidgap.control.lease_keeper import LeaseKeeper
+from orchidgap.control.process import ControlProcess as ProgramControlProcess
+from orchidgap.control.process_config import ProcessConfig
+from orchidgap.control.process_group import ANSWER_TIMEOUT_US
+from orchidgap.control.rpc_client import RpcClient
 from orchidgap.http1 import Http1
 from orchidgap.net import config as config_module
 from orchidgap.net.handover import Handover, inherited_listener
@@ -28,7 +31,12 @@
 CorruptFile = CorruptFileError
 
 # events of the log that tell what a balancer found in its folder; the log's words may change
-VERSION_FOUND, VERSION_DAMAGED, CALLS_CONTROL = "policy kept", "policy damaged", "asks control"
+VERSION_FOUND, VERSION_DAMAGED, CALLS_CONTROL = (
+    "stored policy found",
+    "stored policy corrupt",
+    "lease requested",
+)
+VERSION_FACT = "version"  # the name under which the first of them tells the version
 
 
 def write_folder_file(folder: Path, name: str, content: object) -> None:
@@ -76,7 +84,7 @@
 
 
 def has_call_out(calls: RpcClient) -> bool:
-    return any(link.heard is not None for link in calls.open)
+    return any(connection.on_body is not None for connection in calls.connections)
 
 
 class ControlProcess:
@@ -91,12 +99,16 @@
         folder: Path,
         lease_us: int,
     ) -> None:
-        self.control = Control(
+        self.loop = events.loop
+        self.others = {
+            other: RpcClient(events.loop, address, ANSWER_TIMEOUT_US)
+            for other, address in sorted(addresses.items())
+            if other != name
+        }
+        self.control = ProgramControlProcess(
             events.loop,
-            name,
-            addresses,
-            lease_us,
-            6 * lease_us,
+            ProcessConfig(name, addresses, str(folder), lease_us, 6 * lease_us, False),
+            self.others,
             DurableStore(folder),
             quiet_log,
             Random(name),
@@ -105,19 +117,19 @@
         self.control.server.listen(listen)
 
     def begin(self, new: bool) -> None:
-        self.control.begin(new)
+        self.control.start(new)
 
     def is_busy(self) -> bool:
-        return self.control.disk.busy or any(map(has_call_out, self.control.others.values()))
+        return self.control.acceptor.writer.busy or any(map(has_call_out, self.others.values()))
 
     def close(self) -> None:
-        loop, server = self.control.loop, self.control.server
-        loop.unwatch(server.listener)
+        server = self.control.server
+        self.loop.unwatch(server.listener)
         server.listener.close()
-        for calls in self.control.others.values():
-            calls.close()
-        for caller in list(server.callers):
-            server.drop(caller)
+        for client in self.others.values():
+            client.close()
+        for connection in list(server.connections):
+            server.drop(connection)
 
 
 class LeaseHolder:
@@ -125,7 +137,7 @@
 
     def __init__(self, events: EventLoop, config_path: Path, folder: Path, seed: int) -> None:
         config = config_module.read(str(config_path))
-        self.keeper = Keeper(
+        self.keeper = LeaseKeeper(
             str(config_path),
             events.loop,
             config,
@@ -134,20 +146,20 @@
             Random(seed),
             events.clock,
         )
-        node = HeldNode(events.loop, config, SilentLog(), Http1())
-        node.keeper, self.keeper.node = self.keeper, node
+        node = LeaseGuardedNode(events.loop, config, SilentLog(), Http1())
+        node.guard, self.keeper.node = self.keeper, node
 
     def begin(self) -> None:
         self.keeper.begin(lambda: None)
 
     def is_busy(self) -> bool:
-        return self.keeper.disk.busy or any(map(has_call_out, self.keeper.calls))
+        return self.keeper.writer.busy or any(map(has_call_out, self.keeper.clients))
 
     def may_serve(self) -> bool:
-        return self.keeper.may()
+        return self.keeper.may_serve()
 
     def version(self) -> int:
-        return self.keeper.tenure.runs
+        return self.keeper.lease.version
 
     def end(self) -> None:
         """Tells control that this process ends."""
--- a/tests/desk.py
+++ b/tests/desk.py
@@ -66,7 +66,7 @@
         end = self.now + micros
         while self.entries and self.entries[0][0] <= end:
             self.now = max(self.now, self.entries[0][0])
-            self.on_wake(self.woken_at)
+            self.on_wake(self.wake_at_us)
         self.now = end
 
     def outcome(self, req, verdict, number=0, over=None):
@@ -88,3 +88,16 @@
         host = self.sent(req)[0]
         self.outcome(req, "done")
         return host
+
+
+def sizes(desk):
+    return {host.id: host.range_size for host in desk.placement.ring}
+
+
+def rated(ratings, weights="rough", **pairs):
+    desk = Desk(0, weights=weights, **pairs)
+    desk.on_hosts(
+        "changes",
+        [(f"c{i}", "up", 0, "z", "cache", "1", rating) for i, rating in enumerate(ratings)],
+    )
+    return desk
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -209,7 +209,7 @@
                 ring[0].range_size + 100,
                 ring[1].range_size - 100,
             )
-            self.old.node.balancer.placement.cut()
+            self.old.node.balancer.placement.ranges.refresh()
 
     two = Knowing(serves=False)
     old, new = two.old.node, two.new.node
@@ -236,7 +236,7 @@
         c0.retry_budget,
         c0.limit_decreased_at_us,
     ) == (3.5, 70_000, 9.0, two.old.now - 5)
-    assert new.balancer.placement.cuts == old.balancer.placement.cuts
+    assert new.balancer.placement.ranges.range_ends == old.balancer.placement.ranges.range_ends
     two.end()
 
 
@@ -354,7 +354,7 @@
     old = two.old.node
     assert (
         not old.clients.accepts_elsewhere
-        and not old.lifecycle.heir
+        and not old.lifecycle.successor_accepts
         and old.descriptor_limit == 1024
         and old.is_ready()
     )
@@ -491,7 +491,7 @@
         second.node.start()
         assert second.node.handover.predecessor and not second.node.is_ready()
         turn([first, second, first, second])
-        assert second.node.is_ready() and first.node.lifecycle.heir
+        assert second.node.is_ready() and first.node.lifecycle.successor_accepts
         first.node.stop()
         turn([second])
         assert second.node.handover.predecessor is None and second.node.descriptor_limit == 1024
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -599,7 +599,11 @@
             net.refused.add(8502)
             signal.raise_signal(signal.SIGHUP)
             net.turn()
-            assert net.log.lines[-1] == "config rejected" if round < 2 else "config applied" in net.log.lines
+            assert (
+                net.log.lines[-1] == "config rejected"
+                if round < 2
+                else "config applied" in net.log.lines
+            )
             assert net.loop.running and listed(net) == before and net.node.pools.by_host["c0"].idle
             assert [port for port, _ in net.dialled if port > 8000] == [8500, 8501][: max(1, round)]
             if round == 2:  # the versions of another agent mean nothing here
