--- a/orchidgap/__main__.py
+++ b/orchidgap/__main__.py
@@ -1,145 +1,16 @@
-"""orchidgap, a balancer that spreads keys over cache hosts before one slow origin.
-
-Usage:
-  orchidgap serve [--config=FILE]
-  orchidgap check [--config=FILE]
-  orchidgap admin (health | quiesce | resume | watch) [--addr=ADDR] [--config=FILE]
-  orchidgap control --config=FILE [--new]
-  orchidgap change (check | propose) FILE [--at=ADDRS] [--id=ID] [--again] [--wait=N] [--json]
-  orchidgap change strike NAME [--at=ADDRS] [--json]
-  orchidgap change (status | history) [--at=ADDRS] [--json]
-  orchidgap drill PLAN [--seed=N] [--balancers=N] [--policy=NAME] [--out=DIR] [--disk=DIR] [--defect=NAME]
-  orchidgap version
-  orchidgap try [--seed=N] [--real] [--policy=NAME] [--out=DIR]
-  orchidgap trial PLAN [--seed=N] [--real] [--policy=NAME] [--out=DIR]
-  orchidgap compare PLAN [--seed=N]
-  orchidgap hunt PLAN [--runs=N] [--first=N] [--jobs=N] [--whole] [--out=DIR]
-  orchidgap saturate [--seconds=N]
-  orchidgap report DIR
-  orchidgap (-h | --help)
-
-Commands:
-  serve     Serve until told to stop (SIGTERM or SIGINT); SIGHUP has the configuration read anew.
-  check     Read the configuration as serve would, say what it holds, and end.
-  admin     Ask a running balancer whether it serves, to drain, to serve again, or what the settings that it
-            watches would have decided otherwise; exit code 1 on FAILURE.
-  control   Serve as a control process, which keeps the version of policy that counts; --new begins with none.
-  change    Have a new version of policy checked, proposed and decided; see who runs what and who is waited
-            for; strike off by name a balancer that will not come back.
-            propose: exit code 0 decided, 2 nowhere, 3 not known yet (the same call again tells).
-  drill     Start real processes, put faults between them, and judge what clients saw; the last line is the
-            verdict.
-  version   Print the version.
-  try       Play ten seconds of a small fleet of stand-ins, in which one cache dies, and draw a report.
-  trial     Play a plan and judge it; the last line is the verdict as JSON, exit code 1 where a rule broke.
-  compare   Play a plan with this decider, the textbook ones and one that sees all.
-  hunt      Play many plans drawn from this one; shrink what breaks a rule, or loses most, to a plan file.
-  saturate  Measure reqs a second and CPU a req of one balancer beside a bare relay, on real sockets.
-  report    Draw a trial that was kept in DIR as one HTML file.
-
-Options:
-  --config=FILE  The configuration; without it, the file named by GW_CONFIG.
-  --addr=ADDR    The operators' address; without it GW_ADMIN_ADDR, or what the configuration says.
-  --new          Begin with no version decided: once, when control is set up.
-  --at=ADDRS     Control's addresses, with commas between [default: 127.0.0.1:7500].
-  --id=ID        The change's name; without it, a digest of the file.
-  --again        Decide anew what was decided before and replaced since.
-  --wait=N       Seconds to wait for the end [default: 60].
-  --json         Print JSON.
-  --disk=DIR     Where the processes' disks are; without it in memory, which takes no time.
-  --defect=NAME  Balancers with a planted defect, to see that it is caught.
-  --seed=N       Another seed than the plan's.
-  --real         Balancers as processes on loopback, in real time; else all in one process on a virtual clock.
-  --balancers=N  Another number of balancers than the plan's.
-  --policy=NAME  Who decides: orchidgap, random, ring, bounded-ring, least-out or oracle [default: orchidgap].
-  --out=DIR      Where what was played or found is kept.
-  --runs=N       How many runs [default: 100].
-  --first=N      The first run's number [default: 0].
-  --jobs=N       Runs at once; 0 for one a core [default: 0].
-  --whole        Keep what is found as it was drawn, without shrinking it.
-  --seconds=N    How long each measurement takes [default: 5].
-"""
+"""orchidgap, a balancer that spreads keys over cache hosts before one slow origin."""
 
 from __future__ import annotations
 
-import os
 import sys
 
-from docopt import docopt
-
-from orchidgap import VERSION
-from orchidgap.net import config
-from orchidgap.net.server import serve
-from orchidgap.parts import make_gossip, make_guarded_node, protocol_for
-
-ACTS = ("health", "quiesce", "resume", "watch")
-CHANGES = ("check", "propose", "status", "history", "strike")
-TRIALS = ("try", "trial", "compare", "hunt", "saturate", "report")
+from orchidgap import commands
+from orchidgap.arguments import parse
 
 
 def main() -> None:
-    told = docopt(__doc__ or "")
-    if told["version"]:
-        return print(f"orchidgap {VERSION}")
-    if any(told[name] for name in TRIALS):
-        try:
-            from orchidgap.trial import command
-        except ModuleNotFoundError as trouble:
-            sys.exit(
-                f"orchidgap: {trouble.name} is missing; `make tools` installs what this command needs"
-            )
-        sys.exit(command.main(told))
-    if told["drill"]:
-        from orchidgap.drill import command as drills
-
-        sys.exit(drills.main(told))
-    if told["change"]:
-        from orchidgap.control import cli
-
-        sys.exit(cli.main(next(name for name in CHANGES if told[name]), told))
-    if told["admin"]:
-        sys.exit(admin(next(name for name in ACTS if told[name]), told["--addr"], told["--config"]))
-    try:
-        path = told["--config"] or os.environ.get("GW_CONFIG")
-        if told["control"]:
-            from orchidgap.control.process import run
-
-            return run(path, told["--new"])
-        if told["serve"]:
-            return serve(path, protocol_for, held=make_guarded_node, talk=make_gossip)
-        station = config.read(path)
-        protocol_for(station)
-    except config.ConfigError as trouble:
-        sys.exit(f"orchidgap: {trouble}")
-    print(
-        f"balancer {station.name} on {station.listen[0]}:{station.listen[1]}, list from "
-        f"{station.discovery[0]}:{station.discovery[1]}, {len(station.initial_endpoints[2])} hosts known, "
-        f"rule sets {', '.join(station.settings.request_classes)}, "
-        f"{station.descriptors} descriptors, {station.memory_mb} MB"
-    )
-
-
-def admin(act: str, address: str | None, path: str | None) -> int | str:
-    """Makes a call, prints the answer; what to exit with."""
-    from orchidgap.admin.client import call
-    from orchidgap.net.addresses import parse_address
-
-    try:
-        address = address or (None if path else os.environ.get("GW_ADMIN_ADDR"))
-        where = (
-            parse_address(address)
-            if address
-            else config.read(path or os.environ.get("GW_CONFIG")).admin
-        )
-        if where is None:
-            return (
-                "orchidgap: no operators' address: give --addr, or admin_addr in the configuration"
-            )
-        done, said = call(where, act)
-    except (OSError, ValueError, config.ConfigError) as trouble:
-        return f"orchidgap: {trouble}"
-    print(said)
-    return 0 if done else 1
+    """Run the command that the arguments name."""
+    sys.exit(commands.run(parse()))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/orchidgap/composition.py
@@ -0,0 +1,46 @@
+"""Which parts a configuration asks for: the protocol, a node guarded by control's leases, gossip.
+
+What a configuration does not ask for is not imported.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from orchidgap.errors import ConfigError
+from orchidgap.http1 import Http1
+from orchidgap.net.config import BalancerConfig
+from orchidgap.net.event_log import EventLog
+from orchidgap.net.loop import Loop
+from orchidgap.net.node import Node, ProtocolParts
+from orchidgap.net.server import Gossip, LeaseHolder
+
+
+def protocol_for(config: BalancerConfig) -> ProtocolParts:
+    """What is spoken: RESP where the configuration has a part for it, else HTTP. Raises
+    ConfigError.
+    """
+    if config.resp is None:
+        return Http1()
+    from orchidgap.resp import Resp
+
+    try:
+        return Resp(config.resp, config.name, config.listen)
+    except (ValueError, TypeError, OSError) as error:
+        raise ConfigError(f"resp: {error}") from None
+
+
+def make_guarded_node(*arguments: Any, **options: Any) -> tuple[Node, LeaseHolder]:
+    """A node whose settings come from control, and what holds its lease; see
+    `create_guarded_node`.
+    """
+    from orchidgap.control.lease_keeper import create_guarded_node
+
+    return create_guarded_node(*arguments, **options)
+
+
+def make_gossip(loop: Loop, node: Node, log: EventLog, config: BalancerConfig) -> Gossip:
+    """What tells other balancers this one's counts."""
+    from orchidgap.peers.gossip_transport import talk_of
+
+    return talk_of(loop, node, log, config)
--- a/orchidgap/control/guarded_node.py
+++ b/orchidgap/control/guarded_node.py
@@ -47,26 +47,36 @@
 
     def handle_request(
         self,
-        caller: Responder,
-        id: bytes,
-        rule_set: str,
-        left: int,
-        write: bool,
+        responder: Responder,
+        request_id: bytes,
+        request_class: str,
+        time_remaining_us: int,
+        is_write: bool,
         key: bytes,
         tenant: str,
         head: bytes,
         body: bytes,
         slot: int = -1,
-        flow: Upload | None = None,
+        upload: Upload | None = None,
     ) -> None:
         """Accept a request, or answer 503 with a time to come back."""
         # The permission may have come back since `knows_request_class` was asked, with a policy that does not have
         # the request class.
-        known = rule_set in self.config.settings.request_classes
+        known = request_class in self.config.settings.request_classes
         if not self.guard.may_serve() or not known:
-            return caller.answer(SERVICE_UNAVAILABLE, pause=self.guard.retry_after_us())
+            return responder.answer(SERVICE_UNAVAILABLE, pause=self.guard.retry_after_us())
         super().handle_request(
-            caller, id, rule_set, left, write, key, tenant, head, body, slot, flow
+            responder,
+            request_id,
+            request_class,
+            time_remaining_us,
+            is_write,
+            key,
+            tenant,
+            head,
+            body,
+            slot,
+            upload,
         )
 
     def put_policy_into_force(
--- a/orchidgap/drill/process.py
+++ b/orchidgap/drill/process.py
@@ -18,11 +18,11 @@
 from mmap import mmap
 from pathlib import Path
 
+from orchidgap.composition import make_gossip, protocol_for
 from orchidgap.control import lease_keeper, process
 from orchidgap.drill.defects import DEFECTS
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
-from orchidgap.parts import make_gossip, protocol_for
 from orchidgap.state.durable_store import DurableStore
 
 STEPS = ("open", "write", "fsync", "rename")
@@ -103,8 +103,8 @@
         serve(
             config,
             protocol_for,
-            held=partial(lease_keeper.create_guarded_node, make_store=FailingFiles),
-            talk=make_gossip,
+            make_guarded_node=partial(lease_keeper.create_guarded_node, make_store=FailingFiles),
+            make_gossip=make_gossip,
         )
     except ConfigError as trouble:
         sys.exit(f"orchidgap: {trouble}")
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -202,7 +202,7 @@
             str(told["version"]),
             bool(told["lasts"]),
         )
-        exchange.attach(attempt, giving=True)
+        exchange.attach(attempt, is_streaming=True)
         client.go_on_giving(exchange, link.conn, bool(told["chunked"]), bool(told["last"]), raw)
         link.taker = client
         link.pool.pools.flows[link] = None
@@ -222,7 +222,7 @@
         )
         exchange.fallback_status = int(told["last_word"])
         attempt = link.attempt = attempt_of(exchange, told["host"], link, flow)
-        exchange.attach(attempt, giving=False)
+        exchange.attach(attempt, is_streaming=False)
         client.go_on_flowing(exchange, flow)
         link.chunked, link.conn.on_drained = bool(told["chunked"]), flow.update_backpressure
         if raw:
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -184,7 +184,7 @@
         self.listener.await_request(self)
         head = forwarded_head(method, message.target, fields, message.content_length)
         door.handle_request(
-            self, id, rule_set, left, method == b"PUT", key, tenant, head, b"", flow=self.flow
+            self, id, rule_set, left, method == b"PUT", key, tenant, head, b"", upload=self.flow
         )
 
     # --- its answer
--- a/orchidgap/net/__init__.py
+++ b/orchidgap/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on sockets. By peer: clients, hosts, registry; `node` joins them to the decisions."""
+"""The balancer on sockets, whatever is spoken on them; `node` joins both sides to the decisions."""
--- a/orchidgap/net/addresses.py
+++ b/orchidgap/net/addresses.py
@@ -8,8 +8,8 @@
 
 
 def parse_address(text: str) -> Address:
-    """The address that a text states. Raises ValueError; a name is no address, as looking it up would block
-    the loop.
+    """The address that a text states. Raises ValueError; a name is no address, as looking it up
+    would block the loop.
 
     >>> parse_address("127.0.0.1:80")
     ('127.0.0.1', 80)
--- a/orchidgap/net/attempt_failure.py
+++ b/orchidgap/net/attempt_failure.py
@@ -21,10 +21,11 @@
 
 
 class AttemptFailure(NamedTuple):
-    """The end of an attempt that brought no answer. Only one whose last byte was written can have been executed.
+    """The end of an attempt that brought no answer. Only one whose last byte was written can have
+    been executed.
 
-    `cause` is one of: broken, refused, stale (a kept connection broke), overdue, cancelled, short (of
-    descriptors).
+    `cause` is one of: broken, refused, stale (a kept connection broke), overdue, cancelled, short
+    (of descriptors).
 
     >>> for cause in ("broken", "refused", "stale", "overdue", "cancelled", "short"):
     ...     print([AttemptFailure(progress, cause).outcome for progress in SendProgress])
@@ -52,10 +53,12 @@
 
 
 def connect_failure_cause(detail: str) -> str:
-    """The cause, by what the system says of a connection that did not come up: refused means that no process
-    listens there.
+    """The cause, by what the system says of a connection that did not come up: refused means that
+    no process listens there.
 
-    >>> connect_failure_cause(os.strerror(errno.ECONNREFUSED)), connect_failure_cause("never came up")
-    ('refused', 'broken')
+    >>> connect_failure_cause(os.strerror(errno.ECONNREFUSED))
+    'refused'
+    >>> connect_failure_cause("never came up")
+    'broken'
     """
     return "refused" if detail in REFUSED_TEXTS else "broken"
--- a/orchidgap/net/body_stream.py
+++ b/orchidgap/net/body_stream.py
@@ -1,4 +1,4 @@
-"""Bodies too large to be kept: they pass from one connection to another, bounded, with back-pressure."""
+"""Bodies too large to be kept: they pass from one connection to another, with back-pressure."""
 
 from __future__ import annotations
 
@@ -18,9 +18,18 @@
 
 
 class Upload:
-    """A req's body on its way to a host.
-
-    What came first is kept until it goes on, so another dispatch can follow one that never got that far.
+    """A request's body on its way to a host.
+
+    What came first is kept until it goes on, so another attempt can follow one that never got that
+    far.
+
+    Attributes:
+        length: What the head says; None where it does not.
+        received_bytes: That have come.
+        sent_parts: Of the parts kept, those that the sink has been given.
+        complete: All of it has come.
+        discarded: Part of it is kept no more, so that no other attempt can have it.
+        on_discarded: Called once when that becomes so.
     """
 
     __slots__ = (
@@ -36,14 +45,17 @@
         "source",
     )
 
-    def __init__(self, source: Connection, length: int | None, keep: int) -> None:
-        self.source, self.length = source, length
-        self.kept_bytes = keep  # bytes that are kept for another dispatch
-        self.on_discarded: Callable[[], None] | None = None  # told once, when no other can have it
+    def __init__(self, source: Connection, length: int | None, kept_bytes: int) -> None:
+        """Take a body from a connection; of that, keep so many bytes for another attempt."""
+        self.source = source
+        self.length = length
+        self.kept_bytes = kept_bytes
+        self.on_discarded: Callable[[], None] | None = None
         self.parts: list[bytes] = []
-        self.received_bytes = 0  # bytes that have come
-        self.sent_parts = 0  # of the parts, those that the sink has been given
-        self.complete = self.discarded = False
+        self.received_bytes = 0
+        self.sent_parts = 0
+        self.complete = False
+        self.discarded = False
         self.sink: UploadSink | None = None
 
     def add(self, parts: list[bytes], whole: bool) -> None:
@@ -54,8 +66,9 @@
         self.push()
 
     def send_to(self, sink: UploadSink) -> None:
-        """From its first byte on; only while it is not gone."""
-        self.sink, self.sent_parts = sink, 0
+        """Send it from its first byte on; only while none of it is discarded."""
+        self.sink = sink
+        self.sent_parts = 0
         self.push()
 
     def detach(self, sink: UploadSink) -> None:
@@ -65,24 +78,27 @@
             self.update_backpressure()
 
     def push(self) -> None:
+        """Give the sink what it has not been given."""
         sink = self.sink
         if sink and (self.sent_parts < len(self.parts) or self.complete):
-            parts, self.sent_parts = self.parts[self.sent_parts :], len(self.parts)
+            parts = self.parts[self.sent_parts :]
+            self.sent_parts = len(self.parts)
             if self.received_bytes > self.kept_bytes and not self.discarded:
                 self.discarded = True
                 if self.on_discarded:
                     self.on_discarded()
             if self.discarded:
-                self.parts, self.sent_parts = [], 0
+                self.parts = []
+                self.sent_parts = 0
             sink.put(parts, self.complete)
         self.update_backpressure()
 
     def update_backpressure(self) -> None:
         """Read on only where what was read has gone on."""
-        if self.source.is_open:
-            waits = (
-                bool(self.sink.conn.write_buffer)
-                if self.sink
-                else not self.discarded and self.received_bytes >= self.kept_bytes
-            )
-            self.source.pause_reading(waits and not self.complete)
+        if not self.source.is_open:
+            return
+        if self.sink:
+            must_wait = bool(self.sink.conn.write_buffer)
+        else:
+            must_wait = not self.discarded and self.received_bytes >= self.kept_bytes
+        self.source.pause_reading(must_wait and not self.complete)
--- a/orchidgap/net/client_listener.py
+++ b/orchidgap/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The door to clients, whatever they speak: a listener, who is let in, who makes way."""
+"""Clients' connections, whatever they speak: a listener, who is let in, and who makes way."""
 
 from __future__ import annotations
 
@@ -12,67 +12,75 @@
 from orchidgap.net.loop import READ, Loop, Timer
 from orchidgap.net.request_handler import RequestHandler
 
-PATIENCE = 2_500_000  # for a req to come whole, since its connection or its first byte came
-SETTLED = 500_000  # after which who has asked nothing yet is the first to make way
-SWEEP = 250_000
-FRESH = 250_000  # whoever came so lately is about to ask
-RESPITE = 50_000  # before accepting again where descriptors have run out
+# for a request to come whole, since its connection or its first byte came
+REQUEST_TIMEOUT_US = 2_500_000
+UNUSED_AFTER_US = 500_000  # who has asked nothing for so long is the first to make way
+SWEEP_INTERVAL_US = 250_000
+NEWCOMER_US = 250_000  # whoever came so lately is about to ask
+ACCEPT_PAUSE_US = 50_000  # before accepting again where descriptors have run out
 BACKLOG = 512
-AT_A_TIME = 64  # connections let in before others get their turn
-TURNED_AWAY = 16  # connections beyond the most that may still read their last answer
+MAX_ACCEPTS_A_TURN = 64  # before others get their turn
+MAX_CLOSING_CLIENTS = 16  # beyond the most, that may still read their last answer
+IDLE_SHARE = 8  # an eighth of the most may always be idle
 
 
 class ClientConnection:
     """A connection from a client, as far as all protocols have the same need of it."""
 
-    __slots__ = (
-        "conn",
-        "listener",
-        "since_us",
-    )
+    __slots__ = ("conn", "listener", "since_us")
     is_transferable = False  # whether all that is known of it, while it asks nothing, is its socket
 
-    def __init__(self, clients: ClientListener, sock: socket.socket) -> None:
-        self.listener = clients
-        self.since_us = clients.loop.now  # it came, or began with a req, or was refused
-        self.conn = Connection(clients.loop, sock, self, stamped=True)
+    def __init__(self, listener: ClientListener, sock: socket.socket) -> None:
+        """Begin to read from a socket that was accepted."""
+        self.listener = listener
+        self.since_us = listener.loop.now  # it came, or began with a request, or was rejected
+        self.conn = Connection(listener.loop, sock, self, stamped=True)
+
+    # --- what each protocol does in its own way
 
     @property
     def request_begun(self) -> bool:
-        """Whether part of a req has come."""
+        """Whether part of a request has come."""
         raise NotImplementedError
 
     def received(self, view: memoryview) -> None:
+        """Bytes came; the view is gone after the call."""
         raise NotImplementedError
 
     def reject(self, status: int) -> None:
-        """A plain word on why nothing more is taken from it: 408 for silence, 503 for no room."""
+        """Say why nothing more is taken from it: 408 for silence, 503 for no room."""
         raise NotImplementedError
 
-    def on_stalled(self) -> None:
-        """It began, and does not go on."""
-        self.reject(408)
-
     def on_disconnect(self) -> None:
         """It has gone: what it asked for is of no use any more."""
         raise NotImplementedError
 
+    # --- what is the same for all
+
+    def opened(self) -> None:
+        """Nothing: it was open when it was accepted."""
+
+    def on_stalled(self) -> None:
+        """A request began, and does not go on."""
+        self.reject(408)
+
     def has_disconnected(self) -> bool:
-        """Asked where something would begin for it. Its end is read as all it sends is, and so not while
-        nothing is read, nor before what it sent ahead of it."""
+        """Whether it has gone; asked where something would begin for it.
+
+        Its end is read as all that it sends is, and so not while reading is paused, nor before what
+        it sent ahead of that. It is let go after the call under way, which may be a decision's own.
+        """
         if not self.conn.peer_has_closed():
             return False
-        self.listener.loop.call_soon(
-            self.conn.fail, "closed"
-        )  # not at once: this may be a decision's own call
+        self.listener.loop.call_soon(self.conn.fail, "closed")
         return True
 
-    def opened(self) -> None:
-        pass
-
     def finish(self) -> None:
-        """It may still read its last answer, but keeps no other client out by that. What it sends from now on
-        is dropped: its connection has ended on this side, so it asks elsewhere."""
+        """Let it read its last answer, but keep no other client out by that.
+
+        What it sends from now on is dropped: its connection has ended on this side, so it asks
+        elsewhere.
+        """
         if self.conn.is_open and not self.conn.closing:
             self.since_us = self.listener.loop.now
             self.listener.idle.pop(self, None)
@@ -81,53 +89,59 @@
             self.conn.close_gracefully()
 
     def is_quiet(self) -> bool:
-        """No answer waits to be read by it, and nothing of it to be read here."""
+        """Whether it has nothing to read, and nothing of it is to be read here."""
         return not self.conn.write_buffer and not self.conn.is_stale()
 
     def ended(self, what: str) -> None:
+        """It has gone."""
         self.close()
         self.on_disconnect()
 
     def close(self) -> None:
+        """Close it without a word."""
         self.conn.close()
-        for among in (
-            self.listener.idle,
-            self.listener.awaiting_request,
-            self.listener.closing,
-            self.listener.open_clients,
-        ):
-            among.pop(self, None)
+        self.listener.forget(self)
 
 
 class ClientListener:
-    """The listener and all that it has let in, `most` at a time."""
+    """The listener and all clients that it has let in, `max_clients` at a time.
+
+    Attributes:
+        open_clients: All of them.
+        idle: Those that were served and ask nothing, the longest idle first.
+        awaiting_request: Those that have yet to bring a whole request, the longest waiting first.
+        closing: Those that were sent their last answer, the longest closing first.
+    """
 
     def __init__(
         self,
         loop: Loop,
-        door: RequestHandler,
-        most: int,
-        make: Callable[[ClientListener, socket.socket], ClientConnection],
+        handler: RequestHandler,
+        max_clients: int,
+        make_client: Callable[[ClientListener, socket.socket], ClientConnection],
     ) -> None:
-        self.loop, self.handler, self.max_clients, self.make_client = loop, door, most, make
+        """Let nobody in yet; `make_client` speaks the protocol on a socket that was accepted."""
+        self.loop = loop
+        self.handler = handler
+        self.max_clients = max_clients
+        self.make_client = make_client
         self.open_clients: dict[ClientConnection, None] = {}
-        self.idle: dict[
-            ClientConnection, None
-        ] = {}  # of these: served, and asking nothing; the longest first
-        self.awaiting_request: dict[
-            ClientConnection, None
-        ] = {}  # yet to bring a whole req; the longest first
-        self.closing: dict[ClientConnection, None] = {}  # with their last answer; the longest first
+        self.idle: dict[ClientConnection, None] = {}
+        self.awaiting_request: dict[ClientConnection, None] = {}
+        self.closing: dict[ClientConnection, None] = {}
         self.listening_socket: socket.socket | None = None
         self.accept_pause: Timer | None = None
         self.accepts_elsewhere = False  # another process lets clients in
-        loop.call_later(SWEEP, self.close_stalled)
+        loop.call_later(SWEEP_INTERVAL_US, self.close_stalled)
+
+    # --- the listening socket
 
     def listen(self, address: Address) -> None:
+        """Listen at the address. Raises OSError."""
         self.use_listening_socket(open_listener(address, BACKLOG))
 
     def use_listening_socket(self, listener: socket.socket) -> None:
-        """A socket that listens already; another process may hold it too."""
+        """Accept from a socket that listens already; another process may hold it too."""
         self.listening_socket = listener
         self.loop.watch(listener, READ, self.accept)
 
@@ -139,20 +153,49 @@
                 self.loop.unwatch(self.listening_socket)
 
     def return_to_listener(self) -> None:
+        """Accept again, as no other process does."""
         if self.listening_socket and self.accepts_elsewhere:
             self.accepts_elsewhere = False
             if not self.accept_pause:
                 self.loop.watch(self.listening_socket, READ, self.accept)
 
-    def accept(self, mask: int = READ, many: int = AT_A_TIME) -> None:
+    def pause_accepting(self) -> None:
+        """Accept nobody for a moment, in which somebody may go."""
+        if self.listening_socket and not self.accept_pause and not self.accepts_elsewhere:
+            self.loop.unwatch(self.listening_socket)
+            self.accept_pause = self.loop.call_later(ACCEPT_PAUSE_US, self.resume_accepting)
+
+    def resume_accepting(self) -> None:
+        """The pause is over."""
+        self.accept_pause = None
+        if self.listening_socket and not self.accepts_elsewhere:
+            self.loop.watch(self.listening_socket, READ, self.accept)
+            self.accept()
+
+    def close_listener(self) -> None:
+        """Let nobody in any more, but for those who wait in the backlog."""
+        if self.listening_socket:
+            if not self.accepts_elsewhere:
+                self.accept(many=BACKLOG)
+                if not self.accept_pause:
+                    self.loop.unwatch(self.listening_socket)
+            if self.accept_pause:
+                self.accept_pause.cancel()
+            listening_socket = self.listening_socket
+            self.listening_socket = None
+            listening_socket.close()
+
+    # --- who is let in
+
+    def accept(self, mask: int = READ, many: int = MAX_ACCEPTS_A_TURN) -> None:
+        """Let in who waits, so many at most."""
         for _ in range(many):
             if not self.listening_socket:
                 return
-            if (
-                len(self.open_clients) >= self.max_clients + TURNED_AWAY
-                and not self.close_oldest_closing()
-            ):
-                return self.pause_accepting()
+            has_room = len(self.open_clients) < self.max_clients + MAX_CLOSING_CLIENTS
+            if not has_room and not self.close_oldest_closing():
+                self.pause_accepting()
+                return
             try:
                 sock, _ = self.listening_socket.accept()
             except BlockingIOError:
@@ -160,128 +203,141 @@
             except OSError as error:
                 if error.errno == errno.ECONNABORTED:  # gone before it was let in
                     continue
-                # to try again at once would spin: the connection still waits
-                made_way = error.errno in OUT_OF_RESOURCES_ERRNOS and (
-                    self.close_unneeded() or self.handler.close_idle_connection()
-                )
-                return None if made_way else self.pause_accepting()
+                self.make_room_after(error)
+                return
             self.admit(sock)
 
+    def make_room_after(self, error: OSError) -> None:
+        """Have somebody make way where the system has no descriptor left.
+
+        To try again at once would spin: the connection still waits.
+        """
+        is_short = error.errno in OUT_OF_RESOURCES_ERRNOS
+        if not (is_short and (self.close_unneeded() or self.handler.close_idle_connection())):
+            self.pause_accepting()
+
+    def is_full(self) -> bool:
+        """Whether so many clients are open that somebody has to make way for another."""
+        return len(self.open_clients) - len(self.closing) >= self.max_clients
+
     def admit(self, sock: socket.socket) -> None:
-        crowded = (
-            len(self.open_clients) - len(self.closing) >= self.max_clients
-            and not self.close_unneeded()
-        )
+        """Let a client in. One for whom there is no room is told so: left in the backlog, what it
+        asks would count as accepted and never be answered.
+        """
+        must_reject = self.is_full() and not self.close_unneeded()
         client = self.make_client(self, sock)
         self.open_clients[client] = None
-        if crowded:  # left in the backlog, what it asks would count as taken and never be answered
-            return client.reject(503)
+        if must_reject:
+            client.reject(503)
+            return
         self.await_request(client)
         client.conn.on_ready(READ)  # what it asks has mostly come with it
 
     def adopt_connection(self, sock: socket.socket) -> None:
-        """A connection on which nothing is under way comes from another process of this balancer."""
-        if (
-            len(self.open_clients) - len(self.closing) >= self.max_clients
-            and not self.close_unneeded()
-        ):
-            return sock.close()
+        """Take over a connection on which nothing is under way from another process."""
+        if self.is_full() and not self.close_unneeded():
+            sock.close()
+            return
         client = self.make_client(self, sock)
-        self.open_clients[client] = self.idle[client] = None
+        self.open_clients[client] = None
+        self.idle[client] = None
         client.conn.on_ready(READ)
 
-    def transferable(self) -> list[ClientConnection]:
-        """Those that can go to another process as they are."""
-        return [
-            client
-            for client in (*self.idle, *self.awaiting_request)
-            if client.is_transferable
-            and not (client.request_begun or client.conn.write_buffer or client.conn.closing)
-        ]
-
     def await_request(self, client: ClientConnection) -> None:
-        """Its time to bring a whole req begins, or begins anew."""
+        """Begin, or begin anew, the time in which it has to bring a whole request."""
         client.since_us = self.loop.now
         if client in self.awaiting_request:  # they stand in the order of their times
             del self.awaiting_request[client]
         self.awaiting_request[client] = None
 
+    # --- who makes way
+
+    def forget(self, client: ClientConnection) -> None:
+        """It has gone."""
+        self.idle.pop(client, None)
+        self.awaiting_request.pop(client, None)
+        self.closing.pop(client, None)
+        self.open_clients.pop(client, None)
+
     def close_unneeded(self) -> bool:
-        """Close a connection that nobody needs; whether there was one. Silence must not keep others out."""
-        gone = next((client for client in self.awaiting_request if client.is_quiet()), None)
-        if not gone or self.loop.now - gone.since_us < SETTLED:
-            gone = next((client for client in self.idle if client.is_quiet()), None) or gone
-        if gone:
-            gone.close()
-        return gone is not None
+        """Close a connection that nobody needs; whether there was one.
+
+        The first is who has brought no request for long: silence must not keep others out. Then
+        comes the longest idle, then whoever waits to bring one.
+        """
+        waiting = next((client for client in self.awaiting_request if client.is_quiet()), None)
+        unneeded = waiting
+        if not waiting or self.loop.now - waiting.since_us < UNUSED_AFTER_US:
+            unneeded = next((client for client in self.idle if client.is_quiet()), None) or waiting
+        if unneeded:
+            unneeded.close()
+        return unneeded is not None
 
     def trim_idle(self) -> None:
-        """Where more than half of the most are open, let the longest idle go, but for an eighth. Clients too
-        hold only so many: those that ask once and stay would leave none long before there is no room here."""
+        """Where more than half of the most are open, let the longest idle go, but for an eighth.
+
+        Clients too hold only so many connections: those that ask once and stay would leave none
+        long before there is no room here. A successor takes them as they are.
+        """
         while (
-            not self.handler.lifecycle.successor_accepts  # which takes them as they are
-            and len(self.idle) > self.max_clients // 8
+            not self.handler.lifecycle.successor_accepts
+            and len(self.idle) > self.max_clients // IDLE_SHARE
             and len(self.open_clients) - len(self.closing) > self.max_clients // 2
         ):
             client = next(iter(self.idle))
             if not client.is_quiet():
                 return
-            client.finish()  # see release
+            client.finish()  # see release_idle
 
     def close_oldest_closing(self) -> bool:
         """Close the connection that has had its last answer for longest; whether there was one."""
         client = next(iter(self.closing), None)
-        if client and self.loop.now - client.since_us >= RESPITE:
+        if client and self.loop.now - client.since_us >= ACCEPT_PAUSE_US:
             client.close()
             return True
         return False
 
     def close_stalled(self) -> None:
-        """Nobody may begin and never end; one that said nothing at all is closed without a word."""
-        while (
-            client := next(iter(self.awaiting_request), None)
-        ) and self.loop.now - client.since_us >= PATIENCE:
-            client.on_stalled() if client.request_begun else client.close()
-        self.loop.call_later(SWEEP, self.close_stalled)
-
-    def pause_accepting(self) -> None:
-        if self.listening_socket and not self.accept_pause and not self.accepts_elsewhere:
-            self.loop.unwatch(self.listening_socket)
-            self.accept_pause = self.loop.call_later(RESPITE, self.resume_accepting)
-
-    def resume_accepting(self) -> None:
-        self.accept_pause = None
-        if self.listening_socket and not self.accepts_elsewhere:
-            self.loop.watch(self.listening_socket, READ, self.accept)
-            self.accept()
-
-    @property
-    def closes_after_response(self) -> bool:
-        """Whether an answer is the last on its connection."""
-        return self.handler.lifecycle.closes_after_answer
-
-    def close_listener(self) -> None:
-        """Let nobody in any more."""
-        if self.listening_socket:
-            if not self.accepts_elsewhere:
-                self.accept(many=BACKLOG)
-                if not self.accept_pause:
-                    self.loop.unwatch(self.listening_socket)
-            if self.accept_pause:
-                self.accept_pause.cancel()
-            listener, self.listening_socket = self.listening_socket, None
-            listener.close()
+        """Let go who does not bring a request whole in time: nobody may begin and never end.
+
+        One that said nothing at all is closed without a word.
+        """
+        while client := next(iter(self.awaiting_request), None):
+            if self.loop.now - client.since_us < REQUEST_TIMEOUT_US:
+                break
+            if client.request_begun:
+                client.on_stalled()
+            else:
+                client.close()
+        self.loop.call_later(SWEEP_INTERVAL_US, self.close_stalled)
 
     def release_idle(self) -> None:
         """Let those go who ask nothing; who has just come is about to."""
-        fresh = self.loop.now - FRESH
+        newcomer_since_us = self.loop.now - NEWCOMER_US
         for client in [*self.idle, *self.awaiting_request]:
-            client.conn.on_ready(READ)  # a req that has come is still answered
+            client.conn.on_ready(READ)  # a request that has come is still answered
             if client in self.idle:
-                client.finish()  # a close would reset it, and the answer with it, if its next req came just now
+                # a close would reset it, and the answer with it, if its next request came just now
+                client.finish()
             elif (
                 client in self.awaiting_request
                 and not client.request_begun
-                and client.since_us <= fresh
+                and client.since_us <= newcomer_since_us
             ):
                 client.close()
+
+    # --- what is asked of it
+
+    def transferable(self) -> list[ClientConnection]:
+        """Those that can go to another process as they are."""
+        return [
+            client
+            for client in (*self.idle, *self.awaiting_request)
+            if client.is_transferable
+            and not (client.request_begun or client.conn.write_buffer or client.conn.closing)
+        ]
+
+    @property
+    def closes_after_response(self) -> bool:
+        """Whether an answer is the last on its connection."""
+        return self.handler.lifecycle.closes_after_answer
--- a/orchidgap/net/config/model.py
+++ b/orchidgap/net/config/model.py
@@ -49,8 +49,9 @@
 def keep_until_restart(
     running: BalancerConfig, new: BalancerConfig
 ) -> tuple[BalancerConfig, list[str]]:
-    """The new configuration as far as a running process can take it, and names of what waits for the next
-    start."""
+    """The new configuration as far as a running process can take it, and names of what waits for
+    the next start.
+    """
     waiting = [
         word
         for field, word in RESTART_ONLY_FIELDS.items()
--- a/orchidgap/net/config/optional_parts.py
+++ b/orchidgap/net/config/optional_parts.py
@@ -1,6 +1,8 @@
-"""Parts of the configuration that a file may leave out: control, gossip, settings to be evaluated beside.
+"""Parts of the configuration that a file may leave out: control, gossip, settings to be evaluated
+beside.
 
-Each function gives None where the file has no such part, and raises SettingError where the part is no good.
+Each function gives None where the file has no such part, and raises SettingError where the part is
+no good.
 """
 
 from __future__ import annotations
@@ -65,8 +67,8 @@
 def gossip_part(part: Any) -> Mapping[str, Any] | None:
     """Where this balancer hears others, where they are, and the key that they share.
 
-    >>> part = gossip_part({"listen": "127.0.0.1:7400", "peers": ["127.0.0.1:7401"], "key": "k" * 16})
-    >>> part["peers"], part["gap"]
+    >>> part = {"listen": "127.0.0.1:7400", "peers": ["127.0.0.1:7401"], "key": "k" * 16}
+    >>> gossip_part(part)["peers"], gossip_part(part)["gap"]
     ([('127.0.0.1', 7401)], 60000000)
     """
     if part is None:
--- a/orchidgap/net/config/reading.py
+++ b/orchidgap/net/config/reading.py
@@ -1,4 +1,6 @@
-"""Reads the configuration's file into a `BalancerConfig`. The words of the file stand here and nowhere else."""
+"""Reads the configuration's file into a `BalancerConfig`. The words of the file stand here and
+nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -74,10 +76,11 @@
 
 
 def config_from_document(document: Any, before: BalancerConfig | None = None) -> BalancerConfig:
-    """The configuration that a JSON document holds. Raises SettingError, KeyError, ValueError, TypeError or
-    AttributeError."""
+    """The configuration that a JSON document holds. Raises SettingError, KeyError, ValueError,
+    TypeError or AttributeError.
+    """
     if not isinstance(document, Mapping):
-        raise ValueError("an object was expected")
+        raise TypeError("an object was expected")
     key_shapes = checked_key_shapes(document, before)
     pairs = dict(flatten(document["settings"]))
     settings = ServiceSettings.from_pairs(pairs)
@@ -105,8 +108,9 @@
 def checked_key_shapes(
     document: Mapping[str, Any], before: BalancerConfig | None
 ) -> Mapping[str, str]:
-    """Which keys the file has, with the kinds of their values. Raises SettingError where it lacks what the one
-    before had: a file that was written in part must not be taken for a whole one."""
+    """Which keys the file has, with the kinds of their values. Raises SettingError where it lacks
+    what the one before had: a file that was written in part must not be taken for a whole one.
+    """
     shapes = config_compatibility.shape_of(document)
     if before:
         empty_lists = config_compatibility.empty_lists(document)
--- a/orchidgap/net/config/settings_tree.py
+++ b/orchidgap/net/config/settings_tree.py
@@ -9,7 +9,8 @@
 def flatten(tree: Any, path: str = "") -> Iterator[tuple[str, str]]:
     """The leaves of a JSON tree as pairs of a dotted path and a text.
 
-    >>> dict(flatten({"a": {"b": 1, "c": True}, "d": [{"e": "x y"}], "f": ["u", "v,w"], "g": None, "h": []}))
+    >>> tree = {"a": {"b": 1, "c": True}, "d": [{"e": "x y"}], "f": ["u", "v,w"], "g": None}
+    >>> dict(flatten({**tree, "h": []}))
     {'a.b': '1', 'a.c': 'true', 'd.count': '1', 'd.0.e': 'x y', 'f': 'u,v_w', 'h': ''}
     """
     if isinstance(tree, Mapping):
--- a/orchidgap/net/connection.py
+++ b/orchidgap/net/connection.py
@@ -31,7 +31,8 @@
         notes: What came with the bytes, as `recvmsg` gives it: level, type and data.
         now_ns: The time of the system's clock.
 
-    >>> receive_age_us([(socket.SOL_SOCKET, SO_TIMESTAMPNS, TIMESTAMP.pack(7, 1000))], 7_000_251_000)
+    >>> note = (socket.SOL_SOCKET, SO_TIMESTAMPNS, TIMESTAMP.pack(7, 1000))
+    >>> receive_age_us([note], 7_000_251_000)
     250
     >>> late = [(socket.SOL_SOCKET, SO_TIMESTAMPNS, TIMESTAMP.pack(7, 0))]
     >>> receive_age_us([], 7), receive_age_us(late, 6_999_999_999)
@@ -88,8 +89,9 @@
         opening: bool = False,
         stamped: bool = False,
     ) -> None:
-        """`opening` is true for one that was dialled and is not up yet; `stamped` asks the kernel when bytes came
-        in."""
+        """`opening` is true for one that was dialled and is not up yet; `stamped` asks the kernel
+        when bytes came in.
+        """
         self.loop = loop
         self.sock = sock
         self.owner = owner
@@ -124,7 +126,9 @@
     # --- what the loop tells
 
     def on_ready(self, mask: int) -> None:
-        """The socket can be read or written. Whatever goes wrong in here ends this connection and no other."""
+        """The socket can be read or written. Whatever goes wrong in here ends this connection and
+        no other.
+        """
         try:
             if self.is_open and self.connecting:
                 error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -137,7 +141,7 @@
                 self.flush()
             if self.is_open and mask & READ:
                 self.read()
-        except Exception as error:  # the owner's fault must not reach other connections
+        except Exception as error:  # noqa: BLE001  # it must not reach other connections
             if self.loop.on_error:
                 self.loop.on_error(error)
             self.fail(f"fault: {type(error).__name__}")
@@ -163,8 +167,9 @@
                 self.fail("not read")
 
     def receive(self) -> int:
-        """Read into the loop's buffer. Without a timestamp, what is there now may have come at any time since the
-        loop last looked."""
+        """Read into the loop's buffer. Without a timestamp, what is there now may have come at any
+        time since the loop last looked.
+        """
         self.received_at_us = self.loop.ready_since_us
         if not self.timestamps_enabled:
             return self.sock.recv_into(self.loop.buffer)
@@ -226,7 +231,7 @@
     # --- the idle timer
 
     def start_idle_timer(self, timeout_us: int, most_us: int = 0) -> None:
-        """End the connection unless the other side goes on, and after `most_us` whatever it does."""
+        """End it unless the other side goes on, and after `most_us` whatever that does."""
         self.stop_idle_timer()
         self.last_progress_us = self.loop.now
         self.close_by_us = self.last_progress_us + most_us if most_us else 0
@@ -275,7 +280,7 @@
     # --- what the other side has done
 
     def peer_has_closed(self) -> bool:
-        """Whether the other side has closed, also where what it sent before that is not read yet."""
+        """Whether the other side has closed, also where what it sent before is not read yet."""
         if not self.is_open:
             return True
         poll = select.poll()
@@ -283,8 +288,9 @@
         return bool(poll.poll(0))
 
     def is_stale(self) -> bool:
-        """Whether an idle connection was closed, or spoken on, since the last look: what comes next on it would
-        be taken for the answer to the next request."""
+        """Whether an idle connection was closed, or spoken on, since the last look: what comes
+        next on it would be taken for the answer to the next request.
+        """
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -296,7 +302,9 @@
     # --- its end
 
     def close_gracefully(self) -> None:
-        """Close once all is written and read: closing on unread bytes would reset our last bytes away."""
+        """Close once all is written and read: closing on unread bytes would reset our last bytes
+        away.
+        """
         if self.is_open and not self.closing:
             self.closing = True
             if not self.write_buffer:
--- a/orchidgap/net/connection_pools.py
+++ b/orchidgap/net/connection_pools.py
@@ -1,4 +1,6 @@
-"""The connections to all hosts, whatever is spoken on them: which hosts there are, how many links may be."""
+"""The connections to all hosts, whatever is spoken on them: which hosts there are, how many may
+be.
+"""
 
 from __future__ import annotations
 
@@ -9,73 +11,72 @@
 from orchidgap.net.addresses import Address
 from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
 from orchidgap.net.dialing import dial
+from orchidgap.net.discovery import Dial
+from orchidgap.net.endpoints import Endpoint
 from orchidgap.net.loop import Loop
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
-L = TypeVar("L")
-P = TypeVar("P", bound="ConnectionPool[Any]")
+ConnectionT = TypeVar("ConnectionT")
+PoolT = TypeVar("PoolT", bound="ConnectionPool[Any]")
+# a connection for another process: what is known of it, its socket, how it is closed here
+Transferable = tuple[Any, socket.socket, Callable[[], None]]
 
 
-class ConnectionPool(Generic[L]):
-    """The links to one host."""
+class ConnectionPool(Generic[ConnectionT]):
+    """The connections to one host."""
 
-    def __init__(self, hosts: ConnectionPools[Any], address: Address) -> None:
-        self.pools, self.address = hosts, address
-        self.links: dict[L, None] = {}
-        self.retired = False  # draining or gone: what is under way may end, nothing else
+    def __init__(self, pools: ConnectionPools[Any], address: Address) -> None:
+        """Begin with no connection."""
+        self.pools = pools
+        self.address = address
+        self.links: dict[ConnectionT, None] = {}
+        self.retired = False  # draining or gone: what is under way may end, nothing else begins
 
     def send(self, attempt: UpstreamAttempt) -> None:
+        """Send an attempt on a connection that is idle, or on a new one."""
         raise NotImplementedError
 
     def retire(self) -> None:
-        """Nothing new is written: a dispatch that is still connecting ends unsent."""
+        """Write nothing new: an attempt whose connection is still coming up ends unsent."""
         raise NotImplementedError
 
-    def add(self, link: L) -> None:
+    def add(self, link: ConnectionT) -> None:
+        """Count a connection that was dialled."""
         self.links[link] = None
         self.pools.connection_count += 1
 
-    def forget(self, link: L) -> None:
+    def forget(self, link: ConnectionT) -> None:
+        """It was closed."""
         if link in self.links:
             del self.links[link]
             self.pools.connection_count -= 1
 
 
-class ConnectionPools(Generic[P]):
-    """All pools, by the id of their host; `most` connections together."""
+class ConnectionPools(Generic[PoolT]):
+    """All pools, by the id of their host; `max_connections` together."""
 
     def __init__(
         self,
         loop: Loop,
-        most: int,
-        connect_within: int,
-        sweep: int,
-        dial: Callable[[Address], socket.socket | AttemptFailure] = dial,
+        max_connections: int,
+        connect_timeout_us: int,
+        sweep_interval_us: int,
+        dial: Dial = dial,
     ) -> None:
-        self.loop, self.max_connections, self.connect_timeout_us, self.sweep_interval_us = (
-            loop,
-            most,
-            connect_within,
-            sweep,
-        )
+        """Begin with no host."""
+        self.loop = loop
+        self.max_connections = max_connections
+        self.connect_timeout_us = connect_timeout_us
+        self.sweep_interval_us = sweep_interval_us
         self.dial_address = dial
-        self.by_host: dict[str, P] = {}
+        self.by_host: dict[str, PoolT] = {}
         self.connection_count = 0
-        loop.call_later(sweep, self.run_sweep)
+        loop.call_later(sweep_interval_us, self.run_sweep)
 
-    def set_timeouts(self, connect_within: int, idle_for: int) -> None:
-        """New times for connections to come up, and to stay idle, in microseconds."""
-        self.connect_timeout_us = connect_within
-
-    def transferable(self) -> list[tuple[Any, socket.socket, Callable[[], None]]]:
-        """Links that can go to another process: what is known of each, its socket, how it is closed."""
-        return []
+    # --- what each protocol does in its own way
 
-    def adopt_connection(self, tag: Any, sock: socket.socket) -> None:
-        """A link comes from another process of this balancer, with what is known of it."""
-        sock.close()
-
-    def make_pool(self, address: Address) -> P:
+    def make_pool(self, address: Address) -> PoolT:
+        """A pool for a host at this address."""
         raise NotImplementedError
 
     def close_idle(self) -> bool:
@@ -86,44 +87,61 @@
         """Close what is of no use any more; called again and again."""
         raise NotImplementedError
 
+    def transferable(self) -> list[Transferable]:
+        """Idle connections that can go to another process."""
+        return []
+
+    def adopt_connection(self, tag: Any, sock: socket.socket) -> None:
+        """Take over an idle connection from another process, with what is known of it."""
+        sock.close()
+
+    def set_timeouts(self, connect_within: int, idle_for: int) -> None:
+        """Set the times for connections to come up, and to stay idle, in microseconds."""
+        self.connect_timeout_us = connect_within
+
+    # --- what is the same for all
+
     def run_sweep(self) -> None:
+        """Sweep, and do so again later."""
         self.sweep()
         self.loop.call_later(self.sweep_interval_us, self.run_sweep)
 
-    def apply_endpoints(self, whole: bool, told: Iterable[tuple[str, str, Address]]) -> None:
-        """The list, or a change to it, as (id, state, address)."""
-        gone = set(self.by_host) if whole else set()
-        for id, state, address in told:
-            gone.discard(id)
-            pool = self.by_host.get(id)
+    def apply_endpoints(self, whole: bool, found: Iterable[Endpoint]) -> None:
+        """Follow the list, or a change to it."""
+        absent = set(self.by_host) if whole else set()
+        for host, state, address in found:
+            absent.discard(host)
+            pool = self.by_host.get(host)
             if pool and (state == "gone" or pool.address != address):
-                self.by_host.pop(id).retire()
+                self.by_host.pop(host).retire()
                 pool = None
             if state == "gone":
                 continue
             if pool is None:
-                pool = self.by_host[id] = self.make_pool(address)
+                pool = self.by_host[host] = self.make_pool(address)
             if state == "up":
                 pool.retired = False
             else:
                 pool.retire()
-        for id in sorted(gone):
-            self.by_host.pop(id).retire()
+        for host in sorted(absent):
+            self.by_host.pop(host).retire()
 
-    def send(self, id: str, attempt: UpstreamAttempt) -> None:
-        pool = self.by_host.get(id)
+    def send(self, host: str, attempt: UpstreamAttempt) -> None:
+        """Send an attempt to a host; one that is not listed, or drains, is sent nothing."""
+        pool = self.by_host.get(host)
         if pool is None or pool.retired:
-            return self.loop.call_soon(
-                attempt.settle, AttemptFailure(SendProgress.UNSENT, "broken", "not listed").outcome
-            )
-        pool.send(attempt)
+            failure = AttemptFailure(SendProgress.UNSENT, "broken", "not listed")
+            self.loop.call_soon(attempt.settle, failure.outcome)
+        else:
+            pool.send(attempt)
 
     def dial(self, address: Address) -> socket.socket | AttemptFailure:
-        """Idle connections make way where descriptors run short."""
+        """A socket on its way to a host. Idle connections make way where descriptors run short."""
         while self.connection_count >= self.max_connections:
             if not self.close_idle():
                 return AttemptFailure(SendProgress.UNSENT, "short", "all connections in use")
-        came = self.dial_address(address)
-        if isinstance(came, AttemptFailure) and came.cause == "short" and self.close_idle():
-            came = self.dial_address(address)
-        return came
+        dialled = self.dial_address(address)
+        is_short = isinstance(dialled, AttemptFailure) and dialled.cause == "short"
+        if is_short and self.close_idle():
+            dialled = self.dial_address(address)
+        return dialled
--- a/orchidgap/net/decisions_port.py
+++ b/orchidgap/net/decisions_port.py
@@ -36,7 +36,8 @@
     def dispatch(self, req: int, host: str) -> None:
         """Send an attempt of a request to a host."""
         exchange = self.exchanges[req]
-        # of a body that flows the last byte is still to come; no host is to wait for longer than the client
+        # of a body that flows the last byte is still to come; no host is to wait for longer than
+        # the client
         deadline_us = min(exchange.deadline_us, self.loop.now + exchange.time_remaining_us)
         attempts = exchange.attempts
         attempt = UpstreamAttempt(
--- a/orchidgap/net/event_log.py
+++ b/orchidgap/net/event_log.py
@@ -11,38 +11,46 @@
 
 import orjson
 
-LONGEST = 4_000  # what a pipe that is ready takes without blocking
+MAX_LINE_BYTES = 4_000  # what a pipe that is ready takes without blocking
+MAX_ERROR_LENGTH = 200
+TRACEBACK_FRAMES = 4
+STDERR = 2
 
 
 class EventLog:
-    def __init__(self, name: str = "", fd: int = 2) -> None:
-        self.name, self.fd, self.dropped = name, fd, 0
+    """Writes events; a reader that does not keep up loses lines and never holds up the loop."""
+
+    def __init__(self, name: str = "", fd: int = STDERR) -> None:
+        """Log for the balancer of this name."""
+        self.name = name
+        self.fd = fd
+        self.dropped = 0  # lines that were lost since the last one that was written
         self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
 
     def __call__(self, event: str, **facts: Any) -> None:
-        """A reader that does not keep up loses lines; it must not hold up the loop."""
+        """Write one event."""
         if not self.poll.poll(0):
             self.dropped += 1
             return
         if self.dropped:
-            facts["dropped"], self.dropped = self.dropped, 0
-        line = orjson.dumps(
-            {"at": round(time.time(), 3), "balancer": self.name, "event": event} | facts,
-            default=str,
-            option=orjson.OPT_APPEND_NEWLINE,
-        )
-        if len(line) > LONGEST:
-            return self(event, cut=line[: LONGEST // 4].decode(errors="replace"))
+            facts["dropped"] = self.dropped
+            self.dropped = 0
+        head = {"at": round(time.time(), 3), "balancer": self.name, "event": event}
+        line = orjson.dumps(head | facts, default=str, option=orjson.OPT_APPEND_NEWLINE)
+        if len(line) > MAX_LINE_BYTES:
+            self(event, cut=line[: MAX_LINE_BYTES // 4].decode(errors="replace"))
+            return
         try:
             os.write(self.fd, line)
         except OSError:
             self.dropped += 1
 
-    def exception(self, trouble: Exception) -> None:
-        last = traceback.extract_tb(trouble.__traceback__)[-4:]
+    def exception(self, error: Exception) -> None:
+        """Write an error in the program itself, and where it is."""
+        frames = traceback.extract_tb(error.__traceback__)[-TRACEBACK_FRAMES:]
         self(
             "fault",
-            what=f"{type(trouble).__name__}: {trouble}"[:200],
-            where=[f"{Path(frame.filename).name}:{frame.lineno} {frame.name}" for frame in last],
+            what=f"{type(error).__name__}: {error}"[:MAX_ERROR_LENGTH],
+            where=[f"{Path(frame.filename).name}:{frame.lineno} {frame.name}" for frame in frames],
         )
--- a/orchidgap/net/exchange.py
+++ b/orchidgap/net/exchange.py
@@ -1,4 +1,6 @@
-"""One request on the network: from its last byte to its answer and the end of the last of its attempts."""
+"""One request on the network: from its last byte to its answer and the end of the last of its
+attempts.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,8 @@
 ANSWER_MARGIN_US = (
     20_000  # the answer is out this long before the client timeout: timers can be late
 )
-# the time of a request whose body still comes; until its end it goes by what comes, see the protocol's server
+# the time of a request whose body still comes; until its end it goes by what comes, see the
+# protocol's server
 UPLOAD_TIME_US = 3_600_000_000
 
 
@@ -28,24 +31,31 @@
     open_request_ids: set[bytes]
 
     @property
-    def loop(self) -> Loop: ...
+    def loop(self) -> Loop:
+        """What calls back."""
 
     @property
-    def balancer(self) -> Balancer: ...
+    def balancer(self) -> Balancer:
+        """What decides."""
 
     @property
-    def event_log(self) -> EventLog: ...
+    def event_log(self) -> EventLog:
+        """Where events are written."""
 
     @property
-    def exchanges(self) -> MutableMapping[int, Exchange]: ...
+    def exchanges(self) -> MutableMapping[int, Exchange]:
+        """The requests under way, by number."""
 
     def call_decisions(
         self, call: Callable[..., None], *args: Any, exchange: Exchange | None = None
-    ) -> None: ...
+    ) -> None:
+        """Make one call of the decisions; where it fails, the exchange is answered."""
 
-    def on_load_report(self, attempt: UpstreamAttempt) -> None: ...
+    def on_load_report(self, attempt: UpstreamAttempt) -> None:
+        """A host told of its load with an answer."""
 
-    def release_if_done(self, exchange: Exchange) -> None: ...
+    def release_if_done(self, exchange: Exchange) -> None:
+        """Forget an exchange that is closed and has no attempt in flight."""
 
 
 class Exchange:
@@ -80,8 +90,9 @@
         upload: Upload | None,
         timed: bool = True,
     ) -> None:
-        """`number` is the node's own, `request_id` the client's; `upload` is the body, while that still comes.
-        `timed` is false for an exchange that only ends an answer that flows already."""
+        """`number` is the node's own, `request_id` the client's; `upload` is the body, while that
+        still comes. `timed` is false for an exchange that only ends an answer that flows already.
+        """
         self.node = node
         self.number = number
         self.request_id = request_id
@@ -104,8 +115,9 @@
             upload.on_discarded = self.on_body_discarded
 
     def start_deadline(self) -> None:
-        """The time runs from the last byte. The client counts from its send, and a loop that was held up learns
-        of that late."""
+        """The time runs from the last byte. The client counts from its send, and a loop that was
+        held up learns of that late.
+        """
         margin_us = min(ANSWER_MARGIN_US, self.time_remaining_us // 4)
         self.deadline_us = self.client.received_at_us + self.time_remaining_us - margin_us
         if not self.closed:
@@ -140,22 +152,24 @@
             self.client.answer(status, body, pause, length)
 
     def close(self) -> None:
-        """It has its answer, or nobody waits for one. Its deadline timer runs on for the attempts in flight: they
-        cannot be cancelled everywhere, and would be waited for without end."""
+        """It has its answer, or nobody waits for one. Its deadline timer runs on for the attempts
+        in flight: they cannot be cancelled everywhere, and would be waited for without end.
+        """
         self.closed = True
         for attempt in self.attempts:
             upload = attempt.upload
             if upload and not (
                 upload.complete or attempt.settled or attempt is self.streaming_attempt
             ):
-                # what never comes whole is never executed, so this cancels nothing; its host would wait for ever
+                # what never comes whole is never executed, so this cancels nothing; its host would
+                # wait for ever
                 self.cancel_attempt(attempt)
         if not self.streaming_attempt:
             self.node.open_request_ids.discard(self.request_id)
             self.node.release_if_done(self)
 
     def start_streaming(self, number: int) -> ResponseSink | None:
-        """The answer of this attempt is the final one, and its body flows: who takes it, or None."""
+        """This attempt's answer is the final one, and its body flows: who takes it, or None."""
         if self.closed:
             return None
         self.streaming_attempt = self.attempts[number]
@@ -197,8 +211,9 @@
                 self.cancel_attempt(attempt)
 
     def on_deadline(self) -> None:
-        """Its time is up: attempts in flight have timed out, and the answer goes out now whatever comes of
-        that."""
+        """Its time is up: attempts in flight have timed out, and the answer goes out now whatever
+        comes of that.
+        """
         for attempt in self.attempts:
             if not attempt.settled and attempt is not self.streaming_attempt:
                 attempt.settle(attempt.abandon("overdue").outcome)
@@ -210,7 +225,9 @@
     # --- what its attempts ask and tell
 
     def may_send(self, number: int) -> bool:
-        """Whether this attempt may still begin; asked in the moment before its first byte is written."""
+        """Whether this attempt may still begin; asked in the moment before its first byte is
+        written.
+        """
         if self.closed:
             return False
         latest_us = min(self.deadline_us, self.node.balancer.latest_start_us(self.number, number))
@@ -267,9 +284,11 @@
         self.node.open_request_ids.discard(self.request_id)
         self.node.exchanges.pop(self.number, None)
 
-    def attach(self, attempt: UpstreamAttempt, giving: bool) -> None:
-        """It comes from another process with its attempt, whose answer flows already or is awaited."""
+    def attach(self, attempt: UpstreamAttempt, is_streaming: bool) -> None:
+        """It comes from another process with its attempt, whose answer flows already or is
+        awaited.
+        """
         self.attempts = [attempt]
-        self.closed = giving
-        self.streaming_attempt = attempt if giving else None
+        self.closed = is_streaming
+        self.streaming_attempt = attempt if is_streaming else None
         self.node.exchanges[self.number] = self
--- a/orchidgap/net/handover/coordinator.py
+++ b/orchidgap/net/handover/coordinator.py
@@ -24,7 +24,9 @@
     def __init__(
         self, loop: Loop, node: HandoverNode, folder: str | None = None, shared: bool = False
     ) -> None:
-        """`folder` is common to all processes of this balancer; `shared` where they share its listener."""
+        """`folder` is common to all processes of this balancer; `shared` where they share its
+        listener.
+        """
         self.loop = loop
         self.node = node
         self.shared = shared
@@ -37,8 +39,9 @@
     # --- how they find each other
 
     def find_predecessor(self) -> None:
-        """Look for a process that serves already. Where one could not be seen, each has to do with half of the
-        descriptors."""
+        """Look for a process that serves already. Where one could not be seen, each has to do with
+        half of the descriptors.
+        """
         if not self.shared:
             return
         if not self.rendezvous.has_folder():
@@ -94,7 +97,7 @@
         return any(name in sibling.open_request_ids for sibling in self.siblings())
 
     def notify_siblings(self) -> None:
-        """Tell the others what this process has in flight, and do so again while there are others."""
+        """Tell the others what is in flight here, again and again while there are others."""
         if not self.siblings():
             return
         now = self.take_snapshot()
--- a/orchidgap/net/handover/messages.py
+++ b/orchidgap/net/handover/messages.py
@@ -1,8 +1,9 @@
 """Messages between two processes of one balancer, and their words on the wire.
 
-A packet is a JSON list on one line, whose first entry names the message, and after that line raw bytes which only
-a migrated request has. Versions before and after run side by side: words, order and types of the entries stay as
-they are, and `WIRE_FORMAT` would tell a process that writes them otherwise.
+A packet is a JSON list on one line, whose first entry names the message, and after that line raw
+bytes which only a migrated request has. Versions before and after run side by side: words, order
+and types of the entries stay as they are, and `WIRE_FORMAT` would tell a process that writes them
+otherwise.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Hello(NamedTuple):
-    """The successor's first message: its format and the name of the balancer that both have to be."""
+    """The successor's first message: its format, and of which balancer it is a process."""
 
     wire_format: int
     balancer: str
@@ -41,7 +42,9 @@
 
 
 class SnapshotEnd(NamedTuple):
-    """To the successor: list and host snapshots are complete; what is known of tenants comes with it."""
+    """To the successor: list and host snapshots are complete; what is known of tenants comes with
+    it.
+    """
 
     tenants: Any
 
@@ -107,8 +110,10 @@
 def to_wire(message: Message) -> list[Any]:
     """The list that stands on the packet's line.
 
-    >>> to_wire(Hello(WIRE_FORMAT, "n0")), to_wire(Serving()), to_wire(Counts(["r1"], [], {"c0": 2}))
-    (['hello', 1, 'n0'], ['serving'], ['now', ['r1'], [], {'c0': 2}])
+    >>> to_wire(Hello(WIRE_FORMAT, "n0")), to_wire(Serving())
+    (['hello', 1, 'n0'], ['serving'])
+    >>> to_wire(Counts(["r1"], [], {"c0": 2}))
+    ['now', ['r1'], [], {'c0': 2}]
     """
     if isinstance(message, MigratedRequest):
         return message.words
@@ -116,8 +121,8 @@
 
 
 def from_wire(words: list[Any]) -> Message:
-    """The message of a packet's line. Raises ValueError for one that does not exist, TypeError for one whose
-    number of entries is wrong.
+    """The message of a packet's line. Raises ValueError for one that does not exist, TypeError for
+    one whose number of entries is wrong.
 
     >>> from_wire(["room", 100]), from_wire(["begun"])
     (DescriptorGrant(descriptors=100), MigratedRequest(words=['begun']))
@@ -138,15 +143,16 @@
 
 
 def endpoints_of(chunk: EndpointChunk) -> dict[str, tuple[EndpointEntry, Endpoint]]:
-    """The part of the list that a chunk holds, by host id. Raises ValueError, TypeError or LookupError where an
-    entry is none: the decisions rely on their types."""
+    """The part of the list that a chunk holds, by host id. Raises ValueError, TypeError or
+    LookupError where an entry is none: the decisions rely on their types.
+    """
     found: dict[str, tuple[EndpointEntry, Endpoint]] = {}
-    for entry, (id, state, (host, port)) in chunk.endpoints:
+    for entry, (host_id, state, (host, port)) in chunk.endpoints:
         types = [type(value) for value in entry[: len(ENTRY_TYPES)]]
         if types != ENTRY_TYPES or len(entry) != len(ENTRY_TYPES) + 1:
             raise ValueError("no entry of a list")
-        found[id] = (
+        found[host_id] = (
             (*entry[: len(ENTRY_TYPES)], float(entry[-1])),
-            (str(id), str(state), (str(host), int(port))),
+            (str(host_id), str(state), (str(host), int(port))),
         )
     return found
--- a/orchidgap/net/handover/packet_channel.py
+++ b/orchidgap/net/handover/packet_channel.py
@@ -27,9 +27,10 @@
 class PacketChannel:
     """One end of a socket of packets.
 
-    `on_message` is given a message, the raw bytes behind it and descriptors that are closed after the call. It
-    raises ValueError, TypeError, LookupError or AttributeError for what makes no sense, which ends the channel.
-    `on_end` is told why the channel ended, once, and not after `close`.
+    `on_message` is given a message, the raw bytes behind it and descriptors that are closed after
+    the call. It raises ValueError, TypeError, LookupError or AttributeError for what makes no
+    sense, which ends the channel. `on_end` is told why the channel ended, once, and not after
+    `close`.
     """
 
     def __init__(
@@ -39,6 +40,7 @@
         on_message: Callable[[Message, bytes, list[int]], None],
         on_end: Callable[[str], None],
     ) -> None:
+        """Speak on a socket of packets that is connected."""
         self.loop = loop
         self.sock = sock
         self.on_message = on_message
@@ -129,7 +131,9 @@
         return True
 
     def dispatch(self, packet: bytes, flags: int, fds: list[int]) -> None:
-        """Decode a packet and pass its message on. Raises ValueError and the like where it is none."""
+        """Decode a packet and pass its message on. Raises ValueError and the like where it is
+        none.
+        """
         line, _, raw = packet.partition(b"\n")
         words = orjson.loads(line)
         is_cut_off = flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC)
--- a/orchidgap/net/handover/ports.py
+++ b/orchidgap/net/handover/ports.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import socket
-from collections.abc import Callable, Collection, Mapping
+from collections.abc import Callable, Collection, Iterable, Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 
 from orchidgap.net.client_listener import ClientListener
@@ -30,22 +30,28 @@
     """The node, as far as a handover reads and changes it."""
 
     @property
-    def config(self) -> BalancerConfig: ...
+    def config(self) -> BalancerConfig:
+        """What this balancer was told at start, or read since."""
 
     @property
-    def event_log(self) -> EventLog: ...
+    def event_log(self) -> EventLog:
+        """Where events are written."""
 
     @property
-    def lifecycle(self) -> Lifecycle: ...
+    def lifecycle(self) -> Lifecycle:
+        """The state of this process."""
 
     @property
-    def balancer(self) -> Balancer: ...
+    def balancer(self) -> Balancer:
+        """What decides."""
 
     @property
-    def clients(self) -> ClientListener: ...
+    def clients(self) -> ClientListener:
+        """The clients' side."""
 
     @property
-    def pools(self) -> ConnectionPools[Any]: ...
+    def pools(self) -> ConnectionPools[Any]:
+        """The connections to hosts."""
 
     @property
     def endpoints(self) -> Mapping[str, tuple[EndpointEntry, Endpoint]]:
@@ -60,24 +66,32 @@
         """Ids of the requests whose clients still wait."""
 
     @property
-    def descriptor_limit(self) -> int: ...
+    def descriptor_limit(self) -> int:
+        """Descriptors that this process may hold."""
 
     @property
     def has_warm_state(self) -> bool:
         """Whether what decides here can export and restore a snapshot."""
 
-    def set_descriptor_limit(self, descriptors: int) -> None: ...
+    def set_descriptor_limit(self, descriptors: int) -> None:
+        """Hold no more descriptors than these."""
 
-    def descriptors_needed(self) -> int: ...
+    def descriptors_needed(self) -> int:
+        """Descriptors that it holds, or needs at once."""
 
-    def on_list(self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]) -> None: ...
+    def on_list(self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]) -> None:
+        """Take the list of hosts, or changes to it."""
 
-    def check_ready(self) -> None: ...
+    def check_ready(self) -> None:
+        """Serve, where nothing is waited for any more."""
 
-    def call_decisions(self, call: Callable[..., None], *args: Any) -> None: ...
+    def call_decisions(self, call: Callable[..., None], *args: Any) -> None:
+        """Make one call of the decisions."""
 
-    def migrating_requests(self) -> Collection[MigratingRequest] | Any:
-        """An iterable of the requests that can go on in another process, each as it stands."""
+    def migrating_requests(self) -> Iterable[MigratingRequest]:
+        """Requests that can go on in another process, each as it stands."""
 
     def accept_migrated(self, words: list[Any], raw: bytes, sockets: list[socket.socket]) -> None:
-        """A request that comes from another process. Raises ValueError or the like where it makes no sense."""
+        """A request that comes from another process. Raises ValueError or the like where it makes
+        no sense.
+        """
--- a/orchidgap/net/handover/predecessor.py
+++ b/orchidgap/net/handover/predecessor.py
@@ -45,6 +45,7 @@
     def __init__(
         self, loop: Loop, node: HandoverNode, sock: socket.socket, owner: PredecessorOwner
     ) -> None:
+        """Speak with the older process on a socket of packets."""
         self.loop = loop
         self.endpoints: dict[str, tuple[EndpointEntry, Endpoint]] = {}  # while the list is told
         self.host_snapshots: dict[str, Any] = {}  # while they are told
@@ -69,7 +70,9 @@
                 self.accept_connections(message, raw, fds)
 
     def accept_connections(self, message: Message, raw: bytes, fds: list[int]) -> None:
-        """Connections that are handed over. The channel closes its descriptors, so each is duplicated."""
+        """Connections that are handed over. The channel closes its descriptors, so each is
+        duplicated.
+        """
         match message:
             case IdleClients():
                 for fd in fds:
@@ -83,7 +86,9 @@
                 raise ValueError(f"not from a predecessor: {message!r}")
 
     def restore_snapshot(self, tenants: Any) -> None:
-        """All is told: the list, which is newer than what this process was started with, and the rest."""
+        """All is told: the list, which is newer than what this process was started with, and the
+        rest.
+        """
         if self.endpoints:
             entries, found = zip(*self.endpoints.values())
             self.node.on_list(True, list(entries), list(found))
--- a/orchidgap/net/handover/rendezvous.py
+++ b/orchidgap/net/handover/rendezvous.py
@@ -32,7 +32,7 @@
         return bool(self.path) and os.path.isdir(os.path.dirname(self.path))
 
     def connect(self) -> socket.socket | None:
-        """A connection to the process that serves; None where there is none, or none that answers."""
+        """A connection to the process that serves; None where none is, or none answers."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             with ShortPath(self.path) as path:
@@ -44,10 +44,11 @@
         return sock
 
     def listen(self, on_call: Callable[[socket.socket], None]) -> None:
-        """Have newer processes find this one: `on_call` is given each one's connection. Raises OSError.
+        """Have newer processes find this one: `on_call` is given each one's connection. Raises
+        OSError.
 
-        The socket is bound under a name of its own and then renamed, so that there is never a moment in which
-        nobody is found.
+        The socket is bound under a name of its own and then renamed, so that there is never a
+        moment in which nobody is found.
         """
         own_path = f"{self.path}.{os.getpid()}"
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -67,7 +68,9 @@
         self.loop.watch(listener, READ, self.accept)
 
     def accept(self, mask: int = READ) -> None:
-        """Accept calls; another user's process is not spoken with, as it would be handed descriptors."""
+        """Accept calls; another user's process is not spoken with, as it would be handed
+        descriptors.
+        """
         while self.listener and self.on_call:
             try:
                 sock, _ = self.listener.accept()
@@ -92,9 +95,12 @@
 
 
 class ShortPath:
-    """A path that fits into a Unix socket's address, by its folder's descriptor where it is too long."""
+    """A path that fits into a Unix socket's address, by its folder's descriptor where it is too
+    long.
+    """
 
     def __init__(self, path: str) -> None:
+        """Keep the path."""
         self.path = path
         self.folder_fd = -1
 
--- a/orchidgap/net/handover/sibling.py
+++ b/orchidgap/net/handover/sibling.py
@@ -33,6 +33,7 @@
     def __init__(
         self, loop: Loop, node: HandoverNode, sock: socket.socket, owner: SiblingOwner
     ) -> None:
+        """Speak on a socket of packets."""
         self.node = node
         self.owner = owner
         self.open_request_ids: set[str] = set()  # as it has told
@@ -54,11 +55,11 @@
         self.open_request_ids.update(counts.opened)
         self.open_request_ids.difference_update(counts.closed)
         if counts.in_flight != self.in_flight:
-            self.in_flight = {str(id): int(count) for id, count in counts.in_flight.items()}
+            self.in_flight = {str(host): int(count) for host, count in counts.in_flight.items()}
             self.owner.on_counts_changed()
 
     def notify(self, now: Snapshot, descriptors: int) -> None:
-        """Tell it what has changed here since the last time, and how many descriptors it may hold."""
+        """Tell it what has changed here, and how many descriptors it may hold."""
         if now == self.notified and descriptors == self.granted:
             return
         if descriptors != self.granted:
--- a/orchidgap/net/handover/successor.py
+++ b/orchidgap/net/handover/successor.py
@@ -1,4 +1,4 @@
-"""The process that comes after this one: it is told what this one knows, and gets its connections."""
+"""The process that comes after this one: it is told what this one knows, and gets connections."""
 
 from __future__ import annotations
 
@@ -54,7 +54,9 @@
                 raise ValueError(f"not from a successor: {message!r}")
 
     def on_hello(self, hello: Hello) -> None:
-        """Tell it everything. Raises ValueError where it is no process of this balancer, or writes otherwise."""
+        """Tell it everything. Raises ValueError where it is no process of this balancer, or writes
+        otherwise.
+        """
         node = self.node
         if hello != Hello(WIRE_FORMAT, node.config.name):
             raise ValueError(f"not of this balancer: {hello!r}")
@@ -96,7 +98,9 @@
     # --- descriptors
 
     def limit_own_descriptors(self) -> None:
-        """While a successor is there this process keeps what it holds, or half; the successor has the rest."""
+        """While a successor is there this process keeps what it holds, or half; the successor has
+        the rest.
+        """
         node = self.node
         total = node.config.descriptors
         half = 0 if node.lifecycle.migrates_connections else total // 2
--- a/orchidgap/net/loop.py
+++ b/orchidgap/net/loop.py
@@ -10,15 +10,17 @@
 from heapq import heappop, heappush
 from typing import Any
 
-READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
-MAX_WAIT_US = 1_000_000  # of one wait
-AT_ONCE = 1_000  # a wait shorter than this found something that was there before
+READ = selectors.EVENT_READ
+WRITE = selectors.EVENT_WRITE
+MAX_WAIT_US = 1_000_000
+IMMEDIATE_WAIT_US = 1_000  # a wait shorter than this found something that was there before
+READ_BUFFER_BYTES = 1 << 16
 
 
 def system_clock() -> Callable[[], int]:
     """Unix time in microseconds as at the start, carried on by the clock that never jumps."""
-    offset = time.time_ns() - time.monotonic_ns()
-    return lambda: (time.monotonic_ns() + offset) // 1000
+    offset_ns = time.time_ns() - time.monotonic_ns()
+    return lambda: (time.monotonic_ns() + offset_ns) // 1000
 
 
 def boot_clock() -> int:
@@ -27,22 +29,34 @@
 
 
 class Timer:
-    __slots__ = (
-        "args",
-        "callback",
-    )
+    """A call that is made at its time unless it is cancelled."""
 
-    def __init__(self, act: Callable[..., None] | None, args: tuple[Any, ...]) -> None:
-        self.callback, self.args = act, args
+    __slots__ = ("args", "callback")
+
+    def __init__(self, callback: Callable[..., None] | None, args: tuple[Any, ...]) -> None:
+        """The call, with its arguments."""
+        self.callback = callback
+        self.args = args
 
     def cancel(self) -> None:
-        self.callback, self.args = None, ()
+        """Call nothing, and hold on to nothing."""
+        self.callback = None
+        self.args = ()
 
 
 class Loop:
-    """
+    """Calls back for sockets that are ready and for timers that are due.
+
+    Attributes:
+        now: The time of the turn under way, in microseconds of the loop's clock.
+        ready_since_us: Nothing that is ready in this turn was ready before.
+        buffer: What a connection reads stands here until the next read.
+        longest_turn_us: The longest turn, without its wait.
+
     >>> loop = Loop(clock=iter(range(0, 10_000, 100)).__next__)
-    >>> _ = loop.call_later(150, print, "due"); loop.call_later(20, print, "never").cancel(); loop.call_soon(print, "next")
+    >>> _ = loop.call_later(150, print, "due")
+    >>> loop.call_later(20, print, "never").cancel()
+    >>> loop.call_soon(print, "next")
     >>> loop.run_once(); loop.run_once(0); loop.run_once(0)
     due
     next
@@ -53,81 +67,98 @@
         clock: Callable[[], int] | None = None,
         on_error: Callable[[Exception], None] | None = None,
     ) -> None:
+        """`on_error` is told of what escapes a call; without it the loop ends then."""
         self.clock = clock or system_clock()
-        self.on_error = on_error  # told of what escapes a call; without it the loop ends
+        self.on_error = on_error
         self.selector = selectors.DefaultSelector()
-        self.priority_callbacks: set[Callable[[int], None]] = (
-            set()
-        )  # whose turn comes before all others'
+        self.priority_callbacks: set[Callable[[int], None]] = set()  # whose turn comes first
         self.timers: list[tuple[int, int, Timer]] = []
         self.soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self.timer_count = 0
         self.running = True
-        self.longest_turn_us = 0  # microseconds that one round has taken, but for its wait
-        self.now = self.last_poll_us = self.ready_since_us = (
-            self.clock()
-        )  # since: nothing that is ready now was so before
-        self.buffer = memoryview(bytearray(1 << 16))  # what is read stands here until the next read
+        self.longest_turn_us = 0
+        self.now = self.clock()
+        self.last_poll_us = self.now
+        self.ready_since_us = self.now
+        self.buffer = memoryview(bytearray(READ_BUFFER_BYTES))
 
     def watch(
-        self, sock: socket.socket, mask: int, act: Callable[[int], None], first: bool = False
+        self,
+        sock: socket.socket,
+        mask: int,
+        callback: Callable[[int], None],
+        first: bool = False,
     ) -> None:
-        self.selector.register(sock, mask, act)
+        """Call back when the socket is ready; with `first`, before others that are."""
+        self.selector.register(sock, mask, callback)
         if first:
-            self.priority_callbacks.add(act)
+            self.priority_callbacks.add(callback)
 
-    def rewatch(self, sock: socket.socket, mask: int, act: Callable[[int], None]) -> None:
-        self.selector.modify(sock, mask, act)
+    def rewatch(self, sock: socket.socket, mask: int, callback: Callable[[int], None]) -> None:
+        """Watch the socket for something else."""
+        self.selector.modify(sock, mask, callback)
 
     def unwatch(self, sock: socket.socket) -> None:
+        """Watch the socket no more."""
         self.selector.unregister(sock)
 
-    def call_later(self, delay: int, act: Callable[..., None], *args: Any) -> Timer:
-        return self.call_at(self.now + delay, act, *args)
+    def call_later(self, delay_us: int, callback: Callable[..., None], *args: Any) -> Timer:
+        """Call after so many microseconds."""
+        return self.call_at(self.now + delay_us, callback, *args)
 
-    def call_at(self, when: int, act: Callable[..., None], *args: Any) -> Timer:
-        timer = Timer(act, args)
+    def call_at(self, when_us: int, callback: Callable[..., None], *args: Any) -> Timer:
+        """Call at a time of the loop's clock; those of the same time in the order they came."""
+        timer = Timer(callback, args)
         self.timer_count += 1
-        heappush(self.timers, (when, self.timer_count, timer))
+        heappush(self.timers, (when_us, self.timer_count, timer))
         return timer
 
-    def call_soon(self, act: Callable[..., None], *args: Any) -> None:
-        """After the call under way: what comes of a dispatch must not run into the decision to send it."""
-        self.soon.append((act, args))
+    def call_soon(self, callback: Callable[..., None], *args: Any) -> None:
+        """Call after the call under way: what comes of an attempt must not run into the decision to
+        send it.
+        """
+        self.soon.append((callback, args))
 
     def run(self) -> None:
+        """Turn until told to stop."""
         while self.running:
             self.run_once()
 
-    def run_once(self, longest: int = MAX_WAIT_US) -> None:
-        """One round. What is ready comes before what is due: an answer that is there beats its time-out."""
-        entered = self.clock()
-        wait = 0 if self.soon else longest
+    def run_once(self, max_wait_us: int = MAX_WAIT_US) -> None:
+        """One turn. What is ready comes before what is due: an answer that is there beats its
+        time-out.
+        """
+        entered_us = self.clock()
+        wait_us = 0 if self.soon else max_wait_us
         if self.timers:
-            wait = max(0, min(wait, self.timers[0][0] - entered))
-        events = self.selector.select(wait / 1e6)
+            wait_us = max(0, min(wait_us, self.timers[0][0] - entered_us))
+        events = self.selector.select(wait_us / 1e6)
         now = self.clock()
-        self.ready_since_us = self.last_poll_us if now - entered < AT_ONCE else now
-        self.now = self.last_poll_us = now
+        was_ready_before = now - entered_us < IMMEDIATE_WAIT_US
+        self.ready_since_us = self.last_poll_us if was_ready_before else now
+        self.last_poll_us = now
+        self.now = now
         if self.priority_callbacks and len(events) > 1:
             events.sort(key=lambda event: event[0].data not in self.priority_callbacks)
         for key, mask in events:
             self.run_callback(key.data, mask)
         self.now = self.clock()
         while self.timers and self.timers[0][0] <= self.now:
-            timer = heappop(self.timers)[2]
+            _, _, timer = heappop(self.timers)
             if timer.callback is not None:
                 self.run_callback(timer.callback, *timer.args)
         for _ in range(len(self.soon)):
-            act, args = self.soon.popleft()
-            self.run_callback(act, *args)
-        if (took := self.clock() - self.last_poll_us) > self.longest_turn_us:
-            self.longest_turn_us = took
-
-    def run_callback(self, act: Callable[..., None], *args: Any) -> None:
+            callback, args = self.soon.popleft()
+            self.run_callback(callback, *args)
+        turn_us = self.clock() - self.last_poll_us
+        if turn_us > self.longest_turn_us:
+            self.longest_turn_us = turn_us
+
+    def run_callback(self, callback: Callable[..., None], *args: Any) -> None:
+        """Make one call; where it fails, all others are still made."""
         try:
-            act(*args)
-        except Exception as trouble:  # one call that fails must not end all others
+            callback(*args)
+        except Exception as error:  # whatever it is, only this call ends
             if self.on_error is None:
                 raise
-            self.on_error(trouble)
+            self.on_error(error)
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -1,6 +1,8 @@
-"""Joins the network to the decisions: clients and hosts on one side, the balancer's rules on the other.
+"""Joins the network to the decisions: clients and hosts on one side, the balancer's rules on the
+other.
 
-Nothing is decided here. A node is the clients' `RequestHandler` and, by `DecisionsPort`, the decisions' port.
+Nothing is decided here. A node is the clients' `RequestHandler` and, by `DecisionsPort`, the
+decisions' port.
 """
 
 from __future__ import annotations
@@ -10,7 +12,7 @@
 from typing import Any, Protocol
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.lifecycle import Lifecycle, LifecycleEvent, State
+from orchidgap.decisions.lifecycle import Lifecycle, LifecycleEvent
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.client_listener import ClientListener
@@ -25,12 +27,12 @@
 from orchidgap.net.exchange import Exchange
 from orchidgap.net.handover import Handover, MigratingRequest
 from orchidgap.net.loop import Loop
+from orchidgap.net.node_lifecycle import NodeLifecycle
 from orchidgap.net.request_handler import Responder
 from orchidgap.net.request_key import key_number
 from orchidgap.net.upstream_attempt import UpstreamAttempt, parse_load_report
 
 FIRST_LIST_TIMEOUT_US = 1_000_000  # for discovery to tell its list before a new process serves
-DRAIN_STEP_US = 10_000
 INITIAL_CONNECTIONS = 8  # until the descriptors are divided
 
 
@@ -52,10 +54,12 @@
     def accept_migrated(
         self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
     ) -> None:
-        """One that comes from another process. Raises ValueError or the like where it makes no sense."""
+        """One that comes from another process. Raises ValueError or the like where it makes no
+        sense.
+        """
 
 
-class Node(DecisionsPort):
+class Node(NodeLifecycle, DecisionsPort):
     """One balancer on the network."""
 
     settings: Mapping[str, Any] | None = None  # that count in place of the file's
@@ -95,7 +99,8 @@
         self.apply_endpoints(True, entries, found)
         self.call_decisions(self.balancer.on_hosts, "recalled", entries)
         self.check_ready()
-        # the configuration's list may be old, and what discovery has counts as told from the first moment
+        # the configuration's list may be old, and what discovery has counts as told from the first
+        # moment
         self.loop.call_later(FIRST_LIST_TIMEOUT_US, self.end_list_wait)
         self.discovery.fetch()
 
@@ -117,19 +122,15 @@
 
     # --- what the clients' side asks
 
-    def is_ready(self) -> bool:
-        """Whether the balancer says that it serves."""
-        return self.lifecycle.rules.is_ready
-
-    def knows_request_class(self, rule_set: str) -> bool:
+    def knows_request_class(self, name: str) -> bool:
         """Whether there is a request class of this name."""
-        return rule_set in self.config.settings.request_classes
+        return name in self.config.settings.request_classes
 
-    def is_request_open(self, id: bytes) -> bool:
+    def is_request_open(self, request_id: bytes) -> bool:
         """Whether a request of this id is open, here or in another process of this balancer."""
-        if id in self.open_request_ids:
+        if request_id in self.open_request_ids:
             return True
-        return self.handover.active and self.handover.is_request_open(id)
+        return self.handover.active and self.handover.is_request_open(request_id)
 
     def close_idle_connection(self) -> bool:
         """Close an idle connection to a host; whether there was one."""
@@ -142,25 +143,27 @@
 
     def handle_request(
         self,
-        caller: Responder,
-        id: bytes,
-        rule_set: str,
-        left: int,
-        write: bool,
+        responder: Responder,
+        request_id: bytes,
+        request_class: str,
+        time_remaining_us: int,
+        is_write: bool,
         key: bytes,
         tenant: str,
         head: bytes,
         body: bytes,
         slot: int = -1,
-        flow: Upload | None = None,
+        upload: Upload | None = None,
     ) -> None:
         """Take a request; see `RequestHandler`."""
         self.last_request_number += 1
         number = self.last_request_number
-        exchange = Exchange(self, number, id, caller, head, body, left, flow)
-        caller.pending_request = self.exchanges[number] = exchange
+        exchange = Exchange(
+            self, number, request_id, responder, head, body, time_remaining_us, upload
+        )
+        responder.pending_request = self.exchanges[number] = exchange
         placement: tuple[Any, ...] = ()
-        if flow:
+        if upload:
             placement = (slot, True)
         elif slot >= 0:
             placement = (slot,)
@@ -168,8 +171,8 @@
             self.balancer.on_request,
             number,
             max(0, exchange.deadline_us - self.loop.now),
-            write,
-            rule_set,
+            is_write,
+            request_class,
             key_number(key),
             tenant,
             *placement,
@@ -197,10 +200,10 @@
         if whole:
             self.endpoints.clear()
         for entry, endpoint in zip(entries, found):
-            id, state = entry[:2]
-            self.endpoints[id] = entry, endpoint
+            host, state = entry[:2]
+            self.endpoints[host] = entry, endpoint
             if state == "gone":
-                del self.endpoints[id]
+                del self.endpoints[host]
 
     def check_ready(self) -> None:
         """It can serve once it has a list, and what another process of this balancer knows."""
@@ -226,21 +229,24 @@
     def call_decisions(
         self, call: Callable[..., None], *args: Any, exchange: Exchange | None = None
     ) -> None:
-        """One call of the decisions. Where it fails, the request that it was about is still answered."""
+        """One call of the decisions. Where it fails, the request that it was about is still
+        answered.
+        """
         self.balancer.now = self.loop.now
         try:
             call(*args)
-        except Exception as error:  # a fault of one decision must not end the program
+        except Exception as error:  # noqa: BLE001  # it must not end the program
             self.event_log.exception(error)
             if exchange:
                 exchange.answer(500)
 
     # --- handover to another process of this balancer
 
-    def fallback_status(self, id: int) -> int:
-        """The answer to a request whose one attempt may have been executed and failed: 503 where a retry does no
-        harm, else 500."""
-        request = self.balancer.requests.get(id)
+    def fallback_status(self, number: int) -> int:
+        """The answer to a request whose one attempt may have been executed and failed: 503 where a
+        retry does no harm, else 500.
+        """
+        request = self.balancer.requests.get(number)
         request_class = request.request_class if request else None
         if request_class is None:
             return 500
@@ -262,22 +268,7 @@
         """A request that comes from another process."""
         self.protocol.accept_migrated(self, words, raw, sockets)
 
-    # --- what operators ask for: each act returns whether it could be done, and a word on it
-
-    def health(self) -> tuple[bool, str]:
-        """Whether it serves."""
-        return self.is_ready(), self.lifecycle.state.value
-
-    def quiesce(self) -> tuple[bool, str]:
-        """Have all clients go elsewhere, none of them unanswered."""
-        self.transition(LifecycleEvent.DRAIN)
-        return True, self.lifecycle.state.value
-
-    def resume(self) -> tuple[bool, str]:
-        """End a drain."""
-        may_resume = self.lifecycle.rules.can_resume
-        self.transition(LifecycleEvent.RESUME)
-        return may_resume, self.lifecycle.state.value
+    # --- what operators ask for
 
     def shadow_report(self) -> tuple[bool, str]:
         """What the settings that are watched would have decided otherwise, by kind."""
@@ -286,8 +277,9 @@
         return True, self.balancer.summary()
 
     def apply_config(self, config: BalancerConfig) -> None:
-        """New settings count for requests from now on; what cannot change while it runs waits for the next
-        start."""
+        """New settings count for requests from now on; what cannot change while it runs waits for
+        the next start.
+        """
         old = self.config
         self.config, waiting = keep_until_restart(old, config)
         settings = self.config.settings
@@ -306,62 +298,5 @@
         self.discovery.move(config.discovery)
 
     def set_response_hold(self) -> None:
-        """How long an answer of unknown length may be held: a quarter of what answers are to take."""
+        """How long an answer of unknown length may be held: a quarter of the objective."""
         self.response_hold_us = self.config.settings.latency_objective_us // 4
-
-    # --- its life
-
-    def begin_shutdown(self) -> None:
-        """Answer what is open, let clients go, and end."""
-        self.transition(LifecycleEvent.SHUT_DOWN)
-
-    def transition(self, event: LifecycleEvent) -> None:
-        """Go to the next state, where the event leads to one."""
-        elapsed_us = self.loop.now - self.lifecycle.since_us
-        if not self.lifecycle.handle(event, self.loop.now):
-            return
-        if self.lifecycle.state is State.SERVING:
-            # before it is logged: who reads of it may tell the older process to end
-            self.handover.announce_serving()
-        self.event_log(
-            self.lifecycle.state.value,
-            reqs=len(self.exchanges),
-            clients=len(self.clients.open_clients),
-            after_ms=elapsed_us // 1000,
-        )
-        if self.lifecycle.rules.closes_after_answer:
-            self.drain_step(self.lifecycle.transition_count)
-
-    def drain_step(self, change: int) -> None:
-        """Look who is left, again and again while clients are let go, until the state is another one."""
-        lifecycle = self.lifecycle
-        now = self.loop.now
-        if lifecycle.transition_count != change:
-            return
-        if not lifecycle.accepts_connections(now):
-            self.clients.close_listener()
-        if lifecycle.closes_idle(now):
-            self.clients.release_idle()
-            if not self.clients.open_clients and not self.exchanges:
-                self.transition(LifecycleEvent.EMPTY)
-        if lifecycle.must_answer_all(now):
-            for exchange in [each for each in self.exchanges.values() if not each.closed]:
-                exchange.on_deadline()
-        # a client is open while a request of it is, or an answer that it has to read
-        is_streaming = any(exchange.streaming_attempt for exchange in self.exchanges.values())
-        if lifecycle.is_finished(now, len(self.clients.open_clients), is_streaming):
-            self.stop()
-        else:
-            self.loop.call_later(DRAIN_STEP_US, self.drain_step, change)
-
-    def stop(self) -> None:
-        """End the program's loop."""
-        self.event_log(
-            "stopped",
-            reqs=sum(not exchange.closed for exchange in self.exchanges.values()),
-            longest_turn_ms=self.loop.longest_turn_us // 1000,
-        )
-        if isinstance(self.balancer, ShadowBalancer):
-            self.event_log("shadow report", what=self.balancer.summary())
-        self.handover.close()
-        self.loop.running = False
--- a/orchidgap/net/request_handler.py
+++ b/orchidgap/net/request_handler.py
@@ -15,7 +15,9 @@
         """Its client has gone away."""
 
     def on_body_complete(self) -> None:
-        """The last byte of a body that flows is there; the responder's `received_at_us` says since when."""
+        """The last byte of a body that flows is there; the responder's `received_at_us` says since
+        when.
+        """
 
 
 class Responder(Protocol):
@@ -33,9 +35,10 @@
     def answer(
         self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
     ) -> None:
-        """Send the whole answer. The status is 200, 400, 500 or 503, whatever is spoken; `pause` is how long the
-        client is asked to wait before it comes back, in microseconds; `length` is what the head tells where it
-        has no body."""
+        """Send the whole answer. The status is 200, 400, 500 or 503, whatever is spoken; `pause`
+        is how long the client is asked to wait before it comes back, in microseconds; `length` is
+        what the head tells where it has no body.
+        """
 
 
 class RequestHandler(Protocol):
@@ -46,10 +49,10 @@
     def is_ready(self) -> bool:
         """Whether the balancer says that it serves."""
 
-    def knows_request_class(self, rule_set: str) -> bool:
+    def knows_request_class(self, name: str) -> bool:
         """Whether there is a request class of this name."""
 
-    def is_request_open(self, id: bytes) -> bool:
+    def is_request_open(self, request_id: bytes) -> bool:
         """Whether a request of this id is open."""
 
     def close_idle_connection(self) -> bool:
@@ -57,20 +60,21 @@
 
     def handle_request(
         self,
-        caller: Responder,
-        id: bytes,
-        rule_set: str,
-        left: int,
-        write: bool,
+        responder: Responder,
+        request_id: bytes,
+        request_class: str,
+        time_remaining_us: int,
+        is_write: bool,
         key: bytes,
         tenant: str,
         head: bytes,
         body: bytes,
         slot: int = -1,
-        flow: Upload | None = None,
+        upload: Upload | None = None,
     ) -> None:
         """Take a request. Sets `caller.pending_request`, and has `caller.answer` called once.
 
-        `left` is the time that the client waits, in microseconds; a slot below 0 is drawn from the key. A body
-        that flows is not in `body`; `pending_request.on_body_complete` is called at its end.
+        `left` is the time that the client waits, in microseconds; a slot below 0 is drawn from the
+        key. A body that flows is not in `body`; `pending_request.on_body_complete` is called at
+        its end.
         """
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -1,4 +1,6 @@
-"""The running program: the loop, the node, and the signals that end them or have the configuration read anew."""
+"""The running program: the loop, the node, and the signals that end it or have its file read
+again.
+"""
 
 from __future__ import annotations
 
@@ -14,119 +16,165 @@
 from orchidgap.admin.server import Operators
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.shadow import ShadowBalancer
+from orchidgap.errors import ConfigError
 from orchidgap.net import config
 from orchidgap.net.addresses import Address, format_address
+from orchidgap.net.config import BalancerConfig
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.handover import Handover, inherited_listener
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node, ProtocolParts
 from orchidgap.net.signals import watch_signals
 
-BIND_FOR = 10.0  # seconds: a forerunner that was killed may still hold the address
+BIND_TIMEOUT_S = 10.0  # a process before this one that was killed may still hold the address
+BIND_RETRY_S = 0.05
 
 
 class LeaseHolder(Protocol):
     """What says when a balancer may let clients in."""
 
-    def begin(self, opens: Callable[[], None]) -> None: ...
+    def begin(self, opens: Callable[[], None]) -> None:
+        """Call back once it may."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """The process ends."""
+
+
+class Gossip(Protocol):
+    """What talks to other balancers."""
+
+    def close(self) -> None:
+        """The process ends."""
+
+
+GuardedNodeFactory = Callable[..., tuple[Node, LeaseHolder]]
+GossipFactory = Callable[[Loop, Node, EventLog, BalancerConfig], Gossip]
 
 
 def serve(
     path: str | None,
-    parts: Callable[[config.BalancerConfig], ProtocolParts],
+    protocol_for: Callable[[BalancerConfig], ProtocolParts],
     decider: Callable[..., Any] = Balancer,
-    held: Callable[..., tuple[Node, LeaseHolder]] | None = None,
-    talk: Callable[..., Any] | None = None,
+    make_guarded_node: GuardedNodeFactory | None = None,
+    make_gossip: GossipFactory | None = None,
 ) -> None:
-    """Takes the configuration's path, what is spoken, what decides, who makes a node that control holds, and
-    who talks to other balancers; ends when told to. Raises ConfigError."""
-    # until it is heeded: its default would end the process, and it may tell of a file newer than what is read
+    """Run a balancer until it is told to end.
+
+    Args:
+        path: The configuration's file.
+        protocol_for: What is spoken.
+        decider: What decides.
+        make_guarded_node: Makes a node that serves by control's leases, where that is asked for.
+        make_gossip: Makes what talks to other balancers, where that is asked for.
+
+    Raises:
+        ConfigError: It cannot start.
+    """
+    # until it is heeded: its default would end the process, and the file may change after it is
+    # read
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
-    station = config.read(path)
-    log = EventLog(station.name)
+    balancer_config = config.read(path)
+    log = EventLog(balancer_config.name)
     loop = Loop(on_error=log.exception)
-    if station.shadow_settings:
-        decider = partial(ShadowBalancer, station.shadow_settings)
+    if balancer_config.shadow_settings:
+        decider = partial(ShadowBalancer, balancer_config.shadow_settings)
     holder: LeaseHolder | None = None
-    if station.control and held:
-        node, holder = held(path, loop, station, log, parts(station), decider=decider)
+    if balancer_config.control and make_guarded_node:
+        node, holder = make_guarded_node(
+            path, loop, balancer_config, log, protocol_for(balancer_config), decider=decider
+        )
     else:
-        node = Node(loop, station, log, parts(station), decider=decider)
-    bell = handle_signals(loop, node, path)
+        node = Node(loop, balancer_config, log, protocol_for(balancer_config), decider=decider)
+    wakeup = handle_signals(loop, node, path)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP,))
-    if station.admin:
-        operators = Operators(
-            loop,
-            {
-                "health": node.health,
-                "quiesce": node.quiesce,
-                "resume": node.resume,
-                "watch": node.shadow_report,
-            },
-        )
-        listen_with_retry(operators.listen, station.admin)
-
-    def opens() -> None:
-        if passed := os.environ.get("GW_PASSED_SOCKET"):
-            node.clients.use_listening_socket(inherited_listener(passed))
-            node.handover = Handover(loop, node, os.environ.get("TMPDIR"), shared=True)
-            node.handover.find_predecessor()
-        else:
-            listen_with_retry(node.clients.listen, station.listen)
-        log(
-            "listening",
-            listen=format_address(station.listen),
-            operators=station.admin and format_address(station.admin),
-            hosts=len(station.initial_endpoints[3]),
-            clients=node.clients.max_clients,
-            links=node.pools.max_connections,
-        )
-        node.start()
-
-    talks = talk(loop, node, log, station) if station.gossip and talk else None
+    if balancer_config.admin:
+        listen_with_retry(make_operators(loop, node).listen, balancer_config.admin)
+    gossip = (
+        make_gossip(loop, node, log, balancer_config)
+        if balancer_config.gossip and make_gossip
+        else None
+    )
     if holder:
-        holder.begin(opens)
+        holder.begin(partial(open_to_clients, loop, node, balancer_config, log))
     else:
-        opens()
+        open_to_clients(loop, node, balancer_config, log)
     loop.run()
     if holder:
         holder.close()
-    if talks:
-        talks.close()
-    bell.close()
-
-
-def listen_with_retry(at: Callable[[Address], None], address: Address) -> None:
-    """Raises ConfigError where the address cannot be had in time."""
-    until = time.monotonic() + BIND_FOR
+    if gossip:
+        gossip.close()
+    wakeup.close()
+
+
+def make_operators(loop: Loop, node: Node) -> Operators:
+    """Where operators call, with the words of their calls."""
+    return Operators(
+        loop,
+        {
+            "health": node.health,
+            "quiesce": node.quiesce,
+            "resume": node.resume,
+            "watch": node.shadow_report,
+        },
+    )
+
+
+def open_to_clients(loop: Loop, node: Node, balancer_config: BalancerConfig, log: EventLog) -> None:
+    """Listen, or take the listener that was inherited, and begin. Raises ConfigError."""
+    passed = os.environ.get("GW_PASSED_SOCKET")
+    if passed:
+        node.clients.use_listening_socket(inherited_listener(passed))
+        node.handover = Handover(loop, node, os.environ.get("TMPDIR"), shared=True)
+        node.handover.find_predecessor()
+    else:
+        listen_with_retry(node.clients.listen, balancer_config.listen)
+    _, _, _, endpoints = balancer_config.initial_endpoints
+    log(
+        "listening",
+        listen=format_address(balancer_config.listen),
+        operators=balancer_config.admin and format_address(balancer_config.admin),
+        hosts=len(endpoints),
+        clients=node.clients.max_clients,
+        links=node.pools.max_connections,
+    )
+    node.start()
+
+
+def listen_with_retry(listen: Callable[[Address], None], address: Address) -> None:
+    """Listen at an address that another process may still hold.
+
+    Raises:
+        ConfigError: The address cannot be had in time.
+    """
+    give_up_at_s = time.monotonic() + BIND_TIMEOUT_S
     while True:
         try:
-            return at(address)
-        except OSError as trouble:
-            if trouble.errno != errno.EADDRINUSE or time.monotonic() > until:
-                raise config.ConfigError(
-                    f"cannot listen on {format_address(address)}: {trouble.strerror}"
+            listen(address)
+        except OSError as error:
+            if error.errno != errno.EADDRINUSE or time.monotonic() > give_up_at_s:
+                raise ConfigError(
+                    f"cannot listen on {format_address(address)}: {error.strerror}"
                 ) from None
-            time.sleep(0.05)
+            time.sleep(BIND_RETRY_S)
+        else:
+            return
 
 
 def handle_signals(loop: Loop, node: Node, path: str | None) -> socket.socket:
-    """What the node does on a signal, as long as the socket returned is kept."""
+    """Have the node heed signals, as long as the socket returned is kept."""
 
-    def heard(told: bytes) -> None:
-        if signal.SIGHUP in told:
+    def on_signals(numbers: bytes) -> None:
+        if signal.SIGHUP in numbers:
             reload_config(node, path)
-        if signal.SIGTERM in told or signal.SIGINT in told:
+        if signal.SIGTERM in numbers or signal.SIGINT in numbers:
             node.begin_shutdown()
 
-    return watch_signals(loop, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT), heard)
+    return watch_signals(loop, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT), on_signals)
 
 
 def reload_config(node: Node, path: str | None) -> None:
-    """A file that cannot be used, or is only half there, must not cost what is known."""
+    """Read the file again. One that cannot be used, or is only half there, changes nothing."""
     try:
         node.apply_config(config.read(path, node.config, node.settings))
-    except config.ConfigError as trouble:
-        node.event_log("config rejected", why=str(trouble))
+    except ConfigError as error:
+        node.event_log("config rejected", why=str(error))
--- a/orchidgap/net/signals.py
+++ b/orchidgap/net/signals.py
@@ -8,17 +8,27 @@
 
 from orchidgap.net.loop import READ, Loop
 
+MAX_SIGNALS_A_READ = 64
+
 
 def watch_signals(
-    loop: Loop, numbers: Iterable[signal.Signals], heard: Callable[[bytes], None]
+    loop: Loop, numbers: Iterable[signal.Signals], on_signals: Callable[[bytes], None]
 ) -> socket.socket:
-    """`heard` is called by the loop with the number of each signal, in the order they came, as long as the
-    socket returned is kept."""
-    bell, ear = socket.socketpair()
-    for end in (bell, ear):
+    """Call back on signals, from the loop.
+
+    Args:
+        loop: The loop that is woken.
+        numbers: The signals.
+        on_signals: Given the number of each signal, in the order they came.
+
+    Returns:
+        A socket; signals are heard as long as it is kept.
+    """
+    wakeup, wakened = socket.socketpair()
+    for end in (wakeup, wakened):
         end.setblocking(False)
-    loop.watch(ear, READ, lambda mask: heard(ear.recv(64)))
-    signal.set_wakeup_fd(bell.fileno(), warn_on_full_buffer=False)
+    loop.watch(wakened, READ, lambda mask: on_signals(wakened.recv(MAX_SIGNALS_A_READ)))
+    signal.set_wakeup_fd(wakeup.fileno(), warn_on_full_buffer=False)
     for number in numbers:
         signal.signal(number, lambda *_: None)
-    return bell
+    return wakeup
--- a/orchidgap/net/upstream_attempt.py
+++ b/orchidgap/net/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt on the network, whatever carries it: what the decisions call a dispatch."""
+"""An attempt on the network: one try of a request at one host, whatever carries it."""
 
 from __future__ import annotations
 
@@ -8,32 +8,35 @@
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.connection import Connection
 
-MOST_LOAD = 256  # bytes of a load report that are looked at
+MAX_LOAD_REPORT_BYTES = 256  # that are looked at
+MAX_LOAD_VALUE = 1e9  # a figure beyond that is none
 
 
 def parse_load_report(text: bytes) -> dict[str, float]:
-    """A load report; what is no number that could be meant is left out.
+    """The figures of a load report; what is no number that could be meant is left out.
 
-    >>> parse_load_report(b"concurrent=3, mean_ms=12.5"), parse_load_report(b"concurrent=nan,tps=-1,x,=,mean_ms=1e99,concurrent=2")
-    ({'concurrent': 3.0, 'mean_ms': 12.5}, {'concurrent': 2.0})
+    >>> parse_load_report(b"concurrent=3, mean_ms=12.5")
+    {'concurrent': 3.0, 'mean_ms': 12.5}
+    >>> parse_load_report(b"concurrent=nan,tps=-1,x,=,mean_ms=1e99,concurrent=2")
+    {'concurrent': 2.0}
     """
     found = {}
-    for pair in text[:MOST_LOAD].decode(errors="replace").split(","):
+    for pair in text[:MAX_LOAD_REPORT_BYTES].decode(errors="replace").split(","):
         name, _, value = pair.partition("=")
         try:
             number = float(value)
         except ValueError:
             continue
-        if 0 <= number < 1e9:
+        if 0 <= number < MAX_LOAD_VALUE:
             found[name.strip()] = number
     return found
 
 
 class Carrier(Protocol):
-    """A connection to a host that carries dispatches."""
+    """A connection to a host that carries attempts."""
 
     def drop(self, attempt: UpstreamAttempt) -> SendProgress:
-        """Carry it no further; how far it came."""
+        """Carry it no further; how much of it was sent."""
 
 
 class ResponseSink(Protocol):
@@ -43,28 +46,41 @@
         """The answer is 200, and its body follows, of this length where that is known."""
 
     def give(self, parts: list[bytes]) -> None:
-        """More of the body. The source is held while what was given has not gone on."""
+        """More of the body. Reading from the source is paused while this has not gone on."""
 
     def end(self, whole: bool) -> None:
         """There is no more; if what was given is not all of it, that must show."""
 
 
 class AttemptOwner(Protocol):
-    """Whose dispatch it is."""
+    """Whose attempt it is; an attempt is named by its number among the owner's."""
 
     def may_send(self, number: int) -> bool:
-        """Whether that dispatch may still begin. Asked in the moment before its first byte is written: a
-        connection can have come up long after the decision to send."""
+        """Whether the attempt may still begin; asked in the moment before its first byte.
 
-    def on_settled(self, number: int, verdict: str, body: bytes) -> None:
-        """What came of that dispatch of its own."""
+        A connection can have come up long after the decision to send.
+        """
+
+    def on_settled(self, number: int, outcome: str, body: bytes) -> None:
+        """What came of the attempt."""
 
     def start_streaming(self, number: int) -> ResponseSink | None:
         """Who takes its answer, which flows; None: nobody wants it any more."""
 
 
 class UpstreamAttempt:
-    """One attempt on the network. Exactly one thing comes of it."""
+    """One attempt on the network. Exactly one thing comes of it.
+
+    Attributes:
+        upload: The body, where that is not kept whole.
+        response_hold_us: How long an answer of unknown length may be held.
+        load_report: What the host told of itself with the answer.
+        length: Of the body that an answer without one tells of.
+        carrier: The connection that it is on.
+        asking: It goes where another host's ASK sent it (RESP).
+        redirect_host: Where its host sent it on to (RESP).
+        redirect_once: Whether that is only for this one time.
+    """
 
     __slots__ = (
         "asking",
@@ -88,38 +104,38 @@
         self,
         head: bytes,
         body: bytes,
-        due: int,
-        sender: AttemptOwner,
+        deadline_us: int,
+        owner: AttemptOwner,
         number: int = 0,
         host: str = "",
     ) -> None:
-        self.head, self.body, self.deadline_us, self.owner, self.number = (
-            head,
-            body,
-            due,
-            sender,
-            number,
-        )
-        self.host = host  # the id of where it goes
-        self.upload: Upload | None = None  # its body, where that is not kept whole
-        self.response_hold_us = 0  # how long an answer of unknown length may be held
-        self.load_report = b""  # what its host told of itself with the answer
-        self.length: int | None = None  # of the body that an answer without one tells of
+        """An attempt at the host of this id, which is nowhere yet."""
+        self.head = head
+        self.body = body
+        self.deadline_us = deadline_us
+        self.owner = owner
+        self.number = number
+        self.host = host
+        self.upload: Upload | None = None
+        self.response_hold_us = 0
+        self.load_report = b""
+        self.length: int | None = None
         self.carrier: Carrier | None = None
         self.settled = False
-        self.asking = False  # it goes where an ASK sent it
-        self.redirect_host, self.redirect_once = (
-            "",
-            False,
-        )  # where its host sent it on to, and whether only this one time
+        self.asking = False
+        self.redirect_host = ""
+        self.redirect_once = False
 
-    def settle(self, verdict: str, body: bytes = b"") -> None:
+    def settle(self, outcome: str, body: bytes = b"") -> None:
+        """Tell the owner what came of it; of all calls only the first counts."""
         if not self.settled:
             self.settled = True
             self.carrier = None
-            self.owner.on_settled(self.number, verdict, body)
+            self.owner.on_settled(self.number, outcome, body)
 
     def abandon(self, cause: str) -> AttemptFailure:
-        """Give it up where it stands."""
-        link, self.carrier = self.carrier, None
-        return AttemptFailure(SendProgress.UNSENT if link is None else link.drop(self), cause)
+        """Carry it no further, for this cause; what that comes to."""
+        carrier = self.carrier
+        self.carrier = None
+        progress = SendProgress.UNSENT if carrier is None else carrier.drop(self)
+        return AttemptFailure(progress, cause)
--- a/orchidgap/trial/process.py
+++ b/orchidgap/trial/process.py
@@ -4,9 +4,9 @@
 
 import sys
 
+from orchidgap.composition import protocol_for
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
-from orchidgap.parts import protocol_for
 from orchidgap.trial.baselines import KINDS
 
 
--- a/orchidgap/trial/saturate.py
+++ b/orchidgap/trial/saturate.py
@@ -23,6 +23,7 @@
 from rich.console import Console
 from rich.table import Table
 
+from orchidgap.composition import protocol_for
 from orchidgap.http1.readers import RequestReader, ResponseReader
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.attempt_failure import AttemptFailure
@@ -30,7 +31,6 @@
 from orchidgap.net.dialing import dial
 from orchidgap.net.loop import Loop
 from orchidgap.net.server import serve
-from orchidgap.parts import protocol_for
 from orchidgap.trial.fabric import Wires, cpu_of
 
 HOSTS = 3
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -21,6 +21,7 @@
 
 from orchidgap.admin.client import call as ask_door
 from orchidgap.admin.server import Operators
+from orchidgap.composition import protocol_for
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.net import config
 from orchidgap.net.addresses import Address, format_address
@@ -29,7 +30,6 @@
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
 from orchidgap.net.request_key import key_number
-from orchidgap.parts import protocol_for
 from orchidgap.peers.gossip_transport import Talk
 from orchidgap.trial.baselines import decider as decider_of
 from orchidgap.trial.baselines import even
--- a/tests/control/test_messages.py
+++ b/tests/control/test_messages.py
@@ -182,7 +182,7 @@
 def test_a_balancer_without_control_does_not_load_the_messages():
     """A balancer that control has no part in starts as fast as it did before."""
     check = (
-        "import sys, orchidgap.__main__, orchidgap.http1; "
+        "import sys, orchidgap.__main__, orchidgap.composition, orchidgap.net.server, orchidgap.http1; "
         "sys.exit(any(name.startswith(('msgspec', 'orchidgap.control')) for name in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", check], timeout=30).returncode == 0
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -4,7 +4,7 @@
 from loopback_harness import LoopbackHarness, arrived, heard, req, told
 from test_net import tells, watched
 
-from orchidgap.net.client_listener import PATIENCE, SETTLED, TURNED_AWAY
+from orchidgap.net.client_listener import MAX_CLOSING_CLIENTS, REQUEST_TIMEOUT_US, UNUSED_AFTER_US
 
 
 def test_hundreds_of_reqs_at_once_from_one_who_goes_are_one_dispatch_and_no_memory():
@@ -34,8 +34,8 @@
     heard(watched(net))
     silent = [net.caller() for _ in range(3 * most)]
     net.turn(8)
-    assert len(net.node.clients.open_clients) <= most + TURNED_AWAY
-    net.wait(SETTLED)  # who has asked nothing for so long is the first to make way
+    assert len(net.node.clients.open_clients) <= most + MAX_CLOSING_CLIENTS
+    net.wait(UNUSED_AFTER_US)  # who has asked nothing for so long is the first to make way
     late = net.caller(req("late"))
     net.turn(8)
     text, far = net.asked()
@@ -83,12 +83,12 @@
     net.turn()
     for at in range(1, len(text)):
         net.brings(client, text[at : at + 1])
-        net.wait(PATIENCE // 2 // len(text))
+        net.wait(REQUEST_TIMEOUT_US // 2 // len(text))
     found, far = net.asked()
     assert "/read/k1" in found
     net.answers(far)
     assert "200" in told(client) and told(still) is None
-    net.wait(PATIENCE)
+    net.wait(REQUEST_TIMEOUT_US)
     assert told(still).startswith("HTTP/1.1 408") and told(still) == ""
     assert told(client) is None, "who was served may rest"
 
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -6,9 +6,9 @@
 import pytest
 from node_harness import NodeHarness
 
+from orchidgap.composition import protocol_for
 from orchidgap.net import config, server
 from orchidgap.net.loop import Loop
-from orchidgap.parts import protocol_for
 
 GOOD = {
     "name": "n",
--- a/tests/trial/test_command.py
+++ b/tests/trial/test_command.py
@@ -185,7 +185,7 @@
 
 def test_serving_needs_none_of_the_tools():
     text = (
-        "import sys; import orchidgap.__main__; "
+        "import sys; import orchidgap.__main__, orchidgap.composition, orchidgap.net.server; "
         "sys.exit(any(name.split('.')[0] in ('msgspec', 'rich', 'hdrh', 'matplotlib') for name in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", text], cwd=ROOT, check=False).returncode == 0
