--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -192,7 +192,7 @@
         registry = getattr(self.port, "discovery", None)
         if registry:
             registry.ended = lambda what: (
-                registry.drop(),
+                registry.close_connection(),
                 registry.set_timer(1_000, registry.fetch),
             )
         super().on_hosts(scope, entries)
