--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -5,7 +5,7 @@
 
 import pytest
 from loopback_harness import LoopbackHarness, arrived, heard, req, told
-from test_net import full_pair
+from net_scenarios import full_pair
 
 from orchidgap.net.endpoints import decode_list
 
--- /dev/null
+++ b/tests/net/test_client_listener.py
@@ -0,0 +1,184 @@
+"""Who is let in, who makes way, and how long anyone may take."""
+
+import errno
+import socket
+
+import pytest
+from net_scenarios import REQ
+from node_harness import NodeHarness, heard
+
+from orchidgap.net.loop import READ
+
+
+def test_an_answer_that_the_client_reads_slowly_still_comes_whole():
+    net = NodeHarness(1)
+    client = net.ask("k")
+    for one in net.node.clients.open_clients:
+        one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    net.answers(net.far(), body="v" * 60_000)
+    assert not net.node.clients.close_unneeded(), "it is not idle before that was read"
+    net.node.begin_shutdown()
+    net.wait(401_000)
+    parts = []
+    while part := heard(client):
+        parts.append(part)
+        net.turn(1)
+    assert len(parts) > 1 and "".join(parts).endswith("\r\n\r\n" + "v" * 60_000) and part == ""
+
+
+def test_a_client_that_does_not_read_is_let_go():
+    net = NodeHarness(1)
+    net.ask("k")
+    for one in net.node.clients.open_clients:
+        one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    net.answers(net.far(), body="v" * 60_000)
+    net.wait(9_900_000)
+    assert net.node.clients.open_clients
+    net.wait(200_000)
+    assert not net.node.clients.open_clients
+
+
+def test_within_three_seconds_a_req_is_whole_or_its_connection_is_let_go():
+    net = NodeHarness()
+    half, silent, late, served = (
+        net.client(b"GET /read/k HT"),
+        net.client(),
+        net.client(),
+        net.ask(),
+    )
+    net.answers(net.far())
+    assert heard(served).startswith("HTTP/1.1 200")
+    net.wait(2_000_000)
+    net.says(late, "G")
+    assert heard(half) is None and heard(silent) is None
+    net.wait(900_000)
+    assert (
+        heard(half).startswith("HTTP/1.1 408")
+        and heard(late).startswith("HTTP/1.1 408")
+        and heard(silent) == ""
+    )
+    assert heard(served) is None and len(net.node.clients.open_clients) <= 3
+    net.says(served, "GET /read")
+    net.wait(2_000_000)
+    assert heard(served) is None, "its time is anew"
+    net.wait(900_000)
+    assert heard(served).startswith("HTTP/1.1 408")
+
+
+@pytest.mark.parametrize("text", [b"", b"PUT /mark/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"])
+def test_who_never_asks_makes_way_for_who_does(text):
+    net = NodeHarness(1, sockets=64)
+    served = net.ask("first")
+    net.answers(net.far())
+    heard(served)
+    others = [net.client(text) for _ in range(7)]
+    net.wait(600_000)
+    clients = net.node.clients
+    assert len(clients.open_clients) == clients.max_clients == 8
+    for i in range(7):
+        net.client(REQ.replace(b"Id: 1", b"Id: %d" % i) + b"\r\n")
+    assert (
+        [heard(far) for far in others] == [""] * 7
+        and heard(served) is None
+        and len(net.node.exchanges) == 7
+    )
+
+
+def test_a_client_whose_req_waits_to_be_read_does_not_make_way():
+    net = NodeHarness(1, sockets=64)
+    first, second = net.ask("k1"), net.ask("k2")
+    net.serve()
+    assert heard(first) and heard(second)
+    first.sendall(REQ + b"\r\n")
+    assert net.node.clients.close_unneeded() and heard(second) == "", (
+        "the longest idle one has asked by now"
+    )
+    net.turn()
+    net.serve()
+    assert heard(first).startswith("HTTP/1.1 200")
+
+
+def test_idle_connections_may_stay_up_to_half_of_the_most():
+    net = NodeHarness(1, sockets=64)
+    clients = [net.ask(f"k{i}") for i in range(7)]
+    assert [heard(client) for client in clients] == [None] * 7, "those that have asked stay"
+    net.serve()
+    assert all(heard(client).startswith("HTTP/1.1 200") for client in clients)
+    assert [heard(client) for client in clients] == [""] * 3 + [None] * 4
+    net.wait(30_000_000)
+    assert heard(clients[-1]) is None
+
+
+def test_who_reads_a_last_answer_keeps_nobody_out():
+    net = NodeHarness(1, sockets=64)
+    listener = net.node.clients.listening_socket = Listener([])
+    net.loop.watch(listener, READ, net.node.clients.accept)
+    for text, begins in [(b"nonsense\r\n\r\n", "HTTP/1.1 400")] * 60 + [(REQ + b"\r\n", None)]:
+        near, far = socket.socketpair()
+        net.kept.append(far)  # it reads, and stays
+        far.setblocking(False)
+        far.sendall(text)
+        listener.given.append(near)
+        net.wait(10_000)
+        assert (heard(far) or "")[:12] == (begins or "")
+        assert len(net.node.clients.open_clients) <= net.node.clients.max_clients + 16
+    assert len(net.node.exchanges) == 1
+
+
+class Listener:
+    """Accepts what it is given; without descriptors it fails as the system does."""
+
+    def __init__(self, given):
+        self.given, self.calls = given, 0
+        self.pair = socket.socketpair()
+        self.pair[1].send(b"x")  # so it always looks ready
+
+    def fileno(self):
+        return self.pair[0].fileno()
+
+    def accept(self):
+        self.calls += 1
+        if not self.given:
+            raise BlockingIOError
+        if isinstance(self.given[0], OSError):
+            raise self.given.pop(0)
+        return self.given.pop(0), None
+
+    def close(self):
+        self.pair[0].close()
+
+
+def test_emfile_sheds_then_rests_and_never_spins():
+    net = NodeHarness()
+    idle = net.ask("k")
+    net.answers(net.far())
+    near, far = socket.socketpair()
+    gone = OSError(errno.ECONNABORTED, "")
+    listener = net.node.clients.listening_socket = Listener(
+        [gone] + [OSError(errno.EMFILE, "")] * 3 + [near]
+    )
+    net.loop.watch(listener, READ, net.node.clients.accept)
+    net.loop.run_once(0)
+    assert heard(idle).startswith("HTTP") and heard(idle) == "", "the idle client made way"
+    net.loop.run_once(0)
+    assert net.node.pools.connection_count == 0, "then the idle link"
+    net.loop.run_once(0)
+    net.turn(20)
+    assert listener.calls == 4, "with nothing to shed it waits"
+    net.wait(51_000)
+    assert listener.calls > 4 and len(net.node.clients.open_clients) == 1 and far.fileno() > 0
+
+
+def test_clients_beyond_the_most_are_told_so():
+    net = NodeHarness(1, sockets=64)
+    assert net.node.clients.max_clients == 8
+    pairs = [socket.socketpair() for _ in range(30)]
+    for i, (_, far) in enumerate(pairs):
+        far.setblocking(False)
+        far.sendall(REQ.replace(b"Id: 1", b"Id: %d" % i) + b"\r\n")
+    listener = net.node.clients.listening_socket = Listener([near for near, _ in pairs])
+    net.loop.watch(listener, READ, net.node.clients.accept)
+    net.turn(8)
+    said = [heard(far) for _, far in pairs]
+    assert all(said) is False and sum("503" in (text or "") for text in said) >= 16
+    assert len(net.node.clients.open_clients) <= 24
--- /dev/null
+++ b/tests/net/test_connection_pools.py
@@ -0,0 +1,194 @@
+"""Connections to hosts: kept, closed, broken, and short of descriptors."""
+
+import socket
+
+import pytest
+from net_scenarios import REQ, full_pair, idle_links
+from node_harness import NodeHarness, heard
+
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
+from orchidgap.net.endpoints import decode_list
+from orchidgap.net.upstream_attempt import UpstreamAttempt
+
+
+def test_hosts_that_refuse_or_never_answer_a_connection():
+    net = NodeHarness(1)
+    net.refused.add(100)
+    client = net.ask()
+    assert net.verdicts == ["unconnected"] and "503" in heard(client)
+    net = NodeHarness(1)
+    near, _far = full_pair()
+    net.node.pools.dial_address = lambda address: near
+    client = net.ask()
+    net.wait(99_000)
+    assert net.verdicts == [] and heard(client) is None
+    net.wait(2_000)
+    assert net.verdicts == ["unconnected"] and "503" in heard(client)
+
+
+def test_links_from_a_burst_are_not_kept_for_long_and_one_is():
+    net = NodeHarness(1)
+    clients = [net.ask(f"k{i}") for i in range(7)]
+    pool = net.node.pools.by_host["c0"]
+    net.serve()
+    assert len(pool.idle) == 7 and all(heard(client) for client in clients)
+    net.wait(900_000)
+    assert len(pool.idle) == 7, "the next burst finds them"
+    for i in range(3):  # two at a time from now on
+        pair = [net.ask(f"p{i}"), net.ask(f"q{i}")]
+        net.serve()
+        assert all(heard(client) for client in pair)
+        net.wait(1_000_000)
+    assert len(pool.idle) == 2, "other balancers may need what the host has room for"
+    net.wait(3_000_000)
+    assert len(pool.idle) == 1
+
+
+def test_the_newest_idle_link_goes_first_and_none_near_its_limit():
+    net = NodeHarness(1)
+    old, new = idle_links(net, 2)
+    for far in (old, new):
+        heard(far)
+    net.ask()
+    assert heard(new).startswith("GET") and heard(old) is None
+    net.answers(new)
+    heard(new)
+    net.says(net.client(), b"GET /read/k HTTP/1.1\r\n")
+    net.kept[-1].sendall(b"Request-Id: 1\r\nRequest-Timeout: 60\r\n\r\n")
+    net.now += 27_100_000  # the req is read before the sweep that is also due
+    net.turn()
+    assert heard(new) == heard(old) == "" and heard(net.far()).startswith("GET")
+
+
+@pytest.mark.parametrize("leaves", [lambda far: far.close(), lambda far: far.sendall(b"?")])
+def test_a_link_that_was_closed_or_spoken_on_is_not_written_to(leaves):
+    net = NodeHarness(1)
+    [link] = idle_links(net, 1)
+    leaves(link)
+    near, client = (
+        socket.socketpair()
+    )  # the req comes in the same round, before the end of the link is seen
+    client.sendall(REQ + b"\r\n")
+    net.node.clients.admit(near)
+    net.turn()
+    assert len(net.dialled) == 3 and heard(net.far()).startswith("GET") and net.verdicts == ["done"]
+
+
+@pytest.mark.parametrize(("written", "verdict"), [(True, "stale"), (False, "unconnected")])
+def test_a_stale_link_is_a_reset_unless_nothing_was_sent(written, verdict, monkeypatch):
+    net = NodeHarness(1)
+    [link] = idle_links(net, 1)
+    net.verdicts.clear()
+    monkeypatch.setattr("orchidgap.net.connection.Connection.is_stale", lambda conn: False)
+    near, client = socket.socketpair()
+    client.sendall(REQ + b"\r\n")
+    if not written:
+        link.close()  # between the look and the write
+    net.node.clients.admit(near)
+    link.close()
+    net.turn()
+    assert net.verdicts == [verdict] and len(net.dialled) == 2 + written, (
+        "no second send nobody decided"
+    )
+
+
+def test_a_kept_link_that_breaks_under_its_next_req_takes_older_ones_with_it():
+    net = NodeHarness(1)
+    older, newer = idle_links(net, 2)
+    heard(older), heard(newer)
+    net.wait(300_000)
+    client = net.ask("again")
+    assert heard(newer).startswith("GET")
+    newer.close()
+    net.turn()
+    assert heard(older) == "" and heard(net.far()).startswith("GET") and len(net.fars()) == 3
+    net.answers(net.far())
+    assert heard(client).startswith("HTTP/1.1 200") and net.verdicts[-2:] == ["stale", "done"]
+    client = net.ask("more")
+    net.says(net.far(), "HTTP/1.1 200 OK\r\nContent")
+    net.far().close()
+    net.turn()
+    assert net.verdicts[-1] == "reset", "it had begun to answer"
+
+
+def test_a_busy_link_that_breaks_says_nothing_of_those_kept_for_longer():
+    net = NodeHarness(1)
+    older, newer = idle_links(net, 2)
+    heard(older), heard(newer)
+    net.wait(50_000)
+    client = net.ask("again")
+    heard(newer)
+    newer.close()
+    net.turn()
+    assert heard(older).startswith("GET") and len(net.fars()) == 2, "no handshake more"
+    net.answers(older)
+    assert heard(client).startswith("HTTP/1.1 200")
+
+
+def test_a_dispatch_still_connecting_is_never_written_once_its_host_drains_or_the_req_is_over():
+    for health in ("Terminating", "Gone"):
+        net = NodeHarness(2)
+        near, far = full_pair()
+        net.node.pools.dial_address = lambda address, near=near: near
+        net.ask()
+        assert net.verdicts == []
+        net.node.pools.dial_address = net.dial
+        owner = next(id for id, pool in net.node.pools.by_host.items() if pool.links)
+        told = decode_list({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
+        net.node.on_list(False, *told[2:])
+        net.turn()
+        assert net.verdicts == ["unconnected"] and heard(net.far()).startswith("GET"), (
+            "the other serves it"
+        )
+        assert b"GET" not in far.recv(1 << 20)
+    net = NodeHarness(2)
+    near, far = full_pair()
+    net.node.pools.dial_address = lambda address, near=near: near
+    net.ask().close()
+    net.turn()
+    assert net.verdicts == ["moot"] and b"GET" not in far.recv(1 << 20)
+
+
+def test_idle_links_make_way_where_descriptors_run_short():
+    net = NodeHarness(3, sockets=64)  # eight for hosts
+    assert net.node.pools.max_connections == 8
+    answered = 0
+    for key in range(30):
+        client = net.ask(f"k{key}")
+        net.serve()
+        answered += "200" in (heard(client) or "")
+        client.close()
+    assert answered == 30 and net.node.pools.connection_count <= 8
+    net.node.clients.max_clients = 9
+    clients = [net.ask(f"b{key}") for key in range(9)]
+    assert net.node.pools.connection_count == 8 and net.verdicts[-1] == "moot", (
+        "no fault of the host"
+    )
+    assert "503" in heard(clients[-1])
+
+
+class Nobody:
+    def may_send(self, number):
+        return True
+
+    """Whose dispatch nobody waits for."""
+
+    def on_settled(self, number, outcome, body):
+        pass
+
+
+def test_no_descriptor_to_dial_sheds_an_idle_link_and_dials_again():
+    net = NodeHarness(2)
+    for key in range(8):
+        net.ask(f"k{key}")
+    net.serve()
+    short = [AttemptFailure(SendProgress.UNSENT, "short", "none left")]
+    net.node.pools.dial_address = lambda address: short.pop() if short else net.dial(address)
+    idle, dialled = net.node.pools.connection_count, len(net.dialled)
+    attempt = UpstreamAttempt(b"GET / HTTP/1.1\r\n", b"", net.now + 10**6, Nobody())
+    net.node.pools.by_host["c0"].dial(attempt)
+    assert (
+        idle == net.node.pools.connection_count == 8
+        and len(net.dialled) == dialled + 1
+        and not short
+    )
--- /dev/null
+++ b/tests/net/test_exchange.py
@@ -0,0 +1,189 @@
+"""One request from its last byte to its answer, over socket pairs."""
+
+import pytest
+from net_scenarios import WAITS
+from node_harness import NodeHarness, heard
+
+
+def test_a_req_from_end_to_end():
+    net = NodeHarness()
+    client = net.ask("7f3", method="PUT", rule_set="mark", body="value")
+    origin = net.far()
+    assert heard(origin) == (
+        "PUT /mark/7f3?q=1 HTTP/1.1\r\nHost: cache\r\nRequest-Id: r-7f3\r\nIdempotency-Key: m1\r\n"
+        "Content-Length: 5\r\nRequest-Timeout: 1.980\r\n\r\nvalue"
+    )
+    net.says(origin, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nst")
+    assert heard(client) is None, "not a byte before the body is whole"
+    net.says(origin, "ok")
+    assert heard(client) == "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nstok"
+    assert not net.node.exchanges and not net.node.balancer.requests
+
+
+def test_a_miss_goes_on_to_the_origin_and_links_are_used_again():
+    net = NodeHarness(1)
+    for _ in range(3):
+        client = net.ask("k")
+        net.answers(net.far(0), 404)
+        net.answers(net.far(1), body="from origin")
+        assert heard(client).endswith("\r\n\r\nfrom origin")
+    assert [port for port, _ in net.dialled] == [8500, 100, 109], "each was dialled once"
+
+
+def test_what_a_host_tells_of_its_load_reaches_the_decisions():
+    net = NodeHarness(3, report__how="inline", report__fields="concurrent,tps")
+    for key in ("k1", "k2", "k3", "k4", "k5", "k6"):
+        net.ask(key)
+        for far in net.fars():
+            if heard(far):
+                net.answers(far, more="Server-Load: concurrent=7,tps=2.5,else=1\r\n")
+    told = [host for host in net.node.balancer.hosts.values() if host.reported_request_rate >= 0]
+    assert told and {(host.reported_request_rate, host.reported_in_flight) for host in told} == {
+        (2.5, 7.0)
+    }
+    net.ask("k7")
+    for far in net.fars():
+        if heard(far):
+            net.answers(far, more="Server-Load: concurrent=all of it,tps\r\n")
+    assert {host.reported_in_flight for host in told} == {7.0} and not net.node.exchanges
+
+
+def test_a_late_read_is_called_off_for_the_origin_and_both_ends_see_it():
+    net = NodeHarness(3)
+    client = net.ask()
+    late = net.far()
+    assert heard(late).startswith("GET /read/k1")
+    net.wait(600_000)
+    assert heard(late) == "", "its connection is closed: it is told so"
+    assert net.dialled[-1][0] == 109 and heard(net.far()).startswith("GET /read/k1"), (
+        "the origin's port"
+    )
+    net.answers(net.far())
+    assert (
+        "200" in heard(client) and net.verdicts == ["cancelled", "done"] and not net.node.exchanges
+    )
+
+
+def test_a_late_read_whose_connection_never_came_up_is_sent_on_as_well():
+    net = NodeHarness(3)
+    client = net.ask()
+    attempt = next(iter(net.node.exchanges.values())).attempts[0]
+    attempt.carrier.conn.bytes_written = attempt.carrier.start  # as if nothing had been written yet
+    net.wait(600_000)
+    assert net.verdicts[0] == "moot" and net.dialled[-1][0] == 109
+    net.answers(net.far())
+    assert "200" in heard(client)
+
+
+@pytest.mark.parametrize(
+    ("does", "verdict"),
+    [
+        (lambda net, far: far.close(), "reset"),
+        (
+            lambda net, far: (
+                far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
+                far.close(),
+            ),
+            "reset",
+        ),
+        (lambda net, far: (far.sendall(b"HTTP/1.1 200 OK\r\n\r\nno length"), far.close()), "reset"),
+        (lambda net, far: far.sendall(b"\x00\x01 what"), "reset"),
+        (
+            lambda net, far: far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"),
+            "reset",
+        ),
+        (lambda net, far: far.sendall(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 17_000), "reset"),
+        (
+            lambda net, far: far.sendall(
+                b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nvHTTP/1.1 200"
+            ),
+            "done",
+        ),
+        (
+            lambda net, far: far.sendall(
+                b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n0\r\n\r\n"
+            ),
+            "done",
+        ),
+        (
+            lambda net, far: far.sendall(
+                b"HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+            ),
+            "full",
+        ),
+        (lambda net, far: far.sendall(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), "error"),
+        (lambda net, far: far.sendall(b"HTTP/1.1 302 No\r\nContent-Length: 0\r\n\r\n"), "error"),
+        (lambda net, far: net.wait(2_000_000), "timeout"),
+    ],
+)
+def test_what_a_host_does_is_told_as_it_is(does, verdict):
+    net = NodeHarness(3, **WAITS)
+    net.ask()
+    does(net, net.far())
+    net.turn()
+    assert net.verdicts == [verdict]
+
+
+def test_a_client_that_hangs_up_ends_its_dispatch():
+    net = NodeHarness()
+    client = net.ask()
+    assert heard(net.far()).startswith("GET")
+    client.close()
+    net.turn()
+    assert heard(net.far()) == "" and net.verdicts == ["cancelled"] and not net.node.exchanges
+
+
+def test_an_answer_goes_out_before_the_client_timeout_and_nothing_after():
+    net = NodeHarness()
+    client = net.ask(left="0.5")
+    net.wait(479_000)
+    assert heard(client) is None
+    net.wait(2_000)
+    assert heard(client).startswith("HTTP/1.1 503") and net.verdicts == ["timeout"]
+    net.wait(5_000_000)
+    assert heard(client) is None
+
+
+def test_time_that_the_loop_was_held_up_is_taken_off():
+    net = NodeHarness()
+    client = net.client()
+    client.sendall(b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 0.5\r\n\r\n")
+    net.now += 300_000  # the req may have come at the start of this
+    net.turn()
+    net.wait(181_000)
+    assert (heard(client) or "").startswith("HTTP/1.1 503")
+
+
+def test_a_fault_in_the_decisions_still_brings_an_answer():
+    net = NodeHarness(expects=(ZeroDivisionError,))
+    net.node.balancer.on_request = lambda *_: 1 / 0
+    assert heard(net.ask()).startswith("HTTP/1.1 500") and net.log.lines == [
+        "serving",
+        "ZeroDivisionError",
+    ]
+    net = NodeHarness()
+    net.node.balancer.on_request = lambda *_: None  # forgets it
+    client = net.ask()
+    net.wait(2_000_000)
+    assert heard(client).startswith("HTTP/1.1 500") and "unanswered" in net.log.lines
+
+
+def test_an_id_that_is_open_here_is_not_taken_twice():
+    net = NodeHarness(1)
+    first, second = net.ask("k"), net.ask("k")
+    assert heard(second).startswith("HTTP/1.1 409") and len(net.fars()) == 1
+    net.answers(net.far())
+    assert heard(first).startswith("HTTP/1.1 200") and not net.node.open_request_ids
+    assert heard(net.ask("k")) is None, "it may come again once that is answered"
+
+
+def test_a_req_that_a_host_calls_bad_is_not_sent_to_others():
+    net = NodeHarness(3)
+    client = net.ask("k")
+    net.answers(net.far(), 400, "")
+    assert (
+        heard(client).startswith("HTTP/1.1 400")
+        and net.verdicts == ["unfit"]
+        and len(net.fars()) == 1
+    )
+    assert not net.node.exchanges and not net.node.balancer.requests
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -2,7 +2,7 @@
 
 import orjson
 from loopback_harness import LoopbackHarness, arrived, heard, req, told
-from test_net import tells, watched
+from net_scenarios import tells, watched
 
 from orchidgap.net.client_listener import MAX_CLOSING_CLIENTS, REQUEST_TIMEOUT_US, UNUSED_AFTER_US
 
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -4,7 +4,7 @@
 
 import pytest
 from loopback_harness import RESET, LoopbackHarness, arrived, heard, req, told
-from test_net import signals
+from net_scenarios import signals
 
 from orchidgap.decisions.lifecycle import (
     ANSWER_MARGIN_US,
--- /dev/null
+++ b/tests/net/test_node.py
@@ -0,0 +1,64 @@
+"""What the node joins: readiness, keys, descriptors, settings that are evaluated beside."""
+
+from functools import partial
+
+import pytest
+from desk import PAIRS
+from net_scenarios import WAITS
+from node_harness import NodeHarness, heard
+
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.decisions.shadow import ShadowBalancer
+
+
+def test_a_watch_decides_as_before_and_tells_what_it_counted():
+    new = ServiceSettings.from_pairs(
+        PAIRS | {"report.how": "inline", "report.fields": "concurrent"}
+    )
+    net = NodeHarness(3, decider=partial(ShadowBalancer, new), **WAITS)
+    assert NodeHarness().node.shadow_report() == (False, "nothing is watched")
+    client = net.ask()
+    net.wait(600_000)
+    assert len(net.fars()) == 1, "nothing can be called off"
+    net.answers(net.far(), more="Server-Load: concurrent=7\r\n")
+    assert "200" in heard(client)
+    done, words = net.node.shadow_report()
+    assert done and words == (
+        "1 dispatches, owner 0, copy 0, repeat 0, call-off 1, answer 0, pause 0, limit 0"
+    )
+
+
+def test_a_very_long_key_is_a_key():
+    net = NodeHarness(1)
+    client = net.ask("k" * 9_000)
+    assert "/read/" + "k" * 9_000 in heard(net.far())
+    net.answers(net.far())
+    assert heard(client).startswith("HTTP/1.1 200")
+
+
+def test_ready_only_with_list_and_until_told_to_stop():
+    net = NodeHarness()
+    assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 200")
+    net.node.begin_shutdown()
+    assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 503")
+
+
+@pytest.mark.parametrize(
+    ("memory", "sockets", "most"),
+    [
+        (32, 256, 104),
+        (32, 1024, 128),
+        (64, 1024, 384),
+        (192, 1024, 488),
+        (192, 384, 168),
+        (10, 256, 8),
+    ],
+)
+def test_clients_have_room_for_a_third_of_the_descriptors_where_memory_allows(
+    memory, sockets, most
+):
+    net = NodeHarness(1, memory=memory, sockets=sockets)
+    assert (
+        net.node.clients.max_clients == most
+        and net.node.pools.max_connections + most <= sockets - 48
+    )
--- /dev/null
+++ b/tests/net/test_reload.py
@@ -0,0 +1,196 @@
+"""SIGHUP: a file is taken whole or not at all."""
+
+import copy
+import signal
+
+import orjson
+import pytest
+from net_scenarios import GOOD, LIST, idle_links, listed, signals, tells
+from node_harness import NodeHarness, heard
+
+from orchidgap.net import config
+from orchidgap.net.server import reload_config
+
+
+def test_sighup_moves_the_watch_and_keeps_the_list_and_a_bad_file_changes_nothing(tmp_path):
+    net, path = NodeHarness(1), tmp_path / "c"
+    tells(net, 41, True, [net.entry(0), net.entry(9)])
+    [link], before = idle_links(net, 1), listed(net)
+    with signals(net, str(path)):
+        for round, text in enumerate(
+            (
+                None,
+                "{",
+                orjson.dumps(GOOD | {"discovery": "127.0.0.1:8501"}).decode(),
+                orjson.dumps(GOOD | {"discovery": "127.0.0.1:8502"}).decode(),
+            )
+        ):
+            if text:
+                path.write_text(text)
+            net.refused.add(8502)
+            signal.raise_signal(signal.SIGHUP)
+            net.turn()
+            assert (
+                net.log.lines[-1] == "config rejected"
+                if round < 2
+                else "config applied" in net.log.lines
+            )
+            assert net.loop.running and listed(net) == before and net.node.pools.by_host["c0"].idle
+            assert [port for port, _ in net.dialled if port > 8000] == [8500, 8501][: max(1, round)]
+            if round == 2:  # the versions of another agent mean nothing here
+                assert heard(net.far()).startswith(f"GET {LIST} HTTP/1.1")
+                net.answers(
+                    net.far(),
+                    body=orjson.dumps(
+                        {"seq": 3, "whole": True, "hosts": [net.entry(0), net.entry(9)]}
+                    ).decode(),
+                )
+                assert heard(net.far()).startswith(f"GET {LIST}?after=3&")
+            elif round == 3:
+                net.refused.clear()
+                net.node.begin_shutdown()
+                net.wait(110_000)
+                assert net.dialled[-1][0] == 8502, "asked again soon, also while it ends"
+    heard(link)
+    assert heard(link) is None, "pools are as they were"
+
+
+def rules(*names, **more):
+    return [
+        {"name": name, "effect": "retryable", "client-timeout": 900_000} | more for name in names
+    ]
+
+
+@pytest.mark.parametrize(
+    ("spoilt", "why"),
+    [
+        (b"", "is not JSON"),
+        (b"{", "is not JSON"),
+        (b"[]", "an object was expected"),
+        (None, "No such file"),
+        (lambda file: file.pop("settings"), "settings is missing"),
+        (lambda file: file.pop("discovery"), "discovery is missing"),
+        (lambda file: file["settings"].pop("rule-sets"), "settings.rule-sets is missing"),
+        (lambda file: file["settings"].update({"rule-sets": []}), "rule-sets.count"),
+        (
+            lambda file: file["settings"]["rule-sets"][1].pop("effect"),
+            "rule-sets.*.effect is missing",
+        ),
+        (lambda file: file["settings"]["rule-sets"][0].pop("name"), "rule-sets.*.name is missing"),
+        (
+            lambda file: file["settings"]["ceilings"].pop("may-cancel"),
+            "ceilings.may-cancel is missing",
+        ),
+        (
+            lambda file: file["settings"]["ceilings"].update({"may-cancel": "yes"}),
+            "is a text, where a yes or no was",
+        ),
+        (
+            lambda file: file["settings"]["rule-sets"][1].update({"client-timeout": 0}),
+            "must be over 0",
+        ),
+        (
+            lambda file: file["settings"]["rule-sets"][1].update({"client-timeout": -5}),
+            "must be over 0",
+        ),
+        (
+            lambda file: file["settings"]["rule-sets"][1].update({"effect": "none"}),
+            "must be one of",
+        ),
+        (
+            lambda file: file["settings"]["rule-sets"][1].update({"name": "read"}),
+            "a name of its own",
+        ),
+        (
+            lambda file: file["settings"]["ceilings"].update({"most-dispatches": 0}),
+            "must be over 0",
+        ),
+        (
+            lambda file: file["settings"]["ceilings"].update({"most-dispatches": -1}),
+            "must be over 0",
+        ),
+        (
+            lambda file: file["settings"]["ceilings"].update({"most-dispatches": "many"}),
+            "is a text, where a number was",
+        ),
+        (lambda file: file["settings"]["ceilings"].update({"conn-idle": 0}), "must be over 0"),
+        (
+            lambda file: file["settings"]["guarantees"].update({"warm-after": -1}),
+            "must not be under 0",
+        ),
+        (lambda file: file.update({"discovery": "nowhere"}), "not an address"),
+        (lambda file: file.update({"listen": 7}), "is a number, where a text was"),
+    ],
+)
+def test_a_spoilt_file_changes_nothing(tmp_path, spoilt, why):
+    path, net = tmp_path / "c", NodeHarness()
+    path.write_bytes(orjson.dumps(FILE))
+    net.node.config = config.read(str(path))
+    before, dialled = net.node.config, len(net.dialled)
+    if callable(spoilt):
+        spoilt(file := copy.deepcopy(FILE) | {"discovery": "127.0.0.1:8777"})
+        spoilt = orjson.dumps(file)
+    if spoilt is None:
+        path.unlink()
+    else:
+        path.write_bytes(spoilt)
+    told = []
+    net.node.event_log = lambda event, **facts: told.append((event, facts.get("why")))
+    reload_config(net.node, str(path))
+    assert (
+        net.node.config is before
+        and len(net.dialled) == dialled
+        and net.node.balancer.settings is not before.settings
+    )
+    assert [event for event, _ in told] == ["config rejected"] and why in told[0][1]
+
+
+FILE = {
+    "name": "n",
+    "listen": "127.0.0.1:7070",
+    "discovery": "127.0.0.1:8500",
+    "limits": {"memory_mb": 80},
+    "settings": {
+        "rule-sets": rules("read", "once"),
+        "customers": [{"name": "a", "share": 1.0}],
+        "ceilings": {"most-dispatches": 3, "may-cancel": True, "conn-idle": 9_000_000},
+        "guarantees": {"warm-after": 1_000_000},
+    },
+}
+
+
+def test_new_settings_bind_new_reqs_and_open_ones_keep_theirs(tmp_path):
+    path, net = tmp_path / "c", NodeHarness(3)
+    path.write_bytes(orjson.dumps(FILE))
+    net.node.config = config.read(str(path))
+    net.node.call_decisions(net.node.balancer.on_settings, net.node.config.settings)
+    old = net.ask("k1")
+    file = copy.deepcopy(FILE)
+    file["settings"]["rule-sets"] = rules("once", effect="fragile") + rules("fresh")
+    file["settings"]["ceilings"]["most-dispatches"] = 1
+    file["settings"]["customers"] = []
+    path.write_bytes(orjson.dumps(file))
+    for _ in range(2):  # told twice, as well
+        reload_config(net.node, str(path))
+    assert net.log.lines[-1] == "config applied"
+    assert heard(net.ask("k2")).startswith("HTTP/1.1 404"), (
+        "a class that was dropped is unknown to new reqs"
+    )
+    net.says(net.far(0), "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+    assert heard(old) is None, "the open one may still have another dispatch"
+    net.answers(net.far(1))
+    assert heard(old).startswith("HTTP/1.1 200")
+    fresh = net.ask("k3", rule_set="fresh")
+    net.says(net.far(), "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+    assert heard(fresh).startswith("HTTP/1.1 503"), "one dispatch and no more"
+
+
+def test_what_cannot_change_while_it_runs_is_told_and_waits(tmp_path):
+    path, net = tmp_path / "c", NodeHarness()
+    path.write_bytes(orjson.dumps(FILE))
+    net.node.config = config.read(str(path))
+    path.write_bytes(orjson.dumps(FILE | {"listen": "127.0.0.1:7071", "limits": {"memory_mb": 90}}))
+    told = []
+    net.node.event_log = lambda event, **facts: told.append(facts.get("at_next_start"))
+    reload_config(net.node, str(path))
+    assert told == [["listen", "memory_mb"]] and net.node.config.memory_mb == 80
--- /dev/null
+++ b/tests/net/test_request_migration.py
@@ -0,0 +1,204 @@
+"""Requests under way that go on in another process."""
+
+import contextlib
+import socket
+
+import pytest
+from handover_harness import Two
+from node_harness import heard
+
+BODY = bytes(range(256)) * 1_200
+
+
+def going_over(two):
+    """The old one is told to end, and what can go has gone."""
+    two.old.node.begin_shutdown()
+    two.wait(15_000)
+    two.turn()
+
+
+@pytest.mark.parametrize("place", range(0, 220, 11))
+@pytest.mark.parametrize(
+    "framing",
+    [
+        b"Content-Length: 9\r\n\r\n123456789",
+        b"Transfer-Encoding: chunked\r\n\r\n4;x\r\n1234\r\n5\r\n56789\r\n0\r\nT: y\r\n\r\n",
+    ],
+)
+def test_a_req_that_has_come_in_part_goes_on_in_the_new_one(place, framing):
+    text = (
+        b"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nTenant: small\r\nRequest-Timeout: 1\r\n"
+        + framing
+    )
+    if place >= len(text):
+        return
+    two = Two(1)
+    client = two.old.client()
+    for at in range(0, place, 50):
+        two.old.says(client, text[at : min(place, at + 50)])
+    going_over(two)
+    assert (
+        not two.old.node.clients.open_clients
+        and len(two.new.node.clients.open_clients) == 1
+        and not two.old.loop.running
+    )
+    client.sendall(text[place:])
+    two.turn()
+    far = two.old.far()
+    assert heard(far).endswith("\r\n\r\n123456789")
+    two.old.answers(far)
+    two.turn()
+    assert heard(client).startswith("HTTP/1.1 200") and heard(client) is None
+    two.end()
+
+
+@pytest.mark.parametrize("framing", ["length", "chunks", "close"])
+@pytest.mark.parametrize("place", [70_000, 90_001, 120_003, 150_002])
+@pytest.mark.parametrize("version", ["1.1", "1.0"])
+def test_an_answer_that_flows_goes_on_in_the_new_one(framing, place, version):
+    two = Two(1)
+    client = two.old.client(
+        f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode()
+    )
+    far = two.old.far()
+    heard(far)
+    head = {
+        "length": b"Content-Length: %d" % len(BODY),
+        "chunks": b"Transfer-Encoding: chunked",
+        "close": b"Connection: close",
+    }
+    text = (
+        BODY
+        if framing != "chunks"
+        else b"".join(
+            b"%x;e=1\r\n%b\r\n" % (len(part), part)
+            for part in (BODY[at : at + 10_000] for at in range(0, len(BODY), 10_000))
+        )
+        + b"0\r\n\r\n"
+    )
+    text = b"HTTP/1.1 200 OK\r\n" + head[framing] + b"\r\n\r\n" + text
+    got = b""
+    for one in two.old.node.clients.open_clients:
+        one.conn.sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_SNDBUF, 8_192
+        )  # some of it waits to be written
+    rest = text[:place]
+    for _ in range(40):
+        rest = rest[far.send(rest[:9_000]) :] if rest else b""
+        two.turn(1)
+        if len(got) < place - 60_000:
+            with contextlib.suppress(BlockingIOError):
+                got += client.recv(9_000)
+    assert not rest
+    going_over(two)
+    assert two.new.node.is_request_open(b"1") and not two.old.node.clients.open_clients
+    rest = text[place:]
+    for _ in range(200):
+        if rest:
+            with contextlib.suppress(BlockingIOError):
+                rest = rest[far.send(rest[:20_000]) :]
+        two.turn(1)
+        got += raw(client)
+    assert not rest
+    if framing == "close":
+        far.close()
+    two.turn()
+    got += raw(client)
+    head, _, body = got.partition(b"\r\n\r\n")
+    if b"chunked" in head:
+        plain = b""
+        while body:
+            size, _, body = body.partition(b"\r\n")
+            plain, body = plain + body[: int(size, 16)], body[int(size, 16) + 2 :]
+        body = plain
+    assert (
+        body == BODY
+        and not two.new.node.exchanges
+        and not two.new.node.open_request_ids
+        and not two.new.log.lines.count("fault")
+    )
+    if version == "1.1":
+        client.sendall(b"GET /read/n HTTP/1.1\r\nRequest-Id: 2\r\nRequest-Timeout: 1\r\n\r\n")
+        two.turn()
+        assert (len(two.old.fars()) == 1) == (framing != "close"), "its link is as good as before"
+        two.old.answers(two.old.far())
+        two.turn()
+        assert heard(client).startswith("HTTP/1.1 200")
+    two.end()
+
+
+def raw(far):
+    got = b""
+    try:
+        while part := far.recv(1 << 17):
+            got += part
+    except OSError:
+        pass
+    return got
+
+
+def test_an_answer_that_breaks_after_it_went_over_shows_it():
+    two = Two(1)
+    client = two.old.ask("k")
+    far = two.old.far()
+    two.old.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
+    before = two.new.node.balancer.hosts["c0"].retry_budget
+    going_over(two)
+    far.close()
+    two.turn()
+    assert raw(client).endswith(b"first") and client.recv(1) == b""
+    assert two.new.node.balancer.hosts["c0"].retry_budget < before or before == 0
+    assert not two.new.node.exchanges and not two.new.node.open_request_ids
+    two.end()
+
+
+@pytest.mark.parametrize("framing", [f"Content-Length: {len(BODY)}", "Transfer-Encoding: chunked"])
+@pytest.mark.parametrize(
+    ("ends", "status"), [("done", "200"), ("reset", "503"), ("stalls", "408"), ("late", "503")]
+)
+def test_a_req_whose_body_flows_goes_on_in_the_new_one(framing, ends, status):
+    two = Two(1)
+    head = (
+        f"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nRequest-Timeout: 1\r\n{framing}\r\n\r\n"
+    ).encode()
+    text = (
+        BODY
+        if "chunked" not in framing
+        else b"".join(
+            b"%x\r\n%b\r\n" % (len(part), part)
+            for part in (BODY[at : at + 9_000] for at in range(0, len(BODY), 9_000))
+        )
+        + b"0\r\n\r\n"
+    )
+    client = two.old.client(head)
+    for at in range(0, 130_000, 26_000):
+        two.old.says(client, text[at : at + 26_000])
+    far = two.old.far()
+    got = raw(far)
+    going_over(two)
+    assert not two.old.node.clients.open_clients and two.new.node.is_request_open(b"r1")
+    if ends == "stalls":
+        two.wait(3_000_000)
+    else:
+        for at in range(130_000, len(text), 26_000):
+            client.sendall(text[at : at + 26_000])
+            two.turn()
+            got += raw(far)
+        body = got.partition(b"\r\n\r\n")[2]
+        if "chunked" in framing:
+            plain = b""
+            while body:
+                size, _, body = body.partition(b"\r\n")
+                plain, body = plain + body[: int(size, 16)], body[int(size, 16) + 2 :]
+            body = plain
+        assert body == BODY and heard(client) is None
+        if ends == "done":
+            two.old.answers(far)
+        elif ends == "reset":
+            far.close()
+        else:
+            two.wait(1_000_000)
+        two.turn()
+    assert heard(client).startswith(f"HTTP/1.1 {status}")
+    assert not two.new.node.exchanges and not two.new.node.open_request_ids
+    two.end()
