--- a/orchidgap/decisions/lifecycle.py
+++ b/orchidgap/decisions/lifecycle.py
@@ -1,4 +1,4 @@
-"""The states of one balancer process, from its start to its end. Free of I/O.
+"""The states of one balancer process, from its start to its end, and what each means. No I/O.
 
 What may follow what; an event that has no entry changes nothing:
 
@@ -19,7 +19,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-# Clients learn that a balancer leaves from its health answer; until then they still connect.
+# Clients learn that a balancer leaves from its health answer. Until they have asked, they still
+# connect.
 SHUTDOWN_ACCEPT_US = 400_000
 # In a drain, a connection that asked nothing for so long is taken for idle and closed.
 DRAIN_IDLE_US = 1_000_000
@@ -162,7 +163,7 @@
     )
 
     def __init__(self, now: int, longest_client_timeout_us: int = MAX_ANSWER_US) -> None:
-        """Start at the time `now`; both are in microseconds."""
+        """Starts at `now`; both times are in microseconds."""
         self.can_serve = False
         self.successor_accepts = False
         self.transition_count = 0
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -1,7 +1,7 @@
 """The service's settings, decoded once into typed records.
 
-The operators' names of settings, and the words that may stand there, are in this module only
-(those that sockets alone need are in `net/config.py`). They come as a flat map from path to text,
+The operators' names of settings, and the words that may stand there, are in this module only (those
+that sockets alone need are in `net/config.py`). They come as a flat map from path to text,
 `rule-sets.0.name` to `read`. Settings that are not named here are left aside.
 """
 
@@ -11,7 +11,8 @@
 from math import inf
 from typing import NamedTuple
 
-# Names of settings. A request class has `rule-sets.N.` before them, a tenant `customers.N.`.
+# Names of settings. Those of a request class follow `rule-sets.N.`, those of a tenant
+# `customers.N.`.
 REQUEST_CLASS_COUNT = "rule-sets.count"
 REQUEST_CLASS_PREFIX = "rule-sets.{}."
 CLASS_NAME = "name"
@@ -64,7 +65,8 @@
 DEFAULT_SLOW_START_US = 30_000_000
 DEFAULT_TENANT_SHARE = 1.0
 
-# The records of hosts are built on these: a running balancer keeps those it started with.
+# The records of hosts are built on these, so a running balancer keeps the values that it started
+# with.
 STARTUP_SETTINGS = ("origin_kind", "subscribes")
 
 
@@ -80,7 +82,7 @@
     def __init__(
         self, message: str, setting: str = "", found: str | None = None, expected: str = ""
     ) -> None:
-        """Keep what failed beside the message."""
+        """Takes the whole message, which is what is printed, and the parts it was made of."""
         super().__init__(message)
         self.setting = setting
         self.found = found
