--- a/orchidgap/decisions/admission.py
+++ b/orchidgap/decisions/admission.py
@@ -17,9 +17,11 @@
 
 OVERLOAD_SLOWNESS_RATIO = 1.5  # of a host's latency over what counts as slow there
 MAX_SHARE_RATIO = 1.15  # of a tenant's part of what is let in over its share
+MAX_WAIT_DIVISOR = 2  # of the latency objective: a longer wait for a cache turns all away
+OVERLOAD_WAIT_DIVISOR = 4  # of the latency objective: a longer wait means overload
 MAX_SHED_RATIO = 0.9
-SHED_GAIN = 1 / 4  # of what a tenant is over its share, added at each tick
-SHED_DECAY = 0.02  # taken off at each tick without overload
+SHED_GAIN_RATIO = 1 / 4  # of what a tenant is over its share, added at each tick
+SHED_DECAY_RATIO = 0.02  # taken off at each tick without overload
 ADMITTED_DECAY_RATIO = 0.8  # of the counts, kept at each tick
 
 
@@ -62,7 +64,7 @@
         # Requests that wait for the origin say nothing of the caches, which still have most keys.
         cache_wait_us = self.placement.oldest_wait_us()
         self._worst_wait_us = max(self._worst_wait_us, cache_wait_us, self.origin.oldest_wait_us())
-        if cache_wait_us > context.latency_objective_us // 2:
+        if cache_wait_us > context.latency_objective_us // MAX_WAIT_DIVISOR:
             context.reject(request)
             return
         self.next_stage.forward(request)
@@ -81,8 +83,8 @@
             for host in (self.placement.all_caches, *self.origin.hosts)
             if self.context.limiter.slowness(host) > OVERLOAD_SLOWNESS_RATIO
         ]
-        waits_too_long = worst_wait_us > self.context.latency_objective_us // 4
-        overloaded = waits_too_long or bool(slow_hosts)
+        max_wait_us = self.context.latency_objective_us // OVERLOAD_WAIT_DIVISOR
+        overloaded = worst_wait_us > max_wait_us or bool(slow_hosts)
         if overloaded != self.overloaded:
             self.overloaded = overloaded
             self._log_overload(worst_wait_us, slow_hosts)
@@ -94,9 +96,9 @@
         for name, count in self.admitted.items():
             if self.overloaded:
                 over_share = count / total / tenants[name].share - MAX_SHARE_RATIO if total else 0.0
-                change = over_share * SHED_GAIN
+                change = over_share * SHED_GAIN_RATIO
             else:
-                change = -SHED_DECAY
+                change = -SHED_DECAY_RATIO
             shed_ratio = min(MAX_SHED_RATIO, self.shed_ratios[name] + change)
             self.shed_ratios[name] = max(0.0, shed_ratio)
             self.admitted[name] *= ADMITTED_DECAY_RATIO
--- a/orchidgap/decisions/balancer.py
+++ b/orchidgap/decisions/balancer.py
@@ -29,9 +29,7 @@
 from orchidgap.decisions.slot_map import SlotMap
 
 TICK_INTERVAL_US = 500_000
-EARLY_EXPIRY_US = (
-    20_000  # a queued request is rejected this long before its client leaves: timers are late
-)
+EARLY_EXPIRY_US = 20_000  # a queued request is rejected this long before its client leaves
 
 
 class Balancer(RequestTable):
@@ -166,16 +164,13 @@
 
         Args:
             scope: "changes" where other hosts stay as they are; "failed" where there is no list;
-            else the list
-                is whole.
+                else the list is whole.
             entries: The hosts.
         """
         if scope == "failed":
             self._subscribe_failures += 1
-            subscribe_within_us = self.settings.subscribe_within_us
-            self._subscribe_within(
-                max_retry_delay_us(self._subscribe_failures, subscribe_within_us)
-            )
+            within_us = self.settings.subscribe_within_us
+            self._subscribe_within(max_retry_delay_us(self._subscribe_failures, within_us))
             return
         self._subscribe_failures = 0
         self.hosts = merge_host_list(
--- a/orchidgap/decisions/concurrency_limit.py
+++ b/orchidgap/decisions/concurrency_limit.py
@@ -10,24 +10,23 @@
 from orchidgap.decisions.ports import RuleContext
 from orchidgap.decisions.records import HostState
 
-INITIAL_LIMIT_OF_ALL = 24.0  # attempts at one host, from all balancers together
-MIN_INITIAL_LIMIT = 2.0  # attempts
-MAX_INITIAL_LIMIT = 8.0  # attempts
-LIMIT_FLOOR_OF_ALL = 4  # attempts at one cache, from all balancers; twice that at an origin
+INITIAL_LIMIT_ATTEMPTS = 24.0  # at one host, from all balancers together
+MIN_INITIAL_LIMIT_ATTEMPTS = 2.0
+MAX_INITIAL_LIMIT_ATTEMPTS = 8.0
+LIMIT_FLOOR_ATTEMPTS = 4  # at one cache, from all balancers together
+ORIGIN_LIMIT_FACTOR = 2  # there is one origin for many caches
 
 CACHE_SLOW_RATIO = 0.25  # of the latency objective, above which a cache's answers are slow
 ORIGIN_SLOW_RATIO = 0.6
-MAX_DECREASE_CACHE = 0.5  # what is left of a limit at least after one decrease
-MAX_DECREASE_ORIGIN = 0.2
-MIN_DECREASE = 0.9  # what is left at most
+CACHE_MIN_DECREASE_RATIO = 0.5  # what one decrease leaves of a limit at least
+ORIGIN_MIN_DECREASE_RATIO = 0.2
+MAX_DECREASE_RATIO = 0.9  # what it leaves at most
 LATENCY_MEMORY_US = 5_000_000  # a smoothed latency that is older says nothing
-SMOOTHING = 8  # a new latency weighs one in so many
+SMOOTHING_DIVISOR = 8  # a new latency weighs one in so many
 
 # Latency objectives, and requests that wanted the host, until a limit that fell to 0 is 1 again.
-RECOVERY = 24
-ORIGIN_RECOVERY_BY_TIME = (
-    3  # by time alone an origin's limit recovers at one in so many of the pace
-)
+RECOVERY_OBJECTIVES = 24
+ORIGIN_RECOVERY_DIVISOR = 3  # by time alone an origin's limit recovers so much slower
 
 
 class ConcurrencyLimiter:
@@ -43,9 +42,11 @@
         The start is low, so that all balancers together do not crowd it; it is left fast.
         """
         balancer_count = self.context.settings.balancer_count
-        initial_limit = INITIAL_LIMIT_OF_ALL / balancer_count
-        host.concurrency_limit = min(MAX_INITIAL_LIMIT, max(MIN_INITIAL_LIMIT, initial_limit))
-        host.limit_floor = (1 + host.is_origin) * LIMIT_FLOOR_OF_ALL / balancer_count
+        initial_limit = INITIAL_LIMIT_ATTEMPTS / balancer_count
+        host.concurrency_limit = min(
+            MAX_INITIAL_LIMIT_ATTEMPTS, max(MIN_INITIAL_LIMIT_ATTEMPTS, initial_limit)
+        )
+        host.limit_floor = _limit_factor(host) * LIMIT_FLOOR_ATTEMPTS / balancer_count
         host.limit_decreased_at_us = 0
         host.smoothed_latency_us = 0
 
@@ -54,9 +55,9 @@
         if host.concurrency_limit >= 1.0:
             return host.in_flight + host.in_flight_elsewhere < host.concurrency_limit
         host.capacity_checks += 1
-        return not host.total_in_flight and self.context.rng.random() < self.admission_probability(
-            host
-        )
+        if host.total_in_flight:
+            return False
+        return self.context.rng.random() < self.admission_probability(host)
 
     def admission_probability(self, host: HostState) -> float:
         """The probability that a lone request goes to a host whose limit is below 1.
@@ -69,10 +70,10 @@
         since_decrease_us = self.context.now - host.limit_decreased_at_us
         objectives = since_decrease_us / self.context.latency_objective_us
         if host.is_origin:
-            recovered = objectives / ORIGIN_RECOVERY_BY_TIME
+            recovered = objectives / ORIGIN_RECOVERY_DIVISOR
         else:
             recovered = min(objectives, host.capacity_checks)
-        return min(1.0, host.concurrency_limit + recovered / RECOVERY)
+        return min(1.0, host.concurrency_limit + recovered / RECOVERY_OBJECTIVES)
 
     def slowness(self, host: HostState) -> float:
         """The smoothed latency over what counts as slow there: above 1 the limit falls."""
@@ -89,20 +90,20 @@
         now = self.context.now
         is_recent = now - host.latency_recorded_at_us < LATENCY_MEMORY_US
         previous_us = (is_recent and host.smoothed_latency_us) or latency_us
-        host.smoothed_latency_us = previous_us + (latency_us - previous_us) // SMOOTHING
+        host.smoothed_latency_us = previous_us + (latency_us - previous_us) // SMOOTHING_DIVISOR
         host.latency_recorded_at_us = now
         slowness = self.slowness(host)
         if slowness > 1.0:
-            max_decrease = MAX_DECREASE_ORIGIN if host.is_origin else MAX_DECREASE_CACHE
-            self.decrease_limit(host, max(max_decrease, min(MIN_DECREASE, 1 / slowness)))
+            least = ORIGIN_MIN_DECREASE_RATIO if host.is_origin else CACHE_MIN_DECREASE_RATIO
+            self.decrease_limit(host, max(least, min(MAX_DECREASE_RATIO, 1 / slowness)))
         elif host.concurrency_limit < 1.0:
-            host.concurrency_limit = self.admission_probability(host) * (1 + host.is_origin)
+            host.concurrency_limit = self.admission_probability(host) * _limit_factor(host)
             host.capacity_checks = 0
         elif host.in_flight + host.in_flight_elsewhere >= host.concurrency_limit // 2:
             was_decreased = host.limit_decreased_at_us
             host.concurrency_limit += 1 / host.concurrency_limit if was_decreased else 1.0
 
-    def decrease_limit(self, host: HostState, factor: float) -> None:
+    def decrease_limit(self, host: HostState, ratio: float) -> None:
         """Cut the limit to this part, once in the time that an answer takes.
 
         What is cut is no more than what was in flight, as a limit that is not used says nothing.
@@ -116,8 +117,12 @@
         limit = max(host.concurrency_limit, self.admission_probability(host))
         floor = host.limit_floor
         if host.smoothed_latency_us >= context.latency_objective_us // 2:
-            floor = min(floor, 1.0 + host.is_origin)
-        used_limit = min(limit, (1 + host.is_origin) * (host.total_in_flight + 1))
-        host.concurrency_limit = max(floor, used_limit * factor)
+            floor = min(floor, _limit_factor(host))
+        used_limit = min(limit, _limit_factor(host) * (host.total_in_flight + 1))
+        host.concurrency_limit = max(floor, used_limit * ratio)
         host.limit_decreased_at_us = context.now
         host.capacity_checks = 0
+
+
+def _limit_factor(host: HostState) -> int:
+    return ORIGIN_LIMIT_FACTOR if host.is_origin else 1
--- a/orchidgap/decisions/dispatch.py
+++ b/orchidgap/decisions/dispatch.py
@@ -4,7 +4,7 @@
 
 from orchidgap.decisions.origin import Origin
 from orchidgap.decisions.outlier_ejection import (
-    EJECTION_DECREASE,
+    EJECTION_DECREASE_RATIO,
     HOST_FAILURES,
     SPOILT_OUTCOMES,
     ejection_time_us,
@@ -26,9 +26,7 @@
 LATE_TENTHS = 6
 ORIGIN_LATE_LATENCIES = 4
 LOST_LATENCIES = 6  # of a host that answers others: who is out that long was lost on the way
-SILENT_DECREASE = (
-    0.2  # what is left of the limit of a late host where no second attempt may be in flight
-)
+SILENT_DECREASE_RATIO = 0.2  # what is left of a late host's limit where requests are not hedged
 
 # The host served its part of the request.
 ANSWERS = frozenset((AttemptOutcome.DONE, AttemptOutcome.CACHE_MISS, AttemptOutcome.REDIRECTED))
@@ -45,7 +43,7 @@
 
     def forward(self, request: Request, host: HostState | None = None) -> None:
         """Send an attempt to the host; rejects the request where it has used up its attempts."""
-        if host is None or len(request.attempts) - request.redirects >= request.max_attempts:
+        if host is None or request.attempts_used >= request.max_attempts:
             self.context.reject_if_idle(request)
             return
         attempt = Attempt(request, host, self.context.now)
@@ -90,7 +88,7 @@
             self._record_latency(host, self.context.now - attempt.started_at_us)
             if not self.context.settings.may_hedge:
                 # Few of its answers come here, and none while it is silent.
-                self.context.limiter.decrease_limit(host, SILENT_DECREASE)
+                self.context.limiter.decrease_limit(host, SILENT_DECREASE_RATIO)
             if self.should_cancel(attempt, self.context.settings):
                 self._cancel(attempt)
 
@@ -110,17 +108,19 @@
         neighbour lacks the key, and crowds in its turn. All caches together must have earned it.
 
         Args:
-            attempt: A late one at a cache. settings: Say what is allowed: those that count, or
-            others that shadow evaluation asks about.
+            attempt: A late one at a cache.
+            settings: Say what is allowed: those that count, or others that shadow evaluation
+                asks about.
         """
         request = attempt.request
         host_is_silent = attempt.host.last_response_at_us <= attempt.started_at_us
         may_cancel = settings.may_cancel and (host_is_silent or not settings.may_hedge)
-        attempts_left = len(request.attempts) - request.redirects < request.max_attempts
-        may_repeat = request.request_class.idempotent and not request.answered and attempts_left
+        has_attempts_left = request.attempts_used < request.max_attempts
+        may_go_on = not request.answered and has_attempts_left
         return (
             may_cancel
-            and may_repeat
+            and request.request_class.idempotent
+            and may_go_on
             and has_retry_budget(self.placement.all_caches)
             and self.origin.has_spare_capacity()
         )
@@ -184,7 +184,7 @@
             # Nobody listens: the next process will be cold, and may be there before the list tells.
             self.placement.slow_start.begin(host, context.now)
         if should_eject(host, outcome):
-            context.limiter.decrease_limit(host, EJECTION_DECREASE)
+            context.limiter.decrease_limit(host, EJECTION_DECREASE_RATIO)
             ejection_us = ejection_time_us(host, outcome)
             host.ejected_until_us = context.now + ejection_us
             context.call_later(ejection_us, context.drain_queues)
--- a/orchidgap/decisions/host_list.py
+++ b/orchidgap/decisions/host_list.py
@@ -26,10 +26,12 @@
     """Return all hosts by id, in the order of their ids.
 
     Args:
-        known: Those known so far. entries: Those that were told, in the order they were.
-        is_whole: Whether hosts that were not told are gone. origin_kind: The kind whose hosts
-        are origins. on_started: Called with a host that is new or has started again, and with
-        the start of its process.
+        known: Those known so far.
+        entries: Those that were told, in the order they were.
+        is_whole: Whether hosts that were not told are gone.
+        origin_kind: The kind whose hosts are origins.
+        on_started: Called with a host that is new or has started again, and with the start of
+            its process.
     """
     hosts = dict(known)
     gone = set(known) if is_whole else set()
--- a/orchidgap/decisions/load_reports.py
+++ b/orchidgap/decisions/load_reports.py
@@ -15,8 +15,8 @@
 
 REPORT_LIFETIME_US = 10_000_000  # after which a report says nothing
 FAIR_RATIO = 3  # times the median, and
-FAIR_MARGIN = 2  # attempts, so that chance is no reason
-MAX_DECREASE = 0.1  # what is left of a limit at least
+FAIR_MARGIN_ATTEMPTS = 2  # so that chance is no reason
+MIN_DECREASE_RATIO = 0.1  # what a cut leaves of a limit at least
 
 
 def are_judged(settings: ServiceSettings) -> bool:
@@ -35,7 +35,7 @@
     """
     if not reports:
         return inf
-    return FAIR_RATIO * reports[len(reports) // 2] + FAIR_MARGIN
+    return FAIR_RATIO * reports[len(reports) // 2] + FAIR_MARGIN_ATTEMPTS
 
 
 class LoadReports:
@@ -68,4 +68,4 @@
         cache.reported_at_us = self.context.now
         fair = self.fair_in_flight * cache.weight
         if in_flight > fair:
-            self.limiter.decrease_limit(cache, max(MAX_DECREASE, fair / in_flight))
+            self.limiter.decrease_limit(cache, max(MIN_DECREASE_RATIO, fair / in_flight))
--- a/orchidgap/decisions/outlier_ejection.py
+++ b/orchidgap/decisions/outlier_ejection.py
@@ -12,7 +12,7 @@
 
 EJECTION_US = 500_000
 SHORT_EJECTION_US = 50_000  # of a host that is merely full, and of an origin, which has no stand-in
-EJECTION_DECREASE = 0.7  # what is left of its concurrency limit
+EJECTION_DECREASE_RATIO = 0.7  # what is left of its concurrency limit
 
 # The host did answer, or began to: what failed may have been this answer alone.
 SPOILT_OUTCOMES = frozenset((AttemptOutcome.SERVER_ERROR, AttemptOutcome.CONNECTION_RESET))
--- a/orchidgap/decisions/placement.py
+++ b/orchidgap/decisions/placement.py
@@ -32,18 +32,10 @@
 from orchidgap.decisions.slot_map import Turn, turn
 from orchidgap.decisions.slow_start import SlowStart
 
-HOT_KEY_OFFSETS = (
-    0,
-    -1,
-    1,
-    -2,
-    2,
-)  # from its owner to the caches of a hot key, the first copy first
+HOT_KEY_OFFSETS = (0, -1, 1, -2, 2)  # from a hot key's owner to its caches, in the ring
 MAX_NEIGHBOURS = 2  # asked on each side: a wider search scatters keys, and each one is fetched anew
 OWNER_CHANCES = 2  # that the owner gets before a neighbour: below a limit of 1 each is a draw
-TURNED_AWAY_WEIGHT = (
-    2  # attempts that one turned away counts each time, or a crowded range would grow
-)
+TURNED_AWAY_ATTEMPTS = 2  # that a request turned away counts as, or a crowded range would grow
 
 # The cache did not fail, and may be asked again.
 INNOCENT_OUTCOMES = frozenset((AttemptOutcome.CACHE_MISS, AttemptOutcome.STALE_CONNECTION))
@@ -110,8 +102,7 @@
 
     def is_last_chance(self, request: Request) -> bool:
         """Whether no fetch could follow a miss of this read, and the origin has time for it."""
-        attempts_with_next = len(request.attempts) - request.redirects + 1
-        is_last = request.attempt_cancelled or attempts_with_next >= request.max_attempts
+        is_last = request.attempt_cancelled or request.attempts_used + 1 >= request.max_attempts
         return is_last and not request.is_write and self.origin.has_spare_capacity()
 
     def choose_host(self, request: Request) -> HostState | None:
@@ -136,7 +127,7 @@
             if self.accepts(owner) and owner not in tried:
                 return owner
             if not self.context.limiter.has_capacity(owner):
-                owner.attempt_count += TURNED_AWAY_WEIGHT
+                owner.attempt_count += TURNED_AWAY_ATTEMPTS
         middle = self.ranges.range_ends[owner_index] - owner.range_size // 2
         side = 1 if request.slot >= middle else -1
         for distance in range(1, min(MAX_NEIGHBOURS, len(ring) // 2) + 1):
--- a/orchidgap/decisions/rebalancing.py
+++ b/orchidgap/decisions/rebalancing.py
@@ -3,7 +3,7 @@
 | state      | what moves the ranges                                               | next       |
 | ---------- | ------------------------------------------------------------------- | ---------- |
 | even       | a change of the list                                                | moved      |
-| moved      | a quiet list: half way back to even, `EVENING_STEPS` times          | even       |
+| moved      | a quiet list: half way back to even, `EVEN_OUT_STEPS` times          | even       |
 | any        | enough attempts counted: half way to the paper's formula, by loads  | rebalanced |
 | rebalanced | a change of the list: as `HashRanges.set_ring` tells                | rebalanced |
 
@@ -20,7 +20,7 @@
 REBALANCE_INTERVAL_US = 5_000_000  # at least, between two
 REBALANCE_MIN_ATTEMPTS = 100  # for each cache, counted since the last one
 QUIET_LIST_US = 2 * REBALANCE_INTERVAL_US  # without a change, until ranges go back to even
-EVENING_STEPS = 3  # half way each, after the last change of the list
+EVEN_OUT_STEPS = 3  # half way each, after the last change of the list
 
 
 class Rebalancer:
@@ -41,12 +41,12 @@
         self.rebalanced_at_us = context.now
         self.is_rebalanced = False
         self._list_changed_at_us = context.now
-        self._evening_steps_left = 0
+        self._even_out_steps_left = 0
 
     def on_list_changed(self) -> None:
         """Caches have joined or left."""
         if not self.is_rebalanced:
-            self._evening_steps_left = EVENING_STEPS
+            self._even_out_steps_left = EVEN_OUT_STEPS
             self._list_changed_at_us = self.context.now
 
     def mark_rebalanced(self) -> None:
@@ -78,9 +78,9 @@
 
     def _move_towards_even(self) -> None:
         list_quiet_us = self.context.now - self._list_changed_at_us
-        if self.is_rebalanced or not self._evening_steps_left or list_quiet_us < QUIET_LIST_US:
+        if self.is_rebalanced or not self._even_out_steps_left or list_quiet_us < QUIET_LIST_US:
             return
-        self._evening_steps_left -= 1
+        self._even_out_steps_left -= 1
         self.rebalanced_at_us = self.context.now
         self.ranges.move_towards_even()
 
--- a/orchidgap/decisions/records.py
+++ b/orchidgap/decisions/records.py
@@ -62,9 +62,7 @@
     # The adaptive concurrency limit.
     in_flight: int = 0  # attempts of this process
     in_flight_elsewhere: int = 0  # attempts of another process of this balancer
-    concurrency_limit: float = (
-        0.0  # attempts in flight; below 1 the probability that a lone one goes
-    )
+    concurrency_limit: float = 0.0  # attempts; below 1 the probability that a lone one goes
     limit_floor: float = 1.0  # below which the limit does not fall
     limit_decreased_at_us: int = 0  # 0 where it never was
     capacity_checks: int = 0  # how often it was wanted since its limit, being below 1, was set
@@ -120,15 +118,18 @@
     in_flight: int = 0  # attempts
     answered: bool = False  # it has its final answer
     cache_missed: bool = False  # a cache lacked the key, so it needs a fetch
-    body_streaming: bool = (
-        False  # its body has yet to come whole; until then its host does not count it
-    )
+    body_streaming: bool = False  # until its body has come whole; its host does not count it
     queued: bool = False  # it waits in a stage
     attempt_cancelled: bool = False  # an attempt of it was cancelled for being late
     redirects: int = 0  # redirections followed
     redirect_target: HostState | None = None  # where the last of them sent it
     owner_offset: int = 0  # from the owner of its slot to its cache, in the ring; for a hot key
 
+    @property
+    def attempts_used(self) -> int:
+        """Attempts that count against `max_attempts`: those that were redirected have not run."""
+        return len(self.attempts) - self.redirects
+
 
 def possibly_executed(attempts: Sequence[Attempt]) -> list[Attempt]:
     """Attempts that may have run or may yet run."""
--- a/orchidgap/decisions/request_table.py
+++ b/orchidgap/decisions/request_table.py
@@ -111,7 +111,7 @@
         """The request's body is not kept: no further attempt can carry it."""
         request = self.requests.get(request_id)
         if request is not None:
-            request.max_attempts = len(request.attempts) - request.redirects
+            request.max_attempts = request.attempts_used
 
     def on_sibling_in_flight(self, attempts: dict[str, int]) -> None:
         """Another process of this balancer has so many attempts in flight, by host id."""
--- a/orchidgap/decisions/retry_policy.py
+++ b/orchidgap/decisions/retry_policy.py
@@ -38,10 +38,11 @@
         AttemptOutcome.STALE_CONNECTION,
     )
 )
-INITIAL_RETRY_BUDGET = 2.0  # attempts
-MAX_RETRY_BUDGET = 10.0  # attempts
-RETRY_BUDGET_PER_ANSWER = 0.2  # attempts
-RETRY_COST = 1.0  # attempts
+# Of a host's retry budget, which is counted in attempts.
+INITIAL_RETRY_BUDGET = 2.0
+MAX_RETRY_BUDGET = 10.0
+RETRY_BUDGET_PER_ANSWER = 0.2
+RETRY_COST = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,8 +52,7 @@
     Args:
         may_hedge: Whether two attempts of one request may be in flight at a time.
         max_retry_after_us: The longest time in microseconds that clients respect when they are
-        told to stay
-            away; 0 where they are told none.
+            told to stay away; 0 where they are told none.
     """
 
     may_hedge: bool
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -109,7 +109,7 @@
     def record_latency(self, host, latency_us):
         host.concurrency_limit = 1e9
 
-    def decrease_limit(self, host, factor):
+    def decrease_limit(self, host, ratio):
         host.concurrency_limit = 1e9
 
 
--- a/tests/trial/test_spread_plans.py
+++ b/tests/trial/test_spread_plans.py
@@ -37,7 +37,7 @@
     "all at one moment": (Placement, "owner_index", in_step, "calm", "calm: herd"),
     "ranges stay as a release left them": (
         rebalancing,
-        "EVENING_STEPS",
+        "EVEN_OUT_STEPS",
         0,
         "replaced",
         "after: most",
