--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -11,6 +11,8 @@
 from math import inf
 from typing import NamedTuple
 
+from orchidgap.errors import SettingError
+
 # Names of settings. Those of a request class follow `rule-sets.N.`, those of a tenant
 # `customers.N.`.
 REQUEST_CLASS_COUNT = "rule-sets.count"
@@ -70,43 +72,6 @@
 STARTUP_SETTINGS = ("origin_kind", "subscribes")
 
 
-class SettingError(LookupError):
-    """A setting that is missing or has a value that cannot be used.
-
-    Attributes:
-        setting: The setting's path; empty where several settings are concerned.
-        found: What stood there; None where nothing did.
-        expected: What should have stood there, beginning with `must`.
-    """
-
-    def __init__(
-        self, message: str, setting: str = "", found: str | None = None, expected: str = ""
-    ) -> None:
-        """Takes the whole message, which is what is printed, and the parts it was made of."""
-        super().__init__(message)
-        self.setting = setting
-        self.found = found
-        self.expected = expected
-
-    @classmethod
-    def missing(cls, setting: str) -> SettingError:
-        """The error for a setting that has to be given and is not.
-
-        >>> SettingError.missing("rule-sets.count")
-        SettingError('setting rule-sets.count is missing')
-        """
-        return cls(f"setting {setting} is missing", setting, None, "must be given")
-
-    @classmethod
-    def unusable(cls, setting: str, found: str, expected: str) -> SettingError:
-        """The error for a setting whose value cannot be used.
-
-        >>> SettingError.unusable("instances", "-1", "must not be under 0")
-        SettingError('setting instances is -1, and must not be under 0')
-        """
-        return cls(f"setting {setting} is {found}, and {expected}", setting, found, expected)
-
-
 class RequestClass(NamedTuple):
     """What requests of one class have in common."""
 
@@ -136,7 +101,7 @@
     >>> ServiceSettings.from_pairs({"rule-sets.count": "1", "rule-sets.0.name": "a"})
     Traceback (most recent call last):
         ...
-    orchidgap.decisions.settings.SettingError: setting rule-sets.0.client-timeout is missing
+    orchidgap.errors.SettingError: setting rule-sets.0.client-timeout is missing
     >>> try:
     ...     ServiceSettings.from_pairs(pairs | {"rule-sets.0.client-timeout": "-5"})
     ... except SettingError as error:
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -6,57 +6,70 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from contextlib import suppress
 from typing import Any
 
-from orchidgap.control.lease_keeper import Keeper
-from orchidgap.control.server import Control
-from orchidgap.decisions.cas_register import Value
+from orchidgap.control.acceptor import DurableAcceptor
+from orchidgap.control.lease_keeper import LeaseKeeper
+from orchidgap.control.messages import ProposalMessage
+from orchidgap.control.validation import InvalidPolicyError
 from orchidgap.decisions.gossip_counts import Pool, Row
 from orchidgap.decisions.hot_keys import HotKeyDetector
-from orchidgap.decisions.policy_rollout import Leases, Right, Tenure
+from orchidgap.decisions.lease_state import (
+    LeaseState,
+    PromisePhase,
+    ServingPermission,
+)
+from orchidgap.decisions.leases import LeaseTable
 from orchidgap.http1.server import Client
 
 
 def skips() -> None:
     """It says that it runs a version, and goes on under the one before."""
-    adopt = Keeper.adopt
+    adopt = LeaseKeeper.adopt
 
-    Keeper.adopt = lambda self, doc: adopt(self, doc) if self.tenure.runs < 0 else ""
+    def skip(self: LeaseKeeper, document: Any) -> None:
+        if self.lease.version < 0:
+            adopt(self, document)
+
+    LeaseKeeper.adopt = skip
 
 
 def early() -> None:
     """It serves before it knows what is decided."""
-    begin = Keeper.begin
+    begin = LeaseKeeper.begin
 
-    def open_at_once(self: Keeper, opens: Callable[[], None]) -> None:
+    def open_at_once(self: LeaseKeeper, on_first_lease: Callable[[], None]) -> None:
         begin(self, lambda: None)
-        opens()
+        on_first_lease()
 
-    Keeper.begin = open_at_once
-    Keeper.may = lambda self: True
+    LeaseKeeper.begin = open_at_once
+    LeaseKeeper.may_serve = lambda self: True
 
 
 def forgets() -> None:
     """It loses its promise: alone, it goes on as if it had given none."""
-    Tenure.promise = lambda self, number: True
-    call = Keeper.call
+    LeaseState.on_promise_durable = lambda self, proposal_number: True
+    call = LeaseKeeper.send_heartbeat
 
-    def say(self: Keeper) -> None:
+    def say(self: LeaseKeeper) -> None:
         if self.seen_try:
-            self.tenure.promised, kept = self.seen_try, self.tenure.promised
+            lease = self.lease
+            kept = lease.promise_phase, lease.proposal_number
+            lease.promise_phase, lease.proposal_number = PromisePhase.PROMISED, self.seen_try
             call(self)
-            self.tenure.promised = kept
+            lease.promise_phase, lease.proposal_number = kept
         else:
             call(self)
 
-    check = Keeper.check
+    check = LeaseKeeper.check_proposal
 
-    def saw(self: Keeper, new: Value) -> None:
-        self.seen_try = new["try"]
-        check(self, new)
+    def saw(self: LeaseKeeper, proposal: Any) -> None:
+        self.seen_try = proposal.proposal_number
+        check(self, proposal)
 
-    Keeper.seen_try = 0
-    Keeper.call, Keeper.check = say, saw
+    LeaseKeeper.seen_try = 0
+    LeaseKeeper.send_heartbeat, LeaseKeeper.check_proposal = say, saw
 
 
 def twice() -> None:
@@ -73,27 +86,31 @@
 
 def hasty() -> None:
     """It takes a version that it has only promised."""
-    checked = Keeper.checked
+    checked = LeaseKeeper.on_proposal_checked
 
-    def take(self: Keeper, new: Value, why: str) -> None:
-        checked(self, new, why)
-        if self.tenure.promised == new["try"]:
-            self.adopt(new["doc"])
+    def take(self: LeaseKeeper, proposal: ProposalMessage, refusal_reason: str) -> None:
+        checked(self, proposal, refusal_reason)
+        if self.lease.promised_proposal == proposal.proposal_number:
+            with suppress(InvalidPolicyError):
+                self.adopt(proposal.document)
 
-    Keeper.checked = take
+    LeaseKeeper.on_proposal_checked = take
 
 
 def leaseless() -> None:
     """Once it had a lease it serves for ever."""
 
-    Tenure.right = lambda self, now: Right.SERVES if self.runs >= 0 else Right.NONE
+    def permission(self: LeaseState, now_us: int) -> ServingPermission:
+        return ServingPermission.LEASE if self.version >= 0 else ServingPermission.DENIED
+
+    LeaseState.permission = permission
 
 
 def dozes() -> None:
     """Its clock stands still while it does, as one that counts its own turns would."""
-    begin = Keeper.begin
+    begin = LeaseKeeper.begin
 
-    def count(self: Keeper, opens: Callable[[], None]) -> None:
+    def count(self: LeaseKeeper, on_first_lease: Callable[[], None]) -> None:
         real = self.clock
         last = own = real()
 
@@ -105,19 +122,21 @@
             return own
 
         self.clock = clock
-        begin(self, opens)
+        begin(self, on_first_lease)
 
-    Keeper.begin = count
+    LeaseKeeper.begin = count
 
 
 def impatient() -> None:
     """Control decides without waiting for anybody."""
-    Leases.behind = lambda self, *told: []
+    LeaseTable.unprepared_members = lambda self, *told: []
 
 
 def amnesic() -> None:
     """Control tells what it never wrote."""
-    Control.write = lambda self, kept, done: self.loop.call_soon(done, True)
+    DurableAcceptor.write_state = lambda self, state, on_written: self.loop.call_soon(
+        on_written, True
+    )
 
 
 def blind() -> None:
--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from orchidgap.decisions.settings import ServiceSettings, SettingError
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.errors import SettingError
 
 SETTINGS = {
     "rule-sets.count": "1",
