--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -1,6 +1,6 @@
 """The entry points: one final answer whatever comes."""
 
-from desk import Desk
+from balancer_harness import BalancerHarness
 
 
 def test_exactly_one_final_answer():
@@ -12,37 +12,43 @@
         ["error", "miss", "full", "error"],
     ):
         for rule_set in ("read", "mark", "once"):
-            desk = Desk()
-            req = desk.put(9, rule_set)
+            balancer = BalancerHarness()
+            request = balancer.send_request(9, rule_set)
             for number, verdict in enumerate(verdicts):
-                desk.outcome(req, verdict, number)
-                desk.wait(100_000)
-            desk.wait(1_500_000)
-            for number in range(len(desk.sent(req))):  # the client timeout ends what is out
-                desk.outcome(req, "timeout", number, over=False)
-            desk.on_client_gone(req)
-            assert len(desk.did("deny", req) + desk.did("abort", req)) == 1, (verdicts, rule_set)
-            assert not desk.requests and not desk.coalescing.fetches
+                balancer.finish_attempt(request, verdict, number)
+                balancer.advance(100_000)
+            balancer.advance(1_500_000)
+            for number in range(
+                len(balancer.attempted_hosts(request))
+            ):  # the client timeout ends what is out
+                balancer.finish_attempt(request, "timeout", number, over=False)
+            balancer.on_client_gone(request)
+            assert (
+                len(balancer.actions("deny", request) + balancer.actions("abort", request)) == 1
+            ), (verdicts, rule_set)
+            assert not balancer.requests and not balancer.coalescing.fetches
 
 
 def test_a_failed_subscription_is_asked_for_again_at_random():
-    desk = Desk(**{"registry-mode": "subscribe"})
-    desk.wait(1_100_000)
-    assert len(desk.did("subscribe")) == 1
+    balancer = BalancerHarness(**{"registry-mode": "subscribe"})
+    balancer.advance(1_100_000)
+    assert len(balancer.actions("subscribe")) == 1
     for calls in (2, 3, 4):
-        desk.on_hosts("failed", [])
-        desk.wait(3_000_000)
-        assert len(desk.did("subscribe")) == calls
-    assert len(desk.placement.ring) == 4, "the old list still holds"
+        balancer.on_hosts("failed", [])
+        balancer.advance(3_000_000)
+        assert len(balancer.actions("subscribe")) == calls
+    assert len(balancer.placement.ring) == 4, "the old list still holds"
 
 
 def test_odd_but_legal_events():
-    desk = Desk(0)
-    req = desk.put()
-    assert desk.sent(req) == ["o"]
-    desk.list([], "whole")
-    assert desk.did("deny", desk.put(None)) and desk.did("deny", desk.put(4, "mark"))
-    desk.on_client_gone(99)
-    desk.outcome(99, "done")
-    desk.on_wake(12345)
-    desk.list(["c0"], state="gone")
+    balancer = BalancerHarness(0)
+    request = balancer.send_request()
+    assert balancer.attempted_hosts(request) == ["o"]
+    balancer.list_hosts([], "whole")
+    assert balancer.actions("deny", balancer.send_request(None)) and balancer.actions(
+        "deny", balancer.send_request(4, "mark")
+    )
+    balancer.on_client_gone(99)
+    balancer.finish_attempt(99, "done")
+    balancer.on_wake(12345)
+    balancer.list_hosts(["c0"], state="gone")
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -1,7 +1,7 @@
 """Late attempts: hedged, cancelled for the origin, or counted as slow."""
 
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 
 
 @pytest.mark.parametrize(
@@ -14,45 +14,45 @@
         ("once", "true", True, False),
     ],
 )
-def test_a_dispatch_that_a_quick_host_has_lost_is_sent_again_and_says_nothing_of_the_host(
+def test_a_attempt_that_a_quick_host_has_lost_is_sent_again_and_says_nothing_of_the_host(
     rule_set, allowed, answers, again
 ):
-    desk = Desk(**{"ceilings.may-duplicate": allowed})
+    balancer = BalancerHarness(**{"ceilings.may-duplicate": allowed})
     for key in (1, 2):
-        desk.outcome(desk.put(key, rule_set), "done")
-    lost = desk.put(1, rule_set)
-    [host] = desk.sent(lost)
-    desk.wait(50_000)
+        balancer.finish_attempt(balancer.send_request(key, rule_set), "done")
+    lost = balancer.send_request(1, rule_set)
+    [host] = balancer.attempted_hosts(lost)
+    balancer.advance(50_000)
     if answers:
-        desk.outcome(desk.put(1, rule_set), "done")
-    before = desk.hosts[host].concurrency_limit
-    desk.wait(450_000)
-    assert desk.sent(lost) == [host] * (1 + again)
-    assert (desk.hosts[host].smoothed_latency_us < 100_000) == (answers or host == "o")
+        balancer.finish_attempt(balancer.send_request(1, rule_set), "done")
+    before = balancer.hosts[host].concurrency_limit
+    balancer.advance(450_000)
+    assert balancer.attempted_hosts(lost) == [host] * (1 + again)
+    assert (balancer.hosts[host].smoothed_latency_us < 100_000) == (answers or host == "o")
     if again:
-        desk.outcome(lost, "done", 1)
-        assert desk.did("cancel", lost) == [(lost, 0)]
+        balancer.finish_attempt(lost, "done", 1)
+        assert balancer.actions("cancel", lost) == [(lost, 0)]
     else:
-        desk.outcome(lost, "timeout")
-    assert (desk.hosts[host].concurrency_limit >= before) == answers
+        balancer.finish_attempt(lost, "timeout")
+    assert (balancer.hosts[host].concurrency_limit >= before) == answers
 
 
 @pytest.mark.parametrize("state", ["gone", "draining"])
-def test_a_lost_dispatch_is_not_sent_again_to_a_host_that_has_left(state):
-    desk = Desk(**{"ceilings.may-duplicate": "true"})
-    lost = desk.put(1)
-    [host] = desk.sent(lost)
-    desk.wait(50_000)
-    desk.owner(1)
-    desk.list([host], state=state)
-    desk.wait(450_000)
-    assert desk.sent(lost) == [host]
-
-
-def test_a_dispatch_that_is_still_out_counts_as_slow():
-    desk = Desk(instances="400")
-    host = desk.hosts[desk.sent(desk.put(1))[0]]
-    desk.wait(490_000)
+def test_a_lost_attempt_is_not_sent_again_to_a_host_that_has_left(state):
+    balancer = BalancerHarness(**{"ceilings.may-duplicate": "true"})
+    lost = balancer.send_request(1)
+    [host] = balancer.attempted_hosts(lost)
+    balancer.advance(50_000)
+    balancer.owner_of_key(1)
+    balancer.list_hosts([host], state=state)
+    balancer.advance(450_000)
+    assert balancer.attempted_hosts(lost) == [host]
+
+
+def test_a_attempt_that_is_still_out_counts_as_slow():
+    balancer = BalancerHarness(instances="400")
+    host = balancer.hosts[balancer.attempted_hosts(balancer.send_request(1))[0]]
+    balancer.advance(490_000)
     assert host.smoothed_latency_us == 480_000 and host.concurrency_limit < 2.0
 
 
@@ -69,43 +69,45 @@
         (CALLS_OFF | {"family-info__mode": "through"}, "once", 1, "it may have run"),
     ],
 )
-def test_a_late_read_is_called_off_for_the_origin(pairs, rule_set, sent, why):
-    desk = Desk(4, **pairs)
-    req = desk.put(rule_set=rule_set)
-    desk.wait(500_000)
-    cancelled = desk.did("cancel", req)
+def test_a_late_read_is_cancelled_for_the_origin(pairs, rule_set, sent, why):
+    balancer = BalancerHarness(4, **pairs)
+    request = balancer.send_request(rule_set=rule_set)
+    balancer.advance(500_000)
+    cancelled = balancer.actions("cancel", request)
     assert len(cancelled) == sent - 1, why
     if cancelled:
-        desk.outcome(req, "cancelled")
-    assert desk.sent(req)[1:] == ["o"] * (sent - 1), why
-    assert not desk.did("deny", req) and not desk.did("abort", req)
+        balancer.finish_attempt(request, "cancelled")
+    assert balancer.attempted_hosts(request)[1:] == ["o"] * (sent - 1), why
+    assert not balancer.actions("deny", request) and not balancer.actions("abort", request)
 
 
-def test_where_copies_are_allowed_none_is_called_off_at_a_host_that_answers_late():
-    desk = Desk(4, **{"ceilings__may-duplicate": "true"})
-    req = desk.put()
-    host = desk.hosts[desk.sent(req)[0]]
-    host.last_response_at_us, host.smoothed_latency_us = desk.now + 1, 100_000
-    desk.wait(500_000)
-    assert not desk.did("cancel", req) and len(desk.sent(req)) == 1
+def test_where_copies_are_allowed_none_is_cancelled_at_a_host_that_answers_late():
+    balancer = BalancerHarness(4, **{"ceilings__may-duplicate": "true"})
+    request = balancer.send_request()
+    host = balancer.hosts[balancer.attempted_hosts(request)[0]]
+    host.last_response_at_us, host.smoothed_latency_us = balancer.now + 1, 100_000
+    balancer.advance(500_000)
+    assert not balancer.actions("cancel", request) and len(balancer.attempted_hosts(request)) == 1
 
 
-def test_no_read_is_called_off_for_a_slow_origin_or_without_credit():
+def test_no_read_is_cancelled_for_a_slow_origin_or_without_retry_budget():
     for spoil in (
-        lambda desk: setattr(desk.hosts["o"], "smoothed_latency_us", 300_000),
-        lambda desk: setattr(desk.placement.all_caches, "retry_budget", 0.9),
+        lambda balancer: setattr(balancer.hosts["o"], "smoothed_latency_us", 300_000),
+        lambda balancer: setattr(balancer.placement.all_caches, "retry_budget", 0.9),
     ):
-        desk = Desk(4, **CALLS_OFF)
-        spoil(desk)
-        req = desk.put()
-        desk.wait(500_000)
-        assert not desk.did("cancel", req)
-
-
-def test_a_read_called_off_finds_the_origin_busy_after_all():
-    desk = Desk(4, **CALLS_OFF)
-    req = desk.put()
-    desk.wait(500_000)
-    desk.hosts["o"].ejected_until_us = desk.now + 1_000_000
-    desk.outcome(req, "cancelled")
-    assert len(desk.sent(req)) == 2 and desk.sent(req)[1] not in ("o", desk.sent(req)[0])
+        balancer = BalancerHarness(4, **CALLS_OFF)
+        spoil(balancer)
+        request = balancer.send_request()
+        balancer.advance(500_000)
+        assert not balancer.actions("cancel", request)
+
+
+def test_a_read_cancelled_finds_the_origin_busy_after_all():
+    balancer = BalancerHarness(4, **CALLS_OFF)
+    request = balancer.send_request()
+    balancer.advance(500_000)
+    balancer.hosts["o"].ejected_until_us = balancer.now + 1_000_000
+    balancer.finish_attempt(request, "cancelled")
+    assert len(balancer.attempted_hosts(request)) == 2 and balancer.attempted_hosts(request)[
+        1
+    ] not in ("o", balancer.attempted_hosts(request)[0])
--- a/tests/decisions/test_estate.py
+++ b/tests/decisions/test_estate.py
@@ -2,7 +2,7 @@
 
 import orjson
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
@@ -11,26 +11,26 @@
 
 
 def known():
-    desk = Desk(3)
+    balancer = BalancerHarness(3)
     for key in range(40):
-        desk.outcome(desk.put(key, tenant="big"), "done")
+        balancer.finish_attempt(balancer.send_request(key, tenant="big"), "done")
     (
-        desk.hosts["c1"].concurrency_limit,
-        desk.hosts["c1"].smoothed_latency_us,
-        desk.hosts["c1"].ejected_until_us,
+        balancer.hosts["c1"].concurrency_limit,
+        balancer.hosts["c1"].smoothed_latency_us,
+        balancer.hosts["c1"].ejected_until_us,
     ) = (
         2.5,
         90_000,
-        desk.now + 400_000,
+        balancer.now + 400_000,
     )
-    ring = desk.placement.ring
+    ring = balancer.placement.ring
     ring[0].range_size, ring[2].range_size = ring[0].range_size - 500, ring[2].range_size + 500
-    desk.placement.ranges.refresh()
-    return desk
+    balancer.placement.ranges.refresh()
+    return balancer
 
 
 def test_what_one_leaves_the_next_takes_by_way_of_text():
-    old, new = known(), Desk(3)
+    old, new = known(), BalancerHarness(3)
     assert (
         warm_snapshot.restore_snapshot(
             new, orjson.loads(orjson.dumps(warm_snapshot.export_snapshot(old)))
@@ -48,8 +48,8 @@
 
 
 def test_a_host_that_started_since_owes_nothing_and_other_caches_have_other_ranges():
-    old, new = known(), Desk(3)
-    new.list(["c1"], since=77)
+    old, new = known(), BalancerHarness(3)
+    new.list_hosts(["c1"], since=77)
     before = new.placement.ranges.range_ends[:]
     assert warm_snapshot.restore_snapshot(new, warm_snapshot.export_snapshot(old)) == 3
     assert (
@@ -57,7 +57,7 @@
         and new.hosts["c0"].retry_budget == old.hosts["c0"].retry_budget
         and new.placement.ranges.range_ends == before
     )
-    more = Desk(4)
+    more = BalancerHarness(4)
     before = more.placement.ranges.range_ends[:]
     warm_snapshot.restore_snapshot(more, warm_snapshot.export_snapshot(old))
     assert (
@@ -80,11 +80,11 @@
     ],
 )
 def test_what_makes_no_sense_changes_nothing(told):
-    desk = known()
-    before = copy.deepcopy(warm_snapshot.export_snapshot(desk))
+    balancer = known()
+    before = copy.deepcopy(warm_snapshot.export_snapshot(balancer))
     assert (
-        warm_snapshot.restore_snapshot(desk, told) == 0
-        and warm_snapshot.export_snapshot(desk) == before
+        warm_snapshot.restore_snapshot(balancer, told) == 0
+        and warm_snapshot.export_snapshot(balancer) == before
     )
 
 
@@ -112,12 +112,12 @@
     ),
 )
 def test_no_value_can_break_what_is_decided(hosts, tenants):
-    desk = Desk(3)
+    balancer = BalancerHarness(3)
     for fields in hosts.values():
         if fields.get("since", 0) in (None, 0):
             fields["since"] = 0
-    warm_snapshot.restore_snapshot(desk, {"hosts": hosts, "tenants": tenants})
-    for host in desk.hosts.values():
+    warm_snapshot.restore_snapshot(balancer, {"hosts": hosts, "tenants": tenants})
+    for host in balancer.hosts.values():
         assert (
             0 < host.concurrency_limit <= 1e5
             and 0 <= host.smoothed_latency_us <= 6e7
@@ -125,18 +125,18 @@
         )
         assert (
             max(host.limit_decreased_at_us, host.latency_recorded_at_us, host.last_response_at_us)
-            <= desk.now + warm_snapshot.SLACK
+            <= balancer.now + warm_snapshot.SLACK
         )
         assert (
-            host.ejected_until_us <= desk.now + 1_050_000
-            and host.warm_at_us <= desk.now + 60_050_000
+            host.ejected_until_us <= balancer.now + 1_050_000
+            and host.warm_at_us <= balancer.now + 60_050_000
         )
-    assert sum(host.range_size for host in desk.placement.ring) == SLOT_COUNT
-    assert all(0 <= shed <= 0.9 for shed in desk.admission.shed_ratios.values())
+    assert sum(host.range_size for host in balancer.placement.ring) == SLOT_COUNT
+    assert all(0 <= shed <= 0.9 for shed in balancer.admission.shed_ratios.values())
     for key in range(20):
-        req = desk.put(key)
-        if desk.sent(req):
-            desk.outcome(req, "done")
-    desk.wait(70_000_000)
-    req = desk.put(3)
-    assert desk.sent(req) or desk.did("deny", req)
+        request = balancer.send_request(key)
+        if balancer.attempted_hosts(request):
+            balancer.finish_attempt(request, "done")
+    balancer.advance(70_000_000)
+    request = balancer.send_request(3)
+    assert balancer.attempted_hosts(request) or balancer.actions("deny", request)
--- a/tests/decisions/test_hash_ranges.py
+++ b/tests/decisions/test_hash_ranges.py
@@ -3,30 +3,30 @@
 from random import Random
 
 import pytest
-from desk import Desk, rated, sizes
+from balancer_harness import BalancerHarness, range_sizes, weighted_balancer
 
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 
 
 def test_ranges_stay_whole_whatever_comes():
-    chance, desk, here = Random(3), Desk(6), {f"c{i}" for i in range(6)}
+    chance, balancer, here = Random(3), BalancerHarness(6), {f"c{i}" for i in range(6)}
     for step in range(300):
         id = f"c{chance.randrange(30)}"
         if id in here and len(here) > 1:
-            desk.list([id], state=chance.choice(("gone", "draining")))
+            balancer.list_hosts([id], state=chance.choice(("gone", "draining")))
             here.discard(id)
         else:
-            desk.list([id])
+            balancer.list_hosts([id])
             here.add(id)
         if step % 7 == 0:
-            for host in desk.placement.ring:
+            for host in balancer.placement.ring:
                 host.attempt_count = 100 + chance.randrange(300)
-            desk.placement.all_caches.attempt_count = 100 * len(here)
-            desk.wait(5_500_000)
-        ring = desk.placement.ring
+            balancer.placement.all_caches.attempt_count = 100 * len(here)
+            balancer.advance(5_500_000)
+        ring = balancer.placement.ring
         assert [host.id for host in ring] == sorted(here)
         assert (
-            desk.placement.ranges.range_ends[-1]
+            balancer.placement.ranges.range_ends[-1]
             == SLOT_COUNT
             == sum(host.range_size for host in ring)
         )
@@ -40,22 +40,22 @@
         (["c25"], "up", {"c0": 4096, "c1": 4096, "c2": 2731, "c25": 2730, "c3": 2731}),
         (["c4"], "up", {"c0": 4096, "c1": 4096, "c2": 4096, "c3": 2048, "c4": 2048}),
     ):
-        desk = Desk(4)
-        desk.hosts["c2"].attempt_count = 9
-        desk.list(ids, state=state)
-        assert sizes(desk) == after
+        balancer = BalancerHarness(4)
+        balancer.hosts["c2"].attempt_count = 9
+        balancer.list_hosts(ids, state=state)
+        assert range_sizes(balancer) == after
 
 
 def test_a_cache_that_leaves_and_comes_back_has_its_range_again_at_every_balancer():
     """Half of the busier neighbour's range was three quarters of its own, and another half at each balancer."""
     for id in ("c0", "c2", "c6"):
-        desk = Desk(7)
-        before = sizes(desk)
-        for host in desk.placement.ring:
-            host.attempt_count = desk.rng.randrange(99)
-        desk.list([id], state="gone")
-        desk.list([id])
-        for other, size in sizes(desk).items():
+        balancer = BalancerHarness(7)
+        before = range_sizes(balancer)
+        for host in balancer.placement.ring:
+            host.attempt_count = balancer.rng.randrange(99)
+        balancer.list_hosts([id], state="gone")
+        balancer.list_hosts([id])
+        for other, size in range_sizes(balancer).items():
             assert (
                 abs(size - before[other]) <= 1
                 or id in ("c0", "c6")
@@ -75,4 +75,6 @@
     ],
 )  # a list that tells nonsense
 def test_even_shares_are_by_size(ratings, weights, after):
-    assert list(sizes(rated(ratings, weights)).values()) == pytest.approx(after, abs=1)
+    assert list(range_sizes(weighted_balancer(ratings, weights)).values()) == pytest.approx(
+        after, abs=1
+    )
--- a/tests/decisions/test_heat.py
+++ b/tests/decisions/test_heat.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize(
     ("part", "caches", "reads", "least", "most"),
     [
-        (0.43, 12, 30, 5, 12),  # found within seconds at two reqs a second
+        (0.43, 12, 30, 5, 12),  # found within seconds at two requests a second
         (0.04, 40, 200, 2, 12),
         (0.04, 40, 50, 2, 12),  # within half a minute
         (0.04, 12, 2 * SPAN * 12, 2, 3),
@@ -51,50 +51,50 @@
     assert 0 not in heat.counts
 
 
-def where(desk, key, count):
+def where(balancer, key, count):
     """The caches that reads of the key went to, one after another."""
     went = Counter()
     for _ in range(count):
-        req = desk.put(key)
-        went[desk.sent(req)[0]] += 1
-        desk.outcome(req, "done")
+        request = balancer.send_request(key)
+        went[balancer.attempted_hosts(request)[0]] += 1
+        balancer.finish_attempt(request, "done")
     return went
 
 
 def test_reads_of_a_hot_key_go_to_two_neighbours_on_each_side_and_writes_and_others_to_owners():
-    desk = Desk(9)
-    owner = int(desk.owner(1)[1:])
-    went = where(desk, 1, 300)
+    balancer = BalancerHarness(9)
+    owner = int(balancer.owner_of_key(1)[1:])
+    went = where(balancer, 1, 300)
     assert set(went) == {f"c{(owner + step) % 9}" for step in (-2, -1, 0, 1, 2)}
     assert all(count > 30 for count in went.values())
-    assert len(where(desk, 2, 2)) == 1
+    assert len(where(balancer, 2, 2)) == 1
 
 
 def test_a_hot_key_whose_cache_rests_goes_beside_it():
-    desk = Desk(9)
-    owner = int(desk.owner(1)[1:])
-    where(desk, 1, 50)
-    desk.hosts[f"c{(owner + 1) % 9}"].ejected_until_us = desk.now + 1_000_000
-    went = where(desk, 1, 200)
+    balancer = BalancerHarness(9)
+    owner = int(balancer.owner_of_key(1)[1:])
+    where(balancer, 1, 50)
+    balancer.hosts[f"c{(owner + 1) % 9}"].ejected_until_us = balancer.now + 1_000_000
+    went = where(balancer, 1, 200)
     assert f"c{(owner + 1) % 9}" not in went and sum(went.values()) == 200
 
 
 def test_who_takes_over_for_a_cache_is_on_the_side_of_the_keys_half_of_its_range():
     """Not the left one for all: hundreds of balancers that lose a cache at once would all turn to it."""
-    desk, sides = Desk(5), Counter()
-    c2 = desk.hosts["c2"]
-    start, end = desk.placement.ranges.range_ends[1:3]
+    balancer, sides = BalancerHarness(5), Counter()
+    c2 = balancer.hosts["c2"]
+    start, end = balancer.placement.ranges.range_ends[1:3]
     for key in range(400):
         c2.ejected_until_us = 0
-        req = desk.put(key)
-        desk.outcome(req, "done")
-        if desk.sent(req) == ["c2"]:
-            c2.ejected_until_us = desk.now + 1_000_000
+        request = balancer.send_request(key)
+        balancer.finish_attempt(request, "done")
+        if balancer.attempted_hosts(request) == ["c2"]:
+            c2.ejected_until_us = balancer.now + 1_000_000
             slot = crc_hqx(b"%d" % key, 0) & (SLOT_COUNT - 1)
             assert start <= slot < end
             side = "c1" if slot < start + (end - start) // 2 else "c3"
-            req = desk.put(key)
-            desk.outcome(req, "done")
-            assert desk.sent(req) == [side]
+            request = balancer.send_request(key)
+            balancer.finish_attempt(request, "done")
+            assert balancer.attempted_hosts(request) == [side]
             sides[side] += 1
     assert min(sides["c1"], sides["c3"]) > 10
--- a/tests/decisions/test_outlier_ejection.py
+++ b/tests/decisions/test_outlier_ejection.py
@@ -1,36 +1,38 @@
 """Which failures eject a host, and for how long."""
 
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 
 
 @pytest.mark.parametrize("verdict", ["error", "reset"])
 def test_a_spoilt_answer_among_many_costs_a_host_neither_its_limit_nor_its_range(verdict):
-    desk = Desk()
-    desk.placement.hot_keys.copies = lambda key, caches: 1  # one key is all that is asked for
-    owner = desk.owner(1)
+    balancer = BalancerHarness()
+    balancer.placement.hot_keys.copies = lambda key, caches: 1  # one key is all that is asked for
+    owner = balancer.owner_of_key(1)
     for _ in range(40):
-        assert desk.owner(1) == owner
-    host = desk.hosts[owner]
+        assert balancer.owner_of_key(1) == owner
+    host = balancer.hosts[owner]
     before = host.concurrency_limit, host.retry_budget
-    desk.outcome(desk.put(1), verdict, over=True)
+    balancer.finish_attempt(balancer.send_request(1), verdict, over=True)
     assert (host.concurrency_limit, host.retry_budget) == (
         before[0],
         before[1] - 1.0,
-    ) and desk.owner(1) == owner
+    ) and balancer.owner_of_key(1) == owner
     for _ in range(10):  # all fail: it rests, and is asked again later
-        desk.outcome(desk.put(1), verdict, over=True)
-    assert desk.owner(1) != owner and host.concurrency_limit < before[0]
-    desk.wait(600_000)
-    assert desk.owner(1) == owner
+        balancer.finish_attempt(balancer.send_request(1), verdict, over=True)
+    assert balancer.owner_of_key(1) != owner and host.concurrency_limit < before[0]
+    balancer.advance(600_000)
+    assert balancer.owner_of_key(1) == owner
 
 
 def test_a_host_that_refuses_connections_rests_for_a_while():
-    desk = Desk()
-    req = desk.put(1)
-    owner = desk.sent(req)[0]
-    desk.outcome(req, "unconnected")
-    assert desk.sent(req)[1] != owner and owner not in desk.sent(desk.put(1))
-    assert not desk.placement.accepts(desk.hosts[owner])
-    desk.wait(600_000)
-    assert desk.placement.accepts(desk.hosts[owner])
+    balancer = BalancerHarness()
+    request = balancer.send_request(1)
+    owner = balancer.attempted_hosts(request)[0]
+    balancer.finish_attempt(request, "unconnected")
+    assert balancer.attempted_hosts(request)[1] != owner and owner not in balancer.attempted_hosts(
+        balancer.send_request(1)
+    )
+    assert not balancer.placement.accepts(balancer.hosts[owner])
+    balancer.advance(600_000)
+    assert balancer.placement.accepts(balancer.hosts[owner])
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -1,38 +1,38 @@
 """When ranges are resized, and by which loads."""
 
 import pytest
-from desk import Desk, rated, sizes
+from balancer_harness import BalancerHarness, range_sizes, weighted_balancer
 
 
 def test_ranges_that_losses_moved_go_back_to_even_where_counts_are_few():
     """After a release of half the caches the widest range stood at two and a half of the narrowest, for minutes."""
-    desk = Desk(9)
+    balancer = BalancerHarness(9)
     for id in ("c3", "c4", "c5", "c7"):
-        desk.list([id], state="gone")
+        balancer.list_hosts([id], state="gone")
     for id in ("c4", "c3", "c7", "c5"):
-        desk.list([id])
-    moved = sizes(desk)
+        balancer.list_hosts([id])
+    moved = range_sizes(balancer)
     assert max(moved.values()) > 1.8 * min(moved.values())
-    desk.wait(9_000_000)
-    assert sizes(desk) == moved, "the list may not be done yet"
-    desk.wait(15_000_000)
-    evened = sizes(desk)
+    balancer.advance(9_000_000)
+    assert range_sizes(balancer) == moved, "the list may not be done yet"
+    balancer.advance(15_000_000)
+    evened = range_sizes(balancer)
     assert max(evened.values()) < 1.2 * min(evened.values())
-    desk.wait(60_000_000)
-    assert sizes(desk) == evened
+    balancer.advance(60_000_000)
+    assert range_sizes(balancer) == evened
 
 
 def test_ranges_that_counts_drew_are_not_evened_beside_them():
-    desk = Desk(4)
-    for host, count in zip(desk.placement.ring, (200, 100, 50, 50), strict=True):
+    balancer = BalancerHarness(4)
+    for host, count in zip(balancer.placement.ring, (200, 100, 50, 50), strict=True):
         host.attempt_count = count
-    desk.placement.all_caches.attempt_count = 400
-    desk.wait(6_000_000)
-    desk.list(["c3"], state="gone")
-    drawn = sizes(desk)
+    balancer.placement.all_caches.attempt_count = 400
+    balancer.advance(6_000_000)
+    balancer.list_hosts(["c3"], state="gone")
+    drawn = range_sizes(balancer)
     assert len(set(drawn.values())) > 1
-    desk.wait(60_000_000)
-    assert sizes(desk) == drawn
+    balancer.advance(60_000_000)
+    assert range_sizes(balancer) == drawn
 
 
 @pytest.mark.parametrize(
@@ -43,43 +43,45 @@
         ([399, 1, 0, 0], [1024, 5109, 5126, 5126]),
     ],
 )  # at the floor of a quarter; the rest rescaled
-def test_redraw(sends, after):
-    desk = Desk(4)
-    for host, count in zip(desk.placement.ring, sends, strict=True):
+def test_rebalance(sends, after):
+    balancer = BalancerHarness(4)
+    for host, count in zip(balancer.placement.ring, sends, strict=True):
         host.attempt_count = count
-    desk.placement.all_caches.attempt_count = 400
-    desk.wait(4_000_000)
-    assert set(sizes(desk).values()) == {4096}, "not before its time"
-    desk.wait(2_000_000)
-    assert list(sizes(desk).values()) == pytest.approx(after, abs=4)
+    balancer.placement.all_caches.attempt_count = 400
+    balancer.advance(4_000_000)
+    assert set(range_sizes(balancer).values()) == {4096}, "not before its time"
+    balancer.advance(2_000_000)
+    assert list(range_sizes(balancer).values()) == pytest.approx(after, abs=4)
 
 
-def test_redraw_prefers_reports_and_takes_unheard_and_cold_at_the_mean():
-    desk = Desk(4)
-    desk.list(["c3"], since=99_000_000)  # cold
-    for host in desk.placement.ring:
+def test_rebalance_prefers_reports_and_takes_unheard_and_cold_at_the_mean():
+    balancer = BalancerHarness(4)
+    balancer.list_hosts(["c3"], since=99_000_000)  # cold
+    for host in balancer.placement.ring:
         host.attempt_count = 100
-    desk.placement.all_caches.attempt_count = 400
+    balancer.placement.all_caches.attempt_count = 400
     for id, rate in (("c0", 30.0), ("c1", 10.0), ("c2", 20.0)):
-        desk.on_load_report(id, rate)
-    desk.on_load_report("nobody", 1.0)
-    desk.wait(6_000_000)
-    assert list(sizes(desk).values()) == pytest.approx([3072, 5120, 4096, 4096], abs=4)
+        balancer.on_load_report(id, rate)
+    balancer.on_load_report("nobody", 1.0)
+    balancer.advance(6_000_000)
+    assert list(range_sizes(balancer).values()) == pytest.approx([3072, 5120, 4096, 4096], abs=4)
 
 
-def test_a_redraw_leaves_sizes_that_are_asked_as_they_can_carry():
-    desk = rated([1.0, 3.0])
-    for host, count in zip(desk.placement.ring, (100, 300), strict=True):
+def test_a_rebalance_leaves_sizes_that_are_asked_as_they_can_carry():
+    balancer = weighted_balancer([1.0, 3.0])
+    for host, count in zip(balancer.placement.ring, (100, 300), strict=True):
         host.attempt_count = count
-    desk.placement.all_caches.attempt_count = 400
-    desk.wait(6_000_000)
-    assert list(sizes(desk).values()) == pytest.approx([4096, 12288], abs=2)
+    balancer.placement.all_caches.attempt_count = 400
+    balancer.advance(6_000_000)
+    assert list(range_sizes(balancer).values()) == pytest.approx([4096, 12288], abs=2)
 
 
-def test_an_owner_that_turns_away_counts_twice_for_the_redraw():
-    desk = Desk()
-    owner = desk.hosts[desk.owner(1)]
+def test_an_owner_that_turns_away_counts_twice_for_the_rebalance():
+    balancer = BalancerHarness()
+    owner = balancer.hosts[balancer.owner_of_key(1)]
     owner.concurrency_limit, before = 0.0, owner.attempt_count
-    owner.limit_decreased_at_us = desk.now
-    desk.put(1)
-    assert owner.attempt_count == before + 4 and owner.id not in desk.sent(desk.number)
+    owner.limit_decreased_at_us = balancer.now
+    balancer.send_request(1)
+    assert owner.attempt_count == before + 4 and owner.id not in balancer.attempted_hosts(
+        balancer.last_request_id
+    )
--- a/tests/decisions/test_shadow.py
+++ b/tests/decisions/test_shadow.py
@@ -1,5 +1,5 @@
 import pytest
-from desk import PAIRS, Desk, Port
+from balancer_harness import SETTINGS, BalancerHarness, RecordingPort
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.settings import ServiceSettings
@@ -14,103 +14,103 @@
 }
 
 
-class Watch(Desk, ShadowBalancer):
-    """A desk that goes by NOW and watches other terms."""
+class ShadowHarness(BalancerHarness, ShadowBalancer):
+    """A harness that goes by NOW and evaluates other settings beside."""
 
     def __init__(self, caches=4, **other):
         self.port = None
-        terms = ServiceSettings.from_pairs(PAIRS | NOW)
-        ShadowBalancer.__init__(
-            self, ServiceSettings.from_pairs(PAIRS | NOW | other), terms, Port(), 7, 100_000_000
-        )
-        self.seen, self.number = self.port.port, 0
-        self.list([f"c{i}" for i in range(caches)] + ["o"], "recalled")
-
-    def did(self, name, req=None):
+        settings = ServiceSettings.from_pairs(SETTINGS | NOW)
+        other_settings = ServiceSettings.from_pairs(SETTINGS | NOW | other)
+        ShadowBalancer.__init__(self, other_settings, settings, RecordingPort(), 7, 100_000_000)
+        self.recorded = self.port.port
+        self.last_request_id = 0
+        self.list_hosts([f"c{i}" for i in range(caches)] + ["o"], "recalled")
+
+    def actions(self, name, request=None):
         return [
-            what[1:]
-            for what in self.seen.did
-            if what[0] == name and (req is None or req == what[1])
+            action[1:]
+            for action in self.recorded.actions
+            if action[0] == name and (request is None or request == action[1])
         ]
 
 
-def found(desk):
-    return {kind: many for kind, many in desk.differences.items() if many}
+def found(balancer):
+    return {kind: many for kind, many in balancer.differences.items() if many}
 
 
-def busy(desk):
-    """The same things happen to any desk: late, lost, failed and done dispatches, reports, a drain."""
-    late(desk)
+def busy(balancer):
+    """The same things happen to any balancer: late, lost, failed and done dispatches, reports, a drain."""
+    late(balancer)
     for key in range(30):
-        req = desk.put(
+        request = balancer.send_request(
             key, ("read", "read", "mark", "once")[key % 4], tenant=("big", "small")[key % 2]
         )
-        for id in desk.sent(req):
-            desk.on_load_report(id, 4.0, 40.0 if id == "c1" else 1.0)
+        for id in balancer.attempted_hosts(request):
+            balancer.on_load_report(id, 4.0, 40.0 if id == "c1" else 1.0)
         if key % 5 == 0:
-            desk.wait(600_000)
-        if desk.sent(req):
-            desk.outcome(req, ("done", "error", "timeout", "full", "miss")[key % 5])
-    desk.list(["c2"], state="draining")
-    desk.wait(3_000_000)
+            balancer.advance(600_000)
+        if balancer.attempted_hosts(request):
+            balancer.finish_attempt(request, ("done", "error", "timeout", "full", "miss")[key % 5])
+    balancer.list_hosts(["c2"], state="draining")
+    balancer.advance(3_000_000)
 
 
 def test_it_decides_as_the_terms_it_goes_by_and_not_otherwise():
-    plain = Desk(**NOW)
-    watching = Watch(**NEW)
+    plain = BalancerHarness(**NOW)
+    watching = ShadowHarness(**NEW)
     busy(plain)
     busy(watching)
-    assert watching.seen.did == plain.port.did
-    assert found(watching) and watching.attempts_compared == len(plain.did("dispatch"))
+    assert watching.recorded.actions == plain.port.actions
+    assert found(watching) and watching.attempts_compared == len(plain.actions("dispatch"))
 
 
 def test_the_same_terms_decide_nothing_otherwise():
-    desk = Watch()
-    busy(desk)
-    assert not found(desk) and desk.attempts_compared > 20
+    balancer = ShadowHarness()
+    busy(balancer)
+    assert not found(balancer) and balancer.attempts_compared > 20
 
 
-def silent(desk):
-    desk.put()
-    desk.wait(500_000)
+def silent(balancer):
+    balancer.send_request()
+    balancer.advance(500_000)
 
 
-def late(desk):
-    host = desk.hosts[desk.sent(desk.put())[0]]
+def late(balancer):
+    host = balancer.hosts[balancer.attempted_hosts(balancer.send_request())[0]]
     host.last_response_at_us, host.smoothed_latency_us = (
-        desk.now + 1,
+        balancer.now + 1,
         100_000,
     )  # it answers others meanwhile, and is crowded
-    desk.wait(500_000)
+    balancer.advance(500_000)
 
 
-def lost(desk):
-    req = desk.put()
-    desk.hosts[desk.sent(req)[0]].last_response_at_us = desk.now + 1
-    desk.wait(500_000)
-    assert len(desk.sent(req)) == 2
+def lost(balancer):
+    request = balancer.send_request()
+    balancer.hosts[balancer.attempted_hosts(request)[0]].last_response_at_us = balancer.now + 1
+    balancer.advance(500_000)
+    assert len(balancer.attempted_hosts(request)) == 2
 
 
-def failed(desk):
-    desk.outcome(desk.put(), "error")
+def failed(balancer):
+    balancer.finish_attempt(balancer.send_request(), "error")
 
 
-def refused(desk):
-    for host in desk.hosts.values():
-        host.ejected_until_us = desk.now + 10_000_000
-    desk.put()
-    assert desk.did("deny")
+def refused(balancer):
+    for host in balancer.hosts.values():
+        host.ejected_until_us = balancer.now + 10_000_000
+    balancer.send_request()
+    assert balancer.actions("deny")
 
 
-def reported(desk):
+def reported(balancer):
     for id, held in (("c0", 1.0), ("c1", 1.0), ("c2", 1.0), ("c3", 50.0), ("o", 900.0)):
-        desk.on_load_report(id, None, held)
+        balancer.on_load_report(id, None, held)
 
 
-def sized(desk):
-    desk.on_hosts("changes", [("c0", "up", 0, "z", "cache", "1", 9.0)])
+def sized(balancer):
+    balancer.on_hosts("changes", [("c0", "up", 0, "z", "cache", "1", 9.0)])
     for key in range(20):
-        desk.owner(key)
+        balancer.owner_of_key(key)
 
 
 @pytest.mark.parametrize(
@@ -132,33 +132,37 @@
     ],
 )
 def test_each_kind_is_counted_where_it_differs(act, other, kinds):
-    desk = Watch(**other)
-    act(desk)
-    assert found(desk) == kinds
+    balancer = ShadowHarness(**other)
+    act(balancer)
+    assert found(balancer) == kinds
 
 
 def test_other_sizes_make_other_owners():
-    desk = Watch(weights="rough")
-    sized(desk)
-    assert 0 < found(desk)["owner"] < 20
-    assert desk.summary().startswith("20 dispatches, owner ")
+    balancer = ShadowHarness(weights="rough")
+    sized(balancer)
+    assert 0 < found(balancer)["owner"] < 20
+    assert balancer.summary().startswith("20 dispatches, owner ")
 
 
-def test_after_new_terms_open_reqs_are_looked_at_by_their_own():
-    desk = Watch(**{"rule-sets.0.effect": "fragile"})
-    req = desk.put()
-    desk.on_settings(
-        ServiceSettings.from_pairs(PAIRS | NOW | {"rule-sets.0.response-target": "700000"})
+def test_after_new_terms_open_requests_are_looked_at_by_their_own():
+    balancer = ShadowHarness(**{"rule-sets.0.effect": "fragile"})
+    request = balancer.send_request()
+    balancer.on_settings(
+        ServiceSettings.from_pairs(SETTINGS | NOW | {"rule-sets.0.response-target": "700000"})
     )
-    desk.outcome(req, "error")
-    assert not found(desk) and isinstance(desk, Balancer)
+    balancer.finish_attempt(request, "error")
+    assert not found(balancer) and isinstance(balancer, Balancer)
 
 
 def test_it_says_once_a_minute_what_it_counted_and_only_news():
-    desk = Watch(**NEW)
-    late(desk)
-    desk.wait(61_000_000)
-    said = [line for (line,) in desk.did("log") if line.startswith("watched so far: 1 dispatches")]
+    balancer = ShadowHarness(**NEW)
+    late(balancer)
+    balancer.advance(61_000_000)
+    said = [
+        line
+        for (line,) in balancer.actions("log")
+        if line.startswith("watched so far: 1 dispatches")
+    ]
     assert len(said) == 1 and "call-off 1" in said[0]
-    desk.wait(200_000_000)
-    assert len([line for (line,) in desk.did("log") if line.startswith("watched")]) == 1
+    balancer.advance(200_000_000)
+    assert len([line for (line,) in balancer.actions("log") if line.startswith("watched")]) == 1
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -4,44 +4,44 @@
 from random import Random
 
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 
 CACHES, RATE, WARM = (
     10,
     600,
     10_000_000,
-)  # caches; reqs a second of all balancers; the warm-up of desk's settings
+)  # caches; requests a second of all balancers; the warm-up of balancer's settings
 COLD, STEP = 0.2, 10_000
 WINDOW = 1_500_000
 
 
 class Fleet:
     def __init__(self, many, caches=CACHES):
-        self.desks, self.rng = [Desk(caches) for _ in range(many)], Random(many)
-        for i, desk in enumerate(self.desks):
-            desk.rng.seed(i)
+        self.balancers, self.rng = [BalancerHarness(caches) for _ in range(many)], Random(many)
+        for i, balancer in enumerate(self.balancers):
+            balancer.rng.seed(i)
         self.sent = []  # when one was sent to c3
 
     def plays(self, micros, rate=RATE, key=None):
         for _ in range(micros // STEP):
             for _ in range(rate * STEP // 1_000_000):
-                desk = self.rng.choice(self.desks)
-                req = desk.put(
+                balancer = self.rng.choice(self.balancers)
+                request = balancer.send_request(
                     self.rng.randrange(1 << 30) if key is None or self.rng.random() > 0.1 else key
                 )
-                for host in desk.sent(req):
+                for host in balancer.attempted_hosts(request):
                     if host == "c3":
-                        self.sent.append(desk.now)
-                    desk.outcome(req, "done")
-                desk.port.did.clear()
-            for desk in self.desks:
-                desk.wait(STEP)
+                        self.sent.append(balancer.now)
+                    balancer.finish_attempt(request, "done")
+                balancer.port.actions.clear()
+            for balancer in self.balancers:
+                balancer.advance(STEP)
 
     def starts(self):
         """c3 has just started, and all are told so."""
-        now = self.desks[0].now
-        for desk in self.desks:
-            desk.list(["c3"], since=now)
+        now = self.balancers[0].now
+        for balancer in self.balancers:
+            balancer.list_hosts(["c3"], since=now)
         self.sent.clear()
         return now
 
@@ -80,32 +80,32 @@
 
 
 def test_a_cold_host_gets_its_budget_and_no_more():
-    desk = Desk(4)
-    desk.list(["c1"], since=desk.now)  # restarted: 0.2 of its capacity for now
-    hosts = [desk.owner(key) for key in range(4000)]
-    assert 160 <= hosts.count("c1") <= 245  # a fifth of its share, from the first req on
-    desk.wait(11_000_000)
-    assert [desk.owner(key) for key in range(400)].count("c1") > 70
+    balancer = BalancerHarness(4)
+    balancer.list_hosts(["c1"], since=balancer.now)  # restarted: 0.2 of its capacity for now
+    hosts = [balancer.owner_of_key(key) for key in range(4000)]
+    assert 160 <= hosts.count("c1") <= 245  # a fifth of its share, from the first request on
+    balancer.advance(11_000_000)
+    assert [balancer.owner_of_key(key) for key in range(400)].count("c1") > 70
 
 
 def test_a_since_still_within_warm_up_counts_from_the_first_list_on():
-    desk = Desk(0)
-    desk.list(["c0"], "recalled", since=desk.now - 5_000_000)
-    assert desk.hosts["c0"].warm_at_us == desk.now + 5_000_000
+    balancer = BalancerHarness(0)
+    balancer.list_hosts(["c0"], "recalled", since=balancer.now - 5_000_000)
+    assert balancer.hosts["c0"].warm_at_us == balancer.now + 5_000_000
 
 
 def test_a_host_that_refused_connections_is_cold_when_it_is_back():
     """Found by a trial: it had started again before the list said so, and got its whole range at once."""
-    desk = Desk(2)
-    host = desk.hosts[desk.owner(1)]
-    assert desk.placement.accepts(host)
-    desk.outcome(desk.put(1), "refused")
+    balancer = BalancerHarness(2)
+    host = balancer.hosts[balancer.owner_of_key(1)]
+    assert balancer.placement.accepts(host)
+    balancer.finish_attempt(balancer.send_request(1), "refused")
     host.concurrency_limit = 1e9
-    desk.wait(600_000)
+    balancer.advance(600_000)
     for _ in range(300):
-        desk.placement.slow_start.placements += 1
-        host.in_flight += desk.placement.accepts(host)
+        balancer.placement.slow_start.placements += 1
+        host.in_flight += balancer.placement.accepts(host)
     assert 15 < host.in_flight < 120, "a share by its warmth: 0.2 to 0.3 of the half that it had"
-    desk.wait(10_000_000)
+    balancer.advance(10_000_000)
     host.in_flight = 0
-    assert all(desk.placement.accepts(host) for _ in range(50))
+    assert all(balancer.placement.accepts(host) for _ in range(50))
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -2,7 +2,7 @@
 
 import socket
 
-from desk import PAIRS
+from balancer_harness import SETTINGS
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.settings import ServiceSettings
@@ -51,7 +51,7 @@
             [],
         )
         self.loop = Loop(clock=lambda: self.now, on_error=self.log.exception)
-        pairs = PAIRS | {name.replace("__", "."): value for name, value in pairs.items()}
+        pairs = SETTINGS | {name.replace("__", "."): value for name, value in pairs.items()}
         found = decode_list(
             {
                 "seq": 7,
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 
 from orchidgap.decisions.gossip_counts import GAP
 from orchidgap.net.config import ConfigError, parse
@@ -18,7 +18,7 @@
     """A balancer's decisions, as a node has them."""
 
     def __init__(self, caches):
-        self.balancer = Desk(caches)
+        self.balancer = BalancerHarness(caches)
 
     def call_decisions(self, call, *args):
         call(*args)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 
 import orjson
 import pytest
-from desk import PAIRS
+from balancer_harness import SETTINGS
 from node_harness import NodeHarness, heard
 
 from orchidgap.decisions.settings import ServiceSettings
@@ -101,7 +101,7 @@
 
 def test_a_watch_decides_as_before_and_tells_what_it_counted():
     new = ServiceSettings.from_pairs(
-        PAIRS | {"report.how": "inline", "report.fields": "concurrent"}
+        SETTINGS | {"report.how": "inline", "report.fields": "concurrent"}
     )
     net = NodeHarness(3, decider=partial(ShadowBalancer, new), **WAITS)
     assert NodeHarness().node.shadow_report() == (False, "nothing is watched")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -3,11 +3,11 @@
 import sys
 
 import pytest
-from desk import PAIRS, Desk
+from balancer_harness import SETTINGS, BalancerHarness
 
 from orchidgap.wirehost.codec import Malformed, serve, told
 
-INFO = " ".join(f"{path}={value}" for path, value in PAIRS.items())
+INFO = " ".join(f"{path}={value}" for path, value in SETTINGS.items())
 START = (
     f"BATCH 1000 1\nABOUT 3\nPROVISION 5 {INFO} some.new=1\nBACKENDS_CHANGED restored 1 2\n"
     "M 1 - a cache Running 0 10.0.0.1:7\nM 1 - a origin Running 1 10.0.0.2:7\n"
@@ -20,7 +20,7 @@
     return sink.getvalue().decode()
 
 
-def test_a_req_from_end_to_end():
+def test_a_request_from_end_to_end():
     said = answer(
         START + "QUERY 77 900000 0 read 5 0 - - -\nYOUR_TURN\nBATCH 2000 2\nABOUT 3\n"
         "ENDED 77 0 10.0.0.1:7 Miss 900 0 2 -\nYOUR_TURN\nBATCH 3000 3\nABOUT 3\nEXIT\nFIRED 1\nYOUR_TURN\n"
@@ -84,9 +84,12 @@
     ],
 )
 def test_reports_reach_the_decisions_as_the_settings_say(how, report, rate, held):
-    desk = Desk(2, **{"report.how": how, "report.fields": "concurrent,tps"})
-    told(desk, "c1", report)
-    assert (desk.hosts["c1"].reported_request_rate, desk.hosts["c1"].reported_in_flight) == (
+    balancer = BalancerHarness(2, **{"report.how": how, "report.fields": "concurrent,tps"})
+    told(balancer, "c1", report)
+    assert (
+        balancer.hosts["c1"].reported_request_rate,
+        balancer.hosts["c1"].reported_in_flight,
+    ) == (
         rate,
         held,
-    ) and not desk.hosts["c0"].reported_in_flight
+    ) and not balancer.hosts["c0"].reported_in_flight
