--- a/orchidgap/decisions/warm_snapshot.py
+++ b/orchidgap/decisions/warm_snapshot.py
@@ -1,106 +1,163 @@
-"""What a balancer leaves to the process that takes its place: what it knows of hosts, how it cut its ranges.
+"""The warm-restart snapshot: what a process knows of hosts, hash ranges and tenants, for its successor.
 
-Nothing here does I/O. What is told is checked field by field; what cannot be is left aside.
+The successor would else begin with empty limits and latencies and even ranges. A snapshot is plain JSON values;
+its names stay as they are, since versions before and after run side by side. Nothing in it is trusted: a value
+of another type or out of bounds is left aside, and the rest is used. Free of I/O.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from math import isfinite
-from typing import Any
+from typing import NamedTuple, TypedDict, TypeGuard
 
 from orchidgap.decisions.balancer import SLOT_COUNT, Balancer
+from orchidgap.decisions.records import HostState
 
-SLACK = 50_000  # by which two processes' clocks may differ
-AHEAD = {"shun_until": 1_000_000, "warm_at": 60_000_000}  # how far ahead these may lie
-# What is told of a host, with the least and the most that can be; None: a time.
-FIELDS: dict[str, tuple[float, float] | None] = {
-    "limit": (0.01, 100_000.0),
-    "floor": (0.0, 100_000.0),
-    "lag": (0, 60_000_000),
-    "credit": (0.0, 10.0),
-    "rate": (-1.0, 1e9),
-    "cut_at": None,
-    "judged_at": None,
-    "heard_at": None,
-    "shun_until": None,
-    "warm_at": None,
-}
-# The attribute of `HostState` behind each name of the snapshot.
-ATTRIBUTES = {
-    "limit": "concurrency_limit",
-    "floor": "limit_floor",
-    "lag": "smoothed_latency_us",
-    "credit": "retry_budget",
-    "rate": "reported_request_rate",
-    "cut_at": "limit_decreased_at_us",
-    "judged_at": "latency_recorded_at_us",
-    "heard_at": "last_response_at_us",
-    "shun_until": "ejected_until_us",
-    "warm_at": "warm_at_us",
-}
-
-
-def export_snapshot(balancer: Balancer) -> dict[str, Any]:
-    """All of it, as plain values; times are in microseconds of the clock that all processes share."""
+CLOCK_SLACK_US = 50_000  # by which the clocks of two processes may differ
+MAX_EJECTION_US = 1_000_000
+MAX_SLOW_START_US = 60_000_000
+MAX_ADMITTED = 1e9
+MAX_SHED = 0.9
+
+# Names in the snapshot that are not in `HOST_FIELDS`.
+STARTED_AT = "since"
+RANGE_SIZE = "size"
+
+
+class Snapshot(TypedDict):
+    """A whole snapshot, as it goes to the successor.
+
+    Attributes:
+        hosts: By host id, the values of `HOST_FIELDS` with the host's start and range size. Times are
+            microseconds of the clock that all processes of a machine share.
+        tenants: By tenant, the count of lately admitted requests and the part of them that is shed.
+    """
+
+    hosts: dict[str, dict[str, float]]
+    tenants: dict[str, list[float]]
+
+
+class HostField(NamedTuple):
+    """One value of a host, with the bounds that a restored one must keep."""
+
+    name: str  # in the snapshot
+    attribute: str  # of `HostState`
+    lowest: float
+    highest: float  # of a time: counted from now
+
+    is_time: bool = False
+
+    def accepts(self, value: object, now: int) -> TypeGuard[float]:
+        """Whether the value can be used at the time `now`."""
+        latest = now + CLOCK_SLACK_US + self.highest if self.is_time else self.highest
+        return is_number_between(value, self.lowest, latest)
+
+
+HOST_FIELDS = (
+    HostField("limit", "concurrency_limit", 0.01, 100_000.0),
+    HostField("floor", "limit_floor", 0.0, 100_000.0),
+    HostField("lag", "smoothed_latency_us", 0, 60_000_000),
+    HostField("credit", "retry_budget", 0.0, 10.0),
+    HostField("rate", "reported_request_rate", -1.0, 1e9),
+    HostField("cut_at", "limit_decreased_at_us", 0, 0, is_time=True),
+    HostField("judged_at", "latency_recorded_at_us", 0, 0, is_time=True),
+    HostField("heard_at", "last_response_at_us", 0, 0, is_time=True),
+    HostField("shun_until", "ejected_until_us", 0, MAX_EJECTION_US, is_time=True),
+    HostField("warm_at", "warm_at_us", 0, MAX_SLOW_START_US, is_time=True),
+)
+
+
+def export_snapshot(balancer: Balancer) -> Snapshot:
+    """Everything that a successor can use of what this balancer knows."""
+    admission = balancer.admission
     return {
-        "hosts": {
-            host.id: {name: getattr(host, ATTRIBUTES[name]) for name in FIELDS}
-            | {"since": host.started_at_us, "size": host.range_size}
-            for host in balancer.hosts.values()
-        },
-        "tenants": {
-            name: [balancer.admission.let_in[name], shed]
-            for name, shed in balancer.admission.shed.items()
-        },
+        "hosts": {host.id: _export_host(host) for host in balancer.hosts.values()},
+        "tenants": {name: [admission.let_in[name], shed] for name, shed in admission.shed.items()},
     }
 
 
-def number(value: Any, low: float, high: float) -> bool:
-    """
-    >>> number(1, 0, 2), number(3, 0, 2), number(True, 0, 2), number("1", 0, 2), number(float("nan"), 0, 2)
-    (True, False, False, False, False)
-    """
-    if not isinstance(value, int | float) or isinstance(value, bool):
-        return False
-    return isfinite(value) and low <= value <= high
+def restore_snapshot(balancer: Balancer, snapshot: object) -> int:
+    """Takes over what another process exported, as far as it can be used.
 
+    A host that has started since is left as it is: what was known of it was of the process before. Ranges are
+    taken only as a whole, where they are of the same caches.
 
-def restore_snapshot(balancer: Balancer, told: Any) -> int:
-    """What another left, as far as it fits; of how many hosts anything was taken.
+    Args:
+        balancer: Whose records are filled. Its `now` must be set.
+        snapshot: A `Snapshot` as it was decoded, of any form.
 
-    A host that has started since owes nothing to what its forerunner did. Ranges are taken only where they
-    are those of the same caches.
+    Returns:
+        Of how many hosts anything was taken.
     """
-    hosts = told.get("hosts") if isinstance(told, Mapping) else None
+    if not isinstance(snapshot, Mapping):
+        return 0
+    hosts = snapshot.get("hosts")
     if not isinstance(hosts, Mapping):
         return 0
-    now, taken = balancer.now, 0
-    sizes: dict[str, int] = {}
+    restored_count = 0
+    range_sizes: dict[str, int] = {}
     for host in balancer.hosts.values():
-        fields = hosts.get(host.id)
-        if not isinstance(fields, Mapping) or fields.get("since") != host.started_at_us:
+        values = hosts.get(host.id)
+        if not isinstance(values, Mapping) or values.get(STARTED_AT) != host.started_at_us:
             continue
-        for name, bounds in FIELDS.items():
-            value = fields.get(name)
-            if number(value, *(bounds or (0, now + SLACK + AHEAD.get(name, 0)))):
-                attribute = ATTRIBUTES[name]
-                setattr(host, attribute, type(getattr(host, attribute))(value))
-        if number(fields.get("size"), 0, SLOT_COUNT):
-            sizes[host.id] = int(fields["size"])
-        taken += 1
+        _restore_host(host, values, balancer.now)
+        range_size = values.get(RANGE_SIZE)
+        if is_number_between(range_size, 0, SLOT_COUNT):
+            range_sizes[host.id] = int(range_size)
+        restored_count += 1
+    _restore_ranges(balancer, range_sizes)
+    _restore_tenants(balancer, snapshot.get("tenants"))
+    return restored_count
+
+
+def is_number_between(value: object, lowest: float, highest: float) -> TypeGuard[float]:
+    """Whether the value is a finite number within bounds, both included.
+
+    >>> [is_number_between(value, 0, 2) for value in (1, 3, True, "1", float("nan"))]
+    [True, False, False, False, False]
+    """
+    if not isinstance(value, int | float) or isinstance(value, bool):
+        return False
+    return isfinite(value) and lowest <= value <= highest
+
+
+def _export_host(host: HostState) -> dict[str, float]:
+    values: dict[str, float] = {field.name: getattr(host, field.attribute) for field in HOST_FIELDS}
+    values[STARTED_AT] = host.started_at_us
+    values[RANGE_SIZE] = host.range_size
+    return values
+
+
+def _restore_host(host: HostState, values: Mapping[str, object], now: int) -> None:
+    for field in HOST_FIELDS:
+        value = values.get(field.name)
+        if field.accepts(value, now):
+            number_type = type(getattr(host, field.attribute))
+            setattr(host, field.attribute, number_type(value))
+
+
+def _restore_ranges(balancer: Balancer, range_sizes: Mapping[str, int]) -> None:
     ring = balancer.placement.ring
-    if (
-        ring
-        and all(host.id in sizes for host in ring)
-        and sum(sizes[host.id] for host in ring) == SLOT_COUNT
-    ):
-        for host in ring:
-            host.range_size = sizes[host.id]
-        balancer.placement.cut()
-    tenants = told.get("tenants")
-    for name, pair in tenants.items() if isinstance(tenants, Mapping) else ():
-        if name in balancer.admission.shed and isinstance(pair, list) and len(pair) == 2:
-            if number(pair[0], 0.0, 1e9) and number(pair[1], 0.0, 0.9):
-                balancer.admission.let_in[name], balancer.admission.shed[name] = map(float, pair)
-    return taken
+    if not ring or any(host.id not in range_sizes for host in ring):
+        return
+    if sum(range_sizes[host.id] for host in ring) != SLOT_COUNT:
+        return
+    for host in ring:
+        host.range_size = range_sizes[host.id]
+    balancer.placement.cut()
+
+
+def _restore_tenants(balancer: Balancer, tenants: object) -> None:
+    if not isinstance(tenants, Mapping):
+        return
+    admission = balancer.admission
+    for name, values in tenants.items():
+        if name not in admission.shed or not isinstance(values, list) or len(values) != 2:
+            continue
+        admitted, shed = values
+        if is_number_between(admitted, 0.0, MAX_ADMITTED) and is_number_between(
+            shed, 0.0, MAX_SHED
+        ):
+            admission.let_in[name] = float(admitted)
+            admission.shed[name] = float(shed)
--- a/tests/decisions/test_estate.py
+++ b/tests/decisions/test_warm_snapshot.py
@@ -1,3 +1,5 @@
+"""A successor begins with what its predecessor knew, and nothing in a snapshot can break what is decided."""
+
 import copy
 
 import orjson
@@ -6,52 +8,47 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from orchidgap.decisions import warm_snapshot
 from orchidgap.decisions.balancer import SLOT_COUNT
+from orchidgap.decisions.warm_snapshot import (
+    CLOCK_SLACK_US,
+    HOST_FIELDS,
+    RANGE_SIZE,
+    STARTED_AT,
+    export_snapshot,
+    restore_snapshot,
+)
 
 
-def known():
+def balancer_with_history():
     desk = Desk(3)
     for key in range(40):
         desk.outcome(desk.put(key, tenant="big"), "done")
-    (
-        desk.hosts["c1"].concurrency_limit,
-        desk.hosts["c1"].smoothed_latency_us,
-        desk.hosts["c1"].ejected_until_us,
-    ) = (
-        2.5,
-        90_000,
-        desk.now + 400_000,
-    )
+    host = desk.hosts["c1"]
+    host.concurrency_limit = 2.5
+    host.smoothed_latency_us = 90_000
+    host.ejected_until_us = desk.now + 400_000
     ring = desk.placement.ring
-    ring[0].range_size, ring[2].range_size = ring[0].range_size - 500, ring[2].range_size + 500
+    ring[0].range_size -= 500
+    ring[2].range_size += 500
     desk.placement.cut()
     return desk
 
 
-def test_what_one_leaves_the_next_takes_by_way_of_text():
-    old, new = known(), Desk(3)
-    assert (
-        warm_snapshot.restore_snapshot(
-            new, orjson.loads(orjson.dumps(warm_snapshot.export_snapshot(old)))
-        )
-        == 4
-    )
-    assert (
-        warm_snapshot.export_snapshot(new) == warm_snapshot.export_snapshot(old)
-        and new.placement.cuts == old.placement.cuts
-    )
+def test_a_snapshot_is_restored_whole_by_way_of_json():
+    old, new = balancer_with_history(), Desk(3)
+    assert restore_snapshot(new, orjson.loads(orjson.dumps(export_snapshot(old)))) == 4
+    assert export_snapshot(new) == export_snapshot(old) and new.placement.cuts == old.placement.cuts
     assert (
         type(new.hosts["c1"].smoothed_latency_us) is int
         and type(new.hosts["c1"].concurrency_limit) is float
     )
 
 
-def test_a_host_that_started_since_owes_nothing_and_other_caches_have_other_ranges():
-    old, new = known(), Desk(3)
+def test_a_host_that_started_since_is_left_as_it_is_and_ranges_of_other_caches_are_not_taken():
+    old, new = balancer_with_history(), Desk(3)
     new.list(["c1"], since=77)
     before = new.placement.cuts[:]
-    assert warm_snapshot.restore_snapshot(new, warm_snapshot.export_snapshot(old)) == 3
+    assert restore_snapshot(new, export_snapshot(old)) == 3
     assert (
         new.hosts["c1"].smoothed_latency_us == 0
         and new.hosts["c0"].retry_budget == old.hosts["c0"].retry_budget
@@ -59,7 +56,7 @@
     )
     more = Desk(4)
     before = more.placement.cuts[:]
-    warm_snapshot.restore_snapshot(more, warm_snapshot.export_snapshot(old))
+    restore_snapshot(more, export_snapshot(old))
     assert (
         more.placement.cuts == before
         and sum(host.range_size for host in more.placement.ring) == SLOT_COUNT
@@ -67,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "snapshot",
     [
         None,
         7,
@@ -79,15 +76,13 @@
         {"hosts": {}, "tenants": {"big": 7, "small": [1], "none": [1.0, 1.0]}},
     ],
 )
-def test_what_makes_no_sense_changes_nothing(told):
-    desk = known()
-    before = copy.deepcopy(warm_snapshot.export_snapshot(desk))
-    assert (
-        warm_snapshot.restore_snapshot(desk, told) == 0
-        and warm_snapshot.export_snapshot(desk) == before
-    )
+def test_what_makes_no_sense_changes_nothing(snapshot):
+    desk = balancer_with_history()
+    before = copy.deepcopy(export_snapshot(desk))
+    assert restore_snapshot(desk, snapshot) == 0 and export_snapshot(desk) == before
 
 
+HOST_NAMES = [*(field.name for field in HOST_FIELDS), RANGE_SIZE, STARTED_AT]
 VALUE = st.one_of(
     st.none(),
     st.booleans(),
@@ -104,7 +99,7 @@
 @given(
     st.dictionaries(
         st.sampled_from(["c0", "c1", "c2", "o", "x"]),
-        st.dictionaries(st.sampled_from([*warm_snapshot.FIELDS, "size", "since"]), VALUE),
+        st.dictionaries(st.sampled_from(HOST_NAMES), VALUE),
         max_size=5,
     ),
     st.dictionaries(
@@ -116,7 +111,7 @@
     for fields in hosts.values():
         if fields.get("since", 0) in (None, 0):
             fields["since"] = 0
-    warm_snapshot.restore_snapshot(desk, {"hosts": hosts, "tenants": tenants})
+    restore_snapshot(desk, {"hosts": hosts, "tenants": tenants})
     for host in desk.hosts.values():
         assert (
             0 < host.concurrency_limit <= 1e5
@@ -125,7 +120,7 @@
         )
         assert (
             max(host.limit_decreased_at_us, host.latency_recorded_at_us, host.last_response_at_us)
-            <= desk.now + warm_snapshot.SLACK
+            <= desk.now + CLOCK_SLACK_US
         )
         assert (
             host.ejected_until_us <= desk.now + 1_050_000
@@ -134,9 +129,9 @@
     assert sum(host.range_size for host in desk.placement.ring) == SLOT_COUNT
     assert all(0 <= shed <= 0.9 for shed in desk.admission.shed.values())
     for key in range(20):
-        req = desk.put(key)
-        if desk.sent(req):
-            desk.outcome(req, "done")
+        request = desk.put(key)
+        if desk.sent(request):
+            desk.outcome(request, "done")
     desk.wait(70_000_000)
-    req = desk.put(3)
-    assert desk.sent(req) or desk.did("deny", req)
+    request = desk.put(3)
+    assert desk.sent(request) or desk.did("deny", request)
