--- a/orchidgap/decisions/warm_snapshot.py
+++ b/orchidgap/decisions/warm_snapshot.py
@@ -11,7 +11,8 @@
 from math import isfinite
 from typing import NamedTuple, TypedDict, TypeGuard
 
-from orchidgap.decisions.balancer import SLOT_COUNT, Balancer
+from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.decisions.records import HostState
 
 CLOCK_SLACK_US = 50_000  # by which the clocks of two processes may differ
@@ -73,7 +74,9 @@
     admission = balancer.admission
     return {
         "hosts": {host.id: _export_host(host) for host in balancer.hosts.values()},
-        "tenants": {name: [admission.let_in[name], shed] for name, shed in admission.shed.items()},
+        "tenants": {
+            name: [admission.admitted[name], shed] for name, shed in admission.shed_ratios.items()
+        },
     }
 
 
@@ -145,7 +148,7 @@
         return
     for host in ring:
         host.range_size = range_sizes[host.id]
-    balancer.placement.cut()
+    balancer.placement.ranges.refresh()
 
 
 def _restore_tenants(balancer: Balancer, tenants: object) -> None:
@@ -153,11 +156,11 @@
         return
     admission = balancer.admission
     for name, values in tenants.items():
-        if name not in admission.shed or not isinstance(values, list) or len(values) != 2:
+        if name not in admission.shed_ratios or not isinstance(values, list) or len(values) != 2:
             continue
         admitted, shed = values
         if is_number_between(admitted, 0.0, MAX_ADMITTED) and is_number_between(
             shed, 0.0, MAX_SHED
         ):
-            admission.let_in[name] = float(admitted)
-            admission.shed[name] = float(shed)
+            admission.admitted[name] = float(admitted)
+            admission.shed_ratios[name] = float(shed)
--- a/tests/decisions/test_warm_snapshot.py
+++ b/tests/decisions/test_warm_snapshot.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from orchidgap.decisions.balancer import SLOT_COUNT
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.decisions.warm_snapshot import (
     CLOCK_SLACK_US,
     HOST_FIELDS,
@@ -30,14 +30,17 @@
     ring = desk.placement.ring
     ring[0].range_size -= 500
     ring[2].range_size += 500
-    desk.placement.cut()
+    desk.placement.ranges.refresh()
     return desk
 
 
 def test_a_snapshot_is_restored_whole_by_way_of_json():
     old, new = balancer_with_history(), Desk(3)
     assert restore_snapshot(new, orjson.loads(orjson.dumps(export_snapshot(old)))) == 4
-    assert export_snapshot(new) == export_snapshot(old) and new.placement.cuts == old.placement.cuts
+    assert (
+        export_snapshot(new) == export_snapshot(old)
+        and new.placement.ranges.range_ends == old.placement.ranges.range_ends
+    )
     assert (
         type(new.hosts["c1"].smoothed_latency_us) is int
         and type(new.hosts["c1"].concurrency_limit) is float
@@ -47,18 +50,18 @@
 def test_a_host_that_started_since_is_left_as_it_is_and_ranges_of_other_caches_are_not_taken():
     old, new = balancer_with_history(), Desk(3)
     new.list(["c1"], since=77)
-    before = new.placement.cuts[:]
+    before = new.placement.ranges.range_ends[:]
     assert restore_snapshot(new, export_snapshot(old)) == 3
     assert (
         new.hosts["c1"].smoothed_latency_us == 0
         and new.hosts["c0"].retry_budget == old.hosts["c0"].retry_budget
-        and new.placement.cuts == before
+        and new.placement.ranges.range_ends == before
     )
     more = Desk(4)
-    before = more.placement.cuts[:]
+    before = more.placement.ranges.range_ends[:]
     restore_snapshot(more, export_snapshot(old))
     assert (
-        more.placement.cuts == before
+        more.placement.ranges.range_ends == before
         and sum(host.range_size for host in more.placement.ring) == SLOT_COUNT
     )
 
@@ -127,7 +130,7 @@
             and host.warm_at_us <= desk.now + 60_050_000
         )
     assert sum(host.range_size for host in desk.placement.ring) == SLOT_COUNT
-    assert all(0 <= shed <= 0.9 for shed in desk.admission.shed.values())
+    assert all(0 <= shed <= 0.9 for shed in desk.admission.shed_ratios.values())
     for key in range(20):
         request = desk.put(key)
         if desk.sent(request):
