--- a/orchidgap/decisions/lifecycle.py
+++ b/orchidgap/decisions/lifecycle.py
@@ -1,4 +1,4 @@
-"""The states of one balancer process, from its start to its end, and what each of them means. Free of I/O.
+"""The states of one balancer process, from its start to its end, and what each means. Free of I/O.
 
 What may follow what; an event that has no entry changes nothing:
 
@@ -10,8 +10,8 @@
 | DRAINED | | | | SERVING | LEAVING |
 | LEAVING | | | | | |
 
-RESUME leads back to STARTING in place of SERVING while no READY has come. `StateRules` says what holds in a
-state. All times are whole microseconds of one clock that never goes back.
+RESUME leads back to STARTING in place of SERVING while no READY has come. `StateRules` says what
+holds in a state. All times are whole microseconds of one clock that never goes back.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-# Clients learn that a balancer leaves from its health answer. Until they have asked, they still connect.
+# Clients learn from a health check that a balancer leaves. Until they have asked, they connect.
 SHUTDOWN_ACCEPT_US = 400_000
 # In a drain, a connection that asked nothing for so long is taken for idle and closed.
 DRAIN_IDLE_US = 1_000_000
@@ -162,6 +162,7 @@
     )
 
     def __init__(self, now: int, longest_client_timeout_us: int = MAX_ANSWER_US) -> None:
+        """Begin in STARTING at the time `now`."""
         self.can_serve = False
         self.successor_accepts = False
         self.transition_count = 0
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -1,8 +1,8 @@
 """The service's settings, decoded once into typed records.
 
-The operators' names of settings, and the words that may stand there, are in this module only (those that sockets
-alone need are in `net/config.py`). They come as a flat map from path to text, `rule-sets.0.name` to `read`.
-Settings that are not named here are left aside.
+The operators' names of settings, and the words that may stand there, are in this module only
+(those that sockets alone need are in `net/config.py`). They come as a flat map from path to text,
+`rule-sets.0.name` to `read`. Settings that are not named here are left aside.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from math import inf
 from typing import NamedTuple
 
-# Names of settings. Those of a request class follow `rule-sets.N.`, those of a tenant `customers.N.`.
+# Names of settings. Those of a request class follow `rule-sets.N.`, of a tenant `customers.N.`.
 REQUEST_CLASS_COUNT = "rule-sets.count"
 REQUEST_CLASS_PREFIX = "rule-sets.{}."
 CLASS_NAME = "name"
@@ -64,7 +64,7 @@
 DEFAULT_SLOW_START_US = 30_000_000
 DEFAULT_TENANT_SHARE = 1.0
 
-# The records of hosts are built on these, so a running balancer keeps the values that it started with.
+# The records of hosts are built on these, so a running balancer keeps the values of its start.
 STARTUP_SETTINGS = ("origin_kind", "subscribes")
 
 
@@ -80,6 +80,7 @@
     def __init__(
         self, message: str, setting: str = "", found: str | None = None, expected: str = ""
     ) -> None:
+        """The message is one plain line for an operator."""
         super().__init__(message)
         self.setting = setting
         self.found = found
@@ -127,16 +128,18 @@
     >>> pairs = {"rule-sets.count": "1", "rule-sets.0.name": "a", "rule-sets.0.effect": "dedup",
     ...          "rule-sets.0.client-timeout": "900", "something.new": "7"}
     >>> settings = ServiceSettings.from_pairs(pairs)
-    >>> settings.request_classes["a"].idempotency_keyed, settings.latency_objective_us, settings.tenants
-    (True, 900, {})
+    >>> settings.latency_objective_us, settings.tenants
+    (900, {})
+    >>> settings.request_classes["a"].idempotency_keyed
+    True
     >>> ServiceSettings.from_pairs({"rule-sets.count": "1", "rule-sets.0.name": "a"})
     Traceback (most recent call last):
         ...
     orchidgap.decisions.settings.SettingError: setting rule-sets.0.client-timeout is missing
-    >>> ServiceSettings.from_pairs(pairs | {"rule-sets.0.client-timeout": "-5"})
+    >>> ServiceSettings.from_pairs(pairs | {"instances": "-5"})
     Traceback (most recent call last):
         ...
-    orchidgap.decisions.settings.SettingError: setting rule-sets.0.client-timeout is -5, and must be over 0
+    orchidgap.decisions.settings.SettingError: setting instances is -5, and must not be under 0
     """
 
     request_classes: dict[str, RequestClass]  # by name
--- a/orchidgap/decisions/warm_snapshot.py
+++ b/orchidgap/decisions/warm_snapshot.py
@@ -1,8 +1,9 @@
-"""The warm-restart snapshot: what a process knows of hosts, hash ranges and tenants, for its successor.
+"""The warm-restart snapshot: what a process knows of hosts, ranges and tenants, for its successor.
 
-The successor would else begin with empty limits and latencies and even ranges. A snapshot is plain JSON values;
-its names stay as they are, since versions before and after run side by side. Nothing in it is trusted: a value
-of another type or out of bounds is left aside, and the rest is used. Free of I/O.
+The successor would else begin with empty limits and latencies and even ranges. A snapshot is plain
+JSON values; its names stay as they are, since versions before and after run side by side. Nothing
+in it is trusted: a value of another type or out of bounds is left aside, and the rest is used. Free
+of I/O.
 """
 
 from __future__ import annotations
@@ -30,9 +31,10 @@
     """A whole snapshot, as it goes to the successor.
 
     Attributes:
-        hosts: By host id, the values of `HOST_FIELDS` with the host's start and range size. Times are
-            microseconds of the clock that all processes of a machine share.
-        tenants: By tenant, the count of lately admitted requests and the part of them that is shed.
+        hosts: By host id, the values of `HOST_FIELDS` with the host's start and range size. Times
+            are microseconds of the clock that all processes of a machine share.
+        tenants: By tenant, the count of lately admitted requests, and the part of them that is
+            shed.
     """
 
     hosts: dict[str, dict[str, float]]
@@ -83,8 +85,8 @@
 def restore_snapshot(balancer: Balancer, snapshot: object) -> int:
     """Takes over what another process exported, as far as it can be used.
 
-    A host that has started since is left as it is: what was known of it was of the process before. Ranges are
-    taken only as a whole, where they are of the same caches.
+    A host that has started since is left as it is: what was known of it was of its process before.
+    Ranges are taken only as a whole, where they are of the same caches.
 
     Args:
         balancer: Whose records are filled. Its `now` must be set.
--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -15,6 +15,7 @@
 @pytest.mark.parametrize(
     ("setting", "text", "found", "expected"),
     [
+        ("rule-sets.0.client-timeout", "-5", "-5", "must be over 0"),
         ("rule-sets.0.client-timeout", "soon", "'soon'", "must be a number"),
         ("rule-sets.0.client-timeout", "0.5", "0.5", "must be 1 or more"),
         ("rule-sets.0.response-target", "0", "0", "must be over 0"),
