--- a/orchidgap/decisions/gossip_counts.py
+++ b/orchidgap/decisions/gossip_counts.py
@@ -23,7 +23,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from orchidgap.decisions.hot_keys import mark
+from orchidgap.decisions.hot_keys import key_digest
 from orchidgap.decisions.placement import Placement
 from orchidgap.decisions.rebalancing import REBALANCE_MIN_ATTEMPTS
 
@@ -80,7 +80,7 @@
         """What is told of itself; each has a number of its own."""
         self.number += 1
         heat, ring = self.placement.hot_keys, self.placement.ring
-        keys = nlargest(MOST_KEYS, heat.counts.items(), key=lambda item: item[1])
+        keys = nlargest(MOST_KEYS, heat.read_counts.items(), key=lambda item: item[1])
         return Row(
             self.life,
             self.number,
@@ -88,8 +88,8 @@
             self.ring(),
             self.version,
             [host.attempt_count for host in ring],
-            heat.total,
-            {mark(key): count for key, count in keys},
+            heat.total_reads,
+            {key_digest(key): count for key, count in keys},
         )
 
     def hear(self, name: str, row: Row) -> str:
@@ -141,11 +141,11 @@
         for _, row in live:
             for key, count in row.keys.items():
                 others[key] = others.get(key, 0.0) + count
-        heat.others, heat.beside = others, sum(row.reads for _, row in live)
+        heat.peer_read_counts, heat.peer_total_reads = others, sum(row.reads for _, row in live)
         if not live:
             return False  # by itself it decides as it would without
         if now - self.faded_at >= FADE:
-            heat.halve(0.75)
+            heat.halve_counts(0.75)
             self.faded_at = now
         if placement.rebalancer.rebalanced_at_us != self.drawn_at:
             self.drawn_at = placement.rebalancer.rebalanced_at_us
--- a/orchidgap/decisions/placement.py
+++ b/orchidgap/decisions/placement.py
@@ -213,7 +213,7 @@
         """Count a read that comes for the first time, and choose its cache if its key is hot."""
         if request.is_write or request.attempts or request.key is None:
             return
-        copies = self.hot_keys.copies(request.key, len(self.ring))
+        copies = self.hot_keys.replica_count(request.key, len(self.ring))
         if copies > 1:
             request.owner_offset = self.context.rng.choice(HOT_KEY_OFFSETS[:copies])
         else:
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -122,7 +122,7 @@
 
 def blind() -> None:
     """It sees no hot key."""
-    HotKeyDetector.copies = lambda self, key, caches: 1
+    HotKeyDetector.replica_count = lambda self, key, cache_count: 1
 
 
 def echoes() -> None:
--- /dev/null
+++ b/tests/decisions/test_hot_keys.py
@@ -0,0 +1,108 @@
+"""Hot keys are found by few reads, spread over neighbours and given up again; usual ones are left alone."""
+
+from binascii import crc_hqx
+from collections import Counter
+from random import Random
+
+import pytest
+from desk import Desk
+from hypothesis import given
+from hypothesis import strategies as st
+
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
+from orchidgap.decisions.hot_keys import (
+    MAX_COUNTED_KEYS,
+    READS_PER_CACHE_BEFORE_HALVING,
+    HotKeyDetector,
+)
+
+
+@pytest.mark.parametrize(
+    ("part", "caches", "reads", "least", "most"),
+    [
+        (0.43, 12, 30, 5, 12),  # found within seconds at two requests a second
+        (0.04, 40, 200, 2, 12),
+        (0.04, 40, 50, 2, 12),  # within half a minute
+        (0.04, 12, 2 * READS_PER_CACHE_BEFORE_HALVING * 12, 2, 3),
+        (0.005, 12, 2 * READS_PER_CACHE_BEFORE_HALVING * 12, 1, 1),
+    ],
+)  # 0.06 of a cache
+def test_a_key_is_spread_by_what_it_takes_of_a_cache(part, caches, reads, least, most):
+    found = []
+    for seed in range(20):
+        detector, rng = HotKeyDetector(), Random(seed)
+        for _ in range(reads):
+            detector.replica_count(0 if rng.random() < part else rng.randrange(1, 9_999), caches)
+        found.append(detector.replica_count(0, caches))
+    assert least <= sorted(found)[10] <= most
+
+
+@given(st.lists(st.integers(0, 30), max_size=3_000), st.integers(1, 20))
+def test_what_is_counted_is_bounded_and_no_key_is_spread_wider_than_there_are_caches(keys, caches):
+    detector = HotKeyDetector()
+    for key in keys:
+        assert 1 <= detector.replica_count(key, caches) <= caches
+        assert (
+            sum(detector.read_counts.values()) <= detector.total_reads + 1e-6
+            and len(detector.read_counts) <= MAX_COUNTED_KEYS
+        )
+
+
+def test_a_key_that_is_hot_no_more_is_forgotten():
+    detector, rng = HotKeyDetector(), Random(1)
+    for _ in range(200):
+        detector.replica_count(0 if rng.random() < 0.4 else rng.randrange(1, 999), 12)
+    assert detector.replica_count(0, 12) > 1
+    for _ in range(8 * READS_PER_CACHE_BEFORE_HALVING * 12):
+        detector.replica_count(rng.randrange(1, 999), 12)
+    assert 0 not in detector.read_counts
+
+
+def caches_read(desk, key, count):
+    """How many reads of the key each cache got, one after another."""
+    reads = Counter()
+    for _ in range(count):
+        request = desk.put(key)
+        reads[desk.sent(request)[0]] += 1
+        desk.outcome(request, "done")
+    return reads
+
+
+def test_reads_of_a_hot_key_go_to_two_neighbours_on_each_side_and_writes_and_others_to_owners():
+    desk = Desk(9)
+    owner = int(desk.owner(1)[1:])
+    reads = caches_read(desk, 1, 300)
+    assert set(reads) == {f"c{(owner + step) % 9}" for step in (-2, -1, 0, 1, 2)}
+    assert all(count > 30 for count in reads.values())
+    assert len(caches_read(desk, 2, 2)) == 1
+
+
+def test_a_hot_key_goes_past_a_neighbour_that_is_ejected():
+    desk = Desk(9)
+    owner = int(desk.owner(1)[1:])
+    caches_read(desk, 1, 50)
+    desk.hosts[f"c{(owner + 1) % 9}"].ejected_until_us = desk.now + 1_000_000
+    reads = caches_read(desk, 1, 200)
+    assert f"c{(owner + 1) % 9}" not in reads and sum(reads.values()) == 200
+
+
+def test_who_takes_over_for_a_cache_is_on_the_side_of_the_keys_half_of_its_range():
+    """Not the left one for all: hundreds of balancers that lose a cache at once would all turn to it."""
+    desk = Desk(5)
+    sides = Counter()
+    c2 = desk.hosts["c2"]
+    start, end = desk.placement.ranges.range_ends[1:3]
+    for key in range(400):
+        c2.ejected_until_us = 0
+        request = desk.put(key)
+        desk.outcome(request, "done")
+        if desk.sent(request) == ["c2"]:
+            c2.ejected_until_us = desk.now + 1_000_000
+            slot = crc_hqx(b"%d" % key, 0) & (SLOT_COUNT - 1)
+            assert start <= slot < end
+            side = "c1" if slot < start + (end - start) // 2 else "c3"
+            request = desk.put(key)
+            desk.outcome(request, "done")
+            assert desk.sent(request) == [side]
+            sides[side] += 1
+    assert min(sides["c1"], sides["c3"]) > 10
--- a/tests/decisions/test_outlier_ejection.py
+++ b/tests/decisions/test_outlier_ejection.py
@@ -7,7 +7,8 @@
 @pytest.mark.parametrize("verdict", ["error", "reset"])
 def test_a_spoilt_answer_among_many_costs_a_host_neither_its_limit_nor_its_range(verdict):
     desk = Desk()
-    desk.placement.hot_keys.copies = lambda key, caches: 1  # one key is all that is asked for
+    # one key is all that is asked for, so it would be hot
+    desk.placement.hot_keys.replica_count = lambda key, cache_count: 1
     owner = desk.owner(1)
     for _ in range(40):
         assert desk.owner(1) == owner
--- a/tests/decisions/test_pool.py
+++ b/tests/decisions/test_pool.py
@@ -103,15 +103,15 @@
     fleet = Fleet(20, caches=40)
     for i, pool in enumerate(fleet.pools):
         for key in range(20):
-            pool.placement.hot_keys.copies(1_000 * i + key, 40)
-        pool.placement.hot_keys.copies(7, 40)
+            pool.placement.hot_keys.replica_count(1_000 * i + key, 40)
+        pool.placement.hot_keys.replica_count(7, 40)
     alone = Fleet(1, caches=40).pools[0].placement.hot_keys
     for key in range(21):
-        assert alone.copies(key, 40) == 1
+        assert alone.replica_count(key, 40) == 1
     for _ in range(10):
         fleet.beat()
-    assert all(pool.placement.hot_keys.copies(7, 40) > 1 for pool in fleet.pools)
-    assert all(pool.placement.hot_keys.copies(8_888_888, 40) == 1 for pool in fleet.pools)
+    assert all(pool.placement.hot_keys.replica_count(7, 40) > 1 for pool in fleet.pools)
+    assert all(pool.placement.hot_keys.replica_count(8_888_888, 40) == 1 for pool in fleet.pools)
 
 
 def test_a_dead_balancers_row_counts_no_more_and_is_no_news_later():
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -116,7 +116,7 @@
         ground = Ground(2, caches)
         heat = ground.talks[0].pool.placement.hot_keys
         for key in range(keys):
-            heat.copies(key, caches)
+            heat.replica_count(key, caches)
         data = ground.talks[0].datagram(ground.now)
         assert SIGNED < len(data) <= LONGEST
         ground.talks[1].heard(data)
--- a/tests/trial/test_spread_plans.py
+++ b/tests/trial/test_spread_plans.py
@@ -29,8 +29,8 @@
 DEFECTS = {
     "no hot key is seen": (
         HotKeyDetector,
-        "copies",
-        lambda self, key, caches: 1,
+        "replica_count",
+        lambda self, key, cache_count: 1,
         "quarter",
         "calm: most",
     ),
