--- a/orchidgap/decisions/placement.py
+++ b/orchidgap/decisions/placement.py
@@ -29,7 +29,7 @@
     RETRYABLE_OUTCOMES,
     has_retry_budget,
 )
-from orchidgap.decisions.slot_map import Turn, turn
+from orchidgap.decisions.slot_map import RedirectAction, redirect_action
 from orchidgap.decisions.slow_start import SlowStart
 
 HOT_KEY_OFFSETS = (
@@ -241,8 +241,8 @@
             return False
         target = request.redirect_target
         target_drains = target is not None and target.state != "up"
-        action = turn(request.redirects - 1, target is not None, target_drains)
-        return action is not Turn.GIVE_UP
+        action = redirect_action(request.redirects - 1, target is not None, target_drains)
+        return action is not RedirectAction.GIVE_UP
 
     def _ready_slot_owner(self, request: Request) -> HostState | None:
         owner = self.context.slot_owner(request)
--- a/orchidgap/resp/front.py
+++ b/orchidgap/resp/front.py
@@ -11,7 +11,8 @@
 from hashlib import sha256
 from typing import TYPE_CHECKING
 
-from orchidgap.decisions.slot_map import SPACE, tag
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
+from orchidgap.decisions.slot_map import hash_tag
 from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
 from orchidgap.resp import codec
 from orchidgap.resp.commands import COMMANDS, REFUSED, Command, fits, keys
@@ -32,7 +33,7 @@
     >>> slot_of(b"123456789"), slot_of(b"{user1000}.following") == slot_of(b"{user1000}.followers")
     (12739, True)
     """
-    return crc_hqx(tag(key), 0) & (SPACE - 1)
+    return crc_hqx(hash_tag(key), 0) & (SLOT_COUNT - 1)
 
 
 class Answer:
@@ -456,7 +457,7 @@
         """To its clients the balancer is one server that owns all slots."""
         what = words[1].upper() if len(words) > 1 else b""
         host, port = self.parts.shown
-        me, last = self.parts.me, b":%d\r\n" % (SPACE - 1)
+        me, last = self.parts.me, b":%d\r\n" % (SLOT_COUNT - 1)
         where = [codec.bulk(host.encode()), b":%d\r\n" % port, codec.bulk(me)]
         if what == b"SLOTS":
             return codec.array(
@@ -490,7 +491,7 @@
         if what == b"NODES":
             return codec.bulk(
                 b"%b %b:%d@%d myself,master - 0 0 1 connected 0-%d\n"
-                % (me, host.encode(), port, port + 10_000, SPACE - 1)
+                % (me, host.encode(), port, port + 10_000, SLOT_COUNT - 1)
             )
         if what == b"MYID":
             return codec.bulk(me)
@@ -499,7 +500,7 @@
         if what == b"INFO":
             return codec.bulk(
                 b"cluster_state:ok\r\ncluster_slots_assigned:%d\r\ncluster_known_nodes:1\r\n"
-                b"cluster_size:1\r\n" % SPACE
+                b"cluster_size:1\r\n" % SLOT_COUNT
             )
         return codec.error("ERR unknown subcommand or wrong number of arguments for 'CLUSTER'")
 
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -5,7 +5,7 @@
 import socket
 from typing import TYPE_CHECKING
 
-from orchidgap.decisions.slot_map import Range, SlotMap
+from orchidgap.decisions.slot_map import SlotMap, SlotRange
 from orchidgap.http1.discovery import DiscoveryClient
 from orchidgap.net.connection import Address, Connection, Fault
 from orchidgap.net.endpoints import Entry, Place, format_address, parse_address
@@ -22,12 +22,12 @@
 ASK = codec.command(b"CLUSTER", b"SLOTS")
 
 
-def ranges_of(item: codec.Item) -> tuple[list[Range], list[str]]:
+def ranges_of(item: codec.Item) -> tuple[list[SlotRange], list[str]]:
     """The ranges of an answer to CLUSTER SLOTS, and the addresses in it. Raises ValueError for another form.
 
     >>> ranges_of([[0, 9, [b"127.0.0.1", 7000, b"id"], [b"127.0.0.1", 7001, b"id2"]],
     ...            [10, 12, [b"", 7002]]])  # doctest: +NORMALIZE_WHITESPACE
-    ([Range(first=0, last=9, owner='127.0.0.1:7000', replicas=('127.0.0.1:7001',))],
+    ([SlotRange(first=0, last=9, owner='127.0.0.1:7000')],
      ['127.0.0.1:7000', '127.0.0.1:7001'])
     """
     if not isinstance(item, list):
@@ -57,7 +57,7 @@
                 nodes.append(name)
                 names[name] = None
         if nodes:
-            found.append(Range(row[0], row[1], nodes[0], tuple(nodes[1:])))
+            found.append(SlotRange(row[0], row[1], nodes[0]))
     return found, list(names)
 
 
@@ -138,19 +138,19 @@
             self.nodes[name] = to.address
             self.tell()
         if to.ask:
-            self.slots.doubt(self.loop.now)
+            self.slots.request_refresh(self.loop.now)
         else:
-            self.slots.moved(to.slot, name, self.loop.now)
+            self.slots.set_owner(to.slot, name, self.loop.now)
 
     def doubted(self) -> None:
-        self.slots.doubt(self.loop.now)
+        self.slots.request_refresh(self.loop.now)
 
     def tick(self) -> None:
         self.look()
         self.loop.call_later(TICK, self.tick)
 
     def look(self) -> None:
-        if self.conn is None and self.nodes and self.slots.ask_now(self.loop.now):
+        if self.conn is None and self.nodes and self.slots.start_refresh_if_due(self.loop.now):
             names = sorted(self.nodes)
             name = names[
                 self.turn % len(names)
@@ -158,7 +158,7 @@
             self.turn += 1
             came: socket.socket | Fault = self.dial(self.nodes[name])
             if isinstance(came, Fault):
-                return self.slots.lost(self.loop.now)
+                return self.slots.on_refresh_failed(self.loop.now)
             self.reader = codec.Reader(MOST_MAP)
             self.conn = Connection(self.loop, came, self, opening=True)
             self.timer = self.loop.call_later(WITHIN, self.ended, "silence")
@@ -185,24 +185,30 @@
                 raise ValueError("an empty map")
         except (ValueError, IndexError, RecursionError):
             return self.ended("no map")
-        holes, failed = self.slots.holes(), self.slots.failures
+        holes, failed = self.slots.unknown_slot_count(), self.slots.refresh_failures
         self.drop()
-        self.slots.learn(ranges, self.loop.now)
+        self.slots.replace(ranges, self.loop.now)
         kept = {
             name: address
             for name, address in self.seeds.items()
             if self.states.get(address) == "up"
         }
         self.nodes = {name: parse_address(name) for name in names} | kept
-        if (left := self.slots.holes()) != holes or failed or self.slots.clashes:
+        if (
+            (left := self.slots.unknown_slot_count()) != holes
+            or failed
+            or self.slots.conflicting_slot_count
+        ):
             owners = len({entry.owner for entry in ranges})
-            self.node.note("slots", owners=owners, holes=left, clashes=self.slots.clashes)
+            self.node.note(
+                "slots", owners=owners, holes=left, clashes=self.slots.conflicting_slot_count
+            )
         self.tell()
         self.node.decide(self.node.balancer.drain_queues)
 
     def ended(self, what: str) -> None:
         self.drop()
-        self.slots.lost(self.loop.now)
+        self.slots.on_refresh_failed(self.loop.now)
         if not any(name in self.nodes for name in self.told):
             self.nodes |= self.seeds
 
--- /dev/null
+++ b/tests/decisions/test_slot_map.py
@@ -0,0 +1,62 @@
+"""What servers say of their slots is believed as far as it is of one mind, and asked for again in time."""
+
+from itertools import pairwise
+from random import Random
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
+from orchidgap.decisions.slot_map import (
+    JITTER_RATIO,
+    MAX_REDIRECTS,
+    MIN_REFRESH_INTERVAL_US,
+    REFRESH_INTERVAL_US,
+    RedirectAction,
+    SlotMap,
+    SlotRange,
+    redirect_action,
+)
+
+EDGE = st.integers(0, 40)
+RANGES = st.lists(st.builds(SlotRange, EDGE, EDGE, st.sampled_from("abc")), max_size=8)
+
+
+@given(RANGES)
+def test_a_slot_has_an_owner_where_all_ranges_that_hold_it_name_the_same(ranges):
+    """If two servers claim a slot, a request sent to either by guess could run at the wrong one."""
+    slots = SlotMap(Random(1), 0)
+    slots.replace(ranges, 0)
+    claims = [
+        {each.owner for each in ranges if each.first <= slot <= each.last} for slot in range(50)
+    ]
+    for slot, owners in enumerate(claims):
+        assert slots.owner(slot) == (min(owners) if len(owners) == 1 else None)
+    assert slots.conflicting_slot_count == sum(len(owners) > 1 for owners in claims)
+    assert slots.unknown_slot_count() == SLOT_COUNT - sum(len(owners) == 1 for owners in claims)
+
+
+@given(st.lists(st.tuples(st.integers(0, 3_000_000), st.sampled_from(["redirect", "fail", "map"]))))
+def test_a_refresh_is_neither_asked_for_too_often_nor_forgotten(steps):
+    """If each redirection asked for the map, a resharding would load the servers with maps alone."""
+    slots, now, started = SlotMap(Random(1), 0), 0, []
+    for wait, step in steps:
+        now += wait
+        if slots.start_refresh_if_due(now):
+            started.append(now)
+        if step == "redirect":
+            slots.set_owner(7, "b", now)
+        elif step == "fail":
+            slots.on_refresh_failed(now)
+        else:
+            slots.replace([SlotRange(0, 9, "a")], now)
+        assert slots.refresh_due_us <= now + REFRESH_INTERVAL_US * (1 + JITTER_RATIO)
+    assert all(after - before >= MIN_REFRESH_INTERVAL_US for before, after in pairwise(started))
+
+
+def test_redirections_end_and_a_draining_server_gets_nothing():
+    """Two servers that point at each other would else keep a request going for ever."""
+    for count in range(MAX_REDIRECTS + 3):
+        expected = RedirectAction.FOLLOW if count < MAX_REDIRECTS else RedirectAction.GIVE_UP
+        assert redirect_action(count, True, False) is expected
+        assert redirect_action(count, True, True) is RedirectAction.GIVE_UP
--- a/tests/resp/test_resp.py
+++ b/tests/resp/test_resp.py
@@ -166,16 +166,16 @@
 def test_a_map_with_holes_or_two_owners_is_asked_again_and_guessed_never(town):
     client, key = Client(town), key_of(town, 0)
     whole, town.layout = town.layout, [*town.layout[1:], (0, 100, 1), (50, 5460, 2)]
-    town.node.balancer.slot_map.doubt(town.ground.loop.time)
+    town.node.balancer.slot_map.request_refresh(town.ground.loop.time)
     town.wait(2_000_000)
-    assert town.node.balancer.slot_map.clashes == 51
+    assert town.node.balancer.slot_map.conflicting_slot_count == 51
     town.layout = whole[1:]
-    town.node.balancer.slot_map.due = 0
+    town.node.balancer.slot_map.refresh_due_us = 0
     town.wait(200_000)
     said = client.ask(b"SET", key, b"1", wait=400_000)
     assert said.startswith(b"-TRYAGAIN") and not town.seen()
     town.layout = whole
-    town.node.balancer.slot_map.due = 0
+    town.node.balancer.slot_map.refresh_due_us = 0
     town.wait(200_000)
     assert client.ask(b"SET", key, b"1") == b"+OK\r\n"
 
