--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -1,7 +1,7 @@
 """The service's settings, decoded once into typed records.
 
-The operators' names of settings, and the words that may stand there, are in this module only
-(those that sockets alone need are in `net/config.py`). They come as a flat map from path to text,
+The operators' names of settings, and the words that may stand there, are in this module only (those
+that sockets alone need are in `net/config.py`). They come as a flat map from path to text,
 `rule-sets.0.name` to `read`. Settings that are not named here are left aside.
 """
 
@@ -11,7 +11,10 @@
 from math import inf
 from typing import NamedTuple
 
-# Names of settings. Those of a request class follow `rule-sets.N.`, of a tenant `customers.N.`.
+from orchidgap.errors import SettingError
+
+# Names of settings. Those of a request class follow `rule-sets.N.`, those of a tenant
+# `customers.N.`.
 REQUEST_CLASS_COUNT = "rule-sets.count"
 REQUEST_CLASS_PREFIX = "rule-sets.{}."
 CLASS_NAME = "name"
@@ -64,47 +67,11 @@
 DEFAULT_SLOW_START_US = 30_000_000
 DEFAULT_TENANT_SHARE = 1.0
 
-# The records of hosts are built on these, so a running balancer keeps the values of its start.
+# The records of hosts are built on these, so a running balancer keeps the values that it started
+# with.
 STARTUP_SETTINGS = ("origin_kind", "subscribes")
 
 
-class SettingError(LookupError):
-    """A setting that is missing or has a value that cannot be used.
-
-    Attributes:
-        setting: The setting's path; empty where several settings are concerned.
-        found: What stood there; None where nothing did.
-        expected: What should have stood there, beginning with `must`.
-    """
-
-    def __init__(
-        self, message: str, setting: str = "", found: str | None = None, expected: str = ""
-    ) -> None:
-        """The message is one plain line for an operator."""
-        super().__init__(message)
-        self.setting = setting
-        self.found = found
-        self.expected = expected
-
-    @classmethod
-    def missing(cls, setting: str) -> SettingError:
-        """The error for a setting that has to be given and is not.
-
-        >>> SettingError.missing("rule-sets.count")
-        SettingError('setting rule-sets.count is missing')
-        """
-        return cls(f"setting {setting} is missing", setting, None, "must be given")
-
-    @classmethod
-    def unusable(cls, setting: str, found: str, expected: str) -> SettingError:
-        """The error for a setting whose value cannot be used.
-
-        >>> SettingError.unusable("instances", "-1", "must not be under 0")
-        SettingError('setting instances is -1, and must not be under 0')
-        """
-        return cls(f"setting {setting} is {found}, and {expected}", setting, found, expected)
-
-
 class RequestClass(NamedTuple):
     """What requests of one class have in common."""
 
@@ -128,18 +95,18 @@
     >>> pairs = {"rule-sets.count": "1", "rule-sets.0.name": "a", "rule-sets.0.effect": "dedup",
     ...          "rule-sets.0.client-timeout": "900", "something.new": "7"}
     >>> settings = ServiceSettings.from_pairs(pairs)
-    >>> settings.latency_objective_us, settings.tenants
-    (900, {})
-    >>> settings.request_classes["a"].idempotency_keyed
-    True
+    >>> request_class = settings.request_classes["a"]
+    >>> request_class.idempotency_keyed, settings.latency_objective_us, settings.tenants
+    (True, 900, {})
     >>> ServiceSettings.from_pairs({"rule-sets.count": "1", "rule-sets.0.name": "a"})
     Traceback (most recent call last):
         ...
-    orchidgap.decisions.settings.SettingError: setting rule-sets.0.client-timeout is missing
-    >>> ServiceSettings.from_pairs(pairs | {"instances": "-5"})
-    Traceback (most recent call last):
-        ...
-    orchidgap.decisions.settings.SettingError: setting instances is -5, and must not be under 0
+    orchidgap.errors.SettingError: setting rule-sets.0.client-timeout is missing
+    >>> try:
+    ...     ServiceSettings.from_pairs(pairs | {"rule-sets.0.client-timeout": "-5"})
+    ... except SettingError as error:
+    ...     print(error)
+    setting rule-sets.0.client-timeout is -5, and must be over 0
     """
 
     request_classes: dict[str, RequestClass]  # by name
--- a/orchidgap/wirehost/codec.py
+++ b/orchidgap/wirehost/codec.py
@@ -6,7 +6,8 @@
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.records import AttemptOutcome
-from orchidgap.decisions.settings import ServiceSettings, SettingError
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.errors import SettingError
 
 OUTCOMES = {
     "Ok": AttemptOutcome.DONE,
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -12,12 +12,15 @@
 
 import orjson
 
-from orchidgap.control.lease_keeper import HeldNode, Keeper
-from orchidgap.control.rpc import RpcClient
-from orchidgap.control.server import Control
+from orchidgap.control.guarded_node import LeaseGuardedNode
+from orchidgap.control.lease_keeper import LeaseKeeper
+from orchidgap.control.process import ControlProcess as ProgramControlProcess
+from orchidgap.control.process_config import ProcessConfig
+from orchidgap.control.process_group import ANSWER_TIMEOUT_US
+from orchidgap.control.rpc_client import RpcClient
 from orchidgap.http1 import Http1
 from orchidgap.net import config as config_module
-from orchidgap.net.handover import Handover, inherited
+from orchidgap.net.handover import Handover, inherited_listener
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
 from orchidgap.peers.gossip_transport import Talk
@@ -28,7 +31,12 @@
 CorruptFile = CorruptFileError
 
 # events of the log that tell what a balancer found in its folder; the log's words may change
-VERSION_FOUND, VERSION_DAMAGED, CALLS_CONTROL = "policy kept", "policy damaged", "asks control"
+VERSION_FOUND, VERSION_DAMAGED, CALLS_CONTROL = (
+    "stored policy found",
+    "stored policy corrupt",
+    "lease requested",
+)
+VERSION_FACT = "version"  # the name under which the first of them tells the version
 
 
 def write_folder_file(folder: Path, name: str, content: object) -> None:
@@ -51,7 +59,7 @@
     def __call__(self, *event: object, **facts: object) -> None:
         pass
 
-    def trouble(self, error: Exception) -> None:
+    def exception(self, error: Exception) -> None:
         raise error
 
 
@@ -69,14 +77,14 @@
         self.loop.run_once(wait_us)
 
     def has_pending_callbacks(self) -> bool:
-        return bool(self.loop.next)
+        return bool(self.loop.soon)
 
     def next_timer_us(self) -> int | None:
         return self.loop.timers[0][0] if self.loop.timers else None
 
 
 def has_call_out(calls: RpcClient) -> bool:
-    return any(link.heard is not None for link in calls.open)
+    return any(connection.on_body is not None for connection in calls.connections)
 
 
 class ControlProcess:
@@ -91,12 +99,16 @@
         folder: Path,
         lease_us: int,
     ) -> None:
-        self.control = Control(
+        self.loop = events.loop
+        self.others = {
+            other: RpcClient(events.loop, address, ANSWER_TIMEOUT_US)
+            for other, address in sorted(addresses.items())
+            if other != name
+        }
+        self.control = ProgramControlProcess(
             events.loop,
-            name,
-            addresses,
-            lease_us,
-            6 * lease_us,
+            ProcessConfig(name, addresses, str(folder), lease_us, 6 * lease_us, False),
+            self.others,
             DurableStore(folder),
             quiet_log,
             Random(name),
@@ -105,19 +117,19 @@
         self.control.server.listen(listen)
 
     def begin(self, new: bool) -> None:
-        self.control.begin(new)
+        self.control.start(new)
 
     def is_busy(self) -> bool:
-        return self.control.disk.busy or any(map(has_call_out, self.control.others.values()))
+        return self.control.acceptor.writer.busy or any(map(has_call_out, self.others.values()))
 
     def close(self) -> None:
-        loop, server = self.control.loop, self.control.server
-        loop.unwatch(server.listener)
+        server = self.control.server
+        self.loop.unwatch(server.listener)
         server.listener.close()
-        for calls in self.control.others.values():
-            calls.close()
-        for caller in list(server.callers):
-            server.drop(caller)
+        for client in self.others.values():
+            client.close()
+        for connection in list(server.connections):
+            server.drop(connection)
 
 
 class LeaseHolder:
@@ -125,7 +137,7 @@
 
     def __init__(self, events: EventLoop, config_path: Path, folder: Path, seed: int) -> None:
         config = config_module.read(str(config_path))
-        self.keeper = Keeper(
+        self.keeper = LeaseKeeper(
             str(config_path),
             events.loop,
             config,
@@ -134,20 +146,20 @@
             Random(seed),
             events.clock,
         )
-        node = HeldNode(events.loop, config, SilentLog(), Http1())
-        node.keeper, self.keeper.node = self.keeper, node
+        node = LeaseGuardedNode(events.loop, config, SilentLog(), Http1())
+        node.guard, self.keeper.node = self.keeper, node
 
     def begin(self) -> None:
         self.keeper.begin(lambda: None)
 
     def is_busy(self) -> bool:
-        return self.keeper.disk.busy or any(map(has_call_out, self.keeper.calls))
+        return self.keeper.writer.busy or any(map(has_call_out, self.keeper.clients))
 
     def may_serve(self) -> bool:
-        return self.keeper.may()
+        return self.keeper.may_serve()
 
     def version(self) -> int:
-        return self.keeper.tenure.runs
+        return self.keeper.lease.version
 
     def end(self) -> None:
         """Tells control that this process ends."""
@@ -167,7 +179,7 @@
             Http1(),
             self.dial,
         )
-        self.node.listed = True
+        self.node.list_received = True
 
     def dial(self, address: Address) -> socket.socket:
         near, far = socket.socketpair()
@@ -180,24 +192,24 @@
 
     def share_listener(self, listener: socket.socket) -> None:
         """As if started with GW_PASSED_SOCKET."""
-        self.node.clients.inherit(inherited(str(listener.detach())))
+        self.node.clients.use_listening_socket(inherited_listener(str(listener.detach())))
         self.node.handover = Handover(self.events.loop, self.node, None, shared=True)
 
     def accept_successor(self, sock: socket.socket) -> None:
-        self.node.handover.called(sock)
+        self.node.handover.accept_successor(sock)
 
     def call_predecessor(self, sock: socket.socket) -> None:
-        self.node.handover.call(sock)
+        self.node.handover.join_predecessor(sock)
 
     def leave(self) -> None:
         """As on SIGTERM."""
-        self.node.leave()
+        self.node.begin_shutdown()
 
     def is_ready(self) -> bool:
-        return self.node.ready()
+        return self.node.is_ready()
 
     def accept_client(self, sock: socket.socket) -> None:
-        self.node.clients.let_in(sock)
+        self.node.clients.admit(sock)
 
 
 class GossipPeer:
@@ -218,4 +230,4 @@
 
 def gossip_part(config: dict[str, object]) -> dict[str, object]:
     """The configuration's part for gossip as the program reads it."""
-    return config_module.parse(orjson.dumps(config), "config").pool
+    return config_module.parse(orjson.dumps(config), "config").gossip
