--- a/orchidgap/decisions/connection_demand.py
+++ b/orchidgap/decisions/connection_demand.py
@@ -1,42 +1,52 @@
-"""How many connections to a host are worth keeping. A host holds only so many, from all balancers together.
+"""How many connections to a host are worth keeping open.
 
-Nothing here does I/O. Times are whole microseconds.
+A host accepts a bounded number of connections from all balancers together, so each keeps only what
+it needed lately. Free of I/O; times are whole microseconds.
 """
 
 from __future__ import annotations
 
-WINDOW = (
-    1_000_000  # what was needed at once is remembered for one such stretch, and the one under way
-)
+WINDOW_US = 1_000_000
 
 
-class Need:
-    """What one host's connections were needed for lately.
+class ConnectionDemand:
+    """The most connections to one host that were in use at once, in the last two windows.
 
-    >>> need = Need(0)
-    >>> for now, busy in ((10, 1), (20, 3), (30, 2)): need.saw(now, busy)
-    >>> need.keep(500_000), need.keep(1_500_000), need.keep(2_500_000), need.keep(9_000_000)
-    (3, 3, 1, 1)
+    >>> demand = ConnectionDemand(0)
+    >>> for now, in_use in ((10, 1), (20, 3), (30, 2)):
+    ...     demand.record(now, in_use)
+    >>> [demand.worth_keeping(now) for now in (500_000, 1_500_000, 2_500_000, 9_000_000)]
+    [3, 3, 1, 1]
     """
 
-    __slots__ = ("before", "since", "top")
+    __slots__ = ("_current_peak", "_previous_peak", "_window_start_us")
 
     def __init__(self, now: int) -> None:
-        self.since, self.top, self.before = now, 0, 0
-
-    def roll(self, now: int) -> None:
-        if (past := (now - self.since) // WINDOW) > 0:
-            self.before = self.top if past == 1 else 0
-            self.top, self.since = 0, self.since + past * WINDOW
-
-    def saw(self, now: int, busy: int) -> None:
-        """So many were in use at once."""
-        if now - self.since >= WINDOW:
-            self.roll(now)
-        if busy > self.top:
-            self.top = busy
-
-    def keep(self, now: int) -> int:
-        """So many are worth keeping, idle ones and those in use: one is always, as the next req needs it."""
-        self.roll(now)
-        return max(1, self.top, self.before)
+        """Start the first window at `now`, with nothing in use."""
+        self._window_start_us = now
+        self._current_peak = 0
+        self._previous_peak = 0
+
+    def record(self, now: int, in_use: int) -> None:
+        """So many connections are in use at once."""
+        if now - self._window_start_us >= WINDOW_US:
+            self._start_window(now)
+        if in_use > self._current_peak:
+            self._current_peak = in_use
+
+    def worth_keeping(self, now: int) -> int:
+        """How many connections are worth keeping, idle ones and those in use: one at the least.
+
+        What the host was needed for in the window under way and the one before is kept.
+        """
+        self._start_window(now)
+        return max(1, self._current_peak, self._previous_peak)
+
+    def _start_window(self, now: int) -> None:
+        """Go on to the window that `now` is in, if it is another one."""
+        windows_passed = (now - self._window_start_us) // WINDOW_US
+        if windows_passed <= 0:
+            return
+        self._previous_peak = self._current_peak if windows_passed == 1 else 0
+        self._current_peak = 0
+        self._window_start_us += windows_passed * WINDOW_US
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidgap.decisions.connection_demand import Need
+from orchidgap.decisions.connection_demand import ConnectionDemand
 from orchidgap.http1.readers import ResponseReader
 from orchidgap.http1.writers import LAST_CHUNK, encode_chunk
 from orchidgap.net import connection_pools
@@ -278,11 +278,11 @@
     def __init__(self, hosts: Hosts, address: Address) -> None:
         super().__init__(hosts, address)
         self.idle: deque[Link] = deque()  # the newest last
-        self.need = Need(hosts.loop.now)
+        self.demand = ConnectionDemand(hosts.loop.now)
         self.quickest = self.answers = 0  # the least time in which one came back, and of how many
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        self.need.saw(self.pools.loop.now, len(self.links) - len(self.idle) + 1)
+        self.demand.record(self.pools.loop.now, len(self.links) - len(self.idle) + 1)
         while self.idle:
             link = self.idle.pop()
             if self.worn(link) or link.conn.is_stale():
@@ -314,7 +314,7 @@
 
     def trim(self) -> None:
         """The host holds only so many, and other balancers may need them."""
-        keep = self.need.keep(self.pools.loop.now)
+        keep = self.demand.worth_keeping(self.pools.loop.now)
         while self.idle and (len(self.links) > keep or self.worn(self.idle[0])):
             self.idle[0].close()
 
