--- a/orchidgap/trial/even.py
+++ b/orchidgap/trial/even.py
@@ -73,12 +73,12 @@
     caches = {
         id: store for id, store in scene.stores.items() if not store.is_origin and store.alive
     }
-    reads: list[tuple[int, str, int]] = []
+    reads: list[load_skew.CacheRead] = []
     took: dict[str, list[int]] = {id: [] for id in caches}
     fetches = 0
     for ask, sent in dispatches(scene, since, until):
         if sent.host in caches:
-            reads.append((sent.first_at, sent.host, ask.op.key))
+            reads.append(load_skew.CacheRead(sent.first_at, sent.host, ask.op.key))
             if sent.ended_at:
                 took[sent.host].append(sent.ended_at - sent.first_at)
         elif scene.stores[sent.host].is_origin:
@@ -86,7 +86,7 @@
     times: dict[str, list[int]] = {id: [] for id in caches}
     for at, id, _ in reads:
         times[id].append(at)
-    share = load_skew.shares(
+    share = load_skew.load_ratios(
         {id: len(row) for id, row in times.items()}, dict.fromkeys(caches, 1.0)
     )
     count = sum(not op.work.write for op in asked(scene, since, until))
@@ -94,13 +94,15 @@
     found: dict[str, float] = {
         "most": max(share.values(), default=0.0),
         "least": min(share.values(), default=0.0),
-        "herd": load_skew.herd(times.values(), since, until),
-        "idle-s": max((load_skew.idle(row, since, until) for row in times.values()), default=0)
+        "herd": load_skew.herd_ratio(times.values(), since, until),
+        "idle-s": max(
+            (load_skew.longest_idle_us(row, since, until) for row in times.values()), default=0
+        )
         / 1e6,
-        "copies": load_skew.copies(
+        "copies": load_skew.mean_replica_count(
             (store.kept for store in caches.values()), {key for _, _, key in reads}
         ),
-        "moved": load_skew.moved(reads),
+        "moved": load_skew.moved_read_ratio(reads),
         "fetches": fetches / count if count else 0.0,
         "p99-ms": max(slowest, default=0) / 1e3,
     }
