--- a/orchidgap/decisions/placement.py
+++ b/orchidgap/decisions/placement.py
@@ -29,7 +29,7 @@
     RETRYABLE_OUTCOMES,
     has_retry_budget,
 )
-from orchidgap.decisions.slot_map import Turn, turn
+from orchidgap.decisions.slot_map import RedirectAction, redirect_action
 from orchidgap.decisions.slow_start import SlowStart
 
 HOT_KEY_OFFSETS = (0, -1, 1, -2, 2)  # from a hot key's owner to its caches, in the ring
@@ -204,7 +204,7 @@
         """Count a read that comes for the first time, and choose its cache if its key is hot."""
         if request.is_write or request.attempts or request.key is None:
             return
-        copies = self.hot_keys.copies(request.key, len(self.ring))
+        copies = self.hot_keys.replica_count(request.key, len(self.ring))
         if copies > 1:
             request.owner_offset = self.context.rng.choice(HOT_KEY_OFFSETS[:copies])
         else:
@@ -232,8 +232,8 @@
             return False
         target = request.redirect_target
         target_drains = target is not None and target.state != "up"
-        action = turn(request.redirects - 1, target is not None, target_drains)
-        return action is not Turn.GIVE_UP
+        action = redirect_action(request.redirects - 1, target is not None, target_drains)
+        return action is not RedirectAction.GIVE_UP
 
     def _ready_slot_owner(self, request: Request) -> HostState | None:
         owner = self.context.slot_owner(request)
