--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -151,8 +151,8 @@
 class ProposeCommand:
     """Proposes a change and waits for its end.
 
-    The same request may be sent again while no answer comes: control counts it once, by the proposal
-    count that it carries.
+    The same request may be sent again while no answer comes: control counts it once, by the
+    proposal count that it carries.
     """
 
     def __init__(
--- a/orchidgap/control/guarded_node.py
+++ b/orchidgap/control/guarded_node.py
@@ -1,7 +1,7 @@
 """A node that accepts requests only while the balancer has permission to serve.
 
-It asks at each request, so that a process that was stopped for longer than its lease finds out before
-the first request that it accepts.
+It asks at each request, so that a process that was stopped for longer than its lease finds out
+before the first request that it accepts.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     def take(
         self,
         caller: Responder,
-        id: bytes,
+        id: bytes,  # noqa: A002 -- named by the node
         rule_set: str,
         left: int,
         write: bool,
@@ -60,11 +60,12 @@
         flow: Upload | None = None,
     ) -> None:
         """Accept a request, or answer 503 with a time to come back."""
-        # The permission may have come back since `knows` was asked, with a policy that does not have
-        # the request class.
+        # The permission may have come back since `knows` was asked, with a policy that does not
+        # have the request class.
         known = rule_set in self.config.settings.request_classes
         if not self.guard.may_serve() or not known:
-            return caller.answer(SERVICE_UNAVAILABLE, pause=self.guard.retry_after_us())
+            caller.answer(SERVICE_UNAVAILABLE, pause=self.guard.retry_after_us())
+            return
         super().take(caller, id, rule_set, left, write, key, tenant, head, body, slot, flow)
 
     def put_policy_into_force(
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -1,8 +1,8 @@
 """A balancer's side of control: it renews its lease, promises proposals and adopts versions.
 
-A heartbeat goes to every control process at once. What `orchidgap.decisions.leases.LeaseState` says of
-the answers is done here: a version is put into force at the node, a proposal is checked and written.
-The first lease opens the listener.
+A heartbeat goes to every control process at once. What `LeaseState` says of the answers is done
+here: a version is put into force at the node, a proposal is checked and written. The first lease
+opens the listener.
 
 Times are whole microseconds.
 """
@@ -157,7 +157,7 @@
             self.log("stored policy found", version=AdoptedPolicy.from_wire(content).version)
 
     def close(self) -> None:
-        """Deregister, so that no change waits for a lease that nobody uses; then close the calls."""
+        """Deregister, so that no change waits for a lease that nobody uses; then end all calls."""
         self.closing = True
         answers: list[EmptyMessage | None] = []
         for client in self.clients:
@@ -263,14 +263,16 @@
 
     def _adopt_chosen(self, chosen: LeaseAnswer) -> bool:
         """Put a decided version into force; return whether that was possible."""
-        try:
-            if not chosen.document:
-                raise InvalidPolicyError("it did not come with the answer")
-            self.adopt(chosen.document)
-        except InvalidPolicyError as error:
+        problem = "" if chosen.document else "it did not come with the answer"
+        if not problem:
+            try:
+                self.adopt(chosen.document)
+            except InvalidPolicyError as error:
+                problem = str(error)
+        if problem:
             if self.invalid_version != chosen.version:
                 self.invalid_version = chosen.version
-                self.log("version invalid", version=chosen.version, why=str(error))
+                self.log("version invalid", version=chosen.version, why=problem)
             return False
         self.invalid_version = 0
         self.lease.on_version_adopted(chosen.version)
--- a/orchidgap/control/status_report.py
+++ b/orchidgap/control/status_report.py
@@ -16,8 +16,8 @@
 def merge_status(answers: Sequence[StatusAnswer]) -> StatusReport:
     """Lay together what several control processes answered; at least one has to.
 
-    The register's value is that of the highest ballot. What is waited for counts only from processes
-    that know the same proposal.
+    The register's value is that of the highest ballot. What is waited for counts only from
+    processes that know the same proposal.
     """
     newest = max(answers, key=lambda answer: answer.ballot)
     process_count = len(newest.process_names)
--- a/orchidgap/decisions/cas_register.py
+++ b/orchidgap/decisions/cas_register.py
@@ -1,12 +1,12 @@
 """A compare-and-set register that a majority of control processes keeps (CASPaxos, Rystsov 2018).
 
-Every change of the value is one round of two phases under a ballot of its own; an acceptor keeps one
-value and needs no log. States of an acceptor, and what may follow:
+Every change of the value is one round of two phases under a ballot of its own; an acceptor keeps
+one value and needs no log. States of an acceptor, and what may follow:
 
-    | message         | accepted if                                | next state                    |
-    | --------------- | ------------------------------------------ | ----------------------------- |
-    | prepare(ballot) | ballot is higher than the promised one     | promised ballot is the new one |
-    | accept(ballot)  | ballot is not lower than the promised one  | both ballots new, value new   |
+    | message                | accepted if                        | next state                    |
+    | ---------------------- | ---------------------------------- | ----------------------------- |
+    | prepare(ballot)        | it is higher than the promised one | it is the promised ballot     |
+    | accept(ballot, value)  | it is not lower than that          | it is both ballots; the value |
 
 States of a proposer: collecting promises, until a quorum has given one and `value` is known; then
 collecting acceptances, until a quorum has accepted it.
@@ -53,9 +53,9 @@
 class Acceptor(Generic[Value]):
     """One acceptor. It never changes its state by itself.
 
-    What `prepare` and `accept` return has to be written first; `on_durable` then puts it into force,
-    and only then may the answer be sent. Nothing else may be asked meanwhile: a promise made beside a
-    write would be overwritten by that write.
+    What `prepare` and `accept` return has to be written first; `on_durable` then puts it into
+    force, and only then may the answer be sent. Nothing else may be asked meanwhile: a promise made
+    beside a write would be overwritten by that write.
 
     >>> acceptor = Acceptor(AcceptorState(NO_BALLOT, NO_BALLOT, {}))
     >>> acceptor.on_durable(acceptor.prepare((1, "a"))), acceptor.prepare((1, "a"))
@@ -68,6 +68,7 @@
     """
 
     def __init__(self, state: AcceptorState[Value]) -> None:
+        """Begin with what is on the disk."""
         self.state = state
 
     def prepare(self, ballot: Ballot) -> AcceptorState[Value] | None:
--- a/orchidgap/decisions/config_compatibility.py
+++ b/orchidgap/decisions/config_compatibility.py
@@ -1,7 +1,7 @@
 """Whether one configuration may follow another while a process runs.
 
-A configuration may follow if it has every key of the one before, with the same kind of value. A key that
-is missing, or holds another kind, is more often a slip than an intention:
+A configuration may follow if it has every key of the one before, with the same kind of value. A key
+that is missing, or holds another kind, is more often a slip than an intention:
 
     | key before | key in the new one      | may follow                                |
     | ---------- | ----------------------- | ----------------------------------------- |
--- a/orchidgap/decisions/lease_state.py
+++ b/orchidgap/decisions/lease_state.py
@@ -1,16 +1,16 @@
 """One balancer's lease: whether it may serve now, and under which version of the policy.
 
-A balancer serves while it holds a lease. Without one it serves only if it is registered to and has not
-promised a proposal, which may be decided by now. What it holds of a proposal (`PROMISE_PHASE_AFTER` has
-the same table):
-
-    | phase    | event                                  | next phase | what else                         |
-    | -------- | -------------------------------------- | ---------- | --------------------------------- |
-    | none     | a proposal is chosen: it is checked    | writing    | serving goes on                   |
-    | writing  | it is on the disk                      | promised   | control is told                   |
-    | writing  | it cannot be run, or not be written    | none       | control is told why               |
-    | any      | it is not proposed any more            | none       | what the disk has binds nobody    |
-    | any      | a higher version is adopted            | none       | a lease under that version        |
+A balancer serves while it holds a lease. Without one it serves only if it is registered to and has
+not promised a proposal, which may be decided by now. What it holds of a proposal
+(`PROMISE_PHASE_AFTER` has the same table):
+
+    | phase    | event                               | next phase | what else                      |
+    | -------- | ----------------------------------- | ---------- | ------------------------------ |
+    | none     | a proposal is chosen: it is checked | writing    | serving goes on                |
+    | writing  | it is on the disk                   | promised   | control is told                |
+    | writing  | it cannot be run, or not be written | none       | control is told why            |
+    | any      | it is not proposed any more         | none       | what the disk has binds nobody |
+    | any      | a higher version is adopted         | none       | a lease under that version     |
 
 Times are whole microseconds on a clock that goes on while the machine sleeps. No I/O.
 """
@@ -133,6 +133,7 @@
     """
 
     def __init__(self, on_lost_quorum: OnLostQuorum, lease_us: int) -> None:
+        """Begin without a lease; `lease_us` is how long one lasts, as far as that is known."""
         self.on_lost_quorum = on_lost_quorum
         self.lease_us = lease_us
         self.version = -1  # under which it accepts requests; none before control was heard
@@ -201,8 +202,8 @@
     def on_promise_durable(self, proposal_number: int) -> bool:
         """Note that a proposal is on the disk; return whether that makes a promise.
 
-        It makes none if the proposal is no longer current: a promise that nobody asks for would only
-        take the permission away.
+        It makes none if the proposal is no longer current: a promise that nobody asks for would
+        only take the permission away.
         """
         if proposal_number != self.writing_proposal:
             return False
--- a/orchidgap/decisions/leases.py
+++ b/orchidgap/decisions/leases.py
@@ -1,17 +1,17 @@
 """The leases that an acceptor grants to balancers, and for whom a decision has to wait.
 
-A balancer that holds grants of a majority may serve (`lease_state`), so whoever serves while a majority
-accepts a decision is known to one acceptor of that majority, and that acceptor waits for its promise.
-Leases are those of Gray and Cheriton (1989). A balancer, as an acceptor knows it:
-
-    | state      | event                                              | next state                     |
-    | ---------- | -------------------------------------------------- | ------------------------------ |
-    | unknown    | heartbeat, prepared for any pending decision       | holds a lease                  |
-    | unknown    | heartbeat, not prepared for one                    | known without a lease          |
-    | any known  | heartbeat, hears answers, is prepared              | holds a lease from now on      |
-    | any known  | heartbeat, hears no answers or is not prepared     | the lease that it has runs out |
-    | any known  | `deregister`                                       | unknown                        |
-    | no lease   | not heard for `FORGET_AFTER_US`, or the table full | unknown                        |
+A balancer that holds grants of a majority may serve (`lease_state`), so whoever serves while a
+majority accepts a decision is known to one acceptor of that majority, and that acceptor waits for
+its promise. Leases are those of Gray and Cheriton (1989). A balancer, as an acceptor knows it:
+
+    | state    | event                                              | next state                  |
+    | -------- | -------------------------------------------------- | --------------------------- |
+    | unknown  | heartbeat, prepared for any pending decision       | holds a lease               |
+    | unknown  | heartbeat, not prepared for one                    | known, without a lease      |
+    | known    | heartbeat, hears answers, is prepared              | holds a lease from now on   |
+    | known    | heartbeat, hears no answers or is not prepared     | the lease it has runs out   |
+    | known    | `deregister`                                       | unknown                     |
+    | no lease | not heard for `FORGET_AFTER_US`, or the table full | unknown                     |
 
 Times are whole microseconds on a clock that goes on while the machine sleeps. No I/O.
 """
@@ -107,6 +107,7 @@
     """
 
     def __init__(self, lease_us: int, now_us: int) -> None:
+        """Begin without any holder; `lease_us` is how long a lease lasts by the holder's clock."""
         self.lease_us = lease_us
         self.holders: dict[tuple[str, str], LeaseHolder] = {}
         # What the process before this one granted is not known; no such lease holds longer.
--- a/orchidgap/decisions/policy_rollout.py
+++ b/orchidgap/decisions/policy_rollout.py
@@ -1,14 +1,14 @@
 """The states of a policy change: what is proposed, decided or dropped, and who has registered.
 
-The compare-and-set register holds one `PolicyState`. The functions here are the only transitions, and
-`PHASE_AFTER` has the same table:
-
-    | phase    | transition                                       | next phase | what changes              |
-    | -------- | ------------------------------------------------ | ---------- | ------------------------- |
-    | idle     | `propose`                                        | proposed   | a new proposal number     |
-    | proposed | `decide`: all members hold a promise             | idle       | the version goes up by 1  |
-    | proposed | `drop`: a member refused, or one does not answer | idle       | the reason is in history  |
-    | any      | `register_member`, `evict_member`                | the same   | who serves without quorum |
+The compare-and-set register holds one `PolicyState`. The functions here are the only transitions,
+and `PHASE_AFTER` has the same table:
+
+    | phase    | transition                        | next phase | what changes              |
+    | -------- | --------------------------------- | ---------- | ------------------------- |
+    | idle     | `propose`                         | proposed   | a new proposal number     |
+    | proposed | `decide`: all hold a promise      | idle       | the version goes up by 1  |
+    | proposed | `drop`: one refused or is silent  | idle       | the reason is in history  |
+    | any      | `register_member`, `evict_member` | the same   | who serves without quorum |
 
 Each takes a state and returns the next one, or the very same object where the transition does not
 apply. No I/O.
