--- a/orchidgap/control/messages/lease.py
+++ b/orchidgap/control/messages/lease.py
@@ -10,6 +10,7 @@
 from orchidgap.control.messages.base import EmptyMessage, MemberRequest, RpcMethod, WireMessage
 from orchidgap.control.messages.register import ProposalMessage
 from orchidgap.decisions.cas_register import Ballot
+from orchidgap.decisions.policy_rollout import Document
 
 
 class LeaseRequest(WireMessage, frozen=True):
@@ -73,16 +74,18 @@
     change_id: str = field(name="id")
     proposal_number: int = field(name="try")
     members_without_quorum: dict[str, str | None] = field(name="stay")
-    proposal: Any = field(name="next")  # ProposalMessage, ProposalNotice or None
-    document: Any = field(name="doc", default=UNSET)
+    proposal: ProposalMessage | ProposalNotice | None = field(name="next")
+    document: Document = field(name="doc", default=UNSET)
 
     @classmethod
     def read_field(cls, info: msgspec.structs.FieldInfo, value: Any) -> object:
         """Convert one value to its field's type."""
-        if info.name != "proposal" or value is None:
+        if info.name != "proposal":
             return super().read_field(info, value)
-        whole = "doc" in value
-        return (ProposalMessage if whole else ProposalNotice).from_wire(value)
+        if value is None:
+            return None
+        has_document = "doc" in value
+        return (ProposalMessage if has_document else ProposalNotice).from_wire(value)
 
 
 LEASE = RpcMethod("/lease", LeaseRequest, LeaseAnswer)
--- a/orchidgap/control/messages/operators.py
+++ b/orchidgap/control/messages/operators.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from enum import Enum
-from typing import Any, Self
+from typing import Self
 
 from msgspec import field
 
@@ -11,12 +11,13 @@
 from orchidgap.control.messages.register import RecordMessage
 from orchidgap.decisions.cas_register import Ballot
 from orchidgap.decisions.leases import LeaseHolder, PendingMember, Refusal
+from orchidgap.decisions.policy_rollout import Document
 
 
 class CheckRequest(WireMessage, frozen=True):
     """Asks whether a policy could be proposed."""
 
-    document: Any = field(name="doc")
+    document: Document = field(name="doc")
 
 
 class CheckAnswer(WireMessage, frozen=True):
@@ -37,7 +38,7 @@
     """
 
     change_id: str = field(name="id")
-    document: Any = field(name="doc")
+    document: Document = field(name="doc")
     again: bool
     known_proposal_count: int = field(name="after")
 
--- a/orchidgap/control/messages/register.py
+++ b/orchidgap/control/messages/register.py
@@ -12,6 +12,7 @@
 from orchidgap.decisions.policy_rollout import (
     ChangeRecord,
     ChangeResult,
+    Document,
     PolicyState,
     Proposal,
 )
@@ -21,7 +22,7 @@
     """A proposal, whole."""
 
     change_id: str = field(name="id")
-    document: Any = field(name="doc")
+    document: Document = field(name="doc")
     proposal_number: int = field(name="try")
     version: int = field(name="n")
 
@@ -64,7 +65,7 @@
     version: int = field(name="n")
     change_id: str = field(name="id")
     proposal_number: int = field(name="try")
-    document: Any = field(name="doc")
+    document: Document = field(name="doc")
     proposal: ProposalMessage | None = field(name="next")
     proposal_count: int = field(name="tries")
     members_without_quorum: dict[str, str] = field(name="stay")
--- a/orchidgap/control/messages/stored.py
+++ b/orchidgap/control/messages/stored.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from msgspec import field
 
 from orchidgap.control.messages.base import WireMessage
+from orchidgap.decisions.policy_rollout import Document
 
 ADOPTED_POLICY_FILE = "policy"
 PROMISED_PROPOSAL_FILE = "promise"  # a `ProposalMessage`
@@ -17,4 +16,4 @@
 
     version: int = field(name="n")
     change_id: str = field(name="id", default="")
-    document: Any = field(name="doc", default=None)
+    document: Document = field(name="doc", default=None)
--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -4,7 +4,6 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any
 
 import httptools
 import orjson
@@ -154,7 +153,7 @@
 
         self._handlers[method.path] = handle
 
-    def dispatch(self, path: str, wire: Any, on_answer: OnWireAnswer) -> None:
+    def dispatch(self, path: str, wire: object, on_answer: OnWireAnswer) -> None:
         """Hand a call to its handler.
 
         Args:
