--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -48,6 +48,7 @@
 
 CALL_TIMEOUT_US = 3_000_000  # a control process may have to ask the others
 POLL_INTERVAL_S = 0.1
+EVICT_COMMAND = "strike"  # the operators' word
 CHANGE_ID_BYTES = 6  # of the digest that names a change without a name
 
 
@@ -115,7 +116,7 @@
         change_id = arguments["--id"] or _digest(document)
         attempt = ProposeCommand(control, change_id, document, arguments["--again"], as_json)
         return attempt.run(wait_s)
-    if command == "strike":
+    if command == EVICT_COMMAND:
         return evict(control, arguments["NAME"], as_json)
     return status(control, command == "history", as_json)
 
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -32,6 +32,7 @@
     LeaseRequest,
     MemberRequest,
     ProposalMessage,
+    ProposalNotice,
 )
 from orchidgap.control.messages.stored import (
     ADOPTED_POLICY_FILE,
@@ -302,7 +303,7 @@
 
     # --- what is proposed
 
-    def check_proposal(self, proposal: Any) -> None:
+    def check_proposal(self, proposal: ProposalMessage | ProposalNotice) -> None:
         """Check a proposal and write it; the promise is given once it is on the disk."""
         assert isinstance(proposal, ProposalMessage)
         refusal_reason = ""
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -11,7 +11,7 @@
 
 from orchidgap.control.acceptor import DurableAcceptor
 from orchidgap.control.lease_keeper import LeaseKeeper
-from orchidgap.control.messages import ProposalMessage
+from orchidgap.control.messages import ProposalMessage, ProposalNotice
 from orchidgap.control.validation import InvalidPolicyError
 from orchidgap.decisions.gossip_counts import Pool, Row
 from orchidgap.decisions.hot_keys import HotKeyDetector
@@ -64,7 +64,7 @@
 
     check = LeaseKeeper.check_proposal
 
-    def saw(self: LeaseKeeper, proposal: Any) -> None:
+    def saw(self: LeaseKeeper, proposal: ProposalMessage | ProposalNotice) -> None:
         self.seen_try = proposal.proposal_number
         check(self, proposal)
 
