--- a/orchidgap/control/process.py
+++ b/orchidgap/control/process.py
@@ -177,7 +177,7 @@
         raise ConfigError("--config names no file", expected="a file")
     config = read_process_config(path)
     log = EventLog(config.name)
-    loop = Loop(trouble=log.trouble)
+    loop = Loop(on_error=log.exception)
     store = _open_store(config.folder, make_store, log)
     others = {
         name: RpcClient(loop, address, ANSWER_TIMEOUT_US)
--- a/orchidgap/control/process_group.py
+++ b/orchidgap/control/process_group.py
@@ -85,7 +85,7 @@
         """Call this process's own server, which is given as long as the others."""
 
         def on_wire_answer(wire: WireObject | None) -> None:
-            if timer.act is None:
+            if timer.callback is None:
                 return  # too late, or answered
             timer.cancel()
             on_answer(None if wire is None else method.answer_type.from_wire(wire))
--- a/orchidgap/control/rpc_client.py
+++ b/orchidgap/control/rpc_client.py
@@ -10,7 +10,7 @@
 from orchidgap.control.messages import WireObject
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
 from orchidgap.http1.readers import ResponseReader
-from orchidgap.net.connection import Address, Connection, Fault, dial
+from orchidgap.net.connection import Address, AttemptFailure, Connection, dial
 from orchidgap.net.loop import Loop, Timer
 
 MAX_CONNECTIONS = 4  # to one address; one call at a time on each
@@ -142,7 +142,7 @@
     def _send(self, verb: str, path: str, body: bytes, on_body: OnBody) -> None:
         while self.idle:
             connection = self.idle.pop()
-            if connection.conn.open and not connection.conn.stale():
+            if connection.conn.is_open and not connection.conn.is_stale():
                 connection.send(verb, path, body, on_body)
                 return
             connection.close()
@@ -150,7 +150,7 @@
             self.loop.call_soon(on_body, None)
             return
         sock = dial(self.address)
-        if isinstance(sock, Fault):
+        if isinstance(sock, AttemptFailure):
             self.loop.call_soon(on_body, None)
             return
         connection = RpcClientConnection(self, sock)
--- a/orchidgap/drill/process.py
+++ b/orchidgap/drill/process.py
@@ -22,7 +22,7 @@
 from orchidgap.drill.defects import DEFECTS
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
-from orchidgap.parts import parts_of, talk_of
+from orchidgap.parts import make_gossip, protocol_for
 from orchidgap.state.durable_store import DurableStore
 
 STEPS = ("open", "write", "fsync", "rename")
@@ -102,9 +102,9 @@
             return process.run(config, "--new" in sys.argv, make_store=FailingFiles)
         serve(
             config,
-            parts_of,
+            protocol_for,
             held=partial(lease_keeper.create_guarded_node, make_store=FailingFiles),
-            talk=talk_of,
+            talk=make_gossip,
         )
     except ConfigError as trouble:
         sys.exit(f"orchidgap: {trouble}")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,16 +10,17 @@
 
 import orjson
 import pytest
-from desk import PAIRS, Net, heard
+from desk import PAIRS
+from node_harness import NodeHarness, heard
 
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net import config
-from orchidgap.net.connection import Fault, Reach
+from orchidgap.net.connection import AttemptFailure, SendProgress
 from orchidgap.net.endpoints import decode_list
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ
-from orchidgap.net.server import on_signal, read_anew
+from orchidgap.net.server import handle_signals, reload_config
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 LIST = "/discovery/hosts"
@@ -29,7 +30,7 @@
 
 
 def test_a_req_from_end_to_end():
-    net = Net()
+    net = NodeHarness()
     client = net.ask("7f3", method="PUT", rule_set="mark", body="value")
     origin = net.far()
     assert heard(origin) == (
@@ -40,11 +41,11 @@
     assert heard(client) is None, "not a byte before the body is whole"
     net.says(origin, "ok")
     assert heard(client) == "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nstok"
-    assert not net.node.reqs and not net.node.balancer.requests
+    assert not net.node.exchanges and not net.node.balancer.requests
 
 
 def test_a_miss_goes_on_to_the_origin_and_links_are_used_again():
-    net = Net(1)
+    net = NodeHarness(1)
     for _ in range(3):
         client = net.ask("k")
         net.answers(net.far(0), 404)
@@ -54,7 +55,7 @@
 
 
 def test_what_a_host_tells_of_its_load_reaches_the_decisions():
-    net = Net(3, report__how="inline", report__fields="concurrent,tps")
+    net = NodeHarness(3, report__how="inline", report__fields="concurrent,tps")
     for key in ("k1", "k2", "k3", "k4", "k5", "k6"):
         net.ask(key)
         for far in net.fars():
@@ -68,11 +69,11 @@
     for far in net.fars():
         if heard(far):
             net.answers(far, more="Server-Load: concurrent=all of it,tps\r\n")
-    assert {host.reported_in_flight for host in told} == {7.0} and not net.node.reqs
+    assert {host.reported_in_flight for host in told} == {7.0} and not net.node.exchanges
 
 
 def test_a_late_read_is_called_off_for_the_origin_and_both_ends_see_it():
-    net = Net(3)
+    net = NodeHarness(3)
     client = net.ask()
     late = net.far()
     assert heard(late).startswith("GET /read/k1")
@@ -82,14 +83,16 @@
         "the origin's port"
     )
     net.answers(net.far())
-    assert "200" in heard(client) and net.verdicts == ["cancelled", "done"] and not net.node.reqs
+    assert (
+        "200" in heard(client) and net.verdicts == ["cancelled", "done"] and not net.node.exchanges
+    )
 
 
 def test_a_late_read_whose_connection_never_came_up_is_sent_on_as_well():
-    net = Net(3)
+    net = NodeHarness(3)
     client = net.ask()
-    attempt = next(iter(net.node.reqs.values())).attempts[0]
-    attempt.link.conn.taken = attempt.link.start  # as if nothing had been written yet
+    attempt = next(iter(net.node.exchanges.values())).attempts[0]
+    attempt.carrier.conn.bytes_written = attempt.carrier.start  # as if nothing had been written yet
     net.wait(600_000)
     assert net.verdicts[0] == "moot" and net.dialled[-1][0] == 109
     net.answers(net.far())
@@ -100,21 +103,21 @@
     new = ServiceSettings.from_pairs(
         PAIRS | {"report.how": "inline", "report.fields": "concurrent"}
     )
-    net = Net(3, decider=partial(ShadowBalancer, new), **WAITS)
-    assert Net().node.watch() == (False, "nothing is watched")
+    net = NodeHarness(3, decider=partial(ShadowBalancer, new), **WAITS)
+    assert NodeHarness().node.shadow_report() == (False, "nothing is watched")
     client = net.ask()
     net.wait(600_000)
     assert len(net.fars()) == 1, "nothing can be called off"
     net.answers(net.far(), more="Server-Load: concurrent=7\r\n")
     assert "200" in heard(client)
-    done, words = net.node.watch()
+    done, words = net.node.shadow_report()
     assert done and words == (
         "1 dispatches, owner 0, copy 0, repeat 0, call-off 1, answer 0, pause 0, limit 0"
     )
 
 
 def test_a_very_long_key_is_a_key():
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.ask("k" * 9_000)
     assert "/read/" + "k" * 9_000 in heard(net.far())
     net.answers(net.far())
@@ -125,7 +128,7 @@
     ("size", "status"), [(65_536, 200), (400_000, 200), (5 << 20, 200), (50 << 20, 503)]
 )
 def test_large_values_come_through_and_endless_ones_do_not(size, status):
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.ask("k")
     far, said = net.far(), bytearray()
     rest = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"v" * min(size, 6 << 20)
@@ -149,13 +152,13 @@
 
 
 def test_an_answer_that_the_client_reads_slowly_still_comes_whole():
-    net = Net(1)
+    net = NodeHarness(1)
     client = net.ask("k")
-    for one in net.node.clients.open:
+    for one in net.node.clients.open_clients:
         one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     net.answers(net.far(), body="v" * 60_000)
-    assert not net.node.clients.shed(), "it is not idle before that was read"
-    net.node.leave()
+    assert not net.node.clients.close_unneeded(), "it is not idle before that was read"
+    net.node.begin_shutdown()
     net.wait(401_000)
     parts = []
     while part := heard(client):
@@ -165,15 +168,15 @@
 
 
 def test_a_client_that_does_not_read_is_let_go():
-    net = Net(1)
+    net = NodeHarness(1)
     net.ask("k")
-    for one in net.node.clients.open:
+    for one in net.node.clients.open_clients:
         one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     net.answers(net.far(), body="v" * 60_000)
     net.wait(9_900_000)
-    assert net.node.clients.open
+    assert net.node.clients.open_clients
     net.wait(200_000)
-    assert not net.node.clients.open
+    assert not net.node.clients.open_clients
 
 
 @pytest.mark.parametrize(
@@ -218,7 +221,7 @@
     ],
 )
 def test_what_a_host_does_is_told_as_it_is(does, verdict):
-    net = Net(3, **WAITS)
+    net = NodeHarness(3, **WAITS)
     net.ask()
     does(net, net.far())
     net.turn()
@@ -226,13 +229,13 @@
 
 
 def test_hosts_that_refuse_or_never_answer_a_connection():
-    net = Net(1)
+    net = NodeHarness(1)
     net.refused.add(100)
     client = net.ask()
     assert net.verdicts == ["unconnected"] and "503" in heard(client)
-    net = Net(1)
+    net = NodeHarness(1)
     near, _far = full_pair()
-    net.node.hosts.dialer = lambda address: near
+    net.node.pools.dial_address = lambda address: near
     client = net.ask()
     net.wait(99_000)
     assert net.verdicts == [] and heard(client) is None
@@ -241,26 +244,26 @@
 
 
 def test_an_extra_byte_costs_the_link_and_not_the_answer():
-    net = Net(1)
+    net = NodeHarness(1)
     for number, more in ((0, "HTTP/1.1"), (1, "")):
         client = net.ask()
         net.says(net.far(number), "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv" + more)
         assert heard(client).endswith("v") and len(net.dialled) == 2 + number
     net.says(net.far(), "more, unasked")
-    assert not net.node.hosts.pools["c0"].idle
+    assert not net.node.pools.by_host["c0"].idle
 
 
 def test_a_client_that_hangs_up_ends_its_dispatch():
-    net = Net()
+    net = NodeHarness()
     client = net.ask()
     assert heard(net.far()).startswith("GET")
     client.close()
     net.turn()
-    assert heard(net.far()) == "" and net.verdicts == ["cancelled"] and not net.node.reqs
+    assert heard(net.far()) == "" and net.verdicts == ["cancelled"] and not net.node.exchanges
 
 
 def test_an_answer_goes_out_before_the_client_timeout_and_nothing_after():
-    net = Net()
+    net = NodeHarness()
     client = net.ask(left="0.5")
     net.wait(479_000)
     assert heard(client) is None
@@ -271,7 +274,7 @@
 
 
 def test_time_that_the_loop_was_held_up_is_taken_off():
-    net = Net()
+    net = NodeHarness()
     client = net.client()
     client.sendall(b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 0.5\r\n\r\n")
     net.now += 300_000  # the req may have come at the start of this
@@ -281,13 +284,13 @@
 
 
 def test_a_fault_in_the_decisions_still_brings_an_answer():
-    net = Net(expects=(ZeroDivisionError,))
+    net = NodeHarness(expects=(ZeroDivisionError,))
     net.node.balancer.on_request = lambda *_: 1 / 0
     assert heard(net.ask()).startswith("HTTP/1.1 500") and net.log.lines == [
         "serving",
         "ZeroDivisionError",
     ]
-    net = Net()
+    net = NodeHarness()
     net.node.balancer.on_request = lambda *_: None  # forgets it
     client = net.ask()
     net.wait(2_000_000)
@@ -337,7 +340,7 @@
     ],
 )
 def test_a_bad_req_gets_a_plain_answer_and_the_door(text, status):
-    net = Net()
+    net = NodeHarness()
     client = net.client()
     for i in range(0, len(text), 4096):
         try:
@@ -350,10 +353,10 @@
     )
     with contextlib.suppress(OSError):
         net.says(client, REQ + b"\r\n")  # comes too late
-    assert net.node.clients.open, "closed on unread bytes, the answer would be lost"
-    assert heard(client) == "" and not net.verdicts and not net.node.reqs
+    assert net.node.clients.open_clients, "closed on unread bytes, the answer would be lost"
+    assert heard(client) == "" and not net.verdicts and not net.node.exchanges
     net.wait(1_100_000)
-    assert not net.node.clients.open, "it may stay no longer than it takes to read that"
+    assert not net.node.clients.open_clients, "it may stay no longer than it takes to read that"
 
 
 def start_line(status):
@@ -368,7 +371,7 @@
 
 
 def test_within_three_seconds_a_req_is_whole_or_its_connection_is_let_go():
-    net = Net()
+    net = NodeHarness()
     half, silent, late, served = (
         net.client(b"GET /read/k HT"),
         net.client(),
@@ -386,7 +389,7 @@
         and heard(late).startswith("HTTP/1.1 408")
         and heard(silent) == ""
     )
-    assert heard(served) is None and len(net.node.clients.open) <= 3
+    assert heard(served) is None and len(net.node.clients.open_clients) <= 3
     net.says(served, "GET /read")
     net.wait(2_000_000)
     assert heard(served) is None, "its time is anew"
@@ -396,37 +399,39 @@
 
 @pytest.mark.parametrize("text", [b"", b"PUT /mark/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"])
 def test_who_never_asks_makes_way_for_who_does(text):
-    net = Net(1, sockets=64)
+    net = NodeHarness(1, sockets=64)
     served = net.ask("first")
     net.answers(net.far())
     heard(served)
     others = [net.client(text) for _ in range(7)]
     net.wait(600_000)
     clients = net.node.clients
-    assert len(clients.open) == clients.most == 8
+    assert len(clients.open_clients) == clients.max_clients == 8
     for i in range(7):
         net.client(REQ.replace(b"Id: 1", b"Id: %d" % i) + b"\r\n")
     assert (
         [heard(far) for far in others] == [""] * 7
         and heard(served) is None
-        and len(net.node.reqs) == 7
+        and len(net.node.exchanges) == 7
     )
 
 
 def test_a_client_whose_req_waits_to_be_read_does_not_make_way():
-    net = Net(1, sockets=64)
+    net = NodeHarness(1, sockets=64)
     first, second = net.ask("k1"), net.ask("k2")
     net.serve()
     assert heard(first) and heard(second)
     first.sendall(REQ + b"\r\n")
-    assert net.node.clients.shed() and heard(second) == "", "the longest idle one has asked by now"
+    assert net.node.clients.close_unneeded() and heard(second) == "", (
+        "the longest idle one has asked by now"
+    )
     net.turn()
     net.serve()
     assert heard(first).startswith("HTTP/1.1 200")
 
 
 def test_idle_connections_may_stay_up_to_half_of_the_most():
-    net = Net(1, sockets=64)
+    net = NodeHarness(1, sockets=64)
     clients = [net.ask(f"k{i}") for i in range(7)]
     assert [heard(client) for client in clients] == [None] * 7, "those that have asked stay"
     net.serve()
@@ -437,8 +442,8 @@
 
 
 def test_who_reads_a_last_answer_keeps_nobody_out():
-    net = Net(1, sockets=64)
-    listener = net.node.clients.listener = Listener([])
+    net = NodeHarness(1, sockets=64)
+    listener = net.node.clients.listening_socket = Listener([])
     net.loop.watch(listener, READ, net.node.clients.accept)
     for text, begins in [(b"nonsense\r\n\r\n", "HTTP/1.1 400")] * 60 + [(REQ + b"\r\n", None)]:
         near, far = socket.socketpair()
@@ -448,21 +453,21 @@
         listener.given.append(near)
         net.wait(10_000)
         assert (heard(far) or "")[:12] == (begins or "")
-        assert len(net.node.clients.open) <= net.node.clients.most + 16
-    assert len(net.node.reqs) == 1
+        assert len(net.node.clients.open_clients) <= net.node.clients.max_clients + 16
+    assert len(net.node.exchanges) == 1
 
 
 def test_an_id_that_is_open_here_is_not_taken_twice():
-    net = Net(1)
+    net = NodeHarness(1)
     first, second = net.ask("k"), net.ask("k")
     assert heard(second).startswith("HTTP/1.1 409") and len(net.fars()) == 1
     net.answers(net.far())
-    assert heard(first).startswith("HTTP/1.1 200") and not net.node.names
+    assert heard(first).startswith("HTTP/1.1 200") and not net.node.open_request_ids
     assert heard(net.ask("k")) is None, "it may come again once that is answered"
 
 
 def test_a_req_that_a_host_calls_bad_is_not_sent_to_others():
-    net = Net(3)
+    net = NodeHarness(3)
     client = net.ask("k")
     net.answers(net.far(), 400, "")
     assert (
@@ -470,11 +475,11 @@
         and net.verdicts == ["unfit"]
         and len(net.fars()) == 1
     )
-    assert not net.node.reqs and not net.node.balancer.requests
+    assert not net.node.exchanges and not net.node.balancer.requests
 
 
 def test_trailers_without_end_are_cut():
-    net = Net()
+    net = NodeHarness()
     client = net.client(REQ + b"Transfer-Encoding: chunked\r\n\r\n0\r\nX: ")
     for _ in range(600):
         try:
@@ -486,7 +491,7 @@
 
 
 def test_a_client_that_waits_to_be_let_send_its_body_is():
-    net = Net()
+    net = NodeHarness()
     client = net.client(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\nContent-Length: 1\r\n"
         b"Expect: 100-continue\r\n\r\n"
@@ -499,7 +504,7 @@
 
 def test_reqs_sent_before_the_answer_are_answered_in_their_order():
     for split in (False, True):
-        net = Net(1)
+        net = NodeHarness(1)
         texts = [
             REQ.replace(b"Id: 1", b"Id: %d" % i).replace(b"/k", b"/k%d" % i) + b"\r\n"
             for i in range(5)
@@ -519,18 +524,18 @@
 
 
 def test_ready_only_with_list_and_until_told_to_stop():
-    net = Net()
+    net = NodeHarness()
     assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 200")
-    net.node.leave()
+    net.node.begin_shutdown()
     assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 503")
 
 
 def test_told_to_stop_it_answers_all_and_ends():
-    net = Net()
+    net = NodeHarness()
     idle, busy = net.ask("k1"), net.ask("k2")
     net.answers(net.far(0))
     assert "close" not in heard(idle)
-    net.node.leave()
+    net.node.begin_shutdown()
     net.wait(300_000)
     late = net.ask("k3")
     net.wait(101_000)
@@ -550,8 +555,8 @@
 
 def test_no_signal_no_stop():
     """The ringing end of the pair was once not kept, and its end read as a signal."""
-    net, told = Net(), []
-    net.node.leave = lambda: told.append(1)
+    net, told = NodeHarness(), []
+    net.node.begin_shutdown = lambda: told.append(1)
     with signals(net, None):
         net.turn()
         assert not told
@@ -566,7 +571,7 @@
         number: signal.getsignal(number)
         for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
     }
-    bell = on_signal(net.loop, net.node, path)
+    bell = handle_signals(net.loop, net.node, path)
     try:
         yield
     finally:
@@ -577,7 +582,7 @@
 
 
 def test_sighup_moves_the_watch_and_keeps_the_list_and_a_bad_file_changes_nothing(tmp_path):
-    net, path = Net(1), tmp_path / "c"
+    net, path = NodeHarness(1), tmp_path / "c"
     tells(net, 41, True, [net.entry(0), net.entry(9)])
     [link], before = idle_links(net, 1), listed(net)
     with signals(net, str(path)):
@@ -595,7 +600,7 @@
             signal.raise_signal(signal.SIGHUP)
             net.turn()
             assert net.log.lines[-1] == "terms kept" if round < 2 else "terms read" in net.log.lines
-            assert net.loop.running and listed(net) == before and net.node.hosts.pools["c0"].idle
+            assert net.loop.running and listed(net) == before and net.node.pools.by_host["c0"].idle
             assert [port for port, _ in net.dialled if port > 8000] == [8500, 8501][: max(1, round)]
             if round == 2:  # the versions of another agent mean nothing here
                 assert heard(net.far()).startswith(f"GET {LIST} HTTP/1.1")
@@ -608,7 +613,7 @@
                 assert heard(net.far()).startswith(f"GET {LIST}?after=3&")
             elif round == 3:
                 net.refused.clear()
-                net.node.leave()
+                net.node.begin_shutdown()
                 net.wait(110_000)
                 assert net.dialled[-1][0] == 8502, "asked again soon, also while it ends"
     heard(link)
@@ -619,14 +624,14 @@
 
 
 def test_a_drain_turns_nobody_away_and_lets_all_go():
-    net = Net(**WAITS)
+    net = NodeHarness(**WAITS)
     idle, busy = net.ask("k1"), net.ask("k2")
     net.answers(net.far(0))
     assert "close" not in heard(idle)
     net.node.quiesce()
     asked, late = net.ask("k3"), net.ask("k4")
     net.wait(500_000)
-    assert heard(idle) is None and net.node.clients.listener is None
+    assert heard(idle) is None and net.node.clients.listening_socket is None
     net.serve()
     assert all(
         "Connection: close" in heard(client) and heard(client) == ""
@@ -640,11 +645,15 @@
     for client in (idle, busy, asked, late):
         client.close()
     net.wait(600_000)
-    assert net.node.life.state.value == "drained" and net.loop.running and not net.node.clients.open
+    assert (
+        net.node.lifecycle.state.value == "drained"
+        and net.loop.running
+        and not net.node.clients.open_clients
+    )
 
 
 def test_connections_that_ask_nothing_are_closed_by_a_drain_and_reqs_are_not_cut_off():
-    net = Net(**WAITS)
+    net = NodeHarness(**WAITS)
     silent, half, idle, busy = (
         net.client(),
         net.client(b"GET /read/k9 HTTP/1.1\r\n"),
@@ -658,7 +667,7 @@
     assert heard(idle) is None
     net.wait(20_000)
     assert heard(idle) == "" == heard(silent) and heard(half) is None is heard(busy)
-    assert net.node.life.state.value == "draining"
+    assert net.node.lifecycle.state.value == "draining"
     net.says(half, "Request-Id: 9\r\nRequest-Timeout: 1\r\n\r\n")
     net.serve()
     assert "200" in heard(half) and "200" in heard(busy)
@@ -670,14 +679,14 @@
     half.close()
     busy.close()
     net.wait(100_000)
-    assert net.node.life.state.value == "draining", "one has heard its end, and may yet read"
+    assert net.node.lifecycle.state.value == "draining", "one has heard its end, and may yet read"
     idle.close()
     net.wait(10_000)
-    assert net.node.life.state.value == "drained"
+    assert net.node.lifecycle.state.value == "drained"
 
 
 def test_after_a_resume_all_is_as_before():
-    net = Net()
+    net = NodeHarness()
     net.node.quiesce()
     net.wait(2_000_000)
     net.node.resume()
@@ -694,7 +703,7 @@
     net.node.resume()
     net.wait(5_000_000)
     assert heard(client) is None, "what the first drain had set up is off"
-    net.node.leave()
+    net.node.begin_shutdown()
     net.wait(450_000)
     assert heard(client) == "" and net.loop.running
     client.close()
@@ -773,7 +782,7 @@
     ],
 )
 def test_a_spoilt_file_changes_nothing(tmp_path, spoilt, why):
-    path, net = tmp_path / "c", Net()
+    path, net = tmp_path / "c", NodeHarness()
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
     before, dialled = net.node.config, len(net.dialled)
@@ -785,8 +794,8 @@
     else:
         path.write_bytes(spoilt)
     told = []
-    net.node.note = lambda event, **facts: told.append((event, facts.get("why")))
-    read_anew(net.node, str(path))
+    net.node.event_log = lambda event, **facts: told.append((event, facts.get("why")))
+    reload_config(net.node, str(path))
     assert (
         net.node.config is before
         and len(net.dialled) == dialled
@@ -810,10 +819,10 @@
 
 
 def test_new_settings_bind_new_reqs_and_open_ones_keep_theirs(tmp_path):
-    path, net = tmp_path / "c", Net(3)
+    path, net = tmp_path / "c", NodeHarness(3)
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
-    net.node.decide(net.node.balancer.on_settings, net.node.config.settings)
+    net.node.call_decisions(net.node.balancer.on_settings, net.node.config.settings)
     old = net.ask("k1")
     file = copy.deepcopy(FILE)
     file["settings"]["rule-sets"] = rules("once", effect="fragile") + rules("fresh")
@@ -821,7 +830,7 @@
     file["settings"]["customers"] = []
     path.write_bytes(orjson.dumps(file))
     for _ in range(2):  # told twice, as well
-        read_anew(net.node, str(path))
+        reload_config(net.node, str(path))
     assert net.log.lines[-1] == "terms read"
     assert heard(net.ask("k2")).startswith("HTTP/1.1 404"), (
         "a class that was dropped is unknown to new reqs"
@@ -836,13 +845,13 @@
 
 
 def test_what_cannot_change_while_it_runs_is_told_and_waits(tmp_path):
-    path, net = tmp_path / "c", Net()
+    path, net = tmp_path / "c", NodeHarness()
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
     path.write_bytes(orjson.dumps(FILE | {"listen": "127.0.0.1:7071", "limits": {"memory_mb": 90}}))
     told = []
-    net.node.note = lambda event, **facts: told.append(facts.get("at_next_start"))
-    read_anew(net.node, str(path))
+    net.node.event_log = lambda event, **facts: told.append(facts.get("at_next_start"))
+    reload_config(net.node, str(path))
     assert told == [["listen", "memory_mb"]] and net.node.config.memory_mb == 80
 
 
@@ -850,9 +859,9 @@
 
 
 def test_links_from_a_burst_are_not_kept_for_long_and_one_is():
-    net = Net(1)
+    net = NodeHarness(1)
     clients = [net.ask(f"k{i}") for i in range(7)]
-    pool = net.node.hosts.pools["c0"]
+    pool = net.node.pools.by_host["c0"]
     net.serve()
     assert len(pool.idle) == 7 and all(heard(client) for client in clients)
     net.wait(900_000)
@@ -878,7 +887,7 @@
 
 
 def test_the_newest_idle_link_goes_first_and_none_near_its_limit():
-    net = Net(1)
+    net = NodeHarness(1)
     old, new = idle_links(net, 2)
     for far in (old, new):
         heard(far)
@@ -895,29 +904,29 @@
 
 @pytest.mark.parametrize("leaves", [lambda far: far.close(), lambda far: far.sendall(b"?")])
 def test_a_link_that_was_closed_or_spoken_on_is_not_written_to(leaves):
-    net = Net(1)
+    net = NodeHarness(1)
     [link] = idle_links(net, 1)
     leaves(link)
     near, client = (
         socket.socketpair()
     )  # the req comes in the same round, before the end of the link is seen
     client.sendall(REQ + b"\r\n")
-    net.node.clients.let_in(near)
+    net.node.clients.admit(near)
     net.turn()
     assert len(net.dialled) == 3 and heard(net.far()).startswith("GET") and net.verdicts == ["done"]
 
 
 @pytest.mark.parametrize(("written", "verdict"), [(True, "stale"), (False, "unconnected")])
 def test_a_stale_link_is_a_reset_unless_nothing_was_sent(written, verdict, monkeypatch):
-    net = Net(1)
+    net = NodeHarness(1)
     [link] = idle_links(net, 1)
     net.verdicts.clear()
-    monkeypatch.setattr("orchidgap.net.connection.Connection.stale", lambda conn: False)
+    monkeypatch.setattr("orchidgap.net.connection.Connection.is_stale", lambda conn: False)
     near, client = socket.socketpair()
     client.sendall(REQ + b"\r\n")
     if not written:
         link.close()  # between the look and the write
-    net.node.clients.let_in(near)
+    net.node.clients.admit(near)
     link.close()
     net.turn()
     assert net.verdicts == [verdict] and len(net.dialled) == 2 + written, (
@@ -926,7 +935,7 @@
 
 
 def test_a_kept_link_that_breaks_under_its_next_req_takes_older_ones_with_it():
-    net = Net(1)
+    net = NodeHarness(1)
     older, newer = idle_links(net, 2)
     heard(older), heard(newer)
     net.wait(300_000)
@@ -945,7 +954,7 @@
 
 
 def test_a_busy_link_that_breaks_says_nothing_of_those_kept_for_longer():
-    net = Net(1)
+    net = NodeHarness(1)
     older, newer = idle_links(net, 2)
     heard(older), heard(newer)
     net.wait(50_000)
@@ -960,13 +969,13 @@
 
 def test_a_dispatch_still_connecting_is_never_written_once_its_host_drains_or_the_req_is_over():
     for health in ("Terminating", "Gone"):
-        net = Net(2)
+        net = NodeHarness(2)
         near, far = full_pair()
-        net.node.hosts.dialer = lambda address, near=near: near
+        net.node.pools.dial_address = lambda address, near=near: near
         net.ask()
         assert net.verdicts == []
-        net.node.hosts.dialer = net.dial
-        owner = next(id for id, pool in net.node.hosts.pools.items() if pool.links)
+        net.node.pools.dial_address = net.dial
+        owner = next(id for id, pool in net.node.pools.by_host.items() if pool.links)
         told = decode_list({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
         net.node.on_list(False, *told[2:])
         net.turn()
@@ -974,9 +983,9 @@
             "the other serves it"
         )
         assert b"GET" not in far.recv(1 << 20)
-    net = Net(2)
+    net = NodeHarness(2)
     near, far = full_pair()
-    net.node.hosts.dialer = lambda address, near=near: near
+    net.node.pools.dial_address = lambda address, near=near: near
     net.ask().close()
     net.turn()
     assert net.verdicts == ["moot"] and b"GET" not in far.recv(1 << 20)
@@ -993,42 +1002,48 @@
 
 
 def test_idle_links_make_way_where_descriptors_run_short():
-    net = Net(3, sockets=64)  # eight for hosts
-    assert net.node.hosts.most == 8
+    net = NodeHarness(3, sockets=64)  # eight for hosts
+    assert net.node.pools.max_connections == 8
     answered = 0
     for key in range(30):
         client = net.ask(f"k{key}")
         net.serve()
         answered += "200" in (heard(client) or "")
         client.close()
-    assert answered == 30 and net.node.hosts.count <= 8
-    net.node.clients.most = 9
+    assert answered == 30 and net.node.pools.connection_count <= 8
+    net.node.clients.max_clients = 9
     clients = [net.ask(f"b{key}") for key in range(9)]
-    assert net.node.hosts.count == 8 and net.verdicts[-1] == "moot", "no fault of the host"
+    assert net.node.pools.connection_count == 8 and net.verdicts[-1] == "moot", (
+        "no fault of the host"
+    )
     assert "503" in heard(clients[-1])
 
 
 class Nobody:
-    def wants(self, number):
+    def may_send(self, number):
         return True
 
     """Whose dispatch nobody waits for."""
 
-    def came_back(self, number, verdict, body):
+    def on_settled(self, number, outcome, body):
         pass
 
 
 def test_no_descriptor_to_dial_sheds_an_idle_link_and_dials_again():
-    net = Net(2)
+    net = NodeHarness(2)
     for key in range(8):
         net.ask(f"k{key}")
     net.serve()
-    short = [Fault(Reach.UNSENT, "short", "none left")]
-    net.node.hosts.dialer = lambda address: short.pop() if short else net.dial(address)
-    idle, dialled = net.node.hosts.count, len(net.dialled)
+    short = [AttemptFailure(SendProgress.UNSENT, "short", "none left")]
+    net.node.pools.dial_address = lambda address: short.pop() if short else net.dial(address)
+    idle, dialled = net.node.pools.connection_count, len(net.dialled)
     attempt = UpstreamAttempt(b"GET / HTTP/1.1\r\n", b"", net.now + 10**6, Nobody())
-    net.node.hosts.pools["c0"].dial(attempt)
-    assert idle == net.node.hosts.count == 8 and len(net.dialled) == dialled + 1 and not short
+    net.node.pools.by_host["c0"].dial(attempt)
+    assert (
+        idle == net.node.pools.connection_count == 8
+        and len(net.dialled) == dialled + 1
+        and not short
+    )
 
 
 class Listener:
@@ -1055,24 +1070,24 @@
 
 
 def test_emfile_sheds_then_rests_and_never_spins():
-    net = Net()
+    net = NodeHarness()
     idle = net.ask("k")
     net.answers(net.far())
     near, far = socket.socketpair()
     gone = OSError(errno.ECONNABORTED, "")
-    listener = net.node.clients.listener = Listener(
+    listener = net.node.clients.listening_socket = Listener(
         [gone] + [OSError(errno.EMFILE, "")] * 3 + [near]
     )
     net.loop.watch(listener, READ, net.node.clients.accept)
     net.loop.run_once(0)
     assert heard(idle).startswith("HTTP") and heard(idle) == "", "the idle client made way"
     net.loop.run_once(0)
-    assert net.node.hosts.count == 0, "then the idle link"
+    assert net.node.pools.connection_count == 0, "then the idle link"
     net.loop.run_once(0)
     net.turn(20)
     assert listener.calls == 4, "with nothing to shed it waits"
     net.wait(51_000)
-    assert listener.calls > 4 and len(net.node.clients.open) == 1 and far.fileno() > 0
+    assert listener.calls > 4 and len(net.node.clients.open_clients) == 1 and far.fileno() > 0
 
 
 @pytest.mark.parametrize(
@@ -1089,23 +1104,26 @@
 def test_clients_have_room_for_a_third_of_the_descriptors_where_memory_allows(
     memory, sockets, most
 ):
-    net = Net(1, memory=memory, sockets=sockets)
-    assert net.node.clients.most == most and net.node.hosts.most + most <= sockets - 48
+    net = NodeHarness(1, memory=memory, sockets=sockets)
+    assert (
+        net.node.clients.max_clients == most
+        and net.node.pools.max_connections + most <= sockets - 48
+    )
 
 
 def test_clients_beyond_the_most_are_told_so():
-    net = Net(1, sockets=64)
-    assert net.node.clients.most == 8
+    net = NodeHarness(1, sockets=64)
+    assert net.node.clients.max_clients == 8
     pairs = [socket.socketpair() for _ in range(30)]
     for i, (_, far) in enumerate(pairs):
         far.setblocking(False)
         far.sendall(REQ.replace(b"Id: 1", b"Id: %d" % i) + b"\r\n")
-    listener = net.node.clients.listener = Listener([near for near, _ in pairs])
+    listener = net.node.clients.listening_socket = Listener([near for near, _ in pairs])
     net.loop.watch(listener, READ, net.node.clients.accept)
     net.turn(8)
     said = [heard(far) for _, far in pairs]
     assert all(said) is False and sum("503" in (text or "") for text in said) >= 16
-    assert len(net.node.clients.open) <= 24
+    assert len(net.node.clients.open_clients) <= 24
 
 
 # --- the list
@@ -1127,7 +1145,7 @@
 
 
 def test_the_list_is_fetched_whole_and_then_watched_without_a_gap():
-    net = Net(1)
+    net = NodeHarness(1)
     assert heard(watched(net)).startswith(f"GET {LIST} HTTP/1.1")
     tells(net, 41, True, [net.entry(0), net.entry(3), net.entry(9)])
     assert listed(net) == {"c0": "up", "c3": "up", "o": "up"}
@@ -1158,7 +1176,7 @@
     ],
 )
 def test_a_bad_or_missing_answer_keeps_the_list_and_is_asked_again_later(does):
-    net = Net(2)
+    net = NodeHarness(2)
     before = listed(net)
     does(net)
     net.turn()
@@ -1179,7 +1197,7 @@
 
 
 def test_an_odd_entry_costs_its_host_and_not_the_list():
-    net = Net(2)
+    net = NodeHarness(2)
     odd = [
         net.entry(0, "Odd"),
         net.entry(1) | {"dial": "localhost:80"},
@@ -1193,7 +1211,7 @@
 
 def test_a_change_that_cannot_be_read_or_a_version_that_falls_is_followed_by_the_whole_list():
     for seq, hosts, wait in ((42, [{"host": "x"}], 100_000), (3, [], 100_000)):
-        net = Net(1)
+        net = NodeHarness(1)
         tells(net, 41, True, [net.entry(0), net.entry(9)])
         heard(watched(net))
         tells(net, seq, False, hosts)
@@ -1205,7 +1223,7 @@
 
 
 def test_an_address_that_changes_is_dialled_from_then_on():
-    net = Net(1)
+    net = NodeHarness(1)
     tells(net, 41, True, [net.entry(0), net.entry(9)])
     [link] = idle_links(net, 1)
     tells(net, 42, False, [net.entry(0, port=300)])
@@ -1216,7 +1234,7 @@
 
 
 def test_a_restart_is_told_in_milliseconds_of_unix_time():
-    net = Net(2)
+    net = NodeHarness(2)
     tells(net, 41, True, [net.entry(0, born=net.now // 1000), net.entry(1), net.entry(9)])
     assert net.node.balancer.hosts["c0"].warm_at_us == net.now + 10_000_000
 
@@ -1241,7 +1259,7 @@
 def test_start_reads_names_and_units(tmp_path):
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
     station = config.read(str(tmp_path / "c"))
-    assert (station.listen, station.seed, station.idle_timeout_us, station.sockets) == (
+    assert (station.listen, station.seed, station.idle_timeout_us, station.descriptors) == (
         ("127.0.0.1", 1),
         255,
         7,
