--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -256,7 +256,7 @@
         if step is NextStep.ADOPT_VERSION and self._adopt_chosen(chosen):
             step = tell_lease()
             self.schedule.send_after(0)
-        if step is NextStep.CHECK_PROPOSAL:
+        if step is NextStep.CHECK_PROPOSAL and chosen.proposal is not None:
             self.check_proposal(chosen.proposal)
         serves_without_quorum = lease.on_lost_quorum is OnLostQuorum.SERVE
         if serves_without_quorum and not registered and lease.version >= 0:
