--- a/orchidgap/control/validation.py
+++ b/orchidgap/control/validation.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from orchidgap.decisions.policy_rollout import Document
-from orchidgap.decisions.settings import ServiceSettings, SettingError
-from orchidgap.errors import OrchidgapError
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.errors import OrchidgapError, SettingError
 from orchidgap.net.config import BalancerConfig, ConfigError, flatten, read
 
 SETTINGS_KEY = "settings"
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -11,7 +11,7 @@
 from math import inf
 from typing import NamedTuple
 
-from orchidgap.errors import SettingError as SettingError
+from orchidgap.errors import SettingError
 
 # Names of settings. Those of a request class follow `rule-sets.N.`, those of a tenant
 # `customers.N.`.
