--- a/tests/control/test_cli.py
+++ b/tests/control/test_cli.py
@@ -73,6 +73,9 @@
     ],
 )
 def test_what_a_proposer_is_told(answers, again, code, proposals, monkeypatch, capsys):
+    """An operator proposes a change. Control answers one call after another: it may know the change from
+    before, have another one in the way, refuse it, or not answer, and then the call may have been heard.
+    The command must not say that a change is in force or dropped by an answer about an earlier call."""
     monkeypatch.setattr(cli.time, "sleep", lambda seconds: None)
     monkeypatch.setattr(cli.time, "monotonic", iter(range(100)).__next__)
     control = ScriptedControl(answers)
