--- a/tests/control/test_acceptor.py
+++ b/tests/control/test_acceptor.py
@@ -75,6 +75,23 @@
     assert cluster.ask("k1", PROPOSE, request).state is ChangeState.PROPOSED
 
 
+def test_one_call_is_written_after_another(cluster):
+    """Two calls come at the same moment. The second begins when the first is on the disk: a promise made beside
+    a write would be overwritten by it."""
+    acceptor, writer = cluster.processes["k0"].acceptor, HeldWriter()
+    acceptor.writer = writer
+    answers = [
+        cluster.call("k0", PREPARE, PrepareRequest(ballot=(count, "k1"))) for count in (30, 31)
+    ]
+    cluster.run(1_000)
+    assert answers == [[], []] and len(writer.pending) == 1
+    writer.pending.pop()("")
+    assert answers[0][0].promised_ballot == (30, "k1") and not answers[1]
+    writer.pending.pop()("")
+    assert answers[1][0].promised_ballot == (31, "k1")
+    assert acceptor.acceptor.state.promised_ballot == (31, "k1")
+
+
 def test_a_disk_s_troubles_are_logged_once_each(cluster):
     """A disk is slow, then fails, then is sound again. The log has one line for each."""
     writer = HeldWriter()
--- a/tests/control/test_process.py
+++ b/tests/control/test_process.py
@@ -44,7 +44,8 @@
 
     def begin_noted_round(attempts_left):
         begin_round(attempts_left)
-        ballots.append((lost.acceptor.highest_ballot_count, "k0"))
+        if lost.proposer.running:
+            ballots.append((lost.acceptor.highest_ballot_count, "k0"))
 
     on_round_over = lost.proposer.on_round_over
 
@@ -61,6 +62,26 @@
     assert ("k0", "register recovered", {"version": 1}) in cluster.log
 
 
+def test_a_process_that_has_recovered_takes_up_nothing_older(cluster):
+    """Two rounds are under way to get a lost register back. The first one's value is taken up; the second's
+    must not overwrite what the process may have promised since."""
+    cluster.ask("k0", PROPOSE, propose_request("x"))
+    cluster.run(3 * LEASE_US)
+    lost, recovered = cluster.processes["k0"], []
+    lost.acceptor.acceptor = None
+    recover = lost.acceptor.recover
+
+    def recover_and_count(state):
+        recovered.append(state.accepted_ballot)
+        recover(state)
+
+    lost.acceptor.recover = recover_and_count
+    lost.recover_register()
+    lost.recover_register()
+    cluster.run(3_000_000)
+    assert len(recovered) == 1 and lost.acceptor.policy.version == 1
+
+
 def test_a_minority_decides_nothing_and_what_was_decided_without_it_reaches_it(cluster):
     """One process is cut off. A change that is proposed there comes to nothing; the other two decide one,
     and the process knows it when it is back."""
--- a/tests/control/test_proposer.py
+++ b/tests/control/test_proposer.py
@@ -1,6 +1,6 @@
 """Rounds of compare-and-set, and who shares them."""
 
-from control_cluster import DOCUMENT
+from control_cluster import DOCUMENT, LEASE_US
 
 from orchidgap.control.messages import (
     EVICT,
@@ -12,6 +12,7 @@
     MemberRequest,
     ProposeRequest,
 )
+from orchidgap.decisions.policy_rollout import decide
 
 
 def test_hundreds_that_register_at_once_share_rounds(cluster):
@@ -38,3 +39,41 @@
     assert evicted == [EvictAnswer(evicted=True)]
     assert len(process.acceptor.policy.members_without_quorum) == 199
     assert [count for count in rounds if count > 1] == [200]
+
+
+def count_rounds(process):
+    """The list that the process's further rounds are noted in."""
+    rounds, begin_round = [], process.proposer.begin_round
+
+    def begin_noted_round(attempts_left):
+        begin_round(attempts_left)
+        if process.proposer.running:
+            rounds.append(attempts_left)
+
+    process.proposer.begin_round = begin_noted_round
+    return rounds
+
+
+def test_a_decision_that_waits_for_a_balancer_is_not_tried_again(cluster):
+    """A decision comes before a balancer has promised. No acceptor accepts it, and another round would wait
+    for the same balancer: it ends with the first."""
+    cluster.run(2 * LEASE_US)
+    cluster.ask_all_leases("b0")
+    cluster.propose("k0", "x")
+    process, values = cluster.processes["k1"], []
+    rounds = count_rounds(process)
+    process.proposer.update(lambda policy: decide(policy, 1), values.append)
+    cluster.run(1_500_000)
+    assert values == [None] and len(rounds) == 1
+    assert process.acceptor.policy.version == 0
+
+
+def test_a_round_that_fails_is_tried_again_by_chance_and_not_for_ever(cluster):
+    """A process is cut off. Its update is tried six times, and then its caller is told that nothing is known."""
+    process, values = cluster.processes["k1"], []
+    cluster.run(100_000)
+    rounds = count_rounds(process)
+    cluster.cut_off = {"k1"}
+    process.proposer.update(lambda policy: policy, values.append)
+    cluster.run(20_000_000)
+    assert values == [None] and rounds == [6, 5, 4, 3, 2, 1]
--- a/tests/control/test_rollout_driver.py
+++ b/tests/control/test_rollout_driver.py
@@ -63,12 +63,33 @@
     assert cluster.propose("k0", "x").state is ChangeState.PROPOSED
     cluster.cut_off = {"k0"}
     cluster.ask_all_leases("b0", promised=1)
-    cluster.run(RANK_DELAY_US // 2)
+    cluster.run(RANK_DELAY_US * 3 // 4)
     assert cluster.processes["k1"].acceptor.policy.version == 0
     cluster.run(RANK_DELAY_US * 2)
     assert cluster.processes["k1"].acceptor.policy.version == 1
 
 
+def test_whoever_proposed_a_change_drives_it_at_once(cluster):
+    """A change is proposed through the last process in rank. It doesn't wait for its turn."""
+    cluster.run(2 * LEASE_US)
+    assert cluster.propose("k2", "x").state is ChangeState.PROPOSED
+    cluster.run(RANK_DELAY_US // 2)
+    assert {process.acceptor.policy.version for process in cluster.processes.values()} == {1}
+
+
+def test_a_process_that_hears_no_majority_decides_nothing(cluster):
+    """The process that proposed a change is cut off from the others. It knows of nobody who has to promise,
+    and still begins no decision, as another process may know of somebody."""
+    cluster.run(2 * LEASE_US)
+    driver = cluster.processes["k0"].driver
+    assert cluster.propose("k0", "x").state is ChangeState.PROPOSED
+    updates = []
+    driver.proposer.update = lambda *update: updates.append(update)
+    cluster.cut_off = {"k0"}
+    cluster.run(3 * RANK_DELAY_US)
+    assert not updates
+
+
 def test_answers_about_another_proposal_do_not_count():
     """One process knows the proposal, one another, one does not answer. Only the first counts."""
     poll = ProgressPoll(7)
--- a/tests/control/test_rpc_server.py
+++ b/tests/control/test_rpc_server.py
@@ -36,11 +36,15 @@
 
 
 def test_calls_on_one_connection_are_answered_one_after_another(ends):
-    """Two calls come at once on one connection. The second begins when the first is answered."""
+    """A second call comes on a connection before the first is answered. It begins after that."""
     register = request(b"/join", b'{"name":"b","life":"1"}')
     with socket.create_connection(ends.server.listener.getsockname()) as sock:
-        sock.sendall(request(b"/check", b'{"doc":{}}') + register)
+        sock.sendall(request(b"/check", b'{"doc":{}}'))
         ends.run_until(lambda: ends.pending)
+        sock.sendall(register)
+        for _ in range(5):
+            ends.loop.run_once(1_000)
+        assert len(ends.pending) == 1
         sock.setblocking(False)
         with pytest.raises(BlockingIOError):
             sock.recv(1 << 16)
--- a/tests/state/test_durable_store.py
+++ b/tests/state/test_durable_store.py
@@ -2,6 +2,8 @@
 
 import errno
 import os
+import time
+from pathlib import Path
 
 import pytest
 
@@ -78,6 +80,29 @@
     assert store.read("x") is None and (tmp_path / "x.damaged").read_bytes() == b"torn"
 
 
+def test_a_write_is_forced_to_the_disk_with_its_folder(tmp_path, monkeypatch):
+    """The machine loses power right after a write. File and name are found again, as both were forced."""
+    store, forced = DurableStore(tmp_path), []
+
+    def note(fd):
+        forced.append(Path(os.readlink(f"/proc/self/fd/{fd}")))
+
+    monkeypatch.setattr(store, "sync", note)
+    store.write("x", 1)
+    assert forced == [tmp_path / "x.new", tmp_path]
+
+
+def open_once_read(path):
+    """Opens a pipe to write, once somebody has it open to read."""
+    until = time.monotonic() + 10
+    while True:
+        try:
+            return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
+        except OSError as error:
+            assert error.errno == errno.ENXIO and time.monotonic() < until
+            time.sleep(0.005)
+
+
 def test_a_folder_is_one_process_s_and_its_children_s(tmp_path):
     """A process is killed while its child writes. The next process gets the folder only when that child has
     ended, as the child would put an older file back."""
@@ -89,9 +114,10 @@
     first.sync = lambda fd: gates and gates.pop().read_bytes()  # the child's disk takes its time
     writer.write("x", 1, lambda error: None)
     writer.loop.run_once(0)
+    gate = open_once_read(gates[0])  # the child has closed what it doesn't need
     os.close(first.lock_fd)  # its process is gone
     assert not second.lock()
-    gates[0].write_bytes(b"")
+    os.close(gate)
     while writer.busy:
         writer.loop.run_once(10_000)
     assert second.lock()
