--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -4,7 +4,6 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any
 
 import httptools
 import orjson
@@ -14,7 +13,9 @@
 from orchidgap.http1.messages import Message
 from orchidgap.http1.readers import RequestReader
 from orchidgap.http1.writers import response_head
-from orchidgap.net.connection import Address, Connection, open_listener
+from orchidgap.net.addresses import Address
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import open_listener
 from orchidgap.net.loop import READ, Loop
 
 MAX_REQUEST_BYTES = 1 << 22
@@ -154,7 +155,7 @@
 
         self._handlers[method.path] = handle
 
-    def dispatch(self, path: str, wire: Any, on_answer: OnWireAnswer) -> None:
+    def dispatch(self, path: str, wire: object, on_answer: OnWireAnswer) -> None:
         """Hand a call to its handler.
 
         Args:
--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -13,8 +13,9 @@
 from orchidgap.http1.discovery import DiscoveryClient
 from orchidgap.http1.server import Http1ClientConnection
 from orchidgap.net.client_listener import ClientListener
+from orchidgap.net.discovery import Dial
 from orchidgap.net.handover import MigratingRequest
-from orchidgap.net.node import Dial, Node
+from orchidgap.net.node import Node
 
 
 class Http1:
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -7,10 +7,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidgap.decisions.connection_demand import Need
+from orchidgap.decisions.connection_demand import ConnectionDemand
 from orchidgap.http1.host_connection import HostConnection
 from orchidgap.net import connection_pools
-from orchidgap.net.connection import Address, AttemptFailure, dial
+from orchidgap.net.addresses import Address
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.dialing import dial
 from orchidgap.net.loop import Loop
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
@@ -34,7 +36,7 @@
         """Starts without a connection."""
         super().__init__(pools, address)
         self.idle: deque[HostConnection] = deque()
-        self.demand = Need(pools.loop.now)
+        self.demand = ConnectionDemand(pools.loop.now)
         self.shortest_latency_us = 0
         self.response_count = 0
 
@@ -51,7 +53,7 @@
     def send(self, attempt: UpstreamAttempt) -> None:
         """Sends an attempt on the connection used last that is fit for it, or on a new one."""
         in_use = len(self.links) - len(self.idle) + 1
-        self.demand.saw(self.pools.loop.now, in_use)
+        self.demand.record(self.pools.loop.now, in_use)
         while self.idle:
             connection = self.idle.pop()
             if self.nears_idle_timeout(connection) or connection.conn.is_stale():
@@ -110,7 +112,7 @@
 
         A host holds only so many connections, and other balancers may need them.
         """
-        needed = self.demand.keep(self.pools.loop.now)
+        needed = self.demand.worth_keeping(self.pools.loop.now)
         while self.idle:
             oldest = self.idle[0]
             if len(self.links) <= needed and not self.nears_idle_timeout(oldest):
--- a/orchidgap/http1/host_connection.py
+++ b/orchidgap/http1/host_connection.py
@@ -8,12 +8,8 @@
 from orchidgap.http1.messages import Message
 from orchidgap.http1.readers import ResponseReader
 from orchidgap.http1.writers import LAST_CHUNK, encode_chunk
-from orchidgap.net.connection import (
-    AttemptFailure,
-    Connection,
-    SendProgress,
-    connect_failure_cause,
-)
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress, connect_failure_cause
+from orchidgap.net.connection import Connection
 from orchidgap.net.loop import Loop, Timer
 from orchidgap.net.upstream_attempt import ResponseSink, UpstreamAttempt
 
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -24,8 +24,9 @@
     split_target,
 )
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
+from orchidgap.net.client_listener import ClientConnection, ClientListener
 from orchidgap.net.connection import Connection
+from orchidgap.net.request_handler import PendingRequest
 
 BODY_PROGRESS_BYTES = 1 << 14  # of a body that has to arrive within the time for one request
 MAX_PIPELINED = 8  # requests that may wait behind one
@@ -289,7 +290,7 @@
             fields.tenant,
             head,
             body,
-            flow=upload,
+            upload=upload,
         )
 
     # --- responses
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -2,13 +2,13 @@
 
 import socket
 
-from desk import PAIRS
+from balancer_harness import SETTINGS
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.http1 import Http1
+from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
 from orchidgap.net.config import BalancerConfig
-from orchidgap.net.connection import AttemptFailure, SendProgress
 from orchidgap.net.endpoints import decode_list
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
@@ -51,7 +51,7 @@
             [],
         )
         self.loop = Loop(clock=lambda: self.now, on_error=self.log.exception)
-        pairs = PAIRS | {name.replace("__", "."): value for name, value in pairs.items()}
+        pairs = SETTINGS | {name.replace("__", "."): value for name, value in pairs.items()}
         found = decode_list(
             {
                 "seq": 7,
