--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -1,5 +1,8 @@
-"""HTTP/1.1, both sides: `codec` (messages), `front` (clients), `upstream` (hosts), `registry` (the
-list).
+"""HTTP/1.1 on both sides of the balancer.
+
+`messages`, `readers` and `writers` are free of I/O. `server` has the connections of clients,
+`client` and `host_connection` those to hosts, `discovery` the list of hosts. `request_migration`,
+with `parser_resume` and `chunked_encoding`, lets a request go on in another process.
 """
 
 from __future__ import annotations
@@ -19,25 +22,30 @@
 
 
 class Http1:
-    """What a node is made of where HTTP/1.1 is spoken on both sides."""
+    """The parts of a node that speaks HTTP/1.1 to clients, hosts and discovery."""
 
     def make_listener(self, node: Node, most: int) -> ClientListener:
+        """Returns the clients' side, with so many connections at most."""
         return ClientListener(node.loop, node, most, Http1ClientConnection)
 
     def make_pools(self, node: Node, most: int, dial: Dial) -> HostConnectionPools:
+        """Returns the hosts' side, with so many connections at most."""
         return HostConnectionPools(
             node.loop, most, node.config.connect_timeout_us, node.config.idle_timeout_us, dial
         )
 
     def migrating_requests(self, node: Node) -> Iterator[MigratingRequest]:
+        """The requests that can go on in another process now."""
         return request_migration.migrating_requests(node)
 
     def accept_migrated(
         self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
     ) -> None:
+        """Goes on with a request from another process."""
         request_migration.accept_migrated(node, words, raw, socks)
 
     def make_discovery(self, node: Node, dial: Dial) -> DiscoveryClient:
+        """Returns who tells the node of hosts."""
         return DiscoveryClient(
             node.loop, node.config.discovery, node.balancer.rng, node.on_list, node.event_log, dial
         )
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -171,10 +171,10 @@
         """Takes an idle connection from another process, with the tag from `transferable`."""
         host, address, port, idle_since_us = tag
         pool = self.by_host.get(host)
-        if pool is None or pool.retired:
-            return sock.close()
-        if pool.address != (address, port) or self.connection_count >= self.max_connections:
-            return sock.close()
+        is_full = self.connection_count >= self.max_connections
+        if pool is None or pool.retired or pool.address != (address, port) or is_full:
+            sock.close()
+            return
         connection = HostConnection(pool, sock, None)
         connection.idle_since_us = min(int(idle_since_us), self.loop.now)
         pool.add(connection)
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -7,21 +7,21 @@
 from __future__ import annotations
 
 import socket
-from typing import NamedTuple
 
-import httptools
-
-from orchidgap.errors import OrchidgapError
 from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES, Message
 from orchidgap.http1.readers import RequestReader
+from orchidgap.http1.request_checks import (
+    InvalidRequestError,
+    RequestFields,
+    check_fields,
+    check_start_line,
+)
 from orchidgap.http1.writers import (
     CONTINUE,
     LAST_CHUNK,
     encode_chunk,
     forwarded_head,
-    parse_seconds,
     response_head,
-    split_target,
 )
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.client_listener import ClientConnection, ClientListener
@@ -30,59 +30,9 @@
 
 BODY_PROGRESS_BYTES = 1 << 14  # of a body that has to arrive within the time for one request
 MAX_PIPELINED = 8  # requests that may wait behind one
-SUPPORTED_VERSIONS = ("1.0", "1.1")
-SUPPORTED_METHODS = (b"GET", b"PUT", b"HEAD")
 READINESS_TARGET = ("up", b"")  # `GET /up` asks whether this balancer serves
 
 
-class RequestFields(NamedTuple):
-    """What the head of a valid request says.
-
-    Attributes:
-        request_id: its id, new with every request.
-        request_class: name of its class.
-        timeout_us: how long the client waits, counted from the request's last byte.
-        key: what the request is about, empty where it has no key.
-        tenant: whose request it is, empty where that is not said.
-    """
-
-    request_id: bytes
-    request_class: str
-    timeout_us: int
-    key: bytes
-    tenant: str
-
-
-class InvalidRequestError(OrchidgapError):
-    """A request that is answered without a look at any host.
-
-    Attributes:
-        status: the status code of its answer.
-    """
-
-    def __init__(self, status: int) -> None:
-        """Takes the status code of the answer."""
-        super().__init__(f"answered {status}")
-        self.status = status
-
-
-def check_start_line(message: Message) -> tuple[str, bytes]:
-    """Returns the first part of the path and the last of several.
-
-    Raises:
-        InvalidRequestError: the target, the version or the method cannot be served.
-    """
-    try:
-        path_class, key = split_target(message.target)
-    except httptools.HttpParserInvalidURLError:
-        raise InvalidRequestError(400) from None
-    if message.version not in SUPPORTED_VERSIONS:
-        raise InvalidRequestError(505)
-    if message.method not in SUPPORTED_METHODS:
-        raise InvalidRequestError(405)
-    return path_class, key
-
-
 class Http1ClientConnection(ClientConnection):
     """One connection from a client.
 
@@ -233,7 +183,7 @@
             if (path_class, key) == READINESS_TARGET and message.method != b"PUT":
                 self.answer(200 if self.listener.handler.is_ready() else 503)
                 return
-            fields = self.check_fields(message, path_class, key)
+            fields = check_fields(message, path_class, key, self.listener.handler)
         except InvalidRequestError as error:
             self.reject(error.status)
             return
@@ -248,28 +198,6 @@
         self.listener.await_request(self)
         self.hand_over(message, fields, message.content_length, b"", self.upload)
 
-    def check_fields(self, message: Message, path_class: str, key: bytes) -> RequestFields:
-        """Returns what the head says of the request.
-
-        Raises:
-            InvalidRequestError: the class is unknown, a field is missing, or the id is in use.
-        """
-        handler = self.listener.handler
-        fields = message.fields
-        class_field = fields.get(b"request-class", path_class.encode())
-        request_class = class_field.decode(errors="replace")
-        if not handler.knows_request_class(request_class):
-            raise InvalidRequestError(404)
-        timeout_us = parse_seconds(fields.get(b"request-timeout", b""))
-        request_id = fields.get(b"request-id", b"")
-        if not timeout_us or not request_id:
-            raise InvalidRequestError(400)
-        if handler.is_request_open(request_id):
-            # One of the two could get the other's answer, and hosts reject the second.
-            raise InvalidRequestError(409)
-        tenant = fields.get(b"tenant", b"").decode(errors="replace")
-        return RequestFields(request_id, request_class, timeout_us, key, tenant)
-
     def hand_over(
         self,
         message: Message,
