--- a/tests/decisions/test_hash_ranges.py
+++ b/tests/decisions/test_hash_ranges.py
@@ -4,8 +4,11 @@
 
 import pytest
 from balancer_harness import BalancerHarness, range_sizes, weighted_balancer
+from hypothesis import given
+from hypothesis import strategies as st
 
-from orchidgap.decisions.hash_ranges import SLOT_COUNT
+from orchidgap.decisions.hash_ranges import MIN_SIZE_RATIO, SLOT_COUNT, HashRanges
+from orchidgap.decisions.records import HostState
 
 
 def test_ranges_stay_whole_whatever_comes():
@@ -78,3 +81,56 @@
     assert list(range_sizes(weighted_balancer(ratings, weights)).values()) == pytest.approx(
         after, abs=1
     )
+
+
+def ranges_of(weights, by_weight=True):
+    ranges = HashRanges(by_weight)
+    ranges.set_ring(
+        [HostState(f"c{i:02}", False, weight=weight) for i, weight in enumerate(weights)]
+    )
+    return ranges
+
+
+weights = st.lists(st.floats(0.1, 10.0), min_size=1, max_size=30)
+
+
+@given(weights, st.data())
+def test_every_slot_has_the_owner_in_whose_range_it_is(weights, data):
+    ranges = ranges_of(weights)
+    start = 0
+    for index, host in enumerate(ranges.ring):
+        end = start + host.range_size
+        assert ranges.range_ends[index] == end
+        if host.range_size:
+            slot = data.draw(st.integers(start, end - 1))
+            assert ranges.owner_index(slot) == index
+        start = end
+    assert start == SLOT_COUNT
+
+
+@given(weights, st.data())
+def test_a_rebalance_fills_the_space_and_leaves_each_cache_a_quarter_of_its_share(weights, data):
+    ranges = ranges_of(weights)
+    count = len(weights)
+    loads = data.draw(st.lists(st.floats(0.01, 1e6), min_size=count, max_size=count))
+    for _ in range(5):
+        ranges.rebalance(loads)
+        assert sum(host.range_size for host in ranges.ring) == SLOT_COUNT == ranges.range_ends[-1]
+        for host in ranges.ring:
+            assert host.range_size >= ranges.even_share(host) * MIN_SIZE_RATIO - 1
+
+
+def test_loads_that_go_by_even_shares_leave_even_shares():
+    ranges = ranges_of([1.0, 3.0])
+    ranges.rebalance([100.0, 300.0])
+    assert [host.range_size for host in ranges.ring] == [4096, 12288]
+    assert ranges.even_range_ends(True) == [4096, 16384]
+    assert ranges.even_range_ends(False) == [8192, 16384]
+
+
+def test_ranges_go_back_to_even_shares_by_halves():
+    ranges = ranges_of([1.0] * 4)
+    ranges.set_ring(ranges.ring[1:])
+    assert [host.range_size for host in ranges.ring] == [8192, 4096, 4096]
+    ranges.move_towards_even()
+    assert [host.range_size for host in ranges.ring] == pytest.approx([6827, 4779, 4779], abs=1)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -2,6 +2,24 @@
 
 import pytest
 from balancer_harness import BalancerHarness
+from hypothesis import given
+from hypothesis import strategies as st
+
+from orchidgap.decisions.records import (
+    NEVER_EXECUTED,
+    Attempt,
+    AttemptOutcome,
+    HostState,
+    Request,
+)
+from orchidgap.decisions.retry_policy import (
+    RetryPolicy,
+    earn_retry_budget,
+    forfeit_retry_budget,
+    has_retry_budget,
+    latest_start_us,
+)
+from orchidgap.decisions.settings import RequestClass
 
 
 @pytest.mark.parametrize(
@@ -96,3 +114,94 @@
         and balancer.actions("deny", request)
         and balancer.attempted_hosts(other) == ["o"]
     )
+
+
+def request_of(effect="retryable", scope="all", window_us=1_000, max_attempts=3):
+    request_class = RequestClass(
+        latency_objective_us=500,
+        idempotent=effect == "retryable",
+        idempotency_keyed=effect == "dedup",
+        deduplication_scope=scope,
+        deduplication_window_us=window_us,
+        client_timeout_us=5_000,
+    )
+    return Request(1, request_class, "t", 1, 0, True, 0, 5_000, max_attempts)
+
+
+def with_attempts(request, *outcomes, host=None, started_at_us=0):
+    for outcome in outcomes:
+        request.attempts.append(
+            Attempt(request, host or HostState("a", True), started_at_us, outcome)
+        )
+        request.in_flight += outcome is None
+    return request
+
+
+outcomes = st.sampled_from([None, *AttemptOutcome])
+
+
+@given(
+    st.sampled_from(["retryable", "dedup", "fragile"]),
+    st.sampled_from(["all", "zone", "cell"]),
+    st.lists(outcomes, max_size=4),
+    st.booleans(),
+    st.integers(0, 2_000),
+    st.sampled_from(["1", "2"]),
+)
+def test_nothing_runs_twice_where_that_does_harm(effect, scope, seen, may_hedge, now, cell):
+    request = with_attempts(request_of(effect, scope), *seen)
+    host = HostState("b", True, zone="z", cell=cell)
+    for attempt in request.attempts:
+        attempt.host = HostState("a", True, zone="z", cell="1")
+    policy = RetryPolicy(may_hedge, 900)
+    may_have_run = any(outcome not in NEVER_EXECUTED for outcome in seen)
+    remembered = effect == "dedup" and now < 1_000 and (scope != "cell" or cell == "1")
+    assert policy.allows(request, host, now) == (
+        len(seen) < 3
+        and (may_hedge or None not in seen)
+        and (effect == "retryable" or not may_have_run or remembered)
+    )
+    retry_after_us = policy.retry_after_us(request, request.request_class, now)
+    retry_is_harmless = (
+        effect == "retryable" or not may_have_run or (effect == "dedup" and scope == "all")
+    )
+    assert (retry_after_us is not None) == retry_is_harmless
+    if retry_after_us is not None:
+        assert 0 <= retry_after_us <= 450
+        if may_have_run and effect == "dedup":
+            assert now + retry_after_us <= max(now, 1_000), "its key would be forgotten"
+
+
+def test_an_answered_request_gets_no_further_attempt():
+    request = request_of()
+    assert RetryPolicy(True, 0).allows(request, HostState("a", True), 0)
+    request.answered = True
+    assert not RetryPolicy(True, 0).allows(request, HostState("a", True), 0)
+
+
+def test_a_redirected_attempt_does_not_count():
+    request = with_attempts(request_of("fragile", max_attempts=1), AttemptOutcome.REDIRECTED)
+    assert not RetryPolicy(False, 0).allows(request, HostState("a", True), 0)
+    request.redirects = 1
+    assert RetryPolicy(False, 0).allows(request, HostState("a", True), 0)
+
+
+def test_a_repeat_has_to_start_before_the_key_is_forgotten():
+    request = with_attempts(request_of("dedup"), AttemptOutcome.SERVER_ERROR, None, started_at_us=7)
+    assert latest_start_us(request, 0) == 5_000, "nothing ran before it"
+    assert latest_start_us(request, 1) == 1_007
+    request = with_attempts(request_of("dedup"), AttemptOutcome.QUEUE_FULL, None, started_at_us=7)
+    assert latest_start_us(request, 1) == 5_000
+
+
+def test_the_retry_budget_is_earned_by_answers_and_has_bounds():
+    host = HostState("a", False, retry_budget=0.5)
+    assert not has_retry_budget(host)
+    forfeit_retry_budget(host)
+    assert host.retry_budget == 0.0
+    for _ in range(5):
+        earn_retry_budget(host)
+    assert has_retry_budget(host)
+    for _ in range(500):
+        earn_retry_budget(host)
+    assert host.retry_budget == 10.0
