--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -42,8 +42,7 @@
     merge_status,
 )
 from orchidgap.decisions.policy_rollout import Document
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import parse_address
+from orchidgap.net.addresses import Address, parse_address
 from orchidgap.net.loop import Loop
 
 CALL_TIMEOUT_US = 3_000_000  # a control process may have to ask the others
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -18,8 +18,9 @@
     split_target,
 )
 from orchidgap.net.body_stream import Upload
-from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
+from orchidgap.net.client_listener import ClientConnection, ClientListener
 from orchidgap.net.connection import Connection
+from orchidgap.net.request_handler import PendingRequest
 
 STEP = 1 << 14  # bytes of a body that count as going on
 AHEAD = 8  # reqs that may wait behind one before nothing more is read
@@ -183,7 +184,7 @@
         self.listener.await_request(self)
         head = forwarded_head(method, message.target, fields, message.content_length)
         door.handle_request(
-            self, id, rule_set, left, method == b"PUT", key, tenant, head, b"", flow=self.flow
+            self, id, rule_set, left, method == b"PUT", key, tenant, head, b"", upload=self.flow
         )
 
     # --- its answer
--- a/tests/control/test_validation.py
+++ b/tests/control/test_validation.py
@@ -39,4 +39,4 @@
 )
 def test_a_bad_part_control_is_told_in_words(part, reason):
     with pytest.raises((LookupError, ValueError), match=reason):
-        config.controlled(part)
+        config.control_part(part)
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -4,7 +4,7 @@
 
 import pytest
 from loopback_harness import RESET, LoopbackHarness, arrived, heard, req, told
-from test_net import signals
+from net_scenarios import signals
 
 from orchidgap.decisions.lifecycle import (
     ANSWER_MARGIN_US,
@@ -13,7 +13,7 @@
     SHUTDOWN_ACCEPT_US,
     State,
 )
-from orchidgap.net.connection import LINGER
+from orchidgap.net.connection import LINGER_US
 
 
 def idle_client(net):
@@ -56,7 +56,7 @@
         )
         assert net.node.clients.listening_socket is None, "shut after the first call's time"
         net.answers(net.far())
-        assert "200" in told(client) and "terms kept" in net.log.lines
+        assert "200" in told(client) and "config rejected" in net.log.lines
 
 
 def test_sigterm_before_the_first_list_ends_it():
@@ -154,7 +154,7 @@
     net = LoopbackHarness(1)
     idle_client(net)
     net.node.begin_shutdown()
-    net.wait(SHUTDOWN_ACCEPT_US + LINGER + 30_000)
+    net.wait(SHUTDOWN_ACCEPT_US + LINGER_US + 30_000)
     assert not net.loop.running
 
 
