--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -47,6 +47,7 @@
 
 CALL_TIMEOUT_US = 3_000_000  # a control process may have to ask the others
 POLL_INTERVAL_S = 0.1
+EVICT_COMMAND = "strike"  # the operators' word
 CHANGE_ID_BYTES = 6  # of the digest that names a change without a name
 
 
@@ -114,7 +115,7 @@
         change_id = arguments["--id"] or _digest(document)
         attempt = ProposeCommand(control, change_id, document, arguments["--again"], as_json)
         return attempt.run(wait_s)
-    if command == "strike":
+    if command == EVICT_COMMAND:
         return evict(control, arguments["NAME"], as_json)
     return status(control, command == "history", as_json)
 
@@ -150,8 +151,8 @@
 class ProposeCommand:
     """Proposes a change and waits for its end.
 
-    The same request may be sent again while no answer comes: control counts it once, by the proposal
-    count that it carries.
+    The same request may be sent again while no answer comes: control counts it once, by the
+    proposal count that it carries.
     """
 
     def __init__(
