--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -58,9 +58,11 @@
             [(id, state, since, "z", "origin" if id == "o" else "cache", "1", 1.0) for id in ids],
         )
 
-    def send_request(self, key=1, rule_set="read", left=2_000_000, tenant="small"):
+    def send_request(self, key=1, request_class="read", left=2_000_000, tenant="small"):
         self.last_request_id += 1
-        self.on_request(self.last_request_id, left, rule_set != "read", rule_set, key, tenant)
+        self.on_request(
+            self.last_request_id, left, request_class != "read", request_class, key, tenant
+        )
         return self.last_request_id
 
     def advance(self, micros):
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -4,18 +4,18 @@
 
 
 def test_exactly_one_final_answer():
-    for verdicts in (
+    for outcomes in (
         ["timeout"],
         ["moot"],
         ["full", "error", "reset", "unconnected"],
         ["miss", "timeout"],
         ["error", "miss", "full", "error"],
     ):
-        for rule_set in ("read", "mark", "once"):
+        for request_class in ("read", "mark", "once"):
             balancer = BalancerHarness()
-            request = balancer.send_request(9, rule_set)
-            for number, verdict in enumerate(verdicts):
-                balancer.finish_attempt(request, verdict, number)
+            request = balancer.send_request(9, request_class)
+            for number, outcome in enumerate(outcomes):
+                balancer.finish_attempt(request, outcome, number)
                 balancer.advance(100_000)
             balancer.advance(1_500_000)
             for number in range(
@@ -25,7 +25,7 @@
             balancer.on_client_gone(request)
             assert (
                 len(balancer.actions("deny", request) + balancer.actions("abort", request)) == 1
-            ), (verdicts, rule_set)
+            ), (outcomes, request_class)
             assert not balancer.requests and not balancer.coalescing.fetches
 
 
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -5,7 +5,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rule_set", "allowed", "answers", "again"),
+    ("request_class", "allowed", "answers", "again"),
     [
         ("read", "true", True, True),
         ("read", "true", False, False),
@@ -14,17 +14,17 @@
         ("once", "true", True, False),
     ],
 )
-def test_a_attempt_that_a_quick_host_has_lost_is_sent_again_and_says_nothing_of_the_host(
-    rule_set, allowed, answers, again
+def test_an_attempt_that_a_quick_host_has_lost_is_sent_again_and_says_nothing_of_the_host(
+    request_class, allowed, answers, again
 ):
     balancer = BalancerHarness(**{"ceilings.may-duplicate": allowed})
     for key in (1, 2):
-        balancer.finish_attempt(balancer.send_request(key, rule_set), "done")
-    lost = balancer.send_request(1, rule_set)
+        balancer.finish_attempt(balancer.send_request(key, request_class), "done")
+    lost = balancer.send_request(1, request_class)
     [host] = balancer.attempted_hosts(lost)
     balancer.advance(50_000)
     if answers:
-        balancer.finish_attempt(balancer.send_request(1, rule_set), "done")
+        balancer.finish_attempt(balancer.send_request(1, request_class), "done")
     before = balancer.hosts[host].concurrency_limit
     balancer.advance(450_000)
     assert balancer.attempted_hosts(lost) == [host] * (1 + again)
@@ -49,29 +49,29 @@
     assert balancer.attempted_hosts(lost) == [host]
 
 
-def test_a_attempt_that_is_still_out_counts_as_slow():
+def test_an_attempt_that_is_still_out_counts_as_slow():
     balancer = BalancerHarness(instances="400")
     host = balancer.hosts[balancer.attempted_hosts(balancer.send_request(1))[0]]
     balancer.advance(490_000)
     assert host.smoothed_latency_us == 480_000 and host.concurrency_limit < 2.0
 
 
-CALLS_OFF = {"ceilings__may-duplicate": "false"}
+NO_HEDGING = {"ceilings__may-duplicate": "false"}
 
 
 @pytest.mark.parametrize(
-    ("pairs", "rule_set", "sent", "why"),
+    ("pairs", "request_class", "sent", "why"),
     [
-        (CALLS_OFF, "read", 2, "to the origin"),
+        (NO_HEDGING, "read", 2, "to the origin"),
         ({"ceilings__may-duplicate": "true"}, "read", 2, "its host is silent"),
-        (CALLS_OFF | {"ceilings__may-cancel": "false"}, "read", 1, "nothing can be called off"),
-        (CALLS_OFF | {"ceilings__most-dispatches": "1"}, "read", 1, "there is no further dispatch"),
-        (CALLS_OFF | {"family-info__mode": "through"}, "once", 1, "it may have run"),
+        (NO_HEDGING | {"ceilings__may-cancel": "false"}, "read", 1, "nothing can be cancelled"),
+        (NO_HEDGING | {"ceilings__most-dispatches": "1"}, "read", 1, "there is no further attempt"),
+        (NO_HEDGING | {"family-info__mode": "through"}, "once", 1, "it may have run"),
     ],
 )
-def test_a_late_read_is_cancelled_for_the_origin(pairs, rule_set, sent, why):
+def test_a_late_read_is_cancelled_for_the_origin(pairs, request_class, sent, why):
     balancer = BalancerHarness(4, **pairs)
-    request = balancer.send_request(rule_set=rule_set)
+    request = balancer.send_request(request_class=request_class)
     balancer.advance(500_000)
     cancelled = balancer.actions("cancel", request)
     assert len(cancelled) == sent - 1, why
@@ -95,7 +95,7 @@
         lambda balancer: setattr(balancer.hosts["o"], "smoothed_latency_us", 300_000),
         lambda balancer: setattr(balancer.placement.all_caches, "retry_budget", 0.9),
     ):
-        balancer = BalancerHarness(4, **CALLS_OFF)
+        balancer = BalancerHarness(4, **NO_HEDGING)
         spoil(balancer)
         request = balancer.send_request()
         balancer.advance(500_000)
@@ -103,7 +103,7 @@
 
 
 def test_a_read_cancelled_finds_the_origin_busy_after_all():
-    balancer = BalancerHarness(4, **CALLS_OFF)
+    balancer = BalancerHarness(4, **NO_HEDGING)
     request = balancer.send_request()
     balancer.advance(500_000)
     balancer.hosts["o"].ejected_until_us = balancer.now + 1_000_000
--- a/tests/decisions/test_outlier_ejection.py
+++ b/tests/decisions/test_outlier_ejection.py
@@ -4,8 +4,8 @@
 from balancer_harness import BalancerHarness
 
 
-@pytest.mark.parametrize("verdict", ["error", "reset"])
-def test_a_spoilt_answer_among_many_costs_a_host_neither_its_limit_nor_its_range(verdict):
+@pytest.mark.parametrize("outcome", ["error", "reset"])
+def test_a_spoilt_answer_among_many_costs_a_host_neither_its_limit_nor_its_range(outcome):
     balancer = BalancerHarness()
     # one key is all that is asked for, so it would be hot
     balancer.placement.hot_keys.replica_count = lambda key, cache_count: 1
@@ -14,13 +14,13 @@
         assert balancer.owner_of_key(1) == owner
     host = balancer.hosts[owner]
     before = host.concurrency_limit, host.retry_budget
-    balancer.finish_attempt(balancer.send_request(1), verdict, over=True)
+    balancer.finish_attempt(balancer.send_request(1), outcome, over=True)
     assert (host.concurrency_limit, host.retry_budget) == (
         before[0],
         before[1] - 1.0,
     ) and balancer.owner_of_key(1) == owner
     for _ in range(10):  # all fail: it rests, and is asked again later
-        balancer.finish_attempt(balancer.send_request(1), verdict, over=True)
+        balancer.finish_attempt(balancer.send_request(1), outcome, over=True)
     assert balancer.owner_of_key(1) != owner and host.concurrency_limit < before[0]
     balancer.advance(600_000)
     assert balancer.owner_of_key(1) == owner
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -4,12 +4,12 @@
 from balancer_harness import BalancerHarness
 
 
-@pytest.mark.parametrize("verdict", ["stale", "reset", "refused", "full", "error"])
-def test_the_last_attempt_of_a_read_goes_where_no_miss_can_come_of_it(verdict):
+@pytest.mark.parametrize("outcome", ["stale", "reset", "refused", "full", "error"])
+def test_the_last_attempt_of_a_read_goes_where_no_miss_can_come_of_it(outcome):
     balancer = BalancerHarness()
     balancer.settings = balancer.settings._replace(max_attempts=2)
     request = balancer.send_request(5)
-    balancer.finish_attempt(request, verdict)
+    balancer.finish_attempt(request, outcome)
     assert balancer.attempted_hosts(request)[1:] == ["o"], "a miss could not be followed by a fetch"
     balancer.finish_attempt(request, "done", 1)
     balancer.hosts["o"].concurrency_limit = 1.0
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rule_set", "verdict", "again", "final"),
+    ("request_class", "outcome", "again", "final"),
     [
         ("once", "timeout", False, "abort"),
         ("once", "error", False, "abort"),
@@ -33,21 +33,23 @@
         ("once", "unconnected", True, None),
     ],
 )
-def test_effects(rule_set, verdict, again, final):
+def test_effects(request_class, outcome, again, final):
     balancer = BalancerHarness()
-    request = balancer.send_request(3, rule_set)
+    request = balancer.send_request(3, request_class)
     assert balancer.attempted_hosts(request) == ["o"]
-    balancer.finish_attempt(request, verdict)
+    balancer.finish_attempt(request, outcome)
     balancer.advance(300_000)
     assert len(balancer.attempted_hosts(request)) == 1 + again
     assert (not final) or balancer.actions(final, request)
 
 
-@pytest.mark.parametrize(("rule_set", "again"), [("read", True), ("mark", True), ("once", False)])
-def test_a_connection_that_was_kept_too_long_costs_its_host_nothing(rule_set, again):
+@pytest.mark.parametrize(
+    ("request_class", "again"), [("read", True), ("mark", True), ("once", False)]
+)
+def test_a_connection_that_was_kept_too_long_costs_its_host_nothing(request_class, again):
     balancer = BalancerHarness()
     for _ in range(12):
-        request = balancer.send_request(1, rule_set)
+        request = balancer.send_request(1, request_class)
         [host] = balancer.attempted_hosts(request)
         before = balancer.hosts[host].retry_budget, balancer.hosts[host].concurrency_limit
         balancer.finish_attempt(request, "stale")
@@ -57,7 +59,7 @@
     assert len(balancer.actions("abort")) == (0 if again else 12)
 
 
-def test_a_idempotency_keyed_request_is_not_repeated_past_its_window():
+def test_an_idempotency_keyed_request_is_not_repeated_past_its_window():
     balancer = BalancerHarness()
     request = balancer.send_request(3, "mark")
     balancer.advance(1_100_000)
@@ -89,7 +91,7 @@
     for group, goes in (("cell", False), ("all", True)):
         balancer = BalancerHarness(**{"rule-sets.1.group": group})
         balancer.on_hosts("changes", [("o2", "up", 0, "z", "origin", "2", 1.0)])
-        request = balancer.send_request(rule_set="mark")
+        request = balancer.send_request(request_class="mark")
         [first] = balancer.attempted_hosts(request)
         balancer.hosts[first].ejected_until_us = balancer.now + 10_000_000
         balancer.finish_attempt(request, "reset")
@@ -102,11 +104,11 @@
 
 def test_a_repeat_that_waited_past_its_window_is_given_up_and_holds_up_nobody():
     balancer = BalancerHarness(**{"rule-sets.1.repeat-window": "100000"})
-    request = balancer.send_request(rule_set="mark")
+    request = balancer.send_request(request_class="mark")
     balancer.hosts["o"].ejected_until_us = balancer.now + 400_000
     balancer.finish_attempt(request, "reset")
     assert not balancer.actions("deny", request), "it waits for the origin"
-    other = balancer.send_request(2, rule_set="once")
+    other = balancer.send_request(2, request_class="once")
     balancer.advance(500_000)
     balancer.drain_queues()
     assert (
--- a/tests/decisions/test_shadow.py
+++ b/tests/decisions/test_shadow.py
@@ -39,7 +39,7 @@
 
 
 def busy(balancer):
-    """The same things happen to any balancer: late, lost, failed and done dispatches, reports, a drain."""
+    """The same things happen to any balancer: late, lost, failed and done attempts, reports, a drain."""
     late(balancer)
     for key in range(30):
         request = balancer.send_request(
@@ -55,7 +55,7 @@
     balancer.advance(3_000_000)
 
 
-def test_it_decides_as_the_terms_it_goes_by_and_not_otherwise():
+def test_it_decides_as_the_settings_it_goes_by_and_not_otherwise():
     plain = BalancerHarness(**NOW)
     watching = ShadowHarness(**NEW)
     busy(plain)
@@ -64,7 +64,7 @@
     assert found(watching) and watching.attempts_compared == len(plain.actions("dispatch"))
 
 
-def test_the_same_terms_decide_nothing_otherwise():
+def test_the_same_settings_decide_nothing_otherwise():
     balancer = ShadowHarness()
     busy(balancer)
     assert not found(balancer) and balancer.attempts_compared > 20
@@ -144,7 +144,7 @@
     assert balancer.summary().startswith("20 dispatches, owner ")
 
 
-def test_after_new_terms_open_requests_are_looked_at_by_their_own():
+def test_after_new_settings_open_requests_are_looked_at_by_their_own():
     balancer = ShadowHarness(**{"rule-sets.0.effect": "fragile"})
     request = balancer.send_request()
     balancer.on_settings(
