--- a/orchidgap/decisions/balancer.py
+++ b/orchidgap/decisions/balancer.py
@@ -199,7 +199,7 @@
         self.placement.drain_queue()
         self.origin.drain_queue()
 
-    def expire_if_queued(self, request: Request) -> None:
+    def start_queue_timer(self, request: Request) -> None:
         """The request waits; with nothing in flight it is given up once its objective is over."""
         request.queued = True
         objective_us = request.received_at_us + request.request_class.latency_objective_us
--- a/orchidgap/decisions/coalescing.py
+++ b/orchidgap/decisions/coalescing.py
@@ -27,7 +27,7 @@
         if not request.is_write and request.key is not None:
             if request.key in self.fetches:
                 self.fetches[request.key].append(request)
-                self.context.expire_if_queued(request)
+                self.context.start_queue_timer(request)
                 return
             if request.cache_missed:
                 self.fetches[request.key] = [request]
--- a/orchidgap/decisions/pipeline.py
+++ b/orchidgap/decisions/pipeline.py
@@ -29,7 +29,7 @@
     def call_later(self, delay_us: int, action: Callable[..., None], *arguments: object) -> None:
         """Call the action with these arguments once the delay is over."""
 
-    def expire_if_queued(self, request: Request) -> None:
+    def start_queue_timer(self, request: Request) -> None:
         """Mark the request as waiting, and have it given up in time."""
 
     def drain_queues(self) -> None:
@@ -84,7 +84,7 @@
             self.queue.appendleft(request)
         else:
             self.queue.append(request)
-        self.context.expire_if_queued(request)
+        self.context.start_queue_timer(request)
 
     def drain_queue(self) -> None:
         """Send on what waits, the oldest first, as long as `choose_host` finds a host."""
