--- a/orchidgap/decisions/gossip_counts.py
+++ b/orchidgap/decisions/gossip_counts.py
@@ -1,23 +1,24 @@
-"""What balancers tell each other of what they counted, where a deployment lets them talk: one table of ranges
-and the hot keys of all, though each sees little.
+"""What balancers count together: one table of hash ranges, and the hot keys of all.
 
-A balancer tells a `Row`: what it sent to each cache since its table was drawn, its reads, its hottest keys. A
-row takes the place of the one before from the same process, so nothing is counted twice, and one that is
-lost or late does no harm but for its age. A table has a version; of two tables one counts at both:
+Each balancer sees few requests. Where a deployment allows gossip, it reports its attempts at each
+cache since the ranges were set, its reads, and its hottest keys. A report takes the place of the
+one before from the same process, so nothing is counted twice, and one that is lost or late does no
+harm but for its age. A table of ranges has a version; of two tables one counts for both balancers:
 
-    | its own table, beside one that is heard of        | it takes    |
-    | ------------------------------------------------- | ----------- |
-    | other caches than its own                         | nothing     |
-    | a lower version                                   | nothing     |
-    | a higher version (drawn later, or by a later name) | the other's |
-    | the same version (losses came in another order)   | that with the higher digest |
+| another's table, beside the own one             | what counts                       |
+| ----------------------------------------------- | --------------------------------- |
+| other caches                                    | the own                           |
+| a lower version                                 | the own                           |
+| a higher version (set later, or by a later name) | the other                         |
+| the same version (losses came in another order) | the one with the higher digest    |
 
-Times are whole microseconds. Nothing here does I/O.
+Times are whole microseconds. Free of I/O.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
+from enum import Enum
 from heapq import nlargest
 from random import Random
 from typing import NamedTuple
@@ -27,158 +28,278 @@
 from orchidgap.decisions.placement import Placement
 from orchidgap.decisions.rebalancing import REBALANCE_MIN_ATTEMPTS
 
-AGE = 15_000_000  # after which a row counts no more: its balancer is dead, or cannot be heard
-GAP = 60_000_000  # between two draws: each moves the cuts of all ranges, and their keys are fetched anew
-FADE = 30_000_000  # until what was read counts half: all together have read enough by then
-MOST_ROWS = 512
-MOST_KEYS = 24  # told in a row
-EAGER = 4  # one in so many of those that could draw does, at each look
+REPORT_LIFETIME_US = 15_000_000  # an older one's balancer is dead, or cannot be heard
+# Each rebalancing moves the ends of all ranges, and the keys there are fetched anew.
+DEFAULT_REBALANCE_INTERVAL_US = 60_000_000
+HOT_KEY_HALVING_US = 30_000_000  # all together have read enough by then
+MIN_HOT_KEY_COUNT = 0.75  # what was counted less often is forgotten when counts are halved
+MAX_REPORTS = 512
+MAX_REPORTED_KEYS = 24
+# Of those that could rebalance, one in so many does at each tick: two at once would disagree.
+REBALANCE_CHANCE_DIVISOR = 4
 
-Version = tuple[int, str]  # a count, and who drew it
 
+class TableVersion(NamedTuple):
+    """The version of a table of ranges. Versions are ordered by number, then by name."""
 
-class Row(NamedTuple):
-    life: int  # when its process started
-    number: int  # of the row, in that life
-    since: int  # when it was as it is, by the clock of whoever keeps it
-    ring: int  # which caches are meant
-    version: Version
-    sends: Sequence[int]  # to each of them, in their order
-    reads: float
-    keys: Mapping[int, float]  # the hottest ones, by their marks
+    number: int
+    balancer: str  # who set it
 
 
-def digest(words: Sequence[object]) -> int:
-    """
-    >>> digest(["c1", "c2"]) == digest(["c1", "c2"]) != digest(["c2", "c1"])
+class RangeTable(NamedTuple):
+    """A table of ranges as a balancer tells it to others."""
+
+    ring_digest: int  # which caches are meant
+    version: TableVersion
+    range_sizes: Sequence[int]  # of those caches in the order of their ids, in slots
+
+
+class CountsReport(NamedTuple):
+    """What one balancer counted."""
+
+    balancer: str
+    incarnation: int  # when its process started, by its own clock
+    sequence: int  # of the report, within that incarnation
+    as_of_us: int  # when this was counted, by the clock of who keeps the report
+    ring_digest: int  # which caches are meant
+    table_version: TableVersion  # what it counts by
+    attempt_counts: Sequence[int]  # at each of those caches, since that table was set
+    read_count: float
+    hot_key_counts: Mapping[int, float]  # reads of its hottest keys, by the keys' digests
+
+
+class ReportOutcome(Enum):
+    """What was done with a report that came."""
+
+    KEPT = "kept"
+    OWN = "own"  # it is this balancer's own
+    OLD = "old"  # a later one of its balancer is known
+    TOO_MANY = "too many"  # there are `MAX_REPORTS`, all of them younger
+
+
+def sequence_digest(values: Sequence[object]) -> int:
+    """A digest of values in their order, the same in every process.
+
+    >>> sequence_digest(["c1", "c2"]) == sequence_digest(["c1", "c2"])
     True
+    >>> sequence_digest(["c1", "c2"]) == sequence_digest(["c2", "c1"])
+    False
     """
-    return crc32(repr(tuple(words)).encode())
+    return crc32(repr(tuple(values)).encode())
 
 
-class Pool:
-    """One balancer's part in it. `Placement` draws by its formula as ever, by the counts of all."""
+class GossipCounts:
+    """One balancer's part in gossip.
+
+    Ranges are set by the placement's own formula, but by the counts of all balancers.
+
+    Attributes:
+        name: This balancer's name.
+        placement: Whose ranges and hot keys it cares for.
+        reports: The last report of each other balancer, by its name.
+        table_version: Of the ranges as they are.
+        rebalance_count: How often this balancer set the table.
+    """
 
     def __init__(
-        self, name: str, life: int, placement: Placement, rng: Random, now: int, gap: int = GAP
+        self,
+        name: str,
+        incarnation: int,
+        placement: Placement,
+        rng: Random,
+        now: int,
+        rebalance_interval_us: int = DEFAULT_REBALANCE_INTERVAL_US,
     ) -> None:
-        self.name, self.life, self.placement, self.rng, self.gap = name, life, placement, rng, gap
-        self.rows: dict[str, Row] = {}
-        self.version: Version = (0, "")
-        self.number = 0
-        # when the table became what it is, and when what was read last faded
-        self.drawn_at, self.faded_at = placement.rebalancer.rebalanced_at_us, now
-        self.draws = 0
-
-    def ring(self) -> int:
-        return digest([host.id for host in self.placement.ring])
-
-    def sizes(self) -> list[int]:
+        """Start at `now` with no reports.
+
+        Args:
+            name: This balancer's name.
+            incarnation: When its process started, later than that of the process before.
+            placement: Whose ranges and hot keys it cares for.
+            rng: Decides who sets the table, of those that could.
+            now: The time.
+            rebalance_interval_us: At least, between two changes of the table.
+        """
+        self.name = name
+        self.placement = placement
+        self.reports: dict[str, CountsReport] = {}
+        self.table_version = TableVersion(0, "")
+        self.rebalance_count = 0
+        self._incarnation = incarnation
+        self._sequence = 0
+        self._rng = rng
+        self._rebalance_interval_us = rebalance_interval_us
+        self._rebalanced_at_us = placement.rebalancer.rebalanced_at_us
+        self._halved_at_us = now
+
+    def ring_digest(self) -> int:
+        """Names the caches that this balancer has ranges for."""
+        return sequence_digest([host.id for host in self.placement.ring])
+
+    def range_sizes(self) -> list[int]:
+        """The sizes of all ranges in slots, in the order of the caches' ids."""
         return [host.range_size for host in self.placement.ring]
 
-    def own(self, now: int) -> Row:
-        """What is told of itself; each has a number of its own."""
-        self.number += 1
-        heat, ring = self.placement.hot_keys, self.placement.ring
-        keys = nlargest(MOST_KEYS, heat.read_counts.items(), key=lambda item: item[1])
-        return Row(
-            self.life,
-            self.number,
-            now,
-            self.ring(),
-            self.version,
-            [host.attempt_count for host in ring],
-            heat.total_reads,
-            {key_digest(key): count for key, count in keys},
+    def table(self) -> RangeTable:
+        """This balancer's table."""
+        return RangeTable(self.ring_digest(), self.table_version, self.range_sizes())
+
+    def make_report(self, now: int) -> CountsReport:
+        """The next report of this balancer."""
+        self._sequence += 1
+        hot_keys = self.placement.hot_keys
+        hottest = nlargest(
+            MAX_REPORTED_KEYS, hot_keys.read_counts.items(), key=lambda item: item[1]
+        )
+        return CountsReport(
+            balancer=self.name,
+            incarnation=self._incarnation,
+            sequence=self._sequence,
+            as_of_us=now,
+            ring_digest=self.ring_digest(),
+            table_version=self.table_version,
+            attempt_counts=[host.attempt_count for host in self.placement.ring],
+            read_count=hot_keys.total_reads,
+            hot_key_counts={key_digest(key): count for key, count in hottest},
         )
 
-    def hear(self, name: str, row: Row) -> str:
-        """A row that came; why it is not taken, empty where it is: `own`, `old` or `many`."""
-        if name == self.name:
-            return "own"
-        known = self.rows.get(name)
-        if known and (row.life, row.number) <= (known.life, known.number):
-            return "old"
-        if not known and len(self.rows) >= MOST_ROWS:
-            oldest = min(self.rows, key=lambda other: self.rows[other].since)
-            if self.rows[oldest].since > row.since - AGE:
-                return "many"
-            del self.rows[oldest]
-        self.rows[name] = row
-        return ""
-
-    def live(self, now: int) -> list[tuple[str, Row]]:
-        """Rows that count. Older ones stay known, or what was sent once could be sent again."""
-        return [(name, row) for name, row in self.rows.items() if now - row.since < AGE]
-
-    def meets(self, ring: int, version: Version, sizes: Sequence[int], now: int) -> bool:
-        """Another's table; whether it is taken. Raises ValueError for one that cannot be."""
-        placement = self.placement
-        if ring != self.ring() or not placement.ring or version < self.version:
-            return False
-        if version == self.version and digest(sizes) <= digest(self.sizes()):
+    def receive_report(self, report: CountsReport) -> ReportOutcome:
+        """Keep a balancer's report in place of its last one, if it is a later one."""
+        if report.balancer == self.name:
+            return ReportOutcome.OWN
+        known = self.reports.get(report.balancer)
+        if known:
+            is_later = (report.incarnation, report.sequence) > (known.incarnation, known.sequence)
+            if not is_later:
+                return ReportOutcome.OLD
+        elif len(self.reports) >= MAX_REPORTS:
+            oldest = min(self.reports.values(), key=lambda each: each.as_of_us)
+            if oldest.as_of_us > report.as_of_us - REPORT_LIFETIME_US:
+                return ReportOutcome.TOO_MANY
+            del self.reports[oldest.balancer]
+        self.reports[report.balancer] = report
+        return ReportOutcome.KEPT
+
+    def live_reports(self, now: int) -> list[CountsReport]:
+        """Reports that count.
+
+        Older ones stay known, or a datagram that was sent once could be sent again and count.
+        """
+        return [
+            report for report in self.reports.values() if now - report.as_of_us < REPORT_LIFETIME_US
+        ]
+
+    def receive_table(self, table: RangeTable, now: int) -> bool:
+        """Take another balancer's table, if that is the one that counts; whether it was taken.
+
+        Raises:
+            ValueError: The table counts and has not the right sizes.
+        """
+        if not self._counts_before_own(table):
             return False
-        if len(sizes) != len(placement.ring) or sum(sizes) != sum(self.sizes()) or min(sizes) < 0:
+        placement = self.placement
+        ring = placement.ring
+        sizes = table.range_sizes
+        fills_space = len(sizes) == len(ring) and sum(sizes) == sum(self.range_sizes())
+        if not fills_space or min(sizes) < 0:
             raise ValueError("a table that does not go with its caches")
-        for host, size in zip(placement.ring, sizes):
+        for host, size in zip(ring, sizes):
             host.range_size = size
         placement.ranges.refresh()
-        if version > self.version:
-            for host in placement.ring:
-                host.attempt_count, host.counted_since_us = 0, now
-            placement.all_caches.attempt_count = 0
-            placement.rebalancer.is_rebalanced = True  # drawn by counts: not to be evened
-        self.version, self.drawn_at = version, now
+        if table.version > self.table_version:
+            self._restart_counts(now)
+            placement.rebalancer.is_rebalanced = True
+        self.table_version = table.version
+        self._rebalanced_at_us = now
         placement.rebalancer.rebalanced_at_us = now
         return True
 
     def tick(self, now: int) -> bool:
-        """Once in a while: hot keys of all are told to whoever looks for them, and a table is drawn where all
-        together have counted enough; whether it was."""
-        placement, live = self.placement, self.live(now)
-        heat, ring = placement.hot_keys, placement.ring
-        others: dict[int, float] = {}
-        for _, row in live:
-            for key, count in row.keys.items():
-                others[key] = others.get(key, 0.0) + count
-        heat.peer_read_counts, heat.peer_total_reads = others, sum(row.reads for _, row in live)
-        if not live:
-            return False  # by itself it decides as it would without
-        if now - self.faded_at >= FADE:
-            heat.halve_counts(0.75)
-            self.faded_at = now
-        if placement.rebalancer.rebalanced_at_us != self.drawn_at:
-            self.drawn_at = placement.rebalancer.rebalanced_at_us
-            if placement.rebalancer.is_rebalanced:  # it has seen so much by itself that it drew
-                return self.drew()
-        if now - self.drawn_at < self.gap or not ring:
+        """Share the hot keys of all, and set a new table if it is due; whether one was set.
+
+        A table is set where all balancers together have counted enough since the last one. A
+        balancer that hears nobody decides as it would without gossip.
+        """
+        reports = self.live_reports(now)
+        self._share_hot_keys(reports)
+        if not reports:
+            return False
+        self._halve_hot_keys(now)
+        if self._has_rebalanced_alone():
+            self._publish_table()
+            return True
+        if now - self._rebalanced_at_us < self._rebalance_interval_us or not self.placement.ring:
+            return False
+        attempt_counts = self._attempt_counts_of_all(reports)
+        if sum(attempt_counts) < REBALANCE_MIN_ATTEMPTS * len(attempt_counts):
+            return False
+        is_chosen = self._rng.random() * REBALANCE_CHANCE_DIVISOR * (1 + len(reports)) < 1
+        if not is_chosen:
+            return False  # another one is, or this one the next time
+        self._rebalance(attempt_counts, now)
+        self._publish_table()
+        return True
+
+    def _counts_before_own(self, table: RangeTable) -> bool:
+        """Whether another's table counts, by the table at the top of this module."""
+        if table.ring_digest != self.ring_digest() or not self.placement.ring:
             return False
-        meant = self.ring()
-        there = [
-            row.sends
-            for _, row in live
-            if (row.ring, row.version, len(row.sends)) == (meant, self.version, len(ring))
+        if table.version != self.table_version:
+            return table.version > self.table_version
+        return sequence_digest(table.range_sizes) > sequence_digest(self.range_sizes())
+
+    def _restart_counts(self, now: int) -> None:
+        for host in self.placement.ring:
+            host.attempt_count = 0
+            host.counted_since_us = now
+        self.placement.all_caches.attempt_count = 0
+
+    def _share_hot_keys(self, reports: Sequence[CountsReport]) -> None:
+        counts: dict[int, float] = {}
+        for report in reports:
+            for key, count in report.hot_key_counts.items():
+                counts[key] = counts.get(key, 0.0) + count
+        total_reads = sum(report.read_count for report in reports)
+        self.placement.hot_keys.set_peer_counts(counts, total_reads)
+
+    def _halve_hot_keys(self, now: int) -> None:
+        if now - self._halved_at_us >= HOT_KEY_HALVING_US:
+            self.placement.hot_keys.halve_counts(MIN_HOT_KEY_COUNT)
+            self._halved_at_us = now
+
+    def _has_rebalanced_alone(self) -> bool:
+        """Whether the placement has set the ranges since by the counts of this balancer only."""
+        rebalancer = self.placement.rebalancer
+        if rebalancer.rebalanced_at_us == self._rebalanced_at_us:
+            return False
+        self._rebalanced_at_us = rebalancer.rebalanced_at_us
+        return rebalancer.is_rebalanced
+
+    def _attempt_counts_of_all(self, reports: Sequence[CountsReport]) -> list[int]:
+        """Attempts at each cache, by all balancers that count by the same table."""
+        ring = self.placement.ring
+        own = (self.ring_digest(), self.table_version, len(ring))
+        comparable = [
+            report.attempt_counts
+            for report in reports
+            if (report.ring_digest, report.table_version, len(report.attempt_counts)) == own
         ]
-        counts = [
-            host.attempt_count + sum(sends[i] for sends in there) for i, host in enumerate(ring)
+        return [
+            host.attempt_count + sum(counts[index] for counts in comparable)
+            for index, host in enumerate(ring)
         ]
-        if sum(counts) < REBALANCE_MIN_ATTEMPTS * len(ring):
-            return False
-        if self.rng.random() * EAGER * (1 + len(live)) >= 1:
-            return False  # another one does, or this one the next time
-        for host, count in zip(ring, counts):
-            host.attempt_count, host.counted_since_us = (
-                count,
-                now - self.gap,
-            )  # all for the same time
-        placement.all_caches.attempt_count = sum(counts)
+
+    def _rebalance(self, attempt_counts: Sequence[int], now: int) -> None:
+        """Set the ranges by these counts, taken as of one time for all caches."""
+        placement = self.placement
+        for host, count in zip(placement.ring, attempt_counts):
+            host.attempt_count = count
+            host.counted_since_us = now - self._rebalance_interval_us
+        placement.all_caches.attempt_count = sum(attempt_counts)
         placement.tick()
-        return self.drew()
 
-    def drew(self) -> bool:
-        self.version, self.drawn_at = (
-            (self.version[0] + 1, self.name),
-            self.placement.rebalancer.rebalanced_at_us,
-        )
-        self.draws += 1
-        return True
+    def _publish_table(self) -> None:
+        """The ranges are a new version, which others take over."""
+        self.table_version = TableVersion(self.table_version.number + 1, self.name)
+        self._rebalanced_at_us = self.placement.rebalancer.rebalanced_at_us
+        self.rebalance_count += 1
--- a/orchidgap/drill/defects.py
+++ b/orchidgap/drill/defects.py
@@ -13,7 +13,7 @@
 from orchidgap.control.lease_keeper import LeaseKeeper
 from orchidgap.control.messages import ProposalMessage
 from orchidgap.control.validation import InvalidPolicyError
-from orchidgap.decisions.gossip_counts import Pool, Row
+from orchidgap.decisions.gossip_counts import CountsReport, GossipCounts, ReportOutcome
 from orchidgap.decisions.hot_keys import HotKeyDetector
 from orchidgap.decisions.lease_state import (
     LeaseState,
@@ -146,19 +146,17 @@
 
 def echoes() -> None:
     """It counts again what others told it before."""
-    hear = Pool.hear
-
-    def again(self: Pool, name: str, row: Row) -> str:
-        known = self.rows[name].keys if name in self.rows else {}
-        return hear(
-            self,
-            name,
-            row._replace(
-                keys={key: count + known.get(key, 0.0) for key, count in row.keys.items()}
-            ),
-        )
-
-    Pool.hear = again
+    receive_report = GossipCounts.receive_report
+
+    def again(self: GossipCounts, report: CountsReport) -> ReportOutcome:
+        known = self.reports.get(report.balancer)
+        known_counts = known.hot_key_counts if known else {}
+        counts = {
+            key: count + known_counts.get(key, 0.0) for key, count in report.hot_key_counts.items()
+        }
+        return receive_report(self, report._replace(hot_key_counts=counts))
+
+    GossipCounts.receive_report = again
 
 
 DEFECTS = {
--- a/orchidgap/net/config.py
+++ b/orchidgap/net/config.py
@@ -172,9 +172,11 @@
             f"pool.listen is {part['listen']}: set pool.beyond-loopback to true for that, as "
             "whoever has the key is believed"
         )
-    from orchidgap.decisions.gossip_counts import GAP  # nothing of it is loaded where it is off
+    from orchidgap.decisions.gossip_counts import (  # not loaded where gossip is off
+        DEFAULT_REBALANCE_INTERVAL_US,
+    )
 
-    gap = part.get("draw-ms", GAP // 1000)
+    gap = part.get("draw-ms", DEFAULT_REBALANCE_INTERVAL_US // 1000)
     if type(gap) is not int or gap < SHORTEST_GAP:
         raise SettingError(f"pool.draw-ms is {gap!r}, and must be {SHORTEST_GAP} or more")
     return {"listen": listen, "peers": peers, "key": part["key"], "gap": gap * 1000}
--- a/orchidgap/parts.py
+++ b/orchidgap/parts.py
@@ -31,6 +31,6 @@
 
 def make_gossip(*told: Any) -> Any:
     """What balancers tell each other; loaded only where a configuration has a part for it."""
-    from orchidgap.peers.gossip_transport import talk_of as made
+    from orchidgap.peers.gossip_transport import create_gossip
 
-    return made(*told)
+    return create_gossip(*told)
--- a/orchidgap/peers/gossip_transport.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -1,8 +1,7 @@
-"""Datagrams between balancers: each tells two others, twice a second, what it counted and heard.
+"""Sends and receives gossip datagrams: twice a second, each balancer tells two others its counts.
 
-A datagram is 16 bytes of a keyed digest and JSON: who tells, its caches, its table, and rows (`pool.Row`),
-its own first. What is not signed with the key, odd, or an old row again is dropped and counted. So many are
-read in a second and no more; the system drops the rest.
+What is not signed, malformed or outdated is dropped and counted. A bounded number of datagrams is
+read in a second, so a flood costs clients nothing; the system drops the rest.
 """
 
 from __future__ import annotations
@@ -12,76 +11,56 @@
 import socket
 from collections import Counter
 from collections.abc import Callable, Mapping
-from hashlib import blake2b
-from hmac import compare_digest
 from random import Random
 from typing import Any
 
-import orjson
-
-from orchidgap.decisions.gossip_counts import MOST_KEYS, Pool, Row
+from orchidgap.decisions.gossip_counts import GossipCounts, ReportOutcome
 from orchidgap.net.config import BalancerConfig, ConfigError
 from orchidgap.net.connection import Address
 from orchidgap.net.endpoints import format_address
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ, Loop
 from orchidgap.net.node import Node
+from orchidgap.peers.gossip_codec import (
+    MAX_DATAGRAM_BYTES,
+    MAX_FORWARDED_REPORTS,
+    BadSignatureError,
+    Datagram,
+    GossipCodec,
+    MalformedDatagramError,
+)
 
-BEAT = 500_000  # between two rounds of telling, half as much more or less by chance
-TOLD = 2  # balancers that are told in each
-LONGEST = 1_400  # bytes of a datagram
-MOST = 200  # datagrams read in a second
-AT_ONCE = 32  # of them in one turn of the loop
-SIGNED = 16
-PASSED_ON = 3  # rows of others in a datagram, as far as there is room
-SECOND = 1_000_000
-SAY = 60_000_000  # between two lines about what was dropped
-MOST_CACHES = 200
+ROUND_INTERVAL_US = 500_000  # half as much more or less by chance
+PEERS_PER_ROUND = 2
+MAX_READS_PER_SECOND = 200
+MAX_READS_PER_TURN = 32  # of the loop
+SECOND_US = 1_000_000
+DROPS_LOG_INTERVAL_US = 60_000_000
+SEED_SALT = 0x706F6F6C  # other users of a balancer's seed draw other numbers
 
+# What datagrams are counted by. All but the first two are drops, and stand in the log.
+SENT = "sent"
+RECEIVED = "received"
+SEND_FAILED = "send_failed"
+SEND_REFUSED = "refused"
+BAD_SIGNATURE = "bad_signature"
+MALFORMED = "malformed"
+OUTDATED = "outdated"
+RATE_LIMITED = "rate_limited"
 
-def bounded(value: Any, most: float = 1e9) -> float:
-    if type(value) not in (int, float) or not 0 <= value <= most:
-        raise ValueError("not a count")
-    return float(value)
+Send = Callable[[Address, bytes], None]
 
 
-def row_of(told: Any, now: int) -> tuple[str, Row]:
-    """A row as it stands in a datagram. Raises ValueError, TypeError or IndexError.
+class GossipTransport:
+    """One balancer's datagrams.
 
-    >>> row_of(["b1", 7, 3, 500, 9, [1, "b2"], [4, 5], 30, [[24881, 2.5]]], 10_000)[1].keys
-    {24881: 2.5}
-    >>> row_of(["b1", 7, 3, 500, 9, [1, "b2"], [4, -5], 30, []], 10_000)
-    Traceback (most recent call last):
-        ...
-    ValueError: not a count
+    Attributes:
+        gossip_counts: What is told and heard.
+        codec: The datagrams' form and signature.
+        datagram_counts: Datagrams by what became of them.
+        sock: The open socket, if any.
+        reads_in_second: Datagrams read in the second under way.
     """
-    name, life, number, age, ring, (count, author), sends, reads, keys = told
-    if not (
-        isinstance(name, str)
-        and isinstance(author, str)
-        and 0 < len(name) <= 64
-        and len(author) <= 64
-    ):
-        raise ValueError("not a name")
-    if len(sends) > MOST_CACHES or len(keys) > MOST_KEYS:
-        raise ValueError("too many")
-    for whole in (life, number, age, ring, count):
-        if type(whole) is not int or not 0 <= whole < 1 << 63:
-            raise ValueError("not a whole number")
-    return name, Row(
-        life,
-        number,
-        now - age,
-        ring,
-        (count, author),
-        [int(bounded(one)) for one in sends],
-        bounded(reads),
-        {int(bounded(key, 1 << 32)): bounded(one) for key, one in keys},
-    )
-
-
-class Talk:
-    """`send` takes an address and a datagram; `heard` is to be called with each that comes."""
 
     def __init__(
         self,
@@ -91,21 +70,49 @@
         name: str,
         part: Mapping[str, Any],
         seed: int,
-        send: Callable[[Address, bytes], None] | None = None,
+        send: Send | None = None,
     ) -> None:
-        self.loop, self.node, self.log, self.rng = loop, node, log, Random(seed ^ 0x706F6F6C)
-        self.name, self.key = name, blake2b(part["key"].encode(), digest_size=32).digest()
+        """Start the rounds; nothing is received before `listen`, or by `receive`.
+
+        Args:
+            loop: Whose clock and timers count.
+            node: The balancer whose decisions the counts are of.
+            log: Where changes and drops are written.
+            name: The balancer's name.
+            part: The configuration's part for gossip, as `net.config` decoded it.
+            seed: Of the random numbers.
+            send: What sends a datagram, in place of the own socket.
+        """
+        self.loop = loop
+        self.node = node
+        self.log = log
+        self.name = name
+        self.rng = Random(seed ^ SEED_SALT)
+        self.codec = GossipCodec(part["key"])
         self.peers = [peer for peer in part["peers"] if peer != part["listen"]]
-        self.pool = Pool(name, loop.now, node.balancer.placement, self.rng, loop.now, part["gap"])
-        self.counts: Counter[str] = Counter()
-        self.said: Counter[str] = Counter()
-        self.alone, self.second, self.read, self.said_at = True, 0, 0, loop.now
+        self.gossip_counts = GossipCounts(
+            name, loop.now, node.balancer.placement, self.rng, loop.now, part["gap"]
+        )
+        self.datagram_counts: Counter[str] = Counter()
         self.sock: socket.socket | None = None
-        self.send = send or self.put
-        loop.call_later(self.rng.randrange(BEAT), self.beat)
+        self.reads_in_second = 0
+        self._second = 0
+        self._hears_nobody = True
+        self._logged_counts: Counter[str] = Counter()
+        self._drops_logged_at_us = loop.now
+        self._send = send or self._send_by_socket
+        loop.call_later(self.rng.randrange(ROUND_INTERVAL_US), self._run_round)
 
     def listen(self, address: Address, shared: bool = False) -> None:
-        """`shared` with the process of this balancer that it takes the place of. Raises OSError."""
+        """Open the socket.
+
+        Args:
+            address: The balancer's own.
+            shared: Whether a predecessor process of this balancer still listens there.
+
+        Raises:
+            OSError: The address cannot be had.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         try:
             if shared:
@@ -115,159 +122,149 @@
             sock.close()
             raise
         self.sock = sock
-        self.loop.watch(sock, READ, self.readable)
+        self.loop.watch(sock, READ, self._on_readable)
 
     def close(self) -> None:
+        """Close the socket; rounds go on and send nothing."""
         if self.sock:
             self.loop.unwatch(self.sock)
             self.sock.close()
             self.sock = None
 
-    # --- out
-
-    def put(self, address: Address, data: bytes) -> None:
-        if self.sock:
-            try:
-                self.sock.sendto(data, address)
-            except (
-                OSError
-            ) as trouble:  # nobody there, or the system is short of room: the next one may come
-                self.counts["unsent" if trouble.errno != errno.ECONNREFUSED else "refused"] += 1
+    def next_datagram(self, now: int) -> bytes:
+        """What the peers are told in a round: the own report, and some of others."""
+        counts = self.gossip_counts
+        own_report = counts.make_report(now)
+        others = counts.live_reports(now)
+        forwarded = self.rng.sample(others, min(MAX_FORWARDED_REPORTS, len(others)))
+        datagram = Datagram(self.name, counts.table(), [own_report, *forwarded])
+        return self.codec.encode(datagram, now)
 
-    def beat(self) -> None:
-        self.loop.call_later(self.rng.randrange(BEAT // 2, BEAT * 3 // 2), self.beat)
+    def receive(self, data: bytes) -> None:
+        """Use a datagram that came, or drop and count it."""
         now = self.loop.now
-        self.node.call_decisions(self.look, now)
-        if self.peers:
-            data = self.datagram(now)
-            for peer in self.rng.sample(self.peers, min(TOLD, len(self.peers))):
-                self.send(peer, data)
-                self.counts["sent"] += 1
+        try:
+            datagram = self.codec.decode(data, now)
+        except BadSignatureError:
+            self.datagram_counts[BAD_SIGNATURE] += 1
+            return
+        except MalformedDatagramError:
+            self.datagram_counts[MALFORMED] += 1
+            return
+        self.datagram_counts[RECEIVED] += 1
+        if not self._receive_reports(datagram):
+            self.datagram_counts[OUTDATED] += 1
+            return
+        self.node.balancer.now = now
+        try:
+            self.gossip_counts.receive_table(datagram.table, now)
+        except ValueError:
+            self.datagram_counts[MALFORMED] += 1
 
-    def look(self, now: int) -> None:
-        pool, rows = self.pool, len(self.pool.live(now))
-        if self.alone == bool(rows):
-            self.alone = not rows
-            self.log("pool alone" if self.alone else "pool", rows=rows, of=len(self.peers))
-        if pool.tick(now):
-            self.log("table drawn", version=pool.version[0], rows=rows, sizes=pool.sizes())
-        if now - self.said_at >= SAY:
-            self.said_at = now
-            if drops := {
-                what: count - self.said[what]
-                for what, count in self.counts.items()
-                if what not in ("sent", "heard") and count > self.said[what]
-            }:
-                self.log("pool drops", **drops)
-            self.said = Counter(self.counts)
+    def _receive_reports(self, datagram: Datagram) -> bool:
+        """Keep its reports; whether its sender's own was news.
 
-    def datagram(self, now: int) -> bytes:
-        pool = self.pool
-        rows = [(self.name, pool.own(now))]
-        others = pool.live(now)
-        rows += self.rng.sample(others, min(PASSED_ON, len(others)))
-        while True:
-            told = [
-                self.name,
-                rows[0][1].ring,
-                pool.version,
-                pool.sizes(),
-                [
-                    [
-                        name,
-                        row.life,
-                        row.number,
-                        max(0, now - row.since),
-                        row.ring,
-                        row.version,
-                        [round(one) for one in row.sends],
-                        round(row.reads, 1),
-                        [[key, round(count, 1)] for key, count in row.keys.items()],
-                    ]
-                    for name, row in rows
-                ],
-            ]
-            text = orjson.dumps(told)
-            if len(text) + SIGNED <= LONGEST:
-                return self.sign(text) + text
-            if len(rows) > 1:
-                rows.pop()
-            elif rows[0][1].keys:
-                own = rows[0][1]
-                rows[0] = (
-                    self.name,
-                    own._replace(keys=dict(list(own.keys.items())[: len(own.keys) // 2])),
-                )
-            else:
-                return (
-                    self.sign(b"[]") + b"[]"
-                )  # more caches than a datagram holds: nobody is told of them
+        Where it was not, the datagram may be long past, and so its table.
+        """
+        outcomes = [self.gossip_counts.receive_report(report) for report in datagram.reports]
+        if not outcomes or datagram.reports[0].balancer != datagram.sender:
+            return False
+        return outcomes[0] is ReportOutcome.KEPT
 
-    def sign(self, text: bytes) -> bytes:
-        return blake2b(text, key=self.key, digest_size=SIGNED).digest()
+    def _run_round(self) -> None:
+        delay_us = self.rng.randrange(ROUND_INTERVAL_US // 2, ROUND_INTERVAL_US * 3 // 2)
+        self.loop.call_later(delay_us, self._run_round)
+        now = self.loop.now
+        self.node.call_decisions(self._tick, now)
+        if not self.peers:
+            return
+        data = self.next_datagram(now)
+        for peer in self.rng.sample(self.peers, min(PEERS_PER_ROUND, len(self.peers))):
+            self._send(peer, data)
+            self.datagram_counts[SENT] += 1
 
-    # --- in
+    def _tick(self, now: int) -> None:
+        counts = self.gossip_counts
+        report_count = len(counts.live_reports(now))
+        hears_nobody = report_count == 0
+        if hears_nobody != self._hears_nobody:
+            self._hears_nobody = hears_nobody
+            event = "gossip alone" if hears_nobody else "gossip"
+            self.log(event, reports=report_count, of=len(self.peers))
+        if counts.tick(now):
+            self.log(
+                "ranges rebalanced",
+                version=counts.table_version.number,
+                reports=report_count,
+                sizes=counts.range_sizes(),
+            )
+        if now - self._drops_logged_at_us >= DROPS_LOG_INTERVAL_US:
+            self._drops_logged_at_us = now
+            self._log_drops()
 
-    def readable(self, mask: int) -> None:
-        for _ in range(AT_ONCE):
+    def _log_drops(self) -> None:
+        """Write how many datagrams were dropped since the last time, and why, if any were."""
+        drops = self.datagram_counts - self._logged_counts
+        del drops[SENT], drops[RECEIVED]
+        if drops:
+            self.log("gossip drops", **drops)
+        self._logged_counts = Counter(self.datagram_counts)
+
+    def _send_by_socket(self, address: Address, data: bytes) -> None:
+        if not self.sock:
+            return
+        try:
+            self.sock.sendto(data, address)
+        except OSError as error:  # the peer is down, or the system short of room: no matter
+            is_refused = error.errno == errno.ECONNREFUSED
+            self.datagram_counts[SEND_REFUSED if is_refused else SEND_FAILED] += 1
+
+    def _on_readable(self, mask: int) -> None:
+        for _ in range(MAX_READS_PER_TURN):
             if not self.sock:
                 return
-            second = self.loop.now // SECOND
-            if second != self.second:
-                self.second, self.read = second, 0
-            if self.read >= MOST:
-                # a flood must not cost the clients' time: until the next second nobody is listened to
-                self.loop.unwatch(self.sock)
-                self.loop.call_at((second + 1) * SECOND, self.again)
-                self.counts["rested"] += 1
+            self._count_second()
+            if self.reads_in_second >= MAX_READS_PER_SECOND:
+                self._pause_reading()
                 return
             try:
-                data = self.sock.recv(LONGEST + 1)
+                data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # what an earlier one met
+            except OSError:  # what a datagram sent earlier met
                 continue
-            self.read += 1
-            self.heard(data)
+            self.reads_in_second += 1
+            self.receive(data)
+
+    def _count_second(self) -> None:
+        second = self.loop.now // SECOND_US
+        if second != self._second:
+            self._second = second
+            self.reads_in_second = 0
 
-    def again(self) -> None:
+    def _pause_reading(self) -> None:
+        """Guard against floods: nothing more is read until the next second."""
+        assert self.sock
+        self.loop.unwatch(self.sock)
+        self.loop.call_at((self._second + 1) * SECOND_US, self._resume_reading)
+        self.datagram_counts[RATE_LIMITED] += 1
+
+    def _resume_reading(self) -> None:
         if self.sock:
-            self.loop.watch(self.sock, READ, self.readable)
+            self.loop.watch(self.sock, READ, self._on_readable)
 
-    def heard(self, data: bytes) -> None:
-        signed, text = data[:SIGNED], data[SIGNED:]
-        if len(data) > LONGEST or not compare_digest(signed, self.sign(text)):
-            self.counts["strange"] += 1
-            return
-        now = self.loop.now
-        try:
-            name, ring, (count, author), sizes, rows = orjson.loads(text)
-            found = [row_of(row, now) for row in rows[: PASSED_ON + 1]]
-            if any(type(one) is not int for one in (ring, count, *sizes)) or not isinstance(
-                author, str
-            ):
-                raise ValueError("not a table")
-            self.counts["heard"] += 1
-            old = [self.pool.hear(who, row) for who, row in found]
-            if not found or found[0][0] != name or old[0]:
-                self.counts["old"] += (
-                    1  # its teller's own row was known: what it says may be long past
-                )
-                return
-            self.node.balancer.now = now
-            self.pool.meets(ring, (count, author), sizes, now)
-        except (ValueError, TypeError, IndexError):
-            self.counts["odd"] += 1
 
+def create_gossip(loop: Loop, node: Node, log: EventLog, config: BalancerConfig) -> GossipTransport:
+    """Starts gossip as the configuration says; it must have a part for it.
 
-def talk_of(loop: Loop, node: Node, log: EventLog, station: BalancerConfig) -> Talk:
-    """Raises ConfigError where the address cannot be had."""
-    assert station.gossip
-    talk = Talk(loop, node, log, station.name, station.gossip, station.seed)
+    Raises:
+        ConfigError: The address cannot be had.
+    """
+    assert config.gossip
+    address = config.gossip["listen"]
+    gossip = GossipTransport(loop, node, log, config.name, config.gossip, config.seed)
     try:
-        talk.listen(station.gossip["listen"], "GW_PASSED_SOCKET" in os.environ)
-    except OSError as trouble:
-        raise ConfigError(
-            f"cannot hear at {format_address(station.gossip['listen'])}: {trouble.strerror}"
-        ) from None
-    return talk
+        gossip.listen(address, "GW_PASSED_SOCKET" in os.environ)
+    except OSError as error:
+        raise ConfigError(f"cannot hear at {format_address(address)}: {error.strerror}") from None
+    return gossip
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -30,7 +30,7 @@
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node, key_number
 from orchidgap.parts import protocol_for
-from orchidgap.peers.gossip_transport import Talk
+from orchidgap.peers.gossip_transport import GossipTransport
 from orchidgap.trial.baselines import decider as decider_of
 from orchidgap.trial.baselines import even
 from orchidgap.trial.callers import Callers
@@ -142,7 +142,7 @@
         self.log = Lines(name, scene)
         self.node: Node | None = None
         self.share: Share | None = None
-        self.talk: Talk | None = None
+        self.gossip: GossipTransport | None = None
         self.old: tuple[Share, Node] | None = None  # while a newer process is there
 
     def begin(self, known: dict[str, Any]) -> None:
@@ -174,7 +174,7 @@
             cast("socket.socket", Face(door))
         )  # it has the face of one
         if station.gossip:
-            self.talk = Talk(
+            self.gossip = GossipTransport(
                 share, node, self.log, self.name, station.gossip, station.seed, scene.carry
             )
         if scene.front.on:
@@ -553,8 +553,8 @@
 
     def bring(self, address: Address, data: bytes) -> None:
         post = next(post for post in self.posts.values() if post.talks == address)
-        if isinstance(post, VirtualPost) and post.alive and post.share and post.talk:
-            post.share.call_soon(post.talk.heard, data)
+        if isinstance(post, VirtualPost) and post.alive and post.share and post.gossip:
+            post.share.call_soon(post.gossip.receive, data)
 
     def way_to_hosts(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
         """The list as that balancer gets it."""
--- a/tests/compatibility/exchanges.py
+++ b/tests/compatibility/exchanges.py
@@ -620,7 +620,7 @@
             continue
         balancers["b0"].advance(100_000)
     for name in names:
-        assert not {"strange", "odd"} & set(members[name].counts()), members[name].counts()
+        assert members[name].rejected_count() == 0, name
     for balancer in balancers.values():
         balancer.close()
     return sent
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -23,7 +23,7 @@
 from orchidgap.net.handover import Handover, inherited_listener
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
-from orchidgap.peers.gossip_transport import Talk
+from orchidgap.peers.gossip_transport import BAD_SIGNATURE, MALFORMED, GossipTransport
 from orchidgap.state.durable_store import CorruptFileError, DurableStore
 
 Address = tuple[str, int]
@@ -218,14 +218,17 @@
     def __init__(
         self, balancer: BalancerProcess, name: str, part: dict[str, object], seed: int, send: object
     ) -> None:
-        self.talk = Talk(balancer.events.loop, balancer.node, quiet_log, name, part, seed, send)
+        self.gossip = GossipTransport(
+            balancer.events.loop, balancer.node, quiet_log, name, part, seed, send
+        )
 
     def receive(self, datagram: bytes) -> None:
-        self.talk.heard(datagram)
+        self.gossip.receive(datagram)
 
-    def counts(self) -> dict[str, int]:
-        """What was sent, heard and dropped."""
-        return dict(self.talk.counts)
+    def rejected_count(self) -> int:
+        """Datagrams that were not signed with this key, or malformed."""
+        counts = self.gossip.datagram_counts
+        return counts[BAD_SIGNATURE] + counts[MALFORMED]
 
 
 def gossip_part(config: dict[str, object]) -> dict[str, object]:
--- /dev/null
+++ b/tests/decisions/test_gossip_counts.py
@@ -0,0 +1,204 @@
+"""Balancers that gossip come to one table of ranges and see what all see, whatever gets lost."""
+
+from random import Random
+
+import pytest
+from desk import Desk
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from orchidgap.decisions.gossip_counts import (
+    DEFAULT_REBALANCE_INTERVAL_US,
+    MAX_REPORTS,
+    REPORT_LIFETIME_US,
+    CountsReport,
+    GossipCounts,
+    RangeTable,
+    ReportOutcome,
+    TableVersion,
+)
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
+from orchidgap.decisions.rebalancing import REBALANCE_MIN_ATTEMPTS as SENDS
+
+ROUND_US = 500_000
+START = 100_000_000
+
+
+def names_of(reports):
+    return {report.balancer for report in reports}
+
+
+class Fleet:
+    """Balancers; in each round every one tells some others, and a part of that is lost."""
+
+    def __init__(self, count, caches=8, seed=1, loss=0.0):
+        self.rng, self.loss, self.now = Random(seed), loss, START
+        self.desks = [Desk(caches, now=START) for _ in range(count)]
+        self.members = [
+            GossipCounts(f"b{i}", START, desk.placement, Random(seed + i), START)
+            for i, desk in enumerate(self.desks)
+        ]
+        self.dead = set()
+
+    def run_round(self):
+        self.now += ROUND_US
+        for desk in self.desks:
+            desk.now = self.now
+        running = [member for member in self.members if member.name not in self.dead]
+        for member in running:
+            member.tick(self.now)
+            others = member.live_reports(self.now)
+            reports = [member.make_report(self.now), *self.rng.sample(others, min(3, len(others)))]
+            table = member.table()
+            for other in self.rng.sample(running, min(3, len(running))):
+                if other is not member and self.rng.random() >= self.loss:
+                    for report in reports:
+                        other.receive_report(report)
+                    other.receive_table(table, self.now)
+
+    def rounds_until(self, seen, most):
+        for rounds in range(most):
+            if seen():
+                return rounds
+            self.run_round()
+        raise AssertionError(f"not seen in {most} rounds")
+
+    def tables(self):
+        return {
+            tuple(member.range_sizes()) for member in self.members if member.name not in self.dead
+        }
+
+
+def count(desk, loads):
+    for host, sends in zip(desk.placement.ring, loads, strict=True):
+        host.attempt_count += sends
+        desk.placement.all_caches.attempt_count += sends
+
+
+@given(st.integers(3, 16), st.integers(0, 99), st.sampled_from([0.0, 0.5]))
+@settings(max_examples=25, deadline=None)
+def test_all_come_to_one_table_by_the_counts_of_all(count_of, seed, loss):
+    fleet = Fleet(count_of, seed=seed, loss=loss)
+    for desk in fleet.desks:  # far too few by themselves
+        count(desk, [2 * SENDS // count_of + 9] + [SENDS // count_of + 9] * 7)
+    fleet.rounds_until(
+        lambda: any(member.rebalance_count for member in fleet.members),
+        120 + DEFAULT_REBALANCE_INTERVAL_US // ROUND_US,
+    )
+    fleet.rounds_until(
+        lambda: (
+            len(fleet.tables()) == 1
+            and min(member.table_version.number for member in fleet.members) > 0
+        ),
+        60,
+    )
+    sizes = fleet.members[0].range_sizes()
+    assert sizes[0] < SLOT_COUNT // 8 < min(sizes[1:]) and sum(sizes) == SLOT_COUNT
+    assert all(desk.placement.all_caches.attempt_count == 0 for desk in fleet.desks)
+
+
+@given(st.integers(0, 99), st.sampled_from([0.0, 0.5]))
+@settings(max_examples=25, deadline=None)
+def test_tables_that_losses_left_unlike_agree_again(seed, loss):
+    fleet = Fleet(12, seed=seed, loss=loss)
+    for i, desk in enumerate(fleet.desks):
+        for id in ("c2", "c3") if i % 2 else ("c3", "c2"):
+            desk.list([id], state="gone")
+        desk.list(["c2", "c3"])
+    fleet.rounds_until(lambda: len(fleet.tables()) == 1, 40)
+    assert sum(fleet.members[0].range_sizes()) == SLOT_COUNT
+
+
+def test_who_has_another_list_keeps_its_table_until_it_has_the_same():
+    fleet = Fleet(3)
+    fleet.desks[0].list(["c3"], state="gone")
+    for _ in range(20):
+        fleet.run_round()
+    assert len(fleet.members[0].range_sizes()) == 7 and len(fleet.members[1].range_sizes()) == 8
+    fleet.desks[0].list(["c3"])
+    fleet.rounds_until(lambda: len(fleet.tables()) == 1, 40)
+
+
+def test_a_key_that_all_see_a_little_is_hot_for_each():
+    fleet = Fleet(20, caches=40)
+    for i, member in enumerate(fleet.members):
+        for key in range(20):
+            member.placement.hot_keys.replica_count(1_000 * i + key, 40)
+        member.placement.hot_keys.replica_count(7, 40)
+    alone = Fleet(1, caches=40).members[0].placement.hot_keys
+    for key in range(21):
+        assert alone.replica_count(key, 40) == 1
+    for _ in range(10):
+        fleet.run_round()
+    assert all(member.placement.hot_keys.replica_count(7, 40) > 1 for member in fleet.members)
+    assert all(
+        member.placement.hot_keys.replica_count(8_888_888, 40) == 1 for member in fleet.members
+    )
+
+
+def test_a_dead_balancers_report_counts_no_more_and_is_no_news_later():
+    fleet = Fleet(4)
+    for _ in range(10):
+        fleet.run_round()
+    said = fleet.members[3].make_report(fleet.now)
+    fleet.dead.add("b3")
+    member = fleet.members[0]
+    member.receive_report(said)
+    assert "b3" in names_of(member.live_reports(fleet.now))
+    for _ in range(2 * REPORT_LIFETIME_US // ROUND_US):
+        fleet.run_round()
+    assert "b3" not in names_of(member.live_reports(fleet.now))
+    late = said._replace(as_of_us=fleet.now)
+    assert member.receive_report(late) is ReportOutcome.OLD
+    restarted = late._replace(incarnation=said.incarnation + 1, sequence=1)
+    assert member.receive_report(restarted) is ReportOutcome.KEPT
+
+
+def test_a_balancer_that_hears_nobody_rebalances_as_it_would_without_gossip():
+    for with_gossip in (False, True):
+        desk = Desk(4)
+        member = GossipCounts("b0", 1, desk.placement, Random(1), desk.now)
+        count(desk, [200, 100, 50, 50])
+        for _ in range(12):
+            desk.wait(ROUND_US)
+            if with_gossip:
+                member.tick(desk.now)
+        assert [host.range_size for host in desk.placement.ring] == pytest.approx(
+            [2048, 4096, 5120, 5120], abs=4
+        )
+
+
+def test_reports_are_bounded_and_a_table_that_cannot_be_is_refused():
+    desk = Desk(4)
+    member = GossipCounts("b0", 1, desk.placement, Random(1), desk.now)
+    report = CountsReport("b0", 1, 1, desk.now, 0, TableVersion(0, ""), [], 0.0, {})
+    outcomes = [
+        member.receive_report(report._replace(balancer=f"x{i}")) for i in range(MAX_REPORTS + 1)
+    ]
+    assert outcomes == [ReportOutcome.KEPT] * MAX_REPORTS + [ReportOutcome.TOO_MANY]
+    assert member.receive_report(report) is ReportOutcome.OWN
+    ring_digest = member.ring_digest()
+    for sizes in ([SLOT_COUNT], [SLOT_COUNT, 0, 0, 1], [SLOT_COUNT + 5, -5, 0, 0]):
+        with pytest.raises(ValueError):
+            member.receive_table(RangeTable(ring_digest, TableVersion(1, "x"), sizes), desk.now)
+    other_caches = RangeTable(ring_digest ^ 1, TableVersion(9, "x"), [SLOT_COUNT, 0, 0, 0])
+    assert not member.receive_table(other_caches, desk.now)
+    assert sum(member.range_sizes()) == SLOT_COUNT
+    assert member.table_version == TableVersion(0, "")
+
+
+def test_ranges_go_back_to_even_under_gossip_too_and_agree():
+    fleet = Fleet(6, caches=9)
+    for desk in fleet.desks:
+        for id in ("c3", "c4", "c5", "c7"):
+            desk.list([id], state="gone")
+        for id in ("c4", "c3", "c7", "c5"):
+            desk.list([id])
+    before = fleet.members[0].range_sizes()
+    for _ in range(70):
+        fleet.run_round()
+        for desk in fleet.desks:
+            desk.placement.tick()
+    sizes = fleet.members[0].range_sizes()
+    assert max(sizes) < 1.2 * min(sizes) < max(before) and len(fleet.tables()) == 1
+    assert not any(member.rebalance_count for member in fleet.members)
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_gossip_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams between balancers: what is signed is heard, all else is dropped and counted, and a flood is not read."""
+"""Datagrams that are signed are used, all else is dropped and counted, and a flood is not read."""
 
 import socket
 
@@ -6,10 +6,20 @@
 import pytest
 from desk import Desk
 
-from orchidgap.decisions.gossip_counts import GAP
+from orchidgap.decisions.gossip_counts import DEFAULT_REBALANCE_INTERVAL_US
 from orchidgap.net.config import ConfigError, parse
 from orchidgap.net.loop import Loop
-from orchidgap.peers.gossip_transport import AT_ONCE, LONGEST, MOST, SECOND, SIGNED, Talk
+from orchidgap.peers.gossip_codec import MAX_DATAGRAM_BYTES, SIGNATURE_BYTES
+from orchidgap.peers.gossip_transport import (
+    BAD_SIGNATURE,
+    MALFORMED,
+    MAX_READS_PER_SECOND,
+    MAX_READS_PER_TURN,
+    OUTDATED,
+    RATE_LIMITED,
+    SECOND_US,
+    GossipTransport,
+)
 
 KEY = "0123456789abcdef"
 
@@ -24,21 +34,21 @@
         call(*args)
 
 
-class Ground:
-    """Talks under one clock, whose datagrams come at once or are kept."""
+class Network:
+    """Balancers under one clock, whose datagrams come at once and are kept."""
 
     def __init__(self, count, caches=4, key=KEY):
         self.now = 10**12
         self.loop = Loop(clock=lambda: self.now)
-        self.sent, self.said = [], []
+        self.sent, self.events = [], []
         at = [("127.0.0.1", 7400 + i) for i in range(count)]
-        self.talks = [
-            Talk(
+        self.transports = [
+            GossipTransport(
                 self.loop,
                 Node(caches),
-                lambda *what, **more: self.said.append(what[0]),
+                lambda *what, **more: self.events.append(what[0]),
                 f"b{i}",
-                {"listen": at[i], "peers": at, "key": key, "gap": GAP},
+                {"listen": at[i], "peers": at, "key": key, "gap": DEFAULT_REBALANCE_INTERVAL_US},
                 i,
                 self.keep,
             )
@@ -46,9 +56,9 @@
         ]
 
     def keep(self, address, data):
-        assert len(data) <= LONGEST
+        assert len(data) <= MAX_DATAGRAM_BYTES
         self.sent.append(data)
-        self.talks[address[1] - 7400].heard(data)
+        self.transports[address[1] - 7400].receive(data)
 
     def run(self, seconds):
         for _ in range(seconds * 20):
@@ -56,40 +66,44 @@
             self.loop.run_once(0)
 
 
-def test_each_hears_all_and_says_so_once():
-    ground = Ground(5)
-    ground.run(6)
-    for talk in ground.talks:
+def test_each_balancer_hears_all_others_and_logs_that_once():
+    network = Network(5)
+    network.run(6)
+    for transport in network.transports:
         assert (
-            len(talk.pool.live(ground.now)) == 4
-            and talk.counts["strange"] == talk.counts["odd"] == 0
+            len(transport.gossip_counts.live_reports(network.now)) == 4
+            and transport.datagram_counts[BAD_SIGNATURE]
+            == transport.datagram_counts[MALFORMED]
+            == 0
         )
-    assert ground.said == ["pool"] * 5
+    assert network.events == ["gossip"] * 5
 
 
 def test_what_is_not_signed_is_dropped_and_what_came_before_is_no_news():
-    ground = Ground(2)
-    ground.run(3)
-    talk, (name, row) = ground.talks[0], ground.talks[0].pool.live(ground.now)[0]
-    good, before = ground.sent[-1], dict(talk.counts)
+    network = Network(2)
+    network.run(3)
+    transport = network.transports[0]
+    report = transport.gossip_counts.live_reports(network.now)[0]
+    good, before = network.sent[-1], dict(transport.datagram_counts)
     for bad in (
         b"",
         b"x" * 10,
         good[:-1],
-        bytes(SIGNED) + good[SIGNED:],
+        bytes(SIGNATURE_BYTES) + good[SIGNATURE_BYTES:],
         good + b" ",
-        good + b"x" * LONGEST,
-        Ground(2, key="another key, long").talks[1].datagram(ground.now),
+        good + b"x" * MAX_DATAGRAM_BYTES,
+        Network(2, key="another key, long").transports[1].next_datagram(network.now),
     ):
-        talk.heard(bad)
-    assert talk.counts["strange"] == before.get("strange", 0) + 7
-    for data in ground.sent:
-        talk.heard(data)
-    assert talk.counts["old"] >= len(ground.sent) // 2 and talk.pool.rows[name] == row
+        transport.receive(bad)
+    assert transport.datagram_counts[BAD_SIGNATURE] == before.get(BAD_SIGNATURE, 0) + 7
+    for data in network.sent:
+        transport.receive(data)
+    assert transport.datagram_counts[OUTDATED] >= len(network.sent) // 2
+    assert transport.gossip_counts.reports[report.balancer] == report
 
 
 @pytest.mark.parametrize(
-    "told",
+    "message",
     [
         [],
         {},
@@ -103,41 +117,45 @@
         ["b1", 1, [1, 9], [], [["b1", 1, 1, 0, 1, [0, ""], [], 0, []]]],
     ],
 )
-def test_odd_words_with_a_good_digest_change_nothing(told):
-    talk = Ground(2).talks[0]
-    text = orjson.dumps(told)
-    before = talk.pool.sizes()
-    talk.heard(talk.sign(text) + text)
-    assert talk.counts["odd"] == 1 and talk.pool.sizes() == before and not talk.pool.rows
+def test_a_malformed_datagram_with_a_good_signature_changes_nothing(message):
+    transport = Network(2).transports[0]
+    text = orjson.dumps(message)
+    before = transport.gossip_counts.range_sizes()
+    transport.receive(transport.codec.sign(text) + text)
+    assert transport.datagram_counts[MALFORMED] == 1
+    assert transport.gossip_counts.range_sizes() == before
+    assert not transport.gossip_counts.reports
 
 
 def test_a_datagram_holds_what_there_is_room_for():
     for caches, keys in ((4, 0), (200, 400), (400, 0)):
-        ground = Ground(2, caches)
-        heat = ground.talks[0].pool.placement.hot_keys
+        network = Network(2, caches)
+        hot_keys = network.transports[0].gossip_counts.placement.hot_keys
         for key in range(keys):
-            heat.replica_count(key, caches)
-        data = ground.talks[0].datagram(ground.now)
-        assert SIGNED < len(data) <= LONGEST
-        ground.talks[1].heard(data)
-        assert bool(ground.talks[1].pool.rows) == (caches < 400)
+            hot_keys.replica_count(key, caches)
+        data = network.transports[0].next_datagram(network.now)
+        assert SIGNATURE_BYTES < len(data) <= MAX_DATAGRAM_BYTES
+        network.transports[1].receive(data)
+        assert bool(network.transports[1].gossip_counts.reports) == (caches < 400)
 
 
 def test_a_flood_is_not_read_beyond_its_bound_and_ends():
-    ground = Ground(1)
-    talk = ground.talks[0]
-    talk.listen(("127.0.0.1", 0))
+    network = Network(1)
+    transport = network.transports[0]
+    transport.listen(("127.0.0.1", 0))
     near = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    for _ in range(2 * MOST // AT_ONCE):
-        for _ in range(AT_ONCE):
-            near.sendto(b"noise", talk.sock.getsockname())
-        ground.loop.run_once(0)
-    assert talk.read == MOST and talk.counts["strange"] == MOST and talk.counts["rested"] == 1
-    ground.now += SECOND
-    ground.loop.run_once(0)
-    ground.loop.run_once(0)
-    assert talk.counts["strange"] > MOST
-    talk.close()
+    for _ in range(2 * MAX_READS_PER_SECOND // MAX_READS_PER_TURN):
+        for _ in range(MAX_READS_PER_TURN):
+            near.sendto(b"noise", transport.sock.getsockname())
+        network.loop.run_once(0)
+    assert transport.reads_in_second == MAX_READS_PER_SECOND
+    assert transport.datagram_counts[BAD_SIGNATURE] == MAX_READS_PER_SECOND
+    assert transport.datagram_counts[RATE_LIMITED] == 1
+    network.now += SECOND_US
+    network.loop.run_once(0)
+    network.loop.run_once(0)
+    assert transport.datagram_counts[BAD_SIGNATURE] > MAX_READS_PER_SECOND
+    transport.close()
     near.close()
 
 
@@ -178,7 +196,7 @@
 
 
 def test_two_processes_of_one_balancer_hear_at_one_address_while_one_takes_the_others_place():
-    first, second = Ground(1).talks[0], Ground(1).talks[0]
+    first, second = Network(1).transports[0], Network(1).transports[0]
     first.listen(("127.0.0.1", 0), shared=True)
     with pytest.raises(OSError):
         second.listen(first.sock.getsockname())
