--- a/orchidgap/control/process_config.py
+++ b/orchidgap/control/process_config.py
@@ -11,8 +11,7 @@
 import orjson
 
 from orchidgap.errors import ConfigError
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import format_address, parse_address
+from orchidgap.net.addresses import Address, format_address, parse_address
 
 NAME = "name"
 PROCESSES = "control"
--- a/orchidgap/control/rpc_client.py
+++ b/orchidgap/control/rpc_client.py
@@ -10,7 +10,10 @@
 from orchidgap.control.messages import WireObject
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
 from orchidgap.http1.readers import ResponseReader
-from orchidgap.net.connection import Address, AttemptFailure, Connection, dial
+from orchidgap.net.addresses import Address
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import dial
 from orchidgap.net.loop import Loop, Timer
 
 MAX_CONNECTIONS = 4  # to one address; one call at a time on each
--- a/orchidgap/peers/gossip_transport.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from orchidgap.decisions.gossip_counts import GossipCounts, ReportOutcome
-from orchidgap.net.config import BalancerConfig, ConfigError
-from orchidgap.net.connection import Address
-from orchidgap.net.endpoints import format_address
+from orchidgap.errors import ConfigError
+from orchidgap.net.addresses import Address, format_address
+from orchidgap.net.config import BalancerConfig
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ, Loop
 from orchidgap.net.node import Node
--- a/orchidgap/resp/front.py
+++ b/orchidgap/resp/front.py
@@ -13,7 +13,8 @@
 
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.decisions.slot_map import hash_tag
-from orchidgap.net.client_listener import ClientConnection, ClientListener, PendingRequest
+from orchidgap.net.client_listener import ClientConnection, ClientListener
+from orchidgap.net.request_handler import PendingRequest
 from orchidgap.resp import codec
 from orchidgap.resp.commands import COMMANDS, REFUSED, Command, fits, keys
 
--- a/orchidgap/trial/callers.py
+++ b/orchidgap/trial/callers.py
@@ -10,7 +10,8 @@
 
 from orchidgap.http1.readers import ResponseReader
 from orchidgap.http1.writers import parse_seconds
-from orchidgap.net.connection import AttemptFailure, Connection
+from orchidgap.net.attempt_failure import AttemptFailure
+from orchidgap.net.connection import Connection
 from orchidgap.trial.plan import Work, micros, millis
 from orchidgap.trial.referee import SMALL, Ask, Op
 
--- a/tests/decisions/test_gossip_counts.py
+++ b/tests/decisions/test_gossip_counts.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -33,17 +33,17 @@
 
     def __init__(self, count, caches=8, seed=1, loss=0.0):
         self.rng, self.loss, self.now = Random(seed), loss, START
-        self.desks = [Desk(caches, now=START) for _ in range(count)]
+        self.balancers = [BalancerHarness(caches, now=START) for _ in range(count)]
         self.members = [
-            GossipCounts(f"b{i}", START, desk.placement, Random(seed + i), START)
-            for i, desk in enumerate(self.desks)
+            GossipCounts(f"b{i}", START, balancer.placement, Random(seed + i), START)
+            for i, balancer in enumerate(self.balancers)
         ]
         self.dead = set()
 
     def run_round(self):
         self.now += ROUND_US
-        for desk in self.desks:
-            desk.now = self.now
+        for balancer in self.balancers:
+            balancer.now = self.now
         running = [member for member in self.members if member.name not in self.dead]
         for member in running:
             member.tick(self.now)
@@ -69,18 +69,18 @@
         }
 
 
-def count(desk, loads):
-    for host, sends in zip(desk.placement.ring, loads, strict=True):
+def count(balancer, loads):
+    for host, sends in zip(balancer.placement.ring, loads, strict=True):
         host.attempt_count += sends
-        desk.placement.all_caches.attempt_count += sends
+        balancer.placement.all_caches.attempt_count += sends
 
 
 @given(st.integers(3, 16), st.integers(0, 99), st.sampled_from([0.0, 0.5]))
 @settings(max_examples=25, deadline=None)
 def test_all_come_to_one_table_by_the_counts_of_all(count_of, seed, loss):
     fleet = Fleet(count_of, seed=seed, loss=loss)
-    for desk in fleet.desks:  # far too few by themselves
-        count(desk, [2 * SENDS // count_of + 9] + [SENDS // count_of + 9] * 7)
+    for balancer in fleet.balancers:  # far too few by themselves
+        count(balancer, [2 * SENDS // count_of + 9] + [SENDS // count_of + 9] * 7)
     fleet.rounds_until(
         lambda: any(member.rebalance_count for member in fleet.members),
         120 + DEFAULT_REBALANCE_INTERVAL_US // ROUND_US,
@@ -94,28 +94,28 @@
     )
     sizes = fleet.members[0].range_sizes()
     assert sizes[0] < SLOT_COUNT // 8 < min(sizes[1:]) and sum(sizes) == SLOT_COUNT
-    assert all(desk.placement.all_caches.attempt_count == 0 for desk in fleet.desks)
+    assert all(balancer.placement.all_caches.attempt_count == 0 for balancer in fleet.balancers)
 
 
 @given(st.integers(0, 99), st.sampled_from([0.0, 0.5]))
 @settings(max_examples=25, deadline=None)
 def test_tables_that_losses_left_unlike_agree_again(seed, loss):
     fleet = Fleet(12, seed=seed, loss=loss)
-    for i, desk in enumerate(fleet.desks):
+    for i, balancer in enumerate(fleet.balancers):
         for id in ("c2", "c3") if i % 2 else ("c3", "c2"):
-            desk.list([id], state="gone")
-        desk.list(["c2", "c3"])
+            balancer.list_hosts([id], state="gone")
+        balancer.list_hosts(["c2", "c3"])
     fleet.rounds_until(lambda: len(fleet.tables()) == 1, 40)
     assert sum(fleet.members[0].range_sizes()) == SLOT_COUNT
 
 
 def test_who_has_another_list_keeps_its_table_until_it_has_the_same():
     fleet = Fleet(3)
-    fleet.desks[0].list(["c3"], state="gone")
+    fleet.balancers[0].list_hosts(["c3"], state="gone")
     for _ in range(20):
         fleet.run_round()
     assert len(fleet.members[0].range_sizes()) == 7 and len(fleet.members[1].range_sizes()) == 8
-    fleet.desks[0].list(["c3"])
+    fleet.balancers[0].list_hosts(["c3"])
     fleet.rounds_until(lambda: len(fleet.tables()) == 1, 40)
 
 
@@ -156,22 +156,22 @@
 
 def test_a_balancer_that_hears_nobody_rebalances_as_it_would_without_gossip():
     for with_gossip in (False, True):
-        desk = Desk(4)
-        member = GossipCounts("b0", 1, desk.placement, Random(1), desk.now)
-        count(desk, [200, 100, 50, 50])
+        balancer = BalancerHarness(4)
+        member = GossipCounts("b0", 1, balancer.placement, Random(1), balancer.now)
+        count(balancer, [200, 100, 50, 50])
         for _ in range(12):
-            desk.wait(ROUND_US)
+            balancer.advance(ROUND_US)
             if with_gossip:
-                member.tick(desk.now)
-        assert [host.range_size for host in desk.placement.ring] == pytest.approx(
+                member.tick(balancer.now)
+        assert [host.range_size for host in balancer.placement.ring] == pytest.approx(
             [2048, 4096, 5120, 5120], abs=4
         )
 
 
 def test_reports_are_bounded_and_a_table_that_cannot_be_is_refused():
-    desk = Desk(4)
-    member = GossipCounts("b0", 1, desk.placement, Random(1), desk.now)
-    report = CountsReport("b0", 1, 1, desk.now, 0, TableVersion(0, ""), [], 0.0, {})
+    balancer = BalancerHarness(4)
+    member = GossipCounts("b0", 1, balancer.placement, Random(1), balancer.now)
+    report = CountsReport("b0", 1, 1, balancer.now, 0, TableVersion(0, ""), [], 0.0, {})
     outcomes = [
         member.receive_report(report._replace(balancer=f"x{i}")) for i in range(MAX_REPORTS + 1)
     ]
@@ -180,25 +180,25 @@
     ring_digest = member.ring_digest()
     for sizes in ([SLOT_COUNT], [SLOT_COUNT, 0, 0, 1], [SLOT_COUNT + 5, -5, 0, 0]):
         with pytest.raises(ValueError):
-            member.receive_table(RangeTable(ring_digest, TableVersion(1, "x"), sizes), desk.now)
+            member.receive_table(RangeTable(ring_digest, TableVersion(1, "x"), sizes), balancer.now)
     other_caches = RangeTable(ring_digest ^ 1, TableVersion(9, "x"), [SLOT_COUNT, 0, 0, 0])
-    assert not member.receive_table(other_caches, desk.now)
+    assert not member.receive_table(other_caches, balancer.now)
     assert sum(member.range_sizes()) == SLOT_COUNT
     assert member.table_version == TableVersion(0, "")
 
 
 def test_ranges_go_back_to_even_under_gossip_too_and_agree():
     fleet = Fleet(6, caches=9)
-    for desk in fleet.desks:
+    for balancer in fleet.balancers:
         for id in ("c3", "c4", "c5", "c7"):
-            desk.list([id], state="gone")
+            balancer.list_hosts([id], state="gone")
         for id in ("c4", "c3", "c7", "c5"):
-            desk.list([id])
+            balancer.list_hosts([id])
     before = fleet.members[0].range_sizes()
     for _ in range(70):
         fleet.run_round()
-        for desk in fleet.desks:
-            desk.placement.tick()
+        for balancer in fleet.balancers:
+            balancer.placement.tick()
     sizes = fleet.members[0].range_sizes()
     assert max(sizes) < 1.2 * min(sizes) < max(before) and len(fleet.tables()) == 1
     assert not any(member.rebalance_count for member in fleet.members)
--- a/tests/decisions/test_hot_keys.py
+++ b/tests/decisions/test_hot_keys.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -58,51 +58,51 @@
     assert 0 not in detector.read_counts
 
 
-def caches_read(desk, key, count):
+def caches_read(balancer, key, count):
     """How many reads of the key each cache got, one after another."""
     reads = Counter()
     for _ in range(count):
-        request = desk.put(key)
-        reads[desk.sent(request)[0]] += 1
-        desk.outcome(request, "done")
+        request = balancer.send_request(key)
+        reads[balancer.attempted_hosts(request)[0]] += 1
+        balancer.finish_attempt(request, "done")
     return reads
 
 
 def test_reads_of_a_hot_key_go_to_two_neighbours_on_each_side_and_writes_and_others_to_owners():
-    desk = Desk(9)
-    owner = int(desk.owner(1)[1:])
-    reads = caches_read(desk, 1, 300)
+    balancer = BalancerHarness(9)
+    owner = int(balancer.owner_of_key(1)[1:])
+    reads = caches_read(balancer, 1, 300)
     assert set(reads) == {f"c{(owner + step) % 9}" for step in (-2, -1, 0, 1, 2)}
     assert all(count > 30 for count in reads.values())
-    assert len(caches_read(desk, 2, 2)) == 1
+    assert len(caches_read(balancer, 2, 2)) == 1
 
 
 def test_a_hot_key_goes_past_a_neighbour_that_is_ejected():
-    desk = Desk(9)
-    owner = int(desk.owner(1)[1:])
-    caches_read(desk, 1, 50)
-    desk.hosts[f"c{(owner + 1) % 9}"].ejected_until_us = desk.now + 1_000_000
-    reads = caches_read(desk, 1, 200)
+    balancer = BalancerHarness(9)
+    owner = int(balancer.owner_of_key(1)[1:])
+    caches_read(balancer, 1, 50)
+    balancer.hosts[f"c{(owner + 1) % 9}"].ejected_until_us = balancer.now + 1_000_000
+    reads = caches_read(balancer, 1, 200)
     assert f"c{(owner + 1) % 9}" not in reads and sum(reads.values()) == 200
 
 
 def test_who_takes_over_for_a_cache_is_on_the_side_of_the_keys_half_of_its_range():
     """Not the left one for all: hundreds of balancers that lose a cache at once would all turn to it."""
-    desk = Desk(5)
+    balancer = BalancerHarness(5)
     sides = Counter()
-    c2 = desk.hosts["c2"]
-    start, end = desk.placement.ranges.range_ends[1:3]
+    c2 = balancer.hosts["c2"]
+    start, end = balancer.placement.ranges.range_ends[1:3]
     for key in range(400):
         c2.ejected_until_us = 0
-        request = desk.put(key)
-        desk.outcome(request, "done")
-        if desk.sent(request) == ["c2"]:
-            c2.ejected_until_us = desk.now + 1_000_000
+        request = balancer.send_request(key)
+        balancer.finish_attempt(request, "done")
+        if balancer.attempted_hosts(request) == ["c2"]:
+            c2.ejected_until_us = balancer.now + 1_000_000
             slot = crc_hqx(b"%d" % key, 0) & (SLOT_COUNT - 1)
             assert start <= slot < end
             side = "c1" if slot < start + (end - start) // 2 else "c3"
-            request = desk.put(key)
-            desk.outcome(request, "done")
-            assert desk.sent(request) == [side]
+            request = balancer.send_request(key)
+            balancer.finish_attempt(request, "done")
+            assert balancer.attempted_hosts(request) == [side]
             sides[side] += 1
     assert min(sides["c1"], sides["c3"]) > 10
--- a/tests/decisions/test_warm_snapshot.py
+++ b/tests/decisions/test_warm_snapshot.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
@@ -20,22 +20,22 @@
 
 
 def balancer_with_history():
-    desk = Desk(3)
+    balancer = BalancerHarness(3)
     for key in range(40):
-        desk.outcome(desk.put(key, tenant="big"), "done")
-    host = desk.hosts["c1"]
+        balancer.finish_attempt(balancer.send_request(key, tenant="big"), "done")
+    host = balancer.hosts["c1"]
     host.concurrency_limit = 2.5
     host.smoothed_latency_us = 90_000
-    host.ejected_until_us = desk.now + 400_000
-    ring = desk.placement.ring
+    host.ejected_until_us = balancer.now + 400_000
+    ring = balancer.placement.ring
     ring[0].range_size -= 500
     ring[2].range_size += 500
-    desk.placement.ranges.refresh()
-    return desk
+    balancer.placement.ranges.refresh()
+    return balancer
 
 
 def test_a_snapshot_is_restored_whole_by_way_of_json():
-    old, new = balancer_with_history(), Desk(3)
+    old, new = balancer_with_history(), BalancerHarness(3)
     assert restore_snapshot(new, orjson.loads(orjson.dumps(export_snapshot(old)))) == 4
     assert (
         export_snapshot(new) == export_snapshot(old)
@@ -48,8 +48,8 @@
 
 
 def test_a_host_that_started_since_is_left_as_it_is_and_ranges_of_other_caches_are_not_taken():
-    old, new = balancer_with_history(), Desk(3)
-    new.list(["c1"], since=77)
+    old, new = balancer_with_history(), BalancerHarness(3)
+    new.list_hosts(["c1"], since=77)
     before = new.placement.ranges.range_ends[:]
     assert restore_snapshot(new, export_snapshot(old)) == 3
     assert (
@@ -57,7 +57,7 @@
         and new.hosts["c0"].retry_budget == old.hosts["c0"].retry_budget
         and new.placement.ranges.range_ends == before
     )
-    more = Desk(4)
+    more = BalancerHarness(4)
     before = more.placement.ranges.range_ends[:]
     restore_snapshot(more, export_snapshot(old))
     assert (
@@ -80,9 +80,9 @@
     ],
 )
 def test_what_makes_no_sense_changes_nothing(snapshot):
-    desk = balancer_with_history()
-    before = copy.deepcopy(export_snapshot(desk))
-    assert restore_snapshot(desk, snapshot) == 0 and export_snapshot(desk) == before
+    balancer = balancer_with_history()
+    before = copy.deepcopy(export_snapshot(balancer))
+    assert restore_snapshot(balancer, snapshot) == 0 and export_snapshot(balancer) == before
 
 
 HOST_NAMES = [*(field.name for field in HOST_FIELDS), RANGE_SIZE, STARTED_AT]
@@ -110,12 +110,12 @@
     ),
 )
 def test_no_value_can_break_what_is_decided(hosts, tenants):
-    desk = Desk(3)
+    balancer = BalancerHarness(3)
     for fields in hosts.values():
         if fields.get("since", 0) in (None, 0):
             fields["since"] = 0
-    restore_snapshot(desk, {"hosts": hosts, "tenants": tenants})
-    for host in desk.hosts.values():
+    restore_snapshot(balancer, {"hosts": hosts, "tenants": tenants})
+    for host in balancer.hosts.values():
         assert (
             0 < host.concurrency_limit <= 1e5
             and 0 <= host.smoothed_latency_us <= 6e7
@@ -123,18 +123,18 @@
         )
         assert (
             max(host.limit_decreased_at_us, host.latency_recorded_at_us, host.last_response_at_us)
-            <= desk.now + CLOCK_SLACK_US
+            <= balancer.now + CLOCK_SLACK_US
         )
         assert (
-            host.ejected_until_us <= desk.now + 1_050_000
-            and host.warm_at_us <= desk.now + 60_050_000
+            host.ejected_until_us <= balancer.now + 1_050_000
+            and host.warm_at_us <= balancer.now + 60_050_000
         )
-    assert sum(host.range_size for host in desk.placement.ring) == SLOT_COUNT
-    assert all(0 <= shed <= 0.9 for shed in desk.admission.shed_ratios.values())
+    assert sum(host.range_size for host in balancer.placement.ring) == SLOT_COUNT
+    assert all(0 <= shed <= 0.9 for shed in balancer.admission.shed_ratios.values())
     for key in range(20):
-        request = desk.put(key)
-        if desk.sent(request):
-            desk.outcome(request, "done")
-    desk.wait(70_000_000)
-    request = desk.put(3)
-    assert desk.sent(request) or desk.did("deny", request)
+        request = balancer.send_request(key)
+        if balancer.attempted_hosts(request):
+            balancer.finish_attempt(request, "done")
+    balancer.advance(70_000_000)
+    request = balancer.send_request(3)
+    assert balancer.attempted_hosts(request) or balancer.actions("deny", request)
