--- a/orchidgap/decisions/admission.py
+++ b/orchidgap/decisions/admission.py
@@ -95,7 +95,9 @@
         total = sum(self.admitted.values())
         for name, count in self.admitted.items():
             if self.overloaded:
-                over_share = count / total / tenants[name].share - MAX_SHARE_RATIO if total else 0.0
+                over_share = (
+                    count / total / tenants[name].quota_ratio - MAX_SHARE_RATIO if total else 0.0
+                )
                 change = over_share * SHED_GAIN_RATIO
             else:
                 change = -SHED_DECAY_RATIO
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -86,7 +86,7 @@
 class Tenant(NamedTuple):
     """Whose requests they are."""
 
-    share: float  # the tenant's quota, as a part of all requests
+    quota_ratio: float  # the tenant's quota, as a part of all requests
 
 
 class ServiceSettings(NamedTuple):
