--- a/orchidgap/admin/__init__.py
+++ b/orchidgap/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' door: one line to a connection, answered by one line that begins with SUCCESS or FAILURE."""
+"""What operators ask of a running balancer: one command a connection, one line in answer."""
--- a/orchidgap/admin/client.py
+++ b/orchidgap/admin/client.py
@@ -1,24 +1,40 @@
-"""A call to a running balancer's operators' door."""
+"""Asks a running balancer for one command, and waits for its answer."""
 
 from __future__ import annotations
 
 import socket
+from typing import NamedTuple
 
+from orchidgap.admin.protocol import LINE_END, encode_command, is_success
 from orchidgap.net.addresses import Address
 
-WITHIN = 5.0  # seconds for the answer
-MOST = 1 << 12  # bytes of it
+ANSWER_TIMEOUT_S = 5.0
+MAX_ANSWER_BYTES = 1 << 12
 
 
-def call(address: Address, name: str) -> tuple[bool, str]:
-    """Takes the door's address and the call; whether it was done, and the door's line. Raises OSError."""
-    with socket.create_connection(address, WITHIN) as conn:
-        conn.settimeout(WITHIN)
-        conn.sendall(name.encode() + b"\n")
-        line = b""
-        while b"\n" not in line and len(line) < MOST and (part := conn.recv(MOST)):
-            line += part
-    said = line.partition(b"\n")[0].decode(errors="replace")
-    if not said:
+class Answer(NamedTuple):
+    """What a balancer answered."""
+
+    succeeded: bool
+    line: str
+
+
+def call(address: Address, command: str) -> Answer:
+    """Asks the balancer whose operators' address this is for a command.
+
+    Raises:
+        OSError: Nobody listens there, or no answer came in time.
+    """
+    with socket.create_connection(address, ANSWER_TIMEOUT_S) as connection:
+        connection.settimeout(ANSWER_TIMEOUT_S)
+        connection.sendall(encode_command(command))
+        received = b""
+        while LINE_END not in received and len(received) < MAX_ANSWER_BYTES:
+            part = connection.recv(MAX_ANSWER_BYTES)
+            if not part:
+                break
+            received += part
+    line = received.partition(LINE_END)[0].decode(errors="replace")
+    if not line:
         raise OSError("closed without an answer")
-    return said.startswith("SUCCESS"), said
+    return Answer(is_success(line), line)
--- a/orchidgap/admin/server.py
+++ b/orchidgap/admin/server.py
@@ -1,111 +1,143 @@
-"""The listener for operators' calls. It only calls the node, and has descriptors of its own."""
+"""The listener for operators' commands.
+
+Its descriptors are set aside, so that operators get in when clients have taken all others. A new
+connection pushes out the one that has been silent longest: nobody can keep operators out by opening
+connections and saying nothing.
+"""
 
 from __future__ import annotations
 
 import socket
-from collections.abc import Callable
-
+from collections.abc import Callable, Mapping
+
+from orchidgap.admin.protocol import (
+    LINE_END,
+    MAX_COMMAND_BYTES,
+    CommandResult,
+    decode_command,
+    encode_result,
+    unknown_command,
+)
 from orchidgap.net.addresses import Address
 from orchidgap.net.connection import Connection
 from orchidgap.net.dialing import open_listener
 from orchidgap.net.loop import READ, Loop
 
-MOST = 12  # calls at once; the descriptors are set aside by the node
-MOST_LINE = 256  # bytes of a call
-PATIENCE = 10_000_000  # for a call to come whole, where nobody else waits to be let in
-BACKLOG = 512
+MAX_CONNECTIONS = 12
+COMMAND_TIMEOUT_US = 10_000_000  # for a whole command to come, unless others push it out
+LISTEN_BACKLOG = 512
+
+Command = Callable[[], tuple[bool, str]]  # whether it succeeded, and one plain word on it
 
-Act = Callable[[], tuple[bool, str]]  # whether it was done, and one plain word on it
 
+class AdminConnection:
+    """One connection, with one command on it.
 
-class Call:
-    """One connection with one call on it."""
+    Attributes:
+        connection: The socket with its buffers.
+    """
 
-    __slots__ = ("conn", "door", "line", "since")
+    __slots__ = ("_received", "_server", "connection")
 
-    def __init__(self, door: Operators, sock: socket.socket) -> None:
-        self.door, self.line, self.since = door, b"", door.loop.now
-        self.conn = Connection(door.loop, sock, self)
+    def __init__(self, server: AdminServer, sock: socket.socket) -> None:
+        """Wait for a command on the socket."""
+        self._server = server
+        self._received = b""
+        self.connection = Connection(server.loop, sock, self)
 
     def opened(self) -> None:
-        pass
+        """A connection that was dialled has come up; these never are."""
 
     def received(self, view: memoryview) -> None:
-        self.line += bytes(view[: MOST_LINE + 1])
-        line, end, _ = self.line.partition(b"\n")
-        if end and len(line) <= MOST_LINE:
-            self.answer(*self.door.call(line))
-        elif len(self.line) > MOST_LINE:
-            self.answer(False, "the call is too long")
-
-    def answer(self, done: bool, words: str) -> None:
-        self.door.waiting.pop(self, None)
-        self.conn.send(f"{'SUCCESS' if done else 'FAILURE'} {words}\n".encode())
-        self.conn.close_gracefully()
+        """Bytes came: run the command once it is whole."""
+        self._received += bytes(view[: MAX_COMMAND_BYTES + 1])
+        line, line_end, _ = self._received.partition(LINE_END)
+        if line_end and len(line) <= MAX_COMMAND_BYTES:
+            self.answer(self._server.run_command(line))
+        elif len(self._received) > MAX_COMMAND_BYTES:
+            self.answer(CommandResult(False, "the call is too long"))
+
+    def answer(self, result: CommandResult) -> None:
+        """Send the result, and close once it is sent."""
+        self._server.waiting.pop(self, None)
+        self.connection.send(encode_result(result))
+        self.connection.close_gracefully()
 
     def ended(self, what: str) -> None:
-        self.door.waiting.pop(self, None)
-        self.door.open.pop(self, None)
+        """The connection has ended."""
+        self._server.waiting.pop(self, None)
+        self._server.connections.pop(self, None)
 
     def close(self) -> None:
-        self.conn.close()
+        """Close without an answer."""
+        self.connection.close()
         self.ended("closed")
 
 
-class Operators:
-    """Takes the acts by the names they are called by."""
+class AdminServer:
+    """Runs commands by their words.
 
-    def __init__(self, loop: Loop, acts: dict[str, Act]) -> None:
-        self.loop, self.acts = loop, acts
-        self.open: dict[Call, None] = {}
-        self.waiting: dict[
-            Call, None
-        ] = {}  # of these: yet to bring a whole call; the longest first
-        self.listener: socket.socket | None = None
+    Attributes:
+        loop: Whose clock and timers count.
+        connections: All that are open, the oldest first.
+        waiting: Those of them that have yet to bring a whole command, the longest silent first.
+    """
 
-    def listen(self, address: Address) -> None:
-        """Raises OSError where the address cannot be had."""
-        self.listener = open_listener(address, BACKLOG)
-        self.loop.watch(self.listener, READ, self.accept, first=True)
+    def __init__(self, loop: Loop, commands: Mapping[str, Command]) -> None:
+        """Serve these commands, by the words that operators have for them."""
+        self.loop = loop
+        self.connections: dict[AdminConnection, None] = {}
+        self.waiting: dict[AdminConnection, None] = {}
+        self._commands = commands
+        self._listener: socket.socket | None = None
 
-    def accept(self, mask: int = READ) -> None:
-        while self.listener:
+    def listen(self, address: Address) -> None:
+        """Open the listener.
+
+        Raises:
+            OSError: The address cannot be had.
+        """
+        self._listener = open_listener(address, LISTEN_BACKLOG)
+        self.loop.watch(self._listener, READ, self._accept_all, first=True)
+
+    def accept(self, sock: socket.socket) -> None:
+        """Serve a connection that came in."""
+        if len(self.connections) >= MAX_CONNECTIONS:
+            self._close_oldest()
+        connection = AdminConnection(self, sock)
+        self.connections[connection] = None
+        self.waiting[connection] = None
+        self.loop.call_later(COMMAND_TIMEOUT_US, self._expire, connection)
+        connection.connection.on_ready(READ)  # the command has mostly come with it
+
+    def run_command(self, line: bytes) -> CommandResult:
+        """Run the command that a line asks for; the line comes without its end."""
+        word = decode_command(line)
+        command = self._commands.get(word)
+        if command is None:
+            return unknown_command(word, self._commands)
+        return CommandResult(*command())
+
+    def _accept_all(self, mask: int = READ) -> None:
+        while self._listener:
             try:
-                sock, _ = self.listener.accept()
+                sock, _ = self._listener.accept()
             except BlockingIOError:
                 return
-            except (
-                OSError
-            ):  # gone before it was let in, or no descriptor left: the oldest makes way
-                if not self.shed():
+            except OSError:  # it has gone already, or no descriptor is left
+                if not self._close_oldest():
                     return
                 continue
-            self.let_in(sock)
-
-    def let_in(self, sock: socket.socket) -> None:
-        if len(self.open) >= MOST:
-            self.shed()
-        call = Call(self, sock)
-        self.open[call] = self.waiting[call] = None
-        self.loop.call_later(PATIENCE, self.expire, call)
-        call.conn.on_ready(READ)  # the call has mostly come with it
+            self.accept(sock)
 
-    def shed(self) -> bool:
+    def _close_oldest(self) -> bool:
         """Close who has been silent longest, else who reads its answer; whether there was one."""
-        call = next(iter(self.waiting), None) or next(iter(self.open), None)
-        if call:
-            call.close()
-        return call is not None
-
-    def expire(self, call: Call) -> None:
-        if call in self.waiting:
-            call.answer(False, "no whole call came")
-
-    def call(self, line: bytes) -> tuple[bool, str]:
-        """One call, without its end of line."""
-        name = line.strip().decode("ascii", errors="replace")
-        act = self.acts.get(name)
-        if act is None:
-            shown = "".join(letter if " " <= letter <= "~" else "?" for letter in name[:32])
-            return False, f"no such call: {shown!r}; known are {', '.join(self.acts)}"
-        return act()
+        oldest = next(iter(self.waiting), None) or next(iter(self.connections), None)
+        if oldest is None:
+            return False
+        oldest.close()
+        return True
+
+    def _expire(self, connection: AdminConnection) -> None:
+        if connection in self.waiting:
+            connection.answer(CommandResult(False, "no whole call came"))
--- a/orchidgap/commands.py
+++ b/orchidgap/commands.py
@@ -116,8 +116,8 @@
                     "give --addr, or admin_addr in the configuration"
                 )
             target = found
-        done, answer = client.call(target, call)
+        answer = client.call(target, call)
     except (OSError, ValueError, ConfigError) as error:
         return f"orchidgap: {error}"
-    print(answer)
-    return 0 if done else 1
+    print(answer.line)
+    return 0 if answer.succeeded else 1
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -13,7 +13,8 @@
 from functools import partial
 from typing import Any, Protocol
 
-from orchidgap.admin.server import Operators
+from orchidgap.admin import protocol as admin_protocol
+from orchidgap.admin.server import AdminServer
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.errors import ConfigError
@@ -88,7 +89,7 @@
     wakeup = handle_signals(loop, node, path)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP,))
     if balancer_config.admin:
-        listen_with_retry(make_operators(loop, node).listen, balancer_config.admin)
+        listen_with_retry(make_admin_server(loop, node).listen, balancer_config.admin)
     gossip = (
         make_gossip(loop, node, log, balancer_config)
         if balancer_config.gossip and make_gossip
@@ -106,15 +107,15 @@
     wakeup.close()
 
 
-def make_operators(loop: Loop, node: Node) -> Operators:
-    """Where operators call, with the words of their calls."""
-    return Operators(
+def make_admin_server(loop: Loop, node: Node) -> AdminServer:
+    """Where operators call, with the commands that they have."""
+    return AdminServer(
         loop,
         {
-            "health": node.health,
-            "quiesce": node.quiesce,
-            "resume": node.resume,
-            "watch": node.shadow_report,
+            admin_protocol.HEALTH: node.health,
+            admin_protocol.DRAIN: node.quiesce,
+            admin_protocol.RESUME: node.resume,
+            admin_protocol.SHADOW_REPORT: node.shadow_report,
         },
     )
 
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -19,8 +19,9 @@
 from random import Random
 from typing import Any, cast
 
-from orchidgap.admin.client import call as ask_door
-from orchidgap.admin.server import Operators
+from orchidgap.admin import protocol as admin_protocol
+from orchidgap.admin.client import call as call_balancer
+from orchidgap.admin.server import AdminServer
 from orchidgap.composition import protocol_for
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.net import config
@@ -178,10 +179,15 @@
                 share, node, self.log, self.name, station.gossip, station.seed, scene.carry
             )
         if scene.front.on:
-            operators = Operators(
-                share, {"health": node.health, "quiesce": node.quiesce, "resume": node.resume}
+            admin = AdminServer(
+                share,
+                {
+                    admin_protocol.HEALTH: node.health,
+                    admin_protocol.DRAIN: node.quiesce,
+                    admin_protocol.RESUME: node.resume,
+                },
             )
-            ground.listen(self.admin, lambda sock, who: share.call_soon(operators.let_in, sock))
+            ground.listen(self.admin, lambda sock, who: share.call_soon(admin.accept, sock))
         return node
 
     def kill(self) -> None:
@@ -319,7 +325,7 @@
 
     def new_ready(self) -> bool:
         try:
-            return ask_door(self.admin, "health")[0]
+            return call_balancer(self.admin, admin_protocol.HEALTH).succeeded
         except OSError:
             return False
 
