--- a/orchidgap/composition.py
+++ b/orchidgap/composition.py
@@ -41,6 +41,6 @@
 
 def make_gossip(loop: Loop, node: Node, log: EventLog, config: BalancerConfig) -> Gossip:
     """What tells other balancers this one's counts."""
-    from orchidgap.peers.gossip_transport import talk_of
+    from orchidgap.peers.gossip_transport import create_gossip
 
-    return talk_of(loop, node, log, config)
+    return create_gossip(loop, node, log, config)
--- a/orchidgap/net/config/optional_parts.py
+++ b/orchidgap/net/config/optional_parts.py
@@ -93,9 +93,10 @@
 
 def rebalance_interval_ms(part: Mapping[str, Any]) -> int:
     """The time between two drawings of ranges."""
-    from orchidgap.decisions.gossip_counts import GAP  # nothing of it is loaded where it is off
+    # imported here, as nothing of it is loaded where gossip is off
+    from orchidgap.decisions.gossip_counts import DEFAULT_REBALANCE_INTERVAL_US
 
-    interval_ms = part.get("draw-ms", GAP // 1000)
+    interval_ms = part.get("draw-ms", DEFAULT_REBALANCE_INTERVAL_US // 1000)
     if type(interval_ms) is not int or interval_ms < MIN_REBALANCE_INTERVAL_MS:
         raise SettingError(
             f"pool.draw-ms is {interval_ms!r}, and must be {MIN_REBALANCE_INTERVAL_MS} or more"
