--- a/orchidgap/control/process.py
+++ b/orchidgap/control/process.py
@@ -35,7 +35,7 @@
 from orchidgap.decisions.leases import LeaseTable
 from orchidgap.decisions.policy_rollout import PolicyState
 from orchidgap.errors import ConfigError
-from orchidgap.net.endpoints import format_address
+from orchidgap.net.addresses import format_address
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import Loop, boot_clock
 from orchidgap.net.signals import watch_signals
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -110,7 +110,7 @@
     def record_latency(self, host, latency_us):
         host.concurrency_limit = 1e9
 
-    def decrease_limit(self, host, factor):
+    def decrease_limit(self, host, ratio):
         host.concurrency_limit = 1e9
 
 
@@ -192,7 +192,7 @@
         registry = getattr(self.port, "discovery", None)
         if registry:
             registry.ended = lambda what: (
-                registry.drop(),
+                registry.close_connection(),
                 registry.set_timer(1_000, registry.fetch),
             )
         super().on_hosts(scope, entries)
