--- a/orchidgap/control/guarded_node.py
+++ b/orchidgap/control/guarded_node.py
@@ -38,12 +38,12 @@
         """Return whether it serves."""
         return self.guard.may_serve() and super().is_ready()
 
-    def knows_request_class(self, rule_set: str) -> bool:
+    def knows_request_class(self, name: str) -> bool:
         """Return whether the request class exists; any may while it must not serve.
 
         Without permission it must not answer 404 by a policy that may no longer be in force.
         """
-        return not self.guard.may_serve() or super().knows_request_class(rule_set)
+        return not self.guard.may_serve() or super().knows_request_class(name)
 
     def handle_request(
         self,
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -109,9 +109,9 @@
         self.name = config.name
         self.incarnation = f"{rng.getrandbits(64):x}"
         self.clients = [
-            RpcClient(loop, address, CALL_TIMEOUT_US) for address in config.control["at"]
+            RpcClient(loop, address, CALL_TIMEOUT_US) for address in config.control.addresses
         ]
-        self.lease = LeaseState(OnLostQuorum(config.control["alone"]), 0)
+        self.lease = LeaseState(OnLostQuorum(config.control.on_lost_quorum), 0)
         self.node: LeaseGuardedNode
         self.on_first_lease: Callable[[], None] | None = None  # None once the listener is open
         self.heartbeat = Heartbeat(0, done=True)
@@ -386,7 +386,7 @@
         ConfigError: The folder cannot be used.
     """
     assert config.control
-    folder = config.control["dir"]
+    folder = config.control.folder
     try:
         store = make_store(Path(folder))
     except OSError as error:
--- a/orchidgap/net/config/model.py
+++ b/orchidgap/net/config/model.py
@@ -7,6 +7,7 @@
 
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.net.addresses import Address
+from orchidgap.net.config.optional_parts import ControlConfig
 from orchidgap.net.endpoints import Endpoint, EndpointEntry
 
 
@@ -28,7 +29,7 @@
     admin: Address | None = None  # where operators call, if they may
     shadow_settings: ServiceSettings | None = None  # that are evaluated and not followed
     key_shapes: Mapping[str, str] = {}  # which keys the file had, with the kinds of their values
-    control: Mapping[str, Any] | None = None  # where control is, if the settings come from there
+    control: ControlConfig | None = None  # where control is, if the settings come from there
     gossip: Mapping[str, Any] | None = None  # how balancers tell each other counts, if they do
 
 
--- a/orchidgap/net/config/optional_parts.py
+++ b/orchidgap/net/config/optional_parts.py
@@ -9,11 +9,11 @@
 
 from collections.abc import Mapping
 from ipaddress import IPv4Address
-from typing import Any
+from typing import Any, NamedTuple
 
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.errors import SettingError
-from orchidgap.net.addresses import parse_address
+from orchidgap.net.addresses import Address, parse_address
 from orchidgap.net.config.settings_tree import flatten
 
 MIN_KEY_LENGTH = 16
@@ -41,10 +41,24 @@
     return shadow
 
 
-def control_part(part: Any) -> Mapping[str, Any] | None:
+class ControlConfig(NamedTuple):
+    """Where control is, and how this balancer follows it.
+
+    Attributes:
+        addresses: Of all control processes.
+        folder: This balancer's own.
+        on_lost_quorum: What it does without a lease, one of `ON_LOST_QUORUM`.
+    """
+
+    addresses: list[Address]
+    folder: str
+    on_lost_quorum: str
+
+
+def control_part(part: Any) -> ControlConfig | None:
     """Where control is, this balancer's own folder, and what it does when it has lost the quorum.
 
-    >>> control_part({"at": ["127.0.0.1:7500"], "dir": "/var/lib/orchidgap"})["alone"]
+    >>> control_part({"at": ["127.0.0.1:7500"], "dir": "/var/lib/orchidgap"}).on_lost_quorum
     'leave'
     """
     if part is None:
@@ -57,11 +71,11 @@
     on_lost_quorum = part.get("alone", "leave")
     if on_lost_quorum not in ON_LOST_QUORUM:
         raise SettingError(f"control.alone is {on_lost_quorum!r}, and must be leave or stay")
-    return {
-        "at": [parse_address(address) for address in addresses],
-        "dir": part["dir"],
-        "alone": on_lost_quorum,
-    }
+    return ControlConfig(
+        addresses=[parse_address(address) for address in addresses],
+        folder=part["dir"],
+        on_lost_quorum=on_lost_quorum,
+    )
 
 
 def gossip_part(part: Any) -> Mapping[str, Any] | None:
--- a/tests/control/test_lease_keeper.py
+++ b/tests/control/test_lease_keeper.py
@@ -12,6 +12,7 @@
 from orchidgap.control.lease_keeper import LeaseKeeper
 from orchidgap.control.messages import LEASE, ProposalMessage
 from orchidgap.decisions.lease_state import ServingPermission
+from orchidgap.net.config.optional_parts import ControlConfig
 from orchidgap.state.durable_store import DurableStore
 from orchidgap.trial.fabric import World
 
@@ -49,7 +50,8 @@
 
 
 def make_keeper(folder, loop, count=1, alone="leave"):
-    config = SimpleNamespace(name="b", control={"at": [("127.0.0.1", 1)] * count, "alone": alone})
+    control = ControlConfig([("127.0.0.1", 1)] * count, str(folder), alone)
+    config = SimpleNamespace(name="b", control=control)
     keeper = LeaseKeeper(
         None,
         loop,
