--- a/orchidgap/net/handover/successor.py
+++ b/orchidgap/net/handover/successor.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from orchidgap.decisions import warm_snapshot
 from orchidgap.net.handover.messages import (
@@ -87,7 +87,7 @@
 
     def send_snapshot(self) -> None:
         """What the decisions know of hosts and tenants."""
-        known: dict[str, Any] = {"hosts": {}, "tenants": {}}
+        known: warm_snapshot.Snapshot = {"hosts": {}, "tenants": {}}
         if self.node.has_warm_state:
             known = warm_snapshot.export_snapshot(self.node.balancer)
         hosts = list(known["hosts"].items())
--- a/tests/decisions/test_heat.py
+++ b/tests/decisions/test_hot_keys.py
@@ -10,7 +10,11 @@
 from hypothesis import strategies as st
 
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
-from orchidgap.decisions.hot_keys import MOST, SPAN, HotKeyDetector
+from orchidgap.decisions.hot_keys import (
+    MAX_COUNTED_KEYS,
+    READS_PER_CACHE_BEFORE_HALVING,
+    HotKeyDetector,
+)
 
 
 @pytest.mark.parametrize(
@@ -19,69 +23,73 @@
         (0.43, 12, 30, 5, 12),  # found within seconds at two requests a second
         (0.04, 40, 200, 2, 12),
         (0.04, 40, 50, 2, 12),  # within half a minute
-        (0.04, 12, 2 * SPAN * 12, 2, 3),
-        (0.005, 12, 2 * SPAN * 12, 1, 1),
+        (0.04, 12, 2 * READS_PER_CACHE_BEFORE_HALVING * 12, 2, 3),
+        (0.005, 12, 2 * READS_PER_CACHE_BEFORE_HALVING * 12, 1, 1),
     ],
 )  # 0.06 of a cache
 def test_a_key_is_spread_by_what_it_takes_of_a_cache(part, caches, reads, least, most):
     found = []
     for seed in range(20):
-        heat, rng = HotKeyDetector(), Random(seed)
+        detector, rng = HotKeyDetector(), Random(seed)
         for _ in range(reads):
-            heat.copies(0 if rng.random() < part else rng.randrange(1, 9_999), caches)
-        found.append(heat.copies(0, caches))
+            detector.replica_count(0 if rng.random() < part else rng.randrange(1, 9_999), caches)
+        found.append(detector.replica_count(0, caches))
     assert least <= sorted(found)[10] <= most
 
 
 @given(st.lists(st.integers(0, 30), max_size=3_000), st.integers(1, 20))
 def test_what_is_counted_is_bounded_and_no_key_is_spread_wider_than_there_are_caches(keys, caches):
-    heat = HotKeyDetector()
+    detector = HotKeyDetector()
     for key in keys:
-        assert 1 <= heat.copies(key, caches) <= caches
-        assert sum(heat.counts.values()) <= heat.total + 1e-6 and len(heat.counts) <= MOST
+        assert 1 <= detector.replica_count(key, caches) <= caches
+        assert (
+            sum(detector.read_counts.values()) <= detector.total_reads + 1e-6
+            and len(detector.read_counts) <= MAX_COUNTED_KEYS
+        )
 
 
-def test_a_key_that_cools_is_given_up():
-    heat, rng = HotKeyDetector(), Random(1)
+def test_a_key_that_is_hot_no_more_is_forgotten():
+    detector, rng = HotKeyDetector(), Random(1)
     for _ in range(200):
-        heat.copies(0 if rng.random() < 0.4 else rng.randrange(1, 999), 12)
-    assert heat.copies(0, 12) > 1
-    for _ in range(8 * SPAN * 12):
-        heat.copies(rng.randrange(1, 999), 12)
-    assert 0 not in heat.counts
+        detector.replica_count(0 if rng.random() < 0.4 else rng.randrange(1, 999), 12)
+    assert detector.replica_count(0, 12) > 1
+    for _ in range(8 * READS_PER_CACHE_BEFORE_HALVING * 12):
+        detector.replica_count(rng.randrange(1, 999), 12)
+    assert 0 not in detector.read_counts
 
 
-def where(balancer, key, count):
-    """The caches that reads of the key went to, one after another."""
-    went = Counter()
+def caches_read(balancer, key, count):
+    """How many reads of the key each cache got, one after another."""
+    reads = Counter()
     for _ in range(count):
         request = balancer.send_request(key)
-        went[balancer.attempted_hosts(request)[0]] += 1
+        reads[balancer.attempted_hosts(request)[0]] += 1
         balancer.finish_attempt(request, "done")
-    return went
+    return reads
 
 
 def test_reads_of_a_hot_key_go_to_two_neighbours_on_each_side_and_writes_and_others_to_owners():
     balancer = BalancerHarness(9)
     owner = int(balancer.owner_of_key(1)[1:])
-    went = where(balancer, 1, 300)
-    assert set(went) == {f"c{(owner + step) % 9}" for step in (-2, -1, 0, 1, 2)}
-    assert all(count > 30 for count in went.values())
-    assert len(where(balancer, 2, 2)) == 1
+    reads = caches_read(balancer, 1, 300)
+    assert set(reads) == {f"c{(owner + step) % 9}" for step in (-2, -1, 0, 1, 2)}
+    assert all(count > 30 for count in reads.values())
+    assert len(caches_read(balancer, 2, 2)) == 1
 
 
-def test_a_hot_key_whose_cache_rests_goes_beside_it():
+def test_a_hot_key_goes_past_a_neighbour_that_is_ejected():
     balancer = BalancerHarness(9)
     owner = int(balancer.owner_of_key(1)[1:])
-    where(balancer, 1, 50)
+    caches_read(balancer, 1, 50)
     balancer.hosts[f"c{(owner + 1) % 9}"].ejected_until_us = balancer.now + 1_000_000
-    went = where(balancer, 1, 200)
-    assert f"c{(owner + 1) % 9}" not in went and sum(went.values()) == 200
+    reads = caches_read(balancer, 1, 200)
+    assert f"c{(owner + 1) % 9}" not in reads and sum(reads.values()) == 200
 
 
 def test_who_takes_over_for_a_cache_is_on_the_side_of_the_keys_half_of_its_range():
     """Not the left one for all: hundreds of balancers that lose a cache at once would all turn to it."""
-    balancer, sides = BalancerHarness(5), Counter()
+    balancer = BalancerHarness(5)
+    sides = Counter()
     c2 = balancer.hosts["c2"]
     start, end = balancer.placement.ranges.range_ends[1:3]
     for key in range(400):
