--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -13,7 +13,9 @@
 from orchidgap.http1.messages import Message
 from orchidgap.http1.readers import RequestReader
 from orchidgap.http1.writers import response_head
-from orchidgap.net.connection import Address, Connection, open_listener
+from orchidgap.net.addresses import Address
+from orchidgap.net.connection import Connection
+from orchidgap.net.dialing import open_listener
 from orchidgap.net.loop import READ, Loop
 
 MAX_REQUEST_BYTES = 1 << 22
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -12,9 +12,10 @@
 from orchidgap.http1.parser_resume import resume_body, resume_request
 from orchidgap.http1.server import Client
 from orchidgap.net.body_stream import Upload
+from orchidgap.net.exchange import Exchange
 from orchidgap.net.handover import MigratingRequest
 from orchidgap.net.loop import READ
-from orchidgap.net.node import Exchange, Node
+from orchidgap.net.node import Node
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 MOST = 120_000  # bytes that still wait to be written, with which one goes
@@ -201,7 +202,7 @@
             str(told["version"]),
             bool(told["lasts"]),
         )
-        exchange.attach(attempt, giving=True)
+        exchange.attach(attempt, is_streaming=True)
         client.go_on_giving(exchange, link.conn, bool(told["chunked"]), bool(told["last"]), raw)
         link.taker = client
         link.pool.pools.flows[link] = None
@@ -221,7 +222,7 @@
         )
         exchange.fallback_status = int(told["last_word"])
         attempt = link.attempt = attempt_of(exchange, told["host"], link, flow)
-        exchange.attach(attempt, giving=False)
+        exchange.attach(attempt, is_streaming=False)
         client.go_on_flowing(exchange, flow)
         link.chunked, link.conn.on_drained = bool(told["chunked"]), flow.update_backpressure
         if raw:
--- a/tests/peers/test_talk.py
+++ b/tests/peers/test_talk.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from desk import Desk
+from balancer_harness import BalancerHarness
 
 from orchidgap.decisions.gossip_counts import GAP
 from orchidgap.net.config import ConfigError, parse
@@ -18,7 +18,7 @@
     """A balancer's decisions, as a node has them."""
 
     def __init__(self, caches):
-        self.balancer = Desk(caches)
+        self.balancer = BalancerHarness(caches)
 
     def call_decisions(self, call, *args):
         call(*args)
@@ -116,7 +116,7 @@
         ground = Ground(2, caches)
         heat = ground.talks[0].pool.placement.hot_keys
         for key in range(keys):
-            heat.copies(key, caches)
+            heat.replica_count(key, caches)
         data = ground.talks[0].datagram(ground.now)
         assert SIGNED < len(data) <= LONGEST
         ground.talks[1].heard(data)
--- a/tests/trial/test_spread_plans.py
+++ b/tests/trial/test_spread_plans.py
@@ -29,15 +29,15 @@
 DEFECTS = {
     "no hot key is seen": (
         HotKeyDetector,
-        "copies",
-        lambda self, key, caches: 1,
+        "replica_count",
+        lambda self, key, cache_count: 1,
         "quarter",
         "calm: most",
     ),
     "all at one moment": (Placement, "owner_index", in_step, "calm", "calm: herd"),
     "ranges stay as a release left them": (
         rebalancing,
-        "EVENING_STEPS",
+        "EVEN_OUT_STEPS",
         0,
         "replaced",
         "after: most",
