--- a/orchidgap/net/config/model.py
+++ b/orchidgap/net/config/model.py
@@ -7,7 +7,7 @@
 
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.net.addresses import Address
-from orchidgap.net.endpoints import Endpoint, EndpointEntry
+from orchidgap.net.endpoints import HostList
 
 
 class BalancerConfig(NamedTuple):
@@ -19,8 +19,7 @@
     seed: int
     descriptors: int  # that all processes of this balancer may hold together
     memory_mb: int
-    # version, whether it is the whole list, entries for the decisions, where the hosts are
-    initial_endpoints: tuple[int, bool, list[EndpointEntry], list[Endpoint]]
+    initial_endpoints: HostList
     settings: ServiceSettings
     connect_timeout_us: int
     idle_timeout_us: int
--- a/orchidgap/net/endpoints.py
+++ b/orchidgap/net/endpoints.py
@@ -2,17 +2,41 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 from orchidgap.net.addresses import Address, parse_address
 
 STATES = {"Ready": "up", "Terminating": "draining", "Gone": "gone"}
 NO_ADDRESS: Address = ("", 0)
 
-# as the decisions take it: id, state, born (us), site, class, block, share
-EndpointEntry = tuple[str, str, int, str, str, str, float]
-Endpoint = tuple[str, str, Address]  # as connections take it: id, state, where
-HostList = tuple[int, bool, list[EndpointEntry], list[Endpoint]]
+
+class EndpointEntry(NamedTuple):
+    """What the decisions are told of a host; the state is up, draining or gone."""
+
+    host: str
+    state: str
+    born_us: int
+    site: str
+    host_class: str
+    block: str
+    share: float
+
+
+class Endpoint(NamedTuple):
+    """Where connections find a host; the state as in its entry."""
+
+    host: str
+    state: str
+    address: Address
+
+
+class HostList(NamedTuple):
+    """The list, or changes to it; entries and endpoints stand in the same order."""
+
+    version: int
+    whole: bool
+    entries: list[EndpointEntry]
+    endpoints: list[Endpoint]
 
 
 def decode_list(document: Any) -> HostList:
@@ -22,12 +46,14 @@
     here, or at no address, is sent nothing new. Raises KeyError, ValueError, TypeError or
     AttributeError where it is no list.
 
-    >>> decode_list({"seq": 4, "whole": False, "hosts": [{"host": "s", "dial": "127.0.0.2:7",
-    ...     "site": "a", "class": "m", "block": 3, "health": "Ready", "share": 1, "born_ms": 5}]})
-    (4, False, [('s', 'up', 5000, 'a', 'm', '3', 1.0)], [('s', 'up', ('127.0.0.2', 7))])
+    >>> host = {"host": "s", "dial": "127.0.0.2:7", "site": "a", "class": "m", "block": 3,
+    ...     "health": "Ready", "share": 1, "born_ms": 5}
+    >>> changes = decode_list({"seq": 4, "whole": False, "hosts": [host]})
+    >>> changes.version, changes.whole, tuple(changes.entries[0]), tuple(changes.endpoints[0])
+    (4, False, ('s', 'up', 5000, 'a', 'm', '3', 1.0), ('s', 'up', ('127.0.0.2', 7)))
     >>> decode_list({"seq": 4, "whole": True,
-    ...     "hosts": [{"host": "s", "dial": "", "health": "Ready"}]})[3]
-    [('s', 'draining', ('', 0))]
+    ...     "hosts": [{"host": "s", "dial": "", "health": "Ready"}]}).endpoints
+    [Endpoint(host='s', state='draining', address=('', 0))]
     """
     entries = []
     endpoints = []
@@ -35,7 +61,7 @@
         endpoint = decode_endpoint(host)
         entries.append(decode_entry(host, endpoint))
         endpoints.append(endpoint)
-    return int(document["seq"]), bool(document["whole"]), entries, endpoints
+    return HostList(int(document["seq"]), bool(document["whole"]), entries, endpoints)
 
 
 def decode_endpoint(host: Any) -> Endpoint:
@@ -43,21 +69,20 @@
     host_id = str(host["host"])
     state = STATES.get(host["health"], "draining")
     if state == "gone":
-        return host_id, state, NO_ADDRESS
+        return Endpoint(host_id, state, NO_ADDRESS)
     try:
-        return host_id, state, parse_address(host["dial"])
+        return Endpoint(host_id, state, parse_address(host["dial"]))
     except ValueError:
-        return host_id, "draining", NO_ADDRESS
+        return Endpoint(host_id, "draining", NO_ADDRESS)
 
 
 def decode_entry(host: Any, endpoint: Endpoint) -> EndpointEntry:
     """What the decisions are told of a host."""
-    host_id, state, _ = endpoint
     share = host.get("share")
     born_us = int(host.get("born_ms") or 0) * 1000
-    return (
-        host_id,
-        state,
+    return EndpointEntry(
+        endpoint.host,
+        endpoint.state,
         born_us,
         str(host.get("site")),
         str(host.get("class")),
--- a/orchidgap/net/handover/messages.py
+++ b/orchidgap/net/handover/messages.py
@@ -152,7 +152,7 @@
         if types != ENTRY_TYPES or len(entry) != len(ENTRY_TYPES) + 1:
             raise ValueError("no entry of a list")
         found[host_id] = (
-            (*entry[: len(ENTRY_TYPES)], float(entry[-1])),
-            (str(host_id), str(state), (str(host), int(port))),
+            EndpointEntry._make([*entry[: len(ENTRY_TYPES)], float(entry[-1])]),
+            Endpoint(str(host_id), str(state), (str(host), int(port))),
         )
     return found
--- a/orchidgap/net/handover/successor.py
+++ b/orchidgap/net/handover/successor.py
@@ -83,7 +83,9 @@
         endpoints = list(self.node.endpoints.values())
         for start in range(0, len(endpoints), HOSTS_IN_A_PACKET):
             part = endpoints[start : start + HOSTS_IN_A_PACKET]
-            self.channel.send(EndpointChunk([[*endpoint] for endpoint in part]))
+            self.channel.send(
+                EndpointChunk([[tuple(entry), tuple(place)] for entry, place in part])
+            )
 
     def send_snapshot(self) -> None:
         """What the decisions know of hosts and tenants."""
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -70,30 +70,28 @@
     Raises:
         ConfigError: It cannot start.
     """
-    # until it is heeded: its default would end the process, and the file may change after it is
-    # read
+    # until it is heeded: its default would end the process, and the file may change meanwhile
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
     balancer_config = config.read(path)
     log = EventLog(balancer_config.name)
     loop = Loop(on_error=log.exception)
     if balancer_config.shadow_settings:
         decider = partial(ShadowBalancer, balancer_config.shadow_settings)
+    protocol = protocol_for(balancer_config)
     holder: LeaseHolder | None = None
     if balancer_config.control and make_guarded_node:
         node, holder = make_guarded_node(
-            path, loop, balancer_config, log, protocol_for(balancer_config), decider=decider
+            path, loop, balancer_config, log, protocol, decider=decider
         )
     else:
-        node = Node(loop, balancer_config, log, protocol_for(balancer_config), decider=decider)
+        node = Node(loop, balancer_config, log, protocol, decider=decider)
     wakeup = handle_signals(loop, node, path)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP,))
     if balancer_config.admin:
         listen_with_retry(make_operators(loop, node).listen, balancer_config.admin)
-    gossip = (
-        make_gossip(loop, node, log, balancer_config)
-        if balancer_config.gossip and make_gossip
-        else None
-    )
+    gossip: Gossip | None = None
+    if balancer_config.gossip and make_gossip:
+        gossip = make_gossip(loop, node, log, balancer_config)
     if holder:
         holder.begin(partial(open_to_clients, loop, node, balancer_config, log))
     else:
--- a/orchidgap/resp/mapper.py
+++ b/orchidgap/resp/mapper.py
@@ -130,14 +130,18 @@
             return
         self.told = now
         entries: list[EndpointEntry] = [
-            (name, state, 0, "", "slots", name, 1.0)
+            EndpointEntry(name, state, 0, "", "slots", name, 1.0)
             for name, state in now.items()
             if state != "gone"
         ]
         self.node.on_list(
             True,
             entries,
-            [(name, state, self.nodes[name]) for name, state in now.items() if state != "gone"],
+            [
+                Endpoint(name, state, self.nodes[name])
+                for name, state in now.items()
+                if state != "gone"
+            ],
         )
 
     def redirected(self, to: Redirect) -> None:
