--- a/orchidgap/control/guarded_node.py
+++ b/orchidgap/control/guarded_node.py
@@ -64,7 +64,7 @@
         # the request class.
         known = request_class in self.config.settings.request_classes
         if not self.guard.may_serve() or not known:
-            return responder.answer(SERVICE_UNAVAILABLE, pause=self.guard.retry_after_us())
+            return responder.answer(SERVICE_UNAVAILABLE, retry_after_us=self.guard.retry_after_us())
         super().handle_request(
             responder,
             request_id,
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -198,12 +198,12 @@
         )
 
     def answer(
-        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
+        self, status: int, body: bytes = b"", retry_after_us: int = 0, length: int | None = None
     ) -> None:
         message, self.pending_request = self.reader.message, None
         last = self.leaves() or not (message.complete and message.keep_alive)
         head = response_head(
-            status, len(body) if length is None else length, last, pause, message.version
+            status, len(body) if length is None else length, last, retry_after_us, message.version
         )
         self.conn.send(head, b"" if message.method == b"HEAD" else body)
         self.done(last)
--- a/orchidgap/net/decisions_port.py
+++ b/orchidgap/net/decisions_port.py
@@ -33,9 +33,9 @@
         """One call of the decisions."""
         raise NotImplementedError
 
-    def dispatch(self, req: int, host: str) -> None:
+    def dispatch(self, request: int, host: str) -> None:
         """Send an attempt of a request to a host."""
-        exchange = self.exchanges[req]
+        exchange = self.exchanges[request]
         # of a body that flows the last byte is still to come; no host is to wait for longer than
         # the client
         deadline_us = min(exchange.deadline_us, self.loop.now + exchange.time_remaining_us)
@@ -54,25 +54,25 @@
         else:
             self.pools.send(host, attempt)
 
-    def deny(self, req: int, pause: int) -> None:
+    def deny(self, request: int, retry_after_us: int) -> None:
         """Answer that the client may come back after so many microseconds."""
-        if req in self.exchanges:
-            self.exchanges[req].answer(503, pause=pause)
+        if request in self.exchanges:
+            self.exchanges[request].answer(503, retry_after_us=retry_after_us)
 
-    def abort(self, req: int) -> None:
+    def abort(self, request: int) -> None:
         """Answer that the request has failed."""
-        if req in self.exchanges:
-            self.exchanges[req].answer(500)
+        if request in self.exchanges:
+            self.exchanges[request].answer(500)
 
-    def cancel(self, req: int, number: int) -> None:
+    def cancel(self, request: int, number: int) -> None:
         """End an attempt in flight."""
-        if req in self.exchanges:
-            exchange = self.exchanges[req]
+        if request in self.exchanges:
+            exchange = self.exchanges[request]
             exchange.cancel_attempt(exchange.attempts[number])
 
-    def wake(self, delay: int, token: int) -> None:
+    def wake(self, delay_us: int, token: int) -> None:
         """Call the decisions after so many microseconds."""
-        self.loop.call_later(delay, self.on_timer, token)
+        self.loop.call_later(delay_us, self.on_timer, token)
 
     def on_timer(self, token: int) -> None:
         """The time that the decisions asked for has come."""
--- a/orchidgap/net/exchange.py
+++ b/orchidgap/net/exchange.py
@@ -144,12 +144,12 @@
     # --- its answer
 
     def answer(
-        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
+        self, status: int, body: bytes = b"", retry_after_us: int = 0, length: int | None = None
     ) -> None:
-        """Answer the client, unless it has its answer; `pause` is in microseconds."""
+        """Answer the client, unless it has its answer; `retry_after_us` is for the client."""
         if not self.closed:
             self.close()
-            self.client.answer(status, body, pause, length)
+            self.client.answer(status, body, retry_after_us, length)
 
     def close(self) -> None:
         """It has its answer, or nobody waits for one. Its deadline timer runs on for the attempts
--- a/orchidgap/net/request_handler.py
+++ b/orchidgap/net/request_handler.py
@@ -33,9 +33,11 @@
         """Whether its client has closed; it is let go then, though not within this call."""
 
     def answer(
-        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
+        self, status: int, body: bytes = b"", retry_after_us: int = 0, length: int | None = None
     ) -> None:
-        """Send the whole answer. The status is 200, 400, 500 or 503, whatever is spoken; `pause`
+        """Send the whole answer.
+
+        The status is 200, 400, 500 or 503, whatever is spoken; `retry_after_us`
         is how long the client is asked to wait before it comes back, in microseconds; `length` is
         what the head tells where it has no body.
         """
--- a/orchidgap/resp/front.py
+++ b/orchidgap/resp/front.py
@@ -59,12 +59,12 @@
         self.after: Callable[[], None] | None = None  # asks, once it may
 
     def answer(
-        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
+        self, status: int, body: bytes = b"", retry_after_us: int = 0, length: int | None = None
     ) -> None:
         """The outcome codes that all protocols share, as RESP words them."""
         self.pending_request = None
         if status == 503:
-            when = f"; come back in {pause // 1000} ms" if pause else ""
+            when = f"; come back in {retry_after_us // 1000} ms" if retry_after_us else ""
             body = codec.error(f"TRYAGAIN turned away, nothing was done{when}")
         elif status == 500:
             body = codec.error("ERR given up, it may have run")
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -3,7 +3,7 @@
 from functools import partial
 
 import pytest
-from desk import PAIRS
+from balancer_harness import SETTINGS
 from net_scenarios import WAITS
 from node_harness import NodeHarness, heard
 
@@ -13,7 +13,7 @@
 
 def test_a_watch_decides_as_before_and_tells_what_it_counted():
     new = ServiceSettings.from_pairs(
-        PAIRS | {"report.how": "inline", "report.fields": "concurrent"}
+        SETTINGS | {"report.how": "inline", "report.fields": "concurrent"}
     )
     net = NodeHarness(3, decider=partial(ShadowBalancer, new), **WAITS)
     assert NodeHarness().node.shadow_report() == (False, "nothing is watched")
--- a/tests/trial/planted.py
+++ b/tests/trial/planted.py
@@ -49,8 +49,8 @@
     def __init__(self, client):
         self.client = client
 
-    def answer(self, status, body=b"", pause=0, length=None):
-        self.client.answer(status, body, pause, length)
+    def answer(self, status, body=b"", retry_after_us=0, length=None):
+        self.client.answer(status, body, retry_after_us, length)
         self.client.conn.send(response_head(200, 0))
 
 
@@ -305,8 +305,8 @@
     def __init__(self, client):
         self.client = client
 
-    def answer(self, status, body=b"", pause=0):
-        self.client.answer(status, body[:-1], pause)
+    def answer(self, status, body=b"", retry_after_us=0):
+        self.client.answer(status, body[:-1], retry_after_us)
 
 
 class CutsAnswersShort(Defect):
