--- a/orchidgap/arguments.py
+++ b/orchidgap/arguments.py
@@ -67,7 +67,7 @@
   --jobs=N       Runs at once; 0 for one a core [default: 0].
   --whole        Keep what is found as it was drawn, without shrinking it.
   --seconds=N    How long each measurement takes [default: 5].
-"""
+"""  # noqa: E501 - printed as it stands
 
 OPERATOR_CALLS = ("health", "quiesce", "resume", "watch")
 CHANGE_COMMANDS = ("check", "propose", "status", "history", "strike")
--- a/orchidgap/control/guarded_node.py
+++ b/orchidgap/control/guarded_node.py
@@ -1,7 +1,7 @@
 """A node that accepts requests only while the balancer has permission to serve.
 
-It asks at each request, so that a process that was stopped for longer than its lease finds out before
-the first request that it accepts.
+It asks at each request, so that a process that was stopped for longer than its lease finds out
+before the first request that it accepts.
 """
 
 from __future__ import annotations
@@ -60,11 +60,12 @@
         upload: Upload | None = None,
     ) -> None:
         """Accept a request, or answer 503 with a time to come back."""
-        # The permission may have come back since `knows_request_class` was asked, with a policy that does not have
-        # the request class.
+        # The permission may have come back since `knows_request_class` was asked, with
+        # a policy that does not have the request class.
         known = request_class in self.config.settings.request_classes
         if not self.guard.may_serve() or not known:
-            return responder.answer(SERVICE_UNAVAILABLE, retry_after_us=self.guard.retry_after_us())
+            responder.answer(SERVICE_UNAVAILABLE, retry_after_us=self.guard.retry_after_us())
+            return
         super().handle_request(
             responder,
             request_id,
--- a/orchidgap/errors.py
+++ b/orchidgap/errors.py
@@ -43,21 +43,22 @@
 
 
 class SettingError(OrchidgapError, LookupError):
-    """A setting that is missing or has a value that cannot be used.
+    """A setting is missing or can't have the value that it has.
 
-    Attributes:
-        setting: The setting's path; empty where several settings are concerned.
-        found: What stood there; None where nothing did.
-        expected: What should have stood there, beginning with `must`.
+    Args:
+        message: The line that is printed.
+        setting: The setting's path, such as `rule-sets.0.client-timeout`.
+        value: What it is; None where it is missing.
+        expected: What would have been right, where that can be said.
     """
 
     def __init__(
-        self, message: str, setting: str = "", found: str | None = None, expected: str = ""
+        self, message: str, *, setting: str = "", value: object = None, expected: str = ""
     ) -> None:
-        """Takes the whole message, which is what is printed, and the parts it was made of."""
+        """Keep what failed, what it is, and what was expected."""
         super().__init__(message)
         self.setting = setting
-        self.found = found
+        self.value = value
         self.expected = expected
 
     @classmethod
@@ -67,16 +68,18 @@
         >>> SettingError.missing("rule-sets.count")
         SettingError('setting rule-sets.count is missing')
         """
-        return cls(f"setting {setting} is missing", setting, None, "must be given")
+        message = f"setting {setting} is missing"
+        return cls(message, setting=setting, expected="must be given")
 
     @classmethod
-    def unusable(cls, setting: str, found: str, expected: str) -> SettingError:
+    def unusable(cls, setting: str, value: str, expected: str) -> SettingError:
         """The error for a setting whose value cannot be used.
 
         >>> SettingError.unusable("instances", "-1", "must not be under 0")
         SettingError('setting instances is -1, and must not be under 0')
         """
-        return cls(f"setting {setting} is {found}, and {expected}", setting, found, expected)
+        message = f"setting {setting} is {value}, and {expected}"
+        return cls(message, setting=setting, value=value, expected=expected)
 
 
 class CorruptFileError(OrchidgapError):
--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -16,6 +16,7 @@
 @pytest.mark.parametrize(
     ("setting", "text", "found", "expected"),
     [
+        ("rule-sets.0.client-timeout", "-5", "-5", "must be over 0"),
         ("rule-sets.0.client-timeout", "soon", "'soon'", "must be a number"),
         ("rule-sets.0.client-timeout", "0.5", "0.5", "must be 1 or more"),
         ("rule-sets.0.response-target", "0", "0", "must be over 0"),
@@ -31,7 +32,7 @@
     with pytest.raises(SettingError) as raised:
         ServiceSettings.from_pairs(SETTINGS | {setting: text})
     error = raised.value
-    assert (error.setting, error.found, error.expected) == (setting, found, expected)
+    assert (error.setting, error.value, error.expected) == (setting, found, expected)
     assert str(error) == f"setting {setting} is {found}, and {expected}"
 
 
@@ -40,5 +41,5 @@
     pairs = {path: text for path, text in SETTINGS.items() if path != setting}
     with pytest.raises(SettingError) as raised:
         ServiceSettings.from_pairs(pairs)
-    assert (raised.value.setting, raised.value.found) == (setting, None)
+    assert (raised.value.setting, raised.value.value) == (setting, None)
     assert str(raised.value) == f"setting {setting} is missing"
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -22,8 +22,8 @@
 
 def test_a_bad_setting_can_be_caught_like_a_key_that_is_not_there():
     with pytest.raises(LookupError) as caught:
-        raise SettingError("setting a is 0", setting="a", found="0", expected="over 0")
-    assert (caught.value.setting, caught.value.found) == ("a", "0")
+        raise SettingError("setting a is 0", setting="a", value=0, expected="over 0")
+    assert (caught.value.setting, caught.value.value) == ("a", 0)
 
 
 def test_a_corrupt_file_is_named():
