--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -11,6 +11,9 @@
     ("size", "status"), [(65_536, 200), (400_000, 200), (5 << 20, 200), (50 << 20, 503)]
 )
 def test_large_values_come_through_and_endless_ones_do_not(size, status):
+    """Hosts send values of 64 KiB to 50 MB. Those that may be are passed on, and the others
+    are not read without end.
+    """
     net = NodeHarness(1)
     client = net.ask("k")
     far, said = net.far(), bytearray()
@@ -35,6 +38,9 @@
 
 
 def test_an_extra_byte_costs_the_link_and_not_the_answer():
+    """A host sends a byte more than its answer. The answer counts; the connection is closed,
+    as the byte could be taken for the next one.
+    """
     net = NodeHarness(1)
     for number, more in ((0, "HTTP/1.1"), (1, "")):
         client = net.ask()
@@ -83,7 +89,10 @@
         (b"CONNECT h:1 HTTP/1.1\r\n\r\n", 400),
     ],
 )
-def test_a_bad_req_gets_a_plain_answer_and_the_door(text, status):
+def test_a_bad_request_gets_a_plain_answer_and_its_connection_is_closed(text, status):
+    """Clients send requests that are malformed, too large or unknown. Each gets a plain
+    status, and its connection is closed.
+    """
     net = NodeHarness()
     client = net.client()
     for i in range(0, len(text), 4096):
@@ -115,6 +124,9 @@
 
 
 def test_trailers_without_end_are_cut():
+    """A client sends trailers without end behind a chunked body. It is cut off, or it would
+    fill the memory.
+    """
     net = NodeHarness()
     client = net.client(REQ + b"Transfer-Encoding: chunked\r\n\r\n0\r\nX: ")
     for _ in range(600):
@@ -127,6 +139,9 @@
 
 
 def test_a_client_that_waits_to_be_let_send_its_body_is():
+    """A client waits for "100 Continue" before it sends its body. It gets that, or both would
+    wait for ever.
+    """
     net = NodeHarness()
     client = net.client(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\nContent-Length: 1\r\n"
@@ -138,7 +153,7 @@
     assert heard(client).startswith("HTTP/1.1 200")
 
 
-def test_reqs_sent_before_the_answer_are_answered_in_their_order():
+def test_requests_sent_before_the_answer_are_answered_in_their_order():
     for split in (False, True):
         net = NodeHarness(1)
         texts = [
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -36,6 +36,9 @@
 
 @pytest.mark.parametrize("settings", [{}, UNCALLED])
 def test_no_attempt_begins_for_a_client_that_left_while_its_connection_came_up(settings):
+    """A client asks, and while the connection to the host is still coming up it goes away.
+    Once the connection is up nothing of the request may be written there.
+    """
     net = LoopbackHarness(1, **settings)
     far = held_up(net)
     client = net.caller(req())
@@ -49,6 +52,9 @@
 
 @pytest.mark.parametrize("settings", [{}, UNCALLED])
 def test_its_close_is_seen_also_where_it_comes_in_the_turn_in_which_the_connection_is_up(settings):
+    """The client's close and the connection to the host are ready in the same turn, and the
+    host's is handled first. The request must not be written all the same.
+    """
     net = LoopbackHarness(1, **settings)
     far = held_up(net)
     client = net.caller(req())
@@ -83,6 +89,7 @@
 
 
 def test_no_attempt_begins_for_who_left_before_being_let_in():
+    """A client asks and closes before the balancer has accepted it. No host is dialled for it."""
     net = LoopbackHarness(1)
     client = net.caller(req())
     client.close()
@@ -91,6 +98,9 @@
 
 
 def test_none_that_wait_for_a_host_are_sent_on_once_their_clients_left():
+    """Forty requests come, some are sent and the others wait for the host. Those whose clients
+    leave meanwhile are never sent.
+    """
     net = LoopbackHarness(1)
     clients = [net.caller(req(f"k{i}")) for i in range(40)]
     net.turn(8)
@@ -134,7 +144,10 @@
     assert goes or told(client).startswith("HTTP/1.1 503"), "and its client may repeat it"
 
 
-def test_nothing_is_written_for_a_req_whose_time_is_up_in_that_turn():
+def test_nothing_is_written_for_a_request_whose_time_is_up_in_that_turn():
+    """The connection to the host comes up in the turn in which the request's time is over.
+    Nothing is written on it.
+    """
     net = LoopbackHarness(1, **UNCALLED)
     far = held_up(net)
     client = net.caller(req(left="0.050"))
@@ -145,6 +158,9 @@
 
 
 def test_what_may_not_be_called_off_ends_with_its_time_and_not_never():
+    """Where attempts may not be cancelled, a client that leaves must not keep its attempt open
+    for ever: it ends with the request's time.
+    """
     net = LoopbackHarness(1, **UNCALLED)
     client = net.caller(req(left="1.0"))
     net.turn()
@@ -157,6 +173,9 @@
 
 
 def test_no_host_is_told_to_wait_for_longer_than_the_client_does():
+    """While a body still comes the request has no deadline of its own. What a host is told
+    must not exceed the time that the client gave.
+    """
     net = LoopbackHarness(1)
     net.caller(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1.5\r\nContent-Length: 100000\r\n\r\n"
@@ -174,6 +193,9 @@
 
 @pytest.mark.parametrize("health", ["Terminating", "Gone"])
 def test_a_host_that_drains_in_the_turn_in_which_its_connection_is_up_is_sent_nothing(health):
+    """A host starts to drain, or is gone from the list, in the turn in which a connection to
+    it comes up. It is sent nothing new.
+    """
     net = LoopbackHarness(2)
     far = held_up(net)
     net.caller(req())
@@ -189,6 +211,9 @@
 
 
 def test_a_late_read_whose_client_left_is_not_sent_on_to_the_origin():
+    """A read is late at its cache, and its client goes away. No second attempt may follow at
+    the origin.
+    """
     net = LoopbackHarness(1)
     client = net.caller(req())
     net.turn()
@@ -200,6 +225,9 @@
 
 @pytest.mark.parametrize("settings", [{}, UNCALLED])
 def test_a_body_that_will_never_be_whole_holds_no_connection_to_a_host(settings):
+    """A client stops in the middle of a body that flows to a host. The connection to the host
+    is closed, as the rest will never come.
+    """
     net = LoopbackHarness(1, **settings)
     client = net.caller(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1.5\r\n"
@@ -216,7 +244,10 @@
     )
 
 
-def test_nothing_is_written_for_a_req_that_has_its_answer():
+def test_nothing_is_written_for_a_request_that_has_its_answer():
+    """A second attempt's connection comes up after the first attempt has brought the answer.
+    Nothing is written on it.
+    """
     net = LoopbackHarness(1, **UNCALLED)
     far = held_up(net)
     client = net.caller(req())
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -11,6 +11,9 @@
 
 
 def test_an_answer_that_the_client_reads_slowly_still_comes_whole():
+    """A client reads its answer slowly while the balancer is told to end. It is not idle, and
+    gets the whole answer.
+    """
     net = NodeHarness(1)
     client = net.ask("k")
     for one in net.node.clients.open_clients:
@@ -27,6 +30,9 @@
 
 
 def test_a_client_that_does_not_read_is_let_go():
+    """A client asks and never reads the answer. After ten seconds without progress its
+    connection is closed.
+    """
     net = NodeHarness(1)
     net.ask("k")
     for one in net.node.clients.open_clients:
@@ -38,7 +44,10 @@
     assert not net.node.clients.open_clients
 
 
-def test_within_three_seconds_a_req_is_whole_or_its_connection_is_let_go():
+def test_within_three_seconds_a_request_is_whole_or_its_connection_is_let_go():
+    """One client sends half a head, one nothing, one its first byte late. Each is answered 408
+    or closed within three seconds, and time runs anew for a second request.
+    """
     net = NodeHarness()
     half, silent, late, served = (
         net.client(b"GET /read/k HT"),
@@ -67,6 +76,9 @@
 
 @pytest.mark.parametrize("text", [b"", b"PUT /mark/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"])
 def test_who_never_asks_makes_way_for_who_does(text):
+    """Clients that send nothing, or half a request, fill all places. After half a second they
+    make way for those that ask.
+    """
     net = NodeHarness(1, sockets=64)
     served = net.ask("first")
     net.answers(net.far())
@@ -84,7 +96,10 @@
     )
 
 
-def test_a_client_whose_req_waits_to_be_read_does_not_make_way():
+def test_a_client_whose_request_waits_to_be_read_does_not_make_way():
+    """The longest idle client has just asked, and the balancer has not read that yet. Another
+    one makes way.
+    """
     net = NodeHarness(1, sockets=64)
     first, second = net.ask("k1"), net.ask("k2")
     net.serve()
@@ -99,6 +114,9 @@
 
 
 def test_idle_connections_may_stay_up_to_half_of_the_most():
+    """Seven clients ask once and stay. More than half of the places must not be held by those
+    that ask nothing.
+    """
     net = NodeHarness(1, sockets=64)
     clients = [net.ask(f"k{i}") for i in range(7)]
     assert [heard(client) for client in clients] == [None] * 7, "those that have asked stay"
@@ -110,6 +128,9 @@
 
 
 def test_who_reads_a_last_answer_keeps_nobody_out():
+    """Sixty clients send nonsense, get a last answer and stay. Whoever comes with a good
+    request is still served.
+    """
     net = NodeHarness(1, sockets=64)
     listener = net.node.clients.listening_socket = Listener([])
     net.loop.watch(listener, READ, net.node.clients.accept)
@@ -149,6 +170,9 @@
 
 
 def test_emfile_sheds_then_rests_and_never_spins():
+    """The system has no descriptor left. Idle connections make way, then the listener rests;
+    accepting again at once would spin.
+    """
     net = NodeHarness()
     idle = net.ask("k")
     net.answers(net.far())
@@ -170,6 +194,9 @@
 
 
 def test_clients_beyond_the_most_are_told_so():
+    """All places are held by clients with open requests. Further ones are answered 503, not
+    left in the backlog.
+    """
     net = NodeHarness(1, sockets=64)
     assert net.node.clients.max_clients == 8
     pairs = [socket.socketpair() for _ in range(30)]
--- a/tests/net/test_config.py
+++ b/tests/net/test_config.py
@@ -73,6 +73,9 @@
     ],
 )
 def test_a_bad_start_is_one_plain_line(tmp_path, change, names):
+    """The configuration lacks a key, or has a value that cannot be. The program says which in
+    one line.
+    """
     (tmp_path / "c").write_bytes(orjson.dumps(GOOD | change))
     with pytest.raises(config.ConfigError, match=names) as told:
         config.read(str(tmp_path / "c"))
@@ -81,6 +84,9 @@
 
 @pytest.mark.parametrize("text", [None, "", "{", "[]", "7"])
 def test_a_configuration_that_is_none_ends_the_command_with_one_line(tmp_path, text):
+    """The file is missing, empty or no JSON object. The command ends with one line and no
+    traceback.
+    """
     path = tmp_path / "c"
     if text is not None:
         path.write_text(text)
--- a/tests/net/test_connection_pools.py
+++ b/tests/net/test_connection_pools.py
@@ -12,6 +12,9 @@
 
 
 def test_hosts_that_refuse_or_never_answer_a_connection():
+    """One host refuses connections, another never completes one. The first is an error at
+    once, the second when the connect timeout is over.
+    """
     net = NodeHarness(1)
     net.refused.add(100)
     client = net.ask()
@@ -27,6 +30,9 @@
 
 
 def test_links_from_a_burst_are_not_kept_for_long_and_one_is():
+    """A burst opens many connections to a host. Seconds later all but one are closed, as hosts
+    hold only so many.
+    """
     net = NodeHarness(1)
     clients = [net.ask(f"k{i}") for i in range(7)]
     pool = net.node.pools.by_host["c0"]
@@ -45,6 +51,9 @@
 
 
 def test_the_newest_idle_link_goes_first_and_none_near_its_limit():
+    """A host closes connections that were idle for its limit. One near that limit is never
+    taken for a request.
+    """
     net = NodeHarness(1)
     old, new = idle_links(net, 2)
     for far in (old, new):
@@ -62,6 +71,9 @@
 
 @pytest.mark.parametrize("leaves", [lambda far: far.close(), lambda far: far.sendall(b"?")])
 def test_a_link_that_was_closed_or_spoken_on_is_not_written_to(leaves):
+    """A host closes an idle connection, or sends bytes that nobody asked for. The next request
+    goes on another one.
+    """
     net = NodeHarness(1)
     [link] = idle_links(net, 1)
     leaves(link)
@@ -76,6 +88,9 @@
 
 @pytest.mark.parametrize(("written", "verdict"), [(True, "stale"), (False, "unconnected")])
 def test_a_stale_link_is_a_reset_unless_nothing_was_sent(written, verdict, monkeypatch):
+    """A kept connection breaks under its next request. Whether that may have been executed
+    depends on whether anything was written.
+    """
     net = NodeHarness(1)
     [link] = idle_links(net, 1)
     net.verdicts.clear()
@@ -92,7 +107,10 @@
     )
 
 
-def test_a_kept_link_that_breaks_under_its_next_req_takes_older_ones_with_it():
+def test_a_kept_link_that_breaks_under_its_next_request_takes_older_ones_with_it():
+    """A host closed its idle connections. The first that breaks says so of those that were
+    idle for longer, and they are closed.
+    """
     net = NodeHarness(1)
     older, newer = idle_links(net, 2)
     heard(older), heard(newer)
@@ -112,6 +130,9 @@
 
 
 def test_a_busy_link_that_breaks_says_nothing_of_those_kept_for_longer():
+    """A connection breaks that had been idle only for a moment. Those kept for longer are
+    still good.
+    """
     net = NodeHarness(1)
     older, newer = idle_links(net, 2)
     heard(older), heard(newer)
@@ -125,7 +146,10 @@
     assert heard(client).startswith("HTTP/1.1 200")
 
 
-def test_a_dispatch_still_connecting_is_never_written_once_its_host_drains_or_the_req_is_over():
+def test_a_attempt_still_connecting_is_never_written_once_its_host_drains_or_the_request_is_over():
+    """A connection never comes up before its host drains, or before its request is answered.
+    The attempt is never written.
+    """
     for health in ("Terminating", "Gone"):
         net = NodeHarness(2)
         near, far = full_pair()
@@ -150,6 +174,9 @@
 
 
 def test_idle_links_make_way_where_descriptors_run_short():
+    """Requests to many hosts use all connections that there may be. Idle ones are closed for
+    new ones, and where none is idle the attempt fails without blame on the host.
+    """
     net = NodeHarness(3, sockets=64)  # eight for hosts
     assert net.node.pools.max_connections == 8
     answered = 0
@@ -178,6 +205,9 @@
 
 
 def test_no_descriptor_to_dial_sheds_an_idle_link_and_dials_again():
+    """The system has no descriptor for a new connection. The longest idle one is closed, and
+    the host is dialled again.
+    """
     net = NodeHarness(2)
     for key in range(8):
         net.ask(f"k{key}")
--- a/tests/net/test_event_log.py
+++ b/tests/net/test_event_log.py
@@ -8,6 +8,9 @@
 
 
 def test_a_log_that_nobody_reads_loses_lines_and_does_not_wait():
+    """Nobody reads the log's pipe. Lines are dropped and counted, and the loop never blocks on
+    them.
+    """
     far, near = os.pipe()
     log = EventLog("n", near)
     for _ in range(3000):
--- a/tests/net/test_exchange.py
+++ b/tests/net/test_exchange.py
@@ -5,7 +5,7 @@
 from node_harness import NodeHarness, heard
 
 
-def test_a_req_from_end_to_end():
+def test_a_request_from_end_to_end():
     net = NodeHarness()
     client = net.ask("7f3", method="PUT", rule_set="mark", body="value")
     origin = net.far()
@@ -49,6 +49,9 @@
 
 
 def test_a_late_read_is_called_off_for_the_origin_and_both_ends_see_it():
+    """A cache does not answer a read in time. The attempt is cancelled, so its connection
+    closes, and the origin answers.
+    """
     net = NodeHarness(3)
     client = net.ask()
     late = net.far()
@@ -65,6 +68,7 @@
 
 
 def test_a_late_read_whose_connection_never_came_up_is_sent_on_as_well():
+    """The connection to a cache does not come up in time. The read goes to the origin as well."""
     net = NodeHarness(3)
     client = net.ask()
     attempt = next(iter(net.node.exchanges.values())).attempts[0]
@@ -117,6 +121,9 @@
     ],
 )
 def test_what_a_host_does_is_told_as_it_is(does, verdict):
+    """A host answers well, badly, late, in part or not at all. The decisions are told exactly
+    which.
+    """
     net = NodeHarness(3, **WAITS)
     net.ask()
     does(net, net.far())
@@ -124,7 +131,10 @@
     assert net.verdicts == [verdict]
 
 
-def test_a_client_that_hangs_up_ends_its_dispatch():
+def test_a_client_that_hangs_up_ends_its_attempt():
+    """A client closes while its request is at a host. The attempt is cancelled where that is
+    allowed.
+    """
     net = NodeHarness()
     client = net.ask()
     assert heard(net.far()).startswith("GET")
@@ -134,6 +144,9 @@
 
 
 def test_an_answer_goes_out_before_the_client_timeout_and_nothing_after():
+    """No host answers. The client is answered shortly before its timeout, and what a host says
+    later goes nowhere.
+    """
     net = NodeHarness()
     client = net.ask(left="0.5")
     net.wait(479_000)
@@ -145,6 +158,9 @@
 
 
 def test_time_that_the_loop_was_held_up_is_taken_off():
+    """The loop is held up for a while after a request came. The delay is taken off the
+    request's time, not added to the answer.
+    """
     net = NodeHarness()
     client = net.client()
     client.sendall(b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 0.5\r\n\r\n")
@@ -155,6 +171,9 @@
 
 
 def test_a_fault_in_the_decisions_still_brings_an_answer():
+    """A call of the decisions raises an error. The request that it was about is answered 500,
+    and others go on.
+    """
     net = NodeHarness(expects=(ZeroDivisionError,))
     net.node.balancer.on_request = lambda *_: 1 / 0
     assert heard(net.ask()).startswith("HTTP/1.1 500") and net.log.lines == [
@@ -169,6 +188,9 @@
 
 
 def test_an_id_that_is_open_here_is_not_taken_twice():
+    """A second request comes with the id of one that is open. It is refused, as one answer
+    would go to the wrong client.
+    """
     net = NodeHarness(1)
     first, second = net.ask("k"), net.ask("k")
     assert heard(second).startswith("HTTP/1.1 409") and len(net.fars()) == 1
@@ -177,7 +199,10 @@
     assert heard(net.ask("k")) is None, "it may come again once that is answered"
 
 
-def test_a_req_that_a_host_calls_bad_is_not_sent_to_others():
+def test_a_request_that_a_host_calls_bad_is_not_sent_to_others():
+    """A host answers 400: the fault is in the request. The client gets that, and no other host
+    is asked.
+    """
     net = NodeHarness(3)
     client = net.ask("k")
     net.answers(net.far(), 400, "")
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -7,7 +7,10 @@
 from orchidgap.net.client_listener import MAX_CLOSING_CLIENTS, REQUEST_TIMEOUT_US, UNUSED_AFTER_US
 
 
-def test_hundreds_of_reqs_at_once_from_one_who_goes_are_one_dispatch_and_no_memory():
+def test_hundreds_of_requests_at_once_from_one_who_goes_are_one_attempt_and_no_memory():
+    """A client sends hundreds of requests at once and closes. Only the first is sent, and the
+    others take no memory.
+    """
     net = LoopbackHarness(1)
     client = net.caller(b"".join(req(f"k{i}") for i in range(400)))
     net.turn()
@@ -28,7 +31,10 @@
     )
 
 
-def test_idle_clients_at_the_most_keep_out_neither_reqs_nor_the_list():
+def test_idle_clients_at_the_most_keep_out_neither_requests_nor_the_list():
+    """Idle clients hold all places. New requests are served all the same, and discovery's list
+    still comes.
+    """
     net = LoopbackHarness(1, sockets=64)
     most = net.node.clients.max_clients
     heard(watched(net))
@@ -51,6 +57,9 @@
 
 
 def test_service_returns_by_itself_when_those_who_filled_it_have_gone():
+    """Clients with open requests fill all places, then go. Service returns without anybody's
+    help.
+    """
     net = LoopbackHarness(1, sockets=64)
     # each is asked for something, and its host does not answer
     busy = [
@@ -76,7 +85,10 @@
     assert "200" in told(client) and len(net.node.clients.open_clients) <= 2
 
 
-def test_a_req_written_a_byte_at_a_time_is_taken_and_one_that_stands_still_is_let_go():
+def test_a_request_written_a_byte_at_a_time_is_taken_and_one_that_stands_still_is_let_go():
+    """One client writes its request a byte at a time, another stops in the middle. The first
+    is served, the second let go.
+    """
     net = LoopbackHarness(1)
     text = req()
     client, still = net.caller(text[:1]), net.caller(text[:9])
@@ -94,6 +106,9 @@
 
 
 def test_a_list_that_comes_while_clients_flood_is_taken_in_the_same_turn():
+    """Clients flood the balancer while discovery tells a new list. The list is taken before
+    the flood is.
+    """
     net = LoopbackHarness(1)
     agent = watched(net)
     heard(agent)
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -14,6 +14,10 @@
 
 
 def test_the_new_one_says_yes_only_with_what_the_old_one_knows():
+    """A new process starts beside an old one. It does not say that it serves before it has the
+    list and the old one's snapshot.
+    """
+
     class Knowing(Two):
         def prepare(self):
             self.old.node.on_list(
@@ -74,6 +78,9 @@
 
 
 def test_without_an_answer_from_the_old_one_it_serves_all_the_same():
+    """The old process never answers the new one. After the snapshot's time the new one serves
+    without.
+    """
     net, near, far = one_side(2, start=False)
     net.node.handover.join_predecessor(far)
     net.node.start()
@@ -87,6 +94,9 @@
 
 
 def test_connections_go_over_and_no_client_and_no_host_notices():
+    """The old process leaves. Its idle connections of clients and to hosts go on in the new
+    one, and none is closed.
+    """
     two = Two(1)
     kept = [two.old.ask(f"k{i}") for i in range(5)]
     busy, fresh = two.old.ask("busy"), two.old.client()
@@ -127,6 +137,9 @@
 
 
 def test_what_both_have_out_counts_at_a_host_and_an_id_is_open_in_both():
+    """Both processes have requests at one host. Each counts the other's there, and refuses ids
+    that are open in the other.
+    """
     two = Two(1)
     for i in range(4):
         two.old.ask(f"k{i}")
@@ -145,6 +158,10 @@
 
 
 def test_descriptors_are_held_by_the_two_together():
+    """Old and new process share one allowance of descriptors. At no moment may they hold more
+    than that together.
+    """
+
     class Busy(Two):
         def prepare(self):
             self.clients = [self.old.ask(f"k{i}") for i in range(90)]
@@ -173,6 +190,9 @@
 
 
 def test_a_new_one_that_dies_leaves_all_as_it_was():
+    """The new process dies while the old one serves. The old one accepts clients again, with
+    all descriptors.
+    """
     two = Two(1)
     assert two.old.node.clients.accepts_elsewhere
     two.new.ask("k")
@@ -197,6 +217,9 @@
 
 
 def test_a_new_one_that_dies_while_the_old_one_leaves():
+    """The new process dies after the old one was told to end. The old one still answers what
+    is open, and ends.
+    """
     two = Two(1)
     busy = two.old.ask("busy")
     two.old.node.begin_shutdown()
@@ -212,6 +235,9 @@
 
 
 def test_an_old_one_that_never_goes():
+    """The old process is never told to end. It goes on answering its kept connections beside
+    the new one.
+    """
     two = Two(1)
     client = two.old.ask("k")
     two.old.serve()
--- a/tests/net/test_host_list.py
+++ b/tests/net/test_host_list.py
@@ -37,6 +37,9 @@
     ],
 )
 def test_a_bad_or_missing_answer_keeps_the_list_and_is_asked_again_later(does):
+    """Discovery closes, answers badly or not at all. The list is kept, and asked for again
+    after a wait that grows.
+    """
     net = NodeHarness(2)
     before = listed(net)
     does(net)
@@ -58,6 +61,9 @@
 
 
 def test_an_odd_entry_costs_its_host_and_not_the_list():
+    """One host of the list has no address, or a state that is unknown. It is sent nothing new;
+    the others are used.
+    """
     net = NodeHarness(2)
     odd = [
         net.entry(0, "Odd"),
@@ -71,6 +77,9 @@
 
 
 def test_a_change_that_cannot_be_read_or_a_version_that_falls_is_followed_by_the_whole_list():
+    """A change cannot be read, or its version is lower than the one held. The whole list is
+    asked for.
+    """
     for seq, hosts, wait in ((42, [{"host": "x"}], 100_000), (3, [], 100_000)):
         net = NodeHarness(1)
         tells(net, 41, True, [net.entry(0), net.entry(9)])
@@ -84,6 +93,9 @@
 
 
 def test_an_address_that_changes_is_dialled_from_then_on():
+    """A host comes back at another address. Its old connections are closed, and the new
+    address is dialled.
+    """
     net = NodeHarness(1)
     tells(net, 41, True, [net.entry(0), net.entry(9)])
     [link] = idle_links(net, 1)
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -25,7 +25,8 @@
 
 
 @pytest.mark.parametrize("turns", [0, 1])
-def test_a_req_that_comes_in_the_turn_of_sigterm_has_its_answer(turns):
+def test_a_request_that_comes_in_the_turn_of_sigterm_has_its_answer(turns):
+    """A request arrives in the turn in which SIGTERM is read. It is still answered."""
     net = LoopbackHarness(1)
     with signals(net, None):
         client = idle_client(net)
@@ -41,6 +42,9 @@
 
 @pytest.mark.parametrize("times", [2, 5])
 def test_sigterm_again_starts_no_time_anew_and_sighup_in_a_drain_ends_nothing(times, tmp_path):
+    """SIGTERM and SIGHUP come again and again while the process ends. No time starts anew, and
+    a bad file ends nothing.
+    """
     net = LoopbackHarness(1)
     with signals(net, str(tmp_path / "no file")):
         client = net.caller(req())
@@ -60,6 +64,7 @@
 
 
 def test_sigterm_before_the_first_list_ends_it():
+    """SIGTERM comes before discovery has told a list. The process ends all the same."""
     net = LoopbackHarness(1, listed=False)
     net.opens()
     with signals(net, None):
@@ -71,6 +76,9 @@
 
 @pytest.mark.parametrize("first", [30, None])
 def test_what_comes_between_the_look_at_a_resting_connection_and_its_end_is_waited_for(first):
+    """An idle connection is let go, and part of a request arrives between the last look at it
+    and its end. The rest is waited for and answered.
+    """
     net = LoopbackHarness(1)
     client, text = idle_client(net), req("second")
     assert "/read/first" in net.asked()[0]
@@ -86,7 +94,10 @@
     assert "Connection: close" in told(client) and told(client) == ""
 
 
-def test_a_pipelined_req_is_answered_before_the_connection_is_let_go():
+def test_a_pipelined_request_is_answered_before_the_connection_is_let_go():
+    """A second request stands behind the first when the process is told to end. It is answered
+    where it is whole, and not waited for where it is not.
+    """
     net = LoopbackHarness(1)
     client = net.caller(req("a") + req("b") + req("c") + req("d")[:20])
     net.turn()
@@ -104,6 +115,9 @@
 
 
 def test_whoever_waits_in_the_backlog_when_the_listener_is_shut_is_served():
+    """Clients wait in the backlog when the listener is closed. They are accepted first and
+    served.
+    """
     net = LoopbackHarness(2)
     net.opens()
     net.node.begin_shutdown()
@@ -120,7 +134,10 @@
     assert all("200" in told(client) for client in clients)
 
 
-def test_a_req_that_crosses_the_end_of_its_connection_is_not_sent_on_and_resets_nothing():
+def test_a_request_that_crosses_the_end_of_its_connection_is_not_sent_on_and_resets_nothing():
+    """A client sends its next request while the balancer half-closes the connection. It is not
+    sent on, and the client sees an end in order.
+    """
     net = LoopbackHarness(1)
     client = idle_client(net)
     net.node.begin_shutdown()
@@ -137,6 +154,9 @@
 
 
 def test_the_last_answer_is_not_reset_away_by_what_came_behind_it():
+    """Bytes that nobody reads stand behind a request whose answer is the last. A plain close
+    would reset the answer away.
+    """
     net = LoopbackHarness(1)
     client = net.caller(req("k"))
     net.turn()
@@ -151,6 +171,7 @@
 
 
 def test_a_client_that_never_closes_keeps_no_process():
+    """A client never closes its side. The process ends after the linger time."""
     net = LoopbackHarness(1)
     idle_client(net)
     net.node.begin_shutdown()
@@ -167,6 +188,9 @@
     ],
 )
 def test_what_is_open_at_the_last_has_its_answer_before_the_process_ends(timeout, last_words):
+    """Requests are still open when the process's last time is over. Each gets its answer
+    before the process ends.
+    """
     times = {
         f"rule_sets__{i}__client_timeout".replace("_sets", "-sets").replace(
             "client_", "client-"
--- a/tests/net/test_listener_inheritance.py
+++ b/tests/net/test_listener_inheritance.py
@@ -35,6 +35,9 @@
     ],
 )
 def test_what_is_passed_must_be_a_listening_socket(make, why):
+    """The descriptor that was passed is closed, no socket or does not listen. The program says
+    so in one line.
+    """
     number = make()
     with pytest.raises(ConfigError, match=why):
         inherited_listener(str(number))
@@ -43,6 +46,9 @@
 
 
 def test_one_listener_in_two_nodes_and_the_old_one_ends_without_a_word_to_the_other():
+    """Two processes share a listener and cannot see each other. The old one ends, and the
+    listener stays open in the new one.
+    """
     passed, nets = listener(), [NodeHarness(1), NodeHarness(1)]
     for net in nets:
         net.node.clients.use_listening_socket(inherited_listener(str(os.dup(passed.fileno()))))
--- a/tests/net/test_node_lifecycle.py
+++ b/tests/net/test_node_lifecycle.py
@@ -7,6 +7,9 @@
 
 
 def test_told_to_stop_it_answers_all_and_ends():
+    """SIGTERM comes while requests are open. All are answered, whoever comes late is too, and
+    the process ends.
+    """
     net = NodeHarness()
     idle, busy = net.ask("k1"), net.ask("k2")
     net.answers(net.far(0))
@@ -42,6 +45,7 @@
 
 
 def test_a_drain_turns_nobody_away_and_lets_all_go():
+    """The balancer drains. Whoever asks is still answered, each on its last connection."""
     net = NodeHarness(**WAITS)
     idle, busy = net.ask("k1"), net.ask("k2")
     net.answers(net.far(0))
@@ -70,7 +74,10 @@
     )
 
 
-def test_connections_that_ask_nothing_are_closed_by_a_drain_and_reqs_are_not_cut_off():
+def test_connections_that_ask_nothing_are_closed_by_a_drain_and_requests_are_not_cut_off():
+    """Idle connections are closed during a drain. Requests that are open or come half are not
+    cut off.
+    """
     net = NodeHarness(**WAITS)
     silent, half, idle, busy = (
         net.client(),
@@ -104,6 +111,7 @@
 
 
 def test_after_a_resume_all_is_as_before():
+    """A drain is ended by hand. Connections are kept again."""
     net = NodeHarness()
     net.node.quiesce()
     net.wait(2_000_000)
--- a/tests/net/test_packet_channel.py
+++ b/tests/net/test_packet_channel.py
@@ -27,7 +27,10 @@
         b'["clients"]' * 9,
     ],
 )
-def test_whatever_is_said_to_the_old_one_costs_the_passage_and_nothing_else(packet):
+def test_whatever_is_said_to_the_old_one_costs_the_channel_and_nothing_else(packet):
+    """A process that calls the serving one says nonsense, or is of another balancer. Only the
+    channel to it ends.
+    """
     net, near, far = one_side(1)
     net.node.handover.accept_successor(near)
     far.send(packet) if packet else far.close()
@@ -59,6 +62,9 @@
     ],
 )
 def test_whatever_is_said_to_the_new_one_it_serves(packet):
+    """The serving process says nonsense to the new one, or closes. The new one serves without
+    a snapshot.
+    """
     net, near, far = one_side(1, start=False)
     net.node.handover.join_predecessor(far)
     net.node.start()
@@ -73,6 +79,9 @@
 
 
 def test_descriptors_that_come_with_an_odd_packet_are_closed():
+    """A packet that makes no sense brings descriptors. They are closed, or each such packet
+    would cost some.
+    """
     net, near, far = one_side(1)
     net.node.handover.accept_successor(near)
     left, right = socket.socketpair()
@@ -95,7 +104,10 @@
     ],
 )
 @pytest.mark.parametrize("fds", [0, 1, 2])
-def test_a_req_under_way_that_makes_no_sense_costs_nothing(packet, fds):
+def test_a_request_under_way_that_makes_no_sense_costs_nothing(packet, fds):
+    """A request that is handed over lacks sockets or words. The new process closes what came,
+    and serves on.
+    """
     net, near, far = one_side(1, start=False)
     net.node.handover.join_predecessor(far)
     net.node.start()
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -13,6 +13,9 @@
 
 
 def test_sighup_moves_the_watch_and_keeps_the_list_and_a_bad_file_changes_nothing(tmp_path):
+    """SIGHUP comes with a missing file, a broken one and two that move discovery. Bad files
+    change nothing; a move keeps the list and its connections.
+    """
     net, path = NodeHarness(1), tmp_path / "c"
     tells(net, 41, True, [net.entry(0), net.entry(9)])
     [link], before = idle_links(net, 1), listed(net)
@@ -123,6 +126,9 @@
     ],
 )
 def test_a_spoilt_file_changes_nothing(tmp_path, spoilt, why):
+    """SIGHUP comes, and the file lacks a key, has a value of another kind or is cut off. The
+    running settings are kept, and the log says why.
+    """
     path, net = tmp_path / "c", NodeHarness()
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
@@ -159,7 +165,10 @@
 }
 
 
-def test_new_settings_bind_new_reqs_and_open_ones_keep_theirs(tmp_path):
+def test_new_settings_bind_new_requests_and_open_ones_keep_theirs(tmp_path):
+    """Settings change while a request is open. It keeps those under which it came, new
+    requests have the new ones.
+    """
     path, net = tmp_path / "c", NodeHarness(3)
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
@@ -186,6 +195,9 @@
 
 
 def test_what_cannot_change_while_it_runs_is_told_and_waits(tmp_path):
+    """A new file changes the address and the limits. They stay as they are, and the log names
+    them.
+    """
     path, net = tmp_path / "c", NodeHarness()
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
--- a/tests/net/test_rendezvous.py
+++ b/tests/net/test_rendezvous.py
@@ -8,6 +8,9 @@
 
 
 def test_processes_find_each_other_by_a_folder_and_a_stale_file_is_nobody(tmp_path):
+    """A process was killed and left its socket file. The next one finds nobody there and
+    serves; those alive find each other, also by a long path.
+    """
     deep = tmp_path / ("x" * 60) / ("y" * 60)  # more than a Unix socket's address has room for
     deep.mkdir(parents=True)
     for folder in (tmp_path, deep):
@@ -44,6 +47,9 @@
 
 @pytest.mark.parametrize("folder", [None, "", "/nonexistent/folder"])
 def test_without_a_common_folder_each_does_with_half(folder):
+    """There is no folder that both processes see. Each takes half of the descriptors, as it
+    cannot know of the other.
+    """
     net = NodeHarness(1, start=False, sockets=400)
     net.node.clients.use_listening_socket(listener())
     net.node.handover = Handover(net.loop, net.node, folder, shared=True)
--- a/tests/net/test_request_migration.py
+++ b/tests/net/test_request_migration.py
@@ -25,7 +25,10 @@
         b"Transfer-Encoding: chunked\r\n\r\n4;x\r\n1234\r\n5\r\n56789\r\n0\r\nT: y\r\n\r\n",
     ],
 )
-def test_a_req_that_has_come_in_part_goes_on_in_the_new_one(place, framing):
+def test_a_request_that_has_come_in_part_goes_on_in_the_new_one(place, framing):
+    """The old process leaves when a request has come in part, cut at each place. The new one
+    reads the rest and answers.
+    """
     text = (
         b"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nTenant: small\r\nRequest-Timeout: 1\r\n"
         + framing
@@ -56,6 +59,9 @@
 @pytest.mark.parametrize("place", [70_000, 90_001, 120_003, 150_002])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_an_answer_that_flows_goes_on_in_the_new_one(framing, place, version):
+    """The old process leaves in the middle of a large answer. The client gets every byte of it
+    once, by the new one.
+    """
     two = Two(1)
     client = two.old.client(
         f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode()
@@ -138,6 +144,9 @@
 
 
 def test_an_answer_that_breaks_after_it_went_over_shows_it():
+    """The host closes in the middle of an answer that was handed over. The client sees that it
+    is cut off, and the host is charged for it.
+    """
     two = Two(1)
     client = two.old.ask("k")
     far = two.old.far()
@@ -156,7 +165,10 @@
 @pytest.mark.parametrize(
     ("ends", "status"), [("done", "200"), ("reset", "503"), ("stalls", "408"), ("late", "503")]
 )
-def test_a_req_whose_body_flows_goes_on_in_the_new_one(framing, ends, status):
+def test_a_request_whose_body_flows_goes_on_in_the_new_one(framing, ends, status):
+    """The old process leaves in the middle of a large body. The host gets every byte of it
+    once, by the new one.
+    """
     two = Two(1)
     head = (
         f"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nRequest-Timeout: 1\r\n{framing}\r\n\r\n"
--- a/tests/net/test_response_streaming.py
+++ b/tests/net/test_response_streaming.py
@@ -12,6 +12,9 @@
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_a_large_answer_flows_bounded_to_a_slow_reader(framing, version):
+    """A host sends a large answer faster than its client reads. The balancer reads on only as
+    the client does.
+    """
     net = NodeHarness(1)
     client = net.client(
         f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode()
@@ -73,7 +76,10 @@
         assert (len(net.fars()) == 1) == (framing != "close"), "and so does the link, where it can"
 
 
-def test_the_first_byte_of_a_large_answer_ends_its_time_and_its_further_dispatches():
+def test_the_first_byte_of_a_large_answer_ends_its_time_and_its_further_attempts():
+    """A large answer has begun to flow when its request's time is over. It is not cut off, and
+    nobody else is asked.
+    """
     net = NodeHarness(2)
     client = net.ask("k", left="0.5")
     far = net.far()
@@ -104,6 +110,9 @@
 )
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_an_answer_that_breaks_off_shows_it_and_costs_its_host(break_off, version):
+    """A host breaks off in the middle of an answer that flows. The client sees that it is cut
+    off, and the host is charged for it.
+    """
     net = NodeHarness(2)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client, near = socket.create_connection(listener.getsockname()), listener.accept()[0]
@@ -144,6 +153,9 @@
 
 
 def test_an_answer_of_unknown_length_is_held_for_a_moment_and_not_for_long():
+    """An answer without a length comes slowly. It is held for a moment, so that another host
+    can still be asked, and then flows.
+    """
     net = NodeHarness(2)
     client = net.ask("k")
     far = net.far()
@@ -165,6 +177,9 @@
 
 
 def test_a_client_that_goes_away_ends_the_flow():
+    """A client closes in the middle of a large answer. The host's connection is closed, and
+    nothing of the request is left.
+    """
     net = NodeHarness(2)
     client = net.ask("k")
     far = net.far()
@@ -181,6 +196,9 @@
 
 
 def test_a_reader_that_stands_still_makes_way_and_one_that_reads_on_stays():
+    """One client reads a large answer slowly, another stops. The second is let go after ten
+    seconds.
+    """
     net = NodeHarness(1)
     client, far = net.ask("k"), net.far()
     for one in net.node.clients.open_clients:
@@ -198,6 +216,9 @@
 
 
 def test_fifty_large_answers_at_once_stay_within_what_is_reckoned_for_each():
+    """Fifty clients read large answers slowly at once. What is held stays within the memory
+    that is reckoned for each.
+    """
     net = NodeHarness(1, sockets=256)
     clients = [net.ask(f"k{i}") for i in range(50)]
     for one in net.node.clients.open_clients:
@@ -217,6 +238,7 @@
 
 
 def test_a_drain_does_not_cut_off_what_flows():
+    """A drain begins while an answer flows. It is sent to its end."""
     net = NodeHarness(1)
     client, far = net.ask("k"), net.far()
     net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
@@ -234,6 +256,7 @@
 
 
 def test_a_process_told_to_end_waits_for_what_flows_as_long_as_it_does():
+    """SIGTERM comes while an answer flows. The process waits for its end."""
     net = NodeHarness(1)
     client, far = net.ask("k"), net.far()
     net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
@@ -278,6 +301,9 @@
 
 
 def test_a_large_error_is_told_at_once_and_not_read_to_its_end():
+    """A host answers with an error whose body is large. The outcome is told at once, and the
+    body is not read.
+    """
     net = NodeHarness(1)
     net.ask("k")
     net.says(net.far(), b"HTTP/1.1 500 No\r\nContent-Length: 30000000\r\n\r\n" + b"x" * 1_000)
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -159,6 +159,9 @@
 
 @pytest.mark.parametrize("path", list(places(WHOLE)), ids=lambda path: ".".join(map(str, path)))
 def test_whatever_stands_in_a_setting_it_can_be_gone_by_or_is_one_plain_line(path):
+    """A setting has any odd value. Either the balancer serves by it, or one line says what is
+    wrong.
+    """
     for value in (*ODD, MISSING):
         try:
             station = config.parse(orjson.dumps(laid(WHOLE, path, value)), "file")
--- a/tests/net/test_upload_streaming.py
+++ b/tests/net/test_upload_streaming.py
@@ -13,7 +13,10 @@
 
 
 @pytest.mark.parametrize("framing", [None, "Transfer-Encoding: chunked"])
-def test_a_large_req_flows_bounded_to_a_slow_host(framing):
+def test_a_large_request_flows_bounded_to_a_slow_host(framing):
+    """A client sends a large body faster than its host reads. The balancer reads on only as
+    the host does.
+    """
     net = NodeHarness(1)
     client = net.client()
     rest = put(framing=framing) + (
@@ -62,6 +65,9 @@
 
 
 def test_a_slow_client_neither_counts_at_the_host_nor_looks_like_a_slow_one():
+    """A client sends a large body slowly. The time it takes is not the host's latency, and
+    uses up none of its limit.
+    """
     net = NodeHarness(1)
     client = flowing(net)
     far, origin, got = net.far(), net.node.balancer.hosts["o"], b""
@@ -87,7 +93,10 @@
     )
 
 
-def test_the_time_of_a_large_req_runs_from_its_last_byte():
+def test_the_time_of_a_large_request_runs_from_its_last_byte():
+    """A large body takes longer to come than the client waits for an answer. The time runs
+    from its last byte.
+    """
     net = NodeHarness(1)
     client = flowing(net)
     far = net.far()
@@ -107,6 +116,9 @@
 
 
 def test_a_body_that_has_gone_on_is_sent_no_second_time():
+    """A host breaks after a large body has begun to flow there. What was sent is kept no more,
+    so no other host is asked.
+    """
     net = NodeHarness(1)
     client = flowing(net)
     drawn(net.far())
@@ -117,6 +129,7 @@
 
 
 def test_a_body_that_has_not_gone_on_may_be_sent_again():
+    """A host refuses before any of a large body was discarded. Another one gets all of it."""
     net = NodeHarness(1)
     net.refused.add(109)
     client = net.client(
@@ -143,7 +156,10 @@
         (lambda net, client: net.says(client, b"\r\nno chunk\r\n"), "400"),
     ],
 )
-def test_a_large_req_that_stands_still_or_goes_wrong_never_runs(how, status):
+def test_a_large_request_that_stands_still_or_goes_wrong_never_runs(how, status):
+    """A client stops, closes or sends nonsense in the middle of a large body. The host never
+    gets it whole, so it is never executed.
+    """
     net = NodeHarness(1)
     client = net.client(put(framing="Transfer-Encoding: chunked"))
     for _ in range(3):
@@ -158,7 +174,10 @@
     )
 
 
-def test_an_early_answer_to_a_large_req_is_not_cut_off_by_what_still_comes():
+def test_an_early_answer_to_a_large_request_is_not_cut_off_by_what_still_comes():
+    """A host answers before it has the whole body. The client reads the answer although it is
+    still sending.
+    """
     net = NodeHarness(1)
     client = flowing(net)
     net.answers(net.far(), 500)
@@ -175,6 +194,9 @@
 
 
 def test_a_client_held_up_by_its_host_is_not_taken_for_one_that_stands_still():
+    """A host does not read, so the client cannot send on. That must not count as the client's
+    silence.
+    """
     net = NodeHarness(1)
     client = net.client(put())
     rest, far = BODY, None
@@ -200,6 +222,7 @@
 
 
 def test_slow_heads_and_bodies_live():
+    """Heads and bodies come a few bytes at a time, but within their times. They are served."""
     net = NodeHarness(1)
     client = net.client()
     for letter in REQ.decode():
