--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -237,7 +237,7 @@
         return not pipelined[0].complete or bool(pipelined[0].error_status)
 
     def answer(
-        self, status: int, body: bytes = b"", pause: int = 0, length: int | None = None
+        self, status: int, body: bytes = b"", retry_after_us: int = 0, length: int | None = None
     ) -> None:
         """Sends the whole answer to the oldest request.
 
@@ -251,7 +251,7 @@
         self.pending_request = None
         close = self.closes_after_answer() or not (message.complete and message.keep_alive)
         content_length = len(body) if length is None else length
-        head = response_head(status, content_length, close, pause, message.version)
+        head = response_head(status, content_length, close, retry_after_us, message.version)
         self.conn.send(head, b"" if message.method == b"HEAD" else body)
         self.on_answered(close)
 
--- a/tests/control/test_guarded_node.py
+++ b/tests/control/test_guarded_node.py
@@ -27,8 +27,8 @@
     def __init__(self):
         self.answers = []
 
-    def answer(self, status, body=b"", pause=0, length=None):
-        self.answers.append((status, pause))
+    def answer(self, status, body=b"", retry_after_us=0, length=None):
+        self.answers.append((status, retry_after_us))
 
 
 @pytest.fixture
