--- a/orchidgap/http1/host_connection.py
+++ b/orchidgap/http1/host_connection.py
@@ -5,6 +5,7 @@
 import socket
 from typing import Protocol
 
+from orchidgap.decisions.records import AttemptOutcome
 from orchidgap.http1.messages import Message
 from orchidgap.http1.readers import ResponseReader
 from orchidgap.http1.writers import LAST_CHUNK, encode_chunk
@@ -19,6 +20,7 @@
 # A connection that breaks after it was idle for less says nothing of those that were idle longer.
 SHORT_IDLE_US = 200_000
 MICROSECONDS_PER_SECOND = 1e6
+OUTCOMES_BY_STATUS = {200: AttemptOutcome.DONE, 404: AttemptOutcome.CACHE_MISS}
 
 
 class OwningPool(Protocol):
@@ -205,7 +207,7 @@
         elif self.response_sink:
             self.response_sink.give(message.take_body())
             if message.complete:
-                self.finish_attempt("done")
+                self.finish_attempt(AttemptOutcome.DONE)
         elif message.complete:
             self.finish_attempt(outcome_of_response(message))
         elif message.head_complete:
@@ -259,7 +261,7 @@
         if self.response_sink:
             sink.give(self.reader.message.take_body())
 
-    def finish_attempt(self, outcome: str) -> None:
+    def finish_attempt(self, outcome: AttemptOutcome) -> None:
         """The response has arrived, or all of it that counts."""
         attempt = self.attempt
         assert attempt
@@ -334,7 +336,7 @@
         message = self.reader.message
         if self.response_sink:
             self.response_sink.give(message.take_body())
-            self.finish_attempt("done")
+            self.finish_attempt(AttemptOutcome.DONE)
         else:
             self.finish_attempt(outcome_of_status(message.status, False))
 
@@ -353,24 +355,24 @@
         self.pool.forget(self)
 
 
-def outcome_of_response(message: Message) -> str:
+def outcome_of_response(message: Message) -> AttemptOutcome:
     """The outcome of an attempt by its response."""
     not_started = message.fields.get(b"not-started") == b"1"
     return outcome_of_status(message.status, not_started)
 
 
-def outcome_of_status(status: int, not_started: bool) -> str:
+def outcome_of_status(status: int, not_started: bool) -> AttemptOutcome:
     """The outcome of an attempt by the status of its response.
 
     `not_started`: the host promises that the request was never executed (`Not-Started: 1`).
 
-    >>> [outcome_of_status(status, True) for status in (200, 404, 503, 504, 500)]
+    >>> [outcome_of_status(status, True).value for status in (200, 404, 503, 504, 500)]
     ['done', 'miss', 'full', 'full', 'error']
-    >>> [outcome_of_status(status, False) for status in (503, 400, 429)]
+    >>> [outcome_of_status(status, False).value for status in (503, 400, 429)]
     ['error', 'unfit', 'error']
     """
     if status in (503, 504) and not_started:
-        return "full"
+        return AttemptOutcome.QUEUE_FULL
     if status == 400:  # the request itself is at fault: any other host would say the same
-        return "unfit"
-    return {200: "done", 404: "miss"}.get(status, "error")
+        return AttemptOutcome.INVALID_REQUEST
+    return OUTCOMES_BY_STATUS.get(status, AttemptOutcome.SERVER_ERROR)
--- a/orchidgap/net/attempt_failure.py
+++ b/orchidgap/net/attempt_failure.py
@@ -7,9 +7,15 @@
 from enum import IntEnum
 from typing import NamedTuple
 
+from orchidgap.decisions.records import AttemptOutcome
+
 REFUSED_TEXTS = frozenset(map(os.strerror, (errno.ECONNREFUSED, errno.ECONNRESET)))
 HOST_CAUSES = ("broken", "refused", "stale")
-OUTCOMES_WHEN_SENT = {"overdue": "timeout", "cancelled": "cancelled", "stale": "stale"}
+OUTCOMES_WHEN_SENT = {
+    "overdue": AttemptOutcome.TIMED_OUT,
+    "cancelled": AttemptOutcome.CANCELLED,
+    "stale": AttemptOutcome.STALE_CONNECTION,
+}
 
 
 class SendProgress(IntEnum):
@@ -28,7 +34,7 @@
     (of descriptors).
 
     >>> for cause in ("broken", "refused", "stale", "overdue", "cancelled", "short"):
-    ...     print([AttemptFailure(progress, cause).outcome for progress in SendProgress])
+    ...     print([AttemptFailure(progress, cause).outcome.value for progress in SendProgress])
     ['unconnected', 'unconnected', 'reset']
     ['refused', 'unconnected', 'reset']
     ['unconnected', 'unconnected', 'stale']
@@ -42,14 +48,15 @@
     detail: str = ""  # what the system said
 
     @property
-    def outcome(self) -> str:
+    def outcome(self) -> AttemptOutcome:
         """What the decisions are told."""
         if self.progress is SendProgress.COMPLETE:
-            return OUTCOMES_WHEN_SENT.get(self.cause, "reset")
+            return OUTCOMES_WHEN_SENT.get(self.cause, AttemptOutcome.CONNECTION_RESET)
         if self.cause == "refused" and self.progress is SendProgress.UNSENT:
-            return "refused"
+            return AttemptOutcome.CONNECTION_REFUSED
         # what this balancer itself lacks or gave up says nothing against the host
-        return "unconnected" if self.cause in HOST_CAUSES else "moot"
+        is_of_host = self.cause in HOST_CAUSES
+        return AttemptOutcome.UNCONNECTED if is_of_host else AttemptOutcome.NEVER_SENT
 
 
 def connect_failure_cause(detail: str) -> str:
--- a/orchidgap/net/decisions_port.py
+++ b/orchidgap/net/decisions_port.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
+from orchidgap.decisions.records import AttemptOutcome
 from orchidgap.net.connection_pools import ConnectionPools
 from orchidgap.net.discovery import HostDiscovery
 from orchidgap.net.event_log import EventLog
@@ -50,7 +51,7 @@
             attempt.asking = last.redirect_once and last.redirect_host == host
         attempts.append(attempt)
         if exchange.closed or self.loop.now >= exchange.deadline_us:
-            self.loop.call_soon(attempt.settle, "moot")
+            self.loop.call_soon(attempt.settle, AttemptOutcome.NEVER_SENT)
         else:
             self.pools.send(host, attempt)
 
--- a/orchidgap/net/upstream_attempt.py
+++ b/orchidgap/net/upstream_attempt.py
@@ -4,6 +4,7 @@
 
 from typing import Protocol
 
+from orchidgap.decisions.records import AttemptOutcome
 from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.connection import Connection
@@ -61,7 +62,7 @@
         A connection can have come up long after the decision to send.
         """
 
-    def on_settled(self, number: int, outcome: str, body: bytes) -> None:
+    def on_settled(self, number: int, outcome: AttemptOutcome, body: bytes) -> None:
         """What came of the attempt."""
 
     def start_streaming(self, number: int) -> ResponseSink | None:
@@ -126,7 +127,7 @@
         self.redirect_host = ""
         self.redirect_once = False
 
-    def settle(self, outcome: str, body: bytes = b"") -> None:
+    def settle(self, outcome: AttemptOutcome, body: bytes = b"") -> None:
         """Tell the owner what came of it; of all calls only the first counts."""
         if not self.settled:
             self.settled = True
--- a/orchidgap/resp/upstream.py
+++ b/orchidgap/resp/upstream.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from orchidgap.decisions.records import AttemptOutcome
 from orchidgap.net import connection_pools
 from orchidgap.net.addresses import Address, format_address, parse_address
 from orchidgap.net.attempt_failure import AttemptFailure, SendProgress, connect_failure_cause
@@ -156,11 +157,11 @@
                 format_address(sent_on.address),
                 sent_on.ask,
             )
-            return attempt.settle("moved", text)
+            return attempt.settle(AttemptOutcome.REDIRECTED, text)
         if text.startswith(NOT_NOW):
             hosts.doubted()
-            return attempt.settle("full", text)
-        attempt.settle("done", text)
+            return attempt.settle(AttemptOutcome.QUEUE_FULL, text)
+        attempt.settle(AttemptOutcome.DONE, text)
 
     def ended(self, what: str) -> None:
         """What had been written whole may have run; the rest never did."""
