--- a/orchidgap/decisions/balancer.py
+++ b/orchidgap/decisions/balancer.py
@@ -16,13 +16,18 @@
 from orchidgap.decisions.concurrency_limit import ConcurrencyLimiter
 from orchidgap.decisions.dispatch import Dispatch
 from orchidgap.decisions.hash_ranges import SLOT_COUNT, slot_of_key
-from orchidgap.decisions.host_list import HostEntry, max_retry_delay_us, merge_host_list
+from orchidgap.decisions.host_list import (
+    HostEntry,
+    ListScope,
+    max_retry_delay_us,
+    merge_host_list,
+)
 from orchidgap.decisions.load_reports import are_judged
 from orchidgap.decisions.origin import Origin
 from orchidgap.decisions.pipeline import connect_stages
 from orchidgap.decisions.placement import Placement
 from orchidgap.decisions.ports import Port
-from orchidgap.decisions.records import AttemptOutcome, HostState, Request
+from orchidgap.decisions.records import AttemptOutcome, HostState, HostStatus, Request
 from orchidgap.decisions.request_table import RequestTable
 from orchidgap.decisions.retry_policy import INITIAL_RETRY_BUDGET, forfeit_retry_budget
 from orchidgap.decisions.settings import ServiceSettings
@@ -159,15 +164,14 @@
         self.admission.update_tenants()
         self.drain_queues()
 
-    def on_hosts(self, scope: str, entries: Iterable[HostEntry]) -> None:
+    def on_hosts(self, scope: ListScope, entries: Iterable[HostEntry]) -> None:
         """The list of hosts has come, or calling for it failed.
 
         Args:
-            scope: "changes" where other hosts stay as they are; "failed" where there is no list;
-                else the list is whole.
+            scope: What the list covers.
             entries: The hosts.
         """
-        if scope == "failed":
+        if scope == ListScope.FAILED:
             self._subscribe_failures += 1
             within_us = self.settings.subscribe_within_us
             self._subscribe_within(max_retry_delay_us(self._subscribe_failures, within_us))
@@ -176,11 +180,11 @@
         self.hosts = merge_host_list(
             self.hosts,
             entries,
-            is_whole=scope != "changes",
+            is_whole=scope != ListScope.CHANGES,
             origin_kind=self.settings.origin_kind,
             on_started=self._on_host_started,
         )
-        ready = [host for host in self.hosts.values() if host.state == "up"]
+        ready = [host for host in self.hosts.values() if host.state == HostStatus.READY]
         self.origin.hosts = [host for host in ready if host.is_origin]
         self.placement.update_ring([host for host in ready if not host.is_origin])
         self.drain_queues()
--- a/orchidgap/decisions/host_list.py
+++ b/orchidgap/decisions/host_list.py
@@ -3,13 +3,24 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
+from enum import StrEnum
 
-from orchidgap.decisions.records import HostState
+from orchidgap.decisions.records import HostState, HostStatus
 
-# As listed: id, state ("up", "draining" or "gone"), start of its process in microseconds
+# As listed: id, status (the string of a `HostStatus`), start of its process in microseconds
 # (0: long ago), zone, kind, cell, and weight.
 HostEntry = tuple[str, str, int, str, str, str, float]
 
+
+class ListScope(StrEnum):
+    """What a list of hosts covers; members equal and hash like their strings."""
+
+    WHOLE = "whole"  # all hosts: others are gone
+    RECALLED = "recalled"  # all hosts, as they were known before this process started
+    CHANGES = "changes"  # other hosts are as they were
+    FAILED = "failed"  # nothing: calling for the list failed
+
+
 MIN_WEIGHT = 1e-6  # of a host that the list says weighs nothing
 FIRST_RETRY_US = 1_000_000
 MAX_RETRY_DOUBLINGS = 3
@@ -35,8 +46,8 @@
     """
     hosts = dict(known)
     gone = set(known) if is_whole else set()
-    for host_id, state, started_at_us, zone, kind, cell, weight in entries:
-        if state == "gone":
+    for host_id, status, started_at_us, zone, kind, cell, weight in entries:
+        if status == HostStatus.GONE:
             gone.add(host_id)
             continue
         gone.discard(host_id)
@@ -46,7 +57,7 @@
             hosts[host_id] = host
         if started_at_us != host.started_at_us:
             on_started(host, started_at_us)
-        host.state = state
+        host.state = HostStatus(status)
         host.zone = zone
         host.cell = cell
         host.weight = max(weight, MIN_WEIGHT)
--- a/orchidgap/decisions/placement.py
+++ b/orchidgap/decisions/placement.py
@@ -22,7 +22,7 @@
 from orchidgap.decisions.origin import Origin
 from orchidgap.decisions.pipeline import PipelineContext, Stage
 from orchidgap.decisions.rebalancing import Rebalancer
-from orchidgap.decisions.records import Attempt, AttemptOutcome, HostState, Request
+from orchidgap.decisions.records import Attempt, AttemptOutcome, HostState, HostStatus, Request
 from orchidgap.decisions.retry_policy import (
     INITIAL_RETRY_BUDGET,
     RETRY_COST,
@@ -158,7 +158,7 @@
             self.next_stage.forward(request, ready_owner)
             return
         owner = self.context.slot_owner(request)
-        nothing_makes_room = owner and (owner.state != "up" or not owner.in_flight)
+        nothing_makes_room = owner and (owner.state != HostStatus.READY or not owner.in_flight)
         if nothing_makes_room:
             self.context.reject(request)
             return
@@ -231,10 +231,11 @@
         if attempt.outcome != AttemptOutcome.REDIRECTED or request.answered:
             return False
         target = request.redirect_target
-        target_drains = target is not None and target.state != "up"
+        target_drains = target is not None and target.state != HostStatus.READY
         action = redirect_action(request.redirects - 1, target is not None, target_drains)
         return action is not RedirectAction.GIVE_UP
 
     def _ready_slot_owner(self, request: Request) -> HostState | None:
         owner = self.context.slot_owner(request)
-        return owner if owner and owner.state == "up" and self.accepts(owner) else None
+        is_ready = owner is not None and owner.state == HostStatus.READY
+        return owner if owner and is_ready and self.accepts(owner) else None
--- a/orchidgap/decisions/records.py
+++ b/orchidgap/decisions/records.py
@@ -33,6 +33,14 @@
     INVALID_REQUEST = "unfit"  # the host found fault with the request itself
 
 
+class HostStatus(StrEnum):
+    """What discovery tells of a host; members equal and hash like their strings."""
+
+    READY = "up"
+    DRAINING = "draining"  # it finishes what it has, and takes nothing new
+    GONE = "gone"
+
+
 # Proof that the attempt never ran.
 NEVER_EXECUTED = frozenset(
     (
@@ -52,7 +60,7 @@
 
     id: str
     is_origin: bool
-    state: str = ""  # as listed: "up", "draining" or "gone"
+    state: HostStatus = HostStatus.GONE  # as listed
     started_at_us: int = -1  # its last start, as listed; 0 for long ago
     zone: str = ""
     cell: str = ""
--- a/orchidgap/decisions/shadow.py
+++ b/orchidgap/decisions/shadow.py
@@ -13,7 +13,7 @@
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.dispatch import Dispatch
-from orchidgap.decisions.host_list import HostEntry
+from orchidgap.decisions.host_list import HostEntry, ListScope
 from orchidgap.decisions.load_reports import are_judged, fair_in_flight
 from orchidgap.decisions.ports import Port
 from orchidgap.decisions.records import Attempt, Request
@@ -151,7 +151,7 @@
         else:
             self.count_if(Difference.RETRY_AFTER, retry_after_us != other_retry_after_us)
 
-    def on_hosts(self, scope: str, entries: Iterable[HostEntry]) -> None:
+    def on_hosts(self, scope: ListScope, entries: Iterable[HostEntry]) -> None:
         """See `Balancer.on_hosts`."""
         super().on_hosts(scope, entries)
         self._reported_in_flight = {
--- a/orchidgap/trial/baselines.py
+++ b/orchidgap/trial/baselines.py
@@ -16,8 +16,9 @@
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
+from orchidgap.decisions.host_list import HostEntry, ListScope
 from orchidgap.decisions.ports import Port
-from orchidgap.decisions.records import Attempt, HostState, Request
+from orchidgap.decisions.records import Attempt, HostState, HostStatus, Request
 from orchidgap.decisions.request_table import RequestTable
 from orchidgap.decisions.retry_policy import RETRYABLE_OUTCOMES
 from orchidgap.decisions.settings import ServiceSettings
@@ -56,17 +57,15 @@
         """One of the hosts, of which there is one at least."""
         raise NotImplementedError
 
-    def on_hosts(
-        self, scope: str, entries: Iterable[tuple[str, str, int, str, str, str, float]]
-    ) -> None:
-        if scope == "failed":
+    def on_hosts(self, scope: ListScope, entries: Iterable[HostEntry]) -> None:
+        if scope == ListScope.FAILED:
             return
-        gone = set() if scope == "changes" else set(self.hosts)
+        gone = set() if scope == ListScope.CHANGES else set(self.hosts)
         for id, state, since, zone, kind, cell, rating in entries:
-            (gone.add if state == "gone" else gone.discard)(id)
+            (gone.add if state == HostStatus.GONE else gone.discard)(id)
             host = self.hosts.get(id) or HostState(id, kind == self.settings.origin_kind)
             host.state, host.started_at_us, host.zone, host.cell, host.weight = (
-                state,
+                HostStatus(state),
                 since,
                 zone,
                 cell,
@@ -74,7 +73,7 @@
             )
             self.hosts[id] = host
         self.hosts = {id: host for id, host in sorted(self.hosts.items()) if id not in gone}
-        ready = [host for host in self.hosts.values() if host.state == "up"]
+        ready = [host for host in self.hosts.values() if host.state == HostStatus.READY]
         self.caches = [host for host in ready if not host.is_origin]
         self.origins = [host for host in ready if host.is_origin]
         self.follow()
--- a/orchidgap/wirehost/codec.py
+++ b/orchidgap/wirehost/codec.py
@@ -5,7 +5,8 @@
 from typing import BinaryIO
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.records import AttemptOutcome
+from orchidgap.decisions.host_list import HostEntry, ListScope
+from orchidgap.decisions.records import AttemptOutcome, HostStatus
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.errors import SettingError
 
@@ -20,8 +21,17 @@
     "Ignored": AttemptOutcome.NEVER_SENT,
     "Miss": AttemptOutcome.CACHE_MISS,
 }
-STATES = {"Running": "up", "Stopping": "draining", "Deleted": "gone"}
-SCOPES = {"update": "changes", "replace": "whole", "restored": "recalled", "unavailable": "failed"}
+STATUSES = {
+    "Running": HostStatus.READY,
+    "Stopping": HostStatus.DRAINING,
+    "Deleted": HostStatus.GONE,
+}
+SCOPES = {
+    "update": ListScope.CHANGES,
+    "replace": ListScope.WHOLE,
+    "restored": ListScope.RECALLED,
+    "unavailable": ListScope.FAILED,
+}
 FIELDS = {
     "ABOUT": 1,
     "PROVISION": 1,
@@ -78,17 +88,17 @@
         self.balancer: Balancer | None = None
 
 
-def entries(lines: list[list[str]]) -> list[tuple[str, str, int, str, str, str, float]]:
+def entries(lines: list[list[str]]) -> list[HostEntry]:
     """Host entries as (id, state, since, zone, kind, cell, rating)."""
-    found = []
+    found: list[HostEntry] = []
     for parts in lines:
-        if len(parts) != 8 or parts[0] != "M" or parts[5] not in STATES:
+        if len(parts) != 8 or parts[0] != "M" or parts[5] not in STATUSES:
             raise Malformed(f"not a host entry: {' '.join(parts)[:80]!r}")
         _, rating, since, zone, kind, state, cell, host = parts
         found.append(
             (
                 host,
-                STATES[state],
+                STATUSES[state],
                 0 if since == "-" else int(since),
                 zone,
                 kind,
