--- /dev/null
+++ b/orchidgap/wirehost/messages.py
@@ -0,0 +1,213 @@
+"""The simulator's messages to an instance, decoded to typed values. Free of I/O.
+
+Times are whole microseconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from typing import NamedTuple
+
+from orchidgap.decisions.host_list import HostEntry
+from orchidgap.decisions.records import AttemptOutcome
+from orchidgap.decisions.settings import ServiceSettings
+from orchidgap.errors import OrchidgapError
+from orchidgap.wirehost import words
+
+MAX_SHOWN_LETTERS = 80  # of a line that is malformed
+
+
+class MalformedLineError(OrchidgapError):
+    """A line that is not of this wire."""
+
+
+class Start(NamedTuple):
+    """The instance begins."""
+
+    seed: int
+    settings: ServiceSettings
+
+
+class HostList(NamedTuple):
+    """The list of hosts has come, or calling for it failed."""
+
+    scope: str  # as `Balancer.on_hosts` has it
+    entries: Sequence[HostEntry]
+
+
+class RequestArrived(NamedTuple):
+    """A request has come."""
+
+    request_id: int
+    time_remaining_us: int
+    is_write: bool
+    request_class: str
+    key: int | None
+    tenant: str
+
+
+class LoadReport(NamedTuple):
+    """What a host told of its load."""
+
+    host: str
+    request_rate: float | None  # requests a second
+    in_flight: float | None  # attempts that it holds
+
+
+class AttemptEnded(NamedTuple):
+    """An attempt has ended."""
+
+    request_id: int
+    number: int  # of the attempt
+    outcome: AttemptOutcome
+    request_is_over: bool
+    load_report: LoadReport | None
+
+
+class ClientGone(NamedTuple):
+    """The client of a request has gone."""
+
+    request_id: int
+
+
+class TimerFired(NamedTuple):
+    """A wake-up that was asked for is due."""
+
+    token: int
+
+
+class Exit(NamedTuple):
+    """The instance ends."""
+
+
+Message = (
+    Start
+    | HostList
+    | RequestArrived
+    | AttemptEnded
+    | ClientGone
+    | TimerFired
+    | LoadReport
+    | Exit
+    | None  # one that decides nothing
+)
+
+
+def decode_message(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> Message:
+    """Decodes a message to an instance.
+
+    Args:
+        parts: Its word and its fields, as many as `words.FIELD_COUNTS` says.
+        entry_lines: The lines of the host list that follow it.
+
+    Raises:
+        MalformedLineError: A host entry, or a value, is not of this wire.
+        SettingError: A setting cannot be used.
+    """
+    decode = _DECODERS.get(parts[0])
+    if decode is None:
+        return None
+    try:
+        return decode(parts, entry_lines)
+    except (ValueError, KeyError):
+        raise MalformedLineError(f"bad value in {parts[0]}: {shown(' '.join(parts))}") from None
+
+
+def decode_load(host: str, text: str) -> LoadReport | None:
+    """Decodes a load report; None where the host told nothing.
+
+    >>> decode_load("c1", "tps:12.5,depth:3")
+    LoadReport(host='c1', request_rate=12.5, in_flight=None)
+    >>> decode_load("c1", "-") is None
+    True
+    """
+    if text == words.NOTHING:
+        return None
+    pairs = (pair.partition(":") for pair in text.split(","))
+    values = {name: float(value) for name, _, value in pairs}
+    return LoadReport(host, values.get(words.REQUEST_RATE), values.get(words.IN_FLIGHT))
+
+
+def shown(line: str) -> str:
+    """The beginning of a line, for an error."""
+    return repr(line[:MAX_SHOWN_LETTERS])
+
+
+def _decode_start(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> Start:
+    pairs = dict(pair.partition("=")[::2] for pair in parts[2:])
+    settings = ServiceSettings.from_pairs(pairs)
+    return Start(int(parts[1]), settings)
+
+
+def _decode_host_list(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> HostList:
+    scope = words.LIST_SCOPES[parts[1]]
+    return HostList(scope, [_decode_entry(entry) for entry in entry_lines])
+
+
+def _decode_entry(parts: Sequence[str]) -> HostEntry:
+    is_entry = len(parts) == words.HOST_ENTRY_PARTS and parts[0] == words.HOST_ENTRY
+    if not is_entry or parts[5] not in words.HOST_STATES:
+        raise MalformedLineError(f"not a host entry: {shown(' '.join(parts))}")
+    _, weight, started_at, zone, kind, state, cell, host = parts
+    return (
+        host,
+        words.HOST_STATES[state],
+        0 if started_at == words.NOTHING else int(started_at),
+        zone,
+        kind,
+        cell,
+        1.0 if weight == words.NOTHING else float(weight),
+    )
+
+
+def _decode_request(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> RequestArrived:
+    _, request, time_remaining, is_write, request_class, key, _, _, _, tenant = parts
+    return RequestArrived(
+        request_id=int(request),
+        time_remaining_us=int(time_remaining),
+        is_write=is_write == words.YES,
+        request_class=request_class,
+        key=None if key == words.NOTHING else int(key),
+        tenant=tenant,
+    )
+
+
+def _decode_ended(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> AttemptEnded:
+    _, request, number, host, outcome, _, request_is_over, _, report = parts
+    return AttemptEnded(
+        request_id=int(request),
+        number=int(number),
+        outcome=words.OUTCOMES[outcome],
+        request_is_over=request_is_over == words.YES,
+        load_report=decode_load(host, report),
+    )
+
+
+def _decode_load_report(
+    parts: Sequence[str], entry_lines: Sequence[Sequence[str]]
+) -> LoadReport | None:
+    return decode_load(parts[1], parts[4])
+
+
+def _decode_client_gone(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> ClientGone:
+    return ClientGone(int(parts[1]))
+
+
+def _decode_timer(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> TimerFired:
+    return TimerFired(int(parts[1]))
+
+
+def _decode_exit(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> Exit:
+    return Exit()
+
+
+_DECODERS: dict[str, Callable[[Sequence[str], Sequence[Sequence[str]]], Message]] = {
+    words.START: _decode_start,
+    words.HOST_LIST: _decode_host_list,
+    words.REQUEST: _decode_request,
+    words.ATTEMPT_ENDED: _decode_ended,
+    words.LOAD_REPORT: _decode_load_report,
+    words.CLIENT_GONE: _decode_client_gone,
+    words.TIMER_FIRED: _decode_timer,
+    words.EXIT: _decode_exit,
+}
--- /dev/null
+++ b/orchidgap/wirehost/server.py
@@ -0,0 +1,125 @@
+"""Answers the simulator's batches, one after another.
+
+A batch has the time, and messages to any of the instances; its reply has what each of them does
+then. A line that is not of this wire ends the program. An error in the decisions ends the
+simulation by the reply, with a text that tells of it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import BinaryIO
+
+from orchidgap.errors import SettingError
+from orchidgap.wirehost import words
+from orchidgap.wirehost.instance import Instance
+from orchidgap.wirehost.messages import MalformedLineError, decode_message, shown
+
+
+def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer batch after batch until the input ends.
+
+    Raises:
+        MalformedLineError: A line is not of this wire.
+        UnicodeDecodeError: A line is not UTF-8.
+    """
+    instances: dict[str, Instance] = {}
+    while head := source.readline():
+        line = head.decode()
+        if line.split():
+            batch = _Batch(line, source, instances)
+            batch.handle_messages()
+            sink.write(batch.reply().encode())
+            sink.flush()
+
+
+class _Batch:
+    """One batch and its reply."""
+
+    def __init__(self, head: str, source: BinaryIO, instances: dict[str, Instance]) -> None:
+        parts = head.split()
+        if parts[0] != words.BATCH or len(parts) != 3 or not parts[1].isdecimal():
+            raise MalformedLineError(f"a batch was expected: {shown(head.strip())}")
+        self.now = int(parts[1])
+        self.number = parts[2]
+        self.source = source
+        self.instances = instances
+        self.touched: dict[str, Instance] = {}  # those that had a message, in order
+        self.current_name = ""
+        self.current: Instance | None = None
+        self.fault: list[str] = []  # its lines in the reply
+
+    def handle_messages(self) -> None:
+        """Read all messages and act on them, up to the first fault."""
+        while True:
+            raw = self.source.readline()
+            if not raw:
+                raise MalformedLineError(f"the input ended within batch {self.number}")
+            line = raw.decode().rstrip("\r\n")
+            parts = line.split(" ")
+            if parts[0] == words.END_OF_BATCH:
+                return
+            _check_field_count(parts, line)
+            if parts[0] == words.ABOUT:
+                self._choose_instance(parts[1])
+                continue
+            if self.current is None:
+                raise MalformedLineError(f"{parts[0]} before any ABOUT")
+            entry_lines = self._read_entries(parts)
+            if not self.fault:
+                self._handle(self.current, parts, entry_lines)
+
+    def reply(self) -> str:
+        """What the instances do, and the fault if there was one."""
+        lines = []
+        for name, instance in self.touched.items():
+            if instance.port.lines:
+                lines.append(f"{words.REPLY_FOR} {name}")
+                lines += instance.port.lines
+                instance.port.lines.clear()
+        lines += self.fault
+        lines.append(f"{words.END_OF_REPLY} {self.number}\n")
+        return "\n".join(lines)
+
+    def _choose_instance(self, name: str) -> None:
+        if name not in self.instances:
+            self.instances[name] = Instance()
+        self.current_name = name
+        self.current = self.instances[name]
+        self.touched[name] = self.current
+
+    def _read_entries(self, parts: Sequence[str]) -> list[list[str]]:
+        """The lines of a host list, which follow its message."""
+        if parts[0] != words.HOST_LIST or parts[3] in words.NO_ENTRIES:
+            return []
+        try:
+            return [self.source.readline().decode().split() for _ in range(int(parts[3]))]
+        except ValueError:
+            raise MalformedLineError(f"not a count of entries: {parts[3]!r}") from None
+
+    def _handle(
+        self, instance: Instance, parts: Sequence[str], entry_lines: Sequence[Sequence[str]]
+    ) -> None:
+        if instance.balancer is None and parts[0] != words.START:
+            return
+        try:
+            instance.handle(decode_message(parts, entry_lines), self.now)
+        except MalformedLineError:
+            raise
+        except SettingError as error:
+            self._set_fault(str(error))
+        except Exception as error:  # noqa: BLE001 - the simulation must end with a text
+            self._set_fault(f"{parts[0]}: {type(error).__name__}: {error}")
+
+    def _set_fault(self, text: str) -> None:
+        self.fault = [f"{words.REPLY_FOR} {self.current_name}", f"{words.FAULT} {text}"]
+
+
+def _check_field_count(parts: Sequence[str], line: str) -> None:
+    name = parts[0]
+    count = words.FIELD_COUNTS.get(name)
+    if count is None:
+        raise MalformedLineError(f"unknown message: {shown(line)}")
+    has_too_many = len(parts) > count + 1 and name != words.START
+    if len(parts) <= count or has_too_many:
+        raise MalformedLineError(f"{name} has {count} fields: {shown(line)}")
--- /dev/null
+++ b/orchidgap/wirehost/words.py
@@ -0,0 +1,78 @@
+"""The words of the simulator's wire, and what each means. They stand in this module only."""
+
+from __future__ import annotations
+
+from orchidgap.decisions.records import AttemptOutcome
+
+# Frame a batch.
+BATCH = "BATCH"
+ABOUT = "ABOUT"  # the instance that the next messages are for
+END_OF_BATCH = "YOUR_TURN"
+
+# Messages to an instance.
+START = "PROVISION"
+HOST_LIST = "BACKENDS_CHANGED"
+REQUEST = "QUERY"
+ATTEMPT_STARTED = "OPENED"
+ATTEMPT_ENDED = "ENDED"
+CLIENT_GONE = "HANGUP"
+TIMER_FIRED = "FIRED"
+LOAD_REPORT = "STATUS_BACK"
+MAIL = "MAIL"
+EXIT = "EXIT"
+
+# How many fields follow each word.
+FIELD_COUNTS = {
+    ABOUT: 1,
+    START: 1,  # and a setting in each field after that
+    HOST_LIST: 3,
+    REQUEST: 9,
+    ATTEMPT_STARTED: 4,
+    ATTEMPT_ENDED: 8,
+    CLIENT_GONE: 1,
+    TIMER_FIRED: 1,
+    LOAD_REPORT: 4,
+    MAIL: 2,
+    EXIT: 0,
+}
+
+HOST_ENTRY = "M"
+HOST_ENTRY_PARTS = 8  # with the word
+NOTHING = "-"
+YES = "1"
+NO_ENTRIES = (NOTHING, "0")
+
+# What stands in a reply.
+REPLY_FOR = "FOR"
+END_OF_REPLY = "YIELD"
+FAULT = "BAIL_OUT"
+DISPATCH = "ISSUE"
+DENY = "PUSH_BACK"
+ABORT = "FINISH_ERROR"
+CANCEL = "ABORT_ATTEMPT"
+WAKE = "WAKE_ME"
+SUBSCRIBE = "STREAM_CHANGES"
+LOG = "PRINT"
+
+OUTCOMES = {
+    "Ok": AttemptOutcome.DONE,
+    "Failed": AttemptOutcome.SERVER_ERROR,
+    "QueueFull": AttemptOutcome.QUEUE_FULL,
+    "TimedOut": AttemptOutcome.TIMED_OUT,
+    "ConnectError": AttemptOutcome.UNCONNECTED,
+    "ResetByPeer": AttemptOutcome.CONNECTION_RESET,
+    "Canceled": AttemptOutcome.CANCELLED,
+    "Ignored": AttemptOutcome.NEVER_SENT,
+    "Miss": AttemptOutcome.CACHE_MISS,
+}
+HOST_STATES = {"Running": "up", "Stopping": "draining", "Deleted": "gone"}
+LIST_SCOPES = {
+    "update": "changes",
+    "replace": "whole",
+    "restored": "recalled",
+    "unavailable": "failed",
+}
+
+# Fields of a load report.
+REQUEST_RATE = "tps"
+IN_FLIGHT = "concurrent"
--- a/tests/test_wire.py
+++ b/tests/wirehost/test_wire_server.py
@@ -1,3 +1,5 @@
+"""The simulator's batches are answered line by line, and what is wrong is named in one line."""
+
 import io
 import subprocess
 import sys
@@ -5,7 +7,9 @@
 import pytest
 from balancer_harness import SETTINGS, BalancerHarness
 
-from orchidgap.wirehost.codec import Malformed, serve, told
+from orchidgap.wirehost.instance import Instance
+from orchidgap.wirehost.messages import MalformedLineError, decode_message
+from orchidgap.wirehost.server import serve
 
 INFO = " ".join(f"{path}={value}" for path, value in SETTINGS.items())
 START = (
@@ -52,7 +56,7 @@
     ],
 )
 def test_malformed_lines_are_named(text, names):
-    with pytest.raises(Malformed, match=names):
+    with pytest.raises(MalformedLineError, match=names):
         answer(text)
 
 
@@ -75,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "report", "rate", "held"),
+    ("how", "report", "request_rate", "in_flight"),
     [
         ("inline", "concurrent:7.5,tps:2", 2.0, 7.5),
         ("inline", "concurrent:7.5,mean_ms:80", -1.0, 7.5),
@@ -83,13 +87,11 @@
         ("off", "concurrent:7.5,tps:2", 2.0, 0.0),
     ],
 )
-def test_reports_reach_the_decisions_as_the_settings_say(how, report, rate, held):
+def test_reports_reach_the_decisions_as_the_settings_say(how, report, request_rate, in_flight):
     balancer = BalancerHarness(2, **{"report.how": how, "report.fields": "concurrent,tps"})
-    told(balancer, "c1", report)
-    assert (
-        balancer.hosts["c1"].reported_request_rate,
-        balancer.hosts["c1"].reported_in_flight,
-    ) == (
-        rate,
-        held,
-    ) and not balancer.hosts["c0"].reported_in_flight
+    instance = Instance()
+    instance.balancer = balancer
+    instance.handle(decode_message(["STATUS_BACK", "c1", "", "", report], []), balancer.now)
+    host = balancer.hosts["c1"]
+    assert (host.reported_request_rate, host.reported_in_flight) == (request_rate, in_flight)
+    assert not balancer.hosts["c0"].reported_in_flight
