--- a/orchidgap/net/config/model.py
+++ b/orchidgap/net/config/model.py
@@ -7,7 +7,8 @@
 
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.net.addresses import Address
-from orchidgap.net.endpoints import Endpoint, EndpointEntry
+from orchidgap.net.config.optional_parts import ControlConfig
+from orchidgap.net.endpoints import HostList
 
 
 class BalancerConfig(NamedTuple):
@@ -19,8 +20,7 @@
     seed: int
     descriptors: int  # that all processes of this balancer may hold together
     memory_mb: int
-    # version, whether it is the whole list, entries for the decisions, where the hosts are
-    initial_endpoints: tuple[int, bool, list[EndpointEntry], list[Endpoint]]
+    initial_endpoints: HostList
     settings: ServiceSettings
     connect_timeout_us: int
     idle_timeout_us: int
@@ -28,7 +28,7 @@
     admin: Address | None = None  # where operators call, if they may
     shadow_settings: ServiceSettings | None = None  # that are evaluated and not followed
     key_shapes: Mapping[str, str] = {}  # which keys the file had, with the kinds of their values
-    control: Mapping[str, Any] | None = None  # where control is, if the settings come from there
+    control: ControlConfig | None = None  # where control is, if the settings come from there
     gossip: Mapping[str, Any] | None = None  # how balancers tell each other counts, if they do
 
 
