--- a/orchidgap/wirehost/instance.py
+++ b/orchidgap/wirehost/instance.py
@@ -4,17 +4,7 @@
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.wirehost import words
-from orchidgap.wirehost.messages import (
-    AttemptEnded,
-    ClientGone,
-    Exit,
-    HostList,
-    LoadReport,
-    Message,
-    RequestArrived,
-    Start,
-    TimerFired,
-)
+from orchidgap.wirehost.messages import Exit, Message, Start
 
 
 class WirePort:
@@ -82,30 +72,12 @@
         self.port.lines.clear()
 
     def handle(self, message: Message, now: int) -> None:
-        """Have the decisions act on a message; one that comes before a start is left aside."""
+        """Act on a message; one that comes before a start is left aside."""
         if isinstance(message, Start):
             self.start(message, now)
         elif isinstance(message, Exit):
             self.end()
         elif self.balancer is not None:
             self.balancer.now = now
-            _call_decisions(self.balancer, message)
-
-
-def _call_decisions(balancer: Balancer, message: Message) -> None:
-    if isinstance(message, RequestArrived):
-        balancer.on_request(*message)
-    elif isinstance(message, AttemptEnded):
-        balancer.on_outcome(
-            message.request_id, message.number, message.outcome, message.request_is_over
-        )
-        if message.load_report:
-            balancer.on_load_report(*message.load_report)
-    elif isinstance(message, TimerFired):
-        balancer.on_wake(message.token)
-    elif isinstance(message, ClientGone):
-        balancer.on_client_gone(message.request_id)
-    elif isinstance(message, LoadReport):
-        balancer.on_load_report(*message)
-    elif isinstance(message, HostList):
-        balancer.on_hosts(message.scope, message.entries)
+            if message is not None:
+                message.apply_to(self.balancer)
--- a/orchidgap/wirehost/messages.py
+++ b/orchidgap/wirehost/messages.py
@@ -1,6 +1,6 @@
-"""The simulator's messages to an instance, decoded to typed values. Free of I/O.
+"""The simulator's messages to an instance, decoded to typed values that call the decisions.
 
-Times are whole microseconds.
+Free of I/O. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -8,6 +8,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
+from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.host_list import HostEntry
 from orchidgap.decisions.records import AttemptOutcome
 from orchidgap.decisions.settings import ServiceSettings
@@ -34,6 +35,10 @@
     scope: str  # as `Balancer.on_hosts` has it
     entries: Sequence[HostEntry]
 
+    def apply_to(self, balancer: Balancer) -> None:
+        """Have the decisions act on it."""
+        balancer.on_hosts(self.scope, self.entries)
+
 
 class RequestArrived(NamedTuple):
     """A request has come."""
@@ -45,6 +50,10 @@
     key: int | None
     tenant: str
 
+    def apply_to(self, balancer: Balancer) -> None:
+        """Have the decisions act on it."""
+        balancer.on_request(*self)
+
 
 class LoadReport(NamedTuple):
     """What a host told of its load."""
@@ -53,6 +62,10 @@
     request_rate: float | None  # requests a second
     in_flight: float | None  # attempts that it holds
 
+    def apply_to(self, balancer: Balancer) -> None:
+        """Have the decisions act on it."""
+        balancer.on_load_report(*self)
+
 
 class AttemptEnded(NamedTuple):
     """An attempt has ended."""
@@ -63,34 +76,39 @@
     request_is_over: bool
     load_report: LoadReport | None
 
+    def apply_to(self, balancer: Balancer) -> None:
+        """Have the decisions act on it."""
+        balancer.on_outcome(self.request_id, self.number, self.outcome, self.request_is_over)
+        if self.load_report:
+            self.load_report.apply_to(balancer)
+
 
 class ClientGone(NamedTuple):
     """The client of a request has gone."""
 
     request_id: int
 
+    def apply_to(self, balancer: Balancer) -> None:
+        """Have the decisions act on it."""
+        balancer.on_client_gone(self.request_id)
+
 
 class TimerFired(NamedTuple):
     """A wake-up that was asked for is due."""
 
     token: int
 
+    def apply_to(self, balancer: Balancer) -> None:
+        """Have the decisions act on it."""
+        balancer.on_wake(self.token)
+
 
 class Exit(NamedTuple):
     """The instance ends."""
 
 
-Message = (
-    Start
-    | HostList
-    | RequestArrived
-    | AttemptEnded
-    | ClientGone
-    | TimerFired
-    | LoadReport
-    | Exit
-    | None  # one that decides nothing
-)
+MessageToBalancer = HostList | RequestArrived | AttemptEnded | ClientGone | TimerFired | LoadReport
+Message = Start | Exit | MessageToBalancer | None  # None: it decides nothing
 
 
 def decode_message(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> Message:
--- a/orchidgap/wirehost/server.py
+++ b/orchidgap/wirehost/server.py
@@ -25,9 +25,9 @@
     """
     instances: dict[str, Instance] = {}
     while head := source.readline():
-        line = head.decode()
-        if line.split():
-            batch = _Batch(line, source, instances)
+        parts = head.decode().split()
+        if parts:
+            batch = _Batch(parts, head, source, instances)
             batch.handle_messages()
             sink.write(batch.reply().encode())
             sink.flush()
@@ -36,10 +36,11 @@
 class _Batch:
     """One batch and its reply."""
 
-    def __init__(self, head: str, source: BinaryIO, instances: dict[str, Instance]) -> None:
-        parts = head.split()
+    def __init__(
+        self, parts: list[str], head: bytes, source: BinaryIO, instances: dict[str, Instance]
+    ) -> None:
         if parts[0] != words.BATCH or len(parts) != 3 or not parts[1].isdecimal():
-            raise MalformedLineError(f"a batch was expected: {shown(head.strip())}")
+            raise MalformedLineError(f"a batch was expected: {shown(head.decode().strip())}")
         self.now = int(parts[1])
         self.number = parts[2]
         self.source = source
@@ -51,21 +52,25 @@
 
     def handle_messages(self) -> None:
         """Read all messages and act on them, up to the first fault."""
+        read_line = self.source.readline
+        field_counts = words.FIELD_COUNTS
         while True:
-            raw = self.source.readline()
+            raw = read_line()
             if not raw:
                 raise MalformedLineError(f"the input ended within batch {self.number}")
             line = raw.decode().rstrip("\r\n")
             parts = line.split(" ")
-            if parts[0] == words.END_OF_BATCH:
+            name = parts[0]
+            if name == words.END_OF_BATCH:
                 return
-            _check_field_count(parts, line)
-            if parts[0] == words.ABOUT:
+            if field_counts.get(name) != len(parts) - 1:
+                _check_field_count(parts, line)
+            if name == words.ABOUT:
                 self._choose_instance(parts[1])
                 continue
             if self.current is None:
-                raise MalformedLineError(f"{parts[0]} before any ABOUT")
-            entry_lines = self._read_entries(parts)
+                raise MalformedLineError(f"{name} before any ABOUT")
+            entry_lines = self._read_entries(parts) if name == words.HOST_LIST else []
             if not self.fault:
                 self._handle(self.current, parts, entry_lines)
 
@@ -90,7 +95,7 @@
 
     def _read_entries(self, parts: Sequence[str]) -> list[list[str]]:
         """The lines of a host list, which follow its message."""
-        if parts[0] != words.HOST_LIST or parts[3] in words.NO_ENTRIES:
+        if parts[3] in words.NO_ENTRIES:
             return []
         try:
             return [self.source.readline().decode().split() for _ in range(int(parts[3]))]
@@ -116,6 +121,7 @@
 
 
 def _check_field_count(parts: Sequence[str], line: str) -> None:
+    """Raise for a message that is not known, or has too few or too many fields."""
     name = parts[0]
     count = words.FIELD_COUNTS.get(name)
     if count is None:
