--- a/tests/admin/test_admin_client.py
+++ b/tests/admin/test_admin_client.py
@@ -12,6 +12,7 @@
 
 @pytest.mark.parametrize("answer", [b"SUCCESS serving\n", b"FAILURE draining\n", b""])
 def test_the_command_prints_what_the_balancer_answered(answer):
+    """A script goes by the exit code, also where the balancer closes without an answer."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
 
         def serve():
@@ -42,6 +43,7 @@
 
 
 def test_nobody_there_is_an_error():
+    """The balancer is down when an operator asks."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
     with pytest.raises(OSError):
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -78,6 +78,7 @@
     ],
 )
 def test_whatever_is_asked_gets_one_line_and_is_closed(text, answer):
+    """Whoever connects may send anything: control characters must not reach the operator's screen."""
     net = NodeHarness()
     server = admin_server(net)
     far = connect(net, server, text)
@@ -88,6 +89,7 @@
 
 
 def test_a_command_in_pieces():
+    """The network splits a command into single bytes."""
     net = NodeHarness()
     far = connect(net, server := admin_server(net))
     for piece in "health\n":
@@ -97,6 +99,7 @@
 
 
 def test_a_hundred_silent_connections_keep_nobody_out():
+    """Somebody opens connections and says nothing. Operators still get in."""
     net = NodeHarness()
     server = admin_server(net)
     silent = [connect(net, server, b"heal" if i % 2 else b"") for i in range(100)]
--- a/tests/decisions/test_gossip_counts.py
+++ b/tests/decisions/test_gossip_counts.py
@@ -78,6 +78,7 @@
 @given(st.integers(3, 16), st.integers(0, 99), st.sampled_from([0.0, 0.5]))
 @settings(max_examples=25, deadline=None)
 def test_all_come_to_one_table_by_the_counts_of_all(count_of, seed, loss):
+    """Half of the datagrams are lost, and each balancer has counted too little by itself."""
     fleet = Fleet(count_of, seed=seed, loss=loss)
     for balancer in fleet.balancers:  # far too few by themselves
         count(balancer, [2 * SENDS // count_of + 9] + [SENDS // count_of + 9] * 7)
@@ -100,6 +101,7 @@
 @given(st.integers(0, 99), st.sampled_from([0.0, 0.5]))
 @settings(max_examples=25, deadline=None)
 def test_tables_that_losses_left_unlike_agree_again(seed, loss):
+    """Two caches are lost, and balancers learn of it in another order, so their ranges differ."""
     fleet = Fleet(12, seed=seed, loss=loss)
     for i, balancer in enumerate(fleet.balancers):
         for id in ("c2", "c3") if i % 2 else ("c3", "c2"):
@@ -110,6 +112,7 @@
 
 
 def test_who_has_another_list_keeps_its_table_until_it_has_the_same():
+    """One balancer's list lacks a cache for a while. A table of other caches would send keys astray."""
     fleet = Fleet(3)
     fleet.balancers[0].list_hosts(["c3"], state="gone")
     for _ in range(20):
@@ -137,6 +140,7 @@
 
 
 def test_a_dead_balancers_report_counts_no_more_and_is_no_news_later():
+    """A balancer dies, and one of its datagrams comes again later, as somebody has kept it."""
     fleet = Fleet(4)
     for _ in range(10):
         fleet.run_round()
@@ -155,6 +159,7 @@
 
 
 def test_a_balancer_that_hears_nobody_rebalances_as_it_would_without_gossip():
+    """The network between balancers is cut: each goes on by itself."""
     for with_gossip in (False, True):
         balancer = BalancerHarness(4)
         member = GossipCounts("b0", 1, balancer.placement, Random(1), balancer.now)
@@ -169,6 +174,7 @@
 
 
 def test_reports_are_bounded_and_a_table_that_cannot_be_is_refused():
+    """A balancer with a defect makes up names and tables. Memory and ranges stay sound."""
     balancer = BalancerHarness(4)
     member = GossipCounts("b0", 1, balancer.placement, Random(1), balancer.now)
     report = CountsReport("b0", 1, 1, balancer.now, 0, TableVersion(0, ""), [], 0.0, {})
@@ -188,6 +194,7 @@
 
 
 def test_ranges_go_back_to_even_under_gossip_too_and_agree():
+    """A rolling restart of caches leaves ranges uneven; all balancers even them in the same way."""
     fleet = Fleet(6, caches=9)
     for balancer in fleet.balancers:
         for id in ("c3", "c4", "c5", "c7"):
--- a/tests/decisions/test_hot_keys.py
+++ b/tests/decisions/test_hot_keys.py
@@ -49,6 +49,7 @@
 
 
 def test_a_key_that_is_hot_no_more_is_forgotten():
+    """A key is hot for an hour. Its copies must not fill caches for the rest of the day."""
     detector, rng = HotKeyDetector(), Random(1)
     for _ in range(200):
         detector.replica_count(0 if rng.random() < 0.4 else rng.randrange(1, 999), 12)
@@ -78,6 +79,7 @@
 
 
 def test_a_hot_key_goes_past_a_neighbour_that_is_ejected():
+    """A neighbour of a hot key's owner fails. The key's reads go to the others meanwhile."""
     balancer = BalancerHarness(9)
     owner = int(balancer.owner_of_key(1)[1:])
     caches_read(balancer, 1, 50)
--- a/tests/decisions/test_load_skew.py
+++ b/tests/decisions/test_load_skew.py
@@ -28,6 +28,7 @@
 @settings(deadline=None)  # how long an example takes on a busy machine is no part of the check
 @given(st.integers(0, 99))
 def test_independent_arrivals_are_no_herd_and_a_few_at_once_are(seed):
+    """Chance alone must not be blamed on the balancers, and a real herd must be seen."""
     rng = Random(seed)
     rows = [[rng.randrange(30_000_000) for _ in range(1_000)] for _ in range(12)]
     assert herd_ratio(rows, 0, 30_000_000) < 1.5
--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -29,6 +29,7 @@
 def test_an_error_says_which_setting_what_stood_there_and_what_was_expected(
     setting, text, found, expected
 ):
+    """Somebody mistypes a setting, and has to find it among hundreds."""
     with pytest.raises(SettingError) as raised:
         ServiceSettings.from_pairs(SETTINGS | {setting: text})
     error = raised.value
@@ -38,6 +39,7 @@
 
 @pytest.mark.parametrize("setting", SETTINGS)
 def test_a_required_setting_that_is_missing_is_named(setting):
+    """A setting that must be given was left out."""
     pairs = {path: text for path, text in SETTINGS.items() if path != setting}
     with pytest.raises(SettingError) as raised:
         ServiceSettings.from_pairs(pairs)
--- a/tests/decisions/test_warm_snapshot.py
+++ b/tests/decisions/test_warm_snapshot.py
@@ -35,6 +35,7 @@
 
 
 def test_a_snapshot_is_restored_whole_by_way_of_json():
+    """A restart must not empty limits and latencies: hosts would be flooded until they are learnt anew."""
     old, new = balancer_with_history(), BalancerHarness(3)
     assert restore_snapshot(new, orjson.loads(orjson.dumps(export_snapshot(old)))) == 4
     assert (
@@ -48,6 +49,7 @@
 
 
 def test_a_host_that_started_since_is_left_as_it_is_and_ranges_of_other_caches_are_not_taken():
+    """A cache restarts, or joins, while the balancer is replaced: what was known is of another one."""
     old, new = balancer_with_history(), BalancerHarness(3)
     new.list_hosts(["c1"], since=77)
     before = new.placement.ranges.range_ends[:]
@@ -80,6 +82,7 @@
     ],
 )
 def test_what_makes_no_sense_changes_nothing(snapshot):
+    """A predecessor of another version says something else. The successor keeps what it has."""
     balancer = balancer_with_history()
     before = copy.deepcopy(export_snapshot(balancer))
     assert restore_snapshot(balancer, snapshot) == 0 and export_snapshot(balancer) == before
@@ -110,6 +113,7 @@
     ),
 )
 def test_no_value_can_break_what_is_decided(hosts, tenants):
+    """A predecessor with a defect says anything. No request may hang or fail for that."""
     balancer = BalancerHarness(3)
     for fields in hosts.values():
         if fields.get("since", 0) in (None, 0):
--- a/tests/peers/test_gossip_transport.py
+++ b/tests/peers/test_gossip_transport.py
@@ -81,6 +81,7 @@
 
 
 def test_what_is_not_signed_is_dropped_and_what_came_before_is_no_news():
+    """Somebody without the key sends datagrams, or sends again what they overheard."""
     network = Network(2)
     network.run(3)
     transport = network.transports[0]
@@ -119,6 +120,7 @@
     ],
 )
 def test_a_malformed_datagram_with_a_good_signature_changes_nothing(message):
+    """A balancer of another version, or with a defect, has the key and says something else."""
     transport = Network(2).transports[0]
     text = orjson.dumps(message)
     before = transport.gossip_counts.range_sizes()
@@ -141,6 +143,7 @@
 
 
 def test_a_flood_is_not_read_beyond_its_bound_and_ends():
+    """Noise comes faster than it can be read. It must not cost the clients' time."""
     network = Network(1)
     transport = network.transports[0]
     transport.listen(("127.0.0.1", 0))
@@ -184,6 +187,7 @@
     ],
 )
 def test_a_bad_part_is_one_plain_line(part, said):
+    """Somebody mistypes the configuration's part for gossip."""
     told = {
         "name": "n",
         "listen": "127.0.0.1:7070",
@@ -197,6 +201,7 @@
 
 
 def test_two_processes_of_one_balancer_hear_at_one_address_while_one_takes_the_others_place():
+    """A new version starts beside the old one and needs the same address."""
     first, second = Network(1).transports[0], Network(1).transports[0]
     first.listen(("127.0.0.1", 0), shared=True)
     with pytest.raises(OSError):
--- a/tests/wirehost/test_wire_server.py
+++ b/tests/wirehost/test_wire_server.py
@@ -56,11 +56,13 @@
     ],
 )
 def test_malformed_lines_are_named(text, names):
+    """The simulator is of another version. Its line is named, so that the cause is found."""
     with pytest.raises(MalformedLineError, match=names):
         answer(text)
 
 
 def test_a_fault_is_told_with_its_name():
+    """The decisions fail. The simulation ends with a text in place of wrong figures."""
     assert "BAIL_OUT setting rule-sets.count is missing\nYIELD 1" in answer(
         "BATCH 1 1\nABOUT 3\nPROVISION 5 az=a\nYOUR_TURN\n"
     )
@@ -71,6 +73,7 @@
     ("raw", "names"), [(b"HELLO\n", "batch"), (b"BATCH 1 1\n\xff\xfe\n", "UTF-8")]
 )
 def test_the_command_ends_with_one_plain_line(raw, names):
+    """Something else than the simulator's wire is piped in."""
     done = subprocess.run(
         [sys.executable, "-m", "orchidgap.wirehost"], input=raw, capture_output=True, check=False
     )
