--- a/orchidgap/wirehost/messages.py
+++ b/orchidgap/wirehost/messages.py
@@ -141,8 +141,10 @@
     """
     if text == words.NOTHING:
         return None
-    pairs = (pair.partition(":") for pair in text.split(","))
-    values = {name: float(value) for name, _, value in pairs}
+    values = {}
+    for pair in text.split(","):
+        name, _, value = pair.partition(":")
+        values[name] = float(value)
     return LoadReport(host, values.get(words.REQUEST_RATE), values.get(words.IN_FLIGHT))
 
 
@@ -181,23 +183,23 @@
 def _decode_request(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> RequestArrived:
     _, request, time_remaining, is_write, request_class, key, _, _, _, tenant = parts
     return RequestArrived(
-        request_id=int(request),
-        time_remaining_us=int(time_remaining),
-        is_write=is_write == words.YES,
-        request_class=request_class,
-        key=None if key == words.NOTHING else int(key),
-        tenant=tenant,
+        int(request),
+        int(time_remaining),
+        is_write == words.YES,
+        request_class,
+        None if key == words.NOTHING else int(key),
+        tenant,
     )
 
 
 def _decode_ended(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> AttemptEnded:
     _, request, number, host, outcome, _, request_is_over, _, report = parts
     return AttemptEnded(
-        request_id=int(request),
-        number=int(number),
-        outcome=words.OUTCOMES[outcome],
-        request_is_over=request_is_over == words.YES,
-        load_report=decode_load(host, report),
+        int(request),
+        int(number),
+        words.OUTCOMES[outcome],
+        request_is_over == words.YES,
+        decode_load(host, report),
     )
 
 
