--- a/tests/decisions/test_cas_register.py
+++ b/tests/decisions/test_cas_register.py
@@ -43,3 +43,30 @@
         if chosen is not None:
             assert chosen[: len(last)] == last
             last = chosen
+
+
+def test_an_acceptor_keeps_its_promise():
+    acceptor = Acceptor(AcceptorState(NO_BALLOT, NO_BALLOT, "old"))
+    acceptor.on_durable(acceptor.prepare((2, "a")))
+    assert acceptor.prepare((2, "a")) is None and acceptor.prepare((1, "z")) is None
+    assert acceptor.accept((1, "z"), "new") is None
+    assert acceptor.accept((2, "a"), "new") == AcceptorState((2, "a"), (2, "a"), "new")
+    assert acceptor.state.value == "old"  # until that is durable
+
+
+def test_an_acceptor_that_lost_its_disk_counts_for_nothing():
+    """It has forgotten what it had promised. Its own round has to go through with the others alone."""
+    proposer = Proposer((5, "x"), 3, lambda value: value, excluded="x")
+    assert not proposer.on_promise("x", NO_BALLOT, "nothing")
+    assert not proposer.on_promise("y", (3, "y"), "value")
+    assert proposer.on_promise("z", (2, "y"), "older") and proposer.value == "value"
+    assert not proposer.on_accepted("x") and not proposer.on_accepted("y")
+    assert proposer.on_accepted("z")
+
+
+def test_one_acceptor_that_answers_twice_is_no_quorum():
+    proposer = Proposer((1, "a"), 3, lambda value: value + 1)
+    assert not proposer.on_promise("x", NO_BALLOT, 0) and not proposer.on_promise("x", NO_BALLOT, 0)
+    assert proposer.on_promise("y", NO_BALLOT, 0) and not proposer.on_promise("z", NO_BALLOT, 9)
+    assert proposer.value == 1
+    assert not proposer.on_accepted("y") and not proposer.on_accepted("y")
--- a/tests/decisions/test_lease_state.py
+++ b/tests/decisions/test_lease_state.py
@@ -57,3 +57,50 @@
         assert (permission is ServingPermission.LEASE) == (now_us < lease.expires_at_us)
         if permission is ServingPermission.WITHOUT_QUORUM:
             assert on_lost_quorum is OnLostQuorum.SERVE and not lease.promised_proposal
+
+
+def test_a_lease_is_shorter_at_its_holder_than_at_the_acceptor():
+    """The holder's clock may run 1% slow and the acceptor's 1% fast: the holder stops first."""
+    lease = LeaseState(OnLostQuorum.DENY, 1_000_000)
+    lease.on_chosen_state(0, 0, False, 50)
+    assert lease.expires_at_us == 990_050
+    assert lease.permission(990_049) is ServingPermission.LEASE
+    assert lease.permission(990_050) is ServingPermission.DENIED
+
+
+def test_an_old_answer_changes_nothing():
+    """An answer of version 1 comes late, when version 2 is in force, and an answer to an earlier heartbeat
+    must not shorten the lease."""
+    lease = LeaseState(OnLostQuorum.SERVE, 1_000_000)
+    lease.on_chosen_state(0, 0, True, 0)
+    lease.on_version_adopted(2)
+    lease.on_chosen_state(2, 0, True, 700_000)
+    for version in (0, 1):
+        assert lease.on_chosen_state(version, 9, False, 5_000_000) is NextStep.NONE
+    assert lease.on_chosen_state(2, 0, True, 100) is NextStep.NONE
+    assert (lease.version, lease.expires_at_us, lease.registered) == (2, 1_690_000, True)
+
+
+def test_a_higher_version_ends_the_lease_until_it_is_adopted():
+    """A balancer cannot adopt the version in force. It has a lease under the one before, and is registered
+    to serve without a quorum: both end at once."""
+    lease = LeaseState(OnLostQuorum.SERVE, 1_000_000)
+    lease.on_chosen_state(0, 0, True, 0)
+    assert lease.on_chosen_state(1, 0, True, 10) is NextStep.ADOPT_VERSION
+    assert lease.permission(20) is ServingPermission.DENIED
+
+
+def test_a_refused_proposal_is_not_checked_again():
+    lease = LeaseState(OnLostQuorum.DENY, 1_000_000)
+    assert lease.on_chosen_state(0, 4, False, 0) is NextStep.CHECK_PROPOSAL
+    lease.on_write_started(4)
+    assert lease.on_chosen_state(0, 4, False, 10) is NextStep.NONE
+    lease.refuse(4, "disk full")
+    assert lease.on_chosen_state(0, 4, False, 20) is NextStep.NONE
+    assert lease.on_chosen_state(0, 5, False, 30) is NextStep.CHECK_PROPOSAL
+
+
+def test_who_denies_without_a_quorum_is_not_registered():
+    lease = LeaseState(OnLostQuorum.DENY, 1_000_000)
+    lease.on_chosen_state(0, 0, True, 0)
+    assert lease.permission(2_000_000) is ServingPermission.DENIED
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -1,7 +1,35 @@
 """Leases that an acceptor grants, and for whom a decision waits."""
 
-from orchidgap.decisions.leases import LeaseHolder, LeaseTable
-from orchidgap.decisions.policy_rollout import INITIAL_STATE, drop, propose, register_member
+import pytest
+
+from orchidgap.decisions.leases import (
+    FORGET_AFTER_US,
+    MAX_HOLDERS,
+    UNKNOWN_HOLDERS,
+    LeaseHolder,
+    LeaseTable,
+)
+from orchidgap.decisions.policy_rollout import (
+    INITIAL_STATE,
+    decide,
+    drop,
+    evict_member,
+    propose,
+    register_member,
+)
+
+LEASE_US = 1_000_000
+MAX_LEASE_US = 1_010_000  # by a clock that runs 1% faster than the holder's
+PROPOSED = propose(INITIAL_STATE, "x", {})
+
+
+def holder(name="b", **changes):
+    return LeaseHolder(name, "1", "leave", 0, 0, 0, "", 0, 0)._replace(**changes)
+
+
+def make_table():
+    """Of a process that started long ago."""
+    return LeaseTable(LEASE_US, -2_000_000)
 
 
 def test_a_promise_counts_for_its_own_try_only():
@@ -15,3 +43,102 @@
     assert again.proposal.proposal_number == 2
     assert table.pending_members(again, 10) == [("b", 1_009_990)]
     assert table.pending_members(again, 2_000_000) == [("b", 0)]
+
+
+@pytest.mark.parametrize(
+    ("last_answer_at_us", "granted"),
+    [(3_000_000, True), (1_000_000, True), (999_999, False), (3_000_001, False)],
+)
+def test_a_lease_needs_an_answer_that_was_heard(last_answer_at_us, granted):
+    """A balancer asks again at 3 s. It has to have heard an answer within two leases; a time to come is
+    none that this process can have given."""
+    table = make_table()
+    assert table.on_heartbeat(holder(), 0)
+    assert table.on_heartbeat(holder(), 3_000_000, last_answer_at_us) is granted
+
+
+def test_a_lease_that_is_not_renewed_runs_out_and_no_sooner():
+    """A decision waits. A balancer that is not prepared for it asks on: it gets no new lease, and the one
+    that it has still counts."""
+    table = make_table()
+    assert table.on_heartbeat(holder(), 0)
+    decided = decide(PROPOSED, 1)
+    assert table.begin_decision(PROPOSED, decided, 100) == [("b", MAX_LEASE_US - 100)]
+    assert not table.on_heartbeat(holder(), 500_000, 0)
+    assert table.begin_decision(PROPOSED, decided, 600_000) == [("b", MAX_LEASE_US - 600_000)]
+    assert table.begin_decision(PROPOSED, decided, MAX_LEASE_US) == []
+    assert not table.on_heartbeat(holder("late"), MAX_LEASE_US, 0)
+    assert table.on_heartbeat(holder(promised_proposal=1), MAX_LEASE_US, 500_000)
+    table.on_accepted()
+    assert table.on_heartbeat(holder("late"), MAX_LEASE_US, MAX_LEASE_US)
+
+
+def test_who_runs_the_version_already_is_prepared_for_it():
+    table = make_table()
+    table.on_heartbeat(holder("behind"), 0)
+    table.on_heartbeat(holder("ahead", version=1), 0)
+    assert [member.name for member in table.pending_members(PROPOSED, 1)] == ["behind"]
+
+
+def test_a_process_that_starts_waits_for_leases_that_it_does_not_know():
+    table = LeaseTable(LEASE_US, 5_000_000)
+    assert table.pending_members(PROPOSED, 5_000_010) == [(UNKNOWN_HOLDERS, MAX_LEASE_US - 10)]
+    assert table.pending_members(PROPOSED, 5_000_000 + MAX_LEASE_US) == []
+
+
+def test_a_decision_waits_for_members_of_the_state_before_and_of_the_new_one():
+    """A balancer that serves without a quorum was evicted by the same round that decides, or registered by
+    it: either may serve under the version before."""
+    table = make_table()
+    before = register_member(PROPOSED, "b", "1")
+    evicted = evict_member(decide(before, 1), "b", "1")
+    assert table.begin_decision(before, evicted, 0) == [("b", 0)]
+    registered = register_member(decide(PROPOSED, 1), "c", "1")
+    assert table.begin_decision(PROPOSED, registered, 0) == [("c", 0)]
+
+
+def test_a_registered_member_with_a_lease_is_waited_for_once():
+    table = make_table()
+    table.on_heartbeat(holder(), 0)
+    state = register_member(PROPOSED, "b", "1")
+    assert table.pending_members(state, 10_000) == [("b", MAX_LEASE_US - 10_000)]
+    assert table.pending_members(state, 2 * MAX_LEASE_US) == [("b", 0)]
+
+
+def test_only_a_refusal_of_one_that_may_serve_counts():
+    table = make_table()
+    table.on_heartbeat(holder("b", refused_proposal=1, refusal_reason="disk full"), 0)
+    table.on_heartbeat(holder("c", refused_proposal=7, refusal_reason="an earlier one"), 0)
+    assert table.refusals(PROPOSED, 10) == [("b", "disk full")]
+    assert table.refusals(INITIAL_STATE, 10) == []
+    assert table.refusals(PROPOSED, MAX_LEASE_US) == []
+
+
+def test_who_deregisters_is_not_waited_for():
+    table = make_table()
+    table.on_heartbeat(holder(), 0)
+    table.deregister("b", "another process")
+    assert len(table.pending_members(PROPOSED, 1)) == 1
+    table.deregister("b", "1")
+    assert table.pending_members(PROPOSED, 1) == []
+
+
+def test_one_that_left_is_forgotten_after_a_while():
+    table = make_table()
+    table.on_heartbeat(holder(), 0)
+    table.remove_expired(MAX_LEASE_US + FORGET_AFTER_US)
+    assert len(table.holders) == 1
+    table.remove_expired(MAX_LEASE_US + FORGET_AFTER_US + 1)
+    assert not table.holders
+
+
+def test_a_full_table_forgets_only_those_whose_lease_has_run_out():
+    """More balancers ask than one control process knows. A lease that was granted must not be forgotten
+    while it may hold: the new one gets none."""
+    table = make_table()
+    for number in range(MAX_HOLDERS):
+        assert table.on_heartbeat(holder(f"b{number}"), number)
+    assert not table.on_heartbeat(holder("late"), MAX_LEASE_US)
+    assert len(table.holders) == MAX_HOLDERS and ("late", "1") not in table.holders
+    assert table.on_heartbeat(holder("late"), MAX_LEASE_US + 1)
+    assert len(table.holders) == MAX_HOLDERS and ("b0", "1") not in table.holders
