--- a/orchidgap/net/connection.py
+++ b/orchidgap/net/connection.py
@@ -130,16 +130,16 @@
         no other.
         """
         try:
-            if self.is_open and self.connecting:
+            if self.connecting and self.is_open:
                 error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
                 if error:
                     return self.fail(os.strerror(error))
                 self.connecting = False
                 self.update_watch()
                 self.owner.opened()
-            if self.is_open and mask & WRITE and self.write_buffer:
+            if mask & WRITE and self.write_buffer and self.is_open:
                 self.flush()
-            if self.is_open and mask & READ:
+            if mask & READ and self.is_open:
                 self.read()
         except Exception as error:  # noqa: BLE001  # it must not reach other connections
             if self.loop.on_error:
--- a/orchidgap/net/exchange.py
+++ b/orchidgap/net/exchange.py
@@ -236,7 +236,7 @@
         return not self.client.has_disconnected()
 
     def on_settled(self, number: int, outcome: str, body: bytes) -> None:
-        """What came of an attempt."""
+        """What came of an attempt: answer what has its final answer, then tell the decisions."""
         attempt = self.attempts[number]
         if outcome == "moved":
             self.node.call_decisions(
@@ -249,30 +249,24 @@
         elif self.streaming_attempt is attempt:
             self.finish_streaming(outcome == "done")
         else:
-            self.on_outcome(attempt, number, outcome, body)
+            if outcome == "done":
+                self.answer(200, body, length=attempt.length)
+            elif outcome == "unfit":  # a host's 400: any other host would say the same
+                self.answer(400, body, length=attempt.length)
+            self.node.call_decisions(
+                self.node.balancer.on_outcome,
+                self.number,
+                number,
+                outcome,
+                self.closed,
+                exchange=self,
+            )
+            if attempt.load_report:
+                self.node.on_load_report(attempt)
+            if self.fallback_status and not self.closed:
+                self.answer(503 if outcome in NEVER_EXECUTED else self.fallback_status)
         self.node.release_if_done(self)
 
-    def on_outcome(self, attempt: UpstreamAttempt, number: int, outcome: str, body: bytes) -> None:
-        """Answer what has its final answer, then tell the decisions."""
-        if outcome == "done":
-            self.answer(200, body, length=attempt.length)
-        elif (
-            outcome == "unfit"
-        ):  # a host's 400: the request's own fault, any other host says the same
-            self.answer(400, body, length=attempt.length)
-        self.node.call_decisions(
-            self.node.balancer.on_outcome,
-            self.number,
-            number,
-            outcome,
-            self.closed,
-            exchange=self,
-        )
-        if attempt.load_report:
-            self.node.on_load_report(attempt)
-        if self.fallback_status and not self.closed:
-            self.answer(503 if outcome in NEVER_EXECUTED else self.fallback_status)
-
     # --- between two processes of this balancer
 
     def detach(self) -> None:
