--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -1,16 +1,28 @@
-"""Reqs under way that go over to another process of this balancer: what is sent with their connections, and
-how they go on there."""
+"""Requests under way that go on in another process of this balancer.
+
+Such a request goes with its connections, with what the other process has to know of it (see
+`migration_messages`), and with bytes that were not sent yet.
+"""
 
 from __future__ import annotations
 
 import socket
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Callable, Iterator
+from typing import Any, cast
 
-from orchidgap.http1.client import Hosts, Link, Pool
+from orchidgap.http1.client import HostConnectionPool, HostConnectionPools
+from orchidgap.http1.host_connection import HostConnection
 from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES, Message
+from orchidgap.http1.migration_messages import (
+    PARTIAL_REQUEST,
+    STREAMING_RESPONSE,
+    STREAMING_UPLOAD,
+    StreamingResponse,
+    StreamingUpload,
+)
 from orchidgap.http1.parser_resume import resume_body, resume_request
-from orchidgap.http1.server import Client
+from orchidgap.http1.server import Http1ClientConnection
+from orchidgap.net.addresses import Address
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.exchange import Exchange
 from orchidgap.net.handover import MigratingRequest
@@ -18,160 +30,182 @@
 from orchidgap.net.node import Node
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
-MOST = 120_000  # bytes that still wait to be written, with which one goes
+MAX_UNWRITTEN_BYTES = 120_000  # with which a request still goes: a packet holds only so many
 
 
-def under_way(node: Node) -> Iterator[MigratingRequest]:
-    """Those that can go now, each as it stands."""
-    for client in list(node.clients.open_clients):
-        assert isinstance(client, Client)
-        if (
-            not client.conn.is_open
-            or client.conn.closing
-            or client.reader.pipelined
-            or client.reader.has_excess_data
-        ):
-            continue
-        if client.giving:
-            moving = giving(node, client)
-        elif client.flow:
-            moving = flowing(node, client)
-        elif (
-            client.request_begun
-            and not client.pending_request
-            and client in node.clients.awaiting_request
-        ):
-            moving = begun(client)
-        else:
-            continue
-        if moving and len(moving.raw) <= MOST:
-            yield moving
+# --- requests that leave
 
 
-def begun(client: Client) -> MigratingRequest | None:
-    """A req that has come in part, and that nobody has been asked for."""
-    text = resume_request(client.reader.message)
-    return MigratingRequest(["begun"], text, [client.conn.sock], client.close) if text else None
+def migrating_requests(node: Node) -> Iterator[MigratingRequest]:
+    """The requests that can leave now, each as it stands."""
+    for client in list(node.clients.open_clients):
+        assert isinstance(client, Http1ClientConnection)
+        migrating = export_request(node, client)
+        if migrating and len(migrating.raw) <= MAX_UNWRITTEN_BYTES:
+            yield migrating
 
 
-def giving(node: Node, client: Client) -> MigratingRequest | None:
-    """An answer that flows to its client."""
-    exchange = client.pending_request
-    link = (
-        exchange.streaming_attempt.carrier
-        if isinstance(exchange, Exchange) and exchange.streaming_attempt
-        else None
-    )
-    if (
-        not isinstance(exchange, Exchange)
-        or not isinstance(link, Link)
-        or link.reader.has_excess_data
-    ):
+def export_request(node: Node, client: Http1ClientConnection) -> MigratingRequest | None:
+    """Returns the request of a client, None where it has none that can leave now."""
+    if not client.conn.is_open or client.conn.closing:
         return None
-    message = client.reader.message
-    rest = resume_body(
-        link.reader.message, b"HTTP/%b 200 OK" % link.reader.message.version.encode()
-    )
-    if (
-        rest is None
-        or not link.conn.is_open
-        or link.conn.write_buffer
-        or link.reader.message.body_parts
-    ):
+    if client.reader.pipelined or client.reader.has_excess_data:
         return None
-    told = {
-        "name": exchange.request_id.decode("latin-1"),
-        "version": message.version,
-        "lasts": message.keep_alive,
-        "last": client.last,
-        "chunked": client.chunked,
-        "head": rest[0].decode("latin-1"),
-        **place_of(exchange, link),
-    }
+    if client.streaming:
+        return export_streaming_response(client)
+    if client.upload:
+        return export_streaming_upload(node, client)
+    was_handed_over = client.pending_request is not None
+    is_awaited = client in node.clients.awaiting_request
+    if client.request_begun and is_awaited and not was_handed_over:
+        return export_partial_request(client)
+    return None
+
+
+def export_partial_request(client: Http1ClientConnection) -> MigratingRequest | None:
+    """A request that has arrived in part, and of which nothing has been forwarded."""
+    received = resume_request(client.reader.message)
+    if not received:
+        return None
+    return MigratingRequest([PARTIAL_REQUEST], received, [client.conn.sock], client.close)
 
-    def let_go() -> None:
-        exchange.detach()
-        link.let_go()
-        client.let_go()
 
+def export_streaming_response(client: Http1ClientConnection) -> MigratingRequest | None:
+    """A response that is streamed to its client."""
+    exchange = client.pending_request
+    if not isinstance(exchange, Exchange) or exchange.streaming_attempt is None:
+        return None
+    connection = exchange.streaming_attempt.carrier
+    if not isinstance(connection, HostConnection) or not connection.conn.is_open:
+        return None
+    response = connection.reader.message
+    unread_data = connection.reader.has_excess_data or response.body_parts
+    if unread_data or connection.conn.write_buffer:
+        return None
+    resume_point = resume_body(response, b"HTTP/%b 200 OK" % response.version.encode())
+    if resume_point is None:
+        return None
+    request = client.reader.message
+    content = StreamingResponse(
+        exchange.request_id,
+        request.version,
+        request.keep_alive,
+        client.closes_after_stream,
+        client.chunked,
+        resume_point.text,
+        host_of(exchange, connection),
+        address_of(connection),
+    )
     return MigratingRequest(
-        ["answer", told],
+        [STREAMING_RESPONSE, content.to_wire()],
         bytes(client.conn.write_buffer),
-        [client.conn.sock, link.conn.sock],
-        let_go,
+        [client.conn.sock, connection.conn.sock],
+        detach_all(exchange, connection, client),
     )
 
 
-def flowing(node: Node, client: Client) -> MigratingRequest | None:
-    """A req whose body flows to a host, and is kept no more."""
-    exchange, flow = client.pending_request, client.flow
-    if (
-        not isinstance(exchange, Exchange)
-        or flow is None
-        or not flow.discarded
-        or flow.complete
-        or exchange.closed
-    ):
+def export_streaming_upload(node: Node, client: Http1ClientConnection) -> MigratingRequest | None:
+    """A request whose body is streamed to a host, and no longer kept here."""
+    exchange = client.pending_request
+    upload = client.upload
+    if not isinstance(exchange, Exchange) or exchange.closed:
+        return None
+    if upload is None or not upload.discarded or upload.complete:
         return None
-    link = flow.sink
-    if (
-        not isinstance(link, Link)
-        or not link.conn.is_open
-        or link.conn.connecting
-        or link.reader.started
-    ):
+    connection = upload.sink
+    if not isinstance(connection, HostConnection) or not connection.conn.is_open:
         return None
-    message = client.reader.message
-    rest = resume_body(message, b"PUT / HTTP/%b" % message.version.encode())
-    if (
-        rest is None
-        or message.body_parts
-        or sum(not attempt.settled for attempt in exchange.attempts) != 1
-    ):
+    if connection.conn.connecting or connection.reader.started:
         return None
-    told = {
-        "name": exchange.request_id.decode("latin-1"),
-        "left": exchange.time_remaining_us,
-        "size": message.body_size,
-        "length": message.content_length,
-        "chunked": link.chunked,
-        "head": rest[0].decode("latin-1"),
-        "last_word": node.fallback_status(exchange.number),
-        **place_of(exchange, link),
-    }
+    request = client.reader.message
+    open_attempts = sum(not attempt.settled for attempt in exchange.attempts)
+    resume_point = resume_body(request, b"PUT / HTTP/%b" % request.version.encode())
+    if resume_point is None or request.body_parts or open_attempts != 1:
+        return None
+    content = StreamingUpload(
+        exchange.request_id,
+        exchange.time_remaining_us,
+        request.body_size,
+        request.content_length,
+        connection.chunked,
+        resume_point.text,
+        node.fallback_status(exchange.number),
+        host_of(exchange, connection),
+        address_of(connection),
+    )
+    detach = detach_all(exchange, connection, client)
 
     def let_go() -> None:
-        exchange.detach()
-        link.let_go()
-        client.let_go()
+        detach()
         node.call_decisions(node.balancer.on_client_gone, exchange.number)
 
     return MigratingRequest(
-        ["upload", told], bytes(link.conn.write_buffer), [client.conn.sock, link.conn.sock], let_go
+        [STREAMING_UPLOAD, content.to_wire()],
+        bytes(connection.conn.write_buffer),
+        [client.conn.sock, connection.conn.sock],
+        let_go,
     )
 
 
-def place_of(exchange: Exchange, link: Link) -> dict[str, Any]:
-    host = next((attempt.host for attempt in exchange.attempts if attempt.carrier is link), "")
-    return {"host": host, "at": link.pool.address}
+def detach_all(
+    exchange: Exchange, connection: HostConnection, client: Http1ClientConnection
+) -> Callable[[], None]:
+    """Returns what is to be called once the request has gone."""
+
+    def detach() -> None:
+        exchange.detach()
+        connection.detach()
+        client.detach()
+
+    return detach
+
+
+def host_of(exchange: Exchange, connection: HostConnection) -> str:
+    """The id of the host that an attempt of the request is at, empty where it is not known."""
+    hosts = (attempt.host for attempt in exchange.attempts if attempt.carrier is connection)
+    return next(hosts, "")
+
+
+def address_of(connection: HostConnection) -> Address:
+    """The address of the host at the other end."""
+    return cast(HostConnectionPool, connection.pool).address
+
+
+# --- requests that arrive
 
 
-def arrives(node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
-    """One of them, with its connections. Raises ValueError and the like where it makes no sense, and closes
-    both then."""
-    ends: list[Client | Link] = []
+def accept_migrated(node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
+    """Goes on with a request from another process.
+
+    Args:
+        node: the node that it goes on in.
+        words: the message: its kind and its content.
+        raw: the bytes that came with it.
+        socks: the client's connection, and the host's where there is one.
+
+    Raises:
+        Exception: the message makes no sense (ValueError and the like); all connections are
+            closed then.
+    """
+    ends: list[Http1ClientConnection | HostConnection] = []
     try:
-        client = enter(node, socks[0])
+        client = add_client(node, socks[0])
         ends.append(client)
-        if words[0] == "begun":
+        if words[0] == PARTIAL_REQUEST:
             node.clients.await_request(client)
             client.received(memoryview(bytearray(raw)))
+        elif words[0] == STREAMING_RESPONSE:
+            response = StreamingResponse.from_wire(words[1])
+            connection = add_host_connection(node, response.host, response.address, socks[1])
+            ends.append(connection)
+            resume_response(node, response, raw, client, connection)
+            read_if_open(connection)
         else:
-            link = link_to(node, words[1]["host"], words[1]["at"], socks[1])
-            ends.append(link)
-            go_on(node, words, raw, client, link)
-            if link.conn.is_open:
-                link.conn.on_ready(READ)
+            upload = StreamingUpload.from_wire(words[1])
+            connection = add_host_connection(node, upload.host, upload.address, socks[1])
+            ends.append(connection)
+            resume_upload(node, upload, raw, client, connection)
+            read_if_open(connection)
         client.conn.on_ready(READ)
     except Exception:
         for end in ends:
@@ -181,79 +215,122 @@
         raise
 
 
-def go_on(node: Node, words: list[Any], raw: bytes, client: Client, link: Link) -> None:
-    """Both as they stood there."""
-    told = words[1]
-    name, head = (
-        told["name"].encode("latin-1"),
-        memoryview(bytearray(told["head"].encode("latin-1"))),
+def read_if_open(connection: HostConnection) -> None:
+    """Reads what arrived while the connection changed hands."""
+    if connection.conn.is_open:
+        connection.conn.on_ready(READ)
+
+
+def resume_response(
+    node: Node,
+    response: StreamingResponse,
+    unsent: bytes,
+    client: Http1ClientConnection,
+    connection: HostConnection,
+) -> None:
+    """Goes on with a streamed response; `unsent` was still to be written to the client."""
+    exchange = Exchange(
+        node,
+        node.next_request_number(),
+        response.request_id,
+        client,
+        b"",
+        b"",
+        0,
+        None,
+        timed=False,
+    )
+    attempt = add_attempt(exchange, response.host, connection, None)
+    connection.reader.feed(memoryview(bytearray(response.resume_head)))
+    connection.reader.message.take_body()
+    request = Message()
+    request.head_complete = True
+    request.complete = True
+    request.method = b"GET"
+    request.version = response.version
+    request.keep_alive = response.keep_alive
+    client.reader.message = request
+    client.reader.incoming = request
+    exchange.attach(attempt, is_streaming=True)
+    client.attach_response(
+        exchange, connection.conn, response.chunked, response.closes_after_stream, unsent
     )
-    if words[0] == "answer":
-        exchange = Exchange(
-            node, node.next_request_number(), name, client, b"", b"", 0, None, timed=False
-        )
-        attempt = link.attempt = attempt_of(exchange, told["host"], link, None)
-        link.reader.feed(head)
-        link.reader.message.take_body()
-        message = client.reader.message = client.reader.incoming = Message()
-        message.head_complete = message.complete = True
-        message.method, message.version, message.keep_alive = (
-            b"GET",
-            str(told["version"]),
-            bool(told["lasts"]),
-        )
-        exchange.attach(attempt, is_streaming=True)
-        client.go_on_giving(exchange, link.conn, bool(told["chunked"]), bool(told["last"]), raw)
-        link.taker = client
-        link.pool.pools.flows[link] = None
-    else:
-        client.reader.feed(head)
-        message = client.reader.message
-        message.take_body()
-        length = told["length"]
-        message.body_size, message.content_length = (
-            int(told["size"]),
-            None if length is None else int(length),
-        )
-        flow = Upload(client.conn, message.content_length, MAX_BUFFERED_BODY_BYTES)
-        flow.discarded, flow.received_bytes = True, message.body_size
-        exchange = Exchange(
-            node, node.next_request_number(), name, client, b"", b"", int(told["left"]), flow
-        )
-        exchange.fallback_status = int(told["last_word"])
-        attempt = link.attempt = attempt_of(exchange, told["host"], link, flow)
-        exchange.attach(attempt, is_streaming=False)
-        client.go_on_flowing(exchange, flow)
-        link.chunked, link.conn.on_drained = bool(told["chunked"]), flow.update_backpressure
-        if raw:
-            link.conn.send(raw)
-        flow.sink = link
-        flow.update_backpressure()
-
-
-def enter(node: Node, sock: socket.socket) -> Client:
+    connection.response_sink = client
+    connection.pool.add_streaming(connection)
+
+
+def resume_upload(
+    node: Node,
+    content: StreamingUpload,
+    unsent: bytes,
+    client: Http1ClientConnection,
+    connection: HostConnection,
+) -> None:
+    """Goes on with a streamed request body; `unsent` was still to be written to the host."""
+    client.reader.feed(memoryview(bytearray(content.resume_head)))
+    request = client.reader.message
+    request.take_body()
+    request.body_size = content.body_size
+    request.content_length = content.content_length
+    upload = Upload(client.conn, request.content_length, MAX_BUFFERED_BODY_BYTES)
+    upload.discarded = True
+    upload.received_bytes = request.body_size
+    exchange = Exchange(
+        node,
+        node.next_request_number(),
+        content.request_id,
+        client,
+        b"",
+        b"",
+        content.time_remaining_us,
+        upload,
+    )
+    exchange.fallback_status = content.fallback_status
+    attempt = add_attempt(exchange, content.host, connection, upload)
+    exchange.attach(attempt, is_streaming=False)
+    client.attach_upload(exchange, upload)
+    connection.chunked = content.chunked
+    connection.conn.on_drained = upload.update_backpressure
+    if unsent:
+        connection.conn.send(unsent)
+    upload.sink = connection
+    upload.update_backpressure()
+
+
+def add_client(node: Node, sock: socket.socket) -> Http1ClientConnection:
+    """Takes a client's connection into the node."""
     client = node.clients.make_client(node.clients, sock)
-    assert isinstance(client, Client)
+    assert isinstance(client, Http1ClientConnection)
     node.clients.open_clients[client] = None
     return client
 
 
-def link_to(node: Node, host: Any, at: Any, sock: socket.socket) -> Link:
-    """In the pool of its host; in one that nothing else is sent on, where the list knows no such host."""
-    hosts, address = node.pools, (str(at[0]), int(at[1]))
-    assert isinstance(hosts, Hosts)
-    pool = hosts.by_host.get(str(host))
+def add_host_connection(
+    node: Node, host: str, address: Address, sock: socket.socket
+) -> HostConnection:
+    """Takes a host's connection into the pool of its host.
+
+    Where the list has no such host, into a pool that nothing else is sent on.
+    """
+    pools = node.pools
+    assert isinstance(pools, HostConnectionPools)
+    pool = pools.by_host.get(host)
     if pool is None or pool.address != address:
-        pool = Pool(hosts, address)
+        pool = HostConnectionPool(pools, address)
         pool.retired = True
-    link = Link(pool, sock, None)
-    link.start = -1  # it has been written on
-    link.heard_at = node.loop.now
-    pool.add(link)
-    return link
+    connection = HostConnection(pool, sock, None)
+    connection.bytes_written_at_start = -1  # the other process has written on it
+    connection.received_at_us = node.loop.now
+    pool.add(connection)
+    return connection
 
 
-def attempt_of(exchange: Exchange, host: Any, link: Link, flow: Upload | None) -> UpstreamAttempt:
-    attempt = UpstreamAttempt(b"", b"", exchange.deadline_us, exchange, 0, str(host))
-    attempt.upload, attempt.carrier = flow, link
+def add_attempt(
+    exchange: Exchange, host: str, connection: HostConnection, upload: Upload | None
+) -> UpstreamAttempt:
+    """Returns the attempt that was under way on the connection."""
+    attempt = UpstreamAttempt(b"", b"", exchange.deadline_us, exchange, 0, host)
+    attempt.upload = upload
+    attempt.carrier = connection
+    connection.attempt = attempt
     return attempt
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -19,8 +19,9 @@
 from random import Random
 from typing import Any, cast
 
-from orchidgap.admin.client import call as ask_door
-from orchidgap.admin.server import Operators
+from orchidgap.admin import protocol as admin_protocol
+from orchidgap.admin.client import call as call_balancer
+from orchidgap.admin.server import AdminServer
 from orchidgap.composition import protocol_for
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.net import config
@@ -30,7 +31,7 @@
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
 from orchidgap.net.request_key import key_number
-from orchidgap.peers.gossip_transport import Talk
+from orchidgap.peers.gossip_transport import GossipTransport
 from orchidgap.trial.baselines import decider as decider_of
 from orchidgap.trial.baselines import even
 from orchidgap.trial.callers import Callers
@@ -142,7 +143,7 @@
         self.log = Lines(name, scene)
         self.node: Node | None = None
         self.share: Share | None = None
-        self.talk: Talk | None = None
+        self.gossip: GossipTransport | None = None
         self.old: tuple[Share, Node] | None = None  # while a newer process is there
 
     def begin(self, known: dict[str, Any]) -> None:
@@ -174,14 +175,19 @@
             cast("socket.socket", Face(door))
         )  # it has the face of one
         if station.gossip:
-            self.talk = Talk(
+            self.gossip = GossipTransport(
                 share, node, self.log, self.name, station.gossip, station.seed, scene.carry
             )
         if scene.front.on:
-            operators = Operators(
-                share, {"health": node.health, "quiesce": node.quiesce, "resume": node.resume}
+            admin = AdminServer(
+                share,
+                {
+                    admin_protocol.HEALTH: node.health,
+                    admin_protocol.DRAIN: node.quiesce,
+                    admin_protocol.RESUME: node.resume,
+                },
             )
-            ground.listen(self.admin, lambda sock, who: share.call_soon(operators.let_in, sock))
+            ground.listen(self.admin, lambda sock, who: share.call_soon(admin.accept, sock))
         return node
 
     def kill(self) -> None:
@@ -319,7 +325,7 @@
 
     def new_ready(self) -> bool:
         try:
-            return ask_door(self.admin, "health")[0]
+            return call_balancer(self.admin, admin_protocol.HEALTH).succeeded
         except OSError:
             return False
 
@@ -553,8 +559,8 @@
 
     def bring(self, address: Address, data: bytes) -> None:
         post = next(post for post in self.posts.values() if post.talks == address)
-        if isinstance(post, VirtualPost) and post.alive and post.share and post.talk:
-            post.share.call_soon(post.talk.heard, data)
+        if isinstance(post, VirtualPost) and post.alive and post.share and post.gossip:
+            post.share.call_soon(post.gossip.receive, data)
 
     def way_to_hosts(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
         """The list as that balancer gets it."""
--- a/tests/net/test_response_streaming.py
+++ b/tests/net/test_response_streaming.py
@@ -148,7 +148,7 @@
         host.retry_budget == before - 1.0
         and not net.node.exchanges
         and not net.node.open_request_ids
-        and not net.node.pools.flows
+        and not net.node.pools.streaming_connections
     )
 
 
@@ -191,7 +191,7 @@
         heard(far) == ""
         and not net.node.exchanges
         and not net.node.open_request_ids
-        and not net.node.pools.flows
+        and not net.node.pools.streaming_connections
     )
 
 
--- a/tests/streaming_scenarios.py
+++ b/tests/streaming_scenarios.py
@@ -34,7 +34,7 @@
     """Bytes that the node holds for clients and hosts."""
     conns = [client.conn for client in net.node.clients.open_clients]
     conns += [link.conn for pool in net.node.pools.by_host.values() for link in pool.links]
-    flows = [client.flow for client in net.node.clients.open_clients if client.flow]
+    flows = [client.upload for client in net.node.clients.open_clients if client.upload]
     return sum(len(conn.write_buffer) for conn in conns) + sum(
         sum(map(len, flow.parts)) for flow in flows
     )
