--- a/orchidgap/net/config/model.py
+++ b/orchidgap/net/config/model.py
@@ -7,7 +7,7 @@
 
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.net.addresses import Address
-from orchidgap.net.config.optional_parts import ControlConfig
+from orchidgap.net.config.optional_parts import ControlConfig, GossipConfig
 from orchidgap.net.endpoints import HostList
 
 
@@ -29,7 +29,7 @@
     shadow_settings: ServiceSettings | None = None  # that are evaluated and not followed
     key_shapes: Mapping[str, str] = {}  # which keys the file had, with the kinds of their values
     control: ControlConfig | None = None  # where control is, if the settings come from there
-    gossip: Mapping[str, Any] | None = None  # how balancers tell each other counts, if they do
+    gossip: GossipConfig | None = None  # how balancers tell each other counts, if they do
 
 
 # what a running process cannot change: the field, and the word that the log says
--- a/orchidgap/net/config/optional_parts.py
+++ b/orchidgap/net/config/optional_parts.py
@@ -78,11 +78,27 @@
     )
 
 
-def gossip_part(part: Any) -> Mapping[str, Any] | None:
+class GossipConfig(NamedTuple):
+    """How balancers tell each other their counts.
+
+    Attributes:
+        listen: Where this balancer hears others.
+        peers: Where the others hear.
+        key: What all of them share; whoever has it is believed.
+        rebalance_interval_us: The time between two drawings of ranges.
+    """
+
+    listen: Address
+    peers: list[Address]
+    key: str
+    rebalance_interval_us: int
+
+
+def gossip_part(part: Any) -> GossipConfig | None:
     """Where this balancer hears others, where they are, and the key that they share.
 
     >>> part = {"listen": "127.0.0.1:7400", "peers": ["127.0.0.1:7401"], "key": "k" * 16}
-    >>> gossip_part(part)["peers"], gossip_part(part)["gap"]
+    >>> gossip_part(part).peers, gossip_part(part).rebalance_interval_us
     ([('127.0.0.1', 7401)], 60000000)
     """
     if part is None:
@@ -102,7 +118,7 @@
             "whoever has the key is believed"
         )
     interval_us = rebalance_interval_ms(part) * 1000
-    return {"listen": listen, "peers": peers, "key": part["key"], "gap": interval_us}
+    return GossipConfig(listen, peers, part["key"], interval_us)
 
 
 def rebalance_interval_ms(part: Mapping[str, Any]) -> int:
--- a/orchidgap/peers/gossip_transport.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -10,14 +10,13 @@
 import os
 import socket
 from collections import Counter
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from random import Random
-from typing import Any
 
 from orchidgap.decisions.gossip_counts import GossipCounts, ReportOutcome
 from orchidgap.errors import ConfigError
 from orchidgap.net.addresses import Address, format_address
-from orchidgap.net.config import BalancerConfig
+from orchidgap.net.config import BalancerConfig, GossipConfig
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ, Loop
 from orchidgap.net.node import Node
@@ -68,7 +67,7 @@
         node: Node,
         log: EventLog,
         name: str,
-        part: Mapping[str, Any],
+        config: GossipConfig,
         seed: int,
         send: Send | None = None,
     ) -> None:
@@ -79,7 +78,7 @@
             node: The balancer whose decisions the counts are of.
             log: Where changes and drops are written.
             name: The balancer's name.
-            part: The configuration's part for gossip, as `net.config` decoded it.
+            config: The configuration's part for gossip.
             seed: Of the random numbers.
             send: What sends a datagram, in place of the own socket.
         """
@@ -88,10 +87,15 @@
         self.log = log
         self.name = name
         self.rng = Random(seed ^ SEED_SALT)
-        self.codec = GossipCodec(part["key"])
-        self.peers = [peer for peer in part["peers"] if peer != part["listen"]]
+        self.codec = GossipCodec(config.key)
+        self.peers = [peer for peer in config.peers if peer != config.listen]
         self.gossip_counts = GossipCounts(
-            name, loop.now, node.balancer.placement, self.rng, loop.now, part["gap"]
+            name,
+            loop.now,
+            node.balancer.placement,
+            self.rng,
+            loop.now,
+            config.rebalance_interval_us,
         )
         self.datagram_counts: Counter[str] = Counter()
         self.sock: socket.socket | None = None
@@ -261,7 +265,7 @@
         ConfigError: The address cannot be had.
     """
     assert config.gossip
-    address = config.gossip["listen"]
+    address = config.gossip.listen
     gossip = GossipTransport(loop, node, log, config.name, config.gossip, config.seed)
     try:
         gossip.listen(address, "GW_PASSED_SOCKET" in os.environ)
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -216,7 +216,12 @@
     """A balancer's part in gossip; `send` is given an address and a datagram."""
 
     def __init__(
-        self, balancer: BalancerProcess, name: str, part: dict[str, object], seed: int, send: object
+        self,
+        balancer: BalancerProcess,
+        name: str,
+        part: config_module.GossipConfig,
+        seed: int,
+        send: object,
     ) -> None:
         self.gossip = GossipTransport(
             balancer.events.loop, balancer.node, quiet_log, name, part, seed, send
@@ -231,6 +236,6 @@
         return counts[BAD_SIGNATURE] + counts[MALFORMED]
 
 
-def gossip_part(config: dict[str, object]) -> dict[str, object]:
+def gossip_part(config: dict[str, object]) -> config_module.GossipConfig:
     """The configuration's part for gossip as the program reads it."""
     return config_module.parse(orjson.dumps(config), "config").gossip
--- a/tests/peers/test_gossip_transport.py
+++ b/tests/peers/test_gossip_transport.py
@@ -7,7 +7,7 @@
 from balancer_harness import BalancerHarness
 
 from orchidgap.decisions.gossip_counts import DEFAULT_REBALANCE_INTERVAL_US
-from orchidgap.net.config import ConfigError, parse
+from orchidgap.net.config import ConfigError, GossipConfig, parse
 from orchidgap.net.loop import Loop
 from orchidgap.peers.gossip_codec import MAX_DATAGRAM_BYTES, SIGNATURE_BYTES
 from orchidgap.peers.gossip_transport import (
@@ -48,7 +48,7 @@
                 Node(caches),
                 lambda *what, **more: self.events.append(what[0]),
                 f"b{i}",
-                {"listen": at[i], "peers": at, "key": key, "gap": DEFAULT_REBALANCE_INTERVAL_US},
+                GossipConfig(at[i], at, key, DEFAULT_REBALANCE_INTERVAL_US),
                 i,
                 self.keep,
             )
