--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -3,7 +3,7 @@
 import socket
 
 import pytest
-from node_harness import NodeHarness, heard
+from node_harness import NodeHarness, received_text
 
 from orchidgap.admin.protocol import MAX_COMMAND_BYTES
 from orchidgap.admin.server import MAX_CONNECTIONS, AdminServer
@@ -34,7 +34,7 @@
 
 
 def ask(net, server, text):
-    return heard(connect(net, server, text + b"\n"))
+    return received_text(connect(net, server, text + b"\n"))
 
 
 def test_a_drain_and_its_end_by_commands():
@@ -45,12 +45,12 @@
     assert ask(net, server, b"quiesce") == "SUCCESS draining\n"
     assert ask(net, server, b"quiesce") == "SUCCESS draining\n"
     assert ask(net, server, b"health") == "FAILURE draining\n"
-    assert heard(net.client(UP)).startswith("HTTP/1.1 503")
-    net.wait(1_100_000)
+    assert received_text(net.client(UP)).startswith("HTTP/1.1 503")
+    net.advance(1_100_000)
     assert ask(net, server, b"health") == "FAILURE drained\n"
     assert ask(net, server, b"resume") == "SUCCESS serving\n"
     assert ask(net, server, b"resume") == "SUCCESS serving\n"
-    assert heard(net.client(UP)).startswith("HTTP/1.1 200")
+    assert received_text(net.client(UP)).startswith("HTTP/1.1 200")
     net.node.begin_shutdown()
     assert ask(net, server, b"quiesce") == "SUCCESS leaving\n"
     assert ask(net, server, b"resume") == "FAILURE leaving\n"
@@ -81,7 +81,9 @@
     net = NodeHarness()
     server = admin_server(net)
     far = connect(net, server, text)
-    assert heard(far) == answer and heard(far) == "", "one line, and nothing after it"
+    assert received_text(far) == answer and received_text(far) == "", (
+        "one line, and nothing after it"
+    )
     far.close()
     net.turn()
     assert not server.connections and not server.waiting
@@ -91,9 +93,9 @@
     net = NodeHarness()
     far = connect(net, server := admin_server(net))
     for piece in "health\n":
-        assert heard(far) is None
-        net.says(far, piece)
-    assert heard(far) == "SUCCESS serving\n" and not server.waiting
+        assert received_text(far) is None
+        net.send_and_turn(far, piece)
+    assert received_text(far) == "SUCCESS serving\n" and not server.waiting
 
 
 def test_a_hundred_silent_connections_keep_nobody_out():
@@ -103,11 +105,11 @@
     assert len(server.connections) == MAX_CONNECTIONS, "descriptors are bounded"
     for _ in range(3):
         assert ask(net, server, b"health") == "SUCCESS serving\n"
-    assert heard(silent[-1]) is None, "who came last has the longest to go on"
-    net.says(silent[-1], "th\n")
-    assert heard(silent[-1]) == "SUCCESS serving\n"
-    net.wait(10_100_000)
-    assert not server.waiting and heard(silent[-2]) == "FAILURE no whole call came\n"
+    assert received_text(silent[-1]) is None, "who came last has the longest to go on"
+    net.send_and_turn(silent[-1], "th\n")
+    assert received_text(silent[-1]) == "SUCCESS serving\n"
+    net.advance(10_100_000)
+    assert not server.waiting and received_text(silent[-2]) == "FAILURE no whole call came\n"
 
 
 def test_the_admin_listener_has_its_turn_before_clients():
--- a/tests/handover_harness.py
+++ b/tests/handover_harness.py
@@ -31,8 +31,8 @@
     return inheriting(caches, start), *socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
 
 
-class Two:
-    """An old and a new balancer on one clock, with a passage between them."""
+class ProcessPair:
+    """An old and a new balancer on one clock, with a channel between them."""
 
     def __init__(self, caches=3, serves=True, **more):
         self.old, self.new = inheriting(caches, **more), inheriting(caches, start=False, **more)
@@ -45,7 +45,7 @@
         self.new.node.handover.join_predecessor(far)
         self.new.node.start()
         if serves:
-            self.wait(0)
+            self.advance(0)
 
     def prepare(self):
         """What the old one knows that the new one does not."""
@@ -55,15 +55,15 @@
             self.old.turn(2)
             self.new.turn(2)
 
-    def wait(self, micros):
+    def advance(self, micros):
         for _ in range(0, micros, 5_000):
             for net in (self.old, self.new):
-                net.wait(5_000)
+                net.advance(5_000)
         self.turn()
 
     def end(self):
         for net in (self.old, self.new):
-            for kin in net.node.handover.siblings():
-                kin.channel.close()
+            for sibling in net.node.handover.siblings():
+                sibling.channel.close()
             if net.node.clients.listening_socket:
                 net.node.clients.listening_socket.close()
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -1,7 +1,14 @@
 """Connections to hosts: what if the other side says more, breaks or closes just as the next req goes out there?"""
 
 import pytest
-from loopback_harness import RESET, LoopbackHarness, arrived, heard, req, told
+from loopback_harness import (
+    RESET,
+    LoopbackHarness,
+    received_or_reset,
+    received_text,
+    request_text,
+    wait_until_readable,
+)
 
 from orchidgap.http1.client import STREAM_STALL_TIMEOUT_US
 from orchidgap.http1.host_connection import EXCESS_DATA_WINDOW_US, MIN_LATENCY_SAMPLES
@@ -23,24 +30,24 @@
 def rested(net, wait=100_000, answers=MIN_LATENCY_SAMPLES):
     """A link to the one cache that is idle, and has been for so long since these answers; its far end."""
     for i in range(answers):
-        net.wait(EXCESS_DATA_WINDOW_US)
-        client = net.caller(req("first", id=str(i)))
+        net.advance(EXCESS_DATA_WINDOW_US)
+        client = net.connect_client(request_text("first", id=str(i)))
         net.turn()
-        _, far = net.asked()
-        net.wait(QUICK)
-        net.answers(far)
-        assert "200" in told(client)
-    net.wait(wait)
+        _, far = net.next_host_request()
+        net.advance(QUICK)
+        net.answer_from_host(far)
+        assert "200" in received_or_reset(client)
+    net.advance(wait)
     return far
 
 
 def test_a_host_that_is_hardly_known_may_be_quicker_than_it_was():
     net = LoopbackHarness(1)
     far = rested(net, wait=0, answers=MIN_LATENCY_SAMPLES - 1)
-    client = net.caller(req("second"))
+    client = net.connect_client(request_text("second"))
     net.turn()
-    net.answers(far, body="mine")
-    assert told(client).endswith("mine")
+    net.answer_from_host(far, body="mine")
+    assert received_or_reset(client).endswith("mine")
 
 
 @pytest.mark.parametrize("says", [ANSWER + b"x", b"HTTP/1.1 20", b"\0", None])
@@ -48,32 +55,34 @@
     net = LoopbackHarness(1)
     old = rested(net)
     ours = near(old, net)
-    client = net.caller(req("second"))
+    client = net.connect_client(request_text("second"))
     old.sendall(says) if says else old.close()
-    arrived(ours, net.node.clients.listening_socket)
+    wait_until_readable(ours, net.node.clients.listening_socket)
     net.node.clients.accept()  # the client is looked at first
     net.turn()
-    text, new = net.asked()
+    text, new = net.next_host_request()
     assert "/read/second" in text and new is not old
-    net.answers(new, body="mine")
-    assert told(client).endswith("mine")
+    net.answer_from_host(new, body="mine")
+    assert received_or_reset(client).endswith("mine")
 
 
 @pytest.mark.parametrize("rest", [0, EXCESS_DATA_WINDOW_US - QUICK])
 def test_a_second_answer_that_crosses_the_next_req_goes_to_nobody(rest):
     net = LoopbackHarness(1)
     old = rested(net, wait=rest)
-    client = net.caller(req("second"))
+    client = net.connect_client(request_text("second"))
     net.turn()
-    assert "/read/second" in net.asked()[0] and len(net.fars()) == 1, "the same link"
+    assert "/read/second" in net.next_host_request()[0] and len(net.host_sockets()) == 1, (
+        "the same link"
+    )
     net.now += QUICK // 2  # sooner than that host can have got it and answered
-    net.answers(old, body="not mine")
-    assert told(client) is None and net.verdicts[-1] == "stale"
-    text, new = net.asked()
+    net.answer_from_host(old, body="not mine")
+    assert received_or_reset(client) is None and net.verdicts[-1] == "stale"
+    text, new = net.next_host_request()
     assert "/read/second" in text and new is not old, "a read may be asked for again"
-    net.wait(QUICK)
-    net.answers(new, body="mine")
-    assert told(client).endswith("\r\n\r\nmine")
+    net.advance(QUICK)
+    net.answer_from_host(new, body="mine")
+    assert received_or_reset(client).endswith("\r\n\r\nmine")
 
 
 @pytest.mark.parametrize(
@@ -88,47 +97,47 @@
 def test_an_answer_as_quick_as_others_or_well_behind_the_last_one_is_taken(rest, after):
     net = LoopbackHarness(1)
     far = rested(net, wait=rest)
-    client = net.caller(req("second"))
+    client = net.connect_client(request_text("second"))
     net.turn()
     net.now += after
-    net.answers(far, body="mine")
-    assert told(client).endswith("mine") and len(net.fars()) == 1
+    net.answer_from_host(far, body="mine")
+    assert received_or_reset(client).endswith("mine") and len(net.host_sockets()) == 1
 
 
 def test_a_host_that_closes_as_its_link_is_written_to_is_asked_again_on_another():
     net = LoopbackHarness(1)
     old = rested(net)
-    client = net.caller(req("second"))
+    client = net.connect_client(request_text("second"))
     net.turn()
-    assert "/read/second" in net.asked()[0]
+    assert "/read/second" in net.next_host_request()[0]
     ours = near(old, net)
     old.close()
-    arrived(ours)
+    wait_until_readable(ours)
     net.turn()
-    text, new = net.asked()
+    text, new = net.next_host_request()
     assert net.verdicts[-1] == "stale" and "/read/second" in text
-    net.answers(new, body="mine")
-    assert told(client).endswith("mine")
+    net.answer_from_host(new, body="mine")
+    assert received_or_reset(client).endswith("mine")
 
 
 @pytest.mark.parametrize("rule_set", ["once", "mark"])
 def test_what_may_have_run_on_a_link_that_broke_runs_no_second_time(rule_set):
     net = LoopbackHarness(1, **{"rule-sets__1__repeat-window": "1"})
     body = f"PUT /{rule_set}/k HTTP/1.1\r\nRequest-Id: {{}}\r\nIdempotency-Key: m\r\nRequest-Timeout: 2\r\nContent-Length: 1\r\n\r\nv"
-    first = net.caller(body.format(1).encode())
+    first = net.connect_client(body.format(1).encode())
     net.turn()
-    _, old = net.asked()
-    net.answers(old)
-    assert "200" in told(first)
-    net.wait(100_000)
-    second = net.caller(body.format(2).encode())
+    _, old = net.next_host_request()
+    net.answer_from_host(old)
+    assert "200" in received_or_reset(first)
+    net.advance(100_000)
+    second = net.connect_client(body.format(2).encode())
     net.turn()
-    assert "Request-Id: 2" in net.asked()[0]
+    assert "Request-Id: 2" in net.next_host_request()[0]
     ours = near(old, net)
     old.close()
-    arrived(ours)
-    net.wait(10_000)
-    assert net.asked()[0] == "" and told(second).split()[1] == (
+    wait_until_readable(ours)
+    net.advance(10_000)
+    assert net.next_host_request()[0] == "" and received_or_reset(second).split()[1] == (
         "500" if rule_set == "once" else "503"
     )
 
@@ -136,19 +145,19 @@
 @pytest.mark.parametrize("reset", [True, False])
 def test_an_answer_without_length_has_ended_only_where_its_host_closed_in_order(reset):
     net = LoopbackHarness(1)
-    client = net.caller(
+    client = net.connect_client(
         b"PUT /once/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 2\r\nContent-Length: 1\r\n\r\nv"
     )
     net.turn()
-    _, far = net.asked()
+    _, far = net.next_host_request()
     ours = near(far, net)
     far.sendall(b"HTTP/1.1 200 OK\r\n\r\nas far as it")
-    arrived(ours)
+    wait_until_readable(ours)
     net.turn()
-    net.resets(far) if reset else far.close()
-    arrived(ours)
+    net.reset_host(far) if reset else far.close()
+    wait_until_readable(ours)
     net.turn()
-    said = told(client)
+    said = received_or_reset(client)
     assert said.split()[1] == ("500" if reset else "200") and (
         reset or said.endswith("as far as it")
     )
@@ -156,18 +165,18 @@
 
 def test_an_answer_that_flows_and_is_reset_does_not_end_in_order_for_its_client():
     net = LoopbackHarness(1)
-    client = net.caller(req())
+    client = net.connect_client(request_text())
     net.turn()
-    _, far = net.asked()
+    _, far = net.next_host_request()
     ours = near(far, net)
     far.sendall(b"HTTP/1.1 200 OK\r\n\r\nas far as it")
     net.turn()
-    net.wait(net.node.response_hold_us)
-    assert "as far as it" in told(client)
-    net.resets(far)
-    arrived(ours)
+    net.advance(net.node.response_hold_us)
+    assert "as far as it" in received_or_reset(client)
+    net.reset_host(far)
+    wait_until_readable(ours)
     net.turn()
-    assert told(client) == RESET
+    assert received_or_reset(client) == RESET
 
 
 @pytest.mark.parametrize(
@@ -180,25 +189,29 @@
 )
 def test_an_answer_that_never_ends_or_is_none_costs_its_link_and_not_the_req(spoilt):
     net = LoopbackHarness(2)
-    client = net.caller(req())
+    client = net.connect_client(request_text())
     net.turn()
-    _, old = net.asked()
+    _, old = net.next_host_request()
     old.sendall(spoilt)
     net.turn()
-    text, new = net.asked()
+    text, new = net.next_host_request()
     assert net.verdicts == ["reset"] and "/read/k1" in text and new is not old
-    net.answers(new, body="mine")
-    assert told(client).endswith("mine")
-    assert heard(old) == "", "it is closed, and never used again"
+    net.answer_from_host(new, body="mine")
+    assert received_or_reset(client).endswith("mine")
+    assert received_text(old) == "", "it is closed, and never used again"
 
 
 def test_an_answer_that_drips_for_ever_holds_its_client_for_a_bounded_time():
     net = LoopbackHarness(1)
-    client = net.caller(req())
+    client = net.connect_client(request_text())
     net.turn()
-    _, far = net.asked()
+    _, far = net.next_host_request()
     far.sendall(b"HTTP/1.1 200 OK\r\n\r\nx")
     net.turn()
-    net.wait(STREAM_STALL_TIMEOUT_US + 2_000_000)  # it says no more
-    told(client)
-    assert told(client) == RESET and net.node.pools.connection_count == 0 and not net.node.exchanges
+    net.advance(STREAM_STALL_TIMEOUT_US + 2_000_000)  # it says no more
+    received_or_reset(client)
+    assert (
+        received_or_reset(client) == RESET
+        and net.node.pools.connection_count == 0
+        and not net.node.exchanges
+    )
--- a/tests/http1/test_discovery.py
+++ b/tests/http1/test_discovery.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from loopback_harness import LoopbackHarness, heard
+from loopback_harness import LoopbackHarness, received_text
 
 from orchidgap.http1.discovery import (
     MAX_BACKOFF_US,
@@ -37,7 +37,7 @@
     def look(self):
         """All calls that have come; those that wait and have something to hear now."""
         for far in [far for port, far in self.net.dialled if port == 8500]:
-            if far.fileno() >= 0 and (text := heard(far)):
+            if far.fileno() >= 0 and (text := received_text(far)):
                 self.hear(far, text)
         for call in list(self.open):
             far, after, until, fate = call
@@ -75,9 +75,9 @@
     def say(self, far, after):
         whole = after is None or after > self.seq or self.seq - after > 5
         hosts = [
-            self.net.entry(0, "Terminating" if self.change else "Ready"),
-            self.net.entry(1),
-            self.net.entry(9),
+            self.net.host_entry(0, "Terminating" if self.change else "Ready"),
+            self.net.host_entry(1),
+            self.net.host_entry(9),
         ]
         told = {
             "seq": self.seq,
@@ -98,7 +98,7 @@
     def run(self, micros):
         end = self.net.now + micros
         while self.net.now < end:
-            self.net.wait(min(STEP, end - self.net.now))
+            self.net.advance(min(STEP, end - self.net.now))
             self.look()
             self.net.turn(2)
             if (
@@ -202,22 +202,22 @@
 def test_a_list_in_small_pieces_is_waited_for_but_not_for_ever():
     net = Watched(2)
     far = next(far for port, far in net.dialled if port == 8500)
-    body = orjson.dumps({"seq": 8, "whole": True, "hosts": [net.entry(3), net.entry(9)]})
+    body = orjson.dumps({"seq": 8, "whole": True, "hosts": [net.host_entry(3), net.host_entry(9)]})
     text = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
     for piece in (text[:50], text[50:90], text[90:150]):
         far.sendall(piece)
         net.turn()
-        net.wait(RESPONSE_GRACE_US - STEP)
+        net.advance(RESPONSE_GRACE_US - STEP)
     far.sendall(text[150:])
     net.turn()
     assert set(net.node.balancer.hosts) == {"c3", "o"} and "list lost" not in net.log.lines
-    heard(far)
+    received_text(far)
     begun = net.now
     far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n")
     net.turn()
     for _ in range(8):
         assert "list lost" not in net.log.lines or net.now >= begun + MAX_RESPONSE_US
-        net.wait(RESPONSE_GRACE_US - STEP)
+        net.advance(RESPONSE_GRACE_US - STEP)
         with contextlib.suppress(OSError):
             far.sendall(b" ")
         net.turn()
@@ -228,9 +228,9 @@
 
 
 def up(net):
-    client = net.caller(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")
+    client = net.connect_client(b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n")
     net.turn()
-    return heard(client).split()[1]
+    return received_text(client).split()[1]
 
 
 def test_a_new_process_serves_only_with_the_list_that_counts_as_told_to_it():
@@ -245,9 +245,9 @@
 
 def test_a_new_process_serves_by_the_list_it_was_started_with_where_discovery_is_silent():
     net = Watched(2, listed=False)
-    net.wait(FIRST_LIST_TIMEOUT_US - 1)
+    net.advance(FIRST_LIST_TIMEOUT_US - 1)
     assert up(net) == "503"
-    net.wait(1)
+    net.advance(1)
     assert up(net) == "200"
 
 
@@ -255,7 +255,7 @@
     net = Watched(2, listed=False, start=False)
     net.node.config = net.node.config._replace(initial_endpoints=(0, True, [], []))
     net.node.start()
-    net.wait(5 * FIRST_LIST_TIMEOUT_US)
+    net.advance(5 * FIRST_LIST_TIMEOUT_US)
     assert up(net) == "503"
 
 
@@ -268,7 +268,7 @@
     agent.seq, agent.change = 3, net.now  # it counts anew there, and one of its hosts drains
     net.node.discovery.move(("127.0.0.1", 8501))
     for _ in range(400):
-        net.wait(STEP)
+        net.advance(STEP)
         net.dialled = [(8500 if port == 8501 else port, far) for port, far in net.dialled]
         agent.look()
         net.turn(2)
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -4,7 +4,7 @@
 
 import pytest
 from net_scenarios import REQ
-from node_harness import NodeHarness, heard
+from node_harness import NodeHarness, received_text
 
 
 @pytest.mark.parametrize(
@@ -15,21 +15,21 @@
     are not read without end.
     """
     net = NodeHarness(1)
-    client = net.ask("k")
-    far, said = net.far(), bytearray()
+    client = net.send_request("k")
+    far, said = net.host_socket(), bytearray()
     rest = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"v" * min(size, 6 << 20)
     for _ in range(1_000):
         with contextlib.suppress(OSError):
             rest = rest[far.send(rest[:50_000]) :] if rest else rest
         net.turn(1)
-        said += drawn(client)
+        said += received_bytes(client)
     head, _, body = bytes(said).partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 %d" % status) and body == (
         b"v" * size if status == 200 else b""
     )
 
 
-def drawn(far):
+def received_bytes(far):
     """What has come to this end, as bytes."""
     try:
         return far.recv(1 << 17)
@@ -43,10 +43,12 @@
     """
     net = NodeHarness(1)
     for number, more in ((0, "HTTP/1.1"), (1, "")):
-        client = net.ask()
-        net.says(net.far(number), "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv" + more)
-        assert heard(client).endswith("v") and len(net.dialled) == 2 + number
-    net.says(net.far(), "more, unasked")
+        client = net.send_request()
+        net.send_and_turn(
+            net.host_socket(number), "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv" + more
+        )
+        assert received_text(client).endswith("v") and len(net.dialled) == 2 + number
+    net.send_and_turn(net.host_socket(), "more, unasked")
     assert not net.node.pools.by_host["c0"].idle
 
 
@@ -101,14 +103,14 @@
         except OSError:
             break
         net.turn()
-    assert heard(client) == (
+    assert received_text(client) == (
         f"HTTP/1.1 {status} {start_line(status)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
     )
     with contextlib.suppress(OSError):
-        net.says(client, REQ + b"\r\n")  # comes too late
+        net.send_and_turn(client, REQ + b"\r\n")  # comes too late
     assert net.node.clients.open_clients, "closed on unread bytes, the answer would be lost"
-    assert heard(client) == "" and not net.verdicts and not net.node.exchanges
-    net.wait(1_100_000)
+    assert received_text(client) == "" and not net.verdicts and not net.node.exchanges
+    net.advance(1_100_000)
     assert not net.node.clients.open_clients, "it may stay no longer than it takes to read that"
 
 
@@ -135,7 +137,7 @@
         except OSError:
             break
         net.turn(1)
-    assert heard(client).startswith("HTTP/1.1 413")
+    assert received_text(client).startswith("HTTP/1.1 413")
 
 
 def test_a_client_that_waits_to_be_let_send_its_body_is():
@@ -147,10 +149,10 @@
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\nContent-Length: 1\r\n"
         b"Expect: 100-continue\r\n\r\n"
     )
-    assert heard(client) == "HTTP/1.1 100 Continue\r\n\r\n"
-    net.says(client, "v")
-    net.answers(net.far())
-    assert heard(client).startswith("HTTP/1.1 200")
+    assert received_text(client) == "HTTP/1.1 100 Continue\r\n\r\n"
+    net.send_and_turn(client, "v")
+    net.answer_from_host(net.host_socket())
+    assert received_text(client).startswith("HTTP/1.1 200")
 
 
 def test_requests_sent_before_the_answer_are_answered_in_their_order():
@@ -164,11 +166,11 @@
             texts[0] + (b"" if split else b"".join(texts[1:]) + b"not HTTP at all\r\n\r\n")
         )
         for text in (*texts[1:], b"not HTTP at all\r\n\r\n") if split else ():
-            net.says(client, text)
+            net.send_and_turn(client, text)
         for i in range(5):
-            assert f"GET /read/k{i}" in heard(net.far()), "one at a time"
-            assert heard(client) is None
-            net.answers(net.far(), body=f"v{i}")
-            said = heard(client)
+            assert f"GET /read/k{i}" in received_text(net.host_socket()), "one at a time"
+            assert received_text(client) is None
+            net.answer_from_host(net.host_socket(), body=f"v{i}")
+            said = received_text(client)
             assert said.startswith("HTTP/1.1 200") and f"v{i}" in said
-        assert said.split("HTTP/1.1 ")[-1].startswith("400") and heard(client) == ""
+        assert said.split("HTTP/1.1 ")[-1].startswith("400") and received_text(client) == ""
--- a/tests/loopback_harness.py
+++ b/tests/loopback_harness.py
@@ -1,13 +1,13 @@
 """A node on real loopback sockets, driven turn by turn under a clock that stands still between turns.
 
-What is to cross is there before the turn: `arrived` waits until the kernel has it, so no test hopes.
+What is to cross is there before the turn: `wait_until_readable` waits until the kernel has it, so no test hopes.
 """
 
 import select
 import socket
 import struct
 
-from node_harness import NodeHarness, heard
+from node_harness import NodeHarness, received_text
 
 from orchidgap.net.addresses import Address
 from orchidgap.net.dialing import dial
@@ -16,20 +16,20 @@
 RESET = "reset"
 
 
-def arrived(*socks):
+def wait_until_readable(*socks):
     """All of these have something to read, or their end."""
     for sock in socks:
         assert select.select([sock], [], [], PATIENCE)[0], "the kernel brought nothing"
 
 
-def prompt(sock):
+def send_without_delay(sock):
     """What is written to it is with the other side at once, and does not wait for what was before it."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setblocking(False)
 
 
-def told(far):
-    """As `heard`, but a reset is not taken for an end."""
+def received_or_reset(far):
+    """As `received_text`, but a reset is not taken for an end."""
     try:
         return far.recv(1 << 17).decode()
     except BlockingIOError:
@@ -53,27 +53,27 @@
         if isinstance(sock, socket.socket):
             door.settimeout(PATIENCE)
             far, _ = door.accept()
-            prompt(far)
+            send_without_delay(far)
             self.dialled.append((address[1], far))
         return sock
 
-    def opens(self) -> Address:
+    def listen(self) -> Address:
         """Listens for clients; where."""
         self.node.clients.listen(("127.0.0.1", 0))
         return self.node.clients.listening_socket.getsockname()
 
-    def caller(self, text=b""):
+    def connect_client(self, text=b""):
         """A client whose connection and bytes are there, and which the node has not looked at."""
         if self.node.clients.listening_socket is None:
-            self.opens()
+            self.listen()
         sock = socket.create_connection(self.node.clients.listening_socket.getsockname(), PATIENCE)
-        prompt(sock)
+        send_without_delay(sock)
         sock.sendall(text)
         self.kept.append(sock)
-        arrived(self.node.clients.listening_socket)
+        wait_until_readable(self.node.clients.listening_socket)
         return sock
 
-    def near(self, client):
+    def accepted_socket(self, client):
         """The node's connection to this client."""
         name = client.getsockname()
         return next(
@@ -82,45 +82,56 @@
             if caller.conn.sock.getpeername() == name
         )
 
-    def brings(self, client, text):
+    def send_more(self, client, text):
         """More of it is there, and the node has not looked."""
         client.sendall(text)
-        arrived(self.near(client))
+        wait_until_readable(self.accepted_socket(client))
 
-    def gone(self, caller):
+    def wait_for_end(self, caller):
         """The kernel knows of the end, whether or not anything before it was read."""
         poll = select.poll()
         poll.register(caller.conn.sock, select.POLLRDHUP)
         assert poll.poll(PATIENCE * 1000), "the kernel brought no end"
 
-    def leaves(self, client):
+    def close_client(self, client):
         """It has closed, and the node has not looked."""
-        near = self.near(client)
+        near = self.accepted_socket(client)
         client.close()
-        arrived(near)
+        wait_until_readable(near)
 
-    def asked(self):
+    def next_host_request(self):
         """What a host was asked and has not been looked at, and that host's end."""
         return next(
-            ((text, far) for far in self.fars() if far.fileno() >= 0 and (text := heard(far))),
+            (
+                (text, far)
+                for far in self.host_sockets()
+                if far.fileno() >= 0 and (text := received_text(far))
+            ),
             ("", None),
         )
 
-    def resets(self, far):
+    def reset_host(self, far):
         """A host resets its connection, and the node has not looked."""
         far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         far.close()
 
-    def answered(self, far, body="v"):
+    def send_host_answer(self, far, body="v"):
         """A host has answered, and the node has not looked."""
         far.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
 
-def req(key="k1", id="", left="2.0", rule_set="read", more=""):
+def request_text(key="k1", id="", left="2.0", rule_set="read", more=""):
     return (
         f"GET /{rule_set}/{key} HTTP/1.1\r\nHost: s\r\nRequest-Id: r-{id or key}\r\nTenant: small\r\n"
         f"Request-Timeout: {left}\r\n{more}\r\n"
     ).encode()
 
 
-__all__ = ["RESET", "LoopbackHarness", "arrived", "heard", "req", "told"]
+__all__ = [
+    "RESET",
+    "LoopbackHarness",
+    "received_or_reset",
+    "received_text",
+    "request_text",
+    "wait_until_readable",
+]
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -4,7 +4,13 @@
 import contextlib
 
 import pytest
-from loopback_harness import LoopbackHarness, arrived, heard, req, told
+from loopback_harness import (
+    LoopbackHarness,
+    received_or_reset,
+    received_text,
+    request_text,
+    wait_until_readable,
+)
 from net_scenarios import full_pair
 
 from orchidgap.net.endpoints import decode_list
@@ -12,7 +18,7 @@
 UNCALLED = {"ceilings__may-cancel": "false"}  # where nothing that is out may be called off
 
 
-def held_up(net):
+def stall_connections(net):
     """From now on connections do not come up; what would come of the first, once it does."""
     near, far = full_pair()
     far.setblocking(False)
@@ -29,7 +35,7 @@
     return b"".join(parts).replace(b"\0", b"")
 
 
-def comes_up(net, far):
+def let_connection_up(net, far):
     assert written(far) == b""
     net.turn()
 
@@ -40,13 +46,13 @@
     Once the connection is up nothing of the request may be written there.
     """
     net = LoopbackHarness(1, **settings)
-    far = held_up(net)
-    client = net.caller(req())
+    far = stall_connections(net)
+    client = net.connect_client(request_text())
     net.turn()
     assert len(net.node.exchanges) == 1
-    net.leaves(client)
+    net.close_client(client)
     net.turn()
-    comes_up(net, far)
+    let_connection_up(net, far)
     assert b"GET" not in written(far) and not net.node.exchanges and net.verdicts == ["moot"]
 
 
@@ -56,11 +62,11 @@
     host's is handled first. The request must not be written all the same.
     """
     net = LoopbackHarness(1, **settings)
-    far = held_up(net)
-    client = net.caller(req())
+    far = stall_connections(net)
+    client = net.connect_client(request_text())
     net.turn()
     assert written(far) == b""
-    net.leaves(client)  # both are there; the connection to the host is looked at first
+    net.close_client(client)  # both are there; the connection to the host is looked at first
     link = next(iter(net.node.pools.by_host["c0"].links))
     link.conn.on_ready(2)
     net.turn()
@@ -70,19 +76,19 @@
 def test_none_of_those_behind_is_sent_on_once_a_client_that_is_not_read_has_left():
     """It sent much at once: reading is paused, and its end stands behind what is not read."""
     net = LoopbackHarness(1)
-    client = net.caller(b"".join(req(f"k{i}") for i in range(20)))
+    client = net.connect_client(b"".join(request_text(f"k{i}") for i in range(20)))
     net.turn()
     caller = next(iter(net.node.clients.open_clients))
     assert caller.conn.read_paused
-    text, far = net.asked()
+    text, far = net.next_host_request()
     assert "/read/k0" in text
-    net.brings(client, req("k20"))
+    net.send_more(client, request_text("k20"))
     client.close()
-    net.gone(caller)
-    net.answers(far)
-    net.wait(10_000)
+    net.wait_for_end(caller)
+    net.answer_from_host(far)
+    net.advance(10_000)
     assert (
-        net.asked()[0] == ""
+        net.next_host_request()[0] == ""
         and not net.node.exchanges
         and caller not in net.node.clients.open_clients
     )
@@ -91,10 +97,10 @@
 def test_no_attempt_begins_for_who_left_before_being_let_in():
     """A client asks and closes before the balancer has accepted it. No host is dialled for it."""
     net = LoopbackHarness(1)
-    client = net.caller(req())
+    client = net.connect_client(request_text())
     client.close()
     net.turn()
-    assert net.fars() == [] and not net.node.exchanges and not net.node.clients.open_clients
+    assert net.host_sockets() == [] and not net.node.exchanges and not net.node.clients.open_clients
 
 
 def test_none_that_wait_for_a_host_are_sent_on_once_their_clients_left():
@@ -102,19 +108,19 @@
     leave meanwhile are never sent.
     """
     net = LoopbackHarness(1)
-    clients = [net.caller(req(f"k{i}")) for i in range(40)]
+    clients = [net.connect_client(request_text(f"k{i}")) for i in range(40)]
     net.turn(8)
-    asked = [text for far in net.fars() if (text := heard(far))]
-    waiting = [client for client in clients if told(client) is None]
+    asked = [text for far in net.host_sockets() if (text := received_text(far))]
+    waiting = [client for client in clients if received_or_reset(client) is None]
     assert 0 < len(asked) < len(waiting), "some are out, others wait"
     for client in waiting:
-        net.leaves(client)
+        net.close_client(client)
     net.turn(8)
-    for far in net.fars():
+    for far in net.host_sockets():
         with contextlib.suppress(OSError):
-            net.answers(far)
-    net.wait(200_000)
-    assert net.asked()[0] == "" and not net.node.exchanges
+            net.answer_from_host(far)
+    net.advance(200_000)
+    assert net.next_host_request()[0] == "" and not net.node.exchanges
 
 
 @pytest.mark.parametrize(("after", "goes"), [(100_000, True), (300_000, False)])
@@ -123,25 +129,27 @@
     net = LoopbackHarness(
         0, **{"rule-sets__1__repeat-window": "250000", "rule-sets__1__group": "all"}
     )
-    client = net.caller(
+    client = net.connect_client(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nIdempotency-Key: m\r\nRequest-Timeout: 2\r\n"
         b"Content-Length: 1\r\n\r\nv"
     )
     net.turn()
-    text, origin = net.asked()
+    text, origin = net.next_host_request()
     assert text.startswith("PUT")
-    far = held_up(net)
+    far = stall_connections(net)
     origin.close()  # it may have run
-    arrived(next(iter(net.node.pools.by_host["o"].links)).conn.sock)
+    wait_until_readable(next(iter(net.node.pools.by_host["o"].links)).conn.sock)
     net.turn()
     assert net.verdicts == ["reset"] and len(net.node.exchanges) == 1, "a repeat is on its way"
     net.node.pools.connect_timeout_us = 10_000_000
     for link in net.node.pools.by_host["o"].links:
         link.cancel_timer()
-    net.wait(after)
-    comes_up(net, far)
+    net.advance(after)
+    let_connection_up(net, far)
     assert (b"PUT" in written(far)) == goes
-    assert goes or told(client).startswith("HTTP/1.1 503"), "and its client may repeat it"
+    assert goes or received_or_reset(client).startswith("HTTP/1.1 503"), (
+        "and its client may repeat it"
+    )
 
 
 def test_nothing_is_written_for_a_request_whose_time_is_up_in_that_turn():
@@ -149,12 +157,12 @@
     Nothing is written on it.
     """
     net = LoopbackHarness(1, **UNCALLED)
-    far = held_up(net)
-    client = net.caller(req(left="0.050"))
+    far = stall_connections(net)
+    client = net.connect_client(request_text(left="0.050"))
     net.turn()
     net.now += 60_000  # the loop was held up: its time and the connection come in one turn
-    comes_up(net, far)
-    assert b"GET" not in written(far) and told(client).split()[1] in ("500", "503")
+    let_connection_up(net, far)
+    assert b"GET" not in written(far) and received_or_reset(client).split()[1] in ("500", "503")
 
 
 def test_what_may_not_be_called_off_ends_with_its_time_and_not_never():
@@ -162,12 +170,12 @@
     for ever: it ends with the request's time.
     """
     net = LoopbackHarness(1, **UNCALLED)
-    client = net.caller(req(left="1.0"))
+    client = net.connect_client(request_text(left="1.0"))
     net.turn()
-    net.leaves(client)
+    net.close_client(client)
     net.turn()
     assert len(net.node.exchanges) == 1, "it runs on"
-    net.wait(1_000_000)
+    net.advance(1_000_000)
     assert not net.node.exchanges and not net.node.balancer.requests and net.verdicts == ["timeout"]
     assert sum(len(pool.links) for pool in net.node.pools.by_host.values()) == 0
 
@@ -177,12 +185,12 @@
     must not exceed the time that the client gave.
     """
     net = LoopbackHarness(1)
-    net.caller(
+    net.connect_client(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1.5\r\nContent-Length: 100000\r\n\r\n"
         + b"v" * 70_000
     )
     net.turn()
-    text, _ = net.asked()
+    text, _ = net.next_host_request()
     left = float(
         next(
             line.split(": ")[1] for line in text.split("\r\n") if line.startswith("Request-Timeout")
@@ -197,17 +205,21 @@
     it comes up. It is sent nothing new.
     """
     net = LoopbackHarness(2)
-    far = held_up(net)
-    net.caller(req())
+    far = stall_connections(net)
+    net.connect_client(request_text())
     net.turn()
     owner = next(id for id, pool in net.node.pools.by_host.items() if pool.links)
     link = next(iter(net.node.pools.by_host[owner].links))
     net.node.pools.dial_address = net.dial
-    told_of = decode_list({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
+    told_of = decode_list(
+        {"seq": 8, "whole": False, "hosts": [net.host_entry(int(owner[1]), health)]}
+    )
     net.node.on_list(False, *told_of[2:])
     link.conn.on_ready(2)  # it was ready in the same turn
     net.turn()
-    assert b"GET" not in written(far) and net.asked()[0].startswith("GET"), "the other serves it"
+    assert b"GET" not in written(far) and net.next_host_request()[0].startswith("GET"), (
+        "the other serves it"
+    )
 
 
 def test_a_late_read_whose_client_left_is_not_sent_on_to_the_origin():
@@ -215,10 +227,10 @@
     the origin.
     """
     net = LoopbackHarness(1)
-    client = net.caller(req())
+    client = net.connect_client(request_text())
     net.turn()
     net.now += 600_000  # its time to be called off and its client's end come in one turn
-    net.leaves(client)
+    net.close_client(client)
     net.turn()
     assert [port for port, _ in net.dialled if port == 109] == [] and not net.node.exchanges
 
@@ -229,13 +241,13 @@
     is closed, as the rest will never come.
     """
     net = LoopbackHarness(1, **settings)
-    client = net.caller(
+    client = net.connect_client(
         b"PUT /mark/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1.5\r\n"
         b"Content-Length: 100000\r\n\r\n" + b"v" * 70_000
     )
     net.turn()
-    assert net.asked()[0].startswith("PUT") and net.node.pools.connection_count == 1
-    net.leaves(client)
+    assert net.next_host_request()[0].startswith("PUT") and net.node.pools.connection_count == 1
+    net.close_client(client)
     net.turn()
     assert (
         net.node.pools.connection_count == 0
@@ -249,10 +261,10 @@
     Nothing is written on it.
     """
     net = LoopbackHarness(1, **UNCALLED)
-    far = held_up(net)
-    client = net.caller(req())
+    far = stall_connections(net)
+    client = net.connect_client(request_text())
     net.turn()
     net.node.deny(1, 0)
-    assert "503" in told(client)
-    comes_up(net, far)
+    assert "503" in received_or_reset(client)
+    let_connection_up(net, far)
     assert b"GET" not in written(far) and not net.node.exchanges
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -5,7 +5,7 @@
 
 import pytest
 from net_scenarios import REQ
-from node_harness import NodeHarness, heard
+from node_harness import NodeHarness, received_text
 
 from orchidgap.net.loop import READ
 
@@ -15,15 +15,15 @@
     gets the whole answer.
     """
     net = NodeHarness(1)
-    client = net.ask("k")
+    client = net.send_request("k")
     for one in net.node.clients.open_clients:
         one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    net.answers(net.far(), body="v" * 60_000)
+    net.answer_from_host(net.host_socket(), body="v" * 60_000)
     assert not net.node.clients.close_unneeded(), "it is not idle before that was read"
     net.node.begin_shutdown()
-    net.wait(401_000)
+    net.advance(401_000)
     parts = []
-    while part := heard(client):
+    while part := received_text(client):
         parts.append(part)
         net.turn(1)
     assert len(parts) > 1 and "".join(parts).endswith("\r\n\r\n" + "v" * 60_000) and part == ""
@@ -34,13 +34,13 @@
     connection is closed.
     """
     net = NodeHarness(1)
-    net.ask("k")
+    net.send_request("k")
     for one in net.node.clients.open_clients:
         one.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    net.answers(net.far(), body="v" * 60_000)
-    net.wait(9_900_000)
+    net.answer_from_host(net.host_socket(), body="v" * 60_000)
+    net.advance(9_900_000)
     assert net.node.clients.open_clients
-    net.wait(200_000)
+    net.advance(200_000)
     assert not net.node.clients.open_clients
 
 
@@ -53,25 +53,25 @@
         net.client(b"GET /read/k HT"),
         net.client(),
         net.client(),
-        net.ask(),
+        net.send_request(),
     )
-    net.answers(net.far())
-    assert heard(served).startswith("HTTP/1.1 200")
-    net.wait(2_000_000)
-    net.says(late, "G")
-    assert heard(half) is None and heard(silent) is None
-    net.wait(900_000)
+    net.answer_from_host(net.host_socket())
+    assert received_text(served).startswith("HTTP/1.1 200")
+    net.advance(2_000_000)
+    net.send_and_turn(late, "G")
+    assert received_text(half) is None and received_text(silent) is None
+    net.advance(900_000)
     assert (
-        heard(half).startswith("HTTP/1.1 408")
-        and heard(late).startswith("HTTP/1.1 408")
-        and heard(silent) == ""
+        received_text(half).startswith("HTTP/1.1 408")
+        and received_text(late).startswith("HTTP/1.1 408")
+        and received_text(silent) == ""
     )
-    assert heard(served) is None and len(net.node.clients.open_clients) <= 3
-    net.says(served, "GET /read")
-    net.wait(2_000_000)
-    assert heard(served) is None, "its time is anew"
-    net.wait(900_000)
-    assert heard(served).startswith("HTTP/1.1 408")
+    assert received_text(served) is None and len(net.node.clients.open_clients) <= 3
+    net.send_and_turn(served, "GET /read")
+    net.advance(2_000_000)
+    assert received_text(served) is None, "its time is anew"
+    net.advance(900_000)
+    assert received_text(served).startswith("HTTP/1.1 408")
 
 
 @pytest.mark.parametrize("text", [b"", b"PUT /mark/k HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"])
@@ -80,18 +80,18 @@
     make way for those that ask.
     """
     net = NodeHarness(1, sockets=64)
-    served = net.ask("first")
-    net.answers(net.far())
-    heard(served)
+    served = net.send_request("first")
+    net.answer_from_host(net.host_socket())
+    received_text(served)
     others = [net.client(text) for _ in range(7)]
-    net.wait(600_000)
+    net.advance(600_000)
     clients = net.node.clients
     assert len(clients.open_clients) == clients.max_clients == 8
     for i in range(7):
         net.client(REQ.replace(b"Id: 1", b"Id: %d" % i) + b"\r\n")
     assert (
-        [heard(far) for far in others] == [""] * 7
-        and heard(served) is None
+        [received_text(far) for far in others] == [""] * 7
+        and received_text(served) is None
         and len(net.node.exchanges) == 7
     )
 
@@ -101,16 +101,16 @@
     one makes way.
     """
     net = NodeHarness(1, sockets=64)
-    first, second = net.ask("k1"), net.ask("k2")
-    net.serve()
-    assert heard(first) and heard(second)
+    first, second = net.send_request("k1"), net.send_request("k2")
+    net.answer_all()
+    assert received_text(first) and received_text(second)
     first.sendall(REQ + b"\r\n")
-    assert net.node.clients.close_unneeded() and heard(second) == "", (
+    assert net.node.clients.close_unneeded() and received_text(second) == "", (
         "the longest idle one has asked by now"
     )
     net.turn()
-    net.serve()
-    assert heard(first).startswith("HTTP/1.1 200")
+    net.answer_all()
+    assert received_text(first).startswith("HTTP/1.1 200")
 
 
 def test_idle_connections_may_stay_up_to_half_of_the_most():
@@ -118,13 +118,13 @@
     that ask nothing.
     """
     net = NodeHarness(1, sockets=64)
-    clients = [net.ask(f"k{i}") for i in range(7)]
-    assert [heard(client) for client in clients] == [None] * 7, "those that have asked stay"
-    net.serve()
-    assert all(heard(client).startswith("HTTP/1.1 200") for client in clients)
-    assert [heard(client) for client in clients] == [""] * 3 + [None] * 4
-    net.wait(30_000_000)
-    assert heard(clients[-1]) is None
+    clients = [net.send_request(f"k{i}") for i in range(7)]
+    assert [received_text(client) for client in clients] == [None] * 7, "those that have asked stay"
+    net.answer_all()
+    assert all(received_text(client).startswith("HTTP/1.1 200") for client in clients)
+    assert [received_text(client) for client in clients] == [""] * 3 + [None] * 4
+    net.advance(30_000_000)
+    assert received_text(clients[-1]) is None
 
 
 def test_who_reads_a_last_answer_keeps_nobody_out():
@@ -140,8 +140,8 @@
         far.setblocking(False)
         far.sendall(text)
         listener.given.append(near)
-        net.wait(10_000)
-        assert (heard(far) or "")[:12] == (begins or "")
+        net.advance(10_000)
+        assert (received_text(far) or "")[:12] == (begins or "")
         assert len(net.node.clients.open_clients) <= net.node.clients.max_clients + 16
     assert len(net.node.exchanges) == 1
 
@@ -174,8 +174,8 @@
     accepting again at once would spin.
     """
     net = NodeHarness()
-    idle = net.ask("k")
-    net.answers(net.far())
+    idle = net.send_request("k")
+    net.answer_from_host(net.host_socket())
     near, far = socket.socketpair()
     gone = OSError(errno.ECONNABORTED, "")
     listener = net.node.clients.listening_socket = Listener(
@@ -183,13 +183,15 @@
     )
     net.loop.watch(listener, READ, net.node.clients.accept)
     net.loop.run_once(0)
-    assert heard(idle).startswith("HTTP") and heard(idle) == "", "the idle client made way"
+    assert received_text(idle).startswith("HTTP") and received_text(idle) == "", (
+        "the idle client made way"
+    )
     net.loop.run_once(0)
     assert net.node.pools.connection_count == 0, "then the idle link"
     net.loop.run_once(0)
     net.turn(20)
     assert listener.calls == 4, "with nothing to shed it waits"
-    net.wait(51_000)
+    net.advance(51_000)
     assert listener.calls > 4 and len(net.node.clients.open_clients) == 1 and far.fileno() > 0
 
 
@@ -206,6 +208,6 @@
     listener = net.node.clients.listening_socket = Listener([near for near, _ in pairs])
     net.loop.watch(listener, READ, net.node.clients.accept)
     net.turn(8)
-    said = [heard(far) for _, far in pairs]
+    said = [received_text(far) for _, far in pairs]
     assert all(said) is False and sum("503" in (text or "") for text in said) >= 16
     assert len(net.node.clients.open_clients) <= 24
--- a/tests/net/test_connection_pools.py
+++ b/tests/net/test_connection_pools.py
@@ -4,7 +4,7 @@
 
 import pytest
 from net_scenarios import REQ, full_pair, idle_links
-from node_harness import NodeHarness, heard
+from node_harness import NodeHarness, received_text
 
 from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
 from orchidgap.net.endpoints import decode_list
@@ -17,16 +17,16 @@
     """
     net = NodeHarness(1)
     net.refused.add(100)
-    client = net.ask()
-    assert net.verdicts == ["unconnected"] and "503" in heard(client)
+    client = net.send_request()
+    assert net.verdicts == ["unconnected"] and "503" in received_text(client)
     net = NodeHarness(1)
     near, _far = full_pair()
     net.node.pools.dial_address = lambda address: near
-    client = net.ask()
-    net.wait(99_000)
-    assert net.verdicts == [] and heard(client) is None
-    net.wait(2_000)
-    assert net.verdicts == ["unconnected"] and "503" in heard(client)
+    client = net.send_request()
+    net.advance(99_000)
+    assert net.verdicts == [] and received_text(client) is None
+    net.advance(2_000)
+    assert net.verdicts == ["unconnected"] and "503" in received_text(client)
 
 
 def test_links_from_a_burst_are_not_kept_for_long_and_one_is():
@@ -34,19 +34,19 @@
     hold only so many.
     """
     net = NodeHarness(1)
-    clients = [net.ask(f"k{i}") for i in range(7)]
+    clients = [net.send_request(f"k{i}") for i in range(7)]
     pool = net.node.pools.by_host["c0"]
-    net.serve()
-    assert len(pool.idle) == 7 and all(heard(client) for client in clients)
-    net.wait(900_000)
+    net.answer_all()
+    assert len(pool.idle) == 7 and all(received_text(client) for client in clients)
+    net.advance(900_000)
     assert len(pool.idle) == 7, "the next burst finds them"
     for i in range(3):  # two at a time from now on
-        pair = [net.ask(f"p{i}"), net.ask(f"q{i}")]
-        net.serve()
-        assert all(heard(client) for client in pair)
-        net.wait(1_000_000)
+        pair = [net.send_request(f"p{i}"), net.send_request(f"q{i}")]
+        net.answer_all()
+        assert all(received_text(client) for client in pair)
+        net.advance(1_000_000)
     assert len(pool.idle) == 2, "other balancers may need what the host has room for"
-    net.wait(3_000_000)
+    net.advance(3_000_000)
     assert len(pool.idle) == 1
 
 
@@ -57,16 +57,18 @@
     net = NodeHarness(1)
     old, new = idle_links(net, 2)
     for far in (old, new):
-        heard(far)
-    net.ask()
-    assert heard(new).startswith("GET") and heard(old) is None
-    net.answers(new)
-    heard(new)
-    net.says(net.client(), b"GET /read/k HTTP/1.1\r\n")
+        received_text(far)
+    net.send_request()
+    assert received_text(new).startswith("GET") and received_text(old) is None
+    net.answer_from_host(new)
+    received_text(new)
+    net.send_and_turn(net.client(), b"GET /read/k HTTP/1.1\r\n")
     net.kept[-1].sendall(b"Request-Id: 1\r\nRequest-Timeout: 60\r\n\r\n")
     net.now += 27_100_000  # the req is read before the sweep that is also due
     net.turn()
-    assert heard(new) == heard(old) == "" and heard(net.far()).startswith("GET")
+    assert received_text(new) == received_text(old) == "" and received_text(
+        net.host_socket()
+    ).startswith("GET")
 
 
 @pytest.mark.parametrize("leaves", [lambda far: far.close(), lambda far: far.sendall(b"?")])
@@ -83,7 +85,11 @@
     client.sendall(REQ + b"\r\n")
     net.node.clients.admit(near)
     net.turn()
-    assert len(net.dialled) == 3 and heard(net.far()).startswith("GET") and net.verdicts == ["done"]
+    assert (
+        len(net.dialled) == 3
+        and received_text(net.host_socket()).startswith("GET")
+        and net.verdicts == ["done"]
+    )
 
 
 @pytest.mark.parametrize(("written", "verdict"), [(True, "stale"), (False, "unconnected")])
@@ -113,18 +119,25 @@
     """
     net = NodeHarness(1)
     older, newer = idle_links(net, 2)
-    heard(older), heard(newer)
-    net.wait(300_000)
-    client = net.ask("again")
-    assert heard(newer).startswith("GET")
+    received_text(older), received_text(newer)
+    net.advance(300_000)
+    client = net.send_request("again")
+    assert received_text(newer).startswith("GET")
     newer.close()
     net.turn()
-    assert heard(older) == "" and heard(net.far()).startswith("GET") and len(net.fars()) == 3
-    net.answers(net.far())
-    assert heard(client).startswith("HTTP/1.1 200") and net.verdicts[-2:] == ["stale", "done"]
-    client = net.ask("more")
-    net.says(net.far(), "HTTP/1.1 200 OK\r\nContent")
-    net.far().close()
+    assert (
+        received_text(older) == ""
+        and received_text(net.host_socket()).startswith("GET")
+        and len(net.host_sockets()) == 3
+    )
+    net.answer_from_host(net.host_socket())
+    assert received_text(client).startswith("HTTP/1.1 200") and net.verdicts[-2:] == [
+        "stale",
+        "done",
+    ]
+    client = net.send_request("more")
+    net.send_and_turn(net.host_socket(), "HTTP/1.1 200 OK\r\nContent")
+    net.host_socket().close()
     net.turn()
     assert net.verdicts[-1] == "reset", "it had begun to answer"
 
@@ -135,15 +148,17 @@
     """
     net = NodeHarness(1)
     older, newer = idle_links(net, 2)
-    heard(older), heard(newer)
-    net.wait(50_000)
-    client = net.ask("again")
-    heard(newer)
+    received_text(older), received_text(newer)
+    net.advance(50_000)
+    client = net.send_request("again")
+    received_text(newer)
     newer.close()
     net.turn()
-    assert heard(older).startswith("GET") and len(net.fars()) == 2, "no handshake more"
-    net.answers(older)
-    assert heard(client).startswith("HTTP/1.1 200")
+    assert received_text(older).startswith("GET") and len(net.host_sockets()) == 2, (
+        "no handshake more"
+    )
+    net.answer_from_host(older)
+    assert received_text(client).startswith("HTTP/1.1 200")
 
 
 def test_a_attempt_still_connecting_is_never_written_once_its_host_drains_or_the_request_is_over():
@@ -154,21 +169,23 @@
         net = NodeHarness(2)
         near, far = full_pair()
         net.node.pools.dial_address = lambda address, near=near: near
-        net.ask()
+        net.send_request()
         assert net.verdicts == []
         net.node.pools.dial_address = net.dial
         owner = next(id for id, pool in net.node.pools.by_host.items() if pool.links)
-        told = decode_list({"seq": 8, "whole": False, "hosts": [net.entry(int(owner[1]), health)]})
+        told = decode_list(
+            {"seq": 8, "whole": False, "hosts": [net.host_entry(int(owner[1]), health)]}
+        )
         net.node.on_list(False, *told[2:])
         net.turn()
-        assert net.verdicts == ["unconnected"] and heard(net.far()).startswith("GET"), (
-            "the other serves it"
-        )
+        assert net.verdicts == ["unconnected"] and received_text(net.host_socket()).startswith(
+            "GET"
+        ), "the other serves it"
         assert b"GET" not in far.recv(1 << 20)
     net = NodeHarness(2)
     near, far = full_pair()
     net.node.pools.dial_address = lambda address, near=near: near
-    net.ask().close()
+    net.send_request().close()
     net.turn()
     assert net.verdicts == ["moot"] and b"GET" not in far.recv(1 << 20)
 
@@ -181,17 +198,17 @@
     assert net.node.pools.max_connections == 8
     answered = 0
     for key in range(30):
-        client = net.ask(f"k{key}")
-        net.serve()
-        answered += "200" in (heard(client) or "")
+        client = net.send_request(f"k{key}")
+        net.answer_all()
+        answered += "200" in (received_text(client) or "")
         client.close()
     assert answered == 30 and net.node.pools.connection_count <= 8
     net.node.clients.max_clients = 9
-    clients = [net.ask(f"b{key}") for key in range(9)]
+    clients = [net.send_request(f"b{key}") for key in range(9)]
     assert net.node.pools.connection_count == 8 and net.verdicts[-1] == "moot", (
         "no fault of the host"
     )
-    assert "503" in heard(clients[-1])
+    assert "503" in received_text(clients[-1])
 
 
 class Nobody:
@@ -210,8 +227,8 @@
     """
     net = NodeHarness(2)
     for key in range(8):
-        net.ask(f"k{key}")
-    net.serve()
+        net.send_request(f"k{key}")
+    net.answer_all()
     short = [AttemptFailure(SendProgress.UNSENT, "short", "none left")]
     net.node.pools.dial_address = lambda address: short.pop() if short else net.dial(address)
     idle, dialled = net.node.pools.connection_count, len(net.dialled)
--- a/tests/net/test_exchange.py
+++ b/tests/net/test_exchange.py
@@ -2,49 +2,49 @@
 
 import pytest
 from net_scenarios import WAITS
-from node_harness import NodeHarness, heard
+from node_harness import NodeHarness, received_text
 
 
 def test_a_request_from_end_to_end():
     net = NodeHarness()
-    client = net.ask("7f3", method="PUT", rule_set="mark", body="value")
-    origin = net.far()
-    assert heard(origin) == (
+    client = net.send_request("7f3", method="PUT", rule_set="mark", body="value")
+    origin = net.host_socket()
+    assert received_text(origin) == (
         "PUT /mark/7f3?q=1 HTTP/1.1\r\nHost: cache\r\nRequest-Id: r-7f3\r\nIdempotency-Key: m1\r\n"
         "Content-Length: 5\r\nRequest-Timeout: 1.980\r\n\r\nvalue"
     )
-    net.says(origin, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nst")
-    assert heard(client) is None, "not a byte before the body is whole"
-    net.says(origin, "ok")
-    assert heard(client) == "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nstok"
+    net.send_and_turn(origin, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nst")
+    assert received_text(client) is None, "not a byte before the body is whole"
+    net.send_and_turn(origin, "ok")
+    assert received_text(client) == "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nstok"
     assert not net.node.exchanges and not net.node.balancer.requests
 
 
 def test_a_miss_goes_on_to_the_origin_and_links_are_used_again():
     net = NodeHarness(1)
     for _ in range(3):
-        client = net.ask("k")
-        net.answers(net.far(0), 404)
-        net.answers(net.far(1), body="from origin")
-        assert heard(client).endswith("\r\n\r\nfrom origin")
+        client = net.send_request("k")
+        net.answer_from_host(net.host_socket(0), 404)
+        net.answer_from_host(net.host_socket(1), body="from origin")
+        assert received_text(client).endswith("\r\n\r\nfrom origin")
     assert [port for port, _ in net.dialled] == [8500, 100, 109], "each was dialled once"
 
 
 def test_what_a_host_tells_of_its_load_reaches_the_decisions():
     net = NodeHarness(3, report__how="inline", report__fields="concurrent,tps")
     for key in ("k1", "k2", "k3", "k4", "k5", "k6"):
-        net.ask(key)
-        for far in net.fars():
-            if heard(far):
-                net.answers(far, more="Server-Load: concurrent=7,tps=2.5,else=1\r\n")
+        net.send_request(key)
+        for far in net.host_sockets():
+            if received_text(far):
+                net.answer_from_host(far, more="Server-Load: concurrent=7,tps=2.5,else=1\r\n")
     told = [host for host in net.node.balancer.hosts.values() if host.reported_request_rate >= 0]
     assert told and {(host.reported_request_rate, host.reported_in_flight) for host in told} == {
         (2.5, 7.0)
     }
-    net.ask("k7")
-    for far in net.fars():
-        if heard(far):
-            net.answers(far, more="Server-Load: concurrent=all of it,tps\r\n")
+    net.send_request("k7")
+    for far in net.host_sockets():
+        if received_text(far):
+            net.answer_from_host(far, more="Server-Load: concurrent=all of it,tps\r\n")
     assert {host.reported_in_flight for host in told} == {7.0} and not net.node.exchanges
 
 
@@ -53,32 +53,34 @@
     closes, and the origin answers.
     """
     net = NodeHarness(3)
-    client = net.ask()
-    late = net.far()
-    assert heard(late).startswith("GET /read/k1")
-    net.wait(600_000)
-    assert heard(late) == "", "its connection is closed: it is told so"
-    assert net.dialled[-1][0] == 109 and heard(net.far()).startswith("GET /read/k1"), (
-        "the origin's port"
-    )
-    net.answers(net.far())
+    client = net.send_request()
+    late = net.host_socket()
+    assert received_text(late).startswith("GET /read/k1")
+    net.advance(600_000)
+    assert received_text(late) == "", "its connection is closed: it is told so"
+    assert net.dialled[-1][0] == 109 and received_text(net.host_socket()).startswith(
+        "GET /read/k1"
+    ), "the origin's port"
+    net.answer_from_host(net.host_socket())
     assert (
-        "200" in heard(client) and net.verdicts == ["cancelled", "done"] and not net.node.exchanges
+        "200" in received_text(client)
+        and net.verdicts == ["cancelled", "done"]
+        and not net.node.exchanges
     )
 
 
 def test_a_late_read_whose_connection_never_came_up_is_sent_on_as_well():
     """The connection to a cache does not come up in time. The read goes to the origin as well."""
     net = NodeHarness(3)
-    client = net.ask()
+    client = net.send_request()
     attempt = next(iter(net.node.exchanges.values())).attempts[0]
     attempt.carrier.conn.bytes_written = (
         attempt.carrier.bytes_written_at_start
     )  # as if nothing had been written yet
-    net.wait(600_000)
+    net.advance(600_000)
     assert net.verdicts[0] == "moot" and net.dialled[-1][0] == 109
-    net.answers(net.far())
-    assert "200" in heard(client)
+    net.answer_from_host(net.host_socket())
+    assert "200" in received_text(client)
 
 
 @pytest.mark.parametrize(
@@ -119,7 +121,7 @@
         ),
         (lambda net, far: far.sendall(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), "error"),
         (lambda net, far: far.sendall(b"HTTP/1.1 302 No\r\nContent-Length: 0\r\n\r\n"), "error"),
-        (lambda net, far: net.wait(2_000_000), "timeout"),
+        (lambda net, far: net.advance(2_000_000), "timeout"),
     ],
 )
 def test_what_a_host_does_is_told_as_it_is(does, verdict):
@@ -127,8 +129,8 @@
     which.
     """
     net = NodeHarness(3, **WAITS)
-    net.ask()
-    does(net, net.far())
+    net.send_request()
+    does(net, net.host_socket())
     net.turn()
     assert net.verdicts == [verdict]
 
@@ -138,11 +140,15 @@
     allowed.
     """
     net = NodeHarness()
-    client = net.ask()
-    assert heard(net.far()).startswith("GET")
+    client = net.send_request()
+    assert received_text(net.host_socket()).startswith("GET")
     client.close()
     net.turn()
-    assert heard(net.far()) == "" and net.verdicts == ["cancelled"] and not net.node.exchanges
+    assert (
+        received_text(net.host_socket()) == ""
+        and net.verdicts == ["cancelled"]
+        and not net.node.exchanges
+    )
 
 
 def test_an_answer_goes_out_before_the_client_timeout_and_nothing_after():
@@ -150,13 +156,13 @@
     later goes nowhere.
     """
     net = NodeHarness()
-    client = net.ask(left="0.5")
-    net.wait(479_000)
-    assert heard(client) is None
-    net.wait(2_000)
-    assert heard(client).startswith("HTTP/1.1 503") and net.verdicts == ["timeout"]
-    net.wait(5_000_000)
-    assert heard(client) is None
+    client = net.send_request(left="0.5")
+    net.advance(479_000)
+    assert received_text(client) is None
+    net.advance(2_000)
+    assert received_text(client).startswith("HTTP/1.1 503") and net.verdicts == ["timeout"]
+    net.advance(5_000_000)
+    assert received_text(client) is None
 
 
 def test_time_that_the_loop_was_held_up_is_taken_off():
@@ -168,8 +174,8 @@
     client.sendall(b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 0.5\r\n\r\n")
     net.now += 300_000  # the req may have come at the start of this
     net.turn()
-    net.wait(181_000)
-    assert (heard(client) or "").startswith("HTTP/1.1 503")
+    net.advance(181_000)
+    assert (received_text(client) or "").startswith("HTTP/1.1 503")
 
 
 def test_a_fault_in_the_decisions_still_brings_an_answer():
@@ -178,15 +184,15 @@
     """
     net = NodeHarness(expects=(ZeroDivisionError,))
     net.node.balancer.on_request = lambda *_: 1 / 0
-    assert heard(net.ask()).startswith("HTTP/1.1 500") and net.log.lines == [
+    assert received_text(net.send_request()).startswith("HTTP/1.1 500") and net.log.lines == [
         "serving",
         "ZeroDivisionError",
     ]
     net = NodeHarness()
     net.node.balancer.on_request = lambda *_: None  # forgets it
-    client = net.ask()
-    net.wait(2_000_000)
-    assert heard(client).startswith("HTTP/1.1 500") and "unanswered" in net.log.lines
+    client = net.send_request()
+    net.advance(2_000_000)
+    assert received_text(client).startswith("HTTP/1.1 500") and "unanswered" in net.log.lines
 
 
 def test_an_id_that_is_open_here_is_not_taken_twice():
@@ -194,11 +200,11 @@
     would go to the wrong client.
     """
     net = NodeHarness(1)
-    first, second = net.ask("k"), net.ask("k")
-    assert heard(second).startswith("HTTP/1.1 409") and len(net.fars()) == 1
-    net.answers(net.far())
-    assert heard(first).startswith("HTTP/1.1 200") and not net.node.open_request_ids
-    assert heard(net.ask("k")) is None, "it may come again once that is answered"
+    first, second = net.send_request("k"), net.send_request("k")
+    assert received_text(second).startswith("HTTP/1.1 409") and len(net.host_sockets()) == 1
+    net.answer_from_host(net.host_socket())
+    assert received_text(first).startswith("HTTP/1.1 200") and not net.node.open_request_ids
+    assert received_text(net.send_request("k")) is None, "it may come again once that is answered"
 
 
 def test_a_request_that_a_host_calls_bad_is_not_sent_to_others():
@@ -206,11 +212,11 @@
     is asked.
     """
     net = NodeHarness(3)
-    client = net.ask("k")
-    net.answers(net.far(), 400, "")
+    client = net.send_request("k")
+    net.answer_from_host(net.host_socket(), 400, "")
     assert (
-        heard(client).startswith("HTTP/1.1 400")
+        received_text(client).startswith("HTTP/1.1 400")
         and net.verdicts == ["unfit"]
-        and len(net.fars()) == 1
+        and len(net.host_sockets()) == 1
     )
     assert not net.node.exchanges and not net.node.balancer.requests
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one balancer that have found each other."""
+"""ProcessPair processes of one balancer that have found each other."""
 
 import os
 import signal
@@ -7,8 +7,8 @@
 import sys
 
 import orjson
-from handover_harness import UP, Two, listener, one_side
-from node_harness import NodeHarness, heard
+from handover_harness import UP, ProcessPair, listener, one_side
+from node_harness import NodeHarness, received_text
 
 from orchidgap.net.endpoints import decode_list
 
@@ -18,7 +18,7 @@
     list and the old one's snapshot.
     """
 
-    class Knowing(Two):
+    class Knowing(ProcessPair):
         def prepare(self):
             self.old.node.on_list(
                 False,
@@ -26,7 +26,10 @@
                     {
                         "seq": 8,
                         "whole": False,
-                        "hosts": [NodeHarness.entry(1, health="Terminating"), NodeHarness.entry(4)],
+                        "hosts": [
+                            NodeHarness.host_entry(1, health="Terminating"),
+                            NodeHarness.host_entry(4),
+                        ],
                     }
                 )[2:],
             )
@@ -61,7 +64,7 @@
         and old.clients.accepts_elsewhere
         and not new.clients.accepts_elsewhere
     )
-    assert listed(two.new) == listed(two.old) and listed(two.new)["c1"] == "draining"
+    assert host_states(two.new) == host_states(two.old) and host_states(two.new)["c1"] == "draining"
     c0 = new.balancer.hosts["c0"]
     assert (
         c0.concurrency_limit,
@@ -73,7 +76,7 @@
     two.end()
 
 
-def listed(net):
+def host_states(net):
     return {id: host.state for id, host in net.node.balancer.hosts.items()}
 
 
@@ -84,9 +87,9 @@
     net, near, far = one_side(2, start=False)
     net.node.handover.join_predecessor(far)
     net.node.start()
-    net.wait(1_490_000)
+    net.advance(1_490_000)
     assert not net.node.is_ready()
-    net.wait(20_000)
+    net.advance(20_000)
     assert net.node.is_ready() and not net.node.clients.accepts_elsewhere
     near.close()
     net.turn()
@@ -97,15 +100,15 @@
     """The old process leaves. Its idle connections of clients and to hosts go on in the new
     one, and none is closed.
     """
-    two = Two(1)
-    kept = [two.old.ask(f"k{i}") for i in range(5)]
-    busy, fresh = two.old.ask("busy"), two.old.client()
-    for client, far in zip(kept, two.old.fars()):
-        two.old.answers(far)
-        assert "close" not in heard(client)
+    two = ProcessPair(1)
+    kept = [two.old.send_request(f"k{i}") for i in range(5)]
+    busy, fresh = two.old.send_request("busy"), two.old.client()
+    for client, far in zip(kept, two.old.host_sockets()):
+        two.old.answer_from_host(far)
+        assert "close" not in received_text(client)
     dialled = len(two.old.dialled)
     two.old.node.begin_shutdown()
-    two.wait(10_000)
+    two.advance(10_000)
     assert (
         len(two.new.node.clients.open_clients) == 6 and len(two.old.node.clients.open_clients) == 1
     )
@@ -114,7 +117,7 @@
         and not two.old.node.pools.by_host["c0"].idle
     )
     for i, client in enumerate([*kept, fresh]):
-        assert heard(client) is None
+        assert received_text(client) is None
         client.sendall(
             f"GET /read/n{i} HTTP/1.1\r\nRequest-Id: n{i}\r\nRequest-Timeout: 1\r\n\r\n".encode()
         )
@@ -122,17 +125,17 @@
     assert len(two.new.node.exchanges) == 6 and len(two.old.dialled) == dialled + 1, (
         "five links came along"
     )
-    two.old.serve()
-    assert heard(busy).startswith("HTTP/1.1 200") and heard(busy) is None, (
+    two.old.answer_all()
+    assert received_text(busy).startswith("HTTP/1.1 200") and received_text(busy) is None, (
         "it is not told to go either"
     )
-    two.wait(10_000)
+    two.advance(10_000)
     assert len(two.new.node.clients.open_clients) == 7 and not two.old.node.clients.open_clients
     two.turn()
     assert not two.old.loop.running, "all have gone over"
     two.new.turn()
     for client in [*kept, fresh]:
-        assert heard(client).startswith("HTTP/1.1 200")
+        assert received_text(client).startswith("HTTP/1.1 200")
     two.end()
 
 
@@ -140,20 +143,22 @@
     """Both processes have requests at one host. Each counts the other's there, and refuses ids
     that are open in the other.
     """
-    two = Two(1)
+    two = ProcessPair(1)
     for i in range(4):
-        two.old.ask(f"k{i}")
-    two.wait(10_000)
+        two.old.send_request(f"k{i}")
+    two.advance(10_000)
     host = two.new.node.balancer.hosts["c0"]
     assert (host.in_flight, host.in_flight_elsewhere, host.total_in_flight) == (0, 4, 4)
-    assert heard(two.new.ask("k1")).startswith("HTTP/1.1 409"), "it is open in the other"
+    assert received_text(two.new.send_request("k1")).startswith("HTTP/1.1 409"), (
+        "it is open in the other"
+    )
     host.concurrency_limit = 4.0
-    two.new.ask("k9")
+    two.new.send_request("k9")
     assert two.old.dialled[-1][0] == 109, "no room there: it went to the origin"
-    for far in two.old.fars():
-        two.old.answers(far)
-    two.wait(10_000)
-    assert host.in_flight_elsewhere == 0 and heard(two.new.ask("k1")) is None
+    for far in two.old.host_sockets():
+        two.old.answer_from_host(far)
+    two.advance(10_000)
+    assert host.in_flight_elsewhere == 0 and received_text(two.new.send_request("k1")) is None
     two.end()
 
 
@@ -162,25 +167,25 @@
     than that together.
     """
 
-    class Busy(Two):
+    class Busy(ProcessPair):
         def prepare(self):
-            self.clients = [self.old.ask(f"k{i}") for i in range(90)]
-            self.old.serve()
+            self.clients = [self.old.send_request(f"k{i}") for i in range(90)]
+            self.old.answer_all()
 
     two = Busy(1, sockets=256)
-    two.wait(10_000)
+    two.advance(10_000)
     old, new = two.old.node, two.new.node
     assert (
         old.descriptor_limit + new.descriptor_limit <= 256
         and old.descriptor_limit >= old.descriptors_needed() >= 90
     )
     for _ in range(4):
-        two.old.serve()
-        two.wait(10_000)
+        two.old.answer_all()
+        two.advance(10_000)
     old.begin_shutdown()
     while two.old.loop.running:
         assert old.descriptor_limit + new.descriptor_limit <= 256
-        two.wait(5_000)
+        two.advance(5_000)
     assert (
         len(new.clients.open_clients) > 20
         and not old.clients.open_clients
@@ -193,10 +198,10 @@
     """The new process dies while the old one serves. The old one accepts clients again, with
     all descriptors.
     """
-    two = Two(1)
+    two = ProcessPair(1)
     assert two.old.node.clients.accepts_elsewhere
-    two.new.ask("k")
-    two.wait(10_000)
+    two.new.send_request("k")
+    two.advance(10_000)
     assert two.old.node.balancer.hosts["c0"].in_flight_elsewhere == 1
     two.new.node.handover.predecessor.channel.close()
     two.old.turn()
@@ -210,9 +215,9 @@
     assert old.balancer.hosts["c0"].in_flight_elsewhere == 0 and not old.handover.is_request_open(
         b"r-k"
     )
-    client = two.old.ask("k2")
-    two.old.serve()
-    assert heard(client).startswith("HTTP/1.1 200")
+    client = two.old.send_request("k2")
+    two.old.answer_all()
+    assert received_text(client).startswith("HTTP/1.1 200")
     two.end()
 
 
@@ -220,16 +225,16 @@
     """The new process dies after the old one was told to end. The old one still answers what
     is open, and ends.
     """
-    two = Two(1)
-    busy = two.old.ask("busy")
+    two = ProcessPair(1)
+    busy = two.old.send_request("busy")
     two.old.node.begin_shutdown()
-    two.wait(10_000)
+    two.advance(10_000)
     two.new.node.handover.predecessor.channel.close()
     two.old.turn()
-    two.old.serve()
-    assert "Connection: close" in heard(busy), "nobody is there to take the connection"
+    two.old.answer_all()
+    assert "Connection: close" in received_text(busy), "nobody is there to take the connection"
     busy.close()
-    two.old.wait(500_000)
+    two.old.advance(500_000)
     assert not two.old.loop.running
     two.end()
 
@@ -238,14 +243,14 @@
     """The old process is never told to end. It goes on answering its kept connections beside
     the new one.
     """
-    two = Two(1)
-    client = two.old.ask("k")
-    two.old.serve()
-    two.wait(50_000)
+    two = ProcessPair(1)
+    client = two.old.send_request("k")
+    two.old.answer_all()
+    two.advance(50_000)
     client.sendall(b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n")
     two.turn()
-    two.old.serve()
-    assert heard(client).endswith("v") and two.old.loop.running and two.new.node.is_ready()
+    two.old.answer_all()
+    assert received_text(client).endswith("v") and two.old.loop.running and two.new.node.is_ready()
     two.end()
 
 
@@ -260,7 +265,7 @@
                     "listen": f"127.0.0.1:{passed.getsockname()[1]}",
                     "seed": "7",
                     "discovery": f"127.0.0.1:{away.getsockname()[1]}",
-                    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.entry(0)]},
+                    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.host_entry(0)]},
                     "settings": {
                         "rule-sets": [
                             {"name": "read", "effect": "retryable", "client-timeout": 900_000}
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -3,7 +3,14 @@
 import signal
 
 import pytest
-from loopback_harness import RESET, LoopbackHarness, arrived, heard, req, told
+from loopback_harness import (
+    RESET,
+    LoopbackHarness,
+    received_or_reset,
+    received_text,
+    request_text,
+    wait_until_readable,
+)
 from net_scenarios import signals
 
 from orchidgap.decisions.lifecycle import (
@@ -17,10 +24,10 @@
 
 
 def idle_client(net):
-    client = net.caller(req("first"))
+    client = net.connect_client(request_text("first"))
     net.turn()
-    net.answers(net.far())
-    assert "200" in told(client)
+    net.answer_from_host(net.host_socket())
+    assert "200" in received_or_reset(client)
     return client
 
 
@@ -30,14 +37,14 @@
     net = LoopbackHarness(1)
     with signals(net, None):
         client = idle_client(net)
-        net.brings(client, req("second"))
+        net.send_more(client, request_text("second"))
         signal.raise_signal(signal.SIGTERM)  # both are there before the loop looks
         net.turn(1 + turns)
         assert net.node.lifecycle.state is State.LEAVING
         net.turn()
-        net.answers(net.far())
-        said = told(client)
-        assert "200" in said and "Connection: close" in said and told(client) == ""
+        net.answer_from_host(net.host_socket())
+        said = received_or_reset(client)
+        assert "200" in said and "Connection: close" in said and received_or_reset(client) == ""
 
 
 @pytest.mark.parametrize("times", [2, 5])
@@ -47,30 +54,30 @@
     """
     net = LoopbackHarness(1)
     with signals(net, str(tmp_path / "no file")):
-        client = net.caller(req())
+        client = net.connect_client(request_text())
         net.turn()
         for _ in range(times):
             signal.raise_signal(signal.SIGTERM)
             signal.raise_signal(signal.SIGHUP)
             net.turn()
-            net.wait(SHUTDOWN_ACCEPT_US // 2)
+            net.advance(SHUTDOWN_ACCEPT_US // 2)
         assert (
             net.node.lifecycle.since_us <= net.now - times * (SHUTDOWN_ACCEPT_US // 2)
             and net.loop.running
         )
         assert net.node.clients.listening_socket is None, "shut after the first call's time"
-        net.answers(net.far())
-        assert "200" in told(client) and "config rejected" in net.log.lines
+        net.answer_from_host(net.host_socket())
+        assert "200" in received_or_reset(client) and "config rejected" in net.log.lines
 
 
 def test_sigterm_before_the_first_list_ends_it():
     """SIGTERM comes before discovery has told a list. The process ends all the same."""
     net = LoopbackHarness(1, listed=False)
-    net.opens()
+    net.listen()
     with signals(net, None):
         signal.raise_signal(signal.SIGTERM)
         net.turn()
-        net.wait(SHUTDOWN_ACCEPT_US + 20_000)
+        net.advance(SHUTDOWN_ACCEPT_US + 20_000)
         assert not net.loop.running and net.node.lifecycle.state is State.LEAVING
 
 
@@ -80,18 +87,18 @@
     and its end. The rest is waited for and answered.
     """
     net = LoopbackHarness(1)
-    client, text = idle_client(net), req("second")
-    assert "/read/first" in net.asked()[0]
+    client, text = idle_client(net), request_text("second")
+    assert "/read/first" in net.next_host_request()[0]
     # due in the same turn as idle ones are let go, and before that; what was ready in that turn is done with
-    net.loop.call_at(net.now + SHUTDOWN_ACCEPT_US, net.brings, client, text[:first])
+    net.loop.call_at(net.now + SHUTDOWN_ACCEPT_US, net.send_more, client, text[:first])
     net.node.begin_shutdown()
-    net.wait(SHUTDOWN_ACCEPT_US)
-    assert told(client) is None and net.loop.running
+    net.advance(SHUTDOWN_ACCEPT_US)
+    assert received_or_reset(client) is None and net.loop.running
     if first:
-        net.brings(client, text[first:])
+        net.send_more(client, text[first:])
         net.turn()
-    net.answers(net.asked()[1])
-    assert "Connection: close" in told(client) and told(client) == ""
+    net.answer_from_host(net.next_host_request()[1])
+    assert "Connection: close" in received_or_reset(client) and received_or_reset(client) == ""
 
 
 def test_a_pipelined_request_is_answered_before_the_connection_is_let_go():
@@ -99,19 +106,21 @@
     where it is whole, and not waited for where it is not.
     """
     net = LoopbackHarness(1)
-    client = net.caller(req("a") + req("b") + req("c") + req("d")[:20])
+    client = net.connect_client(
+        request_text("a") + request_text("b") + request_text("c") + request_text("d")[:20]
+    )
     net.turn()
     net.node.begin_shutdown()
     for key in "abc":
-        text, far = net.asked()
+        text, far = net.next_host_request()
         assert f"/read/{key}" in text
-        net.answers(far, body=key)
-        net.wait(10_000)
-        said = told(client)
+        net.answer_from_host(far, body=key)
+        net.advance(10_000)
+        said = received_or_reset(client)
         assert said.endswith(key) and ("Connection: close" in said) == (key == "c"), (
             "half a req waits for nothing"
         )
-    assert told(client) == ""
+    assert received_or_reset(client) == ""
 
 
 def test_whoever_waits_in_the_backlog_when_the_listener_is_shut_is_served():
@@ -119,19 +128,19 @@
     served.
     """
     net = LoopbackHarness(2)
-    net.opens()
+    net.listen()
     net.node.begin_shutdown()
-    net.wait(SHUTDOWN_ACCEPT_US - 1)
+    net.advance(SHUTDOWN_ACCEPT_US - 1)
     net.node.clients.leave_listener()  # as if the loop had not come round to it
-    clients = [net.caller(req(f"k{i}")) for i in range(3)]
+    clients = [net.connect_client(request_text(f"k{i}")) for i in range(3)]
     net.node.clients.accepts_elsewhere = False
     net.loop.watch(net.node.clients.listening_socket, 1, lambda mask: None)
-    net.wait(10_000)
+    net.advance(10_000)
     assert net.node.clients.listening_socket is None
-    for far in net.fars():
-        if heard(far):
-            net.answers(far)
-    assert all("200" in told(client) for client in clients)
+    for far in net.host_sockets():
+        if received_text(far):
+            net.answer_from_host(far)
+    assert all("200" in received_or_reset(client) for client in clients)
 
 
 def test_a_request_that_crosses_the_end_of_its_connection_is_not_sent_on_and_resets_nothing():
@@ -141,15 +150,15 @@
     net = LoopbackHarness(1)
     client = idle_client(net)
     net.node.begin_shutdown()
-    net.wait(SHUTDOWN_ACCEPT_US + 10_000)
-    assert "/read/first" in net.asked()[0]
-    client.sendall(req("crossing"))  # it has not heard of the end
-    arrived(net.near(client))
+    net.advance(SHUTDOWN_ACCEPT_US + 10_000)
+    assert "/read/first" in net.next_host_request()[0]
+    client.sendall(request_text("crossing"))  # it has not heard of the end
+    wait_until_readable(net.accepted_socket(client))
     net.turn()
-    assert not net.node.exchanges and net.asked()[0] == ""
-    assert told(client) == "", "an end in order, so that it asks elsewhere"
+    assert not net.node.exchanges and net.next_host_request()[0] == ""
+    assert received_or_reset(client) == "", "an end in order, so that it asks elsewhere"
     client.close()
-    net.wait(20_000)
+    net.advance(20_000)
     assert not net.loop.running
 
 
@@ -158,16 +167,18 @@
     would reset the answer away.
     """
     net = LoopbackHarness(1)
-    client = net.caller(req("k"))
+    client = net.connect_client(request_text("k"))
     net.turn()
     net.node.begin_shutdown()
-    net.answered(net.far())
-    arrived(next(iter(net.node.pools.by_host["c0"].links)).conn.sock)
-    net.brings(client, req("behind")[:40])  # both are there: the answer goes out over unread bytes
+    net.send_host_answer(net.host_socket())
+    wait_until_readable(next(iter(net.node.pools.by_host["c0"].links)).conn.sock)
+    net.send_more(
+        client, request_text("behind")[:40]
+    )  # both are there: the answer goes out over unread bytes
     net.turn()
     client.sendall(b"x" * 5000)
     net.turn()
-    assert told(client).endswith("\r\n\r\nv") and told(client) != RESET
+    assert received_or_reset(client).endswith("\r\n\r\nv") and received_or_reset(client) != RESET
 
 
 def test_a_client_that_never_closes_keeps_no_process():
@@ -175,7 +186,7 @@
     net = LoopbackHarness(1)
     idle_client(net)
     net.node.begin_shutdown()
-    net.wait(SHUTDOWN_ACCEPT_US + LINGER_US + 30_000)
+    net.advance(SHUTDOWN_ACCEPT_US + LINGER_US + 30_000)
     assert not net.loop.running
 
 
@@ -198,19 +209,21 @@
         for i in range(3)
     }
     net = LoopbackHarness(1, **times, **{"ceilings__may-cancel": "false"})
-    client = net.caller(req("early", left="60"))
+    client = net.connect_client(request_text("early", left="60"))
     net.turn()
-    late = net.caller(req("late")[:30])  # begun, and whole only when there is hardly any time left
+    late = net.connect_client(
+        request_text("late")[:30]
+    )  # begun, and whole only when there is hardly any time left
     net.turn()
     net.node.begin_shutdown()
-    net.wait(last_words - 20_000)
+    net.advance(last_words - 20_000)
     if timeout < 9_000_000:  # else its patience is over
-        net.brings(late, req("late")[30:])
+        net.send_more(late, request_text("late")[30:])
         net.turn()
-    assert told(client) is None and net.loop.running
-    net.wait(30_000)
-    assert told(client).split()[1] in ("500", "503")
-    assert told(late).split()[1] in ("500", "503", "408")
+    assert received_or_reset(client) is None and net.loop.running
+    net.advance(30_000)
+    assert received_or_reset(client).split()[1] in ("500", "503")
+    assert received_or_reset(late).split()[1] in ("500", "503", "408")
     assert net.loop.running, "time for the answers to be written"
-    net.wait(FINAL_WRITE_US)
+    net.advance(FINAL_WRITE_US)
     assert not net.loop.running
--- a/tests/net/test_listener_inheritance.py
+++ b/tests/net/test_listener_inheritance.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 from handover_harness import UP, listener, turn
-from node_harness import NodeHarness, heard
+from node_harness import NodeHarness, received_text
 
 from orchidgap.net.config import ConfigError
 from orchidgap.net.handover import inherited_listener
@@ -63,14 +63,14 @@
     turn(nets)
     assert len(old.node.clients.open_clients) == len(new.node.clients.open_clients) == 1
     old.node.begin_shutdown()
-    old.wait(450_000)
+    old.advance(450_000)
     assert old.node.clients.listening_socket is None
     third = ask(passed)
     turn(nets)
     assert len(new.node.clients.open_clients) == 2, "nobody shut the listener down"
     for net in nets:
-        net.serve()
-    assert [heard(one)[:15] for one in (first, second, third)] == ["HTTP/1.1 200 OK"] * 3
+        net.answer_all()
+    assert [received_text(one)[:15] for one in (first, second, third)] == ["HTTP/1.1 200 OK"] * 3
     for one in (first, second, third, passed, new.node.clients.listening_socket):
         one.close()
 
@@ -101,7 +101,7 @@
                     "listen": f"127.0.0.1:{passed.getsockname()[1]}",
                     "discovery": "127.0.0.1:1",
                     "seed": "7",
-                    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.entry(0)]},
+                    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.host_entry(0)]},
                     "settings": {
                         "rule-sets": [
                             {"name": "read", "effect": "retryable", "client-timeout": 900_000}
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -5,7 +5,7 @@
 import pytest
 from balancer_harness import SETTINGS
 from net_scenarios import WAITS
-from node_harness import NodeHarness, heard
+from node_harness import NodeHarness, received_text
 
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.decisions.shadow import ShadowBalancer
@@ -17,11 +17,11 @@
     )
     net = NodeHarness(3, decider=partial(ShadowBalancer, new), **WAITS)
     assert NodeHarness().node.shadow_report() == (False, "nothing is watched")
-    client = net.ask()
-    net.wait(600_000)
-    assert len(net.fars()) == 1, "nothing can be called off"
-    net.answers(net.far(), more="Server-Load: concurrent=7\r\n")
-    assert "200" in heard(client)
+    client = net.send_request()
+    net.advance(600_000)
+    assert len(net.host_sockets()) == 1, "nothing can be called off"
+    net.answer_from_host(net.host_socket(), more="Server-Load: concurrent=7\r\n")
+    assert "200" in received_text(client)
     done, words = net.node.shadow_report()
     assert done and words == (
         "1 dispatches, owner 0, copy 0, repeat 0, call-off 1, answer 0, pause 0, limit 0"
@@ -30,17 +30,17 @@
 
 def test_a_very_long_key_is_a_key():
     net = NodeHarness(1)
-    client = net.ask("k" * 9_000)
-    assert "/read/" + "k" * 9_000 in heard(net.far())
-    net.answers(net.far())
-    assert heard(client).startswith("HTTP/1.1 200")
+    client = net.send_request("k" * 9_000)
+    assert "/read/" + "k" * 9_000 in received_text(net.host_socket())
+    net.answer_from_host(net.host_socket())
+    assert received_text(client).startswith("HTTP/1.1 200")
 
 
 def test_ready_only_with_list_and_until_told_to_stop():
     net = NodeHarness()
-    assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 200")
+    assert received_text(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 200")
     net.node.begin_shutdown()
-    assert heard(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 503")
+    assert received_text(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 503")
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_packet_channel.py
+++ b/tests/net/test_packet_channel.py
@@ -4,7 +4,7 @@
 
 import pytest
 from handover_harness import one_side
-from node_harness import heard
+from node_harness import received_text
 
 
 @pytest.mark.parametrize(
@@ -40,9 +40,9 @@
         and not net.node.clients.accepts_elsewhere
         and near.fileno() < 0
     )
-    client = net.ask("k")
-    net.serve()
-    assert heard(client).startswith("HTTP/1.1 200")
+    client = net.send_request("k")
+    net.answer_all()
+    assert received_text(client).startswith("HTTP/1.1 200")
     net.node.clients.listening_socket.close()
 
 
@@ -70,11 +70,11 @@
     net.node.start()
     near.send(packet) if packet else near.close()
     net.turn()
-    net.wait(1_600_000)
+    net.advance(1_600_000)
     assert net.node.is_ready() and not net.node.clients.accepts_elsewhere
-    client = net.ask("k")
-    net.serve()
-    assert heard(client).startswith("HTTP/1.1 200")
+    client = net.send_request("k")
+    net.answer_all()
+    assert received_text(client).startswith("HTTP/1.1 200")
     net.node.clients.listening_socket.close()
 
 
@@ -119,12 +119,12 @@
     net.turn()
     near.close()
     net.turn()
-    net.wait(20_000_000)
+    net.advance(20_000_000)
     assert net.node.is_ready() and not net.node.exchanges and not net.node.pools.connection_count
     assert all(pair[1].recv(99) == b"" or pair[1].recv(99) == b"" for pair in pairs), (
         "nobody holds their other ends"
     )
-    client = net.ask("k")
-    net.serve()
-    assert heard(client).startswith("HTTP/1.1 200")
+    client = net.send_request("k")
+    net.answer_all()
+    assert received_text(client).startswith("HTTP/1.1 200")
     net.node.clients.listening_socket.close()
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -5,8 +5,8 @@
 
 import orjson
 import pytest
-from net_scenarios import GOOD, LIST, idle_links, listed, signals, tells
-from node_harness import NodeHarness, heard
+from net_scenarios import GOOD, LIST, host_states, idle_links, signals, tell_list
+from node_harness import NodeHarness, received_text
 
 from orchidgap.net import config
 from orchidgap.net.server import reload_config
@@ -17,8 +17,8 @@
     change nothing; a move keeps the list and its connections.
     """
     net, path = NodeHarness(1), tmp_path / "c"
-    tells(net, 41, True, [net.entry(0), net.entry(9)])
-    [link], before = idle_links(net, 1), listed(net)
+    tell_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
+    [link], before = idle_links(net, 1), host_states(net)
     with signals(net, str(path)):
         for round, text in enumerate(
             (
@@ -38,24 +38,28 @@
                 if round < 2
                 else "config applied" in net.log.lines
             )
-            assert net.loop.running and listed(net) == before and net.node.pools.by_host["c0"].idle
+            assert (
+                net.loop.running
+                and host_states(net) == before
+                and net.node.pools.by_host["c0"].idle
+            )
             assert [port for port, _ in net.dialled if port > 8000] == [8500, 8501][: max(1, round)]
             if round == 2:  # the versions of another agent mean nothing here
-                assert heard(net.far()).startswith(f"GET {LIST} HTTP/1.1")
-                net.answers(
-                    net.far(),
+                assert received_text(net.host_socket()).startswith(f"GET {LIST} HTTP/1.1")
+                net.answer_from_host(
+                    net.host_socket(),
                     body=orjson.dumps(
-                        {"seq": 3, "whole": True, "hosts": [net.entry(0), net.entry(9)]}
+                        {"seq": 3, "whole": True, "hosts": [net.host_entry(0), net.host_entry(9)]}
                     ).decode(),
                 )
-                assert heard(net.far()).startswith(f"GET {LIST}?after=3&")
+                assert received_text(net.host_socket()).startswith(f"GET {LIST}?after=3&")
             elif round == 3:
                 net.refused.clear()
                 net.node.begin_shutdown()
-                net.wait(110_000)
+                net.advance(110_000)
                 assert net.dialled[-1][0] == 8502, "asked again soon, also while it ends"
-    heard(link)
-    assert heard(link) is None, "pools are as they were"
+    received_text(link)
+    assert received_text(link) is None, "pools are as they were"
 
 
 def rules(*names, **more):
@@ -173,7 +177,7 @@
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
     net.node.call_decisions(net.node.balancer.on_settings, net.node.config.settings)
-    old = net.ask("k1")
+    old = net.send_request("k1")
     file = copy.deepcopy(FILE)
     file["settings"]["rule-sets"] = rules("once", effect="fragile") + rules("fresh")
     file["settings"]["ceilings"]["most-dispatches"] = 1
@@ -182,16 +186,20 @@
     for _ in range(2):  # told twice, as well
         reload_config(net.node, str(path))
     assert net.log.lines[-1] == "config applied"
-    assert heard(net.ask("k2")).startswith("HTTP/1.1 404"), (
+    assert received_text(net.send_request("k2")).startswith("HTTP/1.1 404"), (
         "a class that was dropped is unknown to new reqs"
     )
-    net.says(net.far(0), "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-    assert heard(old) is None, "the open one may still have another dispatch"
-    net.answers(net.far(1))
-    assert heard(old).startswith("HTTP/1.1 200")
-    fresh = net.ask("k3", rule_set="fresh")
-    net.says(net.far(), "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-    assert heard(fresh).startswith("HTTP/1.1 503"), "one dispatch and no more"
+    net.send_and_turn(
+        net.host_socket(0), "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+    )
+    assert received_text(old) is None, "the open one may still have another dispatch"
+    net.answer_from_host(net.host_socket(1))
+    assert received_text(old).startswith("HTTP/1.1 200")
+    fresh = net.send_request("k3", rule_set="fresh")
+    net.send_and_turn(
+        net.host_socket(), "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+    )
+    assert received_text(fresh).startswith("HTTP/1.1 503"), "one dispatch and no more"
 
 
 def test_what_cannot_change_while_it_runs_is_told_and_waits(tmp_path):
--- a/tests/net/test_request_migration.py
+++ b/tests/net/test_request_migration.py
@@ -4,16 +4,16 @@
 import socket
 
 import pytest
-from handover_harness import Two
-from node_harness import heard
+from handover_harness import ProcessPair
+from node_harness import received_text
 
 BODY = bytes(range(256)) * 1_200
 
 
-def going_over(two):
+def hand_over_all(two):
     """The old one is told to end, and what can go has gone."""
     two.old.node.begin_shutdown()
-    two.wait(15_000)
+    two.advance(15_000)
     two.turn()
 
 
@@ -35,11 +35,11 @@
     )
     if place >= len(text):
         return
-    two = Two(1)
+    two = ProcessPair(1)
     client = two.old.client()
     for at in range(0, place, 50):
-        two.old.says(client, text[at : min(place, at + 50)])
-    going_over(two)
+        two.old.send_and_turn(client, text[at : min(place, at + 50)])
+    hand_over_all(two)
     assert (
         not two.old.node.clients.open_clients
         and len(two.new.node.clients.open_clients) == 1
@@ -47,11 +47,11 @@
     )
     client.sendall(text[place:])
     two.turn()
-    far = two.old.far()
-    assert heard(far).endswith("\r\n\r\n123456789")
-    two.old.answers(far)
+    far = two.old.host_socket()
+    assert received_text(far).endswith("\r\n\r\n123456789")
+    two.old.answer_from_host(far)
     two.turn()
-    assert heard(client).startswith("HTTP/1.1 200") and heard(client) is None
+    assert received_text(client).startswith("HTTP/1.1 200") and received_text(client) is None
     two.end()
 
 
@@ -62,12 +62,12 @@
     """The old process leaves in the middle of a large answer. The client gets every byte of it
     once, by the new one.
     """
-    two = Two(1)
+    two = ProcessPair(1)
     client = two.old.client(
         f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode()
     )
-    far = two.old.far()
-    heard(far)
+    far = two.old.host_socket()
+    received_text(far)
     head = {
         "length": b"Content-Length: %d" % len(BODY),
         "chunks": b"Transfer-Encoding: chunked",
@@ -96,7 +96,7 @@
             with contextlib.suppress(BlockingIOError):
                 got += client.recv(9_000)
     assert not rest
-    going_over(two)
+    hand_over_all(two)
     assert two.new.node.is_request_open(b"1") and not two.old.node.clients.open_clients
     rest = text[place:]
     for _ in range(200):
@@ -104,12 +104,12 @@
             with contextlib.suppress(BlockingIOError):
                 rest = rest[far.send(rest[:20_000]) :]
         two.turn(1)
-        got += raw(client)
+        got += received_all(client)
     assert not rest
     if framing == "close":
         far.close()
     two.turn()
-    got += raw(client)
+    got += received_all(client)
     head, _, body = got.partition(b"\r\n\r\n")
     if b"chunked" in head:
         plain = b""
@@ -126,14 +126,16 @@
     if version == "1.1":
         client.sendall(b"GET /read/n HTTP/1.1\r\nRequest-Id: 2\r\nRequest-Timeout: 1\r\n\r\n")
         two.turn()
-        assert (len(two.old.fars()) == 1) == (framing != "close"), "its link is as good as before"
-        two.old.answers(two.old.far())
+        assert (len(two.old.host_sockets()) == 1) == (framing != "close"), (
+            "its link is as good as before"
+        )
+        two.old.answer_from_host(two.old.host_socket())
         two.turn()
-        assert heard(client).startswith("HTTP/1.1 200")
+        assert received_text(client).startswith("HTTP/1.1 200")
     two.end()
 
 
-def raw(far):
+def received_all(far):
     got = b""
     try:
         while part := far.recv(1 << 17):
@@ -147,15 +149,15 @@
     """The host closes in the middle of an answer that was handed over. The client sees that it
     is cut off, and the host is charged for it.
     """
-    two = Two(1)
-    client = two.old.ask("k")
-    far = two.old.far()
-    two.old.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
+    two = ProcessPair(1)
+    client = two.old.send_request("k")
+    far = two.old.host_socket()
+    two.old.send_and_turn(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     before = two.new.node.balancer.hosts["c0"].retry_budget
-    going_over(two)
+    hand_over_all(two)
     far.close()
     two.turn()
-    assert raw(client).endswith(b"first") and client.recv(1) == b""
+    assert received_all(client).endswith(b"first") and client.recv(1) == b""
     assert two.new.node.balancer.hosts["c0"].retry_budget < before or before == 0
     assert not two.new.node.exchanges and not two.new.node.open_request_ids
     two.end()
@@ -169,7 +171,7 @@
     """The old process leaves in the middle of a large body. The host gets every byte of it
     once, by the new one.
     """
-    two = Two(1)
+    two = ProcessPair(1)
     head = (
         f"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nRequest-Timeout: 1\r\n{framing}\r\n\r\n"
     ).encode()
@@ -184,18 +186,18 @@
     )
     client = two.old.client(head)
     for at in range(0, 130_000, 26_000):
-        two.old.says(client, text[at : at + 26_000])
-    far = two.old.far()
-    got = raw(far)
-    going_over(two)
+        two.old.send_and_turn(client, text[at : at + 26_000])
+    far = two.old.host_socket()
+    got = received_all(far)
+    hand_over_all(two)
     assert not two.old.node.clients.open_clients and two.new.node.is_request_open(b"r1")
     if ends == "stalls":
-        two.wait(3_000_000)
+        two.advance(3_000_000)
     else:
         for at in range(130_000, len(text), 26_000):
             client.sendall(text[at : at + 26_000])
             two.turn()
-            got += raw(far)
+            got += received_all(far)
         body = got.partition(b"\r\n\r\n")[2]
         if "chunked" in framing:
             plain = b""
@@ -203,14 +205,14 @@
                 size, _, body = body.partition(b"\r\n")
                 plain, body = plain + body[: int(size, 16)], body[int(size, 16) + 2 :]
             body = plain
-        assert body == BODY and heard(client) is None
+        assert body == BODY and received_text(client) is None
         if ends == "done":
-            two.old.answers(far)
+            two.old.answer_from_host(far)
         elif ends == "reset":
             far.close()
         else:
-            two.wait(1_000_000)
+            two.advance(1_000_000)
         two.turn()
-    assert heard(client).startswith(f"HTTP/1.1 {status}")
+    assert received_text(client).startswith(f"HTTP/1.1 {status}")
     assert not two.new.node.exchanges and not two.new.node.open_request_ids
     two.end()
--- a/tests/net/test_response_streaming.py
+++ b/tests/net/test_response_streaming.py
@@ -3,8 +3,18 @@
 import socket
 
 import pytest
-from node_harness import NodeHarness, heard
-from streaming_scenarios import BODY, READ, REQ, SIZE, drawn, held, push, small_buffers, unchunked
+from node_harness import NodeHarness, received_text
+from streaming_scenarios import (
+    BODY,
+    READ,
+    REQ,
+    SIZE,
+    held_bytes,
+    push,
+    received_bytes,
+    small_buffers,
+    unchunked,
+)
 
 from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES
 
@@ -19,8 +29,8 @@
     client = net.client(
         f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode()
     )
-    far = net.far()
-    heard(far)
+    far = net.host_socket()
+    received_text(far)
     for one in net.node.clients.open_clients:
         small_buffers(one.conn.sock)
     head = {
@@ -43,8 +53,8 @@
             far.close()
         net.now += 1_000
         net.turn(1)
-        most = max(most, held(net))
-        part = drawn(client, 4_000)
+        most = max(most, held_bytes(net))
+        part = received_bytes(client, 4_000)
         if part and told_at is None:
             told_at = net.verdicts
         if part is None:
@@ -71,9 +81,13 @@
     )
     assert (b"Connection: close" in head) == (version == "1.0")
     if version == "1.1":
-        net.says(client, b"GET /read/k2 HTTP/1.1\r\nRequest-Id: 2\r\nRequest-Timeout: 1\r\n\r\n")
-        assert "GET /read/k2" in heard(net.far()), "the connection goes on"
-        assert (len(net.fars()) == 1) == (framing != "close"), "and so does the link, where it can"
+        net.send_and_turn(
+            client, b"GET /read/k2 HTTP/1.1\r\nRequest-Id: 2\r\nRequest-Timeout: 1\r\n\r\n"
+        )
+        assert "GET /read/k2" in received_text(net.host_socket()), "the connection goes on"
+        assert (len(net.host_sockets()) == 1) == (framing != "close"), (
+            "and so does the link, where it can"
+        )
 
 
 def test_the_first_byte_of_a_large_answer_ends_its_time_and_its_further_attempts():
@@ -81,23 +95,23 @@
     nobody else is asked.
     """
     net = NodeHarness(2)
-    client = net.ask("k", left="0.5")
-    far = net.far()
+    client = net.send_request("k", left="0.5")
+    far = net.host_socket()
     far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     net.turn()
-    assert heard(client).endswith("\r\n\r\nfirst") and net.verdicts == ["done"], (
+    assert received_text(client).endswith("\r\n\r\nfirst") and net.verdicts == ["done"], (
         "at once, whatever is still to come"
     )
-    net.wait(3_000_000)
-    assert heard(client) is None and net.node.exchanges
+    net.advance(3_000_000)
+    assert received_text(client) is None and net.node.exchanges
     assert net.node.is_request_open(b"r-k"), "the id is open until the end"
-    net.says(far, b"x" * 99_995)
+    net.send_and_turn(far, b"x" * 99_995)
     assert (
-        heard(client) == "x" * 99_995
+        received_text(client) == "x" * 99_995
         and not net.node.exchanges
         and not net.node.is_request_open(b"r-k")
     )
-    assert len(net.fars()) == 1
+    assert len(net.host_sockets()) == 1
 
 
 @pytest.mark.parametrize(
@@ -117,21 +131,23 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client, near = socket.create_connection(listener.getsockname()), listener.accept()[0]
     net.node.clients.admit(near)
-    net.says(client, f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n")
+    net.send_and_turn(
+        client, f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n"
+    )
     client.setblocking(False)
-    far = net.far()
-    net.says(
+    far = net.host_socket()
+    net.send_and_turn(
         far,
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % 70_000
         + b"x" * 70_000
         + b"\r\n",
     )
-    got = drawn(client)
+    got = received_bytes(client)
     host = next(host for host in net.node.balancer.hosts.values() if host.retry_budget > 2.1)
     before = host.retry_budget
     break_off(far)
     net.turn()
-    net.wait(11_200_000)
+    net.advance(11_200_000)
     try:
         while part := client.recv(1 << 17):
             got += part
@@ -157,23 +173,25 @@
     can still be asked, and then flows.
     """
     net = NodeHarness(2)
-    client = net.ask("k")
-    far = net.far()
-    net.says(far, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
-    net.wait(190_000)
-    assert heard(client) is None, (
+    client = net.send_request("k")
+    far = net.host_socket()
+    net.send_and_turn(far, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
+    net.advance(190_000)
+    assert received_text(client) is None, (
         "it may still end small, or break: then it can be fetched elsewhere"
     )
-    net.wait(20_000)
-    assert heard(client).endswith("chunked\r\n\r\n3\r\nabc\r\n"), "a quarter of the response target"
-    net.says(far, "1\r\nd\r\n0\r\n\r\n")
-    assert heard(client) == "1\r\nd\r\n0\r\n\r\n"
-    second = net.ask("k2")
-    far = net.far()
-    net.says(far, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
-    net.says(far, "0\r\n\r\n")
-    assert heard(second).endswith("Content-Length: 3\r\n\r\nabc")
-    net.wait(1_000_000)
+    net.advance(20_000)
+    assert received_text(client).endswith("chunked\r\n\r\n3\r\nabc\r\n"), (
+        "a quarter of the response target"
+    )
+    net.send_and_turn(far, "1\r\nd\r\n0\r\n\r\n")
+    assert received_text(client) == "1\r\nd\r\n0\r\n\r\n"
+    second = net.send_request("k2")
+    far = net.host_socket()
+    net.send_and_turn(far, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")
+    net.send_and_turn(far, "0\r\n\r\n")
+    assert received_text(second).endswith("Content-Length: 3\r\n\r\nabc")
+    net.advance(1_000_000)
 
 
 def test_a_client_that_goes_away_ends_the_flow():
@@ -181,14 +199,14 @@
     nothing of the request is left.
     """
     net = NodeHarness(2)
-    client = net.ask("k")
-    far = net.far()
-    heard(far)
-    net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
+    client = net.send_request("k")
+    far = net.host_socket()
+    received_text(far)
+    net.send_and_turn(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     client.close()
     net.turn()
     assert (
-        heard(far) == ""
+        received_text(far) == ""
         and not net.node.exchanges
         and not net.node.open_request_ids
         and not net.node.pools.streaming_connections
@@ -200,16 +218,16 @@
     seconds.
     """
     net = NodeHarness(1)
-    client, far = net.ask("k"), net.far()
+    client, far = net.send_request("k"), net.host_socket()
     for one in net.node.clients.open_clients:
         small_buffers(one.conn.sock)
     rest = push(net, far, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % SIZE + BODY)
     for _ in range(8):
-        net.wait(8_000_000)
-        assert drawn(client, 50_000), "it reads a little now and then"
+        net.advance(8_000_000)
+        assert received_bytes(client, 50_000), "it reads a little now and then"
         rest = push(net, far, rest)
         net.turn()
-    net.wait(10_100_000)
+    net.advance(10_100_000)
     assert not net.node.clients.open_clients and not net.node.exchanges, (
         "ten seconds without a byte"
     )
@@ -220,11 +238,11 @@
     that is reckoned for each.
     """
     net = NodeHarness(1, sockets=256)
-    clients = [net.ask(f"k{i}") for i in range(50)]
+    clients = [net.send_request(f"k{i}") for i in range(50)]
     for one in net.node.clients.open_clients:
         small_buffers(one.conn.sock)
-    net.wait(1_000)
-    fars = net.fars()
+    net.advance(1_000)
+    fars = net.host_sockets()
     rests = {far: b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % SIZE + BODY for far in fars}
     assert len(fars) >= 4
     most = 0
@@ -232,7 +250,7 @@
         for far in fars:
             rests[far] = push(net, far, rests[far])
         net.turn(1)
-        most = max(most, held(net))
+        most = max(most, held_bytes(net))
     assert 0 < most <= len(fars) * (1 << 17)
     assert clients and net.node.exchanges
 
@@ -240,47 +258,47 @@
 def test_a_drain_does_not_cut_off_what_flows():
     """A drain begins while an answer flows. It is sent to its end."""
     net = NodeHarness(1)
-    client, far = net.ask("k"), net.far()
-    net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
+    client, far = net.send_request("k"), net.host_socket()
+    net.send_and_turn(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     net.node.quiesce()
-    net.wait(4_000_000)
+    net.advance(4_000_000)
     assert net.node.lifecycle.state.value == "draining"
-    net.says(far, b"x" * 99_995)
-    assert len(heard(client)) > 99_995
-    assert heard(client) == "", (
+    net.send_and_turn(far, b"x" * 99_995)
+    assert len(received_text(client)) > 99_995
+    assert received_text(client) == "", (
         "its head went out before the drain and promised more, but there is no more"
     )
     client.close()
-    net.wait(100_000)
+    net.advance(100_000)
     assert net.node.lifecycle.state.value == "drained"
 
 
 def test_a_process_told_to_end_waits_for_what_flows_as_long_as_it_does():
     """SIGTERM comes while an answer flows. The process waits for its end."""
     net = NodeHarness(1)
-    client, far = net.ask("k"), net.far()
-    net.says(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
+    client, far = net.send_request("k"), net.host_socket()
+    net.send_and_turn(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     net.node.begin_shutdown()
     for _ in range(9):
-        net.wait(1_000_000)
-        net.says(far, b"x" * 10_000)
+        net.advance(1_000_000)
+        net.send_and_turn(far, b"x" * 10_000)
     assert net.loop.running
-    net.says(far, b"x" * 9_995)
-    assert len(heard(client)) > 99_995
+    net.send_and_turn(far, b"x" * 9_995)
+    assert len(received_text(client)) > 99_995
     client.close()
-    net.wait(50_000)
+    net.advance(50_000)
     assert not net.loop.running
 
 
 def test_head_is_passed_on_and_answered_without_a_body():
     net = NodeHarness(1)
     client = net.client(b"HEAD /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n")
-    far = net.far()
-    assert heard(far).startswith("HEAD /read/k")
-    net.says(far, "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n")
-    assert heard(client) == "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"
-    net.says(client, REQ.replace(b"Id: 1", b"Id: 2"))
-    assert heard(far).startswith("GET /read/k") and len(net.fars()) == 1, (
+    far = net.host_socket()
+    assert received_text(far).startswith("HEAD /read/k")
+    net.send_and_turn(far, "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n")
+    assert received_text(client) == "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"
+    net.send_and_turn(client, REQ.replace(b"Id: 1", b"Id: 2"))
+    assert received_text(far).startswith("GET /read/k") and len(net.host_sockets()) == 1, (
         "the link is as good as before"
     )
 
@@ -290,9 +308,9 @@
 )
 def test_answers_without_a_body_leave_the_link_as_it_was(status, verdict):
     net = NodeHarness(1)
-    net.ask("k")
-    net.says(
-        net.far(),
+    net.send_request("k")
+    net.send_and_turn(
+        net.host_socket(),
         f"HTTP/1.1 {status} X\r\n"
         + ("" if status in (204, 304) else "Content-Length: 0\r\n")
         + "\r\n",
@@ -305,6 +323,8 @@
     body is not read.
     """
     net = NodeHarness(1)
-    net.ask("k")
-    net.says(net.far(), b"HTTP/1.1 500 No\r\nContent-Length: 30000000\r\n\r\n" + b"x" * 1_000)
+    net.send_request("k")
+    net.send_and_turn(
+        net.host_socket(), b"HTTP/1.1 500 No\r\nContent-Length: 30000000\r\n\r\n" + b"x" * 1_000
+    )
     assert net.verdicts[:1] == ["error"] and not net.node.pools.by_host["c0"].idle
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -15,7 +15,7 @@
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:1",
     "seed": "ff",
-    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.entry(0)]},
+    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.host_entry(0)]},
     "settings": {"rule-sets": [{"name": "read", "effect": "retryable", "client-timeout": 900_000}]},
 }
 
@@ -75,7 +75,7 @@
     "discovery": "127.0.0.1:2",
     "seed": "ff",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.entry(0)]},
+    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.host_entry(0)]},
     "settings": {
         "kinds": ["cache", "origin"],
         "instances": 3,
--- a/tests/net/test_upload_streaming.py
+++ b/tests/net/test_upload_streaming.py
@@ -1,8 +1,18 @@
 """Large request bodies: slow sides, breaks, and what is held meanwhile."""
 
 import pytest
-from node_harness import NodeHarness, heard
-from streaming_scenarios import BODY, READ, REQ, SIZE, drawn, held, push, small_buffers, unchunked
+from node_harness import NodeHarness, received_text
+from streaming_scenarios import (
+    BODY,
+    READ,
+    REQ,
+    SIZE,
+    held_bytes,
+    push,
+    received_bytes,
+    small_buffers,
+    unchunked,
+)
 
 from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES
 
@@ -30,14 +40,14 @@
         rest = push(net, client, rest) if rest else rest
         net.now += 1_000
         net.turn(1)
-        most = max(most, held(net))
-        if net.fars():
+        most = max(most, held_bytes(net))
+        if net.host_sockets():
             if far is None:
-                far = net.far()
+                far = net.host_socket()
                 for pool in net.node.pools.by_host.values():
                     for link in pool.links:
                         small_buffers(link.conn.sock)
-            got += drawn(far, 4_000) or b""
+            got += received_bytes(far, 4_000) or b""
             if got.endswith(b"0\r\n\r\n" if framing else BODY[-256:]) and len(got) > SIZE:
                 break
     assert most <= 2 * READ + MAX_BUFFERED_BODY_BYTES, "back-pressure"
@@ -45,11 +55,15 @@
     assert (b"Content-Length: %d" % SIZE in head) == (framing is None)
     assert (unchunked(body) if framing else body) == BODY
     assert net.node.balancer.hosts["o"].in_flight == 1
-    net.answers(far, body="stored")
-    assert heard(client).endswith("stored") and net.verdicts == ["done"] and not net.node.exchanges
+    net.answer_from_host(far, body="stored")
+    assert (
+        received_text(client).endswith("stored")
+        and net.verdicts == ["done"]
+        and not net.node.exchanges
+    )
     assert net.node.balancer.hosts["o"].in_flight == 0
-    net.says(client, b"GET /up HTTP/1.1\r\n\r\n")
-    assert heard(client).startswith("HTTP/1.1 200"), "the connection goes on"
+    net.send_and_turn(client, b"GET /up HTTP/1.1\r\n\r\n")
+    assert received_text(client).startswith("HTTP/1.1 200"), "the connection goes on"
 
 
 def pieces(body, size):
@@ -60,7 +74,7 @@
     """A client with a large req under way, of which so much has come."""
     client = net.client(put())
     for part in pieces(BODY[:sent], 50_000):
-        net.says(client, part)
+        net.send_and_turn(client, part)
     return client
 
 
@@ -70,26 +84,27 @@
     """
     net = NodeHarness(1)
     client = flowing(net)
-    far, origin, got = net.far(), net.node.balancer.hosts["o"], b""
+    far, origin, got = net.host_socket(), net.node.balancer.hosts["o"], b""
     parts = pieces(BODY[100_000:], 20_000)
     for number, part in enumerate(parts, 1):
-        net.wait(500_000)  # 40 kB a second
-        net.says(client, part)
+        net.advance(500_000)  # 40 kB a second
+        net.send_and_turn(client, part)
         net.turn(9)
-        while more := drawn(far):
+        while more := received_bytes(far):
             got += more
             net.turn()
-        assert heard(client) is None
+        assert received_text(client) is None
         assert (
             origin.in_flight == (number == len(parts))
             and not origin.smoothed_latency_us
             and not origin.limit_decreased_at_us
         )
     assert got.endswith(BODY[-500:])
-    net.wait(100_000)
-    net.answers(far)
+    net.advance(100_000)
+    net.answer_from_host(far)
     assert (
-        heard(client).startswith("HTTP/1.1 200") and 90_000 < origin.smoothed_latency_us < 110_000
+        received_text(client).startswith("HTTP/1.1 200")
+        and 90_000 < origin.smoothed_latency_us < 110_000
     )
 
 
@@ -99,18 +114,18 @@
     """
     net = NodeHarness(1)
     client = flowing(net)
-    far = net.far()
-    net.wait(2_000_000)
-    assert heard(client) is None
+    far = net.host_socket()
+    net.advance(2_000_000)
+    assert received_text(client) is None
     for part in pieces(BODY[100_000:], 50_000):
-        net.says(client, part)
-        while drawn(far):
+        net.send_and_turn(client, part)
+        while received_bytes(far):
             pass
     net.turn(30)
-    net.wait(970_000)
-    assert heard(client) is None and net.verdicts == []
-    net.wait(20_000)
-    assert net.verdicts == ["timeout"] and heard(client).startswith("HTTP/1.1 503"), (
+    net.advance(970_000)
+    assert received_text(client) is None and net.verdicts == []
+    net.advance(20_000)
+    assert net.verdicts == ["timeout"] and received_text(client).startswith("HTTP/1.1 503"), (
         "uniqued in a group of all: denied"
     )
 
@@ -121,11 +136,11 @@
     """
     net = NodeHarness(1)
     client = flowing(net)
-    drawn(net.far())
-    net.far().close()
+    received_bytes(net.host_socket())
+    net.host_socket().close()
     net.turn()
     assert net.verdicts == ["unconnected"], "never whole, so it never ran"
-    assert heard(client).startswith("HTTP/1.1 503") and len(net.fars()) == 1
+    assert received_text(client).startswith("HTTP/1.1 503") and len(net.host_sockets()) == 1
 
 
 def test_a_body_that_has_not_gone_on_may_be_sent_again():
@@ -135,7 +150,7 @@
     client = net.client(
         put(framing="Transfer-Encoding: chunked") + b"8000\r\n" + b"x" * 32_768 + b"\r\n"
     )
-    assert net.verdicts == [] and heard(client) is None and not net.fars(), (
+    assert net.verdicts == [] and received_text(client) is None and not net.host_sockets(), (
         "small ones are taken when they are whole"
     )
     first = net.node.pools.dial_address
@@ -143,17 +158,17 @@
     net.node.pools.dial_address = lambda address: (
         tries.append(address) or (net.refused.clear() if len(tries) > 1 else None) or first(address)
     )
-    net.says(client, b"ffff\r\n" + b"y" * 65_535 + b"\r\n")
-    net.wait(600_000)
+    net.send_and_turn(client, b"ffff\r\n" + b"y" * 65_535 + b"\r\n")
+    net.advance(600_000)
     assert net.verdicts[:1] == ["unconnected"] and len(tries) >= 2
-    assert "PUT /mark/k1" in heard(net.far()) and heard(client) is None
+    assert "PUT /mark/k1" in received_text(net.host_socket()) and received_text(client) is None
 
 
 @pytest.mark.parametrize(
     ("how", "status"),
     [
-        (lambda net, client: net.wait(2_800_000), "408"),
-        (lambda net, client: net.says(client, b"\r\nno chunk\r\n"), "400"),
+        (lambda net, client: net.advance(2_800_000), "408"),
+        (lambda net, client: net.send_and_turn(client, b"\r\nno chunk\r\n"), "400"),
     ],
 )
 def test_a_large_request_that_stands_still_or_goes_wrong_never_runs(how, status):
@@ -163,11 +178,11 @@
     net = NodeHarness(1)
     client = net.client(put(framing="Transfer-Encoding: chunked"))
     for _ in range(3):
-        net.says(client, b"8000\r\n" + b"x" * 32_768 + b"\r\n")
-    far = net.far()
-    drawn(far)
+        net.send_and_turn(client, b"8000\r\n" + b"x" * 32_768 + b"\r\n")
+    far = net.host_socket()
+    received_bytes(far)
     how(net, client)
-    assert heard(client).startswith(f"HTTP/1.1 {status}") and drawn(far) is None
+    assert received_text(client).startswith(f"HTTP/1.1 {status}") and received_bytes(far) is None
     assert net.verdicts == ["moot"] or net.verdicts == ["cancelled"]
     assert (
         not net.node.exchanges and not net.node.open_request_ids and not net.node.balancer.requests
@@ -180,16 +195,16 @@
     """
     net = NodeHarness(1)
     client = flowing(net)
-    net.answers(net.far(), 500)
-    text = heard(client)
+    net.answer_from_host(net.host_socket(), 500)
+    text = received_text(client)
     assert text.startswith("HTTP/1.1 5") and "Connection: close" in text
     for part in pieces(BODY[100_000:700_000], 50_000):
-        net.wait(500_000)
-        net.says(client, part)
+        net.advance(500_000)
+        net.send_and_turn(client, part)
     assert net.node.clients.open_clients, (
         "what still comes is dropped; closing on it would reset the answer away"
     )
-    net.wait(9_000_000)
+    net.advance(9_000_000)
     assert not net.node.clients.open_clients
 
 
@@ -203,18 +218,18 @@
     for _ in range(200):
         rest = push(net, client, rest)
         net.turn(1)
-        if far is None and net.fars():
-            far = net.far()
+        if far is None and net.host_sockets():
+            far = net.host_socket()
             for pool in net.node.pools.by_host.values():
                 for link in pool.links:
                     small_buffers(link.conn.sock)
     [one] = net.node.clients.open_clients
     assert one.conn.read_paused
-    net.wait(6_000_000)
-    assert heard(client) is None and net.node.exchanges
+    net.advance(6_000_000)
+    assert received_text(client) is None and net.node.exchanges
     got = b""
     while len(got) < SIZE:
-        got += drawn(far) or b""
+        got += received_bytes(far) or b""
         rest = push(net, client, rest) if rest else rest
         net.now += 1_000
         net.turn(1)
@@ -226,13 +241,13 @@
     net = NodeHarness(1)
     client = net.client()
     for letter in REQ.decode():
-        net.says(client, letter)
-        net.wait(2_000_000 // len(REQ))
-    assert "GET /read/k" in heard(net.far())
-    net.answers(net.far())
-    assert heard(client).startswith("HTTP/1.1 200")
+        net.send_and_turn(client, letter)
+        net.advance(2_000_000 // len(REQ))
+    assert "GET /read/k" in received_text(net.host_socket())
+    net.answer_from_host(net.host_socket())
+    assert received_text(client).startswith("HTTP/1.1 200")
     client = net.client(put(64_000))
     for part in pieces(BODY[:64_000], 6_400):
-        net.wait(600_000)
-        net.says(client, part)
-    assert heard(client) is None and drawn(net.far()).startswith(b"PUT")
+        net.advance(600_000)
+        net.send_and_turn(client, part)
+    assert received_text(client) is None and received_bytes(net.host_socket()).startswith(b"PUT")
--- a/tests/net_scenarios.py
+++ b/tests/net_scenarios.py
@@ -5,7 +5,7 @@
 import socket
 
 import orjson
-from node_harness import heard
+from node_harness import received_text
 
 from orchidgap.net.server import handle_signals
 
@@ -36,12 +36,12 @@
 
 def idle_links(net, many):
     """So many links of c0, all idle, the last used last."""
-    clients = [net.ask(f"k{i}") for i in range(many)]
+    clients = [net.send_request(f"k{i}") for i in range(many)]
     for i, client in enumerate(clients):
         net.now += 1_000
-        net.answers(net.far(i))
-        assert heard(client).startswith("HTTP/1.1 200")
-    return [net.far(i) for i in range(many)]
+        net.answer_from_host(net.host_socket(i))
+        assert received_text(client).startswith("HTTP/1.1 200")
+    return [net.host_socket(i) for i in range(many)]
 
 
 def full_pair():
@@ -54,18 +54,20 @@
     return near, far
 
 
-def watched(net):
+def discovery_socket(net):
     """The agent's end, and what has been asked there."""
     return next(far for port, far in reversed(net.dialled) if port == 8500)
 
 
-def tells(net, seq, whole, hosts, status=200):
-    net.answers(
-        watched(net), status, orjson.dumps({"seq": seq, "whole": whole, "hosts": hosts}).decode()
+def tell_list(net, seq, whole, hosts, status=200):
+    net.answer_from_host(
+        discovery_socket(net),
+        status,
+        orjson.dumps({"seq": seq, "whole": whole, "hosts": hosts}).decode(),
     )
 
 
-def listed(net):
+def host_states(net):
     return {id: host.state for id, host in net.node.balancer.hosts.items()}
 
 
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -56,7 +56,7 @@
             {
                 "seq": 7,
                 "whole": True,
-                "hosts": [self.entry(i) for i in range(caches)] + [self.entry(9)],
+                "hosts": [self.host_entry(i) for i in range(caches)] + [self.host_entry(9)],
             }
         )
         self.node = Node(
@@ -92,7 +92,7 @@
             self.turn()
 
     @staticmethod
-    def entry(number, health="Ready", port=None, born=0):
+    def host_entry(number, health="Ready", port=None, born=0):
         return {
             "host": f"c{number}" if number < 9 else "o",
             "dial": f"127.0.0.1:{port or 100 + number}",
@@ -116,7 +116,7 @@
         for _ in range(times):
             self.loop.run_once(0)
 
-    def wait(self, micros):
+    def advance(self, micros):
         """Time passes; what is due on the way happens."""
         end = self.now + micros
         while self.loop.timers and self.loop.timers[0][0] <= end:
@@ -135,35 +135,37 @@
         self.turn()
         return far
 
-    def ask(self, key="k1", rule_set="read", left="2.0", method="GET", body=""):
+    def send_request(self, key="k1", rule_set="read", left="2.0", method="GET", body=""):
         more = f"Content-Length: {len(body)}\r\nIdempotency-Key: m1\r\n" if method == "PUT" else ""
         return self.client(
             f"{method} /{rule_set}/{key}?q=1 HTTP/1.1\r\nHost: s\r\nRequest-Id: r-{key}\r\n{more}"
             f"Tenant: small\r\nRequest-Timeout: {left}\r\n\r\n{body}".encode()
         )
 
-    def fars(self):
+    def host_sockets(self):
         """The hosts' ends of all links, in the order they were dialled."""
         return [far for port, far in self.dialled if port != 8500]
 
-    def far(self, number=-1):
-        return self.fars()[number]
+    def host_socket(self, number=-1):
+        return self.host_sockets()[number]
 
-    def says(self, far, text):
+    def send_and_turn(self, far, text):
         far.sendall(text.encode() if isinstance(text, str) else text)
         self.turn()
 
-    def serve(self):
+    def answer_all(self):
         """Every host answers what it was asked."""
-        for far in self.fars():
-            if heard(far):
-                self.answers(far)
+        for far in self.host_sockets():
+            if received_text(far):
+                self.answer_from_host(far)
 
-    def answers(self, far, status=200, body="v", more=""):
-        self.says(far, f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{more}\r\n{body}")
+    def answer_from_host(self, far, status=200, body="v", more=""):
+        self.send_and_turn(
+            far, f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{more}\r\n{body}"
+        )
 
 
-def heard(far):
+def received_text(far):
     """What has come to this end: text, "" where it was closed, None where there is nothing."""
     try:
         return far.recv(1 << 17).decode()
--- a/tests/streaming_scenarios.py
+++ b/tests/streaming_scenarios.py
@@ -20,7 +20,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
 
 
-def drawn(far, most=1 << 17):
+def received_bytes(far, most=1 << 17):
     """What has come to this end; None where it was closed."""
     try:
         return far.recv(most) or None
@@ -30,7 +30,7 @@
         return None
 
 
-def held(net):
+def held_bytes(net):
     """Bytes that the node holds for clients and hosts."""
     conns = [client.conn for client in net.node.clients.open_clients]
     conns += [link.conn for pool in net.node.pools.by_host.values() for link in pool.links]
