--- a/orchidgap/net/exchange.py
+++ b/orchidgap/net/exchange.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, MutableMapping
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
-from orchidgap.decisions.records import NEVER_EXECUTED, AttemptOutcome
+from orchidgap.decisions.records import NEVER_EXECUTED
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import Loop, Timer
@@ -174,9 +174,7 @@
             return None
         self.streaming_attempt = self.attempts[number]
         self.close()
-        self.node.call_decisions(
-            self.node.balancer.on_outcome, self.number, number, AttemptOutcome.DONE, True
-        )
+        self.node.call_decisions(self.node.balancer.on_outcome, self.number, number, "done", True)
         return cast(
             ResponseSink, self.client
         )  # only protocols whose clients take bodies that flow ask
@@ -237,10 +235,10 @@
             return False
         return not self.client.has_disconnected()
 
-    def on_settled(self, number: int, outcome: AttemptOutcome, body: bytes) -> None:
-        """What came of an attempt."""
+    def on_settled(self, number: int, outcome: str, body: bytes) -> None:
+        """What came of an attempt: answer what has its final answer, then tell the decisions."""
         attempt = self.attempts[number]
-        if outcome == AttemptOutcome.REDIRECTED:
+        if outcome == "moved":
             self.node.call_decisions(
                 self.node.balancer.on_redirected,
                 self.number,
@@ -249,32 +247,26 @@
                 exchange=self,
             )
         elif self.streaming_attempt is attempt:
-            self.finish_streaming(outcome == AttemptOutcome.DONE)
+            self.finish_streaming(outcome == "done")
         else:
-            self.on_outcome(attempt, number, outcome, body)
+            if outcome == "done":
+                self.answer(200, body, length=attempt.length)
+            elif outcome == "unfit":  # a host's 400: any other host would say the same
+                self.answer(400, body, length=attempt.length)
+            self.node.call_decisions(
+                self.node.balancer.on_outcome,
+                self.number,
+                number,
+                outcome,
+                self.closed,
+                exchange=self,
+            )
+            if attempt.load_report:
+                self.node.on_load_report(attempt)
+            if self.fallback_status and not self.closed:
+                self.answer(503 if outcome in NEVER_EXECUTED else self.fallback_status)
         self.node.release_if_done(self)
 
-    def on_outcome(
-        self, attempt: UpstreamAttempt, number: int, outcome: AttemptOutcome, body: bytes
-    ) -> None:
-        """Answer what has its final answer, then tell the decisions."""
-        if outcome == AttemptOutcome.DONE:
-            self.answer(200, body, length=attempt.length)
-        elif outcome == AttemptOutcome.INVALID_REQUEST:  # any other host would say the same
-            self.answer(400, body, length=attempt.length)
-        self.node.call_decisions(
-            self.node.balancer.on_outcome,
-            self.number,
-            number,
-            outcome,
-            self.closed,
-            exchange=self,
-        )
-        if attempt.load_report:
-            self.node.on_load_report(attempt)
-        if self.fallback_status and not self.closed:
-            self.answer(503 if outcome in NEVER_EXECUTED else self.fallback_status)
-
     # --- between two processes of this balancer
 
     def detach(self) -> None:
--- a/orchidgap/wirehost/words.py
+++ b/orchidgap/wirehost/words.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from orchidgap.decisions.records import AttemptOutcome
+from orchidgap.decisions.host_list import ListScope
+from orchidgap.decisions.records import AttemptOutcome, HostStatus
 
 # Frame a batch.
 BATCH = "BATCH"
@@ -65,12 +66,16 @@
     "Ignored": AttemptOutcome.NEVER_SENT,
     "Miss": AttemptOutcome.CACHE_MISS,
 }
-HOST_STATES = {"Running": "up", "Stopping": "draining", "Deleted": "gone"}
+HOST_STATES = {
+    "Running": HostStatus.READY,
+    "Stopping": HostStatus.DRAINING,
+    "Deleted": HostStatus.GONE,
+}
 LIST_SCOPES = {
-    "update": "changes",
-    "replace": "whole",
-    "restored": "recalled",
-    "unavailable": "failed",
+    "update": ListScope.CHANGES,
+    "replace": ListScope.WHOLE,
+    "restored": ListScope.RECALLED,
+    "unavailable": ListScope.FAILED,
 }
 
 # Fields of a load report.
--- a/tests/peers/test_gossip_transport.py
+++ b/tests/peers/test_gossip_transport.py
@@ -7,8 +7,7 @@
 from balancer_harness import BalancerHarness
 
 from orchidgap.decisions.gossip_counts import DEFAULT_REBALANCE_INTERVAL_US
-from orchidgap.net.config import ConfigError, parse
-from orchidgap.net.config.optional_parts import GossipConfig
+from orchidgap.net.config import ConfigError, GossipConfig, parse
 from orchidgap.net.loop import Loop
 from orchidgap.peers.gossip_codec import MAX_DATAGRAM_BYTES, SIGNATURE_BYTES
 from orchidgap.peers.gossip_transport import (
