--- a/orchidgap/commands.py
+++ b/orchidgap/commands.py
@@ -29,7 +29,7 @@
     if chosen(arguments, SIMULATION_COMMANDS):
         return simulate(arguments)
     if arguments["drill"]:
-        from orchidgap.drill import command as fault_tests
+        from orchidgap.fault_tests import commands as fault_tests
 
         return fault_tests.main(arguments)
     if arguments["change"]:
@@ -48,7 +48,7 @@
 def simulate(arguments: Arguments) -> ExitStatus:
     """Play a simulation, or show one."""
     try:
-        from orchidgap.trial import command
+        from orchidgap.simulation import commands as command
     except ModuleNotFoundError as error:
         return f"orchidgap: {error.name} is missing; `make tools` installs what this command needs"
     return command.main(arguments)
--- a/orchidgap/drill/town.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -34,17 +34,17 @@
 )
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
 from orchidgap.control.rpc_client import RpcClient
-from orchidgap.drill.judge import Fate, Judge
-from orchidgap.drill.plan import DO, SEEN, Drill, versions_of, words
-from orchidgap.drill.relay import Datagrams, Relay
+from orchidgap.fault_tests.plan import DO, SEEN, Drill, versions_of, words
+from orchidgap.fault_tests.relay import Datagrams, Relay
+from orchidgap.fault_tests.rollout_checker import Fate, Judge
 from orchidgap.net.addresses import Address, format_address
-from orchidgap.trial.callers import Callers
-from orchidgap.trial.fabric import Wires, cpu_of
-from orchidgap.trial.faces import Decider
-from orchidgap.trial.plan import Trouble, Work, micros, millis
-from orchidgap.trial.referee import Ask, Op
-from orchidgap.trial.scene import RealPost, Scene, VirtualPost, place
-from orchidgap.trial.troubles import set_off
+from orchidgap.simulation.clients import Callers
+from orchidgap.simulation.environment import Decider
+from orchidgap.simulation.faults import set_off
+from orchidgap.simulation.invariant_checker import Ask, Op
+from orchidgap.simulation.plan import Trouble, Work, micros, millis
+from orchidgap.simulation.simulation import RealPost, Scene, VirtualPost, place
+from orchidgap.simulation.virtual_network import Wires, cpu_of
 
 LOOK = 50_000  # between looks at what is seen
 WATCH = 50_000  # between questions to control whether a version is decided
@@ -277,7 +277,7 @@
 
     def command(self, kind: str) -> list[str]:
         if self.drill.failing or self.defect:
-            return ["-m", "orchidgap.drill.process", kind]
+            return ["-m", "orchidgap.fault_tests.process", kind]
         return ["-m", "orchidgap", kind]
 
     def start_process(self, name: str, command: list[str]) -> subprocess.Popen[bytes]:
--- a/orchidgap/drill/command.py
+++ b/orchidgap/fault_tests/commands.py
@@ -12,11 +12,11 @@
 import orjson
 from msgspec.structs import replace
 
-from orchidgap.drill.defects import DEFECTS
-from orchidgap.drill.plan import Drill, read
-from orchidgap.drill.town import Town
-from orchidgap.trial.baselines import KINDS
-from orchidgap.trial.plan import MOST_BALANCERS, BadPlan
+from orchidgap.fault_tests.cluster import Town
+from orchidgap.fault_tests.plan import Drill, read
+from orchidgap.fault_tests.planted_defects import DEFECTS
+from orchidgap.simulation.baselines import KINDS
+from orchidgap.simulation.plan import MOST_BALANCERS, BadPlan
 
 SHOWN = 12  # breaches told on the screen
 
--- a/orchidgap/drill/plan.py
+++ b/orchidgap/fault_tests/plan.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from orchidgap.trial.plan import BadPlan, Count, Natural, Plan, Positive, Table, Work, checked
+from orchidgap.simulation.plan import BadPlan, Count, Natural, Plan, Positive, Table, Work, checked
 
 SEEN = {  # by the first word: how many more there are
     "up": 0,
@@ -115,7 +115,7 @@
     >>> parse('name = "x"\\n[[step]]\\nwhen = "soon"')
     Traceback (most recent call last):
         ...
-    orchidgap.trial.plan.BadPlan: 'soon' begins with none of up, seconds, log, ended, serves, denies, \
+    orchidgap.simulation.plan.BadPlan: 'soon' begins with none of up, seconds, log, ended, serves, denies, \
 takes, gone - at `step[0].when`
     """
     try:
--- a/orchidgap/drill/process.py
+++ b/orchidgap/fault_tests/process.py
@@ -1,5 +1,5 @@
 """The program as a process, with a disk that can be made to fail and, where asked for, a planted defect:
-`python -m orchidgap.drill.process serve|control --config=FILE [--new]`.
+`python -m orchidgap.fault_tests.process serve|control --config=FILE [--new]`.
 
 `DRILL_DISK` names a file that says which step of a write fails next: a line `STEP N WHAT`, for the nth call
 of write, fsync, rename or open from now, or `0` for all; WHAT is ENOSPC, EIO, short (half is written, then
@@ -20,7 +20,7 @@
 
 from orchidgap.composition import make_gossip, protocol_for
 from orchidgap.control import lease_keeper, process
-from orchidgap.drill.defects import DEFECTS
+from orchidgap.fault_tests.planted_defects import DEFECTS
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
 from orchidgap.state.durable_store import DurableStore
--- a/orchidgap/drill/judge.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidgap.trial.referee import Ask, Referee
+from orchidgap.simulation.invariant_checker import Ask, Referee
 
 RULES = ("undecided", "old", "untrue", "uneven", "stuck")
 
--- a/orchidgap/drill/explore.py
+++ b/orchidgap/fault_tests/state_space.py
@@ -1,5 +1,5 @@
 """Looks at every state that the pure modules of a change can come to, within bounds: python -m
-orchidgap.drill.explore
+orchidgap.fault_tests.state_space
 
 Two models, each over the modules themselves. `Rounds`: acceptors and proposers of the register, every
 message lost, doubled, late or out of order, a proposer that starts again under a ballot that it had used, an
--- a/orchidgap/trial/baselines.py
+++ b/orchidgap/simulation/baselines.py
@@ -24,7 +24,7 @@
 from orchidgap.decisions.settings import ServiceSettings
 
 if TYPE_CHECKING:
-    from orchidgap.trial.faces import Decider, Scene
+    from orchidgap.simulation.environment import Decider, Scene
 
 POINTS = 64  # virtual nodes of a host on the ring
 BOUND = 1.25  # of the mean of what is out, that a bounded ring lets a host have
--- a/orchidgap/trial/callers.py
+++ b/orchidgap/simulation/clients.py
@@ -12,11 +12,11 @@
 from orchidgap.http1.writers import parse_seconds
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
-from orchidgap.trial.plan import Work, micros, millis
-from orchidgap.trial.referee import SMALL, Ask, Op
+from orchidgap.simulation.invariant_checker import SMALL, Ask, Op
+from orchidgap.simulation.plan import Work, micros, millis
 
 if TYPE_CHECKING:
-    from orchidgap.trial.faces import Scene
+    from orchidgap.simulation.environment import Scene
 
 LATE_BY = 3_000_000  # after its client timeout an answer is waited for no longer
 OWED = 3_000_000  # what a bad client is owed an error or a close within
--- a/orchidgap/trial/command.py
+++ b/orchidgap/simulation/commands.py
@@ -13,11 +13,11 @@
 from rich.progress import BarColumn, Progress, TextColumn
 from rich.table import Table
 
-from orchidgap.trial import hunt as hunts
-from orchidgap.trial.baselines import NAMES
-from orchidgap.trial.plan import BadPlan, Plan, read, written
-from orchidgap.trial.referee import RULES, seconds_of
-from orchidgap.trial.run import TRY, keep, scene_of
+from orchidgap.simulation import hunt as hunts
+from orchidgap.simulation.baselines import NAMES
+from orchidgap.simulation.invariant_checker import RULES, seconds_of
+from orchidgap.simulation.plan import BadPlan, Plan, read, written
+from orchidgap.simulation.runner import TRY, keep, scene_of
 
 SHOWN = 12  # breaches told on the screen
 
@@ -29,12 +29,12 @@
         if told["try"]:
             return trial(console, TRY, told, Path(told["--out"] or "trial-out"))
         if told["report"]:
-            from orchidgap.trial.report import write
+            from orchidgap.simulation.report import write
 
             console.print(f"report: {write(Path(told['DIR']))}")
             return 0
         if told["saturate"]:
-            from orchidgap.trial.saturate import main as saturate
+            from orchidgap.simulation.saturate import main as saturate
 
             return saturate(console, whole(told, "--seconds", 5))
         plan = read(told["PLAN"])
@@ -89,7 +89,7 @@
         console.print(f"{rule} at {at:.3f} s: {text}", markup=False, soft_wrap=True)
     if out:
         keep(out, scene, verdict)
-        from orchidgap.trial.report import write
+        from orchidgap.simulation.report import write
 
         console.print(f"report: {write(out)}", markup=False, soft_wrap=True)
     print(orjson.dumps(verdict).decode())
--- a/orchidgap/trial/listing.py
+++ b/orchidgap/simulation/discovery_server.py
@@ -11,10 +11,10 @@
 from orchidgap.http1.readers import RequestReader
 from orchidgap.net.addresses import Address
 from orchidgap.net.connection import Connection
-from orchidgap.trial.plan import micros
+from orchidgap.simulation.plan import micros
 
 if TYPE_CHECKING:
-    from orchidgap.trial.faces import Scene
+    from orchidgap.simulation.environment import Scene
 
 MOST_CALLS = 40  # a second, from one balancer: news come faster than that nowhere
 PRESUMED = (
--- a/orchidgap/trial/faces.py
+++ b/orchidgap/simulation/environment.py
@@ -8,8 +8,8 @@
 
 from orchidgap.net.addresses import Address
 from orchidgap.net.loop import Loop
-from orchidgap.trial.plan import Plan
-from orchidgap.trial.referee import Referee
+from orchidgap.simulation.invariant_checker import Referee
+from orchidgap.simulation.plan import Plan
 
 Decider = Callable[
     ..., Any
--- a/orchidgap/trial/troubles.py
+++ b/orchidgap/simulation/faults.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from orchidgap.trial.callers import rude
-from orchidgap.trial.fabric import Pairs
-from orchidgap.trial.operators import OPS_ACTS
-from orchidgap.trial.plan import Trouble, micros
-from orchidgap.trial.resp import failover, pointing, reshuffle
-from orchidgap.trial.stores import Store
+from orchidgap.simulation.clients import rude
+from orchidgap.simulation.operations import OPS_ACTS
+from orchidgap.simulation.plan import Trouble, micros
+from orchidgap.simulation.resp_cluster import failover, pointing, reshuffle
+from orchidgap.simulation.servers import Store
+from orchidgap.simulation.virtual_network import Pairs
 
 if TYPE_CHECKING:
-    from orchidgap.trial.faces import Scene
+    from orchidgap.simulation.environment import Scene
 
 LINGER = 2.5  # seconds that a draining host goes on with what it has, where the plan does not say
 
--- a/orchidgap/trial/hunt.py
+++ b/orchidgap/simulation/hunt.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from orchidgap.trial.plan import KINDS, OPS_KINDS, Plan, Trouble, checked
-from orchidgap.trial.referee import RULES
-from orchidgap.trial.run import play
+from orchidgap.simulation.invariant_checker import RULES
+from orchidgap.simulation.plan import KINDS, OPS_KINDS, Plan, Trouble, checked
+from orchidgap.simulation.runner import play
 
 BASELINES = ("random", "ring", "bounded-ring", "least-out")
 WORST = 8  # of the runs with the largest losses, that the baselines play too
--- a/orchidgap/trial/referee.py
+++ b/orchidgap/simulation/invariant_checker.py
@@ -16,7 +16,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from orchidgap.trial.plan import Plan, Work, micros, millis
+from orchidgap.simulation.plan import Plan, Work, micros, millis
 
 RULES = ("lost", "twice", "late", "drain", "cold")
 WINDOW = 10  # seconds of the worst window
--- a/orchidgap/trial/even.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from orchidgap.decisions import load_skew
-from orchidgap.trial.faces import Scene
-from orchidgap.trial.plan import Expect, millis
-from orchidgap.trial.referee import Arrival, Ask, Op
+from orchidgap.simulation.environment import Scene
+from orchidgap.simulation.invariant_checker import Arrival, Ask, Op
+from orchidgap.simulation.plan import Expect, millis
 
 LEASTS = ("least", "served")  # of what a plan may expect; the others are bounded from above
 
--- a/orchidgap/trial/operators.py
+++ b/orchidgap/simulation/operations.py
@@ -11,10 +11,10 @@
 from orchidgap.http1.readers import ResponseReader
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
-from orchidgap.trial.plan import OPS_KINDS, Trouble, micros
+from orchidgap.simulation.plan import OPS_KINDS, Trouble, micros
 
 if TYPE_CHECKING:
-    from orchidgap.trial.faces import Scene
+    from orchidgap.simulation.environment import Scene
 
 PROBE = 100_000  # how often the front asks each balancer whether it serves
 STILL = 200_000  # after the first no, new connections still come for so long
--- a/orchidgap/trial/plan.py
+++ b/orchidgap/simulation/plan.py
@@ -277,7 +277,7 @@
     >>> read("/nowhere/plan.toml")
     Traceback (most recent call last):
         ...
-    orchidgap.trial.plan.BadPlan: /nowhere/plan.toml: No such file or directory
+    orchidgap.simulation.plan.BadPlan: /nowhere/plan.toml: No such file or directory
     """
     try:
         text = Path(path).read_text()
--- a/orchidgap/trial/process.py
+++ b/orchidgap/simulation/process.py
@@ -1,4 +1,4 @@
-"""A balancer as a process, with another decider: `python -m orchidgap.trial.process NAME --config=FILE`."""
+"""A balancer as a process, with another decider: `python -m orchidgap.simulation.process NAME --config=FILE`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from orchidgap.composition import protocol_for
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
-from orchidgap.trial.baselines import KINDS
+from orchidgap.simulation.baselines import KINDS
 
 
 def main() -> None:
--- a/orchidgap/trial/report.py
+++ b/orchidgap/simulation/report.py
@@ -14,8 +14,8 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
-from orchidgap.trial.plan import BadPlan
-from orchidgap.trial.referee import RULES
+from orchidgap.simulation.invariant_checker import RULES
+from orchidgap.simulation.plan import BadPlan
 
 WIDE, HIGH = 10.5, 2.5  # inches of a plot
 SHADES = "tab20"
--- a/orchidgap/trial/resp.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -17,14 +17,14 @@
 from orchidgap.net.connection import Connection
 from orchidgap.resp import codec
 from orchidgap.resp.front import slot_of as slot_at
-from orchidgap.trial.baselines import even
-from orchidgap.trial.callers import LATE_BY, Callers
-from orchidgap.trial.plan import Model, Trouble, micros, millis
-from orchidgap.trial.referee import Ask, Op
-from orchidgap.trial.stores import Job, Store
+from orchidgap.simulation.baselines import even
+from orchidgap.simulation.clients import LATE_BY, Callers
+from orchidgap.simulation.invariant_checker import Ask, Op
+from orchidgap.simulation.plan import Model, Trouble, micros, millis
+from orchidgap.simulation.servers import Job, Store
 
 if TYPE_CHECKING:
-    from orchidgap.trial.faces import Scene
+    from orchidgap.simulation.environment import Scene
 
 SPACE = 1 << 14
 slot_of = lru_cache(maxsize=1 << 17)(slot_at)
--- a/orchidgap/trial/run.py
+++ b/orchidgap/simulation/runner.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from orchidgap.trial.baselines import NAMES
-from orchidgap.trial.even import by_second
-from orchidgap.trial.plan import BadPlan, Plan, checked, written
-from orchidgap.trial.scene import Scene, VirtualPost
+from orchidgap.simulation.baselines import NAMES
+from orchidgap.simulation.load_evenness import by_second
+from orchidgap.simulation.plan import BadPlan, Plan, checked, written
+from orchidgap.simulation.simulation import Scene, VirtualPost
 
 TRY = checked(
     {
--- a/orchidgap/trial/saturate.py
+++ b/orchidgap/simulation/saturate.py
@@ -31,7 +31,7 @@
 from orchidgap.net.dialing import dial
 from orchidgap.net.loop import Loop
 from orchidgap.net.server import serve
-from orchidgap.trial.fabric import Wires, cpu_of
+from orchidgap.simulation.virtual_network import Wires, cpu_of
 
 HOSTS = 3
 CONNECTIONS = 64
@@ -250,7 +250,7 @@
 
 
 def part(*args: str, **more: Any) -> subprocess.Popen[bytes]:
-    return subprocess.Popen([sys.executable, "-m", "orchidgap.trial.saturate", *args], **more)
+    return subprocess.Popen([sys.executable, "-m", "orchidgap.simulation.saturate", *args], **more)
 
 
 def await_door(address: Address) -> None:
--- a/orchidgap/trial/stores.py
+++ b/orchidgap/simulation/servers.py
@@ -10,11 +10,11 @@
 from orchidgap.net.addresses import Address
 from orchidgap.net.connection import Connection
 from orchidgap.net.loop import Timer
-from orchidgap.trial.plan import Model, micros, millis
-from orchidgap.trial.referee import SMALL, Arrival, mark_of
+from orchidgap.simulation.invariant_checker import SMALL, Arrival, mark_of
+from orchidgap.simulation.plan import Model, micros, millis
 
 if TYPE_CHECKING:
-    from orchidgap.trial.faces import Scene
+    from orchidgap.simulation.environment import Scene
 
 GLANCE = 400  # microseconds of work that a miss, or a repeat that is dropped, takes
 SWEEP = 1_000_000
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/simulation/simulation.py
@@ -32,18 +32,18 @@
 from orchidgap.net.node import Node
 from orchidgap.net.request_key import key_number
 from orchidgap.peers.gossip_transport import GossipTransport
-from orchidgap.trial.baselines import decider as decider_of
-from orchidgap.trial.baselines import even
-from orchidgap.trial.callers import Callers
-from orchidgap.trial.even import Stretches
-from orchidgap.trial.fabric import Face, Pairs, Share, Shared, Wires, cpu_of
-from orchidgap.trial.faces import Decider
-from orchidgap.trial.listing import Agent, Listing
-from orchidgap.trial.operators import BINDS_AFTER, Front
-from orchidgap.trial.plan import Plan, Work, micros, millis
-from orchidgap.trial.referee import Referee, seconds_of
-from orchidgap.trial.resp import Cluster, RespCallers, SlotStore
-from orchidgap.trial.stores import Store
+from orchidgap.simulation.baselines import decider as decider_of
+from orchidgap.simulation.baselines import even
+from orchidgap.simulation.clients import Callers
+from orchidgap.simulation.discovery_server import Agent, Listing
+from orchidgap.simulation.environment import Decider
+from orchidgap.simulation.invariant_checker import Referee, seconds_of
+from orchidgap.simulation.load_evenness import Stretches
+from orchidgap.simulation.operations import BINDS_AFTER, Front
+from orchidgap.simulation.plan import Plan, Work, micros, millis
+from orchidgap.simulation.resp_cluster import Cluster, RespCallers, SlotStore
+from orchidgap.simulation.servers import Store
+from orchidgap.simulation.virtual_network import Face, Pairs, Share, Shared, Wires, cpu_of
 
 REAL_SLACK = 50_000  # on real sockets each time limit is so much longer
 SAMPLE = 500_000
@@ -310,7 +310,7 @@
 
     def command(self) -> list[str]:
         if self.policy != "orchidgap":
-            return ["-m", "orchidgap.trial.process", self.policy]
+            return ["-m", "orchidgap.simulation.process", self.policy]
         return ["-m", "orchidgap", "serve"]
 
     def hup(self, text: bytes) -> None:
@@ -655,7 +655,7 @@
 
     def play(self, tick: Callable[[float], None] | None = None) -> dict[str, Any]:
         """Run to the end; the verdict. `tick` is called with the seconds played, each second."""
-        from orchidgap.trial.troubles import set_off
+        from orchidgap.simulation.faults import set_off
 
         room = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (room[1], room[1]))
--- a/orchidgap/trial/fabric.py
+++ b/orchidgap/simulation/virtual_network.py
@@ -69,7 +69,7 @@
     >>> again(); world.run_until(world.now + 1)
     Traceback (most recent call last):
         ...
-    orchidgap.trial.fabric.TimeStandsStill: 200000 rounds at 4000000 us
+    orchidgap.simulation.virtual_network.TimeStandsStill: 200000 rounds at 4000000 us
     """
 
     def __init__(self) -> None:
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -16,8 +16,8 @@
 )
 from orchidgap.control.process import ControlProcess
 from orchidgap.control.process_config import ProcessConfig
+from orchidgap.simulation.virtual_network import World
 from orchidgap.state.durable_store import DurableStore
-from orchidgap.trial.fabric import World
 
 LEASE_US = 2_000_000
 DELAY_US = 1_000
--- a/tests/control/test_heartbeat.py
+++ b/tests/control/test_heartbeat.py
@@ -14,7 +14,7 @@
     MAX_BACKOFF_US,
     HeartbeatSchedule,
 )
-from orchidgap.trial.fabric import World
+from orchidgap.simulation.virtual_network import World
 
 
 class Recorder:
--- a/tests/control/test_lease_keeper.py
+++ b/tests/control/test_lease_keeper.py
@@ -16,8 +16,8 @@
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.net.config import ConfigError, flatten
 from orchidgap.net.config.optional_parts import ControlConfig
+from orchidgap.simulation.virtual_network import World
 from orchidgap.state.durable_store import DurableStore
-from orchidgap.trial.fabric import World
 
 LEASE_US = 2_000_000
 DOCUMENT = {"settings": {"rule-sets": [{"name": "a", "effect": "retryable", "client-timeout": 9}]}}
--- a/tests/drill/test_drills.py
+++ b/tests/fault_tests/test_drills.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from orchidgap.drill.command import play
-from orchidgap.drill.defects import DEFECTS
-from orchidgap.drill.plan import read
+from orchidgap.fault_tests.commands import play
+from orchidgap.fault_tests.plan import read
+from orchidgap.fault_tests.planted_defects import DEFECTS
 
 DRILLS = Path(__file__).parents[2] / "drills"
 BY_HAND = {"change-forty", "change-every-write"}
--- a/tests/drill/test_explore.py
+++ b/tests/fault_tests/test_explore.py
@@ -8,8 +8,8 @@
 from orchidgap.decisions.cas_register import Acceptor
 from orchidgap.decisions.lease_state import LeaseState, ServingPermission
 from orchidgap.decisions.leases import MAX_CLOCK_DRIFT_RATIO, LeaseTable
-from orchidgap.drill import explore
-from orchidgap.drill.explore import Broken, Fleet, Rounds, walk
+from orchidgap.fault_tests import state_space as explore
+from orchidgap.fault_tests.state_space import Broken, Fleet, Rounds, walk
 
 
 def test_the_smallest_models_are_seen_whole():
--- a/tests/drill/test_relay.py
+++ b/tests/fault_tests/test_relay.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from orchidgap.drill.relay import Relay
+from orchidgap.fault_tests.relay import Relay
 from orchidgap.net.loop import Loop
 
 
--- a/tests/resp/test_client.py
+++ b/tests/resp/test_client.py
@@ -15,7 +15,7 @@
 from town import RULES, Server
 
 from orchidgap.resp import codec
-from orchidgap.trial.fabric import Wires
+from orchidgap.simulation.virtual_network import Wires
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/resp/town.py
+++ b/tests/resp/town.py
@@ -4,7 +4,7 @@
 from orchidgap.net.connection import Connection
 from orchidgap.net.node import Node
 from orchidgap.resp import Resp, codec
-from orchidgap.trial.fabric import Pairs, Queue, Share
+from orchidgap.simulation.virtual_network import Pairs, Queue, Share
 
 RULES = [
     {"name": name, "effect": effect, "response-target": 300_000, "client-timeout": 1_000_000}
--- a/tests/trial/test_command.py
+++ b/tests/simulation/test_command.py
@@ -9,11 +9,11 @@
 import pytest
 from planted import CELLS, USUAL, LeavesTheGroup
 
-from orchidgap.trial import hunt
-from orchidgap.trial.plan import Trouble, checked, parse, read
-from orchidgap.trial.report import write
-from orchidgap.trial.run import keep, play
-from orchidgap.trial.scene import Scene
+from orchidgap.simulation import hunt
+from orchidgap.simulation.plan import Trouble, checked, parse, read
+from orchidgap.simulation.report import write
+from orchidgap.simulation.runner import keep, play
+from orchidgap.simulation.simulation import Scene
 
 ROOT = Path(__file__).parents[2]
 TINY = 'name = "tiny"\nseconds = 2\nbalancers = 1\ncaches = 2\nrate = 40\n'
--- a/tests/trial/test_ground.py
+++ b/tests/simulation/test_ground.py
@@ -8,13 +8,13 @@
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
 from orchidgap.net.loop import READ
-from orchidgap.trial.baselines import NAMES
-from orchidgap.trial.callers import CallerLink
-from orchidgap.trial.fabric import Pairs, Queue, Share, pair
-from orchidgap.trial.plan import BadPlan, checked
-from orchidgap.trial.referee import RULES, Arrival, Ask, Op, Referee
-from orchidgap.trial.run import play, scene_of
-from orchidgap.trial.scene import Scene
+from orchidgap.simulation.baselines import NAMES
+from orchidgap.simulation.clients import CallerLink
+from orchidgap.simulation.invariant_checker import RULES, Arrival, Ask, Op, Referee
+from orchidgap.simulation.plan import BadPlan, checked
+from orchidgap.simulation.runner import play, scene_of
+from orchidgap.simulation.simulation import Scene
+from orchidgap.simulation.virtual_network import Pairs, Queue, Share, pair
 
 SMALL = {"name": "small", "seconds": 4, "balancers": 2, "caches": 3, "rate": 60}
 
--- a/tests/trial/test_plans.py
+++ b/tests/simulation/test_plans.py
@@ -6,9 +6,9 @@
 import msgspec
 import pytest
 
-from orchidgap.trial.plan import KINDS, RESP_KINDS, checked, parse, read, written
-from orchidgap.trial.run import TRY, play
-from orchidgap.trial.troubles import ACTS
+from orchidgap.simulation.faults import ACTS
+from orchidgap.simulation.plan import KINDS, RESP_KINDS, checked, parse, read, written
+from orchidgap.simulation.runner import TRY, play
 
 SHIPPED = sorted((Path(__file__).parents[2] / "trials").glob("*.toml"))
 
--- a/tests/trial/test_referee.py
+++ b/tests/simulation/test_referee.py
@@ -4,9 +4,9 @@
 from planted import PLANTED
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.trial.plan import checked
-from orchidgap.trial.referee import RULES
-from orchidgap.trial.scene import Scene
+from orchidgap.simulation.invariant_checker import RULES
+from orchidgap.simulation.plan import checked
+from orchidgap.simulation.simulation import Scene
 
 
 @pytest.mark.parametrize(
--- a/tests/trial/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -9,9 +9,9 @@
 from orchidgap.decisions import rebalancing
 from orchidgap.decisions.hot_keys import HotKeyDetector
 from orchidgap.decisions.placement import Placement
-from orchidgap.trial.even import Stretches
-from orchidgap.trial.plan import Expect, read
-from orchidgap.trial.run import play
+from orchidgap.simulation.load_evenness import Stretches
+from orchidgap.simulation.plan import Expect, read
+from orchidgap.simulation.runner import play
 
 TRIALS = Path(__file__).parents[2] / "trials"
 
