--- a/orchidgap/resp/commands.py
+++ b/orchidgap/resp/commands.py
@@ -1,81 +1,103 @@
-"""What the front knows of commands: where their keys stand, and whether they may run twice.
+"""Commands: where their keys stand, and whether they may run twice.
 
-From the public command tables: least words with the name, first key, last key (-1: the last word), step.
-A read is replayable. Every write is non-replayable: one that may have run is never sent again, also where
-the same write twice would do no harm by itself, since what came between would be lost.
+From the public command tables. A read is idempotent. Every write counts as not idempotent: one that
+may have executed is never sent again, also where the same write twice would do no harm by itself,
+since what came between the two would be lost.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
+LAST_WORD = -1
+
 
 class Command(NamedTuple):
+    """What is known of a command.
+
+    Attributes:
+        name: its name in capitals.
+        min_words: words that it has at least, the name included.
+        first_key: number of the word that is its first key.
+        last_key: number of the word that is its last key, `LAST_WORD` for the last one.
+        key_step: words from one key to the next.
+        is_write: it changes something.
+        join: how the answers of parts are joined where its keys are in several slots: `list`,
+            `sum`, or empty where it cannot be split.
+    """
+
     name: bytes
-    least: int  # words, the name included
-    first: int  # where its keys begin
-    last: int  # where they end: -1 for the last word
-    step: int
-    write: bool
-    split: str = (
-        ""  # how answers of parts are joined where its keys lie in several slots: list, sum, or not
-    )
-
-
-READS = """GET 2|STRLEN 2|TYPE 2|TTL 2|PTTL 2|EXPIRETIME 2|PEXPIRETIME 2|GETRANGE 4|GETBIT 3|BITCOUNT 2|
-BITPOS 3|HGET 3|HMGET 3|HGETALL 2|HLEN 2|HKEYS 2|HVALS 2|HEXISTS 3|HSTRLEN 3|HSCAN 3|LLEN 2|
-LRANGE 4|LINDEX 3|SCARD 2|SISMEMBER 3|SMISMEMBER 3|SMEMBERS 2|SSCAN 3|ZCARD 2|ZSCORE 3|ZMSCORE 3|
-ZRANK 3|ZREVRANK 3|ZCOUNT 4|ZRANGE 4|ZRANGEBYSCORE 4|ZREVRANGE 4|ZSCAN 3|DUMP 2|XLEN 2|XRANGE 4|
-PFCOUNT 2|GEOPOS 2|GEODIST 4"""
-WRITES = """SET 3|SETNX 3|SETEX 4|PSETEX 4|GETSET 3|GETEX 2|GETDEL 2|APPEND 3|SETRANGE 4|SETBIT 4|INCR 2|
-DECR 2|INCRBY 3|DECRBY 3|INCRBYFLOAT 3|EXPIRE 3|PEXPIRE 3|EXPIREAT 3|PEXPIREAT 3|PERSIST 2|HSET 4|HSETNX 4|
-HDEL 3|HINCRBY 4|HINCRBYFLOAT 4|LPUSH 3|RPUSH 3|LPUSHX 3|RPUSHX 3|LPOP 2|RPOP 2|LSET 4|LTRIM 4|
-LREM 4|LINSERT 5|SADD 3|SREM 3|SPOP 2|ZADD 4|ZREM 3|ZINCRBY 4|ZPOPMIN 2|ZPOPMAX 2|
+    min_words: int
+    first_key: int
+    last_key: int
+    key_step: int
+    is_write: bool
+    join: str = ""
+
+
+# Commands with one key, each with its least number of words.
+READS = """GET 2|STRLEN 2|TYPE 2|TTL 2|PTTL 2|EXPIRETIME 2|PEXPIRETIME 2|GETRANGE 4|GETBIT 3|
+BITCOUNT 2|BITPOS 3|HGET 3|HMGET 3|HGETALL 2|HLEN 2|HKEYS 2|HVALS 2|HEXISTS 3|HSTRLEN 3|HSCAN 3|
+LLEN 2|LRANGE 4|LINDEX 3|SCARD 2|SISMEMBER 3|SMISMEMBER 3|SMEMBERS 2|SSCAN 3|ZCARD 2|ZSCORE 3|
+ZMSCORE 3|ZRANK 3|ZREVRANK 3|ZCOUNT 4|ZRANGE 4|ZRANGEBYSCORE 4|ZREVRANGE 4|ZSCAN 3|DUMP 2|XLEN 2|
+XRANGE 4|PFCOUNT 2|GEOPOS 2|GEODIST 4"""
+WRITES = """SET 3|SETNX 3|SETEX 4|PSETEX 4|GETSET 3|GETEX 2|GETDEL 2|APPEND 3|SETRANGE 4|SETBIT 4|
+INCR 2|DECR 2|INCRBY 3|DECRBY 3|INCRBYFLOAT 3|EXPIRE 3|PEXPIRE 3|EXPIREAT 3|PEXPIREAT 3|PERSIST 2|
+HSET 4|HSETNX 4|HDEL 3|HINCRBY 4|HINCRBYFLOAT 4|LPUSH 3|RPUSH 3|LPUSHX 3|RPUSHX 3|LPOP 2|RPOP 2|
+LSET 4|LTRIM 4|LREM 4|LINSERT 5|SADD 3|SREM 3|SPOP 2|ZADD 4|ZREM 3|ZINCRBY 4|ZPOPMIN 2|ZPOPMAX 2|
 ZREMRANGEBYSCORE 4|ZREMRANGEBYRANK 4|XADD 5|XDEL 3|XTRIM 4|PFADD 2|GEOADD 5|RESTORE 4"""
-MANY = (
-    Command(b"MGET", 2, 1, -1, 1, False, "list"),
-    Command(b"EXISTS", 2, 1, -1, 1, False, "sum"),
-    Command(b"TOUCH", 2, 1, -1, 1, False, "sum"),
-    Command(b"DEL", 2, 1, -1, 1, True, "sum"),
-    Command(b"UNLINK", 2, 1, -1, 1, True, "sum"),
-    Command(b"MSET", 3, 1, -1, 2, True),
-    Command(b"MSETNX", 3, 1, -1, 2, True),
+WITH_MANY_KEYS = (
+    Command(b"MGET", 2, 1, LAST_WORD, 1, False, "list"),
+    Command(b"EXISTS", 2, 1, LAST_WORD, 1, False, "sum"),
+    Command(b"TOUCH", 2, 1, LAST_WORD, 1, False, "sum"),
+    Command(b"DEL", 2, 1, LAST_WORD, 1, True, "sum"),
+    Command(b"UNLINK", 2, 1, LAST_WORD, 1, True, "sum"),
+    Command(b"MSET", 3, 1, LAST_WORD, 2, True),
+    Command(b"MSETNX", 3, 1, LAST_WORD, 2, True),
 )
-REFUSED = frozenset(
-    b"""MULTI EXEC DISCARD WATCH UNWATCH SUBSCRIBE PSUBSCRIBE SSUBSCRIBE UNSUBSCRIBE PUNSUBSCRIBE PUBLISH
-SPUBLISH MONITOR BLPOP BRPOP BLMOVE BLMPOP BZPOPMIN BZPOPMAX BZMPOP BRPOPLPUSH XREAD XREADGROUP WAIT
-EVAL EVALSHA FCALL SCRIPT FLUSHALL FLUSHDB KEYS SCAN SHUTDOWN CONFIG DEBUG SAVE BGSAVE REPLICAOF
-SLAVEOF MIGRATE SORT""".split()
+# Known commands that are not served, so that the error can say so.
+UNSUPPORTED = frozenset(
+    b"""MULTI EXEC DISCARD WATCH UNWATCH SUBSCRIBE PSUBSCRIBE SSUBSCRIBE UNSUBSCRIBE PUNSUBSCRIBE
+PUBLISH SPUBLISH MONITOR BLPOP BRPOP BLMOVE BLMPOP BZPOPMIN BZPOPMAX BZMPOP BRPOPLPUSH XREAD
+XREADGROUP WAIT EVAL EVALSHA FCALL SCRIPT FLUSHALL FLUSHDB KEYS SCAN SHUTDOWN CONFIG DEBUG SAVE
+BGSAVE REPLICAOF SLAVEOF MIGRATE SORT""".split()
 )
 
 
-def table() -> dict[bytes, Command]:
-    """
-    >>> COMMANDS[b"GET"].write, COMMANDS[b"INCR"].write, COMMANDS[b"MSET"].step, len(COMMANDS) > 90
-    (False, True, 2, True)
+def command_table() -> dict[bytes, Command]:
+    """Returns all commands that are served, by name.
+
+    >>> COMMANDS[b"GET"].is_write, COMMANDS[b"INCR"].is_write, COMMANDS[b"MSET"].key_step
+    (False, True, 2)
+    >>> len(COMMANDS) > 90
+    True
     """
-    found = {command.name: command for command in MANY}
-    for text, write in ((READS, False), (WRITES, True)):
+    table = {command.name: command for command in WITH_MANY_KEYS}
+    for text, is_write in ((READS, False), (WRITES, True)):
         for entry in text.replace("\n", "").split("|"):
-            name, least = entry.split()
-            found[name.encode()] = Command(name.encode(), int(least), 1, 1, 1, write)
-    return found
+            word, min_words = entry.split()
+            name = word.encode()
+            table[name] = Command(name, int(min_words), 1, 1, 1, is_write)
+    return table
 
 
-COMMANDS = table()
+COMMANDS = command_table()
 
 
-def keys(command: Command, words: list[bytes]) -> list[bytes]:
-    """
-    >>> keys(COMMANDS[b"MSET"], [b"MSET", b"a", b"1", b"b", b"2"]), keys(COMMANDS[b"GET"], [b"GET", b"a"])
-    ([b'a', b'b'], [b'a'])
+def keys_of(command: Command, words: list[bytes]) -> list[bytes]:
+    """Returns the keys among the words of a command.
+
+    >>> keys_of(COMMANDS[b"MSET"], [b"MSET", b"a", b"1", b"b", b"2"])
+    [b'a', b'b']
+    >>> keys_of(COMMANDS[b"GET"], [b"GET", b"a"])
+    [b'a']
     """
-    last = len(words) - 1 if command.last < 0 else command.last
-    return words[command.first : last + 1 : command.step]
+    last = len(words) - 1 if command.last_key == LAST_WORD else command.last_key
+    return words[command.first_key : last + 1 : command.key_step]
 
 
-def fits(command: Command, words: list[bytes]) -> bool:
-    """Whether the count of words is one that the command can have."""
-    return len(words) >= command.least and (
-        command.step == 1 or (len(words) - command.first) % command.step == 0
-    )
+def has_valid_length(command: Command, words: list[bytes]) -> bool:
+    """Whether the number of words is one that the command can have."""
+    if len(words) < command.min_words:
+        return False
+    return (len(words) - command.first_key) % command.key_step == 0
--- /dev/null
+++ b/orchidgap/resp/replies.py
@@ -0,0 +1,167 @@
+"""Replies to commands: each has its place in the order of one connection's answers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from orchidgap.net.request_handler import PendingRequest
+from orchidgap.resp.framing import parse_integer, split_array
+from orchidgap.resp.writers import encode_array, encode_error, encode_integer
+
+NULLS = (b"$-1\r\n", b"*-1\r\n")
+RESP3_NULL = b"_\r\n"
+ERROR_TYPES = (b"-", b"!")
+
+
+class ReplyQueue(Protocol):
+    """The connection that a reply is for."""
+
+    @property
+    def uses_resp3(self) -> bool:
+        """Whether its client speaks RESP 3."""
+
+    @property
+    def received_at_us(self) -> int:
+        """When its last bytes arrived, by the loop's clock."""
+
+    def has_disconnected(self) -> bool:
+        """Whether its client has closed."""
+
+    def on_reply(self, reply: Reply) -> None:
+        """A reply of its own has its bytes."""
+
+    def on_forwarded_reply(self, reply: Reply) -> None:
+        """The command was forwarded, and is answered."""
+
+
+class Reply:
+    """The place of one command; the node answers here.
+
+    Attributes:
+        queue: the connection.
+        joined: the reply that this one is a part of, None for a command's own.
+        pending_request: the request while it is handled.
+        received_at_us: when the command arrived.
+        encoded: the answer, None while there is none.
+        slot: slot of the key, -1 where the command needs no host.
+        is_write: it changes something.
+        forward: forwards the command; None once that was done.
+    """
+
+    __slots__ = (
+        "encoded",
+        "forward",
+        "is_write",
+        "joined",
+        "pending_request",
+        "queue",
+        "received_at_us",
+        "slot",
+    )
+
+    def __init__(self, queue: ReplyQueue, joined: JoinedReply | None = None) -> None:
+        """Takes the place behind what was asked for before."""
+        self.queue = queue
+        self.joined = joined
+        self.pending_request: PendingRequest | None = None
+        self.encoded: bytes | None = None
+        self.received_at_us = queue.received_at_us
+        self.slot = -1
+        self.is_write = False
+        self.forward: Callable[[], None] | None = None
+
+    def answer(
+        self, status: int, body: bytes = b"", retry_after_us: int = 0, length: int | None = None
+    ) -> None:
+        """Takes the answer of the node, whose status codes all protocols share."""
+        self.pending_request = None
+        if status == 503:
+            when = f"; come back in {retry_after_us // 1000} ms" if retry_after_us else ""
+            body = encode_error(f"TRYAGAIN turned away, nothing was done{when}")
+        elif status == 500:
+            body = encode_error("ERR given up, it may have run")
+        elif status not in (200, 400):
+            body = encode_error(f"ERR {status}")
+        elif self.queue.uses_resp3:
+            body = to_resp3(body)
+        self.set_encoded(body)
+
+    def on_client_gone(self) -> None:
+        """Its client has closed."""
+        if self.pending_request:
+            self.pending_request.on_client_gone()
+
+    def has_disconnected(self) -> bool:
+        """Whether its client has closed."""
+        return self.queue.has_disconnected()
+
+    def set_encoded(self, encoded: bytes) -> None:
+        """The answer is there."""
+        self.encoded = encoded
+        if self.slot >= 0:
+            self.queue.on_forwarded_reply(self)
+        if self.joined:
+            self.joined.join_parts()
+        else:
+            self.queue.on_reply(self)
+
+
+class JoinedReply(Reply):
+    """The reply to a command that was split by slots.
+
+    It is answered when all parts are. Where one fails its error is the answer, and the client is
+    told that others may have run.
+
+    Attributes:
+        join: how the answers are joined, see `Command.join`.
+        parts: the replies to the parts.
+        positions: of each part's keys, their places among all keys.
+    """
+
+    __slots__ = ("join", "parts", "positions")
+
+    def __init__(self, queue: ReplyQueue, join: str) -> None:
+        """Starts without parts."""
+        super().__init__(queue)
+        self.join = join
+        self.parts: list[Reply] = []
+        self.positions: list[list[int]] = []
+
+    def join_parts(self) -> None:
+        """Answers, if all parts are answered."""
+        if any(part.encoded is None for part in self.parts):
+            return
+        answers = [part.encoded or b"" for part in self.parts]
+        failed = next((answer for answer in answers if answer[:1] in ERROR_TYPES), None)
+        if failed:
+            note = b" (a part of several slots; others may have run)\r\n"
+            self.set_encoded(failed[:-2] + note)
+            return
+        if self.join == "sum":
+            counts = (parse_integer(answer[1:-2]) or 0 for answer in answers)
+            self.set_encoded(encode_integer(sum(counts)))
+            return
+        items: list[bytes] = [b""] * sum(map(len, self.positions))
+        for answer, positions in zip(answers, self.positions):
+            for position, item in zip(positions, split_array(answer)):
+                items[position] = item
+        self.set_encoded(encode_array(items))
+
+    def on_client_gone(self) -> None:
+        """Its client has closed."""
+        for part in self.parts:
+            part.on_client_gone()
+
+
+def to_resp3(text: bytes) -> bytes:
+    r"""Returns an answer in RESP 2 as one in RESP 3, where a null has one form.
+
+    >>> to_resp3(b"$-1\r\n"), to_resp3(b"*2\r\n$-1\r\n$5\r\n$-1\r\n\r\n")
+    (b'_\r\n', b'*2\r\n_\r\n$5\r\n$-1\r\n\r\n')
+    """
+    if text in NULLS:
+        return RESP3_NULL
+    if text[:1] == b"*" and b"-1\r\n" in text:
+        return encode_array([to_resp3(item) for item in split_array(text)])
+    return text
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -15,8 +15,9 @@
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
-from orchidgap.resp import codec
-from orchidgap.resp.front import slot_of as slot_at
+from orchidgap.resp.local_commands import slot_of_key as slot_at
+from orchidgap.resp.reader import RespReader
+from orchidgap.resp.writers import encode_array, encode_bulk, encode_command, encode_error
 from orchidgap.simulation.baselines import even
 from orchidgap.simulation.clients import LATE_BY, Callers
 from orchidgap.simulation.invariant_checker import Ask, Op
@@ -70,7 +71,7 @@
     beyond = False  # it has room for all
 
     def __init__(self, store: SlotStore, sock: socket.socket, who: str) -> None:
-        self.store, self.who, self.reader = store, who, codec.Reader()
+        self.store, self.who, self.reader = store, who, RespReader()
         self.asking = False
         self.jobs: list[Job] = []
         self.places: deque[Place] = deque()  # what was asked, in its order
@@ -81,7 +82,7 @@
 
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
-        while self.conn.is_open and (words := self.reader.command()) is not None:
+        while self.conn.is_open and (words := self.reader.read_command()) is not None:
             self.asked(words)
 
     def asked(self, words: list[bytes]) -> None:
@@ -189,11 +190,15 @@
         rows = []
         for first, last, id in self.scene.cluster.ranges(self.owners()):
             host, port = self.scene.stores[id].address
-            node = codec.array(
-                [codec.bulk(host.encode()), b":%d\r\n" % port, codec.bulk(id.encode())]
+            node = encode_array(
+                [
+                    encode_bulk(host.encode()),
+                    b":%d\r\n" % port,
+                    encode_bulk(id.encode()),
+                ]
             )
-            rows.append(codec.array([b":%d\r\n" % first, b":%d\r\n" % last, node]))
-        return codec.array(rows)
+            rows.append(encode_array([b":%d\r\n" % first, b":%d\r\n" % last, node]))
+        return encode_array(rows)
 
     def weigh(self, job: Job) -> None:
         """Slot servers are not pushed over here: they are no caches."""
@@ -221,13 +226,13 @@
         moving = self.scene.cluster.moving.get(slot)
         if owner == self.id:
             if moving and moving[0] == self.id and job.mark not in self.data:
-                return codec.error(
+                return encode_error(
                     f"ASK {slot} {format_address(self.scene.stores[moving[1]].address)}"
                 ), "moved"
             return b"", ""
         if asking and moving and moving[1] == self.id:
             return b"", ""
-        return codec.error(
+        return encode_error(
             f"MOVED {slot} {format_address(self.scene.stores[owner].address)}"
         ), "moved"
 
@@ -239,14 +244,14 @@
             text = b":%d\r\n" % len(self.data[job.mark])
         else:
             body = b"%b/%b/%b" % (job.mark, ask.id, self.id.encode())
-            text = codec.bulk(body.ljust(self.scene.size_of(ask.op.key), b"v"))
+            text = encode_bulk(body.ljust(self.scene.size_of(ask.op.key), b"v"))
         link: Any = job.link
         link.later(text, job, "done")
         self.pump()
 
     def reply(self, job: Job, outcome: str) -> None:
         link: Any = job.link
-        link.later(codec.error("TRYAGAIN busy"), job, "full")
+        link.later(encode_error("TRYAGAIN busy"), job, "full")
 
 
 class RespLink:
@@ -255,7 +260,7 @@
     def __init__(self, callers: RespCallers, post: str, sock: socket.socket, opening: bool) -> None:
         self.callers, self.post = callers, post
         self.life = callers.scene.life_of(post)
-        self.reader = codec.Reader()
+        self.reader = RespReader()
         self.asks: deque[Ask] = deque()
         self.conn = Connection(callers.loop, sock, self, opening=opening)
 
@@ -273,7 +278,7 @@
     def received(self, view: memoryview) -> None:
         callers = self.callers
         self.reader.feed(view)
-        while (text := self.reader.raw()) is not None:
+        while (text := self.reader.read_item()) is not None:
             if not self.asks:
                 return callers.scene.referee.more(None, callers.loop.now)
             ask = self.asks.popleft()
@@ -313,8 +318,8 @@
     def message(self, ask: Ask, op: Op) -> tuple[bytes, ...]:
         number = int(ask.id[1:], 16)
         if op.work.write:
-            return (codec.command(b"APPEND", b"k%d" % op.key, b"%d;" % number),)
-        return (codec.command(b"GETRANGE", b"k%d" % op.key, 0, BASE + number),)
+            return (encode_command(b"APPEND", b"k%d" % op.key, b"%d;" % number),)
+        return (encode_command(b"GETRANGE", b"k%d" % op.key, 0, BASE + number),)
 
     def send(self, ask: Ask, message: tuple[bytes, ...], post: str, fresh: bool = False) -> None:
         ask.life = self.scene.life_of(post)
--- a/tests/resp/town.py
+++ b/tests/resp/resp_harness.py
@@ -3,7 +3,9 @@
 from orchidgap.net import config
 from orchidgap.net.connection import Connection
 from orchidgap.net.node import Node
-from orchidgap.resp import Resp, codec
+from orchidgap.resp import Resp
+from orchidgap.resp.reader import RespReader
+from orchidgap.resp.writers import encode_array, encode_bulk, encode_command
 from orchidgap.simulation.virtual_network import Pairs, Queue, Share
 
 RULES = [
@@ -49,9 +51,9 @@
             self.data[words[1]] = words[2]
             return b"+OK\r\n"
         if name == b"GET":
-            return codec.bulk(self.data.get(words[1]))
+            return encode_bulk(self.data.get(words[1]))
         if name == b"MGET":
-            return codec.array([codec.bulk(self.data.get(key)) for key in words[1:]])
+            return encode_array([encode_bulk(self.data.get(key)) for key in words[1:]])
         if name == b"DEL":
             return b":%d\r\n" % sum(self.data.pop(key, None) is not None for key in words[1:])
         if name in (b"INCR", b"INCRBY"):
@@ -63,14 +65,14 @@
 
 class ServerLink:
     def __init__(self, server, sock):
-        self.server, self.reader = server, codec.Reader()
+        self.server, self.reader = server, RespReader()
         self.conn = Connection(server.town.ground.loop, sock, self)
 
     def opened(self): ...
 
     def received(self, view):
         self.reader.feed(view)
-        while self.conn.is_open and (words := self.reader.command()) is not None:
+        while self.conn.is_open and (words := self.reader.read_command()) is not None:
             said = self.server.answer(words)
             if said == "cut":
                 self.conn.close()
@@ -103,7 +105,7 @@
         return got
 
     def ask(self, *words, wait=50_000):
-        return self.says(codec.command(*words), wait)
+        return self.says(encode_command(*words), wait)
 
 
 class Town:
@@ -151,17 +153,17 @@
         self.wait(50_000)
 
     def slots(self):
-        return codec.array(
+        return encode_array(
             [
-                codec.array(
+                encode_array(
                     [
                         b":%d\r\n" % first,
                         b":%d\r\n" % last,
-                        codec.array(
+                        encode_array(
                             [
-                                codec.bulk(self.servers[i].address[0].encode()),
+                                encode_bulk(self.servers[i].address[0].encode()),
                                 b":%d\r\n" % self.servers[i].address[1],
-                                codec.bulk(b"id%d" % i),
+                                encode_bulk(b"id%d" % i),
                             ]
                         ),
                     ]
--- a/tests/resp/test_client.py
+++ b/tests/resp/test_client_libraries.py
@@ -12,9 +12,9 @@
 import pytest
 import redis
 from redis.cluster import RedisCluster
-from town import RULES, Server
+from resp_harness import RULES, Server
 
-from orchidgap.resp import codec
+from orchidgap.resp.writers import encode_array, encode_bulk
 from orchidgap.simulation.virtual_network import Wires
 
 ROOT = Path(__file__).parents[2]
@@ -38,17 +38,17 @@
             self.ground.loop.run_once(20_000)
 
     def slots(self):
-        return codec.array(
+        return encode_array(
             [
-                codec.array(
+                encode_array(
                     [
                         b":%d\r\n" % (16384 * i // 3),
                         b":%d\r\n" % (16384 * (i + 1) // 3 - 1),
-                        codec.array(
+                        encode_array(
                             [
-                                codec.bulk(server.address[0].encode()),
+                                encode_bulk(server.address[0].encode()),
                                 b":7000\r\n",
-                                codec.bulk(b"id%d" % i),
+                                encode_bulk(b"id%d" % i),
                             ]
                         ),
                     ]
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_reader.py
@@ -6,12 +6,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidgap.resp import codec
+from orchidgap.resp.framing import MAX_LINE_BYTES
+from orchidgap.resp.reader import RespReader
+from orchidgap.resp.values import decode_item
+from orchidgap.resp.writers import encode_array, encode_bulk, encode_command
 
 TEXT = st.binary(max_size=20)
 LINE = st.binary(max_size=20).filter(lambda text: b"\r" not in text and b"\n" not in text)
 LEAF = st.one_of(
-    TEXT.map(codec.bulk),
+    TEXT.map(encode_bulk),
     LINE.map(lambda text: b"+" + text + b"\r\n"),
     LINE.map(lambda text: b"-" + text + b"\r\n"),
     st.integers(-(10**15), 10**15).map(lambda n: b":%d\r\n" % n),
@@ -19,14 +22,16 @@
     st.just(b"_\r\n"),
     st.just(b"#t\r\n"),
 )
-ITEM = st.recursive(LEAF, lambda inner: st.lists(inner, max_size=4).map(codec.array), max_leaves=12)
+ITEM = st.recursive(
+    LEAF, lambda inner: st.lists(inner, max_size=4).map(encode_array), max_leaves=12
+)
 
 
 def items(chunks):
-    reader, found = codec.Reader(), []
+    reader, found = RespReader(), []
     for chunk in chunks:
         reader.feed(chunk)
-        while (item := reader.raw()) is not None:
+        while (item := reader.read_item()) is not None:
             found.append(item)
     return found, reader
 
@@ -40,9 +45,9 @@
 @given(st.lists(ITEM, max_size=5), st.lists(st.integers(0, 300), max_size=12))
 def test_any_split_reads_the_same(whole, places):
     found, reader = items(cut(b"".join(whole), places))
-    assert found == whole and not reader.broken and reader.waiting() == 0
+    assert found == whole and not reader.error and reader.unread_bytes() == 0
     for item in whole:
-        codec.read(item)
+        decode_item(item)
 
 
 @settings(max_examples=300, deadline=None)
@@ -51,10 +56,10 @@
     st.lists(st.integers(0, 300), max_size=12),
 )
 def test_commands_come_out_as_they_were_written(commands, places):
-    reader, found = codec.Reader(), []
-    for chunk in cut(b"".join(codec.command(*words) for words in commands), places):
+    reader, found = RespReader(), []
+    for chunk in cut(b"".join(encode_command(*words) for words in commands), places):
         reader.feed(chunk)
-        while (words := reader.command()) is not None:
+        while (words := reader.read_command()) is not None:
             found.append(words)
     assert found == commands
 
@@ -84,15 +89,15 @@
     )
 )
 def test_no_bytes_make_it_raise_or_grow(chunks):
-    for read in ("raw", "command"):
-        reader = codec.Reader(most=4_096)
+    for read in ("read_item", "read_command"):
+        reader = RespReader(max_item_bytes=4_096)
         for chunk in chunks * 20:
             reader.feed(chunk)
             while getattr(reader, read)() is not None:
                 pass
-            if reader.broken:
+            if reader.error:
                 break
-            assert reader.waiting() <= codec.MOST_LINE + 4_096
+            assert reader.unread_bytes() <= MAX_LINE_BYTES + 4_096
 
 
 @pytest.mark.parametrize(
@@ -111,15 +116,15 @@
     ],
 )
 def test_what_cannot_be_read_is_told_once_and_keeps_nothing_waiting(text, what):
-    reader = codec.Reader()
+    reader = RespReader()
     reader.feed(text)
-    assert reader.raw() is None and what in reader.broken
-    assert reader.raw() is None
+    assert reader.read_item() is None and what in reader.error
+    assert reader.read_item() is None
 
 
 def test_half_a_bulk_string_waits_for_the_rest():
-    reader = codec.Reader()
+    reader = RespReader()
     reader.feed(b"$10\r\nhalf")
-    assert reader.raw() is None and not reader.broken and reader.need == 17
+    assert reader.read_item() is None and not reader.error and reader.bytes_needed == 17
     reader.feed(b" a one\r\n")
-    assert reader.raw() == b"$10\r\nhalf a one\r\n"
+    assert reader.read_item() == b"$10\r\nhalf a one\r\n"
--- a/tests/resp/test_resp.py
+++ b/tests/resp/test_resp.py
@@ -3,11 +3,12 @@
 from hashlib import sha256
 
 import pytest
-from town import Client, Server, Town
+from resp_harness import Client, Server, Town
 
 from orchidgap.net.config import config_from_document
-from orchidgap.resp import codec
-from orchidgap.resp.front import slot_of
+from orchidgap.resp.local_commands import slot_of_key
+from orchidgap.resp.values import decode_item
+from orchidgap.resp.writers import encode_command
 
 
 @pytest.fixture
@@ -20,7 +21,7 @@
     return next(
         b"k%d" % i
         for i in range(10_000)
-        if town.owner(slot_of(b"k%d" % i)) is town.servers[number] and b"k%d" % i not in but
+        if town.owner(slot_of_key(b"k%d" % i)) is town.servers[number] and b"k%d" % i not in but
     )
 
 
@@ -75,7 +76,7 @@
     client, keys = Client(town), [key_of(town, number) for number in (2, 0, 1)]
     for key in keys[:2]:
         client.ask(b"SET", key, b"v" + key)
-    assert codec.read(client.ask(b"MGET", *keys)) == [b"v" + keys[0], b"v" + keys[1], None]
+    assert decode_item(client.ask(b"MGET", *keys)) == [b"v" + keys[0], b"v" + keys[1], None]
     town.servers[0].script = [b"-ERR sick\r\n"]
     assert client.ask(b"DEL", *keys).startswith(b"-ERR sick (a part of several slots")
     assert client.ask(b"DEL", *keys) == b":1\r\n"
@@ -85,7 +86,9 @@
     client, slow, quick = Client(town), key_of(town, 0), key_of(town, 1)
     town.servers[0].script = [None]
     assert (
-        client.says(codec.command(b"GET", slow) + codec.command(b"SET", quick, b"1") + b"PING\r\n")
+        client.says(
+            encode_command(b"GET", slow) + encode_command(b"SET", quick, b"1") + b"PING\r\n"
+        )
         == b""
     )
     town.servers[0].links[-1].conn.send(b"$4\r\nlate\r\n")
@@ -94,7 +97,7 @@
 
 def test_commands_of_one_connection_for_one_slot_keep_their_order(town):
     client, key = Client(town), key_of(town, 0)
-    text = b"".join(codec.command(b"INCR", key) + codec.command(b"GET", key) for _ in range(50))
+    text = b"".join(encode_command(b"INCR", key) + encode_command(b"GET", key) for _ in range(50))
     said = client.says(text, 500_000)
     assert said == b"".join(b":%d\r\n$%d\r\n%d\r\n" % (i, len(b"%d" % i), i) for i in range(1, 51))
 
@@ -102,9 +105,9 @@
 def test_a_pipeline_of_a_thousand_with_its_link_cut_in_the_middle(town):
     """What had been written when the link broke may have run: writes are answered so, and none is sent again."""
     client = Client(town)
-    keys = [b"k%d" % i for i in range(4_000) if town.owner(slot_of(b"k%d" % i)) is town.servers[0]][
-        :1_000
-    ]
+    keys = [
+        b"k%d" % i for i in range(4_000) if town.owner(slot_of_key(b"k%d" % i)) is town.servers[0]
+    ][:1_000]
     served = town.servers[0].answer
     count = [0]
 
@@ -113,7 +116,7 @@
         return "cut" if count[0] == 500 else served(words)
 
     town.servers[0].answer = answer
-    said = client.says(b"".join(codec.command(b"INCR", key) for key in keys), 2_000_000)
+    said = client.says(b"".join(encode_command(b"INCR", key) for key in keys), 2_000_000)
     assert said.count(b"\r\n") == 1_000 and not town.node.exchanges
     ran = [words[1] for words in town.seen(b"INCR")]
     assert len(ran) == len(set(ran)), "no write twice"
@@ -122,14 +125,14 @@
 
 def test_moved_is_followed_and_remembered(town):
     client, key = Client(town), key_of(town, 0)
-    town.servers[0].script = [b"-MOVED %d 127.2.0.2:7000\r\n" % slot_of(key)] * 2
+    town.servers[0].script = [b"-MOVED %d 127.2.0.2:7000\r\n" % slot_of_key(key)] * 2
     assert client.ask(b"SET", key, b"1") == b"+OK\r\n" and town.servers[1].data == {key: b"1"}
     assert client.ask(b"GET", key) == b"$1\r\n1\r\n" and len(town.servers[0].seen) == 1
 
 
 def test_ask_is_followed_once_with_asking_on_the_same_link(town):
     client, key = Client(town), key_of(town, 0)
-    town.servers[0].script = [b"-ASK %d 127.2.0.2:7000\r\n" % slot_of(key)]
+    town.servers[0].script = [b"-ASK %d 127.2.0.2:7000\r\n" % slot_of_key(key)]
     assert client.ask(b"SET", key, b"1") == b"+OK\r\n"
     assert [words[0] for words in town.servers[1].seen] == [b"ASKING", b"SET"]
     client.ask(b"GET", key)
@@ -139,7 +142,7 @@
 def test_two_servers_that_point_at_each_other_end_in_one_answer(town):
     client, key = Client(town), key_of(town, 0)
     for server, other in ((town.servers[0], 2), (town.servers[1], 1)):
-        server.script = [b"-MOVED %d 127.2.0.%d:7000\r\n" % (slot_of(key), other)] * 20
+        server.script = [b"-MOVED %d 127.2.0.%d:7000\r\n" % (slot_of_key(key), other)] * 20
     said = client.ask(b"SET", key, b"1", wait=900_000)
     assert (
         said.startswith(b"-TRYAGAIN turned away, nothing was done; come back in 250 ms")
@@ -150,7 +153,7 @@
 
 def test_a_redirection_to_a_server_that_nobody_named_is_followed(town):
     client, key, new = Client(town), key_of(town, 0), Server(town, 9)
-    town.servers[0].script = [b"-MOVED %d 127.2.0.9:7000\r\n" % slot_of(key)]
+    town.servers[0].script = [b"-MOVED %d 127.2.0.9:7000\r\n" % slot_of_key(key)]
     assert client.ask(b"SET", key, b"1") == b"+OK\r\n" and new.data == {key: b"1"}
 
 
@@ -201,13 +204,13 @@
     client, key = Client(town), key_of(town, 0)
     client.ask(b"SET", key, b"v" * 60_000)
     client.conn.pause_reading(True)
-    client.conn.send(codec.command(b"GET", key) * 500)
+    client.conn.send(encode_command(b"GET", key) * 500)
     town.wait(3_000_000)
     [caller] = town.node.clients.open_clients
     assert (
         caller.conn.read_paused
         and len(caller.conn.write_buffer) < 2 << 20
-        and len(caller.waiting) <= 1_024
+        and len(caller.replies) <= 1_024
     )
     client.conn.pause_reading(False)
     town.wait(5_000_000)
