--- a/orchidgap/net/exchange.py
+++ b/orchidgap/net/exchange.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, MutableMapping
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
-from orchidgap.decisions.records import NEVER_EXECUTED
+from orchidgap.decisions.records import NEVER_EXECUTED, AttemptOutcome
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import Loop, Timer
@@ -174,7 +174,9 @@
             return None
         self.streaming_attempt = self.attempts[number]
         self.close()
-        self.node.call_decisions(self.node.balancer.on_outcome, self.number, number, "done", True)
+        self.node.call_decisions(
+            self.node.balancer.on_outcome, self.number, number, AttemptOutcome.DONE, True
+        )
         return cast(
             ResponseSink, self.client
         )  # only protocols whose clients take bodies that flow ask
@@ -235,10 +237,10 @@
             return False
         return not self.client.has_disconnected()
 
-    def on_settled(self, number: int, outcome: str, body: bytes) -> None:
+    def on_settled(self, number: int, outcome: AttemptOutcome, body: bytes) -> None:
         """What came of an attempt: answer what has its final answer, then tell the decisions."""
         attempt = self.attempts[number]
-        if outcome == "moved":
+        if outcome == AttemptOutcome.REDIRECTED:
             self.node.call_decisions(
                 self.node.balancer.on_redirected,
                 self.number,
@@ -247,11 +249,12 @@
                 exchange=self,
             )
         elif self.streaming_attempt is attempt:
-            self.finish_streaming(outcome == "done")
+            self.finish_streaming(outcome == AttemptOutcome.DONE)
         else:
-            if outcome == "done":
+            if outcome == AttemptOutcome.DONE:
                 self.answer(200, body, length=attempt.length)
-            elif outcome == "unfit":  # a host's 400: any other host would say the same
+            elif outcome == AttemptOutcome.INVALID_REQUEST:
+                # a host's 400: any other host would say the same
                 self.answer(400, body, length=attempt.length)
             self.node.call_decisions(
                 self.node.balancer.on_outcome,
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -12,6 +12,7 @@
 from typing import Any, Protocol
 
 from orchidgap.decisions.balancer import Balancer
+from orchidgap.decisions.host_list import ListScope
 from orchidgap.decisions.lifecycle import Lifecycle, LifecycleEvent
 from orchidgap.decisions.shadow import ShadowBalancer
 from orchidgap.net.body_stream import Upload
@@ -97,7 +98,7 @@
         """Begin with the list that the configuration holds, and ask for a newer one."""
         _, _, entries, found = self.config.initial_endpoints
         self.apply_endpoints(True, entries, found)
-        self.call_decisions(self.balancer.on_hosts, "recalled", entries)
+        self.call_decisions(self.balancer.on_hosts, ListScope.RECALLED, entries)
         self.check_ready()
         # the configuration's list may be old, and what discovery has counts as told from the first
         # moment
@@ -184,7 +185,8 @@
     def on_list(self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]) -> None:
         """The list of hosts, or changes to it."""
         self.apply_endpoints(whole, entries, found)
-        self.call_decisions(self.balancer.on_hosts, "whole" if whole else "changes", entries)
+        scope = ListScope.WHOLE if whole else ListScope.CHANGES
+        self.call_decisions(self.balancer.on_hosts, scope, entries)
         self.end_list_wait()
 
     def end_list_wait(self) -> None:
