--- a/tests/control/test_cli.py
+++ b/tests/control/test_cli.py
@@ -1,10 +1,20 @@
 """What operators are told of a change, by what control answers."""
 
+import json
+from types import SimpleNamespace
+
 import pytest
 
 from orchidgap.control import cli
 from orchidgap.control.cli import ExitCode
-from orchidgap.control.messages import PROPOSE
+from orchidgap.control.messages import (
+    CHANGE,
+    EVICT,
+    PROPOSE,
+    STATUS,
+    EvictAnswer,
+    MemberRequest,
+)
 
 UNKNOWN = {"state": "unknown", "why": "no such change", "tries": 3}
 PROPOSED = {"state": "proposed", "n": 2, "try": 4, "late": [["b1", 900_000], ["b2", 0]], "tries": 4}
@@ -68,6 +78,8 @@
             ExitCode.DONE,
             [3, 4],
         ),  # another's came between
+        # a call had no answer before anything was proposed: a no is still not about this call
+        ([LOST, NOWHERE, NOWHERE, PROPOSED, DECIDED], False, ExitCode.DONE, [4, 4]),
         ([LOST], False, ExitCode.UNKNOWN, []),
         ([UNKNOWN, LOST], False, ExitCode.UNKNOWN, [3]),
     ],
@@ -85,3 +97,64 @@
     said = capsys.readouterr().out
     assert ("waits for b1 (0.9 s at most), b2 (until" in said) == (PROPOSED in answers)
     assert said.count("waits for") <= 1
+
+
+def test_as_json_only_the_end_is_printed(monkeypatch, capsys):
+    monkeypatch.setattr(cli.time, "sleep", lambda seconds: None)
+    control = ScriptedControl([UNKNOWN, PROPOSED, DECIDED])
+    assert cli.ProposeCommand(control, "x", {}, False, as_json=True).run(8) == ExitCode.DONE
+    assert json.loads(capsys.readouterr().out) == {"id": "x"} | DECIDED
+
+
+class ProcessStandIn:
+    """One control process, which is there or not."""
+
+    def __init__(self, answer):
+        self.answer = answer
+        self.count = 0
+
+    def call_and_wait(self, method, request):
+        self.count += 1
+        return self.answer
+
+
+def test_a_process_that_does_not_answer_is_asked_last_from_then_on():
+    """The first of two control processes is away. Each call to it takes seconds, so it is tried once."""
+    away, there = ProcessStandIn(None), ProcessStandIn("answer")
+    client = cli.ControlClient([])
+    client.clients = [away, there]
+    assert client.call_any(CHANGE, None) == "answer" and client.answer_lost
+    assert client.call_any(CHANGE, None) == "answer"
+    assert (away.count, there.count) == (1, 2)
+    client.clients = [away]
+    assert client.call_any(CHANGE, None) is None
+
+
+class RegisteredStandIn:
+    """Control that knows b1 to serve without a quorum, and may have lost its majority."""
+
+    def __init__(self, answer):
+        self.answer = answer
+        self.evictions = []
+
+    def call_any(self, method, request):
+        if method is STATUS:
+            return SimpleNamespace(members_without_quorum={"b1": "7"})
+        self.evictions.append((method, request))
+        return self.answer
+
+
+@pytest.mark.parametrize(
+    ("name", "answer", "code", "text", "count"),
+    [
+        ("b1", EvictAnswer(evicted=True), ExitCode.DONE, "b1 struck off: no change", 1),
+        ("b1", EvictAnswer(evicted=False), ExitCode.DROPPED, "b1 is not among those", 1),
+        ("b1", None, ExitCode.UNKNOWN, "not known: control does not answer", 1),
+        ("b2", None, ExitCode.DROPPED, "b2 is not among those", 0),
+    ],
+)
+def test_only_a_process_that_is_registered_is_evicted(name, answer, code, text, count, capsys):
+    control = RegisteredStandIn(answer)
+    assert cli.evict(control, name, as_json=False) == code
+    assert capsys.readouterr().out.startswith(text)
+    assert control.evictions == [(EVICT, MemberRequest(name=name, incarnation="7"))] * count
--- a/tests/control/test_guarded_node.py
+++ b/tests/control/test_guarded_node.py
@@ -87,3 +87,37 @@
     node = make_node(Guard(True, False))
     assert send(node, "read") == [(503, 1_234_567)]
     assert not accepted
+
+
+class Recorder:
+    """What a policy is put into force at, as far as it matters here."""
+
+    def __init__(self):
+        self.done = []
+        self.pools = SimpleNamespace(set_timeouts=lambda *us: self.done.append(("timeouts", *us)))
+        self.balancer = SimpleNamespace(on_settings="on_settings")
+        self.settings = self.config = None
+
+    def apply_config(self, config):
+        self.done.append(("apply", config))
+
+    def call_decisions(self, method, settings):
+        self.done.append((method, settings))
+
+
+CONFIG = SimpleNamespace(connect_timeout_us=3, idle_timeout_us=4, settings="parsed")
+
+
+def test_a_policy_is_put_into_force_like_a_file_that_is_read_again():
+    """The node serves: what waits for a restart has to go on waiting. The next SIGHUP reads the file under
+    the policy's settings."""
+    node = Recorder()
+    LeaseGuardedNode.put_policy_into_force(node, {"a": 1}, CONFIG, accepting=True)
+    assert node.done == [("apply", CONFIG)] and node.settings == {"a": 1}
+
+
+def test_before_the_listener_opens_all_of_a_policy_is_put_into_force():
+    node = Recorder()
+    LeaseGuardedNode.put_policy_into_force(node, {"a": 1}, CONFIG, accepting=False)
+    assert node.done == [("timeouts", 3, 4), ("on_settings", "parsed")]
+    assert node.config is CONFIG and node.settings == {"a": 1}
--- a/tests/control/test_lease_keeper.py
+++ b/tests/control/test_lease_keeper.py
@@ -471,3 +471,13 @@
     keeper.begin(fail)
     assert loop.running is False
     assert events_of(keeper, "ends") == [{"why": "cannot listen on 127.0.0.1:1"}]
+
+
+def test_answers_that_come_while_a_process_ends_start_nothing(tmp_path):
+    """It waits for its good-byes to be heard, and answers to the heartbeat before come in: it must not take
+    a lease, register, or begin to promise any more."""
+    keeper = make_waiting_keeper(tmp_path, World())
+    keeper.closing = True
+    for client in keeper.clients:
+        client.answer_now()
+    assert not keeper.may_serve() and keeper.lease.version == -1
--- a/tests/control/test_validation.py
+++ b/tests/control/test_validation.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from orchidgap.control.validation import InvalidPolicyError, validate
+from orchidgap.control import validation
+from orchidgap.control.validation import InvalidPolicyError, config_under, validate
 from orchidgap.net import config
 
 DOCUMENT = {"settings": {"rule-sets": [{"name": "a", "effect": "retryable", "client-timeout": 9}]}}
@@ -40,3 +41,21 @@
 def test_a_bad_part_control_is_told_in_words(part, reason):
     with pytest.raises((LookupError, ValueError), match=reason):
         config.control_part(part)
+
+
+def test_a_file_is_read_only_under_a_policy_that_can_be(monkeypatch):
+    """Reading the file looks at the settings alone: a policy with a part that this program does not know
+    would seem to be fine."""
+    monkeypatch.setattr(validation, "read", lambda path, before, settings: (path, before, settings))
+    assert config_under(DOCUMENT, "c.json", None) == ("c.json", None, DOCUMENT["settings"])
+    with pytest.raises(InvalidPolicyError, match="more is no part of a version"):
+        config_under(DOCUMENT | {"more": 1}, "c.json", None)
+
+
+def test_a_file_that_does_not_go_with_a_policy_makes_it_invalid(monkeypatch):
+    def read(path, before, settings):
+        raise config.ConfigError("c.json: pool.key is too short")
+
+    monkeypatch.setattr(validation, "read", read)
+    with pytest.raises(InvalidPolicyError, match=r"^c.json: pool.key is too short$"):
+        config_under(DOCUMENT, "c.json", None)
