--- /dev/null
+++ b/tests/net/test_discovered_hosts.py
@@ -0,0 +1,121 @@
+"""The list of hosts: fetched, watched, broken, and what follows from it."""
+
+import pytest
+from net_scenarios import LIST, discovery_socket, host_states, idle_links, tell_list
+from node_harness import NodeHarness, received_text
+
+
+def test_the_list_is_fetched_whole_and_then_watched_without_a_gap():
+    net = NodeHarness(1)
+    assert received_text(discovery_socket(net)).startswith(f"GET {LIST} HTTP/1.1")
+    tell_list(net, 41, True, [net.host_entry(0), net.host_entry(3), net.host_entry(9)])
+    assert host_states(net) == {"c0": "up", "c3": "up", "o": "up"}
+    assert received_text(discovery_socket(net)).startswith(f"GET {LIST}?after=41&wait_ms=3000 ")
+    net.advance(3_000_000)
+    tell_list(net, 43, False, [net.host_entry(0, "Terminating"), net.host_entry(3, "Gone")])
+    assert host_states(net) == {"c0": "draining", "o": "up"}
+    assert received_text(discovery_socket(net)).startswith(f"GET {LIST}?after=43&")
+    tell_list(net, 43, False, [])
+    net.advance(50_000)
+    assert received_text(discovery_socket(net)) is None, "no spin where an agent does not wait"
+    net.advance(140_000)
+    assert received_text(discovery_socket(net)).startswith(f"GET {LIST}?after=43&"), (
+        "but within 200 ms"
+    )
+
+
+@pytest.mark.parametrize(
+    "does",
+    [
+        lambda net: tell_list(net, 1, True, [], status=500),
+        lambda net: tell_list(net, 1, False, []),
+        lambda net: net.answer_from_host(discovery_socket(net), 200, "not JSON"),
+        lambda net: net.answer_from_host(discovery_socket(net), 200, "[]"),
+        lambda net: tell_list(net, 1, True, [{"host": "x"}]),
+        lambda net: tell_list(net, 1, True, [7]),
+        lambda net: discovery_socket(net).close(),
+        lambda net: net.send_and_turn(discovery_socket(net), "garbage\r\n\r\n"),
+        lambda net: net.advance(1_000_000),
+    ],
+)
+def test_a_bad_or_missing_answer_keeps_the_list_and_is_asked_again_later(does):
+    """Discovery closes, answers badly or not at all. The list is kept, and asked for again
+    after a wait that grows.
+    """
+    net = NodeHarness(2)
+    before = host_states(net)
+    does(net)
+    net.turn()
+    assert host_states(net) == before and "list lost" in net.log.lines
+    times = len(net.dialled)
+    net.advance(45_000)
+    assert len(net.dialled) == times, "not at once"
+    net.advance(60_000)
+    assert len(net.dialled) == times + 1
+    net.refused.add(8500)
+    net.advance(20_000_000)
+    net.refused.clear()
+    for _ in range(30):
+        if len(net.dialled) == times + 1:
+            net.advance(100_000)
+    tell_list(net, 9, True, [net.host_entry(5), net.host_entry(9)])
+    assert host_states(net) == {"c5": "up", "o": "up"} and "list back" in net.log.lines
+
+
+def test_an_odd_entry_costs_its_host_and_not_the_list():
+    """One host of the list has no address, or a state that is unknown. It is sent nothing new;
+    the others are used.
+    """
+    net = NodeHarness(2)
+    odd = [
+        net.host_entry(0, "Odd"),
+        net.host_entry(1) | {"dial": "localhost:80"},
+        net.host_entry(2) | {"share": None},
+    ]
+    tell_list(net, 41, True, [*odd, net.host_entry(9)])
+    assert host_states(net) == {"c0": "draining", "c1": "draining", "c2": "up", "o": "up"}
+    net.send_request()
+    assert net.dialled[-1][0] == 102
+
+
+def test_a_change_that_cannot_be_read_or_a_version_that_falls_is_followed_by_the_whole_list():
+    """A change cannot be read, or its version is lower than the one held. The whole list is
+    asked for.
+    """
+    for seq, hosts, wait in ((42, [{"host": "x"}], 100_000), (3, [], 100_000)):
+        net = NodeHarness(1)
+        tell_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
+        received_text(discovery_socket(net))
+        tell_list(net, seq, False, hosts)
+        net.advance(wait)
+        assert received_text(discovery_socket(net)).startswith(
+            f"GET {LIST} HTTP/1.1"
+        ) and host_states(net) == {
+            "c0": "up",
+            "o": "up",
+        }
+
+
+def test_an_address_that_changes_is_dialled_from_then_on():
+    """A host comes back at another address. Its old connections are closed, and the new
+    address is dialled.
+    """
+    net = NodeHarness(1)
+    tell_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
+    [link] = idle_links(net, 1)
+    tell_list(net, 42, False, [net.host_entry(0, port=300)])
+    net.send_request("again")
+    assert net.dialled[-1][0] == 300
+    received_text(link)
+    assert received_text(link) == ""
+
+
+def test_a_restart_is_told_in_milliseconds_of_unix_time():
+    net = NodeHarness(2)
+    tell_list(
+        net,
+        41,
+        True,
+        [net.host_entry(0, born=net.now // 1000), net.host_entry(1), net.host_entry(9)],
+    )
+    assert net.node.balancer.hosts["c0"].warm_at_us == net.now + 10_000_000
--- a/tests/net/test_listener_inheritance.py
+++ b/tests/net/test_listener_inheritance.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 from handover_harness import UP, listener, turn
-from node_harness import NodeHarness, heard
+from node_harness import NodeHarness, received_text
 
 from orchidgap.net.config import ConfigError
 from orchidgap.net.handover import inherited_listener
@@ -35,6 +35,9 @@
     ],
 )
 def test_what_is_passed_must_be_a_listening_socket(make, why):
+    """The descriptor that was passed is closed, no socket or does not listen. The program says
+    so in one line.
+    """
     number = make()
     with pytest.raises(ConfigError, match=why):
         inherited_listener(str(number))
@@ -43,6 +46,9 @@
 
 
 def test_one_listener_in_two_nodes_and_the_old_one_ends_without_a_word_to_the_other():
+    """Two processes share a listener and cannot see each other. The old one ends, and the
+    listener stays open in the new one.
+    """
     passed, nets = listener(), [NodeHarness(1), NodeHarness(1)]
     for net in nets:
         net.node.clients.use_listening_socket(inherited_listener(str(os.dup(passed.fileno()))))
@@ -57,14 +63,14 @@
     turn(nets)
     assert len(old.node.clients.open_clients) == len(new.node.clients.open_clients) == 1
     old.node.begin_shutdown()
-    old.wait(450_000)
+    old.advance(450_000)
     assert old.node.clients.listening_socket is None
     third = ask(passed)
     turn(nets)
     assert len(new.node.clients.open_clients) == 2, "nobody shut the listener down"
     for net in nets:
-        net.serve()
-    assert [heard(one)[:15] for one in (first, second, third)] == ["HTTP/1.1 200 OK"] * 3
+        net.answer_all()
+    assert [received_text(one)[:15] for one in (first, second, third)] == ["HTTP/1.1 200 OK"] * 3
     for one in (first, second, third, passed, new.node.clients.listening_socket):
         one.close()
 
@@ -95,7 +101,7 @@
                     "listen": f"127.0.0.1:{passed.getsockname()[1]}",
                     "discovery": "127.0.0.1:1",
                     "seed": "7",
-                    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.entry(0)]},
+                    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.host_entry(0)]},
                     "settings": {
                         "rule-sets": [
                             {"name": "read", "effect": "retryable", "client-timeout": 900_000}
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -15,7 +15,7 @@
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:1",
     "seed": "ff",
-    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.entry(0)]},
+    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.host_entry(0)]},
     "settings": {"rule-sets": [{"name": "read", "effect": "retryable", "client-timeout": 900_000}]},
 }
 
@@ -75,7 +75,7 @@
     "discovery": "127.0.0.1:2",
     "seed": "ff",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.entry(0)]},
+    "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.host_entry(0)]},
     "settings": {
         "kinds": ["cache", "origin"],
         "instances": 3,
@@ -159,6 +159,9 @@
 
 @pytest.mark.parametrize("path", list(places(WHOLE)), ids=lambda path: ".".join(map(str, path)))
 def test_whatever_stands_in_a_setting_it_can_be_gone_by_or_is_one_plain_line(path):
+    """A setting has any odd value. Either the balancer serves by it, or one line says what is
+    wrong.
+    """
     for value in (*ODD, MISSING):
         try:
             station = config.parse(orjson.dumps(laid(WHOLE, path, value)), "file")
