--- a/orchidgap/fault_tests/state_space.py
+++ b/orchidgap/fault_tests/state_space.py
@@ -536,7 +536,7 @@
         return self.seats(self.granting(seat, leases)._replace(answers=but(seat.answers, b, told)))
 
     def arrive(self, number: int, i: int, value: int) -> list[int]:
-        """An acceptance, as `Control.accept` takes it: it waits, or is on its way to the disk."""
+        """An acceptance, as `DurableAcceptor` takes it: it waits, or is on its way to the disk."""
         seat: Seat = self.seats.all[number]
         acceptor = Acceptor(
             AcceptorState(seat.promised, seat.ballot, self.store.values[seat.value])
