--- a/orchidgap/fault_tests/__init__.py
+++ b/orchidgap/fault_tests/__init__.py
@@ -1,2 +1,1 @@
-"""Real processes of the program with faults put between them, judged by what clients and callers of control
-saw."""
+"""Real processes of the program with faults between them, and checks on what clients saw."""
--- /dev/null
+++ b/orchidgap/fault_tests/model/explorer.py
@@ -0,0 +1,81 @@
+"""Visits the states of a model: all of them, or some by random walks."""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+from collections import deque
+from collections.abc import Hashable, Iterator
+from random import Random
+from typing import Generic, NamedTuple, TypeVar
+
+MAX_WALK_STEPS = 120
+
+StateT = TypeVar("StateT", bound=Hashable)
+
+
+class InvariantViolation(Exception):  # noqa: N818
+    """A state was reached that breaks an invariant; the message is one line."""
+
+
+class Exploration(NamedTuple):
+    """What a breadth-first search has seen.
+
+    Attributes:
+        state_count: How many distinct states were seen.
+        complete: Whether these are all reachable states.
+    """
+
+    state_count: int
+    complete: bool
+
+
+class Model(ABC, Generic[StateT]):
+    """A state machine that checks its invariants on each state that it reaches.
+
+    Attributes:
+        initial_state: Where each search and each walk begins.
+    """
+
+    initial_state: StateT
+
+    @abstractmethod
+    def successors(self, state: StateT) -> Iterator[StateT]:
+        """Yield each state that one step leads to.
+
+        Raises:
+            InvariantViolation: One of them breaks an invariant.
+        """
+
+    def explore(self, max_states: int) -> Exploration:
+        """Visit states breadth first until there is none left, or `max_states` were seen.
+
+        Raises:
+            InvariantViolation: A state breaks an invariant.
+        """
+        seen = {self.initial_state}
+        queue = deque([self.initial_state])
+        while queue:
+            for state in self.successors(queue.popleft()):
+                if state not in seen:
+                    seen.add(state)
+                    queue.append(state)
+            if len(seen) >= max_states:
+                return Exploration(len(seen), complete=False)
+        return Exploration(len(seen), complete=True)
+
+    def walk(self, walk_count: int, rng: Random) -> int:
+        """Go far along random paths, for models with too many states; return the steps taken.
+
+        Raises:
+            InvariantViolation: A state breaks an invariant.
+        """
+        step_count = 0
+        for _ in range(walk_count):
+            state = self.initial_state
+            for _ in range(MAX_WALK_STEPS):
+                found = list(self.successors(state))
+                if not found:
+                    break
+                state = rng.choice(found)
+                step_count += 1
+        return step_count
--- a/tests/fault_tests/test_explore.py
+++ b/tests/fault_tests/test_state_space.py
@@ -7,22 +7,28 @@
 from orchidgap.decisions import cas_register
 from orchidgap.decisions.cas_register import Acceptor
 from orchidgap.decisions.lease_state import LeaseState, ServingPermission
-from orchidgap.decisions.leases import MAX_CLOCK_DRIFT_RATIO, LeaseTable
-from orchidgap.fault_tests import state_space as explore
-from orchidgap.fault_tests.state_space import Broken, Fleet, Rounds, walk
+from orchidgap.decisions.leases import MAX_CLOCK_DRIFT_RATIO, LeaseTable, OnLostQuorum
+from orchidgap.fault_tests.model import balancer_steps
+from orchidgap.fault_tests.model.explorer import InvariantViolation
+from orchidgap.fault_tests.model.fleet_model import FleetModel
+from orchidgap.fault_tests.model.fleet_state import TICK_US
+from orchidgap.fault_tests.model.register_model import RegisterModel
+
+DENY = OnLostQuorum.DENY
+SERVE = OnLostQuorum.SERVE
 
 
 def test_the_smallest_models_are_seen_whole():
-    for model in (Rounds(1, 0), Fleet(1, 1, 1, 0, "leave"), Fleet(1, 1, 1, 0, "stay")):
-        count, whole = explore.explore(model.first, model.after, 100_000)
-        assert whole and count > 50
+    for model in (RegisterModel(1, 0), FleetModel(1, 1, 1, 0, DENY), FleetModel(1, 1, 1, 0, SERVE)):
+        count, complete = model.explore(100_000)
+        assert complete and count > 50
 
 
 @pytest.mark.parametrize(
-    "model", [Rounds(3, 1), Fleet(3, 2, 4, 2, "leave"), Fleet(3, 2, 4, 2, "stay")]
+    "model", [RegisterModel(3, 1), FleetModel(3, 2, 4, 2, DENY), FleetModel(3, 2, 4, 2, SERVE)]
 )
 def test_the_larger_ones_are_kept_as_far_as_chance_goes(model):
-    walk(model.first, model.after, 40, Random(7))
+    model.walk(40, Random(7))
 
 
 def stale_accept(self, ballot, value):
@@ -32,7 +38,7 @@
 def from_the_answer(
     self, version, proposal, registered, asked, granted=True, on_chosen=LeaseState.on_chosen_state
 ):
-    return on_chosen(self, version, proposal, registered, asked + explore.TICK, granted)
+    return on_chosen(self, version, proposal, registered, asked + TICK_US, granted)
 
 
 def by_value(count, answers):
@@ -50,26 +56,31 @@
 
 
 DEFECTS = {
-    "an acceptor takes what it promised not to": (Acceptor, "accept", stale_accept, Rounds(2, 0)),
+    "an acceptor takes what it promised not to": (
+        Acceptor,
+        "accept",
+        stale_accept,
+        RegisterModel(2, 0),
+    ),
     "an acceptor promises twice": (
         Acceptor,
         "prepare",
         lambda self, ballot: self.state._replace(
             promised_ballot=max(ballot, self.state.promised_ballot)
         ),
-        Rounds(2, 0),
+        RegisterModel(2, 0),
     ),
     "nobody is waited for": (
         LeaseTable,
         "unprepared_members",
         lambda self, *told: [],
-        Fleet(1, 1, 3, 0, "leave"),
+        FleetModel(1, 1, 3, 0, DENY),
     ),
     "leases go on beside a write": (
         LeaseTable,
         "begin_decision",
         unlocked,
-        Fleet(1, 1, 2, 0, "leave"),
+        FleetModel(1, 1, 2, 0, DENY),
     ),
     "a start forgets who holds a lease": (
         LeaseTable,
@@ -79,13 +90,13 @@
                 0 if not self.holders else round(self.lease_us * (1 + MAX_CLOCK_DRIFT_RATIO))
             )
         ),
-        Fleet(1, 1, 2, 1, "leave"),
+        FleetModel(1, 1, 2, 1, DENY),
     ),
     "a lease counts from its answer": (
         LeaseState,
         "on_chosen_state",
         from_the_answer,
-        Fleet(1, 1, 2, 0, "leave"),
+        FleetModel(1, 1, 2, 0, DENY),
     ),
     "a lease has no end": (
         LeaseState,
@@ -93,7 +104,7 @@
         lambda self, now: (
             ServingPermission.LEASE if self.version >= 0 else ServingPermission.DENIED
         ),
-        Fleet(1, 1, 2, 0, "leave"),
+        FleetModel(1, 1, 2, 0, DENY),
     ),
     "a promise is forgotten when alone": (
         LeaseState,
@@ -105,19 +116,19 @@
             if self.registered
             else ServingPermission.DENIED
         ),
-        Fleet(1, 1, 2, 0, "stay"),
+        FleetModel(1, 1, 2, 0, SERVE),
     ),
     "a promise is taken for a decision": (
         LeaseState,
         "on_promise_durable",
         lambda self, number: self.on_version_adopted(self.version + 1),
-        Fleet(1, 1, 2, 0, "leave"),
+        FleetModel(1, 1, 2, 0, DENY),
     ),
     "equal values do for one ballot": (
-        explore,
+        balancer_steps,
         "evaluate_answers",
         by_value,
-        Fleet(1, 1, 4, 0, "leave"),
+        FleetModel(1, 1, 4, 0, DENY),
     ),
 }
 
@@ -126,12 +137,12 @@
 def test_a_defect_of_a_pure_module_is_found(name, monkeypatch):
     owner, what, planted, model = DEFECTS[name]
     monkeypatch.setattr(owner, what, planted)
-    with pytest.raises(Broken):
-        walk(model.first, model.after, 5_000, Random(7))
+    with pytest.raises(InvariantViolation):
+        model.walk(5_000, Random(7))
 
 
 def test_an_acceptor_that_comes_back_with_nothing_is_found():
-    model = Rounds(2, 1)
-    model.blank = model.first.kept[0]
-    with pytest.raises(Broken):
-        walk(model.first, model.after, 20_000, Random(3))
+    model = RegisterModel(2, 1)
+    model.stored_after_disk_loss = model.initial_state.stored[0]
+    with pytest.raises(InvariantViolation):
+        model.walk(20_000, Random(3))
