--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -34,8 +34,9 @@
 )
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
 from orchidgap.control.rpc_client import RpcClient
+from orchidgap.fault_tests.datagram_relay import ANY_SENDER, DatagramRelay
 from orchidgap.fault_tests.plan import DO, SEEN, Drill, versions_of, words
-from orchidgap.fault_tests.relay import Datagrams, Relay
+from orchidgap.fault_tests.relay import HEALTHY, LinkCondition, Relay
 from orchidgap.fault_tests.rollout_checker import Fate, Judge
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.simulation.clients import Callers
@@ -224,10 +225,10 @@
         self.zones = [f"z{zone}" for zone in range(drill.plan.cache.zones)]
         if drill.links:
             self.link_hosts()
-        self.talks: dict[str, Datagrams] = {}
+        self.talks: dict[str, DatagramRelay] = {}
         for name, post in self.posts.items() if drill.plan.pool else ():
             at = (f"127.{TALKS}.{place(post.number)}", post.talks[1])
-            self.talks[name] = Datagrams(self.loop, at, post.talks, self.rng)
+            self.talks[name] = DatagramRelay(self.loop, at, post.talks, self.rng)
 
     # --- what the trial's parts ask
 
@@ -250,7 +251,9 @@
         return told
 
     def talk_part(self, post: Any) -> dict[str, Any]:
-        others = [format_address(talk.at) for name, talk in self.talks.items() if name != post.name]
+        others = [
+            format_address(talk.address) for name, talk in self.talks.items() if name != post.name
+        ]
         return super().talk_part(post) | {"peers": others}
 
     def listed(self, work: Work) -> bool:
@@ -296,7 +299,7 @@
         if (who, post.name) not in self.relays:
             at = (f"127.{100 + post.number}.{place(len(self.relays))}", 7500 + self.ports)
             self.relays[who, post.name] = Relay(self.loop, at, post.address, self.rng)
-        return self.relays[who, post.name].at
+        return self.relays[who, post.name].address
 
     def way_to_hosts(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
         """The list as that balancer gets it, with a relay of its own in the place of each host."""
@@ -304,7 +307,7 @@
             return known
         return known | {
             "hosts": [
-                entry | {"dial": format_address(self.relays[name, entry["host"]].at)}
+                entry | {"dial": format_address(self.relays[name, entry["host"]].address)}
                 for entry in known["hosts"]
             ]
         }
@@ -315,12 +318,12 @@
             for name, post in self.posts.items():
                 at = (f"127.{HOSTS + i}.{place(post.number)}", 7071 + self.ports)
                 self.relays[name, store.id] = Relay(
-                    self.loop, at, store.address, self.rng, outlives=False
+                    self.loop, at, store.address, self.rng, delivers_after_close=False
                 )
 
         def heeds(address: Address, there: bool) -> None:
             for name in self.posts if address in stores else ():
-                self.relays[name, stores[address]].heed(there)
+                self.relays[name, stores[address]].set_server_listens(there)
 
         assert isinstance(self.ground, Wires)
         self.ground.heeds = heeds
@@ -515,28 +518,35 @@
 
     def do_cut(self, one: str, other: str) -> None:
         for relay, _ in self.between(one, other):
-            relay.set(cut=True)
+            relay.set_condition(LinkCondition(cut=True))
 
     def do_stall(self, one: str, other: str) -> None:
         """What `one` sends to `other` does not arrive; the other way it does."""
         for relay, there in self.between(one, other):
-            relay.set(there=relay.there or there, back=relay.back or not there)
+            relay.set_condition(
+                LinkCondition(
+                    stalled_to_server=relay.condition.stalled_to_server or there,
+                    stalled_to_client=relay.condition.stalled_to_client or not there,
+                )
+            )
 
     def do_slow(self, one: str, other: str, delay_ms: str, loss: str = "0") -> None:
         """Each way, and a part of what goes there is lost."""
         for relay, _ in self.between(one, other):
-            relay.set(delay=millis(float(delay_ms)), loss=float(loss))
+            relay.set_condition(
+                LinkCondition(delay_us=millis(float(delay_ms)), loss_ratio=float(loss))
+            )
 
     def do_lose(self, name: str, part: str) -> None:
         """Of the datagrams to and from that balancer, or all."""
         share = float(part.rstrip("%")) / 100
         if name == "all":
             for talk in self.talks.values():
-                talk.loss[""] = share
+                talk.loss_ratios[ANY_SENDER] = share
             return
-        self.talks[name].loss[""] = share
+        self.talks[name].loss_ratios[ANY_SENDER] = share
         for talk in self.talks.values():
-            talk.loss[self.posts[name].talks[0]] = share
+            talk.loss_ratios[self.posts[name].talks[0]] = share
 
     def do_noise(self, name: str, count: str) -> None:
         """So many datagrams that nobody signed, within a second."""
@@ -545,17 +555,17 @@
             self.loop.call_later(i * 10_000, self.shout, self.talks[name], noise, int(count) // 100)
 
     @staticmethod
-    def shout(talk: Datagrams, noise: Random, count: int) -> None:
+    def shout(talk: DatagramRelay, noise: Random, count: int) -> None:
         for _ in range(count):
-            talk.put(noise.randbytes(noise.randrange(1_400)))
+            talk.deliver(noise.randbytes(noise.randrange(1_400)))
 
     def do_heal(self, one: str = "", other: str = "") -> None:
         for talk in self.talks.values():
-            talk.loss.clear()
+            talk.loss_ratios.clear()
         for relay in (
             [relay for relay, _ in self.between(one, other)] if one else self.relays.values()
         ):
-            relay.set()
+            relay.set_condition(HEALTHY)
 
     def do_strike(self, name: str) -> None:
         at = ",".join(format_address(self.way_to("shell", post)) for post in self.controls)
@@ -764,7 +774,7 @@
             with suppress(OSError, IndexError, ValueError):
                 cpu += cpu_of(self.process_of(name).pid)
         moved = sum(
-            relay.moved
+            relay.relayed_bytes
             for (who, far), relay in self.relays.items()
             if who in self.posts and far not in self.stores
         )
--- a/tests/fault_tests/test_relay.py
+++ b/tests/fault_tests/test_relay.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from orchidgap.fault_tests.relay import Relay
+from orchidgap.fault_tests.relay import HEALTHY, LinkCondition, Relay
 from orchidgap.net.loop import Loop
 
 
@@ -15,14 +15,14 @@
     for _ in range(20):
         loop.run_once(1_000)
     at_far, _ = far.accept()
-    relay.set(there=True)
+    relay.set_condition(LinkCondition(stalled_to_server=True))
     near.sendall(b"late")
     for _ in range(20):
         loop.run_once(1_000)
     act(near)
     for _ in range(20):
         loop.run_once(1_000)
-    relay.set()
+    relay.set_condition(HEALTHY)
     for _ in range(20):
         loop.run_once(1_000)
     at_far.settimeout(1)
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outlives", "act", "got"),
+    ("delivers_after_close", "act", "got"),
     [
         (True, lambda near: None, b"late"),
         (True, socket.socket.close, b"late"),
@@ -44,10 +44,10 @@
         (False, socket.socket.close, b""),
     ],
 )
-def test_what_was_stalled_comes_late_unless_its_sender_has_hung_up(outlives, act, got):
+def test_what_was_stalled_comes_late_unless_its_sender_has_hung_up(delivers_after_close, act, got):
     loop = Loop()
     with socket.create_server(("127.0.0.1", 0)) as far:
-        relay = Relay(loop, ("127.0.0.1", 0), far.getsockname(), Random(1), outlives)
+        relay = Relay(loop, ("127.0.0.1", 0), far.getsockname(), Random(1), delivers_after_close)
         assert reached(loop, relay, far, act) == got
         relay.close()
 
@@ -57,8 +57,11 @@
     with socket.create_server(("127.0.0.1", 0)) as far:
         relay = Relay(loop, ("127.0.0.1", 0), far.getsockname(), Random(1))
         for off, on in (
-            (lambda: relay.heed(False), lambda: relay.heed(True)),
-            (lambda: relay.set(cut=True), relay.set),
+            (lambda: relay.set_server_listens(False), lambda: relay.set_server_listens(True)),
+            (
+                lambda: relay.set_condition(LinkCondition(cut=True)),
+                lambda: relay.set_condition(HEALTHY),
+            ),
         ):
             there = relay.listener.getsockname()
             off()
