--- a/orchidgap/fault_tests/planted_defects.py
+++ b/orchidgap/fault_tests/planted_defects.py
@@ -1,5 +1,4 @@
-"""Defects planted on purpose, by name: each a program that would pass for a good one until a fault shows
-it."""
+"""Defects planted on purpose: each a program that looks right until a fault shows its defect."""
 
 # mypy: disable-error-code="method-assign, attr-defined"
 
@@ -23,9 +22,11 @@
 from orchidgap.decisions.leases import LeaseTable
 from orchidgap.http1.server import Http1ClientConnection
 
+LONGEST_COUNTED_STOP_US = 50_000
 
-def skips() -> None:
-    """It says that it runs a version, and goes on under the one before."""
+
+def keeps_old_version() -> None:
+    """It reports that it runs a version, and goes on under the one before."""
     adopt = LeaseKeeper.adopt
 
     def skip(self: LeaseKeeper, document: Any) -> None:
@@ -35,7 +36,7 @@
     LeaseKeeper.adopt = skip
 
 
-def early() -> None:
+def serves_before_first_lease() -> None:
     """It serves before it knows what is decided."""
     begin = LeaseKeeper.begin
 
@@ -47,33 +48,37 @@
     LeaseKeeper.may_serve = lambda self: True
 
 
-def forgets() -> None:
-    """It loses its promise: alone, it goes on as if it had given none."""
+def forgets_promise() -> None:
+    """It loses its promise: without a quorum it goes on as if it had given none."""
     LeaseState.on_promise_durable = lambda self, proposal_number: True
-    call = LeaseKeeper.send_heartbeat
+    send_heartbeat = LeaseKeeper.send_heartbeat
 
-    def say(self: LeaseKeeper) -> None:
-        if self.seen_try:
+    def send_with_promise(self: LeaseKeeper) -> None:
+        if self.seen_proposal:
             lease = self.lease
-            kept = lease.promise_phase, lease.proposal_number
-            lease.promise_phase, lease.proposal_number = PromisePhase.PROMISED, self.seen_try
-            call(self)
-            lease.promise_phase, lease.proposal_number = kept
+            phase = lease.promise_phase
+            proposal_number = lease.proposal_number
+            lease.promise_phase = PromisePhase.PROMISED
+            lease.proposal_number = self.seen_proposal
+            send_heartbeat(self)
+            lease.promise_phase = phase
+            lease.proposal_number = proposal_number
         else:
-            call(self)
+            send_heartbeat(self)
 
-    check = LeaseKeeper.check_proposal
+    check_proposal = LeaseKeeper.check_proposal
 
-    def saw(self: LeaseKeeper, proposal: ProposalMessage | ProposalNotice) -> None:
-        self.seen_try = proposal.proposal_number
-        check(self, proposal)
+    def remember(self: LeaseKeeper, proposal: ProposalMessage | ProposalNotice) -> None:
+        self.seen_proposal = proposal.proposal_number
+        check_proposal(self, proposal)
 
-    LeaseKeeper.seen_try = 0
-    LeaseKeeper.send_heartbeat, LeaseKeeper.check_proposal = say, saw
+    LeaseKeeper.seen_proposal = 0
+    LeaseKeeper.send_heartbeat = send_with_promise
+    LeaseKeeper.check_proposal = remember
 
 
-def twice() -> None:
-    """It answers a req two times."""
+def answers_twice() -> None:
+    """It answers a request two times."""
     answer = Http1ClientConnection.answer
 
     def again(self: Http1ClientConnection, status: int, *more: Any, **named: Any) -> None:
@@ -84,7 +89,7 @@
     Http1ClientConnection.answer = again
 
 
-def hasty() -> None:
+def adopts_proposal() -> None:
     """It takes a version that it has only promised."""
     checked = LeaseKeeper.on_proposal_checked
 
@@ -97,7 +102,7 @@
     LeaseKeeper.on_proposal_checked = take
 
 
-def leaseless() -> None:
+def ignores_lease_end() -> None:
     """Once it had a lease it serves for ever."""
 
     def permission(self: LeaseState, now_us: int) -> ServingPermission:
@@ -106,18 +111,19 @@
     LeaseState.permission = permission
 
 
-def dozes() -> None:
-    """Its clock stands still while it does, as one that counts its own turns would."""
+def loses_time_while_stopped() -> None:
+    """Its clock stands still while it is stopped, as one that counts loop turns would."""
     begin = LeaseKeeper.begin
 
     def count(self: LeaseKeeper, on_first_lease: Callable[[], None]) -> None:
-        real = self.clock
-        last = own = real()
+        real_clock = self.clock
+        last = real_clock()
+        own = last
 
         def clock() -> int:
             nonlocal last, own
-            now = real()
-            own += min(now - last, 50_000)
+            now = real_clock()
+            own += min(now - last, LONGEST_COUNTED_STOP_US)
             last = now
             return own
 
@@ -127,25 +133,25 @@
     LeaseKeeper.begin = count
 
 
-def impatient() -> None:
-    """Control decides without waiting for anybody."""
+def decides_without_promises() -> None:
+    """Control decides without waiting for promises or for the end of leases."""
     LeaseTable.unprepared_members = lambda self, *told: []
 
 
-def amnesic() -> None:
-    """Control tells what it never wrote."""
+def skips_acceptor_writes() -> None:
+    """Control confirms what it never wrote."""
     DurableAcceptor.write_state = lambda self, state, on_written: self.loop.call_soon(
         on_written, True
     )
 
 
-def blind() -> None:
+def sees_no_hot_key() -> None:
     """It sees no hot key."""
     HotKeyDetector.replica_count = lambda self, key, cache_count: 1
 
 
-def echoes() -> None:
-    """It counts again what others told it before."""
+def counts_reports_again() -> None:
+    """It counts again what others had reported before."""
     receive_report = GossipCounts.receive_report
 
     def again(self: GossipCounts, report: CountsReport) -> ReportOutcome:
@@ -159,19 +165,17 @@
     GossipCounts.receive_report = again
 
 
-DEFECTS = {
-    defect.__name__: defect
-    for defect in (
-        skips,
-        early,
-        forgets,
-        twice,
-        hasty,
-        leaseless,
-        dozes,
-        impatient,
-        amnesic,
-        blind,
-        echoes,
-    )
+DEFECTS: dict[str, Callable[[], None]] = {
+    "skips": keeps_old_version,
+    "early": serves_before_first_lease,
+    "forgets": forgets_promise,
+    "twice": answers_twice,
+    "hasty": adopts_proposal,
+    "leaseless": ignores_lease_end,
+    "dozes": loses_time_while_stopped,
+    "impatient": decides_without_promises,
+    "amnesic": skips_acceptor_writes,
+    "blind": sees_no_hot_key,
+    "echoes": counts_reports_again,
 }
+"""By the name that the command and the environment of a process take."""
--- a/orchidgap/fault_tests/process.py
+++ b/orchidgap/fault_tests/process.py
@@ -1,10 +1,12 @@
-"""The program as a process, with a disk that can be made to fail and, where asked for, a planted defect:
-`python -m orchidgap.fault_tests.process serve|control --config=FILE [--new]`.
+"""The program as a process with a disk that can be made to fail and, on request, a planted defect.
 
-`DRILL_DISK` names a file that says which step of a write fails next: a line `STEP N WHAT`, for the nth call
-of write, fsync, rename or open from now, or `0` for all; WHAT is ENOSPC, EIO, short (half is written, then
-ENOSPC), kill, or so many milliseconds that it takes longer. `DRILL_DEFECT` names the defect. Both are read
-here only: the program knows neither.
+`python -m orchidgap.fault_tests.process serve|control --config=FILE [--new]`
+
+The environment's `DRILL_DISK` names a file that tells which disk operations fail, and
+`DRILL_DEFECT` names the defect. Both are read here only: the program knows neither. A line of the
+file is `OPERATION N FAILURE`, for the Nth call of open, write, fsync or rename since the file was
+written, or 0 for all calls. FAILURE is ENOSPC, EIO, short (half is written, then ENOSPC), kill, or
+a delay in milliseconds.
 """
 
 from __future__ import annotations
@@ -25,89 +27,115 @@
 from orchidgap.net.server import serve
 from orchidgap.state.durable_store import DurableStore
 
-STEPS = ("open", "write", "fsync", "rename")
+DISK_FAULTS_VARIABLE = "DRILL_DISK"
+DEFECT_VARIABLE = "DRILL_DEFECT"
+OPERATIONS = ("open", "write", "fsync", "rename")
+EVERY_CALL = 0
+NO_FAILURE = ""
+SHORT_WRITE = "short"
+KILL = "kill"
+COUNTER_BYTES = 8
+
 
+def failure_error(failure: str) -> OSError:
+    """Return the error that the system gives for a failure.
 
-def error(what: str) -> OSError:
-    number = getattr(errno, what if what != "short" else "ENOSPC")
+    >>> failure_error("EIO").errno == errno.EIO, failure_error("short").errno == errno.ENOSPC
+    (True, True)
+    """
+    name = "ENOSPC" if failure == SHORT_WRITE else failure
+    number: int = getattr(errno, name)
     return OSError(number, os.strerror(number))
 
 
-class FailingFiles(DurableStore):
-    """A disk that fails when told to."""
+class FailingStore(DurableStore):
+    """A durable store whose disk fails as the file of disk faults tells."""
 
     def __init__(self, folder: Path) -> None:
-        self.orders = Path(os.environ["DRILL_DISK"])
-        self.process = os.getpid()
-        # when the orders were written, and the calls of each step since: shared with children that write
-        self.calls = memoryview(mmap(-1, 8 * (1 + len(STEPS)))).cast("q")
+        """Open the store; the file is named by the environment."""
+        self.faults_path = Path(os.environ[DISK_FAULTS_VARIABLE])
+        self.process_id = os.getpid()
+        # when the file was written (ns), and the calls of each operation since then: shared with
+        # child processes that write
+        self.counters = memoryview(mmap(-1, COUNTER_BYTES * (1 + len(OPERATIONS)))).cast("q")
         super().__init__(folder)
 
-    def due(self, step: str) -> str:
-        """What is to happen at this call, if anything."""
+    def _count_call(self, operation: str, written_ns: int) -> int:
+        """Return how many calls of it there were since the file was written, this one included."""
+        if written_ns != self.counters[0]:
+            for index in range(len(self.counters)):
+                self.counters[index] = 0
+            self.counters[0] = written_ns
+        index = OPERATIONS.index(operation) + 1
+        self.counters[index] += 1
+        return self.counters[index]
+
+    def _next_failure(self, operation: str) -> str:
+        """Return how this call fails, if it does; a delay or a kill happens here."""
         try:
-            with open(self.orders) as file:
-                when, text = os.fstat(file.fileno()).st_mtime_ns, file.read()
+            with open(self.faults_path) as file:
+                written_ns = os.fstat(file.fileno()).st_mtime_ns
+                text = file.read()
         except FileNotFoundError:
-            return ""
-        if when != self.calls[0]:
-            for i in range(len(self.calls)):
-                self.calls[i] = 0
-            self.calls[0] = when
-        self.calls[STEPS.index(step) + 1] += 1
+            return NO_FAILURE
+        call_number = self._count_call(operation, written_ns)
         for line in text.splitlines():
-            name, number, what = line.split()
-            if name != step or int(number) not in (0, self.calls[STEPS.index(step) + 1]):
+            faulty_operation, number, failure = line.split()
+            if faulty_operation != operation or int(number) not in (EVERY_CALL, call_number):
                 continue
-            if what == "kill":
-                os.kill(self.process, signal.SIGKILL)
+            if failure == KILL:
+                os.kill(self.process_id, signal.SIGKILL)
                 os.kill(os.getpid(), signal.SIGKILL)
-            if not what.isdigit():
-                return what
-            time.sleep(int(what) / 1e3)
-        return ""
+            if not failure.isdigit():
+                return failure
+            time.sleep(int(failure) / 1e3)
+        return NO_FAILURE
 
-    def fail(self, step: str) -> None:
-        if what := self.due(step):
-            raise error(what)
+    def _fail_if_due(self, operation: str) -> None:
+        failure = self._next_failure(operation)
+        if failure:
+            raise failure_error(failure)
 
     def open_file(self, path: Path) -> int:
-        self.fail("open")
+        """Open a file, or fail."""
+        self._fail_if_due("open")
         return super().open_file(path)
 
     def write_some(self, fd: int, data: memoryview) -> int:
-        what = self.due("write")
-        if what == "short":
+        """Write, or fail, possibly with half of it written."""
+        failure = self._next_failure("write")
+        if failure == SHORT_WRITE:
             super().write_some(fd, data[: len(data) // 2])
-        if what:
-            raise error(what)
+        if failure:
+            raise failure_error(failure)
         return super().write_some(fd, data)
 
     def sync(self, fd: int) -> None:
-        self.fail("fsync")
+        """Sync to the disk, or fail."""
+        self._fail_if_due("fsync")
         super().sync(fd)
 
     def rename(self, old: Path, new: Path) -> None:
-        self.fail("rename")
+        """Rename a file, or fail."""
+        self._fail_if_due("rename")
         super().rename(old, new)
 
 
 def main() -> None:
-    kind, config = sys.argv[1], sys.argv[2].partition("=")[2]
-    defect = DEFECTS.get(os.environ.get("DRILL_DEFECT", ""))
-    if defect:
-        defect()
+    """Run a balancer or a control process, as the command line tells."""
+    kind = sys.argv[1]
+    config = sys.argv[2].partition("=")[2]
+    plant_defect = DEFECTS.get(os.environ.get(DEFECT_VARIABLE, ""))
+    if plant_defect:
+        plant_defect()
     try:
         if kind == "control":
-            return process.run(config, "--new" in sys.argv, make_store=FailingFiles)
-        serve(
-            config,
-            protocol_for,
-            make_guarded_node=partial(lease_keeper.create_guarded_node, make_store=FailingFiles),
-            make_gossip=make_gossip,
-        )
-    except ConfigError as trouble:
-        sys.exit(f"orchidgap: {trouble}")
+            process.run(config, "--new" in sys.argv, make_store=FailingStore)
+            return
+        make_guarded_node = partial(lease_keeper.create_guarded_node, make_store=FailingStore)
+        serve(config, protocol_for, make_guarded_node=make_guarded_node, make_gossip=make_gossip)
+    except ConfigError as error:
+        sys.exit(f"orchidgap: {error}")
 
 
 if __name__ == "__main__":
