--- /dev/null
+++ b/orchidgap/fault_tests/actions.py
@@ -0,0 +1,260 @@
+"""What the steps of a fault test do."""
+
+from __future__ import annotations
+
+import json
+import signal
+import subprocess
+import sys
+from collections.abc import Callable
+from random import Random
+
+from orchidgap.fault_tests import disk_faults
+from orchidgap.fault_tests.child_processes import die_with_parent
+from orchidgap.fault_tests.cluster import Cluster
+from orchidgap.fault_tests.datagram_relay import DatagramRelay
+from orchidgap.fault_tests.links import OPERATOR
+from orchidgap.fault_tests.plan import (
+    ALL_BALANCERS,
+    BAD_POLICY,
+    CLASS_PREFIX,
+    Action,
+    ActionKind,
+    ProposalOutcome,
+    class_of_version,
+)
+from orchidgap.fault_tests.random_faults import draw_fault
+from orchidgap.fault_tests.rollout_checker import ProposalRecord
+from orchidgap.net.addresses import format_address
+from orchidgap.simulation.faults import set_off
+from orchidgap.simulation.plan import Trouble, millis
+
+FOREVER_US = 1 << 62
+FILE_VERSION = 999  # of settings that no proposal has
+EVICTION_TIMEOUT_S = 20
+NOISE_BURSTS = 100
+NOISE_INTERVAL_US = 10_000
+MAX_NOISE_BYTES = 1_400
+EARLIEST_END_US = 200_000  # of a fault by chance
+LATEST_END_US = 2_000_000
+END_PROBABILITY = 0.5
+
+
+class StepActions:
+    """Does to a cluster what steps say."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        """Act on this cluster."""
+        self.cluster = cluster
+        links = cluster.links
+        self.handlers: dict[ActionKind, Callable[..., None]] = {
+            ActionKind.PROPOSE: self.propose,
+            ActionKind.KILL: self.kill,
+            ActionKind.TERMINATE: self.terminate,
+            ActionKind.PAUSE: self.pause,
+            ActionKind.RESUME: cluster.resume,
+            ActionKind.START: self.start,
+            ActionKind.WIPE_DISK: self.wipe_disk,
+            ActionKind.TEAR_FILE: self.tear_file,
+            ActionKind.FILL_DISK: self.fill_disk,
+            ActionKind.FREE_DISK: self.free_disk,
+            ActionKind.FAIL_DISK: self.fail_disk,
+            ActionKind.CUT: links.cut,
+            ActionKind.STALL: links.stall,
+            ActionKind.SLOW: self.slow,
+            ActionKind.HEAL: links.heal,
+            ActionKind.EVICT: self.evict,
+            ActionKind.RELOAD: self.reload,
+            ActionKind.SET_HOST_HEALTH: cluster.listing.put,
+            ActionKind.ROLL_OUT_BY_SIGNAL: self.roll_out_by_signal,
+            ActionKind.MEASURE: cluster.stretches.begin,
+            ActionKind.SIMULATION_FAULT: self.simulation_fault,
+            ActionKind.LOSE_DATAGRAMS: self.lose_datagrams,
+            ActionKind.SEND_NOISE: self.send_noise,
+        }
+
+    def perform(self, action: Action) -> None:
+        """Do one action."""
+        arguments = action.arguments
+        if arguments and arguments[0].endswith("%"):
+            for name in self._first_balancers(arguments[0]):
+                self.perform(Action.of(action.kind, name))
+        elif action.kind is ActionKind.RANDOM_FAULT:
+            self.random_fault()
+        elif action.kind is ActionKind.END_FAULTS:
+            self.cluster.end_faults()
+        elif action.kind is not ActionKind.NOTHING:
+            self.cluster.referee.event(self.cluster.loop.now, action.text)
+            self.handlers[action.kind](*arguments)
+
+    def _first_balancers(self, percentage: str) -> list[str]:
+        names = list(self.cluster.posts)
+        return names[: len(names) * int(percentage.rstrip("%")) // 100]
+
+    def random_fault(self) -> None:
+        """Do a fault by chance, which may end by itself."""
+        cluster = self.cluster
+        self.perform(draw_fault(cluster))
+        if cluster.rng.random() < END_PROBABILITY:
+            duration_us = cluster.rng.randrange(EARLIEST_END_US, LATEST_END_US)
+            cluster.loop.call_later(duration_us, cluster.end_faults)
+
+    # --- changes
+
+    def propose(self, policy: str, target: str = "") -> None:
+        """Propose a good or bad policy by one control process, or a version once more."""
+        cluster = self.cluster
+        repeats = target.startswith(CLASS_PREFIX)
+        number = int(target[1:]) if repeats else cluster.last_proposal + 1
+        cluster.last_proposal = max(cluster.last_proposal, number)
+        settings = cluster.settings_of_version(number)
+        if policy == BAD_POLICY:
+            settings["registry-mode"] = "poll"
+        path = cluster.directory / f"{class_of_version(number)}.doc"
+        path.write_text(json.dumps({"settings": settings}))
+        proposals = cluster.checker.proposals
+        if not repeats or proposals[number].outcome is ProposalOutcome.DROPPED:
+            proposals[number] = ProposalRecord(number, cluster.loop.now)
+        asked = "" if repeats else target
+        cluster.proposers.start(proposals[number], path, self._control_addresses(asked))
+
+    def _control_addresses(self, name: str = "") -> str:
+        """Return the addresses of one control process, or of all, for the command line."""
+        return ",".join(
+            format_address(control.address_for(OPERATOR))
+            for control in self.cluster.controls
+            if name in ("", control.name)
+        )
+
+    def evict(self, name: str) -> None:
+        """Evict a balancer from those that serve without a quorum."""
+        addresses = self._control_addresses()
+        process = subprocess.Popen(
+            [sys.executable, "-m", "orchidgap", "change", "strike", name, f"--at={addresses}"],
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.DEVNULL,
+            preexec_fn=die_with_parent,
+        )
+        cluster = self.cluster
+        cluster.wait_until(lambda: process.poll() is not None, EVICTION_TIMEOUT_S, "struck off")
+        process.kill()
+        cluster.referee.event(cluster.loop.now, f"{name} struck off: {process.returncode}")
+
+    def reload(self, name: str) -> None:
+        """Give a balancer's file settings of its own; those of control go before."""
+        self.cluster.reload(self.cluster.posts[name], FILE_VERSION)
+
+    def roll_out_by_signal(self) -> None:
+        """Change the settings without control: one file and one SIGHUP after another."""
+        cluster = self.cluster
+        cluster.last_proposal += 1
+        number = cluster.last_proposal
+        proposal = ProposalRecord(number, cluster.loop.now)
+        cluster.checker.proposals[number] = proposal
+        for post in cluster.posts.values():
+            if post.alive:
+                cluster.reload(post, number)
+                cluster.loop.run_once(0)  # clients go on meanwhile
+        outcome = ProposalOutcome.DECIDED
+        cluster.checker.on_outcome(proposal, outcome, number, "", cluster.loop.now)
+
+    # --- processes
+
+    def kill(self, name: str) -> None:
+        """Kill a process and wait for its end."""
+        process = self.cluster.process_of(name)
+        process.kill()
+        process.wait()
+        if name in self.cluster.posts:
+            self.cluster.posts[name].gone()
+        else:
+            self.cluster.control(name).alive = False
+
+    def terminate(self, name: str) -> None:
+        """Send SIGTERM; a control process's end is waited for."""
+        if name in self.cluster.posts:
+            self.cluster.posts[name].leave()
+            return
+        process = self.cluster.process_of(name)
+        process.terminate()
+        process.wait()
+        self.cluster.control(name).alive = False
+
+    def start(self, name: str) -> None:
+        """Start a process anew."""
+        cluster = self.cluster
+        if name not in cluster.posts:
+            cluster.control(name).start(cluster.controls)
+            return
+        post = cluster.posts[name]
+        if post.alive:
+            post.kill()
+        post.begin(cluster.known_of(name))
+
+    def pause(self, name: str) -> None:
+        """Stop a process where it stands."""
+        cluster = self.cluster
+        cluster.process_of(name).send_signal(signal.SIGSTOP)
+        if name in cluster.posts:
+            cluster.posts[name].stood.append((cluster.loop.now, FOREVER_US))
+
+    # --- disks
+
+    def wipe_disk(self, name: str) -> None:
+        """Lose all files of a process."""
+        disk_faults.wipe(disk_faults.disk_folder(self.cluster.directory, name))
+
+    def tear_file(self, name: str, file: str) -> None:
+        """Cut a file of a process in half."""
+        disk_faults.tear_file(disk_faults.disk_folder(self.cluster.directory, name) / file)
+
+    def fill_disk(self, name: str) -> None:
+        """Leave a process no room."""
+        disk_faults.fill(disk_faults.disk_folder(self.cluster.directory, name))
+
+    def free_disk(self, name: str) -> None:
+        """Make room for a process again."""
+        disk_faults.free(disk_faults.disk_folder(self.cluster.directory, name))
+
+    def fail_disk(self, name: str, operation: str, number: str, failure: str) -> None:
+        """Let the Nth disk operation of a process fail."""
+        path = self.cluster.launcher.disk_faults_path(name)
+        disk_faults.fail_operation(path, operation, number, failure)
+
+    # --- links
+
+    def slow(self, one: str, other: str, delay_ms: str, loss_ratio: str = "0") -> None:
+        """Delay everything between the two, and lose a part."""
+        self.cluster.links.slow(one, other, millis(float(delay_ms)), float(loss_ratio))
+
+    def lose_datagrams(self, name: str, percentage: str) -> None:
+        """Lose a part of the datagrams to and from a balancer, or of all."""
+        loss_ratio = float(percentage.rstrip("%")) / 100
+        address = None if name == ALL_BALANCERS else self.cluster.posts[name].talks
+        self.cluster.links.lose_datagrams(name, address, loss_ratio)
+
+    def send_noise(self, name: str, count: str) -> None:
+        """Send a balancer so many datagrams that nobody signed, within a second."""
+        noise = Random(self.cluster.seed)
+        relay = self.cluster.links.datagram_relays[name]
+        burst = int(count) // NOISE_BURSTS
+        for index in range(NOISE_BURSTS):
+            delay_us = index * NOISE_INTERVAL_US
+            self.cluster.loop.call_later(delay_us, self._send_burst, relay, noise, burst)
+
+    @staticmethod
+    def _send_burst(relay: DatagramRelay, noise: Random, count: int) -> None:
+        for _ in range(count):
+            relay.deliver(noise.randbytes(noise.randrange(MAX_NOISE_BYTES)))
+
+    # --- faults that simulations have
+
+    def simulation_fault(
+        self, kind: str, duration_s: str, target: str = "", size: str = "0"
+    ) -> None:
+        """Set off a simulation's fault; the target is a part of the hosts, or one by name."""
+        ratio = 0.0
+        if target.endswith("%"):
+            ratio = float(target.rstrip("%")) / 100
+            target = ""
+        set_off(self.cluster, Trouble(kind, 0.0, float(duration_s), ratio, target, float(size)))
--- /dev/null
+++ b/orchidgap/fault_tests/balancer_process.py
@@ -0,0 +1,59 @@
+"""A balancer of a fault test."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+from orchidgap.control.rpc_client import RpcClient
+from orchidgap.fault_tests.child_processes import ProcessLauncher
+from orchidgap.simulation.simulation import RealPost, Scene
+
+PROBE_TIMEOUT_US = 200_000
+PROBE_INTERVAL_US = 50_000
+PROBE_INTERVAL_PER_BALANCER_US = 2_000
+PROBE_PATH = "/up"
+
+
+class BalancerProcess(RealPost):
+    """A balancer's place; the program is started by the fault test's launcher."""
+
+    def __init__(
+        self, scene: Scene, name: str, number: int, zone: int, launcher: ProcessLauncher
+    ) -> None:
+        """Prepare the process; `begin` runs it."""
+        super().__init__(scene, name, number, zone, scene.policy, str(launcher.folder))
+        self.launcher = launcher
+
+    def command(self) -> list[str]:
+        """Return the interpreter's arguments."""
+        if self.policy != "orchidgap":
+            return super().command()
+        return self.launcher.command("serve")
+
+    def spawn(self, known: dict[str, Any]) -> None:
+        """Write the configuration and start the program."""
+        path = self.folder / f"{self.name}.json"
+        path.write_text(json.dumps(self.scene.told(self, known)))
+        self.process = self.launcher.start(self.name, [*self.command(), f"--config={path}"])
+
+    def until_up(self) -> None:
+        """Probe again and again: the listener opens when the balancer holds a lease."""
+        if not self.alive or self.ready_at:
+            return
+        client = RpcClient(self.scene.loop, self.address, PROBE_TIMEOUT_US)
+
+        def on_answer(is_up: bool) -> None:
+            client.close()
+            if is_up:
+                self.ready_at = self.scene.loop.now
+                return
+            fleet_part_us = PROBE_INTERVAL_PER_BALANCER_US * len(self.scene.posts)
+            self.scene.loop.call_later(PROBE_INTERVAL_US + fleet_part_us, self.until_up)
+
+        client.probe(PROBE_PATH, on_answer)
+
+    def gone(self) -> None:
+        """Take note that the program has ended."""
+        super().gone()
+        self.ready_at = 0
--- /dev/null
+++ b/orchidgap/fault_tests/child_processes.py
@@ -0,0 +1,104 @@
+"""Starts the program's processes so that none outlives the fault test."""
+
+from __future__ import annotations
+
+import ctypes
+import fcntl
+import os
+import signal
+import subprocess
+import sys
+import tempfile
+from pathlib import Path
+from typing import IO
+
+from orchidgap.fault_tests.process import DEFECT_VARIABLE, DISK_FAULTS_VARIABLE
+
+LIBC = ctypes.CDLL(None)
+PR_SET_PDEATHSIG = 1
+MAX_FAULT_TESTS = 64
+MEMORY_FOLDER = "/dev/shm"
+
+
+def die_with_parent() -> None:
+    """Ask the kernel to kill this process when its parent ends."""
+    LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
+
+
+def memory_folder() -> str | None:
+    """Return a folder in memory, if there is one.
+
+    A disk that is shared with others takes a different time in each run.
+    """
+    return MEMORY_FOLDER if os.access(MEMORY_FOLDER, os.W_OK) else None
+
+
+class PortOffset:
+    """An offset to all ports that no other fault test on this machine uses until `close`.
+
+    Attributes:
+        value: The offset; 0 is left to simulations with real balancers.
+    """
+
+    def __init__(self) -> None:
+        """Take the first free offset; RuntimeError if there is none."""
+        for number in range(MAX_FAULT_TESTS):
+            path = Path(tempfile.gettempdir()) / f"orchidgap-drill-{number}.lock"
+            lock_file = open(path, "w")  # noqa: SIM115
+            try:
+                fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            except OSError:
+                lock_file.close()
+                continue
+            self.lock_file: IO[str] = lock_file
+            self.value = number + 1
+            return
+        raise RuntimeError(f"{MAX_FAULT_TESTS} drills run already")
+
+    def close(self) -> None:
+        """Leave the offset to others."""
+        self.lock_file.close()
+
+
+class ProcessLauncher:
+    """Starts balancers and control processes, with a log file each in `folder`."""
+
+    def __init__(self, folder: Path, failing_disks: bool, defect: str) -> None:
+        """Prepare to start processes.
+
+        Args:
+            folder: Where logs and the files of disk faults are.
+            failing_disks: Whether disks can be made to fail at one operation.
+            defect: The name of a planted defect, empty for none.
+        """
+        self.folder = folder
+        self.defect = defect
+        self.uses_test_program = failing_disks or bool(defect)
+
+    def command(self, kind: str) -> list[str]:
+        """Return the interpreter's arguments for `serve` or `control`."""
+        module = "orchidgap.fault_tests.process" if self.uses_test_program else "orchidgap"
+        return ["-m", module, kind]
+
+    def log_path(self, name: str) -> Path:
+        """Return where a process writes its log."""
+        return self.folder / f"{name}.log"
+
+    def disk_faults_path(self, name: str) -> Path:
+        """Return the file that tells which disk operations of a process fail."""
+        return self.folder / f"{name}.orders"
+
+    def start(self, name: str, command: list[str]) -> subprocess.Popen[bytes]:
+        """Start a process under a name."""
+        variables = {
+            DISK_FAULTS_VARIABLE: str(self.disk_faults_path(name)),
+            DEFECT_VARIABLE: self.defect,
+        }
+        with open(self.log_path(name), "ab") as log:
+            return subprocess.Popen(
+                [sys.executable, *command],
+                stderr=log,
+                stdout=log,
+                env=os.environ | variables,
+                preexec_fn=die_with_parent,
+            )
--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -1,906 +1,338 @@
-"""A drill's processes: balancers and control as the program starts them, relays between, and whoever calls
-control."""
+"""All processes of one fault test: balancers and control, the relays between, stand-ins around."""
 
 from __future__ import annotations
 
-import ctypes
-import fcntl
 import json
-import os
 import resource
-import shutil
 import signal
 import subprocess
-import sys
-import tempfile
 import time
 from collections.abc import Callable
-from contextlib import suppress
-from functools import partial
+from functools import cached_property
 from pathlib import Path
-from random import Random
-from typing import IO, Any
-
-import orjson
-
-from orchidgap.control.messages import (
-    CHANGE,
-    SETTLE,
-    STATUS,
-    ChangeRequest,
-    ChangeState,
-    EmptyMessage,
-    StatusAnswer,
-)
+from typing import Any
+
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
 from orchidgap.control.rpc_client import RpcClient
-from orchidgap.fault_tests.datagram_relay import ANY_SENDER, DatagramRelay
-from orchidgap.fault_tests.plan import DO, SEEN, Drill, versions_of, words
-from orchidgap.fault_tests.relay import HEALTHY, LinkCondition, Relay
-from orchidgap.fault_tests.rollout_checker import Fate, Judge
+from orchidgap.fault_tests import disk_faults
+from orchidgap.fault_tests.balancer_process import BalancerProcess
+from orchidgap.fault_tests.child_processes import PortOffset, ProcessLauncher, memory_folder
+from orchidgap.fault_tests.control_process import ControlProcess
+from orchidgap.fault_tests.links import OPERATOR, Link, Links, Topology
+from orchidgap.fault_tests.plan import COMMON_CLASS, FaultTest, ProposalOutcome, class_of_version
+from orchidgap.fault_tests.process_logs import ProcessLogs
+from orchidgap.fault_tests.proposal_callers import ProposalCallers
+from orchidgap.fault_tests.rollout_checker import STUCK, RolloutChecker
+from orchidgap.fault_tests.version_clients import VersionClients
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.environment import Decider
-from orchidgap.simulation.faults import set_off
-from orchidgap.simulation.invariant_checker import Ask, Op
-from orchidgap.simulation.plan import Trouble, Work, micros, millis
-from orchidgap.simulation.simulation import RealPost, Scene, VirtualPost, place
-from orchidgap.simulation.virtual_network import Wires, cpu_of
-
-LOOK = 50_000  # between looks at what is seen
-WATCH = 50_000  # between questions to control whether a version is decided
-# a client's req is on its way, and answers are seen, with this much delay in a busy drill
-SLACK = 250_000
-DAMAGE = b"torn"
-TRIED = 1.2  # how long a proposer waits, of the time after which control gives up
-SLOTS = 64
-MEMORY = "/dev/shm"
-HOSTS = 110  # the second part of the addresses in the place of hosts begins there
-TALKS = 201  # the second part of the addresses in the place of those where balancers are heard
-LIBC = ctypes.CDLL(None)
-OUTCOMES = {0: "decided", 2: "nowhere", 3: "unknown"}
-
-
-def die_with_parent() -> None:
-    """A drill that is killed leaves no process behind."""
-    LIBC.prctl(1, signal.SIGKILL)
-
-
-def memory_folder() -> str | None:
-    """A disk that takes no time: what a shared one does is another drill each time."""
-    return MEMORY if os.access(MEMORY, os.W_OK) else None
-
-
-def slot() -> tuple[IO[str], int]:
-    """Ports that no other drill on this machine uses, as long as the file is held."""
-    for number in range(SLOTS):
-        file = open(Path(tempfile.gettempdir()) / f"orchidgap-drill-{number}.lock", "w")  # noqa: SIM115
-        try:
-            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            return file, number + 1  # a trial with real balancers has the ports themselves
-        except OSError:
-            file.close()
-    raise RuntimeError(f"{SLOTS} drills run already")
-
-
-def has_taken(status: StatusAnswer, change_id: str) -> bool:
-    """Whether that control process has taken the change as decided."""
-    if status.change_id == change_id:
-        return True
-    return any(record.change_id == change_id and record.version for record in status.history)
-
-
-class Witnesses(Callers):
-    """Clients that ask, beside the usual, for the classes of the versions that may govern now."""
-
-    scene: Town
-
-    def draw(self) -> Op:
-        op = super().draw()
-        # what is long replaced is asked for too: whoever comes back may have it still
-        numbers = self.scene.recent() if self.rng.random() < 0.8 else list(self.scene.judge.fates)
-        name = "base" if self.rng.random() < 0.3 else f"v{self.rng.choice(numbers)}"
-        op.work = next(work for work in self.works if work.name == name)
-        op.counts = name == "base"
-        return op
-
-    def unknown(self, ask: Ask) -> None:
-        self.scene.referee.aborted -= 1  # it asked which version counts, and was told
-        if ask.op.work.name == "base":
-            super().unknown(ask)
-
-    def choose(self, but: str = "", key: int = 0) -> str | None:
-        """Every balancer alike, also one that denies: which version governs it is what is asked."""
-        there = [
-            name
-            for name, post in self.scene.posts.items()
-            if post.alive and post.ready_at and name != but
-        ]
-        return self.rng.choice(there) if there else None
-
-
-class Process(RealPost):
-    """A balancer of the program."""
-
-    scene: Town
-
-    def command(self) -> list[str]:
-        return super().command() if self.policy != "orchidgap" else self.scene.command("serve")
-
-    def spawn(self, known: dict[str, Any]) -> None:
-        path = self.folder / f"{self.name}.json"
-        path.write_text(json.dumps(self.scene.told(self, known)))
-        self.process = self.scene.start_process(self.name, [*self.command(), f"--config={path}"])
-
-    def until_up(self) -> None:
-        """Its listener opens when it holds a lease; looked for again and again, by many."""
-        if self.alive and not self.ready_at:
-            calls = RpcClient(self.scene.loop, self.address, 200_000)
-
-            def heard(is_up: bool) -> None:
-                calls.close()
-                if is_up:
-                    self.ready_at = self.scene.loop.now
-                else:
-                    self.scene.loop.call_later(
-                        50_000 + 2_000 * len(self.scene.posts), self.until_up
-                    )
-
-            calls.probe("/up", heard)
-
-    def gone(self) -> None:
-        super().gone()
-        self.ready_at = 0
-
-
-class ControlPost:
-    """A control process."""
-
-    def __init__(self, town: Town, number: int) -> None:
-        self.town, self.number, self.name = town, number, f"k{number}"
-        self.address: Address = (f"127.5.0.{number + 1}", 7500 + town.ports)
-        self.process: subprocess.Popen[bytes] | None = None
-        self.new = True
-        self.alive = False
-
-    def begin(self) -> None:
-        town, folder = self.town, self.town.place
-        path = folder / f"{self.name}.json"
-        path.write_text(
-            json.dumps(
-                {
-                    "name": self.name,
-                    "dir": str(folder / f"{self.name}.disk"),
-                    "control": {
-                        post.name: format_address(
-                            post.address if post is self else town.way_to(self.name, post)
-                        )
-                        for post in town.controls
-                    },
-                    "lease-ms": town.drill.control.lease_ms,
-                    "give-up-ms": town.drill.control.give_up_ms,
-                }
-            )
-        )
-        new, self.new = ["--new"] if self.new else [], False
-        self.process = town.start_process(
-            self.name, [*town.command("control"), f"--config={path}", *new]
-        )
-        self.alive = True
-
-
-class Town(Scene):
-    """All processes of one drill, and its steps."""
+from orchidgap.simulation.invariant_checker import Ask
+from orchidgap.simulation.plan import Work, millis
+from orchidgap.simulation.simulation import Post, RealPost, Scene, VirtualPost
+from orchidgap.simulation.virtual_network import Wires
+
+LOOK_INTERVAL_US = 50_000
+LOOP_TURN_US = 10_000
+# a request is on its way, and answers are seen, with this much delay on a busy machine
+SLACK_US = 250_000
+CALL_TIMEOUT_US = 500_000
+CALL_ROUNDS = 10
+CALL_PAUSE_US = 200_000
+LONG_PAUSE_US = 2_000_000  # a balancer that stays stopped for longer than that is resumed
+RECENT_COUNT = 2
+# how long a proposer waits, as a part of the time after which control gives up
+PROPOSER_WAIT_RATIO = 1.2
+
+
+class Cluster(Scene):
+    """The processes and all around them.
+
+    Attributes:
+        test: The plan.
+        controls: The control processes.
+        links: The relays between processes.
+        logs: What processes have logged.
+        checker: What became of proposals.
+        proposers: The running callers of control.
+        last_proposal: The highest proposal of the plan so far.
+    """
 
     def __init__(
         self,
-        drill: Drill,
+        test: FaultTest,
         seed: int | None = None,
         defect: str = "",
         disk: str = "",
         policy: str = "orchidgap",
     ) -> None:
-        room = resource.getrlimit(resource.RLIMIT_NOFILE)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (room[1], room[1]))
-        self.drill, self.defect = drill, defect
-        self.versions = versions_of(drill.steps)  # that are proposed
-        self.slot, self.ports = slot()
-        self.telling = 0  # the version whose settings are written
-        self.relays: dict[tuple[str, str], Relay] = {}
-        self.latest = 0
-        super().__init__(drill.plan, seed, real=True, policy=policy, disk=disk or memory_folder())
-        self.broke = self.referee.broke
-        setattr(self.referee, "broke", self.broke_off)  # noqa: B010
+        """Prepare everything; `start_processes` runs it."""
+        _, max_files = resource.getrlimit(resource.RLIMIT_NOFILE)
+        resource.setrlimit(resource.RLIMIT_NOFILE, (max_files, max_files))
+        self.test = test
+        self.defect = defect
+        self.proposal_count = test.proposal_count()
+        self.port_offset = PortOffset()
+        self.ports = self.port_offset.value
+        self.configured_version = 0
+        self.last_proposal = 0
+        super().__init__(test.plan, seed, real=True, policy=policy, disk=disk or memory_folder())
+        self.report_unanswered = self.referee.broke
+        setattr(self.referee, "broke", self._on_unanswered)  # noqa: B010
+        self.links = Links(self.loop, self.rng, self.ports, self._topology())
+        self.controls = [
+            ControlProcess(self.launcher, self.links, test.control, number)
+            for number in range(test.control.count)
+        ]
+        self.checker = RolloutChecker(self.referee, millis(test.control.lease_ms), SLACK_US)
+        self.proposers = ProposalCallers(self.checker, self.proposer_wait_s())
+        self.control_clients = [
+            RpcClient(self.loop, control.address, CALL_TIMEOUT_US) for control in self.controls
+        ]
+        self.logs = ProcessLogs(self.launcher.log_path)
+        self._add_relays()
+
+    @cached_property
+    def directory(self) -> Path:
+        """The folder of all processes' files."""
         assert self.folder
-        self.place = Path(self.folder.name)
-        self.controls = [ControlPost(self, number) for number in range(drill.control.count)]
-        self.judge = Judge(self.referee, millis(drill.control.lease_ms), SLACK)
-        self.shells: list[tuple[Fate, subprocess.Popen[bytes]]] = []
-        self.watches = [RpcClient(self.loop, post.address, 300_000) for post in self.controls]
-        self.questions = [RpcClient(self.loop, post.address, 500_000) for post in self.controls]
-        self.weights: list[tuple[int, float, int, int]] = []  # when, CPU, bytes moved, balancers
-        self.started, self.held = 0.0, 0  # seconds until all were up, kilobytes that they held then
-        self.logs: dict[str, tuple[int, list[str]]] = {}  # by process: how far read, its lines
-        self.log_from: dict[str, int] = {}  # lines there when the step before was done
-        self.zones = [f"z{zone}" for zone in range(drill.plan.cache.zones)]
-        if drill.links:
-            self.link_hosts()
-        self.talks: dict[str, DatagramRelay] = {}
-        for name, post in self.posts.items() if drill.plan.pool else ():
-            at = (f"127.{TALKS}.{place(post.number)}", post.talks[1])
-            self.talks[name] = DatagramRelay(self.loop, at, post.talks, self.rng)
-
-    # --- what the trial's parts ask
+        return Path(self.folder.name)
+
+    @cached_property
+    def launcher(self) -> ProcessLauncher:
+        """What starts the processes."""
+        return ProcessLauncher(self.directory, self.test.failing_disks, self.defect)
+
+    def proposer_wait_s(self) -> float:
+        """Return how long a caller of control waits for the end of its change."""
+        return self.test.control.give_up_ms / 1e3 * PROPOSER_WAIT_RATIO
+
+    def _topology(self) -> Topology:
+        return Topology(
+            balancer_zones={name: post.zone for name, post in self.posts.items()},
+            host_zones={name: store.zone for name, store in self.stores.items()},
+            zone_names=tuple(f"z{zone}" for zone in range(self.test.plan.cache.zones)),
+        )
+
+    def _add_relays(self) -> None:
+        if self.test.relays_to_hosts:
+            self._add_host_relays()
+        if self.test.plan.pool:
+            for name, post in self.posts.items():
+                self.links.add_datagram_relay(name, post.number, post.talks)
+
+    def _add_host_relays(self) -> None:
+        host_ids = {store.address: store.id for store in self.stores.values()}
+        for host_number, store in enumerate(self.stores.values()):
+            for name, post in self.posts.items():
+                self.links.add_host_relay(name, post.number, store.id, host_number, store.address)
+
+        def on_listener(address: Address, listens: bool) -> None:
+            if address in host_ids:
+                for name in self.posts:
+                    link = Link(name, host_ids[address])
+                    self.links.relays[link].set_server_listens(listens)
+
+        assert isinstance(self.ground, Wires)
+        self.ground.heeds = on_listener
+
+    # --- what the simulation's parts ask
 
     def post(self, name: str, number: int, zone: int, decider: Decider) -> VirtualPost | RealPost:
-        assert self.folder
-        return Process(self, name, number, zone, self.policy, self.folder.name)
+        """Make a balancer's place."""
+        return BalancerProcess(self, name, number, zone, self.launcher)
 
     def clients(self) -> Callers:
-        return Witnesses(self) if self.versions else Callers(self)
-
-    def told(self, post: Any, known: dict[str, Any]) -> dict[str, Any]:
-        told = super().told(post, known)
-        told["known"] = self.way_to_hosts(post.name, told["known"])
+        """Make the clients."""
+        if not self.proposal_count:
+            return Callers(self)
+        return VersionClients(self, lambda: self.checker, self.recent_versions)
+
+    def told(self, post: Post, known: dict[str, Any]) -> dict[str, Any]:
+        """Return a balancer's configuration, with relays in the place of other processes."""
+        config = super().told(post, known)
+        config["known"] = self.way_to_hosts(post.name, config["known"])
         if self.controls:
-            told["control"] = {
-                "at": [format_address(self.way_to(post.name, one)) for one in self.controls],
-                "dir": str(self.place / f"{post.name}.disk"),
-                "alone": self.drill.control.alone,
+            addresses = [control.address_for(post.name) for control in self.controls]
+            config["control"] = {
+                "at": [format_address(address) for address in addresses],
+                "dir": str(disk_faults.disk_folder(self.directory, post.name)),
+                "alone": self.test.control.on_lost_quorum,
             }
-        return told
+        return config
 
-    def talk_part(self, post: Any) -> dict[str, Any]:
-        others = [
-            format_address(talk.address) for name, talk in self.talks.items() if name != post.name
+    def way_to_hosts(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
+        """Return the endpoint list as a balancer gets it, with its own relays."""
+        if not self.test.relays_to_hosts:
+            return known
+        hosts = []
+        for entry in known["hosts"]:
+            relay = self.links.relays[Link(name, entry["host"])]
+            hosts.append(entry | {"dial": format_address(relay.address)})
+        return known | {"hosts": hosts}
+
+    def talk_part(self, post: Post) -> dict[str, Any]:
+        """Return a balancer's settings of gossip; the others are heard by way of relays."""
+        peers = [
+            format_address(relay.address)
+            for name, relay in self.links.datagram_relays.items()
+            if name != post.name
         ]
-        return super().talk_part(post) | {"peers": others}
+        return super().talk_part(post) | {"peers": peers}
 
     def listed(self, work: Work) -> bool:
-        if not self.versions:
+        """Return whether the settings that are being written have this class."""
+        if not self.proposal_count:
             return super().listed(work)
-        return work.name in ("base", f"v{self.telling}")
-
-    def recent(self) -> list[int]:
-        """Versions that may govern now: those proposed last, and what was decided before them."""
-        decided = [number for number, fate in self.judge.fates.items() if fate.outcome == "decided"]
-        return sorted({*list(self.judge.fates)[-2:], *decided[-2:]})
+        return work.name in (COMMON_CLASS, class_of_version(self.configured_version))
+
+    def recent_versions(self) -> list[int]:
+        """Return what may govern now: the last proposals, and what was decided before them."""
+        proposals = self.checker.proposals
+        decided = [
+            number
+            for number, proposal in proposals.items()
+            if proposal.outcome is ProposalOutcome.DECIDED
+        ]
+        return sorted({*list(proposals)[-RECENT_COUNT:], *decided[-RECENT_COUNT:]})
 
-    def broke_off(self, ask: Ask, at: int) -> None:
-        """A connection ended unanswered. That its process died may be seen a moment later."""
+    def _on_unanswered(self, ask: Ask, at_us: int) -> None:
+        """A connection ended unanswered; that its process died may be seen a moment later."""
 
-        def judged() -> None:
+        def report_unless_dead() -> None:
             self.look()
             if not ask.left and self.lives(ask.balancer, ask.life):
-                self.broke(ask, at)
+                self.report_unanswered(ask, at_us)
 
-        self.loop.call_later(SLACK, judged)
+        self.loop.call_later(SLACK_US, report_unless_dead)
 
-    # --- processes
+    # --- configurations
 
-    def command(self, kind: str) -> list[str]:
-        if self.drill.failing or self.defect:
-            return ["-m", "orchidgap.fault_tests.process", kind]
-        return ["-m", "orchidgap", kind]
-
-    def start_process(self, name: str, command: list[str]) -> subprocess.Popen[bytes]:
-        more = {"DRILL_DISK": str(self.place / f"{name}.orders"), "DRILL_DEFECT": self.defect}
-        with open(self.place / f"{name}.log", "ab") as log:
-            return subprocess.Popen(
-                [sys.executable, *command],
-                stderr=log,
-                stdout=log,
-                env=os.environ | more,
-                preexec_fn=die_with_parent,
-            )
-
-    def way_to(self, who: str, post: ControlPost) -> Address:
-        """Where this process finds that control process: a relay between the two."""
-        if (who, post.name) not in self.relays:
-            at = (f"127.{100 + post.number}.{place(len(self.relays))}", 7500 + self.ports)
-            self.relays[who, post.name] = Relay(self.loop, at, post.address, self.rng)
-        return self.relays[who, post.name].address
+    def settings_of_version(self, number: int) -> dict[str, Any]:
+        """Return the settings that a proposal of this number has."""
+        self.configured_version = number
+        first = next(iter(self.posts.values()))
+        settings: dict[str, Any] = super().told(first, {})["settings"]
+        self.configured_version = 0
+        return settings
 
-    def way_to_hosts(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
-        """The list as that balancer gets it, with a relay of its own in the place of each host."""
-        if not self.drill.links:
-            return known
-        return known | {
-            "hosts": [
-                entry | {"dial": format_address(self.relays[name, entry["host"]].address)}
-                for entry in known["hosts"]
-            ]
-        }
-
-    def link_hosts(self) -> None:
-        stores = {store.address: store.id for store in self.stores.values()}
-        for i, store in enumerate(self.stores.values()):
-            for name, post in self.posts.items():
-                at = (f"127.{HOSTS + i}.{place(post.number)}", 7071 + self.ports)
-                self.relays[name, store.id] = Relay(
-                    self.loop, at, store.address, self.rng, delivers_after_close=False
-                )
+    def reload(self, post: VirtualPost | RealPost, number: int) -> None:
+        """Write a balancer's file with the settings of a version, and send SIGHUP."""
+        self.configured_version = number
+        text = json.dumps(self.told(post, self.known_of(post.name)))
+        self.configured_version = 0
+        post.hup(text.encode())
+
+    # --- processes
 
-        def heeds(address: Address, there: bool) -> None:
-            for name in self.posts if address in stores else ():
-                self.relays[name, stores[address]].set_server_listens(there)
+    def control(self, name: str) -> ControlProcess:
+        """Return a control process by its name."""
+        return self.controls[int(name[1:])]
 
-        assert isinstance(self.ground, Wires)
-        self.ground.heeds = heeds
+    def process_names(self) -> list[str]:
+        """Return the names of all balancers and control processes."""
+        return [*self.posts, *(control.name for control in self.controls)]
 
     def process_of(self, name: str) -> subprocess.Popen[bytes]:
-        post = self.posts[name] if name in self.posts else self.controls[int(name[1:])]
-        assert isinstance(post, Process | ControlPost) and post.process
-        return post.process
-
-    def lines(self, name: str) -> list[str]:
-        """The events of its log so far."""
-        at, events = self.logs.get(name, (0, []))
-        with suppress(OSError), open(self.place / f"{name}.log", "rb") as file:
-            file.seek(at)
-            text = file.read()
-            whole = text.rpartition(b"\n")[0]
-            at += len(whole) + (1 if whole else 0)
-            for line in whole.splitlines():
-                with suppress(ValueError):
-                    events.append(str(orjson.loads(line).get("event")))
-        self.logs[name] = at, events
-        return events
-
-    # --- what is seen
-
-    def seen(self, when: str, since: int) -> bool:
-        what, *more = words(when, SEEN, when)
-        if what == "seconds":
-            return self.loop.now - since >= micros(float(more[0]))
-        if what == "up":
-            return all(post.ready_at > 0 for post in self.posts.values() if post.alive)
-        if what == "ended":
-            return not self.shells
-        if what == "log":
-            names = [
-                name
-                for name in (*self.posts, *(post.name for post in self.controls))
-                if more[0] in (name, "any")
-            ]
-            return any(more[1] in self.lines(name)[self.log_from.get(name, 0) :] for name in names)
-        if what == "gone":
-            return self.process_of(more[0]).poll() is not None
-        asks = [ask for ask in reversed(self.referee.asks.values()) if ask.came > since]
-        if what == "takes":  # some balancer answers under that version
-            return any(ask.status == 200 and ask.op.work.name == more[0] for ask in asks)
-        asks = [ask for ask in asks if ask.balancer == more[0]]
-        if what == "serves":
-            return any(ask.status == 200 and ask.op.work.name == more[1] for ask in asks)
-        return any(ask.status == 503 for ask in asks)
-
-    # --- what is done
-
-    def act(self, text: str) -> None:
-        what, *more = words(text, DO, text)
-        if more and more[0].endswith("%"):  # the first so many of a hundred balancers
-            names = list(self.posts)
-            for name in names[: len(names) * int(more[0][:-1]) // 100]:
-                self.act(f"{what} {name}")
-        elif what in ("draw", "mend"):
-            getattr(self, what)()
-        elif what != "nothing":
-            self.referee.event(self.loop.now, text)
-            getattr(self, f"do_{what}")(*more)
-
-    def do_propose(self, how: str, by: str = "") -> None:
-        """`how` is good or bad; `by` is the control process asked, or the version proposed once more."""
-        anew = by.startswith("v")
-        number = int(by[1:]) if anew else self.latest + 1
-        self.latest = max(self.latest, number)
-        self.telling = number
-        doc = {"settings": super().told(next(iter(self.posts.values())), {})["settings"]}
-        self.telling = 0
-        if how == "bad":
-            doc["settings"]["registry-mode"] = "poll"
-        path = self.place / f"v{number}.doc"
-        path.write_text(json.dumps(doc))
-        if not anew or self.judge.fates[number].outcome == "nowhere":
-            self.judge.fates[number] = Fate(number, self.loop.now)
-        asked = [post for post in self.controls if by in ("", post.name) or anew]
-        at = ",".join(format_address(self.way_to("shell", post)) for post in asked)
-        wait = self.drill.control.give_up_ms / 1e3 * TRIED
-        shell = subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "orchidgap",
-                "change",
-                "propose",
-                str(path),
-                f"--at={at}",
-                f"--id=v{number}",
-                f"--wait={wait}",
-                "--json",
-            ],
-            stdout=subprocess.PIPE,
-            stderr=subprocess.DEVNULL,
-            preexec_fn=die_with_parent,
-        )
-        self.shells.append((self.judge.fates[number], shell))
-
-    def do_kill(self, name: str) -> None:
-        process = self.process_of(name)
-        process.kill()
-        process.wait()
-        if name in self.posts:
-            self.posts[name].gone()
-        else:
-            self.controls[int(name[1:])].alive = False
-
-    def do_term(self, name: str) -> None:
-        if name in self.posts:
-            return self.posts[name].leave()
-        self.process_of(name).terminate()
-        self.process_of(name).wait()
-        self.controls[int(name[1:])].alive = False
-
-    def do_start(self, name: str) -> None:
-        if name not in self.posts:
-            return self.controls[int(name[1:])].begin()
-        post = self.posts[name]
-        if post.alive:
-            post.kill()
-        post.begin(self.known_of(name))
-
-    def do_stop(self, name: str) -> None:
-        self.process_of(name).send_signal(signal.SIGSTOP)
-        if name in self.posts:
-            self.posts[name].stood.append((self.loop.now, 1 << 62))
+        """Return the process that was started last under a name."""
+        owner = self.posts[name] if name in self.posts else self.control(name)
+        assert isinstance(owner, BalancerProcess | ControlProcess)
+        assert owner.process
+        return owner.process
+
+    def start_processes(self) -> None:
+        """Start all control processes and balancers."""
+        for control in self.controls:
+            control.address_for(OPERATOR)  # there to be cut before the first call
+            control.start(self.controls)
+        _, entries = self.listing.since(None, 1)
+        for post in self.posts.values():
+            post.begin({"seq": 1, "whole": True, "hosts": entries})
 
-    def do_go(self, name: str) -> None:
+    def end_faults(self) -> None:
+        """Heal all links and disks, resume what is stopped, start what is dead."""
+        self.links.heal()
+        for name in self.posts:
+            self._repair_balancer(name)
+        for control in self.controls:
+            disk_faults.free(disk_faults.disk_folder(self.directory, control.name))
+            control.resume(signal.SIGCONT)
+            if control.has_ended():
+                control.start(self.controls)
+        for path in self.directory.glob("*.orders"):
+            path.unlink()
+
+    def _repair_balancer(self, name: str) -> None:
+        disk_faults.free(disk_faults.disk_folder(self.directory, name))
+        post = self.posts[name]
+        if post.alive and post.stood and post.stood[-1][1] > self.loop.now + LONG_PAUSE_US:
+            self.resume(name)
+        if post.alive and self.process_of(name).poll() is not None:
+            post.gone()
+        if not post.alive:
+            post.begin(self.known_of(name))
+
+    def resume(self, name: str) -> None:
+        """Let a stopped process go on; its late answers are not held against it."""
         self.process_of(name).send_signal(signal.SIGCONT)
-        if name in self.posts:
-            post = self.posts[name]
-            post.stood.append((post.stood.pop()[0], self.loop.now + 1_000_000))
-            for ask in self.referee.asks.values():
-                if (
-                    ask.balancer == name and not ask.status
-                ):  # it could not answer in time, and may say so now
-                    ask.due, ask.quiet_at = (
-                        self.loop.now + millis(ask.op.work.timeout_ms),
-                        self.loop.now,
-                    )
-
-    def do_wipe(self, name: str) -> None:
-        shutil.rmtree(self.place / f"{name}.disk", ignore_errors=True)
-
-    def do_tear(self, name: str, file: str) -> None:
-        path = self.place / f"{name}.disk" / file
-        text = path.read_bytes() if path.exists() else DAMAGE
-        path.write_bytes(text[: max(1, len(text) // 2)])
-
-    def do_full(self, name: str) -> None:
-        """The system itself says that there is no room."""
-        folder = self.place / f"{name}.disk"
-        folder.mkdir(exist_ok=True)
-        for file in ("policy", "promise", "register"):
-            beside = folder / f"{file}.new"
-            beside.unlink(missing_ok=True)
-            beside.symlink_to("/dev/full")
-
-    def do_room(self, name: str) -> None:
-        for file in ("policy", "promise", "register"):
-            (self.place / f"{name}.disk" / f"{file}.new").unlink(missing_ok=True)
-
-    def do_disk(self, name: str, step: str, number: str, what: str) -> None:
-        orders = self.place / f"{name}.orders"
-        beside = orders.with_suffix(".beside")
-        beside.write_text(f"{step} {number} {what}\n")
-        beside.replace(orders)
-
-    def means(self, word: str, name: str, link: str) -> bool:
-        """Whether a plan's word is that end of a link to `link`: `all` are control processes and whoever
-        calls them, `hosts` all hosts, `z1` all that is in that zone."""
-        if word == "all":
-            return link not in self.stores
-        if word == "hosts":
-            return name in self.stores
-        if word in self.zones:
-            there = self.stores[name] if name in self.stores else self.posts.get(name)
-            return there is not None and f"z{there.zone}" == word
-        return word == name
-
-    def between(self, one: str, other: str) -> list[tuple[Relay, bool]]:
-        """The relays on which these two meet; whether it is the first of them that calls."""
-        return [
-            (relay, there)
-            for (who, far), relay in self.relays.items()
-            for there in (True, False)
-            if self.means(one if there else other, who, far)
-            and self.means(other if there else one, far, far)
-        ]
-
-    def do_cut(self, one: str, other: str) -> None:
-        for relay, _ in self.between(one, other):
-            relay.set_condition(LinkCondition(cut=True))
-
-    def do_stall(self, one: str, other: str) -> None:
-        """What `one` sends to `other` does not arrive; the other way it does."""
-        for relay, there in self.between(one, other):
-            relay.set_condition(
-                LinkCondition(
-                    stalled_to_server=relay.condition.stalled_to_server or there,
-                    stalled_to_client=relay.condition.stalled_to_client or not there,
-                )
-            )
-
-    def do_slow(self, one: str, other: str, delay_ms: str, loss: str = "0") -> None:
-        """Each way, and a part of what goes there is lost."""
-        for relay, _ in self.between(one, other):
-            relay.set_condition(
-                LinkCondition(delay_us=millis(float(delay_ms)), loss_ratio=float(loss))
-            )
-
-    def do_lose(self, name: str, part: str) -> None:
-        """Of the datagrams to and from that balancer, or all."""
-        share = float(part.rstrip("%")) / 100
-        if name == "all":
-            for talk in self.talks.values():
-                talk.loss_ratios[ANY_SENDER] = share
+        if name not in self.posts:
             return
-        self.talks[name].loss_ratios[ANY_SENDER] = share
-        for talk in self.talks.values():
-            talk.loss_ratios[self.posts[name].talks[0]] = share
-
-    def do_noise(self, name: str, count: str) -> None:
-        """So many datagrams that nobody signed, within a second."""
-        noise = Random(self.seed)
-        for i in range(100):
-            self.loop.call_later(i * 10_000, self.shout, self.talks[name], noise, int(count) // 100)
-
-    @staticmethod
-    def shout(talk: DatagramRelay, noise: Random, count: int) -> None:
-        for _ in range(count):
-            talk.deliver(noise.randbytes(noise.randrange(1_400)))
-
-    def do_heal(self, one: str = "", other: str = "") -> None:
-        for talk in self.talks.values():
-            talk.loss_ratios.clear()
-        for relay in (
-            [relay for relay, _ in self.between(one, other)] if one else self.relays.values()
-        ):
-            relay.set_condition(HEALTHY)
-
-    def do_strike(self, name: str) -> None:
-        at = ",".join(format_address(self.way_to("shell", post)) for post in self.controls)
-        shell = subprocess.Popen(
-            [sys.executable, "-m", "orchidgap", "change", "strike", name, f"--at={at}"],
-            stdout=subprocess.DEVNULL,
-            stderr=subprocess.DEVNULL,
-            preexec_fn=die_with_parent,
-        )
-        self.until(lambda: shell.poll() is not None, 20, "struck off")
-        shell.kill()
-        self.referee.event(self.loop.now, f"{name} struck off: {shell.returncode}")
-
-    def do_hup(self, name: str) -> None:
-        """The file gets settings of its own, which control's go before."""
-        self.telling = 999
         post = self.posts[name]
-        text = json.dumps(self.told(post, self.known_of(name)))
-        self.telling = 0
-        post.hup(text.encode())
-
-    def do_sighup(self) -> None:
-        """The way without control: a loop over all that are there, one file and one signal after another."""
-        self.latest += 1
-        fate = self.judge.fates[self.latest] = Fate(self.latest, self.loop.now)
-        self.telling = self.latest
-        for name, post in self.posts.items():
-            if post.alive:
-                post.hup(json.dumps(self.told(post, self.known_of(name))).encode())
-                self.loop.run_once(0)  # clients go on meanwhile
-        self.telling = 0
-        self.judge.told(fate, "decided", self.latest, "", self.loop.now)
-
-    def do_hosts(self, host: str, health: str) -> None:
-        """The list changes beside it."""
-        self.listing.put(host, health)
-
-    def do_measure(self, name: str) -> None:
-        """The stretch before ends, this one begins."""
-        self.stretches.begin(name)
-
-    def do_trouble(self, kind: str, seconds: str, whom: str = "", size: str = "0") -> None:
-        """What trials have: `whom` is a part of the hosts, or one by name."""
-        part, target = (float(whom[:-1]) / 100, "") if whom.endswith("%") else (0.0, whom)
-        set_off(self, Trouble(kind, 0.0, float(seconds), part, target, float(size)))
-
-    def draw(self) -> None:
-        """A fault by chance, on whoever; `mend` ends them all."""
-        rng, balancers = self.rng, list(self.posts)
-        b, k = rng.choice(balancers), rng.choice([post.name for post in self.controls])
-        faults = [
-            f"cut {b} all",
-            f"stall {b} all",
-            f"stall all {b}",
-            f"full {b}",
-            f"slow {b} all {rng.randrange(20, 300)}",
-        ]
-        if self.drill.links:
-            host = rng.choice(list(self.stores))
-            faults += [
-                f"cut {b} hosts",
-                f"stall {b} {host}",
-                f"stall {host} {b}",
-                f"stall hosts {b}",
-                f"slow {b} hosts {rng.randrange(5, 60)} 0.1",
-            ]
-        if self.posts[b].alive:
-            faults += [f"kill {b}", f"stop {b}", f"term {b}"] * 2
-        if len(self.controls) > 1 and all(post.alive for post in self.controls):
-            faults += [f"kill {k}", f"stop {k}", f"cut all {k}", f"full {k}", f"stall {k} all"]
-        elif len(self.controls) == 1 and self.controls[0].alive:
-            faults += [f"kill {k}", f"stop {k}", f"full {k}"]
-        if self.drill.failing:
-            step = rng.choice(("open", "write", "fsync", "rename"))
-            what = rng.choice(("ENOSPC", "EIO", "kill", "short" if step == "write" else "EIO"))
-            faults += [f"disk {name} {step} {rng.randrange(1, 4)} {what}" for name in (b, k)]
-        self.act(rng.choice(faults))
-        if rng.random() < 0.5:
-            self.loop.call_later(rng.randrange(200_000, 2_000_000), self.mend)
-
-    def mend(self) -> None:
-        """All faults end: links heal, what stands still goes on, what is dead starts again."""
-        self.do_heal()
-        for name in self.posts:
-            self.do_room(name)
-            post = self.posts[name]
-            if post.alive and post.stood and post.stood[-1][1] > self.loop.now + 2_000_000:
-                self.do_go(name)
-            if post.alive and self.process_of(name).poll() is not None:
-                post.gone()
-            if not post.alive:
-                post.begin(self.known_of(name))
-        for control in self.controls:
-            self.do_room(control.name)
-            assert control.process
-            with suppress(ProcessLookupError):
-                control.process.send_signal(signal.SIGCONT)
-            if control.process.poll() is not None:
-                control.begin()
-        for orders in self.place.glob("*.orders"):
-            orders.unlink()
-
-    # --- the run
+        stopped_us, _ = post.stood.pop()
+        post.stood.append((stopped_us, self.loop.now + 1_000_000))
+        for ask in self.referee.asks.values():
+            if ask.balancer == name and not ask.status:
+                ask.due = self.loop.now + millis(ask.op.work.timeout_ms)
+                ask.quiet_at = self.loop.now
 
     def look(self) -> None:
-        """Callers of control that have ended, and processes that a disk's order has killed."""
-        for fate, shell in list(self.shells):
-            if shell.poll() is not None:
-                self.shells.remove((fate, shell))
-                assert shell.stdout
-                with shell.stdout as out:
-                    text = out.read().splitlines()
-                said = orjson.loads(text[-1]) if text else {}
-                outcome = OUTCOMES.get(shell.returncode, "unknown")
-                self.judge.told(
-                    fate,
-                    outcome,
-                    int(said.get("n", 0)) if outcome == "decided" else 0,
-                    str(said.get("why", "")),
-                    self.loop.now,
-                )
+        """Take note of processes and callers of control that have ended."""
+        self.proposers.collect(self.loop.now)
         for post in self.posts.values():
             if post.alive and not post.leaving and self.process_of(post.name).poll() is not None:
                 post.gone()
         for control in self.controls:
-            control.alive = (
-                control.alive and control.process is not None and control.process.poll() is None
-            )
-
-    def watch(self) -> None:
-        """Until when a version was certainly not decided: a majority of control had not taken it."""
-        self.loop.call_later(WATCH, self.watch)
-        asked = self.loop.clock()
-        heard: list[StatusAnswer] = []
-        open_ = [fate for fate in self.judge.fates.values() if fate.number and not fate.outcome]
-
-        def told(status: StatusAnswer | None) -> None:
-            if status and not status.lost_register:
-                heard.append(status)
-            if len(heard) == len(self.controls) // 2 + 1:
-                for fate in open_:
-                    if not any(has_taken(status, f"v{fate.number}") for status in heard):
-                        fate.not_before = max(fate.not_before, asked)
-
-        if open_:
-            for calls in self.watches:
-                calls.call(STATUS, EmptyMessage(), told)
-
-    def play(self, tick: Callable[[float], None] | None = None) -> dict[str, Any]:
-        """The steps in their order, then all healed; the verdict."""
-        began = time.monotonic()
-        try:
-            for control in self.controls:
-                self.way_to("shell", control)  # there to be cut before the first call
-                control.begin()
-            _, entries = self.listing.since(None, 1)
-            for post in self.posts.values():
-                post.begin({"seq": 1, "whole": True, "hosts": entries})
-            self.until(lambda: all(post.ready_at for post in self.posts.values()), 30.0, "all up")
-            self.started, self.held = time.monotonic() - began, self.memory()
-            self.start = self.referee.start = self.loop.clock()
-            self.loop.call_later(LOOK, self.weigh)
-            self.callers.end = self.start + micros(3_600)
-            self.loop.call_soon(self.callers.arrive)
-            self.loop.call_soon(self.watch)
-            steps = [
-                (i, step) for i, step in enumerate(self.drill.steps) for _ in range(step.times)
-            ]
-            all(
-                self.step(i, step.when, step.do, step.within_s) for i, step in steps
-            )  # to the first not seen
-            self.stretches.begin("")
-            self.mend()
-            leaving = [post for post in self.posts.values() if post.leaving]
-            self.until(
-                lambda: not any(post.alive for post in leaving), 6, "all ended that were told to"
-            )
-            self.mend()  # they start again
-            wait = self.drill.control.give_up_ms / 1e3 * TRIED + 5
-            self.until(lambda: not self.shells, wait, "no proposal open")
-            self.settle()
-            self.judge.judge()
-            found = self.stretches.judge(self.judge.breach)
-            told = self.judge.verdict(self.judged()) | self.costs()
-            return told | {"stretches": found} if found else told
-        finally:
-            self.close()
-
-    def step(self, number: int, when: str, do: str, within: float) -> bool:
-        """Whether it was seen, and what is to be done then is done."""
-        since = self.loop.now
-        if not self.until(lambda: self.seen(when, since), within, f"step {number}, {when}"):
-            return False
-        for name in self.logs:
-            self.log_from[name] = len(self.lines(name))
-        for act in do.split(";"):
-            self.act(act)
-        return True
-
-    def weigh(self) -> None:
-        """CPU of all balancers, as the system counts it, and bytes between them and control."""
-        self.loop.call_later(2_000_000, self.weigh)
-        names = [name for name, post in self.posts.items() if post.alive]
-        cpu = 0.0
-        for name in names:
-            with suppress(OSError, IndexError, ValueError):
-                cpu += cpu_of(self.process_of(name).pid)
-        moved = sum(
-            relay.relayed_bytes
-            for (who, far), relay in self.relays.items()
-            if who in self.posts and far not in self.stores
-        )
-        self.weights.append((self.loop.now, cpu, moved, len(names)))
-
-    def memory(self) -> int:
-        """Kilobytes of all processes, what they share counted once."""
-        total = 0
-        for name in [*self.posts, *(post.name for post in self.controls)]:
-            with suppress(OSError):
-                for line in (
-                    Path(f"/proc/{self.process_of(name).pid}/smaps_rollup").read_text().splitlines()
-                ):
-                    if line.startswith("Pss:"):
-                        total += int(line.split()[1])
-        return total
-
-    def costs(self) -> dict[str, Any]:
-        """Of one balancer in a second, over the longest stretch in which none came or went."""
-        rows = self.weights
-        pairs = [
-            (one, other)
-            for i, one in enumerate(rows)
-            for other in rows[i + 1 : i + 8]
-            if one[3] == other[3] > 0 and other[1] >= one[1]
-        ]
-        told: dict[str, Any] = {
-            "started_s": round(self.started, 1),
-            "memory_mb": round(self.held / 1e3),
-        }
-        if pairs:
-            one, other = max(pairs, key=lambda pair: pair[1][0] - pair[0][0])
-            each = (other[0] - one[0]) / 1e6 * one[3]
-            told["cpu_ms"] = round((other[1] - one[1]) * 1e3 / each, 2)
-            told["bytes"] = round((other[2] - one[2]) / each)
-        return told
-
-    def until(self, seen: Callable[[], bool], within: float, what: str) -> bool:
-        """Whether it was seen in time; if not, that is told, and the drill is broken."""
-        end, next_look = time.monotonic() + within, 0
+            control.alive = control.alive and not control.has_ended()
+
+    def wait_until(self, is_met: Callable[[], bool], timeout_s: float, what: str) -> bool:
+        """Run until something is seen; a breach and False if that takes longer."""
+        end_s = time.monotonic() + timeout_s
+        next_look_us = 0
         while True:
-            self.loop.run_once(10_000)
-            if self.loop.now >= next_look:
-                next_look = self.loop.now + LOOK
+            self.loop.run_once(LOOP_TURN_US)
+            if self.loop.now >= next_look_us:
+                next_look_us = self.loop.now + LOOK_INTERVAL_US
                 self.look()
-                if seen():
+                if is_met():
                     return True
-            if time.monotonic() > end:
-                self.judge.breach("stuck", self.loop.now, f"not seen in {within:g} s: {what}")
+            if time.monotonic() > end_s:
+                text = f"not seen in {timeout_s:g} s: {what}"
+                self.checker.breach(STUCK, self.loop.now, text)
                 return False
 
-    def settle(self) -> None:
-        """All is healed: what counts has to be what all serve under, and what all callers are told."""
-        numbers = [number for number in self.judge.fates if number]
-        if self.controls and self.ask(SETTLE, EmptyMessage()) is None:
-            return self.judge.breach("stuck", self.loop.now, "control does not come back")
-        if self.controls:
-            wait = self.drill.control.give_up_ms / 1e3 * TRIED + 5
-            self.until(self.nothing_proposed, wait, "none proposed")
-        for number in numbers:
-            fate = self.judge.fates[number]
-            if not self.controls:
-                continue
-            answer = self.ask(CHANGE, ChangeRequest(change_id=f"v{number}"))
-            state = answer.state if answer else None
-            if answer and state in (ChangeState.DECIDED, ChangeState.DROPPED):
-                version, reason = answer.version or 0, answer.reason or ""
-                self.judge.told(fate, answer.state.value, version, reason, self.loop.now)
-            elif state is ChangeState.UNKNOWN and fate.outcome != "decided":
-                fate.outcome = "nowhere"  # nobody took it, and nobody was told otherwise
-            else:
-                rule = "stuck" if state in (None, ChangeState.PROPOSED) else "untrue"
-                was, word = fate.outcome or "nothing", state.value if state else "nothing"
-                self.judge.breach(rule, self.loop.now, f"v{number}: {word}, after {was}")
-        if not numbers:
-            return
-        best = max(
-            self.judge.fates.values(), key=lambda fate: fate.n if fate.outcome == "decided" else -1
-        )
-        since = self.loop.now
-        for name in [name for name, post in self.posts.items() if post.alive]:
-            spent = (self.loop.now - since) / 1e6
-            within = max(0.5, self.drill.settle_s + 3 * self.drill.control.lease_ms / 1e3 - spent)
-            wanted = f"serves {name} v{best.number}"
-            self.until(partial(self.seen, wanted, since), within, wanted)
-        found = tuple(self.judge.fates[number].outcome for number in numbers)
-        if self.drill.outcomes and found != self.drill.outcomes:
-            whys = "; ".join(self.judge.fates[number].why for number in numbers)
-            self.judge.breach("stuck", self.loop.now, f"outcomes {', '.join(found)}: {whys}")
-
-    def nothing_proposed(self) -> bool:
-        status = self.ask(STATUS, EmptyMessage())
-        return status is not None and status.proposal is None
-
-    def ask(self, method: RpcMethod[RequestT, AnswerT], request: RequestT) -> AnswerT | None:
-        """Of any control process, now that all are there."""
-        for _ in range(10):
-            for calls in self.questions:
-                if (answer := calls.call_and_wait(method, request)) is not None:
+    def ask_control(
+        self, method: RpcMethod[RequestT, AnswerT], request: RequestT
+    ) -> AnswerT | None:
+        """Return the answer of whichever control process answers first, None if none does."""
+        for _ in range(CALL_ROUNDS):
+            for client in self.control_clients:
+                answer = client.call_and_wait(method, request)
+                if answer is not None:
                     return answer
-            end = self.loop.clock() + 200_000
-            while self.loop.clock() < end:
-                self.loop.run_once(10_000)
+            end_us = self.loop.clock() + CALL_PAUSE_US
+            while self.loop.clock() < end_us:
+                self.loop.run_once(LOOP_TURN_US)
         return None
 
     def close(self) -> None:
-        for _, shell in self.shells:
-            shell.kill()
-            shell.wait()
-            if shell.stdout:
-                shell.stdout.close()
+        """Kill all processes and remove their files."""
+        self.proposers.close()
         for control in self.controls:
-            if control.process:
-                control.process.kill()
-                control.process.wait()
+            control.kill()
         for post in self.posts.values():
-            if isinstance(post, Process) and post.process:
+            if isinstance(post, BalancerProcess) and post.process:
                 post.process.kill()
                 post.process.wait()
-        for relay in self.relays.values():
-            relay.close()
-        for talk in self.talks.values():
-            talk.close()
+        self.links.close()
         super().close()
-        self.slot.close()
-
-    def tails(self) -> dict[str, list[str]]:
-        """The last events of each process's log, for whoever has to explain a breach."""
-        return {name: events[-6:] for name, (_, events) in self.logs.items()}
+        self.port_offset.close()
--- a/orchidgap/fault_tests/commands.py
+++ b/orchidgap/fault_tests/commands.py
@@ -1,4 +1,4 @@
-"""The command `drill`."""
+"""The command that runs a fault test."""
 
 from __future__ import annotations
 
@@ -6,94 +6,114 @@
 import sys
 import tempfile
 from collections.abc import Mapping
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import orjson
-from msgspec.structs import replace
 
-from orchidgap.fault_tests.cluster import Town
-from orchidgap.fault_tests.plan import Drill, read
+from orchidgap.fault_tests.cluster import Cluster
+from orchidgap.fault_tests.plan import FaultTest, read
 from orchidgap.fault_tests.planted_defects import DEFECTS
+from orchidgap.fault_tests.runner import FaultTestRunner
 from orchidgap.simulation.baselines import KINDS
 from orchidgap.simulation.plan import MOST_BALANCERS, BadPlan
 
-SHOWN = 12  # breaches told on the screen
+MAX_SHOWN_BREACHES = 12
+DEFAULT_POLICY = "orchidgap"
+EXIT_KEPT = 0
+EXIT_BROKEN = 1
+EXIT_BAD_PLAN = 2
 
 
-def main(told: Mapping[str, Any]) -> int:
-    """Takes what docopt read; gives the exit code: 1 where a rule broke, 2 for a bad plan."""
+def main(arguments: Mapping[str, Any]) -> int:
+    """Run the command, as docopt read it; return the exit code."""
     try:
-        drill = read(told["PLAN"])
-        seed, count = (whole(told, name) for name in ("--seed", "--balancers"))
-        if count is not None:
-            drill = of_size(drill, count)
-        defect, policy = told["--defect"] or "", told["--policy"]
-        if defect and defect not in DEFECTS:
-            raise BadPlan(f"no defect {defect!r}: one of {', '.join(DEFECTS)}")
-        if policy != "orchidgap" and (policy not in KINDS or drill.control.count or defect):
-            raise BadPlan(
-                f"--policy={policy}: one of {', '.join(KINDS)}, without control and defects"
-            )
-    except BadPlan as trouble:
-        print(f"orchidgap: {trouble}", file=sys.stderr)
-        return 2
-    verdict, town = play(
-        drill,
-        seed,
-        defect,
-        Path(told["--out"]) if told["--out"] else None,
-        told["--disk"] or "",
-        policy,
-    )
-    for rule, at, text in town.referee.breaches[:SHOWN]:
-        print(f"{rule} at {at:.3f} s: {text}", file=sys.stderr)
+        test = read(arguments["PLAN"])
+        seed = _whole_number(arguments, "--seed")
+        balancer_count = _whole_number(arguments, "--balancers")
+        if balancer_count is not None:
+            test = with_balancers(test, balancer_count)
+        defect = arguments["--defect"] or ""
+        policy = arguments["--policy"]
+        _check_options(test, defect, policy)
+    except BadPlan as error:
+        print(f"orchidgap: {error}", file=sys.stderr)
+        return EXIT_BAD_PLAN
+    out = Path(arguments["--out"]) if arguments["--out"] else None
+    verdict, cluster = play(test, seed, defect, out, arguments["--disk"] or "", policy)
+    for rule, at_s, text in cluster.referee.breaches[:MAX_SHOWN_BREACHES]:
+        print(f"{rule} at {at_s:.3f} s: {text}", file=sys.stderr)
     print(orjson.dumps(verdict).decode())
-    return 0 if verdict["verdict"] == "kept" else 1
+    return EXIT_KEPT if verdict["verdict"] == "kept" else EXIT_BROKEN
 
 
-def whole(told: Mapping[str, Any], name: str) -> int | None:
+def _whole_number(arguments: Mapping[str, Any], name: str) -> int | None:
     try:
-        return int(told[name]) if told[name] else None
+        return int(arguments[name]) if arguments[name] else None
     except ValueError:
-        raise BadPlan(f"{name} wants a whole number, not {told[name]!r}") from None
+        raise BadPlan(f"{name} wants a whole number, not {arguments[name]!r}") from None
 
 
-def of_size(drill: Drill, balancers: int) -> Drill:
-    """The same with so many balancers."""
-    if not 1 <= balancers <= MOST_BALANCERS:
-        raise BadPlan(f"--balancers={balancers}: 1 to {MOST_BALANCERS} can be")
-    return replace(drill, plan=replace(drill.plan, balancers=balancers))
+def _check_options(test: FaultTest, defect: str, policy: str) -> None:
+    if defect and defect not in DEFECTS:
+        raise BadPlan(f"no defect {defect!r}: one of {', '.join(DEFECTS)}")
+    if policy == DEFAULT_POLICY:
+        return
+    if policy not in KINDS or test.control.count or defect:
+        raise BadPlan(f"--policy={policy}: one of {', '.join(KINDS)}, without control and defects")
+
+
+def with_balancers(test: FaultTest, count: int) -> FaultTest:
+    """Return the same test with so many balancers; BadPlan if they are too many or none."""
+    if not 1 <= count <= MOST_BALANCERS:
+        raise BadPlan(f"--balancers={count}: 1 to {MOST_BALANCERS} can be")
+    return replace(test, plan=msgspec.structs.replace(test.plan, balancers=count))
 
 
 def play(
-    drill: Drill,
+    test: FaultTest,
     seed: int | None = None,
     defect: str = "",
     out: Path | None = None,
     disk: str = "",
-    policy: str = "orchidgap",
-) -> tuple[dict[str, Any], Town]:
-    """One drill: its verdict, and what is left of it. What its processes wrote is kept in `out`."""
-    town = Town(drill, seed, defect, disk, policy)
-    copied = Path(tempfile.mkdtemp()) if out else None
-    try:
-        if copied:
-            close = town.close
+    policy: str = DEFAULT_POLICY,
+) -> tuple[dict[str, Any], Cluster]:
+    """Run a fault test.
+
+    Args:
+        test: The plan.
+        seed: Of all that is drawn, in place of the plan's own.
+        defect: The name of a planted defect, empty for none.
+        out: Where to keep the files of all processes, the events and the verdict.
+        disk: The folder of the processes' disks, empty for one in memory.
+        policy: What decides in balancers.
 
-            def keep() -> None:
-                shutil.copytree(town.place, copied, dirs_exist_ok=True, symlinks=True)
-                close()
+    Returns:
+        The content of the verdict line, and what is left of the cluster.
+    """
+    cluster = Cluster(test, seed, defect, disk, policy)
+    runner = FaultTestRunner(cluster)
+    if out is None:
+        return runner.run(before_close=lambda: None), cluster
+    # copied to the disk only when all is over: `out` may be slow, and the test goes on meanwhile
+    with tempfile.TemporaryDirectory() as copied:
 
-            town.close = keep  # type: ignore[method-assign]
-        verdict = town.play()
-    finally:
-        if out and copied:
+        def copy_files() -> None:
+            shutil.copytree(cluster.directory, copied, dirs_exist_ok=True, symlinks=True)
+
+        try:
+            verdict = runner.run(before_close=copy_files)
+        finally:
             shutil.copytree(copied, out, dirs_exist_ok=True, symlinks=True)
-            shutil.rmtree(copied)
-    if out:
-        events = [f"{at:9.3f} {text}" for at, text in town.referee.events]
-        events += [f"{at:9.3f} {rule}: {text}" for rule, at, text in town.referee.breaches]
-        (out / "events.txt").write_text("\n".join(sorted(events)) + "\n")
-        (out / "verdict.json").write_bytes(orjson.dumps(verdict))
-    return verdict, town
+    _write_report(out, verdict, cluster)
+    return verdict, cluster
+
+
+def _write_report(out: Path, verdict: dict[str, Any], cluster: Cluster) -> None:
+    referee = cluster.referee
+    lines = [f"{at_s:9.3f} {text}" for at_s, text in referee.events]
+    lines += [f"{at_s:9.3f} {rule}: {text}" for rule, at_s, text in referee.breaches]
+    (out / "events.txt").write_text("\n".join(sorted(lines)) + "\n")
+    (out / "verdict.json").write_bytes(orjson.dumps(verdict))
--- /dev/null
+++ b/orchidgap/fault_tests/control_process.py
@@ -0,0 +1,80 @@
+"""A control process of a fault test."""
+
+from __future__ import annotations
+
+import json
+import subprocess
+from contextlib import suppress
+
+from orchidgap.fault_tests.child_processes import ProcessLauncher
+from orchidgap.fault_tests.disk_faults import disk_folder
+from orchidgap.fault_tests.links import CONTROL_PORT, Links
+from orchidgap.fault_tests.plan import ControlSettings
+from orchidgap.net.addresses import Address, format_address
+
+
+class ControlProcess:
+    """A control process's place: its program may end and start again there.
+
+    Attributes:
+        alive: Whether it runs, as far as was looked.
+        starts_new: Whether the next start is the first one, with an empty disk.
+    """
+
+    def __init__(
+        self, launcher: ProcessLauncher, links: Links, settings: ControlSettings, number: int
+    ) -> None:
+        """Prepare the process; `start` runs it."""
+        self.launcher = launcher
+        self.links = links
+        self.settings = settings
+        self.number = number
+        self.name = f"k{number}"
+        self.address: Address = (f"127.5.0.{number + 1}", CONTROL_PORT + links.port_offset)
+        self.process: subprocess.Popen[bytes] | None = None
+        self.starts_new = True
+        self.alive = False
+
+    def address_for(self, client: str) -> Address:
+        """Return where a client finds it."""
+        return self.links.to_control(client, self.name, self.number, self.address)
+
+    def start(self, members: list[ControlProcess]) -> None:
+        """Start it as one of these control processes."""
+        folder = self.launcher.folder
+        addresses = {
+            member.name: format_address(
+                member.address if member is self else member.address_for(self.name)
+            )
+            for member in members
+        }
+        config = {
+            "name": self.name,
+            "dir": str(disk_folder(folder, self.name)),
+            "control": addresses,
+            "lease-ms": self.settings.lease_ms,
+            "give-up-ms": self.settings.give_up_ms,
+        }
+        path = folder / f"{self.name}.json"
+        path.write_text(json.dumps(config))
+        options = ["--new"] if self.starts_new else []
+        self.starts_new = False
+        command = [*self.launcher.command("control"), f"--config={path}", *options]
+        self.process = self.launcher.start(self.name, command)
+        self.alive = True
+
+    def has_ended(self) -> bool:
+        """Return whether the process is not there any more."""
+        return self.process is None or self.process.poll() is not None
+
+    def resume(self, signal_number: int) -> None:
+        """Send the signal that lets a stopped process go on, if it is there."""
+        assert self.process
+        with suppress(ProcessLookupError):
+            self.process.send_signal(signal_number)
+
+    def kill(self) -> None:
+        """Kill it and wait for its end."""
+        if self.process:
+            self.process.kill()
+            self.process.wait()
--- /dev/null
+++ b/orchidgap/fault_tests/costs.py
@@ -0,0 +1,94 @@
+"""What the processes of a fault test cost: start, memory, CPU and bytes."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+from itertools import islice
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from orchidgap.fault_tests.cluster import Cluster
+from orchidgap.simulation.virtual_network import cpu_of
+
+SAMPLE_INTERVAL_US = 2_000_000
+MAX_STRETCH_SAMPLES = 7
+
+
+class CostSample(NamedTuple):
+    """Costs of all balancers so far.
+
+    Attributes:
+        at_us: When it was taken.
+        cpu_s: CPU time of the balancers, as the system counts it.
+        relayed_bytes: Bytes between balancers and control.
+        balancer_count: How many were alive.
+    """
+
+    at_us: int
+    cpu_s: float
+    relayed_bytes: int
+    balancer_count: int
+
+
+def proportional_memory_kb(process_id: int) -> int:
+    """Return a process's memory with shared pages counted in part, 0 if the system tells none."""
+    with suppress(OSError):
+        for line in Path(f"/proc/{process_id}/smaps_rollup").read_text().splitlines():
+            if line.startswith("Pss:"):
+                return int(line.split()[1])
+    return 0
+
+
+class CostMeter:
+    """Samples the costs of a cluster while it runs."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        """Begin without samples."""
+        self.cluster = cluster
+        self.samples: list[CostSample] = []
+        self.start_s = 0.0
+        self.memory_kb = 0
+
+    def on_started(self, start_s: float) -> None:
+        """Take in how long it took until all balancers were up; measure memory, start to sample."""
+        self.start_s = start_s
+        names = self.cluster.process_names()
+        self.memory_kb = sum(
+            proportional_memory_kb(self.cluster.process_of(name).pid) for name in names
+        )
+
+    def sample(self) -> None:
+        """Take a sample, now and again and again."""
+        cluster = self.cluster
+        cluster.loop.call_later(SAMPLE_INTERVAL_US, self.sample)
+        names = [name for name, post in cluster.posts.items() if post.alive]
+        cpu_s = 0.0
+        for name in names:
+            with suppress(OSError, IndexError, ValueError):
+                cpu_s += cpu_of(cluster.process_of(name).pid)
+        relayed_bytes = cluster.links.control_bytes()
+        self.samples.append(CostSample(cluster.loop.now, cpu_s, relayed_bytes, len(names)))
+
+    def report(self) -> dict[str, Any]:
+        """Return the verdict line's costs.
+
+        CPU and bytes are those of one balancer in a second, over the longest stretch in which none
+        came or went.
+        """
+        costs: dict[str, Any] = {
+            "started_s": round(self.start_s, 1),
+            "memory_mb": round(self.memory_kb / 1e3),
+        }
+        stretches = [
+            (first, last)
+            for index, first in enumerate(self.samples)
+            for last in islice(self.samples, index + 1, index + 1 + MAX_STRETCH_SAMPLES)
+            if first.balancer_count == last.balancer_count > 0 and last.cpu_s >= first.cpu_s
+        ]
+        if stretches:
+            first, last = max(stretches, key=lambda ends: ends[1].at_us - ends[0].at_us)
+            balancer_seconds = (last.at_us - first.at_us) / 1e6 * first.balancer_count
+            cpu_ms = (last.cpu_s - first.cpu_s) * 1e3
+            costs["cpu_ms"] = round(cpu_ms / balancer_seconds, 2)
+            costs["bytes"] = round((last.relayed_bytes - first.relayed_bytes) / balancer_seconds)
+        return costs
--- a/orchidgap/fault_tests/plan.py
+++ b/orchidgap/fault_tests/plan.py
@@ -1,163 +1,334 @@
-"""What a drill plays: a trial's plan for hosts, callers and load, a table `control`, and steps of `when
-SEEN do FAULT`."""
+"""The plan of a fault test: a simulation's plan with a table `control` and steps.
+
+The words of plan files stand here and nowhere else; `Condition` and `Action` are what the rest of
+the package sees of a step.
+"""
 
 from __future__ import annotations
 
 import shlex
 import tomllib
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import Enum
 from pathlib import Path
-from typing import Annotated, Any, Literal
+from typing import Annotated, Literal
 
 import msgspec
 from msgspec import Meta
 
 from orchidgap.simulation.plan import BadPlan, Count, Natural, Plan, Positive, Table, Work, checked
 
-SEEN = {  # by the first word: how many more there are
-    "up": 0,
-    "seconds": 1,
-    "log": 2,
-    "ended": 0,
-    "serves": 2,
-    "denies": 1,
-    "takes": 1,
-    "gone": 1,
+ALL_CONTROL = "all"
+ALL_BALANCERS = "all"
+ALL_HOSTS = "hosts"
+ANY_PROCESS = "any"
+BAD_POLICY = "bad"
+COMMON_CLASS = "base"
+CLASS_PREFIX = "v"
+CONTROL_COUNTS = (0, 1, 3, 5)
+ACTION_SEPARATOR = ";"
+
+
+class ConditionKind(Enum):
+    """What a step waits for. The values are the words of plan files."""
+
+    ALL_UP = "up"
+    SECONDS_PASSED = "seconds"
+    EVENT_LOGGED = "log"
+    PROPOSALS_ENDED = "ended"
+    SERVES_VERSION = "serves"
+    DENIES = "denies"
+    VERSION_SEEN = "takes"
+    PROCESS_ENDED = "gone"
+
+
+class ActionKind(Enum):
+    """What a step does. The values are the words of plan files."""
+
+    NOTHING = "nothing"
+    PROPOSE = "propose"
+    KILL = "kill"
+    TERMINATE = "term"
+    PAUSE = "stop"
+    RESUME = "go"
+    START = "start"
+    WIPE_DISK = "wipe"
+    TEAR_FILE = "tear"
+    FILL_DISK = "full"
+    FREE_DISK = "room"
+    FAIL_DISK = "disk"
+    CUT = "cut"
+    STALL = "stall"
+    SLOW = "slow"
+    HEAL = "heal"
+    EVICT = "strike"
+    RELOAD = "hup"
+    RANDOM_FAULT = "draw"
+    END_FAULTS = "mend"
+    SET_HOST_HEALTH = "hosts"
+    ROLL_OUT_BY_SIGNAL = "sighup"
+    MEASURE = "measure"
+    SIMULATION_FAULT = "trouble"
+    LOSE_DATAGRAMS = "lose"
+    SEND_NOISE = "noise"
+
+
+class ProposalOutcome(Enum):
+    """What became of a proposal. The values are the words of plans and of the verdict line."""
+
+    OPEN = ""
+    DECIDED = "decided"
+    DROPPED = "nowhere"
+    UNKNOWN = "unknown"
+
+
+ArgumentCounts = tuple[int, int]
+"""The least and the most words after the first one."""
+
+CONDITION_ARGUMENTS: dict[ConditionKind, ArgumentCounts] = {
+    ConditionKind.ALL_UP: (0, 0),
+    ConditionKind.SECONDS_PASSED: (1, 1),
+    ConditionKind.EVENT_LOGGED: (2, 2),
+    ConditionKind.PROPOSALS_ENDED: (0, 0),
+    ConditionKind.SERVES_VERSION: (2, 2),
+    ConditionKind.DENIES: (1, 1),
+    ConditionKind.VERSION_SEEN: (1, 1),
+    ConditionKind.PROCESS_ENDED: (1, 1),
 }
-DO = {
-    "nothing": 0,
-    "propose": (1, 2),
-    "kill": 1,
-    "term": 1,
-    "stop": 1,
-    "go": 1,
-    "start": 1,
-    "wipe": 1,
-    "tear": 2,
-    "full": 1,
-    "room": 1,
-    "disk": 4,
-    "cut": 2,
-    "stall": 2,
-    "slow": (3, 4),
-    "heal": (0, 2),
-    "strike": 1,
-    "hup": 1,
-    "draw": 0,
-    "mend": 0,
-    "hosts": 2,
-    "sighup": 0,
-    "measure": 1,
-    "trouble": (2, 4),
-    "lose": 2,
-    "noise": 2,
+ACTION_ARGUMENTS: dict[ActionKind, ArgumentCounts] = {
+    ActionKind.NOTHING: (0, 0),
+    ActionKind.PROPOSE: (1, 2),
+    ActionKind.KILL: (1, 1),
+    ActionKind.TERMINATE: (1, 1),
+    ActionKind.PAUSE: (1, 1),
+    ActionKind.RESUME: (1, 1),
+    ActionKind.START: (1, 1),
+    ActionKind.WIPE_DISK: (1, 1),
+    ActionKind.TEAR_FILE: (2, 2),
+    ActionKind.FILL_DISK: (1, 1),
+    ActionKind.FREE_DISK: (1, 1),
+    ActionKind.FAIL_DISK: (4, 4),
+    ActionKind.CUT: (2, 2),
+    ActionKind.STALL: (2, 2),
+    ActionKind.SLOW: (3, 4),
+    ActionKind.HEAL: (0, 2),
+    ActionKind.EVICT: (1, 1),
+    ActionKind.RELOAD: (1, 1),
+    ActionKind.RANDOM_FAULT: (0, 0),
+    ActionKind.END_FAULTS: (0, 0),
+    ActionKind.SET_HOST_HEALTH: (2, 2),
+    ActionKind.ROLL_OUT_BY_SIGNAL: (0, 0),
+    ActionKind.MEASURE: (1, 1),
+    ActionKind.SIMULATION_FAULT: (2, 4),
+    ActionKind.LOSE_DATAGRAMS: (2, 2),
+    ActionKind.SEND_NOISE: (2, 2),
 }
 
 
-class Control(Table, frozen=True):
-    count: Annotated[int, Meta(ge=0, le=5)] = 1  # none: balancers have their files alone
+@dataclass(frozen=True, slots=True)
+class Condition:
+    """What a step waits for, as seen from outside; `text` is as the plan has it."""
+
+    kind: ConditionKind
+    arguments: tuple[str, ...]
+    text: str
+
+
+@dataclass(frozen=True, slots=True)
+class Action:
+    """What a step does; `text` is as the plan has it."""
+
+    kind: ActionKind
+    arguments: tuple[str, ...]
+    text: str
+
+    @classmethod
+    def of(cls, kind: ActionKind, *arguments: object) -> Action:
+        """Make an action that stands in no plan.
+
+        >>> Action.of(ActionKind.CUT, "b0", "all").text
+        'cut b0 all'
+        """
+        words = tuple(str(argument) for argument in arguments)
+        return cls(kind, words, " ".join((kind.value, *words)))
+
+
+@dataclass(frozen=True, slots=True)
+class Step:
+    """Wait for the condition, no longer than `timeout_s`, then act; `repeat_count` times."""
+
+    condition: Condition
+    actions: tuple[Action, ...]
+    timeout_s: float
+    repeat_count: int
+
+
+class ControlSettings(Table, frozen=True):
+    """The table `control`; without control processes balancers have their files alone."""
+
+    count: Annotated[int, Meta(ge=0, le=5)] = 1
     lease_ms: Positive = 2_000.0
     give_up_ms: Positive = 8_000.0
-    alone: Literal["leave", "stay"] = "leave"
+    on_lost_quorum: Literal["leave", "stay"] = msgspec.field(name="alone", default="leave")
 
 
-class Step(Table, frozen=True):
-    """`when` waits for what is seen from outside, no longer than `within-s`; `do` is done then, one act or
-    several."""
+class StepTable(Table, frozen=True):
+    """A table `step`, as the file has it."""
 
     when: str
-    do: str = "nothing"
+    do: str = ActionKind.NOTHING.value
     within_s: Positive = 15.0
     times: Count = 1
 
 
-class Drill(Table, frozen=True):
+@dataclass(frozen=True, slots=True)
+class FaultTest:
+    """A whole plan.
+
+    Attributes:
+        plan: Hosts, clients and load.
+        control: The control processes.
+        steps: In their order.
+        outcomes: What has to come of the proposals, in their order; none: whatever does.
+        settle_s: With all faults healed, within so much all serve under what counts.
+        failing_disks: Whether disks can be made to fail at one operation.
+        relays_to_hosts: Whether each balancer reaches each host by a relay of its own.
+    """
+
     plan: Plan
-    control: Control
+    control: ControlSettings
     steps: tuple[Step, ...]
-    outcomes: tuple[
-        str, ...
-    ] = ()  # what has to come of the proposals, in their order; none: whatever does
-    settle_s: Natural = 3.0  # at the end, all healed: within so much all serve under what counts
-    failing: bool = False  # processes whose disks can be made to fail at a step of a write
-    links: bool = False  # each balancer reaches each host by a relay
+    outcomes: tuple[str, ...] = ()
+    settle_s: Natural = 3.0
+    failing_disks: bool = False
+    relays_to_hosts: bool = False
+
+    def proposal_count(self) -> int:
+        """Return the highest version that is proposed; a repeated step proposes the next one."""
+        proposing = (ActionKind.PROPOSE, ActionKind.ROLL_OUT_BY_SIGNAL)
+        return sum(
+            step.repeat_count
+            for step in self.steps
+            for action in step.actions
+            if action.kind in proposing
+        )
+
 
+def class_of_version(number: int) -> str:
+    """Return the request class that only this version has."""
+    return f"{CLASS_PREFIX}{number}"
 
-def words(text: str, known: dict[str, Any], where: str) -> list[str]:
+
+def version_of_class(name: str) -> int | None:
+    """Return the version that alone has this request class, None for a class of all versions.
+
+    >>> version_of_class("v12"), version_of_class("base")
+    (12, None)
+    """
+    number = name[len(CLASS_PREFIX) :]
+    return int(number) if name.startswith(CLASS_PREFIX) and number.isdigit() else None
+
+
+def split_words(text: str, known: Mapping[str, ArgumentCounts], where: str) -> list[str]:
+    """Split a condition or an action into words, and check how many there are.
+
+    Raises:
+        BadPlan: The first word is unknown, or the number of words is wrong.
+    """
     try:
-        found = shlex.split(text)
-    except ValueError as trouble:
-        raise BadPlan(f"{trouble} - at `{where}`") from None
-    if not found or found[0] not in known:
+        words = shlex.split(text)
+    except ValueError as error:
+        raise BadPlan(f"{error} - at `{where}`") from None
+    if not words or words[0] not in known:
         raise BadPlan(f"{text!r} begins with none of {', '.join(known)} - at `{where}`")
-    least, most = known[found[0]] if isinstance(known[found[0]], tuple) else (known[found[0]],) * 2
-    if not least <= len(found) - 1 <= most:
-        raise BadPlan(f"{found[0]} takes {least} to {most} words - at `{where}`")
-    return found
-
-
-def versions_of(steps: tuple[Step, ...]) -> int:
-    """The highest version that is proposed; a step done again proposes the next one."""
-    return sum(
-        step.times
-        for step in steps
-        for act in step.do.split(";")
-        if act.split()[0] in ("propose", "sighup")
+    least, most = known[words[0]]
+    if not least <= len(words) - 1 <= most:
+        raise BadPlan(f"{words[0]} takes {least} to {most} words - at `{where}`")
+    return words
+
+
+def parse_condition(text: str, where: str) -> Condition:
+    """Read what a step waits for; `where` is its place in the file, for errors."""
+    known = {kind.value: counts for kind, counts in CONDITION_ARGUMENTS.items()}
+    first, *arguments = split_words(text, known, where)
+    return Condition(ConditionKind(first), tuple(arguments), text)
+
+
+def parse_action(text: str, where: str) -> Action:
+    """Read one action of a step; `where` is its place in the file, for errors."""
+    known = {kind.value: counts for kind, counts in ACTION_ARGUMENTS.items()}
+    first, *arguments = split_words(text, known, where)
+    return Action(ActionKind(first), tuple(arguments), text)
+
+
+def _parse_step(table: StepTable, index: int) -> Step:
+    condition = parse_condition(table.when, f"step[{index}].when")
+    actions = tuple(
+        parse_action(text, f"step[{index}].do") for text in table.do.split(ACTION_SEPARATOR)
     )
+    return Step(condition, actions, table.within_s, table.times)
 
 
-def parse(text: str) -> Drill:
-    """
-    >>> drill = parse('name = "x"\\n[[step]]\\nwhen = "up"\\ndo = "propose 1; kill b0"')
-    >>> drill.control.count, drill.steps[0].when, [work.name for work in drill.plan.works()]
+def _with_class_per_version(plan: Plan, version_count: int) -> Plan:
+    """Give each version a class that no other has: an answer for it tells which one governs."""
+    marks = [
+        Work(class_of_version(number), 0.01, 5, 1_000, 2_000) for number in range(version_count + 1)
+    ]
+    return msgspec.structs.replace(plan, work=(Work(COMMON_CLASS, 1.0, 5, 1_000, 2_000), *marks))
+
+
+def parse(text: str) -> FaultTest:
+    """Read a plan.
+
+    Raises:
+        BadPlan: With one line that tells what is wrong, and where.
+
+    >>> test = parse('name = "x"\\n[[step]]\\nwhen = "up"\\ndo = "propose 1; kill b0"')
+    >>> works = [work.name for work in test.plan.works()]
+    >>> test.control.count, test.steps[0].condition.text, works
     (1, 'up', ['base', 'v0', 'v1'])
     >>> parse('name = "x"\\n[[expect]]\\nstretch = "calm"\\nidle-s = 2').plan.expect[0].figures()
     {'idle-s': 2.0}
     >>> parse('name = "x"\\n[[step]]\\nwhen = "soon"')
     Traceback (most recent call last):
         ...
-    orchidgap.simulation.plan.BadPlan: 'soon' begins with none of up, seconds, log, ended, serves, denies, \
-takes, gone - at `step[0].when`
+    orchidgap.simulation.plan.BadPlan: 'soon' begins with none of up, seconds, log, ended, \
+serves, denies, takes, gone - at `step[0].when`
     """
     try:
-        told = tomllib.loads(text)
-        control = msgspec.convert(told.pop("control", {}), Control)
-        steps = msgspec.convert(told.pop("step", ()), tuple[Step, ...])
-        more = {
-            name: told.pop(name)
-            for name in ("outcomes", "settle-s", "failing", "links")
-            if name in told
-        }
-    except tomllib.TOMLDecodeError as trouble:
-        raise BadPlan(f"not TOML: {trouble}") from None
-    except msgspec.ValidationError as trouble:
-        raise BadPlan(str(trouble)) from None
-    for i, step in enumerate(steps):
-        words(step.when, SEEN, f"step[{i}].when")
-        for act in step.do.split(";"):
-            words(act, DO, f"step[{i}].do")
-    if control.count not in (0, 1, 3, 5):
+        document = tomllib.loads(text)
+        control = msgspec.convert(document.pop("control", {}), ControlSettings)
+        tables = msgspec.convert(document.pop("step", ()), tuple[StepTable, ...])
+    except tomllib.TOMLDecodeError as error:
+        raise BadPlan(f"not TOML: {error}") from None
+    except msgspec.ValidationError as error:
+        raise BadPlan(str(error)) from None
+    outcomes = tuple(document.pop("outcomes", ()))
+    settle_s = float(document.pop("settle-s", 3.0))
+    failing_disks = bool(document.pop("failing", False))
+    relays_to_hosts = bool(document.pop("links", False))
+    steps = tuple(_parse_step(table, index) for index, table in enumerate(tables))
+    if control.count not in CONTROL_COUNTS:
         raise BadPlan("none, 1, 3 or 5 can be - at `control.count`")
-    plan = checked(told)
-    # every version has a class that no other has: what a client is answered for it tells which one governs
-    if versions := versions_of(steps):
-        marks = [Work(f"v{n}", 0.01, 5, 1_000, 2_000) for n in range(versions + 1)]
-        plan = msgspec.structs.replace(plan, work=(Work("base", 1.0, 5, 1_000, 2_000), *marks))
-    return Drill(
-        plan,
-        control,
-        steps,
-        tuple(more.get("outcomes", ())),
-        float(more.get("settle-s", 3.0)),
-        bool(more.get("failing", False)),
-        bool(more.get("links", False)),
-    )
+    plan = checked(document)
+    test = FaultTest(plan, control, steps, outcomes, settle_s, failing_disks, relays_to_hosts)
+    proposal_count = test.proposal_count()
+    if not proposal_count:
+        return test
+    plan = _with_class_per_version(plan, proposal_count)
+    return FaultTest(plan, control, steps, outcomes, settle_s, failing_disks, relays_to_hosts)
+
 
+def read(path: str) -> FaultTest:
+    """Read a plan file.
 
-def read(path: str) -> Drill:
-    """Raises BadPlan with one line."""
+    Raises:
+        BadPlan: With one line that begins with the path.
+    """
     try:
         return parse(Path(path).read_text())
-    except OSError as trouble:
-        raise BadPlan(f"{path}: {trouble.strerror}") from None
-    except BadPlan as trouble:
-        raise BadPlan(f"{path}: {trouble}") from None
+    except OSError as error:
+        raise BadPlan(f"{path}: {error.strerror}") from None
+    except BadPlan as error:
+        raise BadPlan(f"{path}: {error}") from None
--- a/orchidgap/fault_tests/rollout_checker.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -1,119 +1,213 @@
-"""Judges a change of policy by what clients were answered and callers of control were told.
+"""Checks a change of policy by what clients were answered and callers of control were told.
 
-A req of the class that only one version has is answered 200 under that version, and under no other.
+A request of the class that only one version has is answered 200 under that version, and under no
+other. The rules, by their keys in the verdict line:
 
-`undecided`: a req was answered under a version that was decided nowhere, or not yet.
-`old`: a req that was sent later than the bound after a decision was answered under an earlier version.
+`undecided`: a request was answered under a version that was decided nowhere, or not yet.
+`old`: a request was sent later than the bound after a decision, and answered under an earlier
+    version.
 `untrue`: one caller was told another outcome of a change than another, or than the history says.
 `uneven`: a stretch was not as even as the plan expects.
-`stuck`: with all faults healed, a balancer did not serve under what counts, or a proposal had no outcome.
+`stuck`: with all faults healed, a balancer did not serve under what counts, or a proposal had no
+    outcome.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
+from orchidgap.fault_tests.plan import ProposalOutcome, version_of_class
 from orchidgap.simulation.invariant_checker import Ask, Referee
 
-RULES = ("undecided", "old", "untrue", "uneven", "stuck")
+UNDECIDED = "undecided"
+OLD = "old"
+UNTRUE = "untrue"
+UNEVEN = "uneven"
+STUCK = "stuck"
+RULES = (UNDECIDED, OLD, UNTRUE, UNEVEN, STUCK)
+FINAL_OUTCOMES = (ProposalOutcome.DECIDED, ProposalOutcome.DROPPED)
 
 
 @dataclass(slots=True)
-class Fate:
-    """What became of one proposal, as its callers were told. Times in microseconds."""
+class ProposalRecord:
+    """What became of one proposal, as its callers were told.
+
+    Attributes:
+        number: Which proposal of the plan; 0 for the policy at the start.
+        began_us: When it was proposed.
+        outcome: What the callers were told.
+        version: As which version it was decided.
+        reason: Why it was dropped.
+        ended_us: When its caller was told.
+        undecided_until_us: Until then a majority of control had certainly not accepted it.
+    """
 
     number: int
-    began: int
-    outcome: str = ""  # decided, nowhere or unknown
-    n: int = 0  # as which version
-    why: str = ""
-    ended: int = 0  # when its caller was told
-    not_before: int = 0  # a majority of control had not taken it yet at this time
-
-
-class Judge:
-    def __init__(self, referee: Referee, bound: int, slack: int) -> None:
-        self.referee, self.bound, self.slack = referee, bound, slack
-        self.fates: dict[int, Fate] = {0: Fate(0, 0, "decided", 0)}
-        self.counts = dict.fromkeys(RULES, 0)
-        self.took: list[
-            int
-        ] = []  # from a decision to the last client answered under an earlier version
-        # reqs answered under an earlier version after a decision, within the bound
-        self.mixed = 0
-
-    def breach(self, rule: str, at: int, text: str) -> None:
-        self.counts[rule] += 1
-        self.referee.breaches.append((rule, (at - self.referee.start) / 1e6, text))
-
-    def told(self, fate: Fate, outcome: str, n: int, why: str, at: int) -> None:
-        """Some caller was told this."""
-        if fate.outcome in ("decided", "nowhere") and outcome in ("decided", "nowhere"):
-            if (fate.outcome, fate.n) != (outcome, n):
-                self.breach(
-                    "untrue", at, f"v{fate.number}: {outcome} {n}, after {fate.outcome} {fate.n}"
-                )
+    began_us: int
+    outcome: ProposalOutcome = ProposalOutcome.OPEN
+    version: int = 0
+    reason: str = ""
+    ended_us: int = 0
+    undecided_until_us: int = 0
+
+
+class GovernedRequest(NamedTuple):
+    """A request, and the proposal under whose version it was answered."""
+
+    request: Ask
+    proposal: ProposalRecord
+
+    def describe(self) -> str:
+        """Return who answered it under what, for a breach's text."""
+        request = self.request
+        return (
+            f"{request.id.decode()} at {request.balancer}: answered under v{self.proposal.number}"
+        )
+
+
+class RolloutChecker:
+    """Collects what is seen of proposals, and checks it at the end.
+
+    Attributes:
+        proposals: By number.
+        breach_counts: By rule.
+        outdated_answers: Requests answered under an earlier version within the bound.
+        rollout_us: Of each decided version: from its decision to the last request answered under
+            an earlier one.
+    """
+
+    def __init__(self, referee: Referee, bound_us: int, slack_us: int) -> None:
+        """Check the requests of `referee`.
+
+        Args:
+            referee: What clients saw.
+            bound_us: How long after a decision an earlier version may answer.
+            slack_us: How much later than that answers may be seen on a busy machine.
+        """
+        self.referee = referee
+        self.bound_us = bound_us
+        self.slack_us = slack_us
+        self.proposals = {0: ProposalRecord(0, 0, ProposalOutcome.DECIDED)}
+        self.breach_counts = dict.fromkeys(RULES, 0)
+        self.rollout_us: list[int] = []
+        self.outdated_answers = 0
+
+    def breach(self, rule: str, at_us: int, text: str) -> None:
+        """Record that a rule broke."""
+        self.breach_counts[rule] += 1
+        self.referee.breaches.append((rule, (at_us - self.referee.start) / 1e6, text))
+
+    def on_outcome(
+        self,
+        proposal: ProposalRecord,
+        outcome: ProposalOutcome,
+        version: int,
+        reason: str,
+        at_us: int,
+    ) -> None:
+        """Take in what some caller was told; final outcomes have to agree."""
+        if proposal.outcome in FINAL_OUTCOMES and outcome in FINAL_OUTCOMES:
+            if (proposal.outcome, proposal.version) != (outcome, version):
+                before = f"{proposal.outcome.value} {proposal.version}"
+                text = f"v{proposal.number}: {outcome.value} {version}, after {before}"
+                self.breach(UNTRUE, at_us, text)
             return
-        if outcome in ("decided", "nowhere") or not fate.outcome:
-            fate.outcome, fate.n, fate.why, fate.ended = outcome, n, why, at
+        if outcome in FINAL_OUTCOMES or proposal.outcome is ProposalOutcome.OPEN:
+            proposal.outcome = outcome
+            proposal.version = version
+            proposal.reason = reason
+            proposal.ended_us = at_us
+
+    def last_decided(self) -> ProposalRecord:
+        """Return the proposal that was decided as the highest version."""
+
+        def decided_version(proposal: ProposalRecord) -> int:
+            return proposal.version if proposal.outcome is ProposalOutcome.DECIDED else -1
 
-    def governed(self) -> list[tuple[Ask, Fate]]:
-        """The reqs that tell which version governed them, with it."""
+        return max(self.proposals.values(), key=decided_version)
+
+    def _governed_requests(self) -> list[GovernedRequest]:
+        """Return the requests that tell which version governed them."""
         found = []
-        for ask in self.referee.asks.values():
-            name = ask.op.work.name
-            if (
-                ask.status == 200
-                and name[0] == "v"
-                and name[1:].isdigit()
-                and int(name[1:]) in self.fates
-            ):
-                found.append((ask, self.fates[int(name[1:])]))
+        for request in self.referee.asks.values():
+            if request.status != 200:
+                continue
+            number = version_of_class(request.op.work.name)
+            if number is not None and number in self.proposals:
+                found.append(GovernedRequest(request, self.proposals[number]))
         return found
 
-    def judge(self) -> None:
-        governed = self.governed()
-        since: dict[int, int] = {}  # by version: when it was certainly decided, at the latest
-        for fate in self.fates.values():
-            if fate.outcome == "decided" and fate.number:
-                seen = [ask.answered_at for ask, by in governed if by is fate]
-                since[fate.n] = min([fate.ended, *seen])
-        last: dict[int, int] = {}
-        for ask, fate in governed:
-            who = f"{ask.id.decode()} at {ask.balancer}: answered under v{fate.number}"
-            if fate.outcome != "decided":
-                self.breach(
-                    "undecided", ask.answered_at, f"{who}, which holds {fate.outcome or 'nowhere'}"
-                )
+    def _decision_times_us(self, governed: list[GovernedRequest]) -> dict[int, int]:
+        """Return by version when it was certainly decided, at the latest."""
+        decided_us: dict[int, int] = {}
+        for proposal in self.proposals.values():
+            if proposal.outcome is ProposalOutcome.DECIDED and proposal.number:
+                answered_us = [request.answered_at for request, by in governed if by is proposal]
+                decided_us[proposal.version] = min([proposal.ended_us, *answered_us])
+        return decided_us
+
+    def check(self) -> None:
+        """Check all requests against all decisions."""
+        governed = self._governed_requests()
+        decided_us = self._decision_times_us(governed)
+        last_outdated_us: dict[int, int] = {}
+        for one in governed:
+            if not self._check_decided(one):
                 continue
-            if fate.number and ask.answered_at < fate.not_before:
-                self.breach("undecided", ask.answered_at, f"{who} before it was decided")
-            for n, when in since.items():
-                if n > fate.n and ask.came > when + self.bound + self.slack:
-                    late = f"sent {(ask.came - when) / 1e6:.2f} s after version {n} was decided"
-                    self.breach("old", ask.answered_at, f"{who}, {late}")
-                    break
-            later = [n for n, when in since.items() if n > fate.n and ask.came > when]
-            if later:
-                self.mixed += 1
-                last[min(later)] = max(last.get(min(later), 0), ask.came - since[min(later)])
-        self.took = [last.get(n, 0) for n in since]
+            self._check_age(one, decided_us)
+            request = one.request
+            later_versions = [
+                version
+                for version, since_us in decided_us.items()
+                if version > one.proposal.version and request.came > since_us
+            ]
+            if later_versions:
+                self.outdated_answers += 1
+                version = min(later_versions)
+                age_us = request.came - decided_us[version]
+                last_outdated_us[version] = max(last_outdated_us.get(version, 0), age_us)
+        self.rollout_us = [last_outdated_us.get(version, 0) for version in decided_us]
+
+    def _check_decided(self, governed: GovernedRequest) -> bool:
+        """Return whether the version was decided at all; that it was so in time is checked too."""
+        request, proposal = governed
+        if proposal.outcome is not ProposalOutcome.DECIDED:
+            outcome = proposal.outcome.value or ProposalOutcome.DROPPED.value
+            text = f"{governed.describe()}, which holds {outcome}"
+            self.breach(UNDECIDED, request.answered_at, text)
+            return False
+        if proposal.number and request.answered_at < proposal.undecided_until_us:
+            text = f"{governed.describe()} before it was decided"
+            self.breach(UNDECIDED, request.answered_at, text)
+        return True
+
+    def _check_age(self, governed: GovernedRequest, decided_us: dict[int, int]) -> None:
+        request, proposal = governed
+        for version, since_us in decided_us.items():
+            latest_us = since_us + self.bound_us + self.slack_us
+            if version > proposal.version and request.came > latest_us:
+                age_s = (request.came - since_us) / 1e6
+                late = f"sent {age_s:.2f} s after version {version} was decided"
+                self.breach(OLD, request.answered_at, f"{governed.describe()}, {late}")
+                return
 
     def verdict(self, verdict: dict[str, Any]) -> dict[str, Any]:
-        broken = verdict["verdict"] == "broken" or any(self.counts.values())
-        fates = [fate.outcome for number, fate in sorted(self.fates.items()) if number]
-        took = sorted(
-            fate.ended - fate.began
-            for fate in self.fates.values()
-            if fate.outcome == "decided" and fate.number
+        """Return the verdict line's content with the counts of these rules added."""
+        broken = verdict["verdict"] == "broken" or any(self.breach_counts.values())
+        proposals = [proposal for number, proposal in sorted(self.proposals.items()) if number]
+        outcomes = [proposal.outcome for proposal in proposals]
+        decision_us = sorted(
+            proposal.ended_us - proposal.began_us
+            for proposal in proposals
+            if proposal.outcome is ProposalOutcome.DECIDED
         )
         return verdict | {
             "verdict": "broken" if broken else "kept",
-            **self.counts,
-            "mixed": self.mixed,
-            "decided": fates.count("decided"),
-            "nowhere": fates.count("nowhere"),
-            "decided_ms": [round(one / 1e3) for one in took],
-            "taken_ms": [round(one / 1e3) for one in sorted(self.took)],
+            **self.breach_counts,
+            "mixed": self.outdated_answers,
+            "decided": outcomes.count(ProposalOutcome.DECIDED),
+            "nowhere": outcomes.count(ProposalOutcome.DROPPED),
+            "decided_ms": [round(duration_us / 1e3) for duration_us in decision_us],
+            "taken_ms": [round(duration_us / 1e3) for duration_us in sorted(self.rollout_us)],
         }
--- /dev/null
+++ b/orchidgap/fault_tests/runner.py
@@ -0,0 +1,106 @@
+"""Runs a fault test: the steps in their order, then all healed and checked."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Any
+
+from orchidgap.fault_tests.actions import StepActions
+from orchidgap.fault_tests.cluster import LOOK_INTERVAL_US, Cluster
+from orchidgap.fault_tests.conditions import StepConditions
+from orchidgap.fault_tests.costs import CostMeter
+from orchidgap.fault_tests.decision_watch import DecisionWatch
+from orchidgap.fault_tests.final_checks import EXTRA_WAIT_S, FinalChecks
+from orchidgap.fault_tests.plan import Step
+from orchidgap.simulation.plan import micros
+
+START_TIMEOUT_S = 30.0
+TERMINATION_TIMEOUT_S = 6
+MAX_DURATION_S = 3_600
+NO_STRETCH = ""
+
+
+class FaultTestRunner:
+    """Plays the plan of a cluster."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        """Prepare to run this cluster, once."""
+        self.cluster = cluster
+        self.conditions = StepConditions(cluster)
+        self.actions = StepActions(cluster)
+        self.costs = CostMeter(cluster)
+        self.decision_watch = DecisionWatch(cluster)
+        self.final_checks = FinalChecks(cluster, self.conditions)
+
+    def run(self, before_close: Callable[[], None]) -> dict[str, Any]:
+        """Run the test; return the content of the verdict line.
+
+        `before_close` is called before the processes' files are removed, also after an error.
+        """
+        try:
+            self._start()
+            self._run_steps()
+            self._heal()
+            self.final_checks.run()
+            return self._verdict()
+        finally:
+            before_close()
+            self.cluster.close()
+
+    def _start(self) -> None:
+        cluster = self.cluster
+        began_s = time.monotonic()
+        cluster.start_processes()
+        cluster.wait_until(self._all_ready, START_TIMEOUT_S, "all up")
+        self.costs.on_started(time.monotonic() - began_s)
+        cluster.start = cluster.loop.clock()
+        cluster.referee.start = cluster.start
+        cluster.loop.call_later(LOOK_INTERVAL_US, self.costs.sample)
+        cluster.callers.end = cluster.start + micros(MAX_DURATION_S)
+        cluster.loop.call_soon(cluster.callers.arrive)
+        cluster.loop.call_soon(self.decision_watch.poll)
+
+    def _all_ready(self) -> bool:
+        return all(post.ready_at for post in self.cluster.posts.values())
+
+    def _run_steps(self) -> None:
+        """Run the steps up to the first that is not seen in time."""
+        for index, step in enumerate(self.cluster.test.steps):
+            for _ in range(step.repeat_count):
+                if not self._run_step(index, step):
+                    return
+
+    def _run_step(self, index: int, step: Step) -> bool:
+        cluster = self.cluster
+        since_us = cluster.loop.now
+        what = f"step {index}, {step.condition.text}"
+        if not cluster.wait_until(
+            lambda: self.conditions.is_met(step.condition, since_us), step.timeout_s, what
+        ):
+            return False
+        cluster.logs.mark()
+        for action in step.actions:
+            self.actions.perform(action)
+        return True
+
+    def _heal(self) -> None:
+        cluster = self.cluster
+        cluster.stretches.begin(NO_STRETCH)
+        cluster.end_faults()
+        leaving = [post for post in cluster.posts.values() if post.leaving]
+        cluster.wait_until(
+            lambda: not any(post.alive for post in leaving),
+            TERMINATION_TIMEOUT_S,
+            "all ended that were told to",
+        )
+        cluster.end_faults()  # those that have ended start again
+        wait_s = cluster.proposer_wait_s() + EXTRA_WAIT_S
+        cluster.wait_until(lambda: not cluster.proposers.running, wait_s, "no proposal open")
+
+    def _verdict(self) -> dict[str, Any]:
+        cluster = self.cluster
+        cluster.checker.check()
+        stretches = cluster.stretches.judge(cluster.checker.breach)
+        verdict = cluster.checker.verdict(cluster.judged()) | self.costs.report()
+        return verdict | {"stretches": stretches} if stretches else verdict
--- /dev/null
+++ b/orchidgap/fault_tests/version_clients.py
@@ -0,0 +1,58 @@
+"""Clients that find out which version governs each balancer."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from orchidgap.fault_tests.plan import COMMON_CLASS, class_of_version
+from orchidgap.fault_tests.rollout_checker import RolloutChecker
+from orchidgap.simulation.clients import Callers
+from orchidgap.simulation.environment import Scene
+from orchidgap.simulation.invariant_checker import Ask, Op
+
+RECENT_VERSION_RATIO = 0.8  # of requests for one version's class
+COMMON_CLASS_RATIO = 0.3  # of all requests
+
+
+class VersionClients(Callers):
+    """Clients that also send requests of classes that only one version has."""
+
+    def __init__(
+        self,
+        scene: Scene,
+        checker: Callable[[], RolloutChecker],
+        recent_versions: Callable[[], list[int]],
+    ) -> None:
+        """Ask for what `recent_versions` tells, and at times for all in the checker."""
+        super().__init__(scene)
+        self.checker = checker
+        self.recent_versions = recent_versions
+
+    def draw(self) -> Op:
+        """Draw an operation of the common class, or of one version's own."""
+        op = super().draw()
+        # what was replaced long ago is asked for too: whoever comes back may have it still
+        if self.rng.random() < RECENT_VERSION_RATIO:
+            numbers = self.recent_versions()
+        else:
+            numbers = list(self.checker().proposals)
+        is_common = self.rng.random() < COMMON_CLASS_RATIO
+        name = COMMON_CLASS if is_common else class_of_version(self.rng.choice(numbers))
+        op.work = next(work for work in self.works if work.name == name)
+        op.counts = name == COMMON_CLASS
+        return op
+
+    def unknown(self, ask: Ask) -> None:
+        """Take an answer that the class is unknown for what it is: another version governs."""
+        self.scene.referee.aborted -= 1
+        if ask.op.work.name == COMMON_CLASS:
+            super().unknown(ask)
+
+    def choose(self, but: str = "", key: int = 0) -> str | None:
+        """Choose evenly, also balancers that deny: which version governs them is the question."""
+        names = [
+            name
+            for name, post in self.scene.posts.items()
+            if post.alive and post.ready_at and name != but
+        ]
+        return self.rng.choice(names) if names else None
--- a/tests/fault_tests/test_drills.py
+++ b/tests/fault_tests/test_fault_tests.py
@@ -32,10 +32,10 @@
 
 @pytest.mark.parametrize("name", SHIPPED)
 def test_a_shipped_drill_is_kept(name):
-    drill = read(str(DRILLS / f"{name}.toml"))
-    verdict, town = play(drill)
-    assert drill.plan.name == name
-    assert verdict["verdict"] == "kept", (town.referee.breaches[:5], town.tails())
+    test = read(str(DRILLS / f"{name}.toml"))
+    verdict, cluster = play(test)
+    assert test.plan.name == name
+    assert verdict["verdict"] == "kept", (cluster.referee.breaches[:5], cluster.logs.tails())
     assert verdict["decided"] > 0 or "stay" in name or name.startswith("spread-")
 
 
