--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -148,15 +148,15 @@
         self.idle_timeout_us = idle_timeout_us
         self.streaming_connections: dict[HostConnection, None] = {}
 
-    def set_timeouts(self, connect_within: int, idle_for: int) -> None:
+    def set_timeouts(self, connect_timeout_us: int, idle_timeout_us: int) -> None:
         """New settings: times to connect and to stay idle, in microseconds."""
-        super().set_timeouts(connect_within, idle_for)
-        self.idle_timeout_us = idle_for
+        super().set_timeouts(connect_timeout_us, idle_timeout_us)
+        self.idle_timeout_us = idle_timeout_us
 
-    def transferable(self) -> list[tuple[Any, socket.socket, Callable[[], None]]]:
-        """Idle connections that can go to another process: tag, socket, how it is closed here."""
+    def transferable(self) -> list[connection_pools.TransferableConnection]:
+        """Idle connections that can go to another process."""
         return [
-            (
+            connection_pools.TransferableConnection(
                 (host, *pool.address, connection.idle_since_us),
                 connection.conn.sock,
                 connection.close,
--- a/orchidgap/net/connection_pools.py
+++ b/orchidgap/net/connection_pools.py
@@ -6,7 +6,7 @@
 
 import socket
 from collections.abc import Callable, Iterable
-from typing import Any, Generic, TypeVar
+from typing import Any, Generic, NamedTuple, TypeVar
 
 from orchidgap.net.addresses import Address
 from orchidgap.net.attempt_failure import AttemptFailure, SendProgress
@@ -18,8 +18,14 @@
 
 ConnectionT = TypeVar("ConnectionT")
 PoolT = TypeVar("PoolT", bound="ConnectionPool[Any]")
-# a connection for another process: what is known of it, its socket, how it is closed here
-Transferable = tuple[Any, socket.socket, Callable[[], None]]
+
+
+class TransferableConnection(NamedTuple):
+    """An idle connection that can go to another process."""
+
+    tag: Any  # what is known of it, as the protocol writes it
+    sock: socket.socket
+    close: Callable[[], None]  # called once it has been sent
 
 
 class ConnectionPool(Generic[ConnectionT]):
@@ -87,7 +93,7 @@
         """Close what is of no use any more; called again and again."""
         raise NotImplementedError
 
-    def transferable(self) -> list[Transferable]:
+    def transferable(self) -> list[TransferableConnection]:
         """Idle connections that can go to another process."""
         return []
 
@@ -95,9 +101,9 @@
         """Take over an idle connection from another process, with what is known of it."""
         sock.close()
 
-    def set_timeouts(self, connect_within: int, idle_for: int) -> None:
-        """Set the times for connections to come up, and to stay idle, in microseconds."""
-        self.connect_timeout_us = connect_within
+    def set_timeouts(self, connect_timeout_us: int, idle_timeout_us: int) -> None:
+        """Set the times for connections to come up, and to stay idle."""
+        self.connect_timeout_us = connect_timeout_us
 
     # --- what is the same for all
 
--- a/orchidgap/net/handover/successor.py
+++ b/orchidgap/net/handover/successor.py
@@ -137,11 +137,12 @@
         connections = self.node.pools.transferable()
         for start in range(0, len(connections), MAX_DESCRIPTORS):
             group = connections[start : start + MAX_DESCRIPTORS]
-            message = IdleConnections([tag for tag, _, _ in group])
-            if not self.channel.send_with_sockets(message, [sock for _, sock, _ in group]):
+            message = IdleConnections([connection.tag for connection in group])
+            sockets = [connection.sock for connection in group]
+            if not self.channel.send_with_sockets(message, sockets):
                 return False
-            for _, _, close in group:
-                close()
+            for connection in group:
+                connection.close()
         return True
 
     def hand_over_requests(self) -> None:
