--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -52,7 +52,7 @@
 
     def send(self, attempt: UpstreamAttempt) -> None:
         """Sends an attempt on the connection used last that is fit for it, or on a new one."""
-        in_use = len(self.links) - len(self.idle) + 1
+        in_use = len(self.connections) - len(self.idle) + 1
         self.demand.record(self.pools.loop.now, in_use)
         while self.idle:
             connection = self.idle.pop()
@@ -115,14 +115,14 @@
         needed = self.demand.worth_keeping(self.pools.loop.now)
         while self.idle:
             oldest = self.idle[0]
-            if len(self.links) <= needed and not self.nears_idle_timeout(oldest):
+            if len(self.connections) <= needed and not self.nears_idle_timeout(oldest):
                 return
             oldest.close()
 
     def retire(self) -> None:
         """The host drains or has gone: attempts under way may end, nothing else is sent."""
         self.retired = True
-        for connection in list(self.links):
+        for connection in list(self.connections):
             if connection.attempt is None or connection.conn.connecting:
                 connection.ended("host drains")
 
--- a/orchidgap/net/connection_pools.py
+++ b/orchidgap/net/connection_pools.py
@@ -35,7 +35,7 @@
         """Begin with no connection."""
         self.pools = pools
         self.address = address
-        self.links: dict[ConnectionT, None] = {}
+        self.connections: dict[ConnectionT, None] = {}
         self.retired = False  # draining or gone: what is under way may end, nothing else begins
 
     def send(self, attempt: UpstreamAttempt) -> None:
@@ -46,15 +46,15 @@
         """Write nothing new: an attempt whose connection is still coming up ends unsent."""
         raise NotImplementedError
 
-    def add(self, link: ConnectionT) -> None:
+    def add(self, connection: ConnectionT) -> None:
         """Count a connection that was dialled."""
-        self.links[link] = None
+        self.connections[connection] = None
         self.pools.connection_count += 1
 
-    def forget(self, link: ConnectionT) -> None:
+    def forget(self, connection: ConnectionT) -> None:
         """It was closed."""
-        if link in self.links:
-            del self.links[link]
+        if connection in self.connections:
+            del self.connections[connection]
             self.pools.connection_count -= 1
 
 
--- a/orchidgap/resp/upstream.py
+++ b/orchidgap/resp/upstream.py
@@ -195,8 +195,8 @@
     pools: Hosts
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        link = min(self.links, key=lambda at: len(at.dues), default=None)
-        if link is None or link.dues and len(self.links) < LINKS:
+        link = min(self.connections, key=lambda at: len(at.dues), default=None)
+        if link is None or link.dues and len(self.connections) < LINKS:
             came = self.pools.dial(self.address)
             if isinstance(came, AttemptFailure):
                 if link is None:
@@ -209,7 +209,7 @@
 
     def retire(self) -> None:
         self.retired = True
-        for link in list(self.links):
+        for link in list(self.connections):
             if not link.dues or link.conn.connecting:
                 link.ended("host drains")
 
@@ -234,13 +234,15 @@
         return Pool(self, address)
 
     def close_idle(self) -> bool:
-        idle = [link for pool in self.by_host.values() for link in pool.links if not link.dues]
+        idle = [
+            link for pool in self.by_host.values() for link in pool.connections if not link.dues
+        ]
         if idle:
             min(idle, key=lambda link: link.heard_at).close()
         return bool(idle)
 
     def sweep(self) -> None:
         for pool in list(self.by_host.values()):
-            for link in list(pool.links):
+            for link in list(pool.connections):
                 if link.dues and not link.conn.connecting and self.loop.now - link.heard_at > STUCK:
                     link.ended("silence")
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -22,7 +22,7 @@
     return next(
         link.conn.sock
         for pool in net.node.pools.by_host.values()
-        for link in pool.links
+        for link in pool.connections
         if link.conn.sock.getsockname() == far.getpeername()
     )
 
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -67,7 +67,7 @@
     net.turn()
     assert written(far) == b""
     net.close_client(client)  # both are there; the connection to the host is looked at first
-    link = next(iter(net.node.pools.by_host["c0"].links))
+    link = next(iter(net.node.pools.by_host["c0"].connections))
     link.conn.on_ready(2)
     net.turn()
     assert b"GET" not in written(far) and not net.node.exchanges
@@ -138,11 +138,11 @@
     assert text.startswith("PUT")
     far = stall_connections(net)
     origin.close()  # it may have run
-    wait_until_readable(next(iter(net.node.pools.by_host["o"].links)).conn.sock)
+    wait_until_readable(next(iter(net.node.pools.by_host["o"].connections)).conn.sock)
     net.turn()
     assert net.verdicts == ["reset"] and len(net.node.exchanges) == 1, "a repeat is on its way"
     net.node.pools.connect_timeout_us = 10_000_000
-    for link in net.node.pools.by_host["o"].links:
+    for link in net.node.pools.by_host["o"].connections:
         link.cancel_timer()
     net.advance(after)
     let_connection_up(net, far)
@@ -177,7 +177,7 @@
     assert len(net.node.exchanges) == 1, "it runs on"
     net.advance(1_000_000)
     assert not net.node.exchanges and not net.node.balancer.requests and net.verdicts == ["timeout"]
-    assert sum(len(pool.links) for pool in net.node.pools.by_host.values()) == 0
+    assert sum(len(pool.connections) for pool in net.node.pools.by_host.values()) == 0
 
 
 def test_no_host_is_told_to_wait_for_longer_than_the_client_does():
@@ -208,8 +208,8 @@
     far = stall_connections(net)
     net.connect_client(request_text())
     net.turn()
-    owner = next(id for id, pool in net.node.pools.by_host.items() if pool.links)
-    link = next(iter(net.node.pools.by_host[owner].links))
+    owner = next(id for id, pool in net.node.pools.by_host.items() if pool.connections)
+    link = next(iter(net.node.pools.by_host[owner].connections))
     net.node.pools.dial_address = net.dial
     told_of = decode_list(
         {"seq": 8, "whole": False, "hosts": [net.host_entry(int(owner[1]), health)]}
--- a/tests/net/test_connection_pools.py
+++ b/tests/net/test_connection_pools.py
@@ -172,7 +172,7 @@
         net.send_request()
         assert net.verdicts == []
         net.node.pools.dial_address = net.dial
-        owner = next(id for id, pool in net.node.pools.by_host.items() if pool.links)
+        owner = next(id for id, pool in net.node.pools.by_host.items() if pool.connections)
         told = decode_list(
             {"seq": 8, "whole": False, "hosts": [net.host_entry(int(owner[1]), health)]}
         )
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -171,7 +171,7 @@
     net.turn()
     net.node.begin_shutdown()
     net.send_host_answer(net.host_socket())
-    wait_until_readable(next(iter(net.node.pools.by_host["c0"].links)).conn.sock)
+    wait_until_readable(next(iter(net.node.pools.by_host["c0"].connections)).conn.sock)
     net.send_more(
         client, request_text("behind")[:40]
     )  # both are there: the answer goes out over unread bytes
--- a/tests/net/test_upload_streaming.py
+++ b/tests/net/test_upload_streaming.py
@@ -45,7 +45,7 @@
             if far is None:
                 far = net.host_socket()
                 for pool in net.node.pools.by_host.values():
-                    for link in pool.links:
+                    for link in pool.connections:
                         small_buffers(link.conn.sock)
             got += received_bytes(far, 4_000) or b""
             if got.endswith(b"0\r\n\r\n" if framing else BODY[-256:]) and len(got) > SIZE:
@@ -221,7 +221,7 @@
         if far is None and net.host_sockets():
             far = net.host_socket()
             for pool in net.node.pools.by_host.values():
-                for link in pool.links:
+                for link in pool.connections:
                     small_buffers(link.conn.sock)
     [one] = net.node.clients.open_clients
     assert one.conn.read_paused
--- a/tests/streaming_scenarios.py
+++ b/tests/streaming_scenarios.py
@@ -33,7 +33,7 @@
 def held_bytes(net):
     """Bytes that the node holds for clients and hosts."""
     conns = [client.conn for client in net.node.clients.open_clients]
-    conns += [link.conn for pool in net.node.pools.by_host.values() for link in pool.links]
+    conns += [link.conn for pool in net.node.pools.by_host.values() for link in pool.connections]
     flows = [client.upload for client in net.node.clients.open_clients if client.upload]
     return sum(len(conn.write_buffer) for conn in conns) + sum(
         sum(map(len, flow.parts)) for flow in flows
