--- a/orchidgap/net/config/optional_parts.py
+++ b/orchidgap/net/config/optional_parts.py
@@ -79,13 +79,13 @@
 
 
 class GossipConfig(NamedTuple):
-    """How balancers tell each other their counts.
+    """How balancers tell each other what they count.
 
     Attributes:
         listen: Where this balancer hears others.
-        peers: Where the others hear.
-        key: What all of them share; whoever has it is believed.
-        rebalance_interval_us: The time between two drawings of ranges.
+        peers: Where those are.
+        key: What all of them share.
+        rebalance_interval_us: At least, between two tables of ranges.
     """
 
     listen: Address
--- a/orchidgap/peers/gossip_transport.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -16,7 +16,8 @@
 from orchidgap.decisions.gossip_counts import GossipCounts, ReportOutcome
 from orchidgap.errors import ConfigError
 from orchidgap.net.addresses import Address, format_address
-from orchidgap.net.config import BalancerConfig, GossipConfig
+from orchidgap.net.config import BalancerConfig
+from orchidgap.net.config.optional_parts import GossipConfig
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ, Loop
 from orchidgap.net.node import Node
@@ -78,7 +79,7 @@
             node: The balancer whose decisions the counts are of.
             log: Where changes and drops are written.
             name: The balancer's name.
-            config: The configuration's part for gossip.
+            config: Who the peers are, and what they share.
             seed: Of the random numbers.
             send: What sends a datagram, in place of the own socket.
         """
