--- a/orchidgap/peers/gossip_transport.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -16,8 +16,7 @@
 from orchidgap.decisions.gossip_counts import GossipCounts, ReportOutcome
 from orchidgap.errors import ConfigError
 from orchidgap.net.addresses import Address, format_address
-from orchidgap.net.config import BalancerConfig
-from orchidgap.net.config.optional_parts import GossipConfig
+from orchidgap.net.config import BalancerConfig, GossipConfig
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import READ, Loop
 from orchidgap.net.node import Node
--- a/orchidgap/wirehost/messages.py
+++ b/orchidgap/wirehost/messages.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.host_list import HostEntry
+from orchidgap.decisions.host_list import HostEntry, ListScope
 from orchidgap.decisions.records import AttemptOutcome
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.errors import OrchidgapError
@@ -32,7 +32,7 @@
 class HostList(NamedTuple):
     """The list of hosts has come, or calling for it failed."""
 
-    scope: str  # as `Balancer.on_hosts` has it
+    scope: ListScope
     entries: Sequence[HostEntry]
 
     def apply_to(self, balancer: Balancer) -> None:
