--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -17,7 +17,7 @@
 from orchidgap.http1.server import Http1ClientConnection
 from orchidgap.net.client_listener import ClientListener
 from orchidgap.net.discovery import Dial
-from orchidgap.net.handover import MigratingRequest
+from orchidgap.net.handover.ports import MigratingRequest
 from orchidgap.net.node import Node
 
 
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -25,7 +25,7 @@
 from orchidgap.net.addresses import Address
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.exchange import Exchange
-from orchidgap.net.handover import MigratingRequest
+from orchidgap.net.handover.ports import MigratingRequest
 from orchidgap.net.loop import READ
 from orchidgap.net.node import Node
 from orchidgap.net.upstream_attempt import UpstreamAttempt
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -9,7 +9,7 @@
 
 import socket
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.lifecycle import Lifecycle, LifecycleEvent
@@ -25,13 +25,17 @@
 from orchidgap.net.endpoints import Endpoint, EndpointEntry
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.exchange import Exchange
-from orchidgap.net.handover import Handover, MigratingRequest
+from orchidgap.net.handover.absent import NoHandover
+from orchidgap.net.handover.ports import MigratingRequest
 from orchidgap.net.loop import Loop
 from orchidgap.net.node_lifecycle import NodeLifecycle
 from orchidgap.net.request_handler import Responder
 from orchidgap.net.request_key import key_number
 from orchidgap.net.upstream_attempt import UpstreamAttempt, parse_load_report
 
+if TYPE_CHECKING:
+    from orchidgap.net.handover.coordinator import Handover
+
 FIRST_LIST_TIMEOUT_US = 1_000_000  # for discovery to tell its list before a new process serves
 INITIAL_CONNECTIONS = 8  # until the descriptors are divided
 
@@ -83,10 +87,10 @@
         self.last_request_number = 0
         self.lifecycle = Lifecycle(loop.now, config.settings.longest_client_timeout_us)
         self.descriptor_limit = config.descriptors
-        self.handover = Handover(loop, self)
         self.endpoints: dict[str, tuple[EndpointEntry, Endpoint]] = {}  # the list as it was told
         self.list_received = False  # or discovery did not answer in time
         self.clients = protocol.make_listener(self, INITIAL_CONNECTIONS)
+        self.handover: Handover | NoHandover = NoHandover(self.clients)
         self.pools = protocol.make_pools(self, INITIAL_CONNECTIONS, dial)
         self.set_descriptor_limit(config.descriptors)
         self.set_response_hold()
--- a/orchidgap/net/node_lifecycle.py
+++ b/orchidgap/net/node_lifecycle.py
@@ -9,11 +9,12 @@
 from orchidgap.net.client_listener import ClientListener
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.exchange import Exchange
-from orchidgap.net.handover import Handover
 from orchidgap.net.loop import Loop
 
 if TYPE_CHECKING:
     from orchidgap.decisions.balancer import Balancer
+    from orchidgap.net.handover.absent import NoHandover
+    from orchidgap.net.handover.coordinator import Handover
 
 DRAIN_STEP_US = 10_000
 
@@ -27,7 +28,7 @@
     balancer: Balancer
     clients: ClientListener
     exchanges: dict[int, Exchange]
-    handover: Handover
+    handover: Handover | NoHandover
 
     def is_ready(self) -> bool:
         """Whether the balancer says that it serves."""
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -22,7 +22,6 @@
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.config import BalancerConfig
 from orchidgap.net.event_log import EventLog
-from orchidgap.net.handover import Handover, inherited_listener
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node, ProtocolParts
 from orchidgap.net.signals import watch_signals
@@ -122,9 +121,14 @@
     """Listen, or take the listener that was inherited, and begin. Raises ConfigError."""
     passed = os.environ.get("GW_PASSED_SOCKET")
     if passed:
+        # loaded only where a listener is shared
+        from orchidgap.net.handover.coordinator import Handover
+        from orchidgap.net.handover.listener_inheritance import inherited_listener
+
         node.clients.use_listening_socket(inherited_listener(passed))
-        node.handover = Handover(loop, node, os.environ.get("TMPDIR"), shared=True)
-        node.handover.find_predecessor()
+        handover = Handover(loop, node, os.environ.get("TMPDIR"), shared=True)
+        node.handover = handover
+        handover.find_predecessor()
     else:
         listen_with_retry(node.clients.listen, balancer_config.listen)
     _, _, _, endpoints = balancer_config.initial_endpoints
--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -12,7 +12,7 @@
 from orchidgap.net.addresses import Address, parse_address
 from orchidgap.net.client_listener import ClientListener
 from orchidgap.net.discovery import Dial
-from orchidgap.net.handover import MigratingRequest
+from orchidgap.net.handover.ports import MigratingRequest
 from orchidgap.net.node import Node
 from orchidgap.resp.commands import Command
 from orchidgap.resp.front import RespCaller
--- a/orchidgap/trial/scene.py
+++ b/orchidgap/trial/scene.py
@@ -27,7 +27,7 @@
 from orchidgap.net import config
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.event_log import EventLog
-from orchidgap.net.handover import Handover
+from orchidgap.net.handover.coordinator import Handover
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
 from orchidgap.net.request_key import key_number
@@ -218,14 +218,15 @@
         self.kill_old()
         self.old = self.share, self.node
         share, node = self.old
-        if not node.handover.shared:
-            node.handover = Handover(share, node, None, shared=True)
+        handover = node.handover
+        if not isinstance(handover, Handover):
+            handover = node.handover = Handover(share, node, None, shared=True)
         new = self.make(known)
         assert self.share
-        new.handover = Handover(self.share, new, None, shared=True)
+        new_handover = new.handover = Handover(self.share, new, None, shared=True)
         near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        share.call_soon(node.handover.accept_successor, near)
-        self.share.call_soon(new.handover.join_predecessor, far)
+        share.call_soon(handover.accept_successor, near)
+        self.share.call_soon(new_handover.join_predecessor, far)
         self.share.call_soon(new.start)
 
     def new_ready(self) -> bool:
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -20,7 +20,8 @@
 from orchidgap.control.rpc_client import RpcClient
 from orchidgap.http1 import Http1
 from orchidgap.net import config as config_module
-from orchidgap.net.handover import Handover, inherited_listener
+from orchidgap.net.handover.coordinator import Handover
+from orchidgap.net.handover.listener_inheritance import inherited_listener
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node
 from orchidgap.peers.gossip_transport import BAD_SIGNATURE, MALFORMED, GossipTransport
--- a/tests/handover_harness.py
+++ b/tests/handover_harness.py
@@ -4,7 +4,7 @@
 
 from node_harness import NodeHarness
 
-from orchidgap.net.handover import Handover
+from orchidgap.net.handover.coordinator import Handover
 
 UP = b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n"
 
--- a/tests/net/test_listener_inheritance.py
+++ b/tests/net/test_listener_inheritance.py
@@ -12,7 +12,7 @@
 from node_harness import NodeHarness, received_text
 
 from orchidgap.net.config import ConfigError
-from orchidgap.net.handover import inherited_listener
+from orchidgap.net.handover.listener_inheritance import inherited_listener
 
 
 def pair_end():
--- a/tests/net/test_rendezvous.py
+++ b/tests/net/test_rendezvous.py
@@ -4,7 +4,7 @@
 from handover_harness import listener, turn
 from node_harness import NodeHarness
 
-from orchidgap.net.handover import Handover
+from orchidgap.net.handover.coordinator import Handover
 
 
 def test_processes_find_each_other_by_a_folder_and_a_stale_file_is_nobody(tmp_path):
