--- a/orchidgap/net/exchange.py
+++ b/orchidgap/net/exchange.py
@@ -254,7 +254,7 @@
             if outcome == AttemptOutcome.DONE:
                 self.answer(200, body, length=attempt.length)
             elif outcome == AttemptOutcome.INVALID_REQUEST:
-                # a host's 400: any other host would say the same
+                # any other host would say the same
                 self.answer(400, body, length=attempt.length)
             self.node.call_decisions(
                 self.node.balancer.on_outcome,
