--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -225,10 +225,14 @@
 
     def release_if_done(self, exchange: Exchange) -> None:
         """Forget an exchange that is closed and has no attempt in flight."""
-        if exchange.closed and all(attempt.settled for attempt in exchange.attempts):
-            self.exchanges.pop(exchange.number, None)
-            if exchange.deadline_timer:
-                exchange.deadline_timer.cancel()
+        if not exchange.closed:
+            return
+        for attempt in exchange.attempts:
+            if not attempt.settled:
+                return
+        self.exchanges.pop(exchange.number, None)
+        if exchange.deadline_timer:
+            exchange.deadline_timer.cancel()
 
     def call_decisions(
         self, call: Callable[..., None], *args: Any, exchange: Exchange | None = None
