--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -38,13 +38,20 @@
 from orchidgap.fault_tests.relay import Datagrams, Relay
 from orchidgap.fault_tests.rollout_checker import Fate, Judge
 from orchidgap.net.addresses import Address, format_address
+from orchidgap.simulation.balancer_instance import (
+    BalancerInstance,
+    Pause,
+    VirtualBalancer,
+    address_suffix,
+)
+from orchidgap.simulation.balancer_process import BalancerProcess
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.environment import Decider
 from orchidgap.simulation.faults import set_off
 from orchidgap.simulation.invariant_checker import Ask, Op
+from orchidgap.simulation.loopback_network import LoopbackNetwork, cpu_seconds_of
 from orchidgap.simulation.plan import Trouble, Work, micros, millis
-from orchidgap.simulation.simulation import RealPost, Scene, VirtualPost, place
-from orchidgap.simulation.virtual_network import Wires, cpu_of
+from orchidgap.simulation.simulation import Simulation
 
 LOOK = 50_000  # between looks at what is seen
 WATCH = 50_000  # between questions to control whether a version is decided
@@ -92,19 +99,23 @@
 class Witnesses(Callers):
     """Clients that ask, beside the usual, for the classes of the versions that may govern now."""
 
-    scene: Town
+    environment: Town
 
     def draw(self) -> Op:
         op = super().draw()
         # what is long replaced is asked for too: whoever comes back may have it still
-        numbers = self.scene.recent() if self.rng.random() < 0.8 else list(self.scene.judge.fates)
+        numbers = (
+            self.environment.recent()
+            if self.rng.random() < 0.8
+            else list(self.environment.judge.fates)
+        )
         name = "base" if self.rng.random() < 0.3 else f"v{self.rng.choice(numbers)}"
         op.work = next(work for work in self.works if work.name == name)
         op.counts = name == "base"
         return op
 
     def unknown(self, ask: Ask) -> None:
-        self.scene.referee.aborted -= 1  # it asked which version counts, and was told
+        self.environment.referee.aborted -= 1  # it asked which version counts, and was told
         if ask.op.work.name == "base":
             super().unknown(ask)
 
@@ -112,43 +123,47 @@
         """Every balancer alike, also one that denies: which version governs it is what is asked."""
         there = [
             name
-            for name, post in self.scene.posts.items()
+            for name, post in self.environment.balancers.items()
             if post.alive and post.ready_at and name != but
         ]
         return self.rng.choice(there) if there else None
 
 
-class Process(RealPost):
+class Process(BalancerProcess):
     """A balancer of the program."""
 
-    scene: Town
+    environment: Town
 
     def command(self) -> list[str]:
-        return super().command() if self.policy != "orchidgap" else self.scene.command("serve")
+        return (
+            super().command() if self.policy != "orchidgap" else self.environment.command("serve")
+        )
 
     def spawn(self, known: dict[str, Any]) -> None:
         path = self.folder / f"{self.name}.json"
-        path.write_text(json.dumps(self.scene.told(self, known)))
-        self.process = self.scene.start_process(self.name, [*self.command(), f"--config={path}"])
+        path.write_text(json.dumps(self.environment.balancer_settings(self, known)))
+        self.process = self.environment.start_process(
+            self.name, [*self.command(), f"--config={path}"]
+        )
 
-    def until_up(self) -> None:
+    def poll_readiness(self) -> None:
         """Its listener opens when it holds a lease; looked for again and again, by many."""
         if self.alive and not self.ready_at:
-            calls = RpcClient(self.scene.loop, self.address, 200_000)
+            calls = RpcClient(self.environment.loop, self.address, 200_000)
 
             def heard(is_up: bool) -> None:
                 calls.close()
                 if is_up:
-                    self.ready_at = self.scene.loop.now
+                    self.ready_at = self.environment.loop.now
                 else:
-                    self.scene.loop.call_later(
-                        50_000 + 2_000 * len(self.scene.posts), self.until_up
+                    self.environment.loop.call_later(
+                        50_000 + 2_000 * len(self.environment.balancers), self.poll_readiness
                     )
 
             calls.probe("/up", heard)
 
-    def gone(self) -> None:
-        super().gone()
+    def mark_ended(self) -> None:
+        super().mark_ended()
         self.ready_at = 0
 
 
@@ -157,7 +172,7 @@
 
     def __init__(self, town: Town, number: int) -> None:
         self.town, self.number, self.name = town, number, f"k{number}"
-        self.address: Address = (f"127.5.0.{number + 1}", 7500 + town.ports)
+        self.address: Address = (f"127.5.0.{number + 1}", 7500 + town.port_offset)
         self.process: subprocess.Popen[bytes] | None = None
         self.new = True
         self.alive = False
@@ -188,7 +203,7 @@
         self.alive = True
 
 
-class Town(Scene):
+class Town(Simulation):
     """All processes of one drill, and its steps."""
 
     def __init__(
@@ -203,7 +218,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (room[1], room[1]))
         self.drill, self.defect = drill, defect
         self.versions = versions_of(drill.steps)  # that are proposed
-        self.slot, self.ports = slot()
+        self.slot, self.port_offset = slot()
         self.telling = 0  # the version whose settings are written
         self.relays: dict[tuple[str, str], Relay] = {}
         self.latest = 0
@@ -225,37 +240,43 @@
         if drill.links:
             self.link_hosts()
         self.talks: dict[str, Datagrams] = {}
-        for name, post in self.posts.items() if drill.plan.pool else ():
-            at = (f"127.{TALKS}.{place(post.number)}", post.talks[1])
-            self.talks[name] = Datagrams(self.loop, at, post.talks, self.rng)
+        for name, post in self.balancers.items() if drill.plan.pool else ():
+            at = (f"127.{TALKS}.{address_suffix(post.number)}", post.gossip_address[1])
+            self.talks[name] = Datagrams(self.loop, at, post.gossip_address, self.rng)
 
     # --- what the trial's parts ask
 
-    def post(self, name: str, number: int, zone: int, decider: Decider) -> VirtualPost | RealPost:
+    def make_balancer(
+        self, name: str, number: int, zone: int, decider: Decider
+    ) -> VirtualBalancer | BalancerProcess:
         assert self.folder
         return Process(self, name, number, zone, self.policy, self.folder.name)
 
-    def clients(self) -> Callers:
+    def make_clients(self) -> Callers:
         return Witnesses(self) if self.versions else Callers(self)
 
-    def told(self, post: Any, known: dict[str, Any]) -> dict[str, Any]:
-        told = super().told(post, known)
-        told["known"] = self.way_to_hosts(post.name, told["known"])
+    def balancer_settings(
+        self, balancer: BalancerInstance, known: dict[str, Any]
+    ) -> dict[str, Any]:
+        told = super().balancer_settings(balancer, known)
+        told["known"] = self.endpoint_list_for(balancer.name, told["known"])
         if self.controls:
             told["control"] = {
-                "at": [format_address(self.way_to(post.name, one)) for one in self.controls],
-                "dir": str(self.place / f"{post.name}.disk"),
+                "at": [format_address(self.way_to(balancer.name, one)) for one in self.controls],
+                "dir": str(self.place / f"{balancer.name}.disk"),
                 "alone": self.drill.control.alone,
             }
         return told
 
-    def talk_part(self, post: Any) -> dict[str, Any]:
-        others = [format_address(talk.at) for name, talk in self.talks.items() if name != post.name]
-        return super().talk_part(post) | {"peers": others}
+    def gossip_settings(self, balancer: BalancerInstance) -> dict[str, Any]:
+        others = [
+            format_address(talk.at) for name, talk in self.talks.items() if name != balancer.name
+        ]
+        return super().gossip_settings(balancer) | {"peers": others}
 
-    def listed(self, work: Work) -> bool:
+    def is_rule_set_listed(self, work: Work) -> bool:
         if not self.versions:
-            return super().listed(work)
+            return super().is_rule_set_listed(work)
         return work.name in ("base", f"v{self.telling}")
 
     def recent(self) -> list[int]:
@@ -268,7 +289,7 @@
 
         def judged() -> None:
             self.look()
-            if not ask.left and self.lives(ask.balancer, ask.life):
+            if not ask.left and self.is_alive(ask.balancer, ask.life):
                 self.broke(ask, at)
 
         self.loop.call_later(SLACK, judged)
@@ -294,11 +315,14 @@
     def way_to(self, who: str, post: ControlPost) -> Address:
         """Where this process finds that control process: a relay between the two."""
         if (who, post.name) not in self.relays:
-            at = (f"127.{100 + post.number}.{place(len(self.relays))}", 7500 + self.ports)
+            at = (
+                f"127.{100 + post.number}.{address_suffix(len(self.relays))}",
+                7500 + self.port_offset,
+            )
             self.relays[who, post.name] = Relay(self.loop, at, post.address, self.rng)
         return self.relays[who, post.name].at
 
-    def way_to_hosts(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
+    def endpoint_list_for(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
         """The list as that balancer gets it, with a relay of its own in the place of each host."""
         if not self.drill.links:
             return known
@@ -310,23 +334,23 @@
         }
 
     def link_hosts(self) -> None:
-        stores = {store.address: store.id for store in self.stores.values()}
-        for i, store in enumerate(self.stores.values()):
-            for name, post in self.posts.items():
-                at = (f"127.{HOSTS + i}.{place(post.number)}", 7071 + self.ports)
+        stores = {store.address: store.id for store in self.servers.values()}
+        for i, store in enumerate(self.servers.values()):
+            for name, post in self.balancers.items():
+                at = (f"127.{HOSTS + i}.{address_suffix(post.number)}", 7071 + self.port_offset)
                 self.relays[name, store.id] = Relay(
                     self.loop, at, store.address, self.rng, outlives=False
                 )
 
         def heeds(address: Address, there: bool) -> None:
-            for name in self.posts if address in stores else ():
+            for name in self.balancers if address in stores else ():
                 self.relays[name, stores[address]].heed(there)
 
-        assert isinstance(self.ground, Wires)
-        self.ground.heeds = heeds
+        assert isinstance(self.network, LoopbackNetwork)
+        self.network.on_listener_change = heeds
 
     def process_of(self, name: str) -> subprocess.Popen[bytes]:
-        post = self.posts[name] if name in self.posts else self.controls[int(name[1:])]
+        post = self.balancers[name] if name in self.balancers else self.controls[int(name[1:])]
         assert isinstance(post, Process | ControlPost) and post.process
         return post.process
 
@@ -351,13 +375,13 @@
         if what == "seconds":
             return self.loop.now - since >= micros(float(more[0]))
         if what == "up":
-            return all(post.ready_at > 0 for post in self.posts.values() if post.alive)
+            return all(post.ready_at > 0 for post in self.balancers.values() if post.alive)
         if what == "ended":
             return not self.shells
         if what == "log":
             names = [
                 name
-                for name in (*self.posts, *(post.name for post in self.controls))
+                for name in (*self.balancers, *(post.name for post in self.controls))
                 if more[0] in (name, "any")
             ]
             return any(more[1] in self.lines(name)[self.log_from.get(name, 0) :] for name in names)
@@ -376,7 +400,7 @@
     def act(self, text: str) -> None:
         what, *more = words(text, DO, text)
         if more and more[0].endswith("%"):  # the first so many of a hundred balancers
-            names = list(self.posts)
+            names = list(self.balancers)
             for name in names[: len(names) * int(more[0][:-1]) // 100]:
                 self.act(f"{what} {name}")
         elif what in ("draw", "mend"):
@@ -391,7 +415,11 @@
         number = int(by[1:]) if anew else self.latest + 1
         self.latest = max(self.latest, number)
         self.telling = number
-        doc = {"settings": super().told(next(iter(self.posts.values())), {})["settings"]}
+        doc = {
+            "settings": super().balancer_settings(next(iter(self.balancers.values())), {})[
+                "settings"
+            ]
+        }
         self.telling = 0
         if how == "bad":
             doc["settings"]["registry-mode"] = "poll"
@@ -425,36 +453,36 @@
         process = self.process_of(name)
         process.kill()
         process.wait()
-        if name in self.posts:
-            self.posts[name].gone()
+        if name in self.balancers:
+            self.balancers[name].mark_ended()
         else:
             self.controls[int(name[1:])].alive = False
 
     def do_term(self, name: str) -> None:
-        if name in self.posts:
-            return self.posts[name].leave()
+        if name in self.balancers:
+            return self.balancers[name].shut_down()
         self.process_of(name).terminate()
         self.process_of(name).wait()
         self.controls[int(name[1:])].alive = False
 
     def do_start(self, name: str) -> None:
-        if name not in self.posts:
+        if name not in self.balancers:
             return self.controls[int(name[1:])].begin()
-        post = self.posts[name]
+        post = self.balancers[name]
         if post.alive:
             post.kill()
-        post.begin(self.known_of(name))
+        post.start(self.latest_endpoint_list(name))
 
     def do_stop(self, name: str) -> None:
         self.process_of(name).send_signal(signal.SIGSTOP)
-        if name in self.posts:
-            self.posts[name].stood.append((self.loop.now, 1 << 62))
+        if name in self.balancers:
+            self.balancers[name].pauses.append(Pause(self.loop.now, 1 << 62))
 
     def do_go(self, name: str) -> None:
         self.process_of(name).send_signal(signal.SIGCONT)
-        if name in self.posts:
-            post = self.posts[name]
-            post.stood.append((post.stood.pop()[0], self.loop.now + 1_000_000))
+        if name in self.balancers:
+            post = self.balancers[name]
+            post.pauses.append(Pause(post.pauses.pop().start_us, self.loop.now + 1_000_000))
             for ask in self.referee.asks.values():
                 if (
                     ask.balancer == name and not ask.status
@@ -495,11 +523,11 @@
         """Whether a plan's word is that end of a link to `link`: `all` are control processes and whoever
         calls them, `hosts` all hosts, `z1` all that is in that zone."""
         if word == "all":
-            return link not in self.stores
+            return link not in self.servers
         if word == "hosts":
-            return name in self.stores
+            return name in self.servers
         if word in self.zones:
-            there = self.stores[name] if name in self.stores else self.posts.get(name)
+            there = self.servers[name] if name in self.servers else self.balancers.get(name)
             return there is not None and f"z{there.zone}" == word
         return word == name
 
@@ -536,7 +564,7 @@
             return
         self.talks[name].loss[""] = share
         for talk in self.talks.values():
-            talk.loss[self.posts[name].talks[0]] = share
+            talk.loss[self.balancers[name].gossip_address[0]] = share
 
     def do_noise(self, name: str, count: str) -> None:
         """So many datagrams that nobody signed, within a second."""
@@ -572,19 +600,23 @@
     def do_hup(self, name: str) -> None:
         """The file gets settings of its own, which control's go before."""
         self.telling = 999
-        post = self.posts[name]
-        text = json.dumps(self.told(post, self.known_of(name)))
+        post = self.balancers[name]
+        text = json.dumps(self.balancer_settings(post, self.latest_endpoint_list(name)))
         self.telling = 0
-        post.hup(text.encode())
+        post.reload(text.encode())
 
     def do_sighup(self) -> None:
         """The way without control: a loop over all that are there, one file and one signal after another."""
         self.latest += 1
         fate = self.judge.fates[self.latest] = Fate(self.latest, self.loop.now)
         self.telling = self.latest
-        for name, post in self.posts.items():
+        for name, post in self.balancers.items():
             if post.alive:
-                post.hup(json.dumps(self.told(post, self.known_of(name))).encode())
+                post.reload(
+                    json.dumps(
+                        self.balancer_settings(post, self.latest_endpoint_list(name))
+                    ).encode()
+                )
                 self.loop.run_once(0)  # clients go on meanwhile
         self.telling = 0
         self.judge.told(fate, "decided", self.latest, "", self.loop.now)
@@ -604,7 +636,7 @@
 
     def draw(self) -> None:
         """A fault by chance, on whoever; `mend` ends them all."""
-        rng, balancers = self.rng, list(self.posts)
+        rng, balancers = self.rng, list(self.balancers)
         b, k = rng.choice(balancers), rng.choice([post.name for post in self.controls])
         faults = [
             f"cut {b} all",
@@ -614,7 +646,7 @@
             f"slow {b} all {rng.randrange(20, 300)}",
         ]
         if self.drill.links:
-            host = rng.choice(list(self.stores))
+            host = rng.choice(list(self.servers))
             faults += [
                 f"cut {b} hosts",
                 f"stall {b} {host}",
@@ -622,7 +654,7 @@
                 f"stall hosts {b}",
                 f"slow {b} hosts {rng.randrange(5, 60)} 0.1",
             ]
-        if self.posts[b].alive:
+        if self.balancers[b].alive:
             faults += [f"kill {b}", f"stop {b}", f"term {b}"] * 2
         if len(self.controls) > 1 and all(post.alive for post in self.controls):
             faults += [f"kill {k}", f"stop {k}", f"cut all {k}", f"full {k}", f"stall {k} all"]
@@ -639,15 +671,15 @@
     def mend(self) -> None:
         """All faults end: links heal, what stands still goes on, what is dead starts again."""
         self.do_heal()
-        for name in self.posts:
+        for name in self.balancers:
             self.do_room(name)
-            post = self.posts[name]
-            if post.alive and post.stood and post.stood[-1][1] > self.loop.now + 2_000_000:
+            post = self.balancers[name]
+            if post.alive and post.pauses and post.pauses[-1].end_us > self.loop.now + 2_000_000:
                 self.do_go(name)
             if post.alive and self.process_of(name).poll() is not None:
-                post.gone()
+                post.mark_ended()
             if not post.alive:
-                post.begin(self.known_of(name))
+                post.start(self.latest_endpoint_list(name))
         for control in self.controls:
             self.do_room(control.name)
             assert control.process
@@ -677,9 +709,13 @@
                     str(said.get("why", "")),
                     self.loop.now,
                 )
-        for post in self.posts.values():
-            if post.alive and not post.leaving and self.process_of(post.name).poll() is not None:
-                post.gone()
+        for post in self.balancers.values():
+            if (
+                post.alive
+                and not post.is_shutting_down
+                and self.process_of(post.name).poll() is not None
+            ):
+                post.mark_ended()
         for control in self.controls:
             control.alive = (
                 control.alive and control.process is not None and control.process.poll() is None
@@ -712,14 +748,16 @@
                 self.way_to("shell", control)  # there to be cut before the first call
                 control.begin()
             _, entries = self.listing.since(None, 1)
-            for post in self.posts.values():
-                post.begin({"seq": 1, "whole": True, "hosts": entries})
-            self.until(lambda: all(post.ready_at for post in self.posts.values()), 30.0, "all up")
+            for post in self.balancers.values():
+                post.start({"seq": 1, "whole": True, "hosts": entries})
+            self.until(
+                lambda: all(post.ready_at for post in self.balancers.values()), 30.0, "all up"
+            )
             self.started, self.held = time.monotonic() - began, self.memory()
             self.start = self.referee.start = self.loop.clock()
             self.loop.call_later(LOOK, self.weigh)
-            self.callers.end = self.start + micros(3_600)
-            self.loop.call_soon(self.callers.arrive)
+            self.clients.end = self.start + micros(3_600)
+            self.loop.call_soon(self.clients.arrive)
             self.loop.call_soon(self.watch)
             steps = [
                 (i, step) for i, step in enumerate(self.drill.steps) for _ in range(step.times)
@@ -729,7 +767,7 @@
             )  # to the first not seen
             self.stretches.begin("")
             self.mend()
-            leaving = [post for post in self.posts.values() if post.leaving]
+            leaving = [post for post in self.balancers.values() if post.is_shutting_down]
             self.until(
                 lambda: not any(post.alive for post in leaving), 6, "all ended that were told to"
             )
@@ -739,7 +777,7 @@
             self.settle()
             self.judge.judge()
             found = self.stretches.judge(self.judge.breach)
-            told = self.judge.verdict(self.judged()) | self.costs()
+            told = self.judge.verdict(self.build_verdict()) | self.costs()
             return told | {"stretches": found} if found else told
         finally:
             self.close()
@@ -758,22 +796,22 @@
     def weigh(self) -> None:
         """CPU of all balancers, as the system counts it, and bytes between them and control."""
         self.loop.call_later(2_000_000, self.weigh)
-        names = [name for name, post in self.posts.items() if post.alive]
+        names = [name for name, post in self.balancers.items() if post.alive]
         cpu = 0.0
         for name in names:
             with suppress(OSError, IndexError, ValueError):
-                cpu += cpu_of(self.process_of(name).pid)
+                cpu += cpu_seconds_of(self.process_of(name).pid)
         moved = sum(
             relay.moved
             for (who, far), relay in self.relays.items()
-            if who in self.posts and far not in self.stores
+            if who in self.balancers and far not in self.servers
         )
         self.weights.append((self.loop.now, cpu, moved, len(names)))
 
     def memory(self) -> int:
         """Kilobytes of all processes, what they share counted once."""
         total = 0
-        for name in [*self.posts, *(post.name for post in self.controls)]:
+        for name in [*self.balancers, *(post.name for post in self.controls)]:
             with suppress(OSError):
                 for line in (
                     Path(f"/proc/{self.process_of(name).pid}/smaps_rollup").read_text().splitlines()
@@ -845,7 +883,7 @@
             self.judge.fates.values(), key=lambda fate: fate.n if fate.outcome == "decided" else -1
         )
         since = self.loop.now
-        for name in [name for name, post in self.posts.items() if post.alive]:
+        for name in [name for name, post in self.balancers.items() if post.alive]:
             spent = (self.loop.now - since) / 1e6
             within = max(0.5, self.drill.settle_s + 3 * self.drill.control.lease_ms / 1e3 - spent)
             wanted = f"serves {name} v{best.number}"
@@ -880,7 +918,7 @@
             if control.process:
                 control.process.kill()
                 control.process.wait()
-        for post in self.posts.values():
+        for post in self.balancers.values():
             if isinstance(post, Process) and post.process:
                 post.process.kill()
                 post.process.wait()
--- a/orchidgap/simulation/__init__.py
+++ b/orchidgap/simulation/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-in peers, plans, troubles, a referee, baselines, hunts and reports: how the balancer is tried.
+"""Simulations: the balancer among stand-in peers and faults, checked, compared and reported.
 
 Nobody in `serve` imports this; it needs the libraries of `requirements-tools.txt`.
 """
--- /dev/null
+++ b/orchidgap/simulation/balancer_loop.py
@@ -0,0 +1,149 @@
+"""The event loop of one balancer on the virtual clock."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from contextlib import suppress
+from typing import Any
+
+from orchidgap.net.loop import Loop, Timer
+from orchidgap.simulation.listening_queue import ListeningQueue
+from orchidgap.simulation.virtual_clock import VirtualClockLoop
+
+
+class BalancerLoop(Loop):
+    """A balancer's own sockets and timers on the simulation's one loop.
+
+    They end together when the balancer is killed, and stand still together while it is paused.
+    `on_error` is called with an exception that a callback raised.
+    """
+
+    def __init__(
+        self, shared_loop: VirtualClockLoop, on_error: Callable[[Exception], None]
+    ) -> None:
+        """Start on the shared loop, at its present time."""
+        # the base class would open a selector of its own: all that it sets is set here
+        self.shared_loop = shared_loop
+        self.on_error = on_error
+        self.clock = shared_loop.clock
+        self.buffer = shared_loop.buffer
+        self.now = self.last_poll_us = self.ready_since_us = shared_loop.time
+        self.running = True
+        self.killed = False
+        self.longest_turn_us = 0  # on the virtual clock no turn takes any time
+        self.paused_until_us = 0
+        self.watched: dict[Any, tuple[int, Callable[[int], None]]] = {}
+        # connections being dialled, and when each comes up; None for never
+        self.opening: dict[socket.socket, int | None] = {}
+
+    @property
+    def is_paused(self) -> bool:
+        """Whether the process is stopped now."""
+        return self.paused_until_us > self.shared_loop.time
+
+    def enter(self, callback: Callable[..., None], *args: Any) -> None:
+        """Run a callback as this balancer: not once it is killed, and later while it is paused."""
+        if self.killed:
+            return
+        if self.is_paused:
+            self.shared_loop.call_at(self.paused_until_us, self.enter, callback, *args)
+            return
+        now = self.shared_loop.time
+        self.now = now
+        self.last_poll_us = now
+        self.ready_since_us = min(now, self.paused_until_us or now)
+        self.run_callback(callback, *args)
+
+    def fire(self, timer: Timer) -> None:
+        """Run a timer that is due, unless it is cancelled by the time it can run."""
+        if timer.callback is None:
+            return
+        if self.is_paused:
+            self.shared_loop.call_at(self.paused_until_us, self.fire, timer)
+            return
+        self.enter(timer.callback, *timer.args)
+
+    def call_at(self, when_us: int, callback: Callable[..., None], *args: Any) -> Timer:
+        """Call back at a time of the clock."""
+        timer = Timer(callback, args)
+        self.shared_loop.call_at(when_us, self.fire, timer)
+        return timer
+
+    def call_soon(self, callback: Callable[..., None], *args: Any) -> None:
+        """Call back in the next round."""
+        self.shared_loop.call_soon(self.enter, callback, *args)
+
+    def watch(
+        self, sock: Any, mask: int, callback: Callable[[int], None], first: bool = False
+    ) -> None:
+        """Watch a socket or a listening queue; one that is being dialled, once it is up."""
+        self.watched[sock] = (mask, callback)
+        if isinstance(sock, ListeningQueue):
+            sock.callback = lambda ready: self.enter(callback, ready)
+            sock.wake()
+            return
+        opens_at_us = self.opening.pop(sock, 0)
+        if opens_at_us is None:
+            return
+        if opens_at_us > self.shared_loop.time:
+            self.opening[sock] = None
+            self.shared_loop.call_at(opens_at_us, self.finish_opening, sock)
+            return
+        if not self.is_paused:
+            self.shared_loop.watch(sock, mask, lambda ready: self.enter(callback, ready))
+
+    def finish_opening(self, sock: socket.socket) -> None:
+        """Begin to watch a connection that has come up, where it is still wanted."""
+        if sock in self.opening and sock in self.watched:
+            del self.opening[sock]
+            mask, callback = self.watched[sock]
+            self.watch(sock, mask, callback)
+
+    def rewatch(self, sock: Any, mask: int, callback: Callable[[int], None]) -> None:
+        """Watch a socket for other events than before."""
+        self.watched[sock] = (mask, callback)
+        if sock not in self.opening:
+            self.shared_loop.rewatch(sock, mask, lambda ready: self.enter(callback, ready))
+
+    def unwatch(self, sock: Any) -> None:
+        """Watch a socket no more; it stays open."""
+        del self.watched[sock]
+        if isinstance(sock, ListeningQueue):
+            sock.callback = None
+        elif sock in self.opening:
+            del self.opening[sock]
+        elif sock.fileno() in self.shared_loop.selector.get_map():
+            self.shared_loop.unwatch(sock)
+
+    def is_connection(self, sock: Any) -> bool:
+        """Return whether it is a connection that has come up."""
+        return not isinstance(sock, ListeningQueue) and sock not in self.opening
+
+    def pause(self, until_us: int) -> None:
+        """Run nothing until then, as a stopped process; its sockets stay open."""
+        self.paused_until_us = until_us
+        connections = [sock for sock in self.watched if self.is_connection(sock)]
+        for sock in connections:
+            self.shared_loop.unwatch(sock)
+        self.shared_loop.call_at(until_us, self.resume, connections)
+
+    def resume(self, connections: list[socket.socket]) -> None:
+        """Watch again what was watched when the pause began."""
+        if self.killed:
+            return
+        for sock in connections:
+            if sock in self.watched:
+                mask, callback = self.watched[sock]
+                self.watch(sock, mask, callback)
+
+    def kill(self) -> None:
+        """Close all sockets at once, as the system does when a process ends."""
+        self.killed = True
+        for sock in list(self.watched):
+            if self.is_connection(sock) and sock.fileno() >= 0:
+                with suppress(KeyError, ValueError):
+                    self.shared_loop.unwatch(sock)
+            sock.close()
+        self.watched.clear()
+        self.opening.clear()
--- a/orchidgap/simulation/baselines.py
+++ b/orchidgap/simulation/baselines.py
@@ -24,7 +24,7 @@
 from orchidgap.decisions.settings import ServiceSettings
 
 if TYPE_CHECKING:
-    from orchidgap.simulation.environment import Decider, Scene
+    from orchidgap.simulation.environment import Decider, Environment
 
 POINTS = 64  # virtual nodes of a host on the ring
 BOUND = 1.25  # of the mean of what is out, that a bounded ring lets a host have
@@ -218,13 +218,13 @@
 class Oracle(Plain):
     """Sees the true state of all hosts: the top that nobody reaches who has to find out."""
 
-    scene: Scene  # of the trial that it is in
+    environment: Environment  # of the trial that it is in
 
     homes = staticmethod(even)
 
     def wait(self, id: str, cost: int) -> float:
         """Microseconds until that work would be done there."""
-        store = self.scene.stores[id]
+        store = self.environment.servers[id]
         if not store.alive or store.vanished or store.draining or store.spoilt:
             return SLOWEST
         left = sum(job.ends - self.now for job in store.running) + sum(
@@ -244,7 +244,7 @@
         super().go(req)
 
     def cost(self, req: Request, host: HostState, cost: int) -> float:
-        has = self.scene.key_of(req.key) in self.scene.stores[host.id].kept
+        has = self.environment.key_of(req.key) in self.environment.servers[host.id].kept
         fetch = (
             0.0
             if has
@@ -267,8 +267,8 @@
 NAMES = (*KINDS, "oracle")
 
 
-def decider(name: str, scene: Scene | None = None) -> Decider:
-    """By its name; the oracle belongs to one scene. Raises KeyError for another name."""
+def decider(name: str, environment: Environment | None = None) -> Decider:
+    """By its name; the oracle belongs to one environment. Raises KeyError for another name."""
     if name == "oracle":
-        return cast("Decider", type("Oracle", (Oracle,), {"scene": scene}))
+        return cast("Decider", type("Oracle", (Oracle,), {"environment": environment}))
     return KINDS[name]
--- /dev/null
+++ b/orchidgap/simulation/cache_contents.py
@@ -0,0 +1,45 @@
+"""Keys and values of a simulation, and which caches have them at the start."""
+
+from __future__ import annotations
+
+from binascii import crc_hqx
+from random import Random
+
+from orchidgap.decisions.hash_ranges import SLOT_COUNT
+from orchidgap.net.request_key import key_number
+from orchidgap.simulation.baselines import even
+from orchidgap.simulation.environment import Decider
+from orchidgap.simulation.plan import Plan
+from orchidgap.simulation.servers import Store
+
+
+def value_size_bytes(plan: Plan, key: int) -> int:
+    """Return the size of a key's value: most are small, one in sixteen is large."""
+    keys = plan.keys
+    bulk = plan.bulk
+    if bulk.share and key * 40_503 % 1_000 < bulk.share * 1_000:
+        return bulk.size + key % 1_000
+    return keys.most_size if key * 2_654_435_761 % 16 == 0 else keys.size
+
+
+def client_key_of(number: int | None) -> int:
+    """Return the clients' number of a key, of the decisions' number of it; -1 for none."""
+    value = number or 0
+    text = value.to_bytes((value.bit_length() + 7) // 8)
+    return int(text[1:] or b"-1")
+
+
+def slot_of(key: bytes) -> int:
+    """Return the slot that the decisions find for a key of the path."""
+    return crc_hqx(b"%d" % (key_number(key) or 0), 0) & (SLOT_COUNT - 1)
+
+
+def fill_caches(plan: Plan, rng: Random, decider: Decider, caches: list[Store]) -> None:
+    """Put the hottest keys where this decider would have had them cached."""
+    hot_count = min(plan.keys.count, plan.cache.keys * plan.caches)
+    homes = getattr(decider, "homes", even)
+    ids = [cache.id for cache in caches]
+    for key in reversed(range(hot_count)):  # the hottest last: they stay longest
+        if rng.random() < plan.keys.warm:
+            for i in homes(slot_of(b"k%d" % key), ids):
+                caches[i].keep(key)
--- a/orchidgap/simulation/clients.py
+++ b/orchidgap/simulation/clients.py
@@ -16,7 +16,7 @@
 from orchidgap.simulation.plan import Work, micros, millis
 
 if TYPE_CHECKING:
-    from orchidgap.simulation.environment import Scene
+    from orchidgap.simulation.environment import Environment
 
 LATE_BY = 3_000_000  # after its client timeout an answer is waited for no longer
 OWED = 3_000_000  # what a bad client is owed an error or a close within
@@ -30,7 +30,7 @@
 
     __slots__ = (
         "ask",
-        "callers",
+        "clients",
         "conn",
         "left",
         "life",
@@ -42,8 +42,8 @@
     )
 
     def __init__(self, callers: Callers, post: str, sock: socket.socket, opening: bool) -> None:
-        self.callers, self.post = callers, post
-        self.life = callers.scene.life_of(post)
+        self.clients, self.post = callers, post
+        self.life = callers.environment.incarnation_of(post)
         self.reader = ResponseReader()
         self.ask: Ask | None = None
         self.message: tuple[bytes, ...] = ()
@@ -55,9 +55,9 @@
 
     def carry(self, ask: Ask, message: tuple[bytes, ...]) -> None:
         self.ask, self.message = ask, message
-        ask.began = self.callers.loop.now
+        ask.began = self.clients.loop.now
         self.used += 1
-        bulk, rng = self.callers.plan.bulk, self.callers.rng
+        bulk, rng = self.clients.plan.bulk, self.clients.rng
         slow = bool(bulk.slow_readers) and rng.random() < bulk.slow_readers
         self.pace = round(bulk.pace_kb * 1_000) if slow else 0
         if len(message) > 1 and len(message[1]) > SMALL:
@@ -80,7 +80,7 @@
             if last:
                 break
             if self.pace:
-                self.callers.loop.call_later(len(piece) * 1_000_000 // self.pace, self.more)
+                self.clients.loop.call_later(len(piece) * 1_000_000 // self.pace, self.more)
                 return
         if not self.left and not self.conn.write_buffer and self.ask and not self.ask.came:
             self.conn.on_drained = None
@@ -95,109 +95,119 @@
     def written(self) -> None:
         ask = self.ask
         if ask:
-            now = self.callers.loop.now
+            now = self.clients.loop.now
             ask.came, ask.due = now, now + millis(ask.op.work.timeout_ms)
-            ask.most = self.callers.scene.most_of(now)
-            self.callers.scene.referee.taken(ask)
-            self.callers.loop.call_later(ask.due - now + LATE_BY, self.callers.overdue, self, ask)
+            ask.most = self.clients.environment.max_attempts_at(now)
+            self.clients.environment.referee.taken(ask)
+            self.clients.loop.call_later(ask.due - now + LATE_BY, self.clients.overdue, self, ask)
 
     def received(self, view: memoryview) -> None:
         reader = self.reader
         if self.ask is None:
-            self.callers.scene.referee.more(None, self.callers.loop.now)
+            self.clients.environment.referee.more(None, self.clients.loop.now)
             return self.close()
         reader.feed(view)
         if not self.ask.first_at:
-            self.ask.first_at = self.callers.loop.now
+            self.ask.first_at = self.clients.loop.now
         if self.left:  # answered before it had sent all: what is left does not matter any more
             self.left, self.conn.on_drained = b"", None
             self.written()
         if self.pace and not reader.message.complete:
             self.conn.pause_reading(True)
-            self.callers.loop.call_later(
+            self.clients.loop.call_later(
                 len(view) * 1_000_000 // self.pace, self.conn.pause_reading, False
             )
         if reader.message.complete:
             ask, self.ask = self.ask, None
             if reader.message.body_size > SMALL:
-                self.callers.scene.referee.large += 1
+                self.clients.environment.referee.large += 1
             body, status = reader.message.body, reader.message.status
             pause = parse_seconds(reader.message.fields.get(b"retry-after", b"")) or 0
             extra, lasts = reader.has_excess_data, reader.message.keep_alive
-            self.callers.scene.referee.answer(ask, status, body, self.callers.loop.now)
+            self.clients.environment.referee.answer(ask, status, body, self.clients.loop.now)
             if status == 404:
-                self.callers.unknown(ask)
+                self.clients.unknown(ask)
             if extra:
-                self.callers.scene.referee.more(ask, self.callers.loop.now)
+                self.clients.environment.referee.more(ask, self.clients.loop.now)
             reader.reset()
             if lasts and not extra:
-                self.callers.idle[self.post].append(self)
+                self.clients.idle[self.post].append(self)
             else:
                 self.conn.close_gracefully()
-            self.callers.loop.call_later(
-                self.callers.scene.client_way(), self.callers.heard, ask, status, pause
+            self.clients.loop.call_later(
+                self.clients.environment.client_one_way_us(), self.clients.heard, ask, status, pause
             )
         elif reader.message.error_status:
             self.conn.fail("no proper answer")
 
     def ended(self, what: str) -> None:
-        callers, ask = self.callers, self.ask
+        callers, ask = self.clients, self.ask
         self.ask = None
         callers.links[self.post].pop(self, None)
         if self in callers.idle[self.post]:
             callers.idle[self.post].remove(self)
         if ask is None or ask.status or ask.left:
             return
-        scene = callers.scene
-        if not scene.lives(self.post, self.life):
+        environment = callers.environment
+        if not environment.is_alive(self.post, self.life):
             ask.left = True
             return callers.heard(ask, 0, 0)
         unread = what != "closed" and not self.reader.started
         if unread:
-            scene.referee.doors += 1
+            environment.referee.doors += 1
         if self.used > 1 and unread:  # it was closed between two reqs, and this one crossed that
             return callers.send(ask, self.message, self.post, fresh=True)
         if what == "closed" and self.reader.started and self.reader.on_connection_closed():
             why = f"{ask.id.decode()}: no telling where its answer ends"
-            scene.referee.breach("lost", callers.loop.now, why)
+            environment.referee.breach("lost", callers.loop.now, why)
         elif self.reader.message.error_status or self.reader.started:
-            scene.referee.unfinished(ask, callers.loop.now)  # it can tell that this is not whole
+            environment.referee.unfinished(
+                ask, callers.loop.now
+            )  # it can tell that this is not whole
         elif self.used == 1 and not ask.sent:
             ask.status = (
                 -1
             )  # the first on its connection, with nothing sent on for it: failed, not lost
-            scene.referee.aborted += 1
+            environment.referee.aborted += 1
         else:
-            scene.referee.broke(ask, callers.loop.now)
+            environment.referee.broke(ask, callers.loop.now)
         callers.heard(ask, 500, 0)
 
     def close(self) -> None:
-        if self in self.callers.idle[self.post]:
-            self.callers.idle[self.post].remove(self)
-        self.callers.links[self.post].pop(self, None)
+        if self in self.clients.idle[self.post]:
+            self.clients.idle[self.post].remove(self)
+        self.clients.links[self.post].pop(self, None)
         self.conn.close()
 
 
 class Callers:
     """All clients, their connections and their tries."""
 
-    def __init__(self, scene: Scene) -> None:
-        self.scene, self.plan, self.loop, self.rng = scene, scene.plan, scene.loop, scene.rng
-        self.idle: dict[str, list[CallerLink]] = {post: [] for post in scene.posts}
-        self.links: dict[str, dict[CallerLink, None]] = {post: {} for post in scene.posts}
-        works = scene.plan.works()
+    def __init__(self, environment: Environment) -> None:
+        self.environment, self.plan, self.loop, self.rng = (
+            environment,
+            environment.plan,
+            environment.loop,
+            environment.rng,
+        )
+        self.idle: dict[str, list[CallerLink]] = {post: [] for post in environment.balancers}
+        self.links: dict[str, dict[CallerLink, None]] = {post: {} for post in environment.balancers}
+        works = environment.plan.works()
         self.works, self.work_ends = works, list(accumulate(work.share for work in works))
         self.weights = {
-            post: 1.0 + scene.plan.callers.skew * self.rng.uniform(-1, 1) for post in scene.posts
+            post: 1.0 + environment.plan.callers.skew * self.rng.uniform(-1, 1)
+            for post in environment.balancers
         }
-        if scene.plan.callers.busy:
+        if environment.plan.callers.busy:
             for post in self.rng.sample(
-                list(scene.posts), round(scene.plan.callers.busy * len(scene.posts))
+                list(environment.balancers),
+                round(environment.plan.callers.busy * len(environment.balancers)),
             ):
                 self.weights[post] *= BUSY
         self.key_ends = list(
             accumulate(
-                (rank + 3.0) ** -scene.plan.keys.zipf for rank in range(scene.plan.keys.count)
+                (rank + 3.0) ** -environment.plan.keys.zipf
+                for rank in range(environment.plan.keys.count)
             )
         )
         self.asked, self.scanned = 0, 0
@@ -206,13 +216,13 @@
         self.scan = 0.0
         self.swell: dict[str, float] = {}
         self.lop: dict[str, float] = {}
-        self.end = scene.start + micros(scene.plan.seconds)
+        self.end = environment.start + micros(environment.plan.seconds)
 
     # --- what is asked
 
     def rate(self) -> float:
         """Reqs a second, now."""
-        part = (self.loop.now - self.scene.start) / max(1, self.end - self.scene.start)
+        part = (self.loop.now - self.environment.start) / max(1, self.end - self.environment.start)
         shape = {
             "steady": 1.0,
             "ramp": 0.7 + 0.6 * part,
@@ -230,7 +240,7 @@
             return
         self.loop.call_later(max(1, round(self.rng.expovariate(self.rate()) * 1e6)), self.arrive)
         op = self.draw()
-        self.scene.referee.ops.append(op)
+        self.environment.referee.ops.append(op)
         self.attempt(op)
 
     def draw(self) -> Op:
@@ -252,11 +262,11 @@
             self.scanned += 1
             key = plan.keys.count + self.scanned
         cost = max(1, round(work.work_ms * 1000 * rng.gammavariate(4.0, SPREAD)))
-        return Op(len(self.scene.referee.ops), work, tenant, key, cost, self.loop.now)
+        return Op(len(self.environment.referee.ops), work, tenant, key, cost, self.loop.now)
 
     def named(self, work: Work) -> bool:
         """Whether clients name this class now."""
-        second = (self.loop.now - self.scene.start) / 1e6
+        second = (self.loop.now - self.environment.start) / 1e6
         return work.from_s <= second and (not work.until_s or second < work.until_s)
 
     def open_links(self, post: str) -> list[CallerLink]:
@@ -266,7 +276,7 @@
     def unknown(self, ask: Ask) -> None:
         """Its balancer does not know its class."""
         why = f"{ask.id.decode()}: a class that the settings have is unknown"
-        self.scene.referee.breach("lost", self.loop.now, why)
+        self.environment.referee.breach("lost", self.loop.now, why)
 
     # --- the tries
 
@@ -275,14 +285,14 @@
         notice, now = micros(self.plan.callers.notice_s), self.loop.now
         open_ = [
             post
-            for post in self.scene.posts
+            for post in self.environment.balancers
             if post != but
-            and self.scene.takes(post, notice, now)
-            and (not self.scene.front.closed(post) or self.idle[post])
+            and self.environment.accepts_clients(post, notice, now)
+            and (not self.environment.front.closed(post) or self.idle[post])
         ]
         if self.plan.callers.apart and self.rng.random() < self.plan.callers.apart:
             home = key % self.plan.cache.zones
-            open_ = [post for post in open_ if self.scene.zone_of(post) == home] or open_
+            open_ = [post for post in open_ if self.environment.zone_of(post) == home] or open_
         if not open_:
             return None
         weights = [self.weights[post] for post in open_]
@@ -299,8 +309,10 @@
         op.tries += 1
         self.asked += 1
         id = b"q%x" % self.asked
-        ask = Ask(id, op, post, self.scene.life_of(post), 0, 0)
-        self.loop.call_later(self.scene.client_way(), self.send, ask, self.message(ask, op), post)
+        ask = Ask(id, op, post, self.environment.incarnation_of(post), 0, 0)
+        self.loop.call_later(
+            self.environment.client_one_way_us(), self.send, ask, self.message(ask, op), post
+        )
 
     def message(self, ask: Ask, op: Op) -> tuple[bytes, ...]:
         work, body = op.work, b""
@@ -329,20 +341,20 @@
         )
 
     def send(self, ask: Ask, message: tuple[bytes, ...], post: str, fresh: bool = False) -> None:
-        ask.life = self.scene.life_of(post)
+        ask.life = self.environment.incarnation_of(post)
         idle = self.idle[post]
         while idle and not fresh:
             link = idle.pop()
             if link.conn.is_open and link.life == ask.life:
                 return link.carry(ask, message)
             link.close()
-        if self.scene.front.closed(post) and not fresh:
+        if self.environment.front.closed(post) and not fresh:
             return self.refused(ask, post)
-        came = self.scene.ground.dial(self.scene.address_of(post))
+        came = self.environment.network.dial(self.environment.address_of(post))
         if isinstance(came, AttemptFailure):
-            self.scene.referee.doors += 1
+            self.environment.referee.doors += 1
             return self.refused(ask, post)
-        CallerLink(self, post, came, not self.scene.ground.virtual).carry(ask, message)
+        CallerLink(self, post, came, not self.environment.network.virtual).carry(ask, message)
         if self.plan.callers.impatient and self.rng.random() < self.plan.callers.impatient:
             self.loop.call_later(
                 self.rng.randrange(1, millis(ask.op.work.timeout_ms)), self.hang_up, ask
@@ -360,8 +372,10 @@
 
     def overdue(self, link: CallerLink, ask: Ask) -> None:
         if link.ask is ask and not ask.status and not link.reader.started:
-            if self.scene.lives(link.post, link.life) and not self.scene.stood(link.post, ask.came):
-                self.scene.referee.silent(ask, self.loop.now)
+            if self.environment.is_alive(
+                link.post, link.life
+            ) and not self.environment.was_paused_since(link.post, ask.came):
+                self.environment.referee.silent(ask, self.loop.now)
             link.ask = None
             link.close()
 
@@ -409,11 +423,11 @@
     def __init__(
         self, callers: Callers, sock: socket.socket, text: bytes, leaves: bool, opening: bool
     ) -> None:
-        self.callers, self.text = callers, text
+        self.clients, self.text = callers, text
         self.reader = ResponseReader()
         self.over = False
         self.conn = Connection(callers.loop, sock, self, opening=opening)
-        callers.scene.referee.bad += 1
+        callers.environment.referee.bad += 1
         for at in range(0, len(text), 4_096):
             if self.conn.is_open:
                 self.conn.send(text[at : at + 4_096])
@@ -429,14 +443,14 @@
         self.reader.feed(view)
         if self.reader.message.complete:
             if not self.over and self.reader.message.status < 400:
-                self.callers.scene.referee.bad_served += 1
+                self.clients.environment.referee.bad_served += 1
                 what = f"a bad client was answered {self.reader.message.status}: {self.text[:40]!r}"
-                self.callers.scene.referee.breach("lost", self.callers.loop.now, what)
+                self.clients.environment.referee.breach("lost", self.clients.loop.now, what)
             self.over = True
 
     def due(self) -> None:
         if not self.over and self.conn.is_open:
-            self.callers.scene.referee.bad_ignored += 1
+            self.clients.environment.referee.bad_ignored += 1
         self.conn.close()
 
     def ended(self, what: str) -> None:
@@ -447,10 +461,12 @@
     """Bad clients, one every so many microseconds until then."""
     if callers.loop.now >= until:
         return
-    scene, rng = callers.scene, callers.rng
+    environment, rng = callers.environment, callers.rng
     post = callers.choose()
     if post:
-        came = scene.ground.dial(scene.address_of(post))
+        came = environment.network.dial(environment.address_of(post))
         if not isinstance(came, AttemptFailure):
-            RudeLink(callers, came, rng.choice(RUDE), rng.random() < 0.2, not scene.ground.virtual)
+            RudeLink(
+                callers, came, rng.choice(RUDE), rng.random() < 0.2, not environment.network.virtual
+            )
     callers.loop.call_later(max(1, round(rng.expovariate(1.0) * each)), rude, callers, until, each)
--- a/orchidgap/simulation/commands.py
+++ b/orchidgap/simulation/commands.py
@@ -17,7 +17,7 @@
 from orchidgap.simulation.baselines import NAMES
 from orchidgap.simulation.invariant_checker import RULES, seconds_of
 from orchidgap.simulation.plan import BadPlan, Plan, read, written
-from orchidgap.simulation.runner import TRY, keep, scene_of
+from orchidgap.simulation.runner import TRY, keep, simulation_of
 
 SHOWN = 12  # breaches told on the screen
 
@@ -60,7 +60,7 @@
 
 def trial(console: Console, plan: Plan, told: Mapping[str, Any], out: Path | None) -> int:
     seed = whole(told, "--seed", plan.seed)
-    scene = scene_of(plan, seed, bool(told["--real"]), told["--policy"] or "orchidgap")
+    simulation = simulation_of(plan, seed, bool(told["--real"]), told["--policy"] or "orchidgap")
     length = seconds_of(plan) / 1e6
     with Progress(
         TextColumn("{task.description}"),
@@ -72,8 +72,8 @@
         task = progress.add_task(plan.name, total=length, line="")
 
         def tick(second: float) -> None:
-            referee = scene.referee
-            up = sum(store.alive and not store.vanished for store in scene.stores.values())
+            referee = simulation.referee
+            up = sum(store.alive and not store.vanished for store in simulation.servers.values())
             progress.update(
                 task,
                 completed=second,
@@ -83,12 +83,12 @@
                 ),
             )
 
-        verdict = scene.play(tick)
-    console.print(figures(plan, scene, verdict))
-    for rule, at, text in scene.referee.breaches[:SHOWN]:
+        verdict = simulation.play(tick)
+    console.print(figures(plan, simulation, verdict))
+    for rule, at, text in simulation.referee.breaches[:SHOWN]:
         console.print(f"{rule} at {at:.3f} s: {text}", markup=False, soft_wrap=True)
     if out:
-        keep(out, scene, verdict)
+        keep(out, simulation, verdict)
         from orchidgap.simulation.report import write
 
         console.print(f"report: {write(out)}", markup=False, soft_wrap=True)
@@ -96,7 +96,7 @@
     return 0 if verdict["verdict"] == "kept" else 1
 
 
-def figures(plan: Plan, scene: Any, verdict: dict[str, Any]) -> Table:
+def figures(plan: Plan, simulation: Any, verdict: dict[str, Any]) -> Table:
     table = Table(
         title=f"{plan.name}: {plan.about}" if plan.about else plan.name, title_justify="left"
     )
@@ -148,7 +148,7 @@
         table.add_column(name, justify="right")
     rows = {}
     for policy in NAMES:
-        verdict = rows[policy] = scene_of(plan, seed, False, policy).play()
+        verdict = rows[policy] = simulation_of(plan, seed, False, policy).play()
         table.add_row(
             policy,
             *(
--- a/orchidgap/simulation/discovery_server.py
+++ b/orchidgap/simulation/discovery_server.py
@@ -14,7 +14,7 @@
 from orchidgap.simulation.plan import micros
 
 if TYPE_CHECKING:
-    from orchidgap.simulation.environment import Scene
+    from orchidgap.simulation.environment import Environment
 
 MOST_CALLS = 40  # a second, from one balancer: news come faster than that nowhere
 PRESUMED = (
@@ -26,8 +26,8 @@
 class Listing:
     """What discovery knows: an entry for each host, and in which version each last changed."""
 
-    def __init__(self, scene: Scene) -> None:
-        self.scene, self.loop = scene, scene.loop
+    def __init__(self, environment: Environment) -> None:
+        self.environment, self.loop = environment, environment.loop
         self.seq = 1
         self.entries: dict[str, dict[str, Any]] = {}
         self.changed: dict[str, int] = {}
@@ -50,7 +50,7 @@
         self.changed[id] = self.seq
 
     def put(self, id: str, health: str) -> None:
-        entry, store = self.entries[id], self.scene.stores[id]
+        entry, store = self.entries[id], self.environment.servers[id]
         born = store.born // 1000
         if health == "Ready" and (not store.alive or store.vanished):
             return  # it ended again before it was listed
@@ -59,23 +59,23 @@
             self.seq += 1
             self.changed[id] = self.seq
             self.times.append((self.seq, self.loop.now))
-            self.scene.referee.event(self.loop.now, f"list: {id} {health}")
+            self.environment.referee.event(self.loop.now, f"list: {id} {health}")
             for agent in self.agents.values():
                 agent.stir()
                 self.loop.call_later(PRESUMED, agent.presume, self.seq)
 
     def put_later(self, id: str, health: str, seconds: float) -> None:
         self.loop.call_later(
-            micros(seconds * self.scene.rng.uniform(0.7, 1.3)), self.put, id, health
+            micros(seconds * self.environment.rng.uniform(0.7, 1.3)), self.put, id, health
         )
 
     def gone_later(self, id: str, seconds: float) -> None:
         self.loop.call_later(
-            micros(seconds * self.scene.rng.uniform(0.7, 1.3)), self.gone_if_so, id
+            micros(seconds * self.environment.rng.uniform(0.7, 1.3)), self.gone_if_so, id
         )
 
     def gone_if_so(self, id: str) -> None:
-        store = self.scene.stores[id]
+        store = self.environment.servers[id]
         if not store.alive or store.vanished:
             self.put(id, "Gone")
 
@@ -109,17 +109,17 @@
         self.links: dict[AgentLink, None] = {}
         # what the balancer would remember over a restart
         self.last: tuple[int, list[dict[str, Any]]] = (1, [])
-        listing.scene.ground.listen(address, self.accept)
+        listing.environment.network.listen(address, self.accept)
 
     def accept(self, sock: socket.socket, who: str) -> None:
-        if self.crowded and self.listing.scene.rng.random() < self.crowded:
+        if self.crowded and self.listing.environment.rng.random() < self.crowded:
             self.count()
             return sock.close()  # overbooked: whoever comes now is turned away
         self.links[AgentLink(self, sock)] = None
 
     def count(self) -> None:
         """A call: so many in a second from one balancer add up to too many from all."""
-        referee, second = self.listing.scene.referee, self.loop.now // 1_000_000
+        referee, second = self.listing.environment.referee, self.loop.now // 1_000_000
         referee.lists += 1
         self.calls = (second, self.calls[1] + 1) if self.calls[0] == second else (second, 1)
         if self.calls[1] == MOST_CALLS + 1:
@@ -150,12 +150,12 @@
         if (
             not (self.gone or self.late or self.frozen)
             and self.told_seq < seq
-            and self.listing.scene.lives(self.balancer)
+            and self.listing.environment.is_alive(self.balancer)
         ):
             self.tell(seq, *self.listing.since(self.told_seq, seq))
 
     def tell(self, seq: int, whole: bool, entries: list[dict[str, Any]]) -> None:
-        referee, now = self.listing.scene.referee, self.loop.now
+        referee, now = self.listing.environment.referee, self.loop.now
         self.told_seq = max(self.told_seq, seq)
         there = {entry["host"]: entry for entry in entries}
         for id, entry in there.items():
@@ -222,7 +222,7 @@
         self.pending = False
         if whole or entries:
             agent.tell(seq, whole, entries)
-        told = listing.scene.way_to_hosts(
+        told = listing.environment.endpoint_list_for(
             agent.balancer, {"seq": seq, "whole": whole, "hosts": entries}
         )
         body = orjson.dumps(told)
--- a/orchidgap/simulation/environment.py
+++ b/orchidgap/simulation/environment.py
@@ -1,68 +1,125 @@
-"""What the stand-ins ask of the trial or the drill that they are part of: none has to know the whole."""
+"""What stand-ins ask of the simulation or fault test that they are part of.
+
+None of them has to know the whole: each is given an `Environment`.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from random import Random
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 from orchidgap.net.addresses import Address
 from orchidgap.net.loop import Loop
 from orchidgap.simulation.invariant_checker import Referee
 from orchidgap.simulation.plan import Plan
 
-Decider = Callable[
-    ..., Any
-]  # (terms, port, seed, now): what decides, with the face of rules.Balancer
-
-
-class Scene(Protocol):
-    """Times in microseconds; a post is a balancer's place, by its name."""
-
-    plan: Plan
-    loop: Loop
-    rng: Random
-    referee: Referee
-    start: int
-    ground: Any  # Pairs or Wires
-    stores: dict[str, Any]  # hosts by their ids
-    listing: Any  # who tells of them
-    callers: Any  # all clients
-    front: Any  # who deals out connections, and calls as operators
-    cluster: Any  # who owns which slots
-    posts: dict[str, Any]
-    most: tuple[int, int, int]
-    grouping: Any  # the group of most uniqued reqs
-    marks: dict[str, dict[bytes, int]]
-    misses: Any  # by req: the caches that lacked its key
-    cold_misses: dict[bytes, None]
-
-    def lives(self, post: str, life: int = 0) -> bool: ...
-
-    def life_of(self, post: str) -> int: ...
+if TYPE_CHECKING:
+    from orchidgap.simulation.balancer_instance import BalancerInstance
 
-    def address_of(self, post: str) -> Address: ...
+# Makes what decides, of (settings, port, seed, now in us); it has the methods of `Balancer`.
+Decider = Callable[..., Any]
 
-    def zone_of(self, post: str) -> int: ...
 
-    def takes(self, post: str, notice: int, now: int) -> bool: ...
+@dataclass(frozen=True, slots=True)
+class AttemptLimit:
+    """How many attempts settings allow a request; `changed_at_us` is when they last changed."""
 
-    def stood(self, post: str, since: int) -> bool: ...
+    current: int
+    changed_at_us: int
+    previous: int
 
-    def way(self, zone: int, other: int) -> int: ...
 
-    def client_way(self) -> int: ...
+class Environment(Protocol):
+    """The parts of a run, and what they ask about each other.
 
-    def most_of(self, came: int) -> int: ...
+    All times are in microseconds of the loop's clock. A balancer is known by its name.
+    """
 
-    def size_of(self, key: int) -> int: ...
-
-    def key_of(self, number: int | None) -> int: ...
-
-    def missed(self, id: bytes, store: Any) -> None: ...
-
-    def known_of(self, name: str) -> dict[str, Any]: ...
-
-    def told(self, post: Any, known: dict[str, Any]) -> dict[str, Any]: ...
-
-    def way_to_hosts(self, name: str, known: dict[str, Any]) -> dict[str, Any]: ...
+    plan: Plan
+    loop: Loop
+    rng: Random
+    referee: Referee
+    start: int  # when the first request may come
+    port_offset: int  # added to the ports, where several runs share a machine
+    network: Any  # VirtualNetwork or LoopbackNetwork
+    servers: dict[str, Any]  # stand-in hosts by id
+    listing: Any  # the stand-in discovery
+    clients: Any  # the stand-in clients
+    front: Any  # the layer before the balancers, and the operators
+    cluster: Any  # which server owns which slots
+    attempt_limit: AttemptLimit
+    deduplication_scope: str  # of most of the requests with an idempotency key
+    marks: dict[str, dict[bytes, int]]  # by scope: idempotency keys, and until when they count
+    misses: Any  # by request id: the caches that lacked its key
+    cold_misses: dict[bytes, None]  # requests that a cache lacked while it was warming up
+
+    @property
+    def balancers(self) -> Mapping[str, BalancerInstance]:
+        """The balancers by name."""
+        ...
+
+    def is_alive(self, balancer: str, incarnation: int = 0) -> bool:
+        """Return whether a balancer runs: this incarnation of it, or any for 0."""
+        ...
+
+    def incarnation_of(self, balancer: str) -> int:
+        """Return the number of the balancer's present or last process."""
+        ...
+
+    def address_of(self, balancer: str) -> Address:
+        """Return where clients connect."""
+        ...
+
+    def zone_of(self, balancer: str) -> int:
+        """Return the balancer's zone, 0 for a name that is none."""
+        ...
+
+    def accepts_clients(self, balancer: str, notice: int, now: int) -> bool:
+        """Return whether clients are sent there; `notice` is how late a death is seen."""
+        ...
+
+    def was_paused_since(self, balancer: str, since: int) -> bool:
+        """Return whether the process stood still at any time after that."""
+        ...
+
+    def one_way_us(self, zone: int, other: int) -> int:
+        """Draw the latency of one message between two zones."""
+        ...
+
+    def client_one_way_us(self) -> int:
+        """Draw the latency of one message between a client and a balancer."""
+        ...
+
+    def max_attempts_at(self, came: int) -> int:
+        """Return how many attempts a request may have that came then."""
+        ...
+
+    def value_size_bytes(self, key: int) -> int:
+        """Return the size of a key's value."""
+        ...
+
+    def key_of(self, number: int | None) -> int:
+        """Return the clients' number of a key, of the decisions' number of it."""
+        ...
+
+    def record_miss(self, request_id: bytes, store: Any) -> None:
+        """Note that a cache lacked the key of the request `request_id`."""
+        ...
+
+    def latest_endpoint_list(self, name: str) -> dict[str, Any]:
+        """Return the endpoint list as a balancer last had it."""
+        ...
+
+    def balancer_settings(self, balancer: Any, known: dict[str, Any]) -> dict[str, Any]:
+        """Return a balancer's configuration, with the endpoint list that it starts with."""
+        ...
+
+    def endpoint_list_for(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
+        """Return the endpoint list with the addresses by which that balancer reaches the hosts."""
+        ...
+
+    def send_datagram(self, address: Address, data: bytes) -> None:
+        """Carry a datagram from one balancer to another on the virtual network."""
+        ...
--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from orchidgap.decisions import load_skew
-from orchidgap.simulation.environment import Scene
+from orchidgap.simulation.environment import Environment
 from orchidgap.simulation.invariant_checker import Arrival, Ask, Op
 from orchidgap.simulation.plan import Expect, millis
 
@@ -16,8 +16,8 @@
 class Stretches:
     """The stretches of one run, one after another; each has a name."""
 
-    def __init__(self, scene: Scene, expect: tuple[Expect, ...]) -> None:
-        self.scene, self.expect = scene, expect
+    def __init__(self, environment: Environment, expect: tuple[Expect, ...]) -> None:
+        self.environment, self.expect = environment, expect
         self.found: dict[str, dict[str, float]] = {}  # figures by name
         self.times: dict[str, tuple[int, int]] = {}  # since when, until when
         self.runs: tuple[str, int] = "", 0  # the one that does, since when
@@ -25,16 +25,16 @@
     def begin(self, name: str) -> None:
         """The one before ends, and is looked at while its caches are as they were."""
         old, since = self.runs
-        self.runs = name, self.scene.loop.now
+        self.runs = name, self.environment.loop.now
         if old:
-            self.times[old] = since, self.scene.loop.now
-            self.found[old] = figures(self.scene, *self.times[old])
+            self.times[old] = since, self.environment.loop.now
+            self.found[old] = figures(self.environment, *self.times[old])
 
     def judge(self, breach: Callable[[str, int, str], None]) -> dict[str, dict[str, float]]:
         """At the end: what was still out when a stretch ended counts as it came out."""
         self.begin("")
         for name, (since, until) in self.times.items():
-            self.found[name]["served"] = round(served(self.scene, since, until), 3)
+            self.found[name]["served"] = round(served(self.environment, since, until), 3)
             for one in self.expect:
                 if one.stretch == name:
                     for text in unlike(self.found[name], one.figures()):
@@ -42,23 +42,23 @@
         return self.found
 
 
-def asked(scene: Scene, since: int, until: int) -> list[Op]:
-    return [op for op in scene.referee.ops if op.counts and since <= op.born < until]
+def asked(environment: Environment, since: int, until: int) -> list[Op]:
+    return [op for op in environment.referee.ops if op.counts and since <= op.born < until]
 
 
-def served(scene: Scene, since: int, until: int) -> float:
+def served(environment: Environment, since: int, until: int) -> float:
     """Value in time, of all that may not yet come in time."""
-    now = scene.loop.now
-    return scene.referee.value(
+    now = environment.loop.now
+    return environment.referee.value(
         op
-        for op in asked(scene, since, until)
+        for op in asked(environment, since, until)
         if op.done_at or now - op.born > millis(op.work.target_ms)
     )
 
 
-def dispatches(scene: Scene, since: int, until: int) -> Iterator[tuple[Ask, Arrival]]:
+def dispatches(environment: Environment, since: int, until: int) -> Iterator[tuple[Ask, Arrival]]:
     """Reads that hosts were sent."""
-    for ask in scene.referee.asks.values():
+    for ask in environment.referee.asks.values():
         if not ask.op.work.write and since <= ask.came < until:
             for sent in ask.sent:
                 # what came after the answer lay before a host that said nothing
@@ -66,22 +66,24 @@
                     yield ask, sent
 
 
-def figures(scene: Scene, since: int, until: int) -> dict[str, float]:
+def figures(environment: Environment, since: int, until: int) -> dict[str, float]:
     """Of the caches that run at the end. `most` and `least` are shares of the even one, `idle-s` the longest
     time in which one of them got nothing, `copies` the caches that keep a key, `moved` the part of reads that
     came to another cache than the key's read before, `p99-ms` of the slowest cache."""
     caches = {
-        id: store for id, store in scene.stores.items() if not store.is_origin and store.alive
+        id: store
+        for id, store in environment.servers.items()
+        if not store.is_origin and store.alive
     }
     reads: list[load_skew.CacheRead] = []
     took: dict[str, list[int]] = {id: [] for id in caches}
     fetches = 0
-    for ask, sent in dispatches(scene, since, until):
+    for ask, sent in dispatches(environment, since, until):
         if sent.host in caches:
             reads.append(load_skew.CacheRead(sent.first_at, sent.host, ask.op.key))
             if sent.ended_at:
                 took[sent.host].append(sent.ended_at - sent.first_at)
-        elif scene.stores[sent.host].is_origin:
+        elif environment.servers[sent.host].is_origin:
             fetches += 1
     times: dict[str, list[int]] = {id: [] for id in caches}
     for at, id, _ in reads:
@@ -89,7 +91,7 @@
     share = load_skew.load_ratios(
         {id: len(row) for id, row in times.items()}, dict.fromkeys(caches, 1.0)
     )
-    count = sum(not op.work.write for op in asked(scene, since, until))
+    count = sum(not op.work.write for op in asked(environment, since, until))
     slowest = [sorted(row)[len(row) * 99 // 100] for row in took.values() if row]
     found: dict[str, float] = {
         "most": max(share.values(), default=0.0),
@@ -109,13 +111,16 @@
     return {name: round(value, 3) for name, value in found.items()} | {"reads": count}
 
 
-def by_second(scene: Scene) -> dict[str, list[int]]:
+def by_second(environment: Environment) -> dict[str, list[int]]:
     """Reads that each cache was sent, by second from the start: what a heat map is drawn from."""
-    caches = [id for id, store in scene.stores.items() if not store.is_origin]
-    seconds = max(1, min(int(scene.plan.seconds), (scene.loop.now - scene.start) // 1_000_000))
+    caches = [id for id, store in environment.servers.items() if not store.is_origin]
+    seconds = max(
+        1,
+        min(int(environment.plan.seconds), (environment.loop.now - environment.start) // 1_000_000),
+    )
     found = {id: [0] * seconds for id in caches}
-    for _, sent in dispatches(scene, scene.start, scene.loop.now):
-        second = (sent.first_at - scene.start) // 1_000_000
+    for _, sent in dispatches(environment, environment.start, environment.loop.now):
+        second = (sent.first_at - environment.start) // 1_000_000
         if sent.host in found and second < seconds:
             found[sent.host][second] += 1
     return found
--- a/orchidgap/simulation/operations.py
+++ b/orchidgap/simulation/operations.py
@@ -11,10 +11,11 @@
 from orchidgap.http1.readers import ResponseReader
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
+from orchidgap.simulation.environment import AttemptLimit
 from orchidgap.simulation.plan import OPS_KINDS, Trouble, micros
 
 if TYPE_CHECKING:
-    from orchidgap.simulation.environment import Scene
+    from orchidgap.simulation.environment import Environment
 
 PROBE = 100_000  # how often the front asks each balancer whether it serves
 STILL = 200_000  # after the first no, new connections still come for so long
@@ -32,9 +33,9 @@
 
     def __init__(self, front: Front, post: str, sock: socket.socket, opening: bool) -> None:
         self.front, self.post, self.reader, self.over = front, post, ResponseReader(), False
-        self.conn = Connection(front.scene.loop, sock, self, opening=opening)
+        self.conn = Connection(front.environment.loop, sock, self, opening=opening)
         self.conn.send(b"GET /up HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")
-        front.scene.loop.call_later(ANSWER_WITHIN, self.late)
+        front.environment.loop.call_later(ANSWER_WITHIN, self.late)
 
     def opened(self) -> None: ...
 
@@ -58,53 +59,63 @@
 class Front:
     """Deals out connections: none to a balancer that has said no for a while."""
 
-    def __init__(self, scene: Scene) -> None:
-        self.scene = scene
+    def __init__(self, environment: Environment) -> None:
+        self.environment = environment
         self.no_since: dict[str, int] = {}
-        self.on = any(trouble.kind in OPS_KINDS for trouble in scene.plan.trouble)
+        self.on = any(trouble.kind in OPS_KINDS for trouble in environment.plan.trouble)
 
     def start(self) -> None:
         if self.on:
             self.probe()
 
     def probe(self) -> None:
-        scene = self.scene
-        for name, post in scene.posts.items():
+        environment = self.environment
+        for name, post in environment.balancers.items():
             if post.alive and post.ready_at:
-                came = scene.ground.dial(post.address)
+                came = environment.network.dial(post.address)
                 if isinstance(came, AttemptFailure):
                     self.heard(name, False)
                 else:
-                    Probe(self, name, came, not scene.ground.virtual)
-        scene.loop.call_later(PROBE, self.probe)
+                    Probe(self, name, came, not environment.network.virtual)
+        environment.loop.call_later(PROBE, self.probe)
 
     def heard(self, post: str, yes: bool) -> None:
         if yes:
             self.no_since.pop(post, None)
         else:
-            self.no_since.setdefault(post, self.scene.loop.now)
+            self.no_since.setdefault(post, self.environment.loop.now)
 
     def closed(self, post: str) -> bool:
         """Whether no new connection goes there."""
-        return post in self.no_since and self.scene.loop.now - self.no_since[post] > STILL
+        return post in self.no_since and self.environment.loop.now - self.no_since[post] > STILL
 
 
 class CallLink:
     """One call at an operators' door: a line is owed within a second."""
 
-    def __init__(self, scene: Scene, post: str, name: str, heard: Callable[[str], None]) -> None:
-        self.scene, self.post, self.name, self.heard, self.line = scene, post, name, heard, b""
+    def __init__(
+        self, environment: Environment, post: str, name: str, heard: Callable[[str], None]
+    ) -> None:
+        self.environment, self.post, self.name, self.heard, self.line = (
+            environment,
+            post,
+            name,
+            heard,
+            b"",
+        )
         self.over = False
-        scene.referee.calls += 1
-        came = scene.ground.dial(scene.posts[post].admin)
+        environment.referee.calls += 1
+        came = environment.network.dial(environment.balancers[post].admin_address)
         if isinstance(came, AttemptFailure):
             return self.wrong("nobody lets it in")
-        self.conn = Connection(scene.loop, came, self, opening=not scene.ground.virtual)
+        self.conn = Connection(
+            environment.loop, came, self, opening=not environment.network.virtual
+        )
         if name:
             self.conn.send(name.encode() + b"\n")
-            scene.loop.call_later(ANSWER_WITHIN, self.late)
+            environment.loop.call_later(ANSWER_WITHIN, self.late)
         else:
-            scene.loop.call_later(SILENT_FOR, self.conn.close)
+            environment.loop.call_later(SILENT_FOR, self.conn.close)
 
     def opened(self) -> None: ...
 
@@ -113,7 +124,7 @@
         if self.name and self.line.endswith(b"\n") and not self.over:
             self.over = True
             said = self.line.decode(errors="replace").strip()
-            self.scene.loop.call_soon(self.heard, said)
+            self.environment.loop.call_soon(self.heard, said)
             self.conn.close_gracefully()
 
     def ended(self, what: str) -> None:
@@ -127,41 +138,45 @@
 
     def wrong(self, why: str) -> None:
         self.over = True
-        self.scene.referee.breach(
-            "late", self.scene.loop.now, f"call {self.name} at {self.post}: {why}"
+        self.environment.referee.breach(
+            "late", self.environment.loop.now, f"call {self.name} at {self.post}: {why}"
         )
 
 
-def call(scene: Scene, post: str, name: str, *wanted: str) -> None:
+def call(environment: Environment, post: str, name: str, *wanted: str) -> None:
     """A call that is owed one of these words."""
 
     def heard(said: str) -> None:
-        scene.referee.event(scene.loop.now, f"{post}: {name}: {said}")
+        environment.referee.event(environment.loop.now, f"{post}: {name}: {said}")
         if not said.startswith(wanted or ("SUCCESS",)):
-            scene.referee.breach("late", scene.loop.now, f"call {name} at {post}: {said!r}")
+            environment.referee.breach(
+                "late", environment.loop.now, f"call {name} at {post}: {said!r}"
+            )
 
-    CallLink(scene, post, name, heard)
+    CallLink(environment, post, name, heard)
 
 
 # --- what they do
 
 
-def quiesce(scene: Scene, trouble: Trouble, names: list[str]) -> None:
+def quiesce(environment: Environment, trouble: Trouble, names: list[str]) -> None:
     """Drained, looked at after four seconds, and back again when the trouble ends."""
-    loop = scene.loop
+    loop = environment.loop
     for name in names:
-        call(scene, name, "quiesce")
-        loop.call_later(500_000, call, scene, name, "health", "FAILURE")
-        loop.call_later(EMPTY_WITHIN, empty, scene, name, loop.now + EMPTY_WITHIN)
-        loop.call_later(max(EMPTY_WITHIN + 100_000, micros(trouble.for_s)), resume, scene, name)
+        call(environment, name, "quiesce")
+        loop.call_later(500_000, call, environment, name, "health", "FAILURE")
+        loop.call_later(EMPTY_WITHIN, empty, environment, name, loop.now + EMPTY_WITHIN)
+        loop.call_later(
+            max(EMPTY_WITHIN + 100_000, micros(trouble.for_s)), resume, environment, name
+        )
 
 
-def empty(scene: Scene, name: str, now: int) -> None:
+def empty(environment: Environment, name: str, now: int) -> None:
     """Four seconds after the call nobody may be sent there, nor be kept without need."""
-    referee = scene.referee
-    if name not in scene.front.no_since:
+    referee = environment.referee
+    if name not in environment.front.no_since:
         referee.breach("lost", now, f"{name}: was told to drain, and still says yes")
-    for link in scene.callers.open_links(name):
+    for link in environment.clients.open_links(name):
         if link.ask is None:
             referee.breach("lost", now, f"{name}: was told to drain, and holds an idle connection")
         elif now - link.ask.began < LATELY:
@@ -170,43 +185,53 @@
             )
 
 
-def resume(scene: Scene, name: str) -> None:
-    call(scene, name, "resume")
+def resume(environment: Environment, name: str) -> None:
+    call(environment, name, "resume")
 
     def back() -> None:
-        if name in scene.front.no_since and scene.lives(name):
-            scene.referee.breach(
-                "lost", scene.loop.now, f"{name}: the drain ended, and it still says no"
+        if name in environment.front.no_since and environment.is_alive(name):
+            environment.referee.breach(
+                "lost", environment.loop.now, f"{name}: the drain ended, and it still says no"
             )
 
-    scene.loop.call_later(BACK_WITHIN, back)
+    environment.loop.call_later(BACK_WITHIN, back)
 
 
-def silent_calls(scene: Scene, trouble: Trouble, names: list[str]) -> None:
+def silent_calls(environment: Environment, trouble: Trouble, names: list[str]) -> None:
     """`size` callers (100) that say nothing, and a call that is owed its answer beside them."""
     for name in names:
         for _ in range(round(trouble.size or 100)):
-            CallLink(scene, name, "", print)
+            CallLink(environment, name, "", print)
         for at in (0, 1_000_000, 3_000_000):
-            scene.loop.call_later(at + 50_000, call, scene, name, "health", "SUCCESS", "FAILURE")
+            environment.loop.call_later(
+                at + 50_000, call, environment, name, "health", "SUCCESS", "FAILURE"
+            )
 
 
-def retune(scene: Scene, trouble: Trouble, names: list[str]) -> None:
+def retune(environment: Environment, trouble: Trouble, names: list[str]) -> None:
     """The settings as they are to be from now on; `size`, where given, is how many dispatches may be."""
     if trouble.size:
-        scene.most = round(trouble.size), scene.loop.now, scene.most[0]
+        environment.attempt_limit = AttemptLimit(
+            round(trouble.size), environment.loop.now, environment.attempt_limit.current
+        )
     for name in names:
-        scene.posts[name].hup(
-            json.dumps(scene.told(scene.posts[name], scene.known_of(name))).encode()
+        environment.balancers[name].reload(
+            json.dumps(
+                environment.balancer_settings(
+                    environment.balancers[name], environment.latest_endpoint_list(name)
+                )
+            ).encode()
         )
 
 
-def bad_settings(scene: Scene, trouble: Trouble, names: list[str]) -> None:
+def bad_settings(environment: Environment, trouble: Trouble, names: list[str]) -> None:
     """Files that cannot be used, one after another: nothing of them may count."""
     for name in names:
-        tree = scene.told(scene.posts[name], scene.known_of(name))
+        tree = environment.balancer_settings(
+            environment.balancers[name], environment.latest_endpoint_list(name)
+        )
         for number, text in enumerate(broken(tree)):
-            scene.loop.call_later(number * 150_000, scene.posts[name].hup, text)
+            environment.loop.call_later(number * 150_000, environment.balancers[name].reload, text)
 
 
 def broken(tree: dict[str, Any]) -> list[bytes]:
@@ -240,40 +265,40 @@
     ]
 
 
-def upgrade(scene: Scene, trouble: Trouble, names: list[str]) -> None:
+def upgrade(environment: Environment, trouble: Trouble, names: list[str]) -> None:
     """One after another: a new process beside the old one, which is told to end at the new one's yes."""
     for number, name in enumerate(names):
-        scene.loop.call_later(
-            micros(trouble.for_s) * number // len(names), begin_beside, scene, name
+        environment.loop.call_later(
+            micros(trouble.for_s) * number // len(names), start_successor, environment, name
         )
 
 
-def begin_beside(scene: Scene, name: str) -> None:
-    post = scene.posts[name]
+def start_successor(environment: Environment, name: str) -> None:
+    post = environment.balancers[name]
     if not post.alive:
         return
-    until = scene.loop.now + YES_WITHIN
-    post.begin_beside(scene.known_of(name))
-    longest = max(round(work.timeout_ms * 1000) for work in scene.plan.works())
+    until = environment.loop.now + YES_WITHIN
+    post.start_successor(environment.latest_endpoint_list(name))
+    longest = max(round(work.timeout_ms * 1000) for work in environment.plan.works())
 
     def look() -> None:
         if not post.alive:
             return
-        if post.new_ready():
-            scene.referee.event(scene.loop.now, f"{name}: the new process says yes")
-            post.leave_old()
-            scene.loop.call_later(longest + 700_000, post.kill_old)
-        elif scene.loop.now > until:
-            scene.referee.breach(
-                "late", scene.loop.now, f"{name}: no yes of the new process in time"
+        if post.successor_is_ready():
+            environment.referee.event(environment.loop.now, f"{name}: the new process says yes")
+            post.shut_down_predecessor()
+            environment.loop.call_later(longest + 700_000, post.kill_predecessor)
+        elif environment.loop.now > until:
+            environment.referee.breach(
+                "late", environment.loop.now, f"{name}: no yes of the new process in time"
             )
         else:
-            scene.loop.call_later(20_000, look)
+            environment.loop.call_later(20_000, look)
 
     look()
 
 
-OPS_ACTS: dict[str, Callable[[Scene, Trouble, list[str]], None]] = {
+OPS_ACTS: dict[str, Callable[[Environment, Trouble, list[str]], None]] = {
     "quiesce": quiesce,
     "retune": retune,
     "bad-settings": bad_settings,
--- a/orchidgap/simulation/plan.py
+++ b/orchidgap/simulation/plan.py
@@ -70,7 +70,7 @@
 
 
 class Table(Struct, forbid_unknown_fields=True, rename="kebab", frozen=True):
-    """The common ground of all tables of a plan."""
+    """The common base of all tables of a plan."""
 
 
 class Work(Table, frozen=True):
--- a/orchidgap/simulation/process.py
+++ b/orchidgap/simulation/process.py
@@ -1,4 +1,7 @@
-"""A balancer as a process, with another decider: `python -m orchidgap.simulation.process NAME --config=FILE`."""
+"""A balancer process that decides by another policy.
+
+Usage: `python -m orchidgap.simulation.process POLICY --config=FILE`
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,13 @@
 
 
 def main() -> None:
-    name, config = sys.argv[1], sys.argv[2].partition("=")[2]
+    """Serve until told to end; a configuration that is not valid ends it with one line."""
+    policy = sys.argv[1]
+    config = sys.argv[2].partition("=")[2]
     try:
-        serve(config, protocol_for, KINDS[name])
-    except ConfigError as trouble:
-        sys.exit(f"orchidgap: {trouble}")
+        serve(config, protocol_for, KINDS[policy])
+    except ConfigError as error:
+        sys.exit(f"orchidgap: {error}")
 
 
 if __name__ == "__main__":
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -25,7 +25,7 @@
 from orchidgap.simulation.servers import Job, Store
 
 if TYPE_CHECKING:
-    from orchidgap.simulation.environment import Scene
+    from orchidgap.simulation.environment import Environment
 
 SPACE = 1 << 14
 slot_of = lru_cache(maxsize=1 << 17)(slot_at)
@@ -87,11 +87,11 @@
 
     def asked(self, words: list[bytes]) -> None:
         store, now = self.store, self.store.loop.now
-        self.come_at = max(self.come_at, now + store.way(self.who))
+        self.come_at = max(self.come_at, now + store.one_way_us(self.who))
         name = words[0].upper() if words else b""
         if name in (b"GETRANGE", b"APPEND"):
             number = int(words[3]) - BASE if name == b"GETRANGE" else int(words[2][:-1])
-            arrival = store.scene.referee.arrival(
+            arrival = store.environment.referee.arrival(
                 b"q%x" % number, store.id, store.group(), now, now
             )
             if arrival is None:
@@ -130,7 +130,7 @@
     def flush(self) -> None:
         while self.places and self.places[0].text is not None:
             place = self.places.popleft()
-            self.put_at = max(self.put_at, self.store.loop.now + self.store.way(self.who))
+            self.put_at = max(self.put_at, self.store.loop.now + self.store.one_way_us(self.who))
             self.store.loop.call_at(self.put_at, self.put, place.text, place.job, place.outcome)
 
     def put(self, text: bytes, job: Job | None, outcome: str) -> None:
@@ -139,12 +139,12 @@
         if job:
             self.jobs.remove(job)
             body = text if outcome == "done" else b""
-            self.store.scene.referee.settled(job.arrival, outcome, self.store.loop.now, body)
+            self.store.environment.referee.settled(job.arrival, outcome, self.store.loop.now, body)
         self.conn.send(text)
 
     def ended(self, what: str) -> None:
         for job in self.jobs:
-            self.store.scene.referee.dropped(job.arrival, self.store.loop.now)
+            self.store.environment.referee.dropped(job.arrival, self.store.loop.now)
         self.store.links.pop(self, None)  # type: ignore[call-overload]
 
     def close(self) -> None:
@@ -158,7 +158,7 @@
 
     def __init__(
         self,
-        scene: Scene,
+        environment: Environment,
         id: str,
         address: Address,
         model: Model,
@@ -166,7 +166,7 @@
         zone: int,
         speed: float,
     ) -> None:
-        super().__init__(scene, id, address, model, is_origin, zone, speed)
+        super().__init__(environment, id, address, model, is_origin, zone, speed)
         self.data: dict[bytes, list[bytes]] = {}
         self.by_slot: dict[int, dict[bytes, None]] = {}
         self.view: list[str] | None = None  # where it has not heard of the latest owners
@@ -184,12 +184,12 @@
         """It keeps idle connections."""
 
     def owners(self) -> list[str]:
-        return self.view or self.scene.cluster.owner
+        return self.view or self.environment.cluster.owner
 
     def slots_told(self) -> bytes:
         rows = []
-        for first, last, id in self.scene.cluster.ranges(self.owners()):
-            host, port = self.scene.stores[id].address
+        for first, last, id in self.environment.cluster.ranges(self.owners()):
+            host, port = self.environment.servers[id].address
             node = encode_array(
                 [
                     encode_bulk(host.encode()),
@@ -213,7 +213,7 @@
             return self.loop.call_soon(self.pump)
         job.outcome = "done"
         if job.arrival.ask.op.work.write:
-            self.scene.referee.effect(job.arrival, self.loop.now)
+            self.environment.referee.effect(job.arrival, self.loop.now)
             self.put_in(job.mark, [*self.data.get(job.mark, ()), job.arrival.ask.id])
         job.took = max(1, round(job.cost / self.speed * self.slow))
         job.ends = self.loop.now + job.took
@@ -223,28 +223,28 @@
     def verdict(self, slot: int, job: Job) -> tuple[bytes, str]:
         """An answer that sends it on, by the specification; empty where it is served here."""
         owner, asking = self.owners()[slot], job.asking
-        moving = self.scene.cluster.moving.get(slot)
+        moving = self.environment.cluster.moving.get(slot)
         if owner == self.id:
             if moving and moving[0] == self.id and job.mark not in self.data:
                 return encode_error(
-                    f"ASK {slot} {format_address(self.scene.stores[moving[1]].address)}"
+                    f"ASK {slot} {format_address(self.environment.servers[moving[1]].address)}"
                 ), "moved"
             return b"", ""
         if asking and moving and moving[1] == self.id:
             return b"", ""
         return encode_error(
-            f"MOVED {slot} {format_address(self.scene.stores[owner].address)}"
+            f"MOVED {slot} {format_address(self.environment.servers[owner].address)}"
         ), "moved"
 
     def finish(self, job: Job) -> None:
         del self.running[job]
         ask = job.arrival.ask
-        self.scene.referee.ran(job.arrival, job.took, self.loop.now)
+        self.environment.referee.ran(job.arrival, job.took, self.loop.now)
         if ask.op.work.write:
             text = b":%d\r\n" % len(self.data[job.mark])
         else:
             body = b"%b/%b/%b" % (job.mark, ask.id, self.id.encode())
-            text = encode_bulk(body.ljust(self.scene.size_of(ask.op.key), b"v"))
+            text = encode_bulk(body.ljust(self.environment.value_size_bytes(ask.op.key), b"v"))
         link: Any = job.link
         link.later(text, job, "done")
         self.pump()
@@ -258,8 +258,8 @@
     """A client's connection: several commands under way, answered in order."""
 
     def __init__(self, callers: RespCallers, post: str, sock: socket.socket, opening: bool) -> None:
-        self.callers, self.post = callers, post
-        self.life = callers.scene.life_of(post)
+        self.clients, self.post = callers, post
+        self.life = callers.environment.incarnation_of(post)
         self.reader = RespReader()
         self.asks: deque[Ask] = deque()
         self.conn = Connection(callers.loop, sock, self, opening=opening)
@@ -268,25 +268,25 @@
         self.asks.append(ask)
         self.conn.send(*message)
         if self.conn.is_open:
-            now = self.callers.loop.now
+            now = self.clients.loop.now
             ask.came, ask.due = now, now + millis(ask.op.work.timeout_ms)
-            self.callers.scene.referee.taken(ask)
-            self.callers.loop.call_later(ask.due - now + LATE_BY, self.callers.late, self, ask)
+            self.clients.environment.referee.taken(ask)
+            self.clients.loop.call_later(ask.due - now + LATE_BY, self.clients.late, self, ask)
 
     def opened(self) -> None: ...
 
     def received(self, view: memoryview) -> None:
-        callers = self.callers
+        callers = self.clients
         self.reader.feed(view)
         while (text := self.reader.read_item()) is not None:
             if not self.asks:
-                return callers.scene.referee.more(None, callers.loop.now)
+                return callers.environment.referee.more(None, callers.loop.now)
             ask = self.asks.popleft()
             status = 503 if text.startswith(b"-TRYAGAIN") else 500 if text[:1] == b"-" else 200
-            callers.scene.referee.answer(ask, status, text, callers.loop.now)
+            callers.environment.referee.answer(ask, status, text, callers.loop.now)
             pause = text.rpartition(b"come back in ")[2].partition(b" ms")[0]
             callers.loop.call_later(
-                callers.scene.client_way(),
+                callers.environment.client_one_way_us(),
                 callers.heard,
                 ask,
                 status,
@@ -294,14 +294,14 @@
             )
 
     def ended(self, what: str) -> None:
-        callers = self.callers
+        callers = self.clients
         callers.lanes[self.post] = [link for link in callers.lanes[self.post] if link is not self]
-        lives = callers.scene.lives(self.post, self.life)
+        lives = callers.environment.is_alive(self.post, self.life)
         for ask in self.asks:
             if ask.status or ask.left:
                 continue
-            if lives and not callers.scene.posts[self.post].leaving:
-                callers.scene.referee.broke(ask, callers.loop.now)
+            if lives and not callers.environment.balancers[self.post].is_shutting_down:
+                callers.environment.referee.broke(ask, callers.loop.now)
             else:
                 ask.left = True
             callers.heard(ask, 0, 0)
@@ -311,9 +311,9 @@
 class RespCallers(Callers):
     """Clients that speak RESP: the same reqs, tries and tenants."""
 
-    def __init__(self, scene: Scene) -> None:
-        super().__init__(scene)
-        self.lanes: dict[str, list[RespLink]] = {post: [] for post in scene.posts}
+    def __init__(self, environment: Environment) -> None:
+        super().__init__(environment)
+        self.lanes: dict[str, list[RespLink]] = {post: [] for post in environment.balancers}
 
     def message(self, ask: Ask, op: Op) -> tuple[bytes, ...]:
         number = int(ask.id[1:], 16)
@@ -322,83 +322,85 @@
         return (encode_command(b"GETRANGE", b"k%d" % op.key, 0, BASE + number),)
 
     def send(self, ask: Ask, message: tuple[bytes, ...], post: str, fresh: bool = False) -> None:
-        ask.life = self.scene.life_of(post)
+        ask.life = self.environment.incarnation_of(post)
         room = [
             link
             for link in self.lanes[post]
             if len(link.asks) < DEPTH and link.life == ask.life and link.conn.is_open
         ]
         if not room:
-            came = self.scene.ground.dial(self.scene.address_of(post))
+            came = self.environment.network.dial(self.environment.address_of(post))
             if isinstance(came, AttemptFailure):
                 return self.refused(ask, post)
-            room = [RespLink(self, post, came, not self.scene.ground.virtual)]
+            room = [RespLink(self, post, came, not self.environment.network.virtual)]
             self.lanes[post] += room
         room[0].carry(ask, message)
 
     def late(self, link: RespLink, ask: Ask) -> None:
-        if not ask.status and not ask.left and self.scene.lives(link.post, link.life):
-            if not self.scene.stood(link.post, ask.came):
-                self.scene.referee.silent(ask, self.loop.now)
+        if not ask.status and not ask.left and self.environment.is_alive(link.post, link.life):
+            if not self.environment.was_paused_since(link.post, ask.came):
+                self.environment.referee.silent(ask, self.loop.now)
 
 
-def slot_stores(scene: Scene) -> list[SlotStore]:
+def slot_stores(environment: Environment) -> list[SlotStore]:
     return [
-        store for store in scene.stores.values() if isinstance(store, SlotStore) and store.alive
+        store
+        for store in environment.servers.values()
+        if isinstance(store, SlotStore) and store.alive
     ]
 
 
-def reshuffle(scene: Scene, trouble: Trouble) -> None:
+def reshuffle(environment: Environment, trouble: Trouble) -> None:
     """Slots move from server to server, key by key, `size` of them (8) at a time, until the trouble ends."""
-    end, many = scene.loop.now + micros(trouble.for_s), round(trouble.size or 8)
+    end, many = environment.loop.now + micros(trouble.for_s), round(trouble.size or 8)
 
     def move() -> None:
-        if scene.loop.now >= end:
+        if environment.loop.now >= end:
             return
-        ids = [store.id for store in slot_stores(scene) if not store.draining]
-        for slot in scene.rng.sample(range(SPACE), many):
-            owner = scene.cluster.owner[slot]
+        ids = [store.id for store in slot_stores(environment) if not store.draining]
+        for slot in environment.rng.sample(range(SPACE), many):
+            owner = environment.cluster.owner[slot]
             others = [id for id in ids if id != owner]
-            if slot not in scene.cluster.moving and others and owner in ids:
-                scene.cluster.moving[slot] = owner, scene.rng.choice(others)
-                scene.loop.call_later(MOVE_WITHIN, moved, slot)
-        scene.loop.call_later(50_000, move)
+            if slot not in environment.cluster.moving and others and owner in ids:
+                environment.cluster.moving[slot] = owner, environment.rng.choice(others)
+                environment.loop.call_later(MOVE_WITHIN, moved, slot)
+        environment.loop.call_later(50_000, move)
 
     def moved(slot: int) -> None:
-        source, to = scene.cluster.moving.pop(slot)
-        old, new = scene.stores[source], scene.stores[to]
+        source, to = environment.cluster.moving.pop(slot)
+        old, new = environment.servers[source], environment.servers[to]
         assert isinstance(old, SlotStore) and isinstance(new, SlotStore)
-        scene.cluster.owner[slot] = to
-        scene.cluster.moved += 1
+        environment.cluster.owner[slot] = to
+        environment.cluster.moved += 1
         for key in old.by_slot.pop(slot, ()):
             new.put_in(key, old.data.pop(key, []) + new.data.get(key, []))
 
     move()
 
 
-def failover(scene: Scene, trouble: Trouble) -> None:
+def failover(environment: Environment, trouble: Trouble) -> None:
     """Another server takes all slots of one, which goes on answering for `for-s` all the same, then ends."""
-    stores = slot_stores(scene)
+    stores = slot_stores(environment)
     old = next((store for store in stores if store.id == trouble.target), stores[0])
     new = next(store for store in stores if store is not old)
-    old.view = list(scene.cluster.owner)
-    scene.cluster.owner = [new.id if id == old.id else id for id in scene.cluster.owner]
+    old.view = list(environment.cluster.owner)
+    environment.cluster.owner = [new.id if id == old.id else id for id in environment.cluster.owner]
     for key, value in old.data.items():
         new.put_in(key, list(value))
 
     def end() -> None:
         old.stop()
-        scene.listing.gone_later(old.id, scene.plan.listing.notice_s)
+        environment.listing.gone_later(old.id, environment.plan.listing.notice_s)
 
-    scene.loop.call_later(micros(trouble.for_s), end)
+    environment.loop.call_later(micros(trouble.for_s), end)
 
 
-def pointing(scene: Scene, trouble: Trouble) -> None:
+def pointing(environment: Environment, trouble: Trouble) -> None:
     """Two servers say of all slots that they are the other's, until the trouble ends."""
-    first, second = slot_stores(scene)[:2]
+    first, second = slot_stores(environment)[:2]
     first.view, second.view = [second.id] * SPACE, [first.id] * SPACE
 
     def end() -> None:
         first.view = second.view = None
 
-    scene.loop.call_later(micros(trouble.for_s), end)
+    environment.loop.call_later(micros(trouble.for_s), end)
--- a/orchidgap/simulation/runner.py
+++ b/orchidgap/simulation/runner.py
@@ -8,11 +8,15 @@
 
 import msgspec
 
+from orchidgap.simulation.balancer_instance import VirtualBalancer
 from orchidgap.simulation.baselines import NAMES
 from orchidgap.simulation.load_evenness import by_second
 from orchidgap.simulation.plan import BadPlan, Plan, checked, written
-from orchidgap.simulation.simulation import Scene, VirtualPost
+from orchidgap.simulation.simulation import Simulation
 
+MAX_LOG_RECORDS_KEPT = 2_000
+
+# the plan of `orchidgap try`
 TRY = checked(
     {
         "name": "try",
@@ -26,15 +30,19 @@
 )
 
 
-def scene_of(
+def simulation_of(
     plan: Plan, seed: int | None = None, real: bool = False, policy: str = "orchidgap"
-) -> Scene:
-    """Raises BadPlan where that policy or ground is not to be had."""
+) -> Simulation:
+    """Return a simulation of a plan, not played yet; `real` is on loopback.
+
+    Raises:
+        BadPlan: there is no such policy, or it cannot be played on loopback.
+    """
     if policy not in NAMES:
         raise BadPlan(f"no policy {policy!r}: one of {', '.join(NAMES)}")
     if policy == "oracle" and real:
         raise BadPlan("the oracle sees the stand-ins' state, which a process of its own cannot")
-    return Scene(plan, seed, real, policy)
+    return Simulation(plan, seed, real, policy)
 
 
 def play(
@@ -43,38 +51,49 @@
     real: bool = False,
     policy: str = "orchidgap",
     tick: Callable[[float], None] | None = None,
-) -> tuple[dict[str, Any], Scene]:
-    """One trial: its verdict and what is left of it to look at."""
-    scene = scene_of(plan, seed, real, policy)
-    return scene.play(tick), scene
+) -> tuple[dict[str, Any], Simulation]:
+    """Play a plan; return the verdict and what is left of the simulation to look at.
+
+    `tick` is called each second, with the seconds played. Raises BadPlan.
+    """
+    simulation = simulation_of(plan, seed, real, policy)
+    return simulation.play(tick), simulation
+
+
+def log_rows(simulation: Simulation) -> list[list[Any]]:
+    """Return the balancers' first log records: name, seconds, event, and what it says."""
+    rows = [
+        [balancer.name, record.at_s, record.event, str(record.facts.get("what", record.facts))]
+        for balancer in simulation.balancers.values()
+        if isinstance(balancer, VirtualBalancer)
+        for record in balancer.log.records
+    ]
+    return rows[:MAX_LOG_RECORDS_KEPT]
 
 
-def kept(scene: Scene, verdict: dict[str, Any]) -> dict[str, Any]:
-    """What a report is drawn from, as plain values."""
-    referee = scene.referee
+def report_document(simulation: Simulation, verdict: dict[str, Any]) -> dict[str, Any]:
+    """Return what a report is drawn from, as plain values; the keys are those of `trial.json`."""
+    checker = simulation.referee
     return {
-        "plan": written(scene.plan),
-        "seed": scene.seed,
-        "policy": scene.policy,
-        "real": not scene.ground.virtual,
+        "plan": written(simulation.plan),
+        "seed": simulation.seed,
+        "policy": simulation.policy,
+        "real": not simulation.network.virtual,
         "verdict": verdict,
-        "seconds": {str(second): row for second, row in sorted(referee.seconds.items())},
-        "waits": {str(second): sorted(row) for second, row in sorted(referee.waits.items())},
-        "denials": {str(second): count for second, count in sorted(referee.denials.items())},
-        "series": [[at / 1e6, rows] for at, rows in referee.series],
-        "reads": by_second(scene),
-        "events": referee.events,
-        "breaches": referee.breaches,
-        "modes": [
-            [post.name, at, event, str(facts.get("what", facts))]
-            for post in scene.posts.values()
-            if isinstance(post, VirtualPost)
-            for at, event, facts in post.log.lines
-        ][:2_000],
+        "seconds": {str(second): row for second, row in sorted(checker.seconds.items())},
+        "waits": {str(second): sorted(row) for second, row in sorted(checker.waits.items())},
+        "denials": {str(second): count for second, count in sorted(checker.denials.items())},
+        "series": [[at_us / 1e6, rows] for at_us, rows in checker.series],
+        "reads": by_second(simulation),
+        "events": checker.events,
+        "breaches": checker.breaches,
+        "modes": log_rows(simulation),
     }
 
 
-def keep(folder: Path, scene: Scene, verdict: dict[str, Any]) -> None:
+def keep(folder: Path, simulation: Simulation, verdict: dict[str, Any]) -> None:
+    """Write `trial.json` and `plan.toml` into a folder. Raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / "trial.json").write_bytes(msgspec.json.encode(kept(scene, verdict)))
-    (folder / "plan.toml").write_text(written(scene.plan))
+    document = msgspec.json.encode(report_document(simulation, verdict))
+    (folder / "trial.json").write_bytes(document)
+    (folder / "plan.toml").write_text(written(simulation.plan))
--- a/orchidgap/simulation/saturate.py
+++ b/orchidgap/simulation/saturate.py
@@ -31,7 +31,7 @@
 from orchidgap.net.dialing import dial
 from orchidgap.net.loop import Loop
 from orchidgap.net.server import serve
-from orchidgap.simulation.virtual_network import Wires, cpu_of
+from orchidgap.simulation.loopback_network import LoopbackNetwork, cpu_seconds_of
 
 HOSTS = 3
 CONNECTIONS = 64
@@ -212,11 +212,11 @@
 
 
 def run_hosts() -> None:
-    ground = Wires()
+    network = LoopbackNetwork()
     for i in range(HOSTS + 1):
-        ground.listen(host_of(i), lambda sock, who: void(Answering(ground.loop, sock)))
-    ground.listen(AGENT, lambda sock, who: void(Telling(ground.loop, sock)))
-    ground.loop.run()
+        network.listen(host_of(i), lambda sock, who: void(Answering(network.loop, sock)))
+    network.listen(AGENT, lambda sock, who: void(Telling(network.loop, sock)))
+    network.loop.run()
 
 
 def run_front(kind: str, path: str) -> None:
@@ -224,9 +224,9 @@
         return serve(path, protocol_for)
     if kind == "relay":
         return serve(path, protocol_for, Relay)
-    ground = Wires()
-    ground.listen(FRONT, lambda sock, who: void(Passing(ground.loop, sock)))
-    ground.loop.run()
+    network = LoopbackNetwork()
+    network.listen(FRONT, lambda sock, who: void(Passing(network.loop, sock)))
+    network.loop.run()
 
 
 def run_clients(seconds: int) -> None:
@@ -273,9 +273,9 @@
         clients = part("clients", str(seconds), stdout=subprocess.PIPE)
         assert clients.stdout
         clients.stdout.readline()
-        before = cpu_of(front.pid)
+        before = cpu_seconds_of(front.pid)
         told = json.loads(clients.stdout.readline())
-        spent = cpu_of(front.pid) - before
+        spent = cpu_seconds_of(front.pid) - before
         return {
             "reqs_a_second": round(told["done"] / told["took"] * 1e6),
             "cpu_us_a_req": round(spent * 1e6 / max(1, told["done"]), 1),
--- a/orchidgap/simulation/servers.py
+++ b/orchidgap/simulation/servers.py
@@ -14,7 +14,7 @@
 from orchidgap.simulation.plan import Model, micros, millis
 
 if TYPE_CHECKING:
-    from orchidgap.simulation.environment import Scene
+    from orchidgap.simulation.environment import Environment
 
 GLANCE = 400  # microseconds of work that a miss, or a repeat that is dropped, takes
 SWEEP = 1_000_000
@@ -92,7 +92,7 @@
         if self.job:
             return  # more than one at a time: what it says next cannot be told apart
         if reader.message.error_status:
-            self.store.loop.call_later(self.store.way(self.who), self.close)
+            self.store.loop.call_later(self.store.one_way_us(self.who), self.close)
         elif reader.message.complete:
             self.asked()
 
@@ -101,20 +101,20 @@
         id = fields.get(b"request-id", b"")
         if self.reader.message.target in (b"/alive", b"/metrics/load") or not id:
             return self.say(MISS)
-        arrival = store.scene.referee.arrival(id, store.id, store.group(), self.first_at, now)
+        arrival = store.environment.referee.arrival(id, store.id, store.group(), self.first_at, now)
         if arrival is None:
             return self.say(UNFIT)
         if self.reader.message.body_size > SMALL:
-            store.scene.referee.large += 1
+            store.environment.referee.large += 1
         if mark_of(self.reader.message.body) != mark_of(arrival.ask.body):
             what = f"{id.decode()}: another body than its client sent"
-            store.scene.referee.breach("lost", now, what)
+            store.environment.referee.breach("lost", now, what)
         self.job = Job(store, self, arrival, fields.get(b"idempotency-key", b""))
-        store.loop.call_later(store.way(self.who), store.receive, self.job)
+        store.loop.call_later(store.one_way_us(self.who), store.receive, self.job)
 
     def give(self, arrival: Arrival, body: bytes, pace: int) -> None:
         """A large answer, in one of the ways that HTTP has, as fast as it is read or, with a pace, slowly."""
-        way = self.store.scene.rng.choice(("length", "chunks", "close"))
+        way = self.store.environment.rng.choice(("length", "chunks", "close"))
         head = {
             "length": b"Content-Length: %d" % len(body),
             "chunks": b"Transfer-Encoding: chunked",
@@ -151,7 +151,7 @@
 
     def ended(self, what: str) -> None:
         if self.job:
-            self.store.scene.referee.dropped(self.job.arrival, self.store.loop.now)
+            self.store.environment.referee.dropped(self.job.arrival, self.store.loop.now)
         self.store.links.pop(self, None)
 
     def close(self) -> None:
@@ -167,7 +167,7 @@
 
     def __init__(
         self,
-        scene: Scene,
+        environment: Environment,
         id: str,
         address: Address,
         model: Model,
@@ -175,9 +175,9 @@
         zone: int,
         speed: float,
     ) -> None:
-        self.scene, self.loop, self.id, self.address, self.model = (
-            scene,
-            scene.loop,
+        self.environment, self.loop, self.id, self.address, self.model = (
+            environment,
+            environment.loop,
             id,
             address,
             model,
@@ -196,16 +196,18 @@
         self.frozen_until = self.born = self.owed = self.count = 0
         self.slow, self.spoilt, self.errors = 1.0, 0.0, model.errors
         self.cut: dict[str, bool] = {}  # balancers that it cannot hear
-        scene.ground.listen(address, self.accept)
+        environment.network.listen(address, self.accept)
         self.loop.call_later(SWEEP, self.sweep)
 
     # --- the network
 
     def group(self) -> str:
-        return {"zone": f"z{self.zone}", "cell": self.id}.get(self.scene.grouping, "all")
+        return {"zone": f"z{self.zone}", "cell": self.id}.get(
+            self.environment.deduplication_scope, "all"
+        )
 
-    def way(self, who: str) -> int:
-        return self.scene.way(self.scene.zone_of(who), self.zone)
+    def one_way_us(self, who: str) -> int:
+        return self.environment.one_way_us(self.environment.zone_of(who), self.zone)
 
     def accept(self, sock: socket.socket, who: str) -> None:
         if not self.alive:
@@ -213,7 +215,7 @@
         link = HostLink(self, sock, who)
         link.beyond = sum(not other.beyond for other in self.links) >= self.model.connections
         self.links[link] = None
-        self.scene.referee.dials += 1
+        self.environment.referee.dials += 1
         self.owed += millis(self.model.connect_work_ms)
 
     def sweep(self) -> None:
@@ -249,7 +251,7 @@
         if self.vanished or self.cut.get(job.link.who):
             self.held.append(job)
             return
-        job.cold = job.arrival.ask.id in self.scene.cold_misses
+        job.cold = job.arrival.ask.id in self.environment.cold_misses
         self.weigh(job)
         if not self.alive:
             return
@@ -264,7 +266,7 @@
         it can do now. What is turned away counts too: it was sent.
         """
         now = self.loop.now
-        referee, ask = self.scene.referee, job.arrival.ask
+        referee, ask = self.environment.referee, job.arrival.ask
         blamed = (
             job.cold
             if self.is_origin
@@ -283,7 +285,7 @@
             if self.is_origin:
                 self.loop.call_later(micros(self.model.stop_s), self.revive, False)
             else:  # it stays down
-                self.scene.listing.gone_later(self.id, self.scene.plan.listing.notice_s)
+                self.environment.listing.gone_later(self.id, self.environment.plan.listing.notice_s)
 
     def pump(self) -> None:
         while (
@@ -302,8 +304,8 @@
             cost = self.write(job)
         elif not self.is_origin and not self.has(op.key):
             job.outcome, cost = "miss", GLANCE
-            self.scene.missed(job.arrival.ask.id, self)
-        if job.outcome == "done" and self.errors and self.scene.rng.random() < self.errors:
+            self.environment.record_miss(job.arrival.ask.id, self)
+        if job.outcome == "done" and self.errors and self.environment.rng.random() < self.errors:
             job.outcome = "error"
         cost += self.owed
         self.owed = 0
@@ -321,12 +323,12 @@
         """It takes effect as it begins, once for each mark that is remembered; gives the work left."""
         ask, now = job.arrival.ask, self.loop.now
         if ask.op.work.effect == "uniqued":
-            memory = self.scene.marks.setdefault(self.group(), {})
+            memory = self.environment.marks.setdefault(self.group(), {})
             if memory.get(job.mark, 0) > now:
                 return GLANCE
             memory[job.mark] = now + millis(ask.op.work.window_ms)
-        self.scene.referee.effect(job.arrival, now)
-        for store in self.scene.stores.values():
+        self.environment.referee.effect(job.arrival, now)
+        for store in self.environment.servers.values():
             if not store.is_origin:
                 store.kept.pop(ask.op.key, None)
         return job.cost
@@ -349,17 +351,17 @@
         del self.running[job]
         ask = job.arrival.ask
         if job.outcome != "miss":
-            self.scene.referee.ran(job.arrival, job.took, self.loop.now)
+            self.environment.referee.ran(job.arrival, job.took, self.loop.now)
         if self.is_origin and job.outcome == "done" and not ask.op.work.write:
-            self.scene.referee.fetches += 1
-            for store in self.scene.misses.pop(ask.id, ()):
+            self.environment.referee.fetches += 1
+            for store in self.environment.misses.pop(ask.id, ()):
                 if store.alive:
                     store.keep(ask.op.key)
         self.reply(job, job.outcome)
         self.pump()
 
     def reply(self, job: Job, outcome: str) -> None:
-        self.loop.call_later(self.way(job.link.who), self.put, job, outcome)
+        self.loop.call_later(self.one_way_us(job.link.who), self.put, job, outcome)
 
     def put(self, job: Job, outcome: str) -> None:
         """What was decided is written now, unless nobody can hear it."""
@@ -369,21 +371,21 @@
         if self.cut.get(link.who):
             self.held.append(job)
             return
-        referee, now = self.scene.referee, self.loop.now
+        referee, now = self.environment.referee, self.loop.now
         body = b""
         if outcome == "done":
             self.count += 1
             ask = job.arrival.ask
             body = (b"%b/%b/%d:" % (ask.id, self.id.encode(), self.count)).ljust(
-                self.scene.size_of(ask.op.key), b"v"
+                self.environment.value_size_bytes(ask.op.key), b"v"
             )
-        if outcome == "done" and self.spoilt and self.scene.rng.random() < self.spoilt:
+        if outcome == "done" and self.spoilt and self.environment.rng.random() < self.spoilt:
             return self.spoil(job, body)
         referee.settled(job.arrival, outcome, now, body)
         link.job = None
         if len(body) > SMALL:
-            bulk = self.scene.plan.bulk
-            slow = self.scene.rng.random() < bulk.slow_writers
+            bulk = self.environment.plan.bulk
+            slow = self.environment.rng.random() < bulk.slow_writers
             return link.give(job.arrival, body, round(bulk.pace_kb * 1_000) if slow else 0)
         if outcome == "done":
             link.say(
@@ -397,16 +399,16 @@
 
     def spoil(self, job: Job, body: bytes) -> None:
         """The work has run, and what is written of it is not what was asked for, or more than that."""
-        how = self.scene.rng.choice(SPOILS)
+        how = self.environment.rng.choice(SPOILS)
         link, head = job.link, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % len(body)
         good = how in ("behind", "ahead")
-        self.scene.referee.settled(
+        self.environment.referee.settled(
             job.arrival, "done" if good else "spoilt", self.loop.now, body if good else b""
         )
         link.job = None
         link.say(
             *{
-                "noise": (bytes(self.scene.rng.randrange(256) for _ in range(300)),),
+                "noise": (bytes(self.environment.rng.randrange(256) for _ in range(300)),),
                 "endless": (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20_000,),
                 "short": (
                     b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 30_000,
@@ -423,7 +425,7 @@
     def stop(self) -> None:
         """The process ends at once: connections break, new ones are refused, what was kept is gone."""
         self.alive = self.vanished = self.draining = False
-        self.scene.ground.unlisten(self.address)
+        self.environment.network.unlisten(self.address)
         self.halt()
         self.forget()
 
@@ -441,7 +443,7 @@
         self.load.clear()
         self.loaded = 0
         for link in list(self.links):
-            self.scene.ground.reset(link.conn.sock)
+            self.environment.network.reset(link.conn.sock)
             link.close()
         self.kept.clear()
 
@@ -451,24 +453,28 @@
         self.alive = True
         self.born = self.loop.now if cold else self.born
         self.frozen_until, self.slow = 0, 1.0
-        self.scene.ground.listen(self.address, self.accept)
+        self.environment.network.listen(self.address, self.accept)
         if cold:
-            self.scene.listing.put_later(self.id, "Ready", self.scene.plan.listing.add_s)
+            self.environment.listing.put_later(
+                self.id, "Ready", self.environment.plan.listing.add_s
+            )
 
     def vanish(self, gone: bool) -> None:
         """The machine says nothing any more; back again, it knows nothing of its connections."""
         if not self.alive or self.vanished == gone:
             return
         self.vanished = gone
-        silent = any(store.vanished for store in self.scene.stores.values())
-        self.scene.referee.hidden_until = 1 << 62 if silent else self.loop.now + UNSEEN
-        self.scene.ground.hush(self.address, gone)
+        silent = any(store.vanished for store in self.environment.servers.values())
+        self.environment.referee.hidden_until = 1 << 62 if silent else self.loop.now + UNSEEN
+        self.environment.network.set_silent(self.address, gone)
         if gone:
             self.halt()
         else:
             self.forget()
             self.born = self.loop.now
-            self.scene.listing.put_later(self.id, "Ready", self.scene.plan.listing.add_s)
+            self.environment.listing.put_later(
+                self.id, "Ready", self.environment.plan.listing.add_s
+            )
 
     def part(self, who: str, cut: bool) -> None:
         """No byte passes between it and a balancer; what was under way comes once that ends."""
@@ -496,5 +502,5 @@
 
     def flush(self, part: float) -> None:
         for key in list(self.kept):
-            if self.scene.rng.random() < part:
+            if self.environment.rng.random() < part:
                 del self.kept[key]
--- /dev/null
+++ b/orchidgap/simulation/virtual_clock.py
@@ -0,0 +1,130 @@
+"""An event loop on a virtual clock, which goes on only when nothing is left to be done.
+
+What runs on it is a function of its input alone: callbacks come in one order on any machine.
+"""
+
+from __future__ import annotations
+
+import selectors
+from heapq import heappop
+from typing import Any
+
+from orchidgap.net.loop import MAX_WAIT_US, Loop
+
+START_US = 1_700_000_000_000_000  # Unix time that the clock begins at
+MAX_ROUNDS_AT_ONE_TIME = 200_000
+
+
+class VirtualClockStalledError(RuntimeError):
+    """The loop had work for `MAX_ROUNDS_AT_ONE_TIME` rounds while the clock stood still.
+
+    Something schedules itself anew without end.
+    """
+
+
+class OrderedSelector(selectors.EpollSelector):
+    """Returns ready sockets in the order of their registration, whatever the kernel's is."""
+
+    def __init__(self) -> None:
+        """Start with nothing registered."""
+        super().__init__()
+        self.order: dict[int, int] = {}
+        self.registration_count = 0
+
+    def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
+        """Register a socket as the last one in the order."""
+        key = super().register(fileobj, events, data)
+        self.registration_count += 1
+        self.order[key.fd] = self.registration_count
+        return key
+
+    def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Return what is ready, in order. `timeout` is in seconds."""
+        ready = super().select(timeout)
+        if len(ready) > 1:
+            ready.sort(key=lambda item: self.order[item[0].fd])
+        return ready
+
+
+class VirtualClockLoop(Loop):
+    """A loop whose clock jumps to the next timer once all that is due has run.
+
+    >>> loop = VirtualClockLoop(); start = loop.now
+    >>> _ = loop.call_later(3_000_000, lambda: print("due", loop.now - start))
+    >>> loop.run_until(start + 4_000_000)
+    due 3000000
+    >>> loop.now - start
+    4000000
+    >>> def again():
+    ...     loop.call_soon(again)
+    >>> again(); loop.run_until(loop.now + 1)
+    Traceback (most recent call last):
+        ...
+    orchidgap.simulation.virtual_clock.VirtualClockStalledError: 200000 rounds at 4000000 us
+    """
+
+    def __init__(self) -> None:
+        """Start the clock at `START_US`."""
+        self.time = START_US
+        super().__init__(clock=lambda: self.time)
+        self.selector.close()
+        # epoll, as on Linux
+        self.selector: selectors.DefaultSelector = OrderedSelector()  # type: ignore[assignment]
+        self.rounds_at_this_time = 0
+
+    def run_once(self, max_wait_us: int = MAX_WAIT_US) -> None:
+        """Run all that is due now; where there is nothing, move the clock on."""
+        self.now = self.last_poll_us = self.ready_since_us = self.time
+        worked = self.run_ready_sockets()
+        worked |= self.run_due_timers()
+        worked |= self.run_soon()
+        if worked:
+            self.count_round()
+        else:
+            self.advance(max_wait_us)
+
+    def run_ready_sockets(self) -> bool:
+        """Return whether there were any."""
+        ready = self.selector.select(0)
+        for key, mask in ready:
+            self.run_callback(key.data, mask)
+        return bool(ready)
+
+    def run_due_timers(self) -> bool:
+        """Return whether there were any that had not been cancelled."""
+        worked = False
+        while self.timers and self.timers[0][0] <= self.time:
+            timer = heappop(self.timers)[2]
+            if timer.callback is not None:
+                worked = True
+                self.run_callback(timer.callback, *timer.args)
+        return worked
+
+    def run_soon(self) -> bool:
+        """Run what stood in the queue at the begin of this call; return whether it had any."""
+        count = len(self.soon)
+        for _ in range(count):
+            callback, args = self.soon.popleft()
+            self.run_callback(callback, *args)
+        return count > 0
+
+    def count_round(self) -> None:
+        """Count a round with work. Raises VirtualClockStalledError where there were too many."""
+        self.rounds_at_this_time += 1
+        if self.rounds_at_this_time >= MAX_ROUNDS_AT_ONE_TIME:
+            at_us = self.time - START_US
+            raise VirtualClockStalledError(f"{MAX_ROUNDS_AT_ONE_TIME} rounds at {at_us} us")
+
+    def advance(self, max_wait_us: int) -> None:
+        """Move the clock to the next timer, but no further than `max_wait_us` on."""
+        while self.timers and self.timers[0][2].callback is None:
+            heappop(self.timers)
+        latest = self.time + max_wait_us
+        self.time = min(latest, self.timers[0][0]) if self.timers else latest
+        self.rounds_at_this_time = 0
+
+    def run_until(self, end_us: int) -> None:
+        """Run until this time of the clock; all that is due before it has happened then."""
+        while self.time < end_us:
+            self.run_once(end_us - self.time)
+        self.now = self.time
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -16,7 +16,7 @@
 )
 from orchidgap.control.process import ControlProcess
 from orchidgap.control.process_config import ProcessConfig
-from orchidgap.simulation.virtual_network import World
+from orchidgap.simulation.virtual_clock import VirtualClockLoop
 from orchidgap.state.durable_store import DurableStore
 
 LEASE_US = 2_000_000
@@ -64,7 +64,7 @@
     """So many control processes, each with a folder of its own; `cut_off` names those nobody reaches."""
 
     def __init__(self, folder, count):
-        self.loop, self.cut_off, self.log = World(), set(), []
+        self.loop, self.cut_off, self.log = VirtualClockLoop(), set(), []
         names = [f"k{number}" for number in range(count)]
         self.processes = {}
         for name in names:
--- a/tests/control/test_heartbeat.py
+++ b/tests/control/test_heartbeat.py
@@ -14,14 +14,14 @@
     MAX_BACKOFF_US,
     HeartbeatSchedule,
 )
-from orchidgap.simulation.virtual_network import World
+from orchidgap.simulation.virtual_clock import VirtualClockLoop
 
 
 class Recorder:
     """A schedule whose heartbeats only note the time."""
 
     def __init__(self, seed=1):
-        self.loop = World()
+        self.loop = VirtualClockLoop()
         self.began_at_us = self.loop.now
         self.sent_at_us = []
         self.schedule = HeartbeatSchedule(self.loop, Random(seed), self.send)
--- a/tests/control/test_lease_keeper.py
+++ b/tests/control/test_lease_keeper.py
@@ -16,7 +16,7 @@
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.net.config import ConfigError, flatten
 from orchidgap.net.config.optional_parts import ControlConfig
-from orchidgap.simulation.virtual_network import World
+from orchidgap.simulation.virtual_clock import VirtualClockLoop
 from orchidgap.state.durable_store import DurableStore
 
 LEASE_US = 2_000_000
@@ -88,7 +88,7 @@
 
 
 def test_a_balancer_that_is_not_answered_calls_ever_more_rarely(tmp_path):
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.begin(lambda: None)
     loop.run_until(loop.now + 20_000_000)
@@ -98,7 +98,7 @@
 def test_a_decided_version_is_taken_without_a_moment_without_a_lease(tmp_path):
     """A balancer holds a lease under version 0. The next answer tells that version 1 is decided. It
     adopts that and holds a lease under it in the same turn, so no request is denied between."""
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.clients[0].answer = NOTHING_DECIDED
     keeper.begin(lambda: None)
@@ -117,7 +117,7 @@
 def test_a_promise_that_cannot_be_written_is_a_refusal(tmp_path, fails, monkeypatch):
     """A balancer checks a proposal and finds it good, but its disk is full. Control is told why, and
     no promise is given."""
-    keeper = make_keeper(tmp_path, World())
+    keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.node = SimpleNamespace(config=SimpleNamespace(settings=None))
     monkeypatch.setattr(validation, "read", lambda *told: SimpleNamespace(settings=None))
     monkeypatch.setattr(lease_keeper, "check_startup_settings", lambda current, new: None)
@@ -136,7 +136,7 @@
 def test_alone_it_stays_only_without_a_promise(tmp_path):
     """Control goes away while a registered balancer serves. It goes on without a lease, as nothing can
     be decided without it. Once it has promised a proposal, that may be decided, and it has to stop."""
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop, alone="stay")
     keeper.clients[0].answer = NOTHING_DECIDED | {"stay": {"b": keeper.incarnation}}
     keeper.begin(lambda: None)
@@ -151,7 +151,7 @@
 def test_a_promise_that_took_too_long_binds_nobody(tmp_path):
     """A proposal is on its way to the disk, and is dropped meanwhile. The write ends after that: it is
     neither a promise nor a refusal."""
-    keeper = make_keeper(tmp_path, World())
+    keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.lease.on_chosen_state(0, 3, False, 0)
     keeper.lease.on_write_started(3)
     keeper.lease.on_chosen_state(0, 0, False, 0)
@@ -168,7 +168,7 @@
     store = DurableStore(tmp_path)
     store.write("policy", {"n": 4, "id": "x", "doc": DOCUMENT})
     for _ in range(2):
-        keeper = make_keeper(tmp_path, World())
+        keeper = make_keeper(tmp_path, VirtualClockLoop())
         keeper.begin(lambda: None)
         events += keeper.events
         (tmp_path / "policy").write_text("torn")
@@ -194,7 +194,7 @@
 def test_a_majority_s_grants_make_a_lease_and_the_third_answer_adds_nothing(tmp_path):
     """Two of three grant a lease under one ballot. The third answer comes after that and tells of another
     state; it must not count with the two before."""
-    keeper = make_waiting_keeper(tmp_path, World())
+    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
     first, second, third = keeper.clients
     first.answer_now()
     assert not keeper.may_serve()
@@ -210,7 +210,7 @@
 def test_a_state_that_is_chosen_counts_once_until_a_lease_is_granted(tmp_path):
     """Two of three agree and only one grants: the state is known, and there is no lease. The third one
     grants too and makes a majority of grants."""
-    keeper = make_waiting_keeper(tmp_path, World())
+    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
     told = []
     tell_lease = keeper.lease.on_chosen_state
     keeper.lease.on_chosen_state = lambda *facts: (told.append(facts[-1]), tell_lease(*facts))[1]
@@ -223,7 +223,7 @@
 
 
 def test_a_state_without_a_lease_is_told_once_for_one_heartbeat(tmp_path):
-    keeper = make_waiting_keeper(tmp_path, World())
+    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
     told = []
     tell_lease = keeper.lease.on_chosen_state
     keeper.lease.on_chosen_state = lambda *facts: (told.append(facts[-1]), tell_lease(*facts))[1]
@@ -235,7 +235,7 @@
 def test_answers_to_an_earlier_heartbeat_count_for_nothing_but_their_time(tmp_path):
     """Answers take longer than the wait for the next heartbeat. A lease by them would count from a time
     that the acceptors do not know any more."""
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_waiting_keeper(tmp_path, loop)
     loop.run_until(loop.now + 700_000)
     assert all(client.count == 2 for client in keeper.clients)
@@ -248,7 +248,7 @@
 
 
 def test_the_next_heartbeat_tells_which_answer_was_heard_last(tmp_path):
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_waiting_keeper(tmp_path, loop)
     keeper.clients[0].answer_now(at=41)
     keeper.clients[1].answer_now(at=42)
@@ -260,7 +260,7 @@
 def test_answers_of_a_cluster_of_another_size_count_for_nothing(tmp_path):
     """A balancer's file lists three control processes, and those that it calls are five: two answers are
     no majority."""
-    keeper = make_waiting_keeper(tmp_path, World())
+    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
     for client in keeper.clients:
         client.answer_now(size=5)
     assert not keeper.may_serve() and keeper.lease.version == -1
@@ -272,7 +272,7 @@
 def test_where_control_processes_differ_one_is_asked_to_find_out(tmp_path, answering, settles):
     """Each has accepted the value under another ballot, so no value is certainly chosen. Only a majority
     can find out."""
-    keeper = make_waiting_keeper(tmp_path, World())
+    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
     for number, client in enumerate(keeper.clients):
         if number < answering:
             client.answer_now(ballot=[number + 1, "k"])
@@ -283,7 +283,7 @@
 
 
 def test_the_back_off_begins_anew_with_an_answer(tmp_path):
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_waiting_keeper(tmp_path, loop)
     loop.run_until(loop.now + 5_000_000)
     assert keeper.schedule.failures > 2
@@ -295,7 +295,7 @@
 
 @pytest.mark.parametrize(("alone", "registers"), [("leave", False), ("stay", True)])
 def test_who_stays_without_a_quorum_registers_until_control_knows(tmp_path, alone, registers):
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop, alone=alone)
     client = keeper.clients[0]
     client.answer = NOTHING_DECIDED | {"stay": {"b": "an earlier process"}}
@@ -312,7 +312,7 @@
 def test_who_cannot_adopt_the_version_in_force_does_not_register(tmp_path):
     """A balancer that stays without a quorum starts with a file that the policy does not go with. It does
     not serve, so no change has to wait for it. The reason stands in the log once."""
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop, alone="stay")
 
     def refuse(document):
@@ -328,7 +328,7 @@
 
 
 def test_a_version_whose_policy_did_not_come_is_not_adopted(tmp_path):
-    keeper = make_keeper(tmp_path, World())
+    keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.adopt = pytest.fail
     keeper.clients[0].answer = NOTHING_DECIDED | {"n": 1, "id": "x", "try": 1}
     keeper.begin(lambda: None)
@@ -370,7 +370,7 @@
 ):
     """A balancer starts, and the policy in force has another kind of origin than its file: nothing depends
     on that yet. Later such a policy cannot be in force without a restart."""
-    keeper = make_keeper(tmp_path, World())
+    keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.node = NodeStandIn("old")
     keeper.on_first_lease = lambda: None
     keeper.adopt(DOCUMENT)
@@ -388,7 +388,7 @@
 def test_a_proposal_that_needs_a_restart_is_refused_and_control_told_at_once(
     tmp_path, config_files
 ):
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.node = NodeStandIn("old")
     proposal = ProposalMessage(change_id="x", document=DOCUMENT, proposal_number=3, version=1)
@@ -404,7 +404,7 @@
 def test_a_proposal_is_promised_when_it_is_on_the_disk_and_control_told_at_once(
     tmp_path, config_files
 ):
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.node = NodeStandIn("new")
     proposal = ProposalMessage(change_id="x", document=DOCUMENT, proposal_number=3, version=1)
@@ -419,7 +419,7 @@
 
 def test_a_process_that_ends_promises_nothing_more(tmp_path):
     """Its write ends while it says good-bye: a promise would make control wait for nobody."""
-    keeper = make_keeper(tmp_path, World())
+    keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.lease.on_chosen_state(0, 3, False, 0)
     keeper.lease.on_write_started(3)
     keeper.closing = True
@@ -435,7 +435,7 @@
     def run_once(longest_us):
         now_us[0] += longest_us
 
-    keeper = make_keeper(tmp_path, World(), count=3)
+    keeper = make_keeper(tmp_path, VirtualClockLoop(), count=3)
     keeper.loop = SimpleNamespace(clock=lambda: now_us[0], run_once=run_once)
     keeper.close()
     assert 300_000 <= now_us[0] <= 320_000
@@ -446,7 +446,7 @@
 
 
 def test_the_listener_opens_once_and_the_permission_is_logged_where_it_changes(tmp_path):
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     opened = []
     keeper.clients[0].answer = NOTHING_DECIDED
@@ -460,7 +460,7 @@
 
 
 def test_a_listener_that_cannot_open_ends_the_process(tmp_path):
-    loop = World()
+    loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.clients[0].answer = NOTHING_DECIDED
 
@@ -476,7 +476,7 @@
 def test_answers_that_come_while_a_process_ends_start_nothing(tmp_path):
     """It waits for its good-byes to be heard, and answers to the heartbeat before come in: it must not take
     a lease, register, or begin to promise any more."""
-    keeper = make_waiting_keeper(tmp_path, World())
+    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
     keeper.closing = True
     for client in keeper.clients:
         client.answer_now()
--- a/tests/resp/resp_harness.py
+++ b/tests/resp/resp_harness.py
@@ -1,4 +1,4 @@
-"""A node that speaks RESP, before scripted slot servers, on the virtual ground."""
+"""A node that speaks RESP, before scripted slot servers, on the virtual network."""
 
 from orchidgap.net import config
 from orchidgap.net.connection import Connection
@@ -6,7 +6,9 @@
 from orchidgap.resp import Resp
 from orchidgap.resp.reader import RespReader
 from orchidgap.resp.writers import encode_array, encode_bulk, encode_command
-from orchidgap.simulation.virtual_network import Pairs, Queue, Share
+from orchidgap.simulation.balancer_loop import BalancerLoop
+from orchidgap.simulation.listening_queue import ListeningQueue
+from orchidgap.simulation.virtual_network import VirtualNetwork
 
 RULES = [
     {"name": name, "effect": effect, "response-target": 300_000, "client-timeout": 1_000_000}
@@ -33,7 +35,7 @@
         self.town, self.address = town, (f"127.2.0.{number}", 7000)
         self.name = f"127.2.0.{number}:7000"
         self.data, self.script, self.seen, self.links = {}, [], [], []
-        town.ground.listen(
+        town.network.listen(
             self.address, lambda sock, who: self.links.append(ServerLink(self, sock))
         )
 
@@ -66,7 +68,7 @@
 class ServerLink:
     def __init__(self, server, sock):
         self.server, self.reader = server, RespReader()
-        self.conn = Connection(server.town.ground.loop, sock, self)
+        self.conn = Connection(server.town.network.loop, sock, self)
 
     def opened(self): ...
 
@@ -85,7 +87,7 @@
 class Client:
     def __init__(self, town):
         self.town, self.got, self.over = town, bytearray(), ""
-        self.conn = Connection(town.ground.loop, town.ground.dial(town.address), self)
+        self.conn = Connection(town.network.loop, town.network.dial(town.address), self)
 
     def opened(self): ...
 
@@ -114,7 +116,7 @@
     address = ("127.1.0.1", 7070)
 
     def __init__(self, servers=3, **resp):
-        self.ground, self.log = Pairs(), Log()
+        self.network, self.log = VirtualNetwork(), Log()
         self.servers = [Server(self, number) for number in range(1, servers + 1)]
         self.layout = [
             (16384 * i // servers, 16384 * (i + 1) // servers - 1, i) for i in range(servers)
@@ -137,16 +139,16 @@
             "resp": {"seeds": [server.name for server in self.servers]} | resp,
         }
         station = config.config_from_document(told)
-        self.share = Share(self.ground.loop, self.log.exception)
+        self.share = BalancerLoop(self.network.loop, self.log.exception)
         self.node = Node(
             self.share,
             station,
             self.log,
             Resp(station.resp, "n0", station.listen),
-            lambda address: self.ground.dial_from(self.share, "n0", address),
+            lambda address: self.network.dial_from(self.share, "n0", address),
         )
-        door = Queue(self.ground.loop)
-        self.ground.doors[self.address] = door
+        door = ListeningQueue(self.network.loop)
+        self.network.listeners[self.address] = door
         self.node.clients.listening_socket = door
         self.share.watch(door, 1, self.node.clients.accept)
         self.node.start()
@@ -173,7 +175,7 @@
         )
 
     def wait(self, micros):
-        self.ground.loop.run_until(self.ground.loop.time + micros)
+        self.network.loop.run_until(self.network.loop.time + micros)
 
     def owner(self, slot):
         return next(self.servers[i] for first, last, i in self.layout if first <= slot <= last)
--- a/tests/resp/test_client_libraries.py
+++ b/tests/resp/test_client_libraries.py
@@ -15,7 +15,7 @@
 from resp_harness import RULES, Server
 
 from orchidgap.resp.writers import encode_array, encode_bulk
-from orchidgap.simulation.virtual_network import Wires
+from orchidgap.simulation.loopback_network import LoopbackNetwork
 
 ROOT = Path(__file__).parents[2]
 
@@ -24,7 +24,7 @@
     """Three stand-in slot servers on loopback, on a loop of their own."""
 
     def __init__(self):
-        self.ground = Wires()
+        self.network = LoopbackNetwork()
         first = 101 + 3 * int(
             os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:]
         )  # several runs beside each other
@@ -35,7 +35,7 @@
 
     def run(self):
         while self.running:
-            self.ground.loop.run_once(20_000)
+            self.network.loop.run_once(20_000)
 
     def slots(self):
         return encode_array(
@@ -92,7 +92,7 @@
     town.running = False
     town.thread.join()
     for server in town.servers:
-        town.ground.unlisten(server.address)
+        town.network.unlisten(server.address)
 
 
 @pytest.mark.parametrize("kind", [redis.Redis, RedisCluster])
--- a/tests/resp/test_resp.py
+++ b/tests/resp/test_resp.py
@@ -169,7 +169,7 @@
 def test_a_map_with_holes_or_two_owners_is_asked_again_and_guessed_never(town):
     client, key = Client(town), key_of(town, 0)
     whole, town.layout = town.layout, [*town.layout[1:], (0, 100, 1), (50, 5460, 2)]
-    town.node.balancer.slot_map.request_refresh(town.ground.loop.time)
+    town.node.balancer.slot_map.request_refresh(town.network.loop.time)
     town.wait(2_000_000)
     assert town.node.balancer.slot_map.conflicting_slot_count == 51
     town.layout = whole[1:]
--- a/tests/simulation/test_command.py
+++ b/tests/simulation/test_command.py
@@ -13,7 +13,7 @@
 from orchidgap.simulation.plan import Trouble, checked, parse, read
 from orchidgap.simulation.report import write
 from orchidgap.simulation.runner import keep, play
-from orchidgap.simulation.simulation import Scene
+from orchidgap.simulation.simulation import Simulation
 
 ROOT = Path(__file__).parents[2]
 TINY = 'name = "tiny"\nseconds = 2\nbalancers = 1\ncaches = 2\nrate = 40\n'
@@ -144,7 +144,7 @@
     )
 
     def still(candidate):
-        return bool(Scene(candidate, decider=LeavesTheGroup).play()["twice"])
+        return bool(Simulation(candidate, decider=LeavesTheGroup).play()["twice"])
 
     assert still(plan)
     small, plays = hunt.shrink(plan, still, most=25)
@@ -167,8 +167,8 @@
 
 
 def test_a_report_draws_ranges_only_where_they_are_seen(tmp_path):
-    verdict, scene = play(parse(TINY), policy="ring")
-    keep(tmp_path, scene, verdict)
+    verdict, simulation = play(parse(TINY), policy="ring")
+    keep(tmp_path, simulation, verdict)
     assert "none are drawn" in write(tmp_path).read_text()
 
 
--- a/tests/simulation/test_plans.py
+++ b/tests/simulation/test_plans.py
@@ -16,8 +16,8 @@
 @pytest.mark.parametrize("path", SHIPPED, ids=lambda path: path.stem)
 def test_a_shipped_plan_keeps_the_rules(path):
     plan = read(str(path))
-    verdict, scene = play(plan)
-    assert verdict["verdict"] == "kept" and not verdict["faults"], scene.referee.breaches[:5]
+    verdict, simulation = play(plan)
+    assert verdict["verdict"] == "kept" and not verdict["faults"], simulation.referee.breaches[:5]
     assert verdict["service"] >= plan.least > 0 and plan.name == path.stem
     assert verdict["bad_ignored"] == verdict["bad_served"] == 0
 
@@ -39,12 +39,12 @@
         "cache": {"zones": 2},
     }
     calm, _ = play(checked(told))
-    verdict, scene = play(
+    verdict, simulation = play(
         checked(told | {"trouble": [{"kind": kind, "at-s": 1, "for-s": 2, "part": 0.4}]})
     )
-    assert verdict["verdict"] == "kept", scene.referee.breaches[:5]
+    assert verdict["verdict"] == "kept", simulation.referee.breaches[:5]
     assert verdict["trace"] != calm["trace"] and any(
-        text.startswith(kind) for _, text in scene.referee.events
+        text.startswith(kind) for _, text in simulation.referee.events
     )
     assert kind in ACTS
 
--- a/tests/simulation/test_referee.py
+++ b/tests/simulation/test_referee.py
@@ -6,16 +6,19 @@
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.simulation.invariant_checker import RULES
 from orchidgap.simulation.plan import checked
-from orchidgap.simulation.simulation import Scene
+from orchidgap.simulation.simulation import Simulation
 
 
 @pytest.mark.parametrize(
     ("defect", "day", "rule"), PLANTED, ids=lambda what: getattr(what, "__name__", "")
 )
 def test_each_planted_defect_is_caught_under_its_rule(defect, day, rule):
-    scene = Scene(checked(day), decider=defect)
-    verdict = scene.play()
-    assert verdict["verdict"] == "broken" and verdict[rule], (verdict, scene.referee.breaches[:3])
+    simulation = Simulation(checked(day), decider=defect)
+    verdict = simulation.play()
+    assert verdict["verdict"] == "broken" and verdict[rule], (
+        verdict,
+        simulation.referee.breaches[:3],
+    )
 
 
 @pytest.mark.parametrize(
@@ -28,9 +31,9 @@
     ids=lambda day: "",
 )
 def test_the_program_as_it_is_keeps_the_rules_on_the_same_days(day):
-    scene = Scene(checked(day), decider=Balancer)
-    verdict = scene.play()
+    simulation = Simulation(checked(day), decider=Balancer)
+    verdict = simulation.play()
     assert not any(verdict[rule] for rule in RULES) and not verdict["faults"], (
-        scene.referee.breaches[:3]
+        simulation.referee.breaches[:3]
     )
     assert verdict["reqs"] > 50 and verdict["service"] > 0.1
--- a/tests/simulation/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -56,11 +56,11 @@
 def test_a_planted_unevenness_is_caught(name, monkeypatch):
     owner, what, planted, plan, said = DEFECTS[name]
     monkeypatch.setattr(owner, what, planted)
-    verdict, scene = play(read(str(TRIALS / f"spread-{plan}.toml")))
+    verdict, simulation = play(read(str(TRIALS / f"spread-{plan}.toml")))
     assert verdict["verdict"] == "broken" and verdict["uneven"]
     assert any(
-        rule == "uneven" and text.startswith(said) for rule, _, text in scene.referee.breaches
-    ), scene.referee.breaches
+        rule == "uneven" and text.startswith(said) for rule, _, text in simulation.referee.breaches
+    ), simulation.referee.breaches
 
 
 def test_what_is_out_when_a_stretch_ends_counts_as_it_comes_out():
@@ -71,12 +71,12 @@
         for born, done in ((1, 9), (990_000, 0))
     ]
     referee = Namespace(asks={}, ops=ops, value=lambda all_: mean(op.done_at > 0 for op in all_))
-    scene = Namespace(stores={}, start=0, loop=Namespace(now=1_000_000), referee=referee)
-    stretches = Stretches(scene, (Expect("calm", served=0.9),))
+    simulation = Namespace(servers={}, start=0, loop=Namespace(now=1_000_000), referee=referee)
+    stretches = Stretches(simulation, (Expect("calm", served=0.9),))
     stretches.runs = "calm", 0
     stretches.begin("")
     for late, served in ((0, 0.5), (1_010_000, 1.0)):
-        ops[1].done_at, scene.loop.now = late, 3_000_000
+        ops[1].done_at, simulation.loop.now = late, 3_000_000
         said = []
         assert (
             stretches.judge(lambda *told, said=said: said.append(told))["calm"]["served"] == served
--- a/tests/simulation/test_ground.py
+++ b/tests/simulation/test_virtual_network.py
@@ -1,4 +1,4 @@
-"""The virtual ground, the peers on it, and the hard cases of a trial."""
+"""The virtual network, the peers on it, and the hard cases of a simulation."""
 
 import socket
 
@@ -8,13 +8,15 @@
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
 from orchidgap.net.loop import READ
+from orchidgap.simulation.balancer_loop import BalancerLoop
 from orchidgap.simulation.baselines import NAMES
 from orchidgap.simulation.clients import CallerLink
 from orchidgap.simulation.invariant_checker import RULES, Arrival, Ask, Op, Referee
+from orchidgap.simulation.listening_queue import ListeningQueue
 from orchidgap.simulation.plan import BadPlan, checked
-from orchidgap.simulation.runner import play, scene_of
-from orchidgap.simulation.simulation import Scene
-from orchidgap.simulation.virtual_network import Pairs, Queue, Share, pair
+from orchidgap.simulation.runner import play, simulation_of
+from orchidgap.simulation.simulation import Simulation
+from orchidgap.simulation.virtual_network import VirtualNetwork, connected_pair
 
 SMALL = {"name": "small", "seconds": 4, "balancers": 2, "caches": 3, "rate": 60}
 
@@ -34,79 +36,79 @@
 
 
 @pytest.fixture
-def ground():
-    made = Pairs()
+def network():
+    made = VirtualNetwork()
     yield made
     made.loop.selector.close()
 
 
-def share_of(ground):
-    return Share(ground.loop, lambda trouble: pytest.fail(str(trouble)))
+def share_of(network):
+    return BalancerLoop(network.loop, lambda trouble: pytest.fail(str(trouble)))
 
 
-def test_a_dialled_connection_comes_up_a_round_trip_later(ground):
-    share, far_ends, owner = share_of(ground), [], Owner()
-    ground.listen(("h", 1), lambda sock, who: far_ends.append((sock, who)))
-    conn = Connection(share, ground.dial_from(share, "b0", ("h", 1)), owner, opening=True)
-    start = ground.loop.time
-    ground.loop.run_until(start + 399)
+def test_a_dialled_connection_comes_up_a_round_trip_later(network):
+    share, far_ends, owner = share_of(network), [], Owner()
+    network.listen(("h", 1), lambda sock, who: far_ends.append((sock, who)))
+    conn = Connection(share, network.dial_from(share, "b0", ("h", 1)), owner, opening=True)
+    start = network.loop.time
+    network.loop.run_until(start + 399)
     assert not owner.got and conn.connecting
-    ground.loop.run_until(start + 401)
+    network.loop.run_until(start + 401)
     assert owner.got == b"^" and far_ends[0][1] == "b0"
 
 
 @pytest.mark.parametrize(("state", "ends"), [("refused", True), ("silent", False), ("cut", False)])
-def test_connections_that_do_not_come_up(ground, state, ends):
-    share, owner = share_of(ground), Owner()
+def test_connections_that_do_not_come_up(network, state, ends):
+    share, owner = share_of(network), Owner()
     if state != "refused":
-        ground.listen(("h", 1), lambda sock, who: pytest.fail("let in"))
-    ground.silent["h", 1] = state == "silent"
-    ground.cut["b0", ("h", 1)] = state == "cut"
-    conn = Connection(share, ground.dial_from(share, "b0", ("h", 1)), owner, opening=True)
-    ground.loop.run_until(ground.loop.time + 1_000_000)
+        network.listen(("h", 1), lambda sock, who: pytest.fail("let in"))
+    network.silent["h", 1] = state == "silent"
+    network.cut["b0", ("h", 1)] = state == "cut"
+    conn = Connection(share, network.dial_from(share, "b0", ("h", 1)), owner, opening=True)
+    network.loop.run_until(network.loop.time + 1_000_000)
     assert bool(owner.ends) is ends and not owner.got
     conn.close()
-    ground.loop.run_until(ground.loop.time + 1_000_000)
+    network.loop.run_until(network.loop.time + 1_000_000)
 
 
-def test_a_buffer_that_fills_holds_up_its_writer_and_nobody_else(ground):
-    near, far = pair()
+def test_a_buffer_that_fills_holds_up_its_writer_and_nobody_else(network):
+    near, far = connected_pair()
     writer, reader = Owner(), Owner()
-    conn = Connection(ground.loop, near, writer)
+    conn = Connection(network.loop, near, writer)
     conn.send(bytes(1_500_000))
-    ground.loop.run_until(ground.loop.time + 1_000_000)
+    network.loop.run_until(network.loop.time + 1_000_000)
     assert 0 < len(conn.write_buffer) < 1_500_000
-    Connection(ground.loop, far, reader)
-    ground.loop.run_until(ground.loop.time + 1)
+    Connection(network.loop, far, reader)
+    network.loop.run_until(network.loop.time + 1)
     assert len(reader.got) == 1_500_000 and not conn.write_buffer
 
 
-def test_a_killed_share_closes_all_it_had_and_runs_no_more(ground):
-    share, ran, far_owner = share_of(ground), [], Owner()
-    near, far = pair()
+def test_a_killed_share_closes_all_it_had_and_runs_no_more(network):
+    share, ran, far_owner = share_of(network), [], Owner()
+    near, far = connected_pair()
     Connection(share, near, Owner())
-    Connection(ground.loop, far, far_owner)
-    door = Queue(ground.loop)
+    Connection(network.loop, far, far_owner)
+    door = ListeningQueue(network.loop)
     share.watch(door, READ, ran.append)
-    door.bring(pair()[0])
+    door.connect(connected_pair()[0])
     share.call_later(10, ran.append, 1)
     share.kill()
-    ground.loop.run_until(ground.loop.time + 100)
+    network.loop.run_until(network.loop.time + 100)
     assert not ran and far_owner.ends == ["closed"]
 
 
-def test_a_share_that_stands_still_goes_on_where_it_was(ground):
-    share, ran, owner = share_of(ground), [], Owner()
-    near, far = pair()
+def test_a_share_that_stands_still_goes_on_where_it_was(network):
+    share, ran, owner = share_of(network), [], Owner()
+    near, far = connected_pair()
     Connection(share, near, owner)
     cancelled = share.call_later(3_000, ran.append, "cancelled while it stood")
-    share.call_later(2_000, lambda: (ran.append(ground.loop.time), cancelled.cancel()))
-    start = ground.loop.time
-    share.stand(start + 50_000)
+    share.call_later(2_000, lambda: (ran.append(network.loop.time), cancelled.cancel()))
+    start = network.loop.time
+    share.pause(start + 50_000)
     far.send(b"x")
-    ground.loop.run_until(start + 49_000)
+    network.loop.run_until(start + 49_000)
     assert not ran and not owner.got
-    ground.loop.run_until(start + 51_000)
+    network.loop.run_until(start + 51_000)
     assert ran == [start + 50_000] and owner.got == b"x"
 
 
@@ -121,9 +123,9 @@
             ]
         }
     )
-    verdict, scene = play(plan)
-    held = [ask for ask in scene.referee.asks.values() if ask.left and not ask.status]
-    assert held and verdict["verdict"] == "kept" and scene.posts["b0"].life == 2
+    verdict, simulation = play(plan)
+    held = [ask for ask in simulation.referee.asks.values() if ask.left and not ask.status]
+    assert held and verdict["verdict"] == "kept" and simulation.balancers["b0"].incarnation == 2
 
 
 @pytest.mark.parametrize("part", [1.0])
@@ -149,9 +151,9 @@
 
 def test_what_cannot_be_played_is_told_in_a_line():
     with pytest.raises(BadPlan, match="no policy"):
-        scene_of(checked(SMALL), policy="best")
+        simulation_of(checked(SMALL), policy="best")
     with pytest.raises(BadPlan, match="oracle"):
-        scene_of(checked(SMALL), real=True, policy="oracle")
+        simulation_of(checked(SMALL), real=True, policy="oracle")
 
 
 # --- the referee's own judgement, case by case
@@ -260,68 +262,68 @@
 
 
 def test_a_connection_closed_between_reqs_is_asked_again_and_one_closed_on_a_req_is_lost():
-    scene = Scene(checked(SMALL))
+    simulation = Simulation(checked(SMALL))
     try:
-        post = next(iter(scene.posts))
-        scene.posts[post].alive, scene.posts[post].life = True, 1
+        post = next(iter(simulation.balancers))
+        simulation.balancers[post].alive, simulation.balancers[post].incarnation = True, 1
         for unread, breaks in ((True, []), (False, ["lost"])):
-            near, far = pair()
-            link = CallerLink(scene.callers, post, near, False)
-            ask = Ask(b"q7", Op(0, scene.plan.works()[0], "north", 1, 1, 0), post, 1, 0, 0)
+            near, far = connected_pair()
+            link = CallerLink(simulation.clients, post, near, False)
+            ask = Ask(b"q7", Op(0, simulation.plan.works()[0], "north", 1, 1, 0), post, 1, 0, 0)
             link.used = 1
             link.carry(ask, (b"GET /view/k1 HTTP/1.1\r\n\r\n",))
             if not unread:
                 far.recv(100)
             far.close()
-            scene.ground.loop.run_until(scene.ground.loop.time + 1_000)
-            assert broken(scene.referee) == breaks
+            simulation.network.loop.run_until(simulation.network.loop.time + 1_000)
+            assert broken(simulation.referee) == breaks
     finally:
-        scene.close()
+        simulation.close()
 
 
 def test_a_cache_keeps_what_it_has_room_for_and_a_cold_one_is_slow():
-    scene = Scene(
+    simulation = Simulation(
         checked(SMALL | {"cache": {"keys": 3, "cold-from": 0.25, "warm-s": 8, "ttl-s": 2}})
     )
     try:
-        store = scene.stores["c00"]
+        store = simulation.servers["c00"]
         store.kept.clear()
         for key in (1, 2, 3, 1, 4):
             store.keep(key)
         assert list(store.kept) == [3, 1, 4] and store.has(3) and not store.has(2)
-        scene.loop.run_until(scene.loop.time + 2_100_000)
+        simulation.loop.run_until(simulation.loop.time + 2_100_000)
         assert not store.has(3), "its time to live is over"
         store.stop()
         store.revive()
         assert store.warmth() == 0.25
-        scene.loop.run_until(scene.loop.time + 4_000_000)
+        simulation.loop.run_until(simulation.loop.time + 4_000_000)
         assert 0.6 < store.warmth() < 0.65 and not store.kept
     finally:
-        scene.close()
+        simulation.close()
 
 
 def test_a_watch_answers_on_a_change_and_otherwise_when_its_time_is_up():
-    scene = Scene(checked(SMALL))
+    simulation = Simulation(checked(SMALL))
     try:
-        agent = scene.listing.agents["b0"]
-        near, owner = scene.ground.dial(scene.posts["b0"].agent), Owner()
+        agent = simulation.listing.agents["b0"]
+        near, owner = simulation.network.dial(simulation.balancers["b0"].discovery_address), Owner()
         assert not isinstance(near, AttemptFailure) and isinstance(near, socket.socket)
-        conn = Connection(scene.loop, near, owner)
-        wait = scene.loop.run_until
+        conn = Connection(simulation.loop, near, owner)
+        wait = simulation.loop.run_until
         conn.send(b"GET /discovery/hosts?after=1&wait_ms=500 HTTP/1.1\r\n\r\n")
-        wait(scene.loop.time + 499_000)
+        wait(simulation.loop.time + 499_000)
         assert not owner.got
-        wait(scene.loop.time + 2_000)
+        wait(simulation.loop.time + 2_000)
         assert b'"whole":false,"hosts":[]' in owner.got
         conn.send(b"GET /discovery/hosts?after=1&wait_ms=9000 HTTP/1.1\r\n\r\n")
-        wait(scene.loop.time + 10_000)
+        wait(simulation.loop.time + 10_000)
         agent.set(gone=True)
-        scene.listing.put("c01", "Terminating")
-        wait(scene.loop.time + 10_000)
+        simulation.listing.put("c01", "Terminating")
+        wait(simulation.loop.time + 10_000)
         assert b"Terminating" not in owner.got, "it is silent"
         agent.set()
-        wait(scene.loop.time + 10_000)
-        assert b"Terminating" in owner.got and scene.referee.told["b0", "c01"][0] == "draining"
+        wait(simulation.loop.time + 10_000)
+        assert b"Terminating" in owner.got and simulation.referee.told["b0", "c01"][0] == "draining"
         assert parse_seconds(b"1") == 1_000_000
     finally:
-        scene.close()
+        simulation.close()
