--- a/orchidgap/fault_tests/actions.py
+++ b/orchidgap/fault_tests/actions.py
@@ -26,6 +26,7 @@
 from orchidgap.fault_tests.random_faults import draw_fault
 from orchidgap.fault_tests.rollout_checker import ProposalRecord
 from orchidgap.net.addresses import format_address
+from orchidgap.simulation.balancer_instance import Pause
 from orchidgap.simulation.faults import set_off
 from orchidgap.simulation.plan import Trouble, millis
 
@@ -88,7 +89,7 @@
             self.handlers[action.kind](*arguments)
 
     def _first_balancers(self, percentage: str) -> list[str]:
-        names = list(self.cluster.posts)
+        names = list(self.cluster.balancers)
         return names[: len(names) * int(percentage.rstrip("%")) // 100]
 
     def random_fault(self) -> None:
@@ -142,7 +143,7 @@
 
     def reload(self, name: str) -> None:
         """Give a balancer's file settings of its own; those of control go before."""
-        self.cluster.reload(self.cluster.posts[name], FILE_VERSION)
+        self.cluster.reload(self.cluster.balancers[name], FILE_VERSION)
 
     def roll_out_by_signal(self) -> None:
         """Change the settings without control: one file and one SIGHUP after another."""
@@ -151,7 +152,7 @@
         number = cluster.last_proposal
         proposal = ProposalRecord(number, cluster.loop.now)
         cluster.checker.proposals[number] = proposal
-        for post in cluster.posts.values():
+        for post in cluster.balancers.values():
             if post.alive:
                 cluster.reload(post, number)
                 cluster.loop.run_once(0)  # clients go on meanwhile
@@ -165,15 +166,15 @@
         process = self.cluster.process_of(name)
         process.kill()
         process.wait()
-        if name in self.cluster.posts:
-            self.cluster.posts[name].gone()
+        if name in self.cluster.balancers:
+            self.cluster.balancers[name].mark_ended()
         else:
             self.cluster.control(name).alive = False
 
     def terminate(self, name: str) -> None:
         """Send SIGTERM; a control process's end is waited for."""
-        if name in self.cluster.posts:
-            self.cluster.posts[name].leave()
+        if name in self.cluster.balancers:
+            self.cluster.balancers[name].shut_down()
             return
         process = self.cluster.process_of(name)
         process.terminate()
@@ -183,20 +184,20 @@
     def start(self, name: str) -> None:
         """Start a process anew."""
         cluster = self.cluster
-        if name not in cluster.posts:
+        if name not in cluster.balancers:
             cluster.control(name).start(cluster.controls)
             return
-        post = cluster.posts[name]
+        post = cluster.balancers[name]
         if post.alive:
             post.kill()
-        post.begin(cluster.known_of(name))
+        post.start(cluster.latest_endpoint_list(name))
 
     def pause(self, name: str) -> None:
         """Stop a process where it stands."""
         cluster = self.cluster
         cluster.process_of(name).send_signal(signal.SIGSTOP)
-        if name in cluster.posts:
-            cluster.posts[name].stood.append((cluster.loop.now, FOREVER_US))
+        if name in cluster.balancers:
+            cluster.balancers[name].pauses.append(Pause(cluster.loop.now, FOREVER_US))
 
     # --- disks
 
@@ -230,7 +231,7 @@
     def lose_datagrams(self, name: str, percentage: str) -> None:
         """Lose a part of the datagrams to and from a balancer, or of all."""
         loss_ratio = float(percentage.rstrip("%")) / 100
-        address = None if name == ALL_BALANCERS else self.cluster.posts[name].talks
+        address = None if name == ALL_BALANCERS else self.cluster.balancers[name].gossip_address
         self.cluster.links.lose_datagrams(name, address, loss_ratio)
 
     def send_noise(self, name: str, count: str) -> None:
--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -15,7 +15,7 @@
 from orchidgap.control.messages.base import AnswerT, RequestT, RpcMethod
 from orchidgap.control.rpc_client import RpcClient
 from orchidgap.fault_tests import disk_faults
-from orchidgap.fault_tests.balancer_process import BalancerProcess
+from orchidgap.fault_tests.balancer_process import ClusterBalancer
 from orchidgap.fault_tests.child_processes import PortOffset, ProcessLauncher, memory_folder
 from orchidgap.fault_tests.control_process import ControlProcess
 from orchidgap.fault_tests.links import OPERATOR, Link, Links, Topology
@@ -25,12 +25,13 @@
 from orchidgap.fault_tests.rollout_checker import STUCK, RolloutChecker
 from orchidgap.fault_tests.version_clients import VersionClients
 from orchidgap.net.addresses import Address, format_address
+from orchidgap.simulation.balancer_instance import BalancerInstance, Pause
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.environment import Decider
 from orchidgap.simulation.invariant_checker import Ask
+from orchidgap.simulation.loopback_network import LoopbackNetwork
 from orchidgap.simulation.plan import Work, millis
-from orchidgap.simulation.simulation import Post, RealPost, Scene, VirtualPost
-from orchidgap.simulation.virtual_network import Wires
+from orchidgap.simulation.simulation import Balancer, Simulation
 
 LOOK_INTERVAL_US = 50_000
 LOOP_TURN_US = 10_000
@@ -45,7 +46,7 @@
 PROPOSER_WAIT_RATIO = 1.2
 
 
-class Cluster(Scene):
+class Cluster(Simulation):
     """The processes and all around them.
 
     Attributes:
@@ -72,14 +73,14 @@
         self.test = test
         self.defect = defect
         self.proposal_count = test.proposal_count()
-        self.port_offset = PortOffset()
-        self.ports = self.port_offset.value
+        self.port_lock = PortOffset()
+        self.port_offset = self.port_lock.value
         self.configured_version = 0
         self.last_proposal = 0
         super().__init__(test.plan, seed, real=True, policy=policy, disk=disk or memory_folder())
         self.report_unanswered = self.referee.broke
         setattr(self.referee, "broke", self._on_unanswered)  # noqa: B010
-        self.links = Links(self.loop, self.rng, self.ports, self._topology())
+        self.links = Links(self.loop, self.rng, self.port_offset, self._topology())
         self.controls = [
             ControlProcess(self.launcher, self.links, test.control, number)
             for number in range(test.control.count)
@@ -109,8 +110,8 @@
 
     def _topology(self) -> Topology:
         return Topology(
-            balancer_zones={name: post.zone for name, post in self.posts.items()},
-            host_zones={name: store.zone for name, store in self.stores.items()},
+            balancer_zones={name: post.zone for name, post in self.balancers.items()},
+            host_zones={name: store.zone for name, store in self.servers.items()},
             zone_names=tuple(f"z{zone}" for zone in range(self.test.plan.cache.zones)),
         )
 
@@ -118,50 +119,52 @@
         if self.test.relays_to_hosts:
             self._add_host_relays()
         if self.test.plan.pool:
-            for name, post in self.posts.items():
-                self.links.add_datagram_relay(name, post.number, post.talks)
+            for name, post in self.balancers.items():
+                self.links.add_datagram_relay(name, post.number, post.gossip_address)
 
     def _add_host_relays(self) -> None:
-        host_ids = {store.address: store.id for store in self.stores.values()}
-        for host_number, store in enumerate(self.stores.values()):
-            for name, post in self.posts.items():
+        host_ids = {store.address: store.id for store in self.servers.values()}
+        for host_number, store in enumerate(self.servers.values()):
+            for name, post in self.balancers.items():
                 self.links.add_host_relay(name, post.number, store.id, host_number, store.address)
 
         def on_listener(address: Address, listens: bool) -> None:
             if address in host_ids:
-                for name in self.posts:
+                for name in self.balancers:
                     link = Link(name, host_ids[address])
                     self.links.relays[link].set_server_listens(listens)
 
-        assert isinstance(self.ground, Wires)
-        self.ground.heeds = on_listener
+        assert isinstance(self.network, LoopbackNetwork)
+        self.network.on_listener_change = on_listener
 
     # --- what the simulation's parts ask
 
-    def post(self, name: str, number: int, zone: int, decider: Decider) -> VirtualPost | RealPost:
+    def make_balancer(self, name: str, number: int, zone: int, decider: Decider) -> Balancer:
         """Make a balancer's place."""
-        return BalancerProcess(self, name, number, zone, self.launcher)
+        return ClusterBalancer(self, name, number, zone, self.policy, self.launcher)
 
-    def clients(self) -> Callers:
+    def make_clients(self) -> Callers:
         """Make the clients."""
         if not self.proposal_count:
             return Callers(self)
         return VersionClients(self, lambda: self.checker, self.recent_versions)
 
-    def told(self, post: Post, known: dict[str, Any]) -> dict[str, Any]:
+    def balancer_settings(
+        self, balancer: BalancerInstance, known: dict[str, Any]
+    ) -> dict[str, Any]:
         """Return a balancer's configuration, with relays in the place of other processes."""
-        config = super().told(post, known)
-        config["known"] = self.way_to_hosts(post.name, config["known"])
+        config = super().balancer_settings(balancer, known)
+        config["known"] = self.endpoint_list_for(balancer.name, config["known"])
         if self.controls:
-            addresses = [control.address_for(post.name) for control in self.controls]
+            addresses = [control.address_for(balancer.name) for control in self.controls]
             config["control"] = {
                 "at": [format_address(address) for address in addresses],
-                "dir": str(disk_faults.disk_folder(self.directory, post.name)),
+                "dir": str(disk_faults.disk_folder(self.directory, balancer.name)),
                 "alone": self.test.control.on_lost_quorum,
             }
         return config
 
-    def way_to_hosts(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
+    def endpoint_list_for(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
         """Return the endpoint list as a balancer gets it, with its own relays."""
         if not self.test.relays_to_hosts:
             return known
@@ -171,19 +174,19 @@
             hosts.append(entry | {"dial": format_address(relay.address)})
         return known | {"hosts": hosts}
 
-    def talk_part(self, post: Post) -> dict[str, Any]:
+    def gossip_settings(self, balancer: BalancerInstance) -> dict[str, Any]:
         """Return a balancer's settings of gossip; the others are heard by way of relays."""
         peers = [
             format_address(relay.address)
             for name, relay in self.links.datagram_relays.items()
-            if name != post.name
+            if name != balancer.name
         ]
-        return super().talk_part(post) | {"peers": peers}
+        return super().gossip_settings(balancer) | {"peers": peers}
 
-    def listed(self, work: Work) -> bool:
+    def is_rule_set_listed(self, work: Work) -> bool:
         """Return whether the settings that are being written have this class."""
         if not self.proposal_count:
-            return super().listed(work)
+            return super().is_rule_set_listed(work)
         return work.name in (COMMON_CLASS, class_of_version(self.configured_version))
 
     def recent_versions(self) -> list[int]:
@@ -201,7 +204,7 @@
 
         def report_unless_dead() -> None:
             self.look()
-            if not ask.left and self.lives(ask.balancer, ask.life):
+            if not ask.left and self.is_alive(ask.balancer, ask.life):
                 self.report_unanswered(ask, at_us)
 
         self.loop.call_later(SLACK_US, report_unless_dead)
@@ -211,17 +214,17 @@
     def settings_of_version(self, number: int) -> dict[str, Any]:
         """Return the settings that a proposal of this number has."""
         self.configured_version = number
-        first = next(iter(self.posts.values()))
-        settings: dict[str, Any] = super().told(first, {})["settings"]
+        first = next(iter(self.balancers.values()))
+        settings: dict[str, Any] = super().balancer_settings(first, {})["settings"]
         self.configured_version = 0
         return settings
 
-    def reload(self, post: VirtualPost | RealPost, number: int) -> None:
+    def reload(self, post: Balancer, number: int) -> None:
         """Write a balancer's file with the settings of a version, and send SIGHUP."""
         self.configured_version = number
-        text = json.dumps(self.told(post, self.known_of(post.name)))
+        text = json.dumps(self.balancer_settings(post, self.latest_endpoint_list(post.name)))
         self.configured_version = 0
-        post.hup(text.encode())
+        post.reload(text.encode())
 
     # --- processes
 
@@ -231,12 +234,12 @@
 
     def process_names(self) -> list[str]:
         """Return the names of all balancers and control processes."""
-        return [*self.posts, *(control.name for control in self.controls)]
+        return [*self.balancers, *(control.name for control in self.controls)]
 
     def process_of(self, name: str) -> subprocess.Popen[bytes]:
         """Return the process that was started last under a name."""
-        owner = self.posts[name] if name in self.posts else self.control(name)
-        assert isinstance(owner, BalancerProcess | ControlProcess)
+        owner = self.balancers[name] if name in self.balancers else self.control(name)
+        assert isinstance(owner, ClusterBalancer | ControlProcess)
         assert owner.process
         return owner.process
 
@@ -246,13 +249,13 @@
             control.address_for(OPERATOR)  # there to be cut before the first call
             control.start(self.controls)
         _, entries = self.listing.since(None, 1)
-        for post in self.posts.values():
-            post.begin({"seq": 1, "whole": True, "hosts": entries})
+        for post in self.balancers.values():
+            post.start({"seq": 1, "whole": True, "hosts": entries})
 
     def end_faults(self) -> None:
         """Heal all links and disks, resume what is stopped, start what is dead."""
         self.links.heal()
-        for name in self.posts:
+        for name in self.balancers:
             self._repair_balancer(name)
         for control in self.controls:
             disk_faults.free(disk_faults.disk_folder(self.directory, control.name))
@@ -264,22 +267,22 @@
 
     def _repair_balancer(self, name: str) -> None:
         disk_faults.free(disk_faults.disk_folder(self.directory, name))
-        post = self.posts[name]
-        if post.alive and post.stood and post.stood[-1][1] > self.loop.now + LONG_PAUSE_US:
+        post = self.balancers[name]
+        if post.alive and post.pauses and post.pauses[-1].end_us > self.loop.now + LONG_PAUSE_US:
             self.resume(name)
         if post.alive and self.process_of(name).poll() is not None:
-            post.gone()
+            post.mark_ended()
         if not post.alive:
-            post.begin(self.known_of(name))
+            post.start(self.latest_endpoint_list(name))
 
     def resume(self, name: str) -> None:
         """Let a stopped process go on; its late answers are not held against it."""
         self.process_of(name).send_signal(signal.SIGCONT)
-        if name not in self.posts:
+        if name not in self.balancers:
             return
-        post = self.posts[name]
-        stopped_us, _ = post.stood.pop()
-        post.stood.append((stopped_us, self.loop.now + 1_000_000))
+        post = self.balancers[name]
+        stopped_us = post.pauses.pop().start_us
+        post.pauses.append(Pause(stopped_us, self.loop.now + 1_000_000))
         for ask in self.referee.asks.values():
             if ask.balancer == name and not ask.status:
                 ask.due = self.loop.now + millis(ask.op.work.timeout_ms)
@@ -288,9 +291,13 @@
     def look(self) -> None:
         """Take note of processes and callers of control that have ended."""
         self.proposers.collect(self.loop.now)
-        for post in self.posts.values():
-            if post.alive and not post.leaving and self.process_of(post.name).poll() is not None:
-                post.gone()
+        for post in self.balancers.values():
+            if (
+                post.alive
+                and not post.is_shutting_down
+                and self.process_of(post.name).poll() is not None
+            ):
+                post.mark_ended()
         for control in self.controls:
             control.alive = control.alive and not control.has_ended()
 
@@ -329,10 +336,10 @@
         self.proposers.close()
         for control in self.controls:
             control.kill()
-        for post in self.posts.values():
-            if isinstance(post, BalancerProcess) and post.process:
+        for post in self.balancers.values():
+            if isinstance(post, ClusterBalancer) and post.process:
                 post.process.kill()
                 post.process.wait()
         self.links.close()
         super().close()
-        self.port_offset.close()
+        self.port_lock.close()
--- a/orchidgap/fault_tests/conditions.py
+++ b/orchidgap/fault_tests/conditions.py
@@ -26,7 +26,7 @@
             case ConditionKind.SECONDS_PASSED:
                 return cluster.loop.now - since_us >= micros(float(arguments[0]))
             case ConditionKind.ALL_UP:
-                return all(post.ready_at > 0 for post in cluster.posts.values() if post.alive)
+                return all(post.ready_at > 0 for post in cluster.balancers.values() if post.alive)
             case ConditionKind.PROPOSALS_ENDED:
                 return not cluster.proposers.running
             case ConditionKind.EVENT_LOGGED:
--- a/orchidgap/fault_tests/costs.py
+++ b/orchidgap/fault_tests/costs.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from orchidgap.fault_tests.cluster import Cluster
-from orchidgap.simulation.virtual_network import cpu_of
+from orchidgap.simulation.loopback_network import cpu_seconds_of
 
 SAMPLE_INTERVAL_US = 2_000_000
 MAX_STRETCH_SAMPLES = 7
@@ -61,11 +61,11 @@
         """Take a sample, now and again and again."""
         cluster = self.cluster
         cluster.loop.call_later(SAMPLE_INTERVAL_US, self.sample)
-        names = [name for name, post in cluster.posts.items() if post.alive]
+        names = [name for name, post in cluster.balancers.items() if post.alive]
         cpu_s = 0.0
         for name in names:
             with suppress(OSError, IndexError, ValueError):
-                cpu_s += cpu_of(cluster.process_of(name).pid)
+                cpu_s += cpu_seconds_of(cluster.process_of(name).pid)
         relayed_bytes = cluster.links.control_bytes()
         self.samples.append(CostSample(cluster.loop.now, cpu_s, relayed_bytes, len(names)))
 
--- a/orchidgap/fault_tests/final_checks.py
+++ b/orchidgap/fault_tests/final_checks.py
@@ -77,7 +77,7 @@
         request_class = class_of_version(self.checker.last_decided().number)
         since_us = cluster.loop.now
         lease_s = cluster.test.control.lease_ms / 1e3
-        for name in [name for name, post in cluster.posts.items() if post.alive]:
+        for name in [name for name, post in cluster.balancers.items() if post.alive]:
             spent_s = (cluster.loop.now - since_us) / 1e6
             wait_s = cluster.test.settle_s + SETTLE_LEASES * lease_s - spent_s
             is_served = partial(self.conditions.serves, name, request_class, since_us)
--- a/orchidgap/fault_tests/links.py
+++ b/orchidgap/fault_tests/links.py
@@ -12,7 +12,7 @@
 from orchidgap.fault_tests.relay import HEALTHY, LinkCondition, Relay
 from orchidgap.net.addresses import Address
 from orchidgap.net.loop import Loop
-from orchidgap.simulation.simulation import place
+from orchidgap.simulation.balancer_instance import address_suffix
 
 CONTROL_PORT = 7500
 HOST_PORT = 7071
@@ -68,7 +68,7 @@
         """Return where a client finds a control process: at a relay between the two."""
         link = Link(client, server)
         if link not in self.relays:
-            host = f"127.{CONTROL_RELAY_NETWORK + number}.{place(len(self.relays))}"
+            host = f"127.{CONTROL_RELAY_NETWORK + number}.{address_suffix(len(self.relays))}"
             relay_address = (host, CONTROL_PORT + self.port_offset)
             self.relays[link] = Relay(self.loop, relay_address, address, self.rng)
         return self.relays[link].address
@@ -77,7 +77,7 @@
         self, balancer: str, balancer_number: int, host: str, host_number: int, address: Address
     ) -> None:
         """Put a relay between a balancer and a host."""
-        relay_host = f"127.{HOST_RELAY_NETWORK + host_number}.{place(balancer_number)}"
+        relay_host = f"127.{HOST_RELAY_NETWORK + host_number}.{address_suffix(balancer_number)}"
         self.relays[Link(balancer, host)] = Relay(
             self.loop,
             (relay_host, HOST_PORT + self.port_offset),
@@ -88,7 +88,7 @@
 
     def add_datagram_relay(self, balancer: str, number: int, address: Address) -> None:
         """Put a relay in the place of a balancer, for datagrams of the others."""
-        relay_address = (f"127.{DATAGRAM_RELAY_NETWORK}.{place(number)}", address[1])
+        relay_address = (f"127.{DATAGRAM_RELAY_NETWORK}.{address_suffix(number)}", address[1])
         relay = DatagramRelay(self.loop, relay_address, address, self.rng)
         self.datagram_relays[balancer] = relay
 
--- a/orchidgap/fault_tests/random_faults.py
+++ b/orchidgap/fault_tests/random_faults.py
@@ -13,7 +13,7 @@
 def draw_fault(cluster: Cluster) -> Action:
     """Draw a fault that can happen now, at some balancer or control process."""
     rng = cluster.rng
-    balancer = rng.choice(list(cluster.posts))
+    balancer = rng.choice(list(cluster.balancers))
     control = rng.choice([process.name for process in cluster.controls])
     faults = [
         Action.of(ActionKind.CUT, balancer, ALL_CONTROL),
@@ -24,7 +24,7 @@
     ]
     if cluster.test.relays_to_hosts:
         faults += _host_link_faults(cluster, balancer)
-    if cluster.posts[balancer].alive:
+    if cluster.balancers[balancer].alive:
         signals = [Action.of(kind, balancer) for kind in SIGNAL_FAULTS]
         faults += signals * PROCESS_FAULT_WEIGHT
     faults += _control_faults(cluster, control)
@@ -34,7 +34,7 @@
 
 
 def _host_link_faults(cluster: Cluster, balancer: str) -> list[Action]:
-    host = cluster.rng.choice(list(cluster.stores))
+    host = cluster.rng.choice(list(cluster.servers))
     delay_ms = cluster.rng.randrange(5, 60)
     return [
         Action.of(ActionKind.CUT, balancer, ALL_HOSTS),
--- a/orchidgap/fault_tests/runner.py
+++ b/orchidgap/fault_tests/runner.py
@@ -57,12 +57,12 @@
         cluster.start = cluster.loop.clock()
         cluster.referee.start = cluster.start
         cluster.loop.call_later(LOOK_INTERVAL_US, self.costs.sample)
-        cluster.callers.end = cluster.start + micros(MAX_DURATION_S)
-        cluster.loop.call_soon(cluster.callers.arrive)
+        cluster.clients.end = cluster.start + micros(MAX_DURATION_S)
+        cluster.loop.call_soon(cluster.clients.arrive)
         cluster.loop.call_soon(self.decision_watch.poll)
 
     def _all_ready(self) -> bool:
-        return all(post.ready_at for post in self.cluster.posts.values())
+        return all(post.ready_at for post in self.cluster.balancers.values())
 
     def _run_steps(self) -> None:
         """Run the steps up to the first that is not seen in time."""
@@ -88,7 +88,7 @@
         cluster = self.cluster
         cluster.stretches.begin(NO_STRETCH)
         cluster.end_faults()
-        leaving = [post for post in cluster.posts.values() if post.leaving]
+        leaving = [post for post in cluster.balancers.values() if post.is_shutting_down]
         cluster.wait_until(
             lambda: not any(post.alive for post in leaving),
             TERMINATION_TIMEOUT_S,
@@ -102,5 +102,5 @@
         cluster = self.cluster
         cluster.checker.check()
         stretches = cluster.stretches.judge(cluster.checker.breach)
-        verdict = cluster.checker.verdict(cluster.judged()) | self.costs.report()
+        verdict = cluster.checker.verdict(cluster.build_verdict()) | self.costs.report()
         return verdict | {"stretches": stretches} if stretches else verdict
--- a/orchidgap/fault_tests/version_clients.py
+++ b/orchidgap/fault_tests/version_clients.py
@@ -7,7 +7,7 @@
 from orchidgap.fault_tests.plan import COMMON_CLASS, class_of_version
 from orchidgap.fault_tests.rollout_checker import RolloutChecker
 from orchidgap.simulation.clients import Callers
-from orchidgap.simulation.environment import Scene
+from orchidgap.simulation.environment import Environment
 from orchidgap.simulation.invariant_checker import Ask, Op
 
 RECENT_VERSION_RATIO = 0.8  # of requests for one version's class
@@ -19,12 +19,12 @@
 
     def __init__(
         self,
-        scene: Scene,
+        environment: Environment,
         checker: Callable[[], RolloutChecker],
         recent_versions: Callable[[], list[int]],
     ) -> None:
         """Ask for what `recent_versions` tells, and at times for all in the checker."""
-        super().__init__(scene)
+        super().__init__(environment)
         self.checker = checker
         self.recent_versions = recent_versions
 
@@ -44,7 +44,7 @@
 
     def unknown(self, ask: Ask) -> None:
         """Take an answer that the class is unknown for what it is: another version governs."""
-        self.scene.referee.aborted -= 1
+        self.environment.referee.aborted -= 1
         if ask.op.work.name == COMMON_CLASS:
             super().unknown(ask)
 
@@ -52,7 +52,7 @@
         """Choose evenly, also balancers that deny: which version governs them is the question."""
         names = [
             name
-            for name, post in self.scene.posts.items()
+            for name, post in self.environment.balancers.items()
             if post.alive and post.ready_at and name != but
         ]
         return self.rng.choice(names) if names else None
--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -15,7 +15,7 @@
 from orchidgap.net.addresses import Address
 from orchidgap.net.client_listener import ClientListener
 from orchidgap.net.discovery import Dial
-from orchidgap.net.handover import MigratingRequest
+from orchidgap.net.handover.ports import MigratingRequest
 from orchidgap.net.node import Node
 from orchidgap.resp.client import SlotServerConnectionPools
 from orchidgap.resp.config import RespConfig
--- a/orchidgap/resp/client.py
+++ b/orchidgap/resp/client.py
@@ -50,9 +50,9 @@
 
     def send(self, attempt: UpstreamAttempt) -> None:
         """Sends an attempt on the connection that waits for fewest answers, or on a new one."""
-        connection = min(self.links, key=lambda link: len(link.expected), default=None)
+        connection = min(self.connections, key=lambda link: len(link.expected), default=None)
         is_busy = connection is not None and bool(connection.expected)
-        may_dial = len(self.links) < MAX_CONNECTIONS_PER_SERVER
+        may_dial = len(self.connections) < MAX_CONNECTIONS_PER_SERVER
         if connection is None or (is_busy and may_dial):
             sock = self.pools.dial(self.address)
             if not isinstance(sock, AttemptFailure):
@@ -66,7 +66,7 @@
     def retire(self) -> None:
         """The server drains or has gone: commands under way may end, nothing else is sent."""
         self.retired = True
-        for connection in list(self.links):
+        for connection in list(self.connections):
             if not connection.expected or connection.conn.connecting:
                 connection.ended("host drains")
 
@@ -109,7 +109,7 @@
         idle = [
             connection
             for pool in self.by_host.values()
-            for connection in pool.links
+            for connection in pool.connections
             if not connection.expected
         ]
         if idle:
@@ -119,7 +119,7 @@
     def sweep(self) -> None:
         """Ends connections that do not answer; called at intervals."""
         for pool in list(self.by_host.values()):
-            for connection in list(pool.links):
+            for connection in list(pool.connections):
                 silent_us = self.loop.now - connection.received_at_us
                 is_up = not connection.conn.connecting
                 if connection.expected and is_up and silent_us > ANSWER_TIMEOUT_US:
