--- a/orchidgap/control/guarded_node.py
+++ b/orchidgap/control/guarded_node.py
@@ -83,7 +83,10 @@
     def put_policy_into_force(
         self, settings: Mapping[str, Any], config: BalancerConfig, accepting: bool
     ) -> None:
-        """Decide by these settings from the next request on.
+        """Decide by these settings from now on (see `Balancer.on_settings` for open requests).
+
+        `LeaseKeeper.adopt` calls it once the answers of a majority show that a newer version has
+        been decided.
 
         Args:
             settings: The policy's settings, which count when the file is read again.
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -290,7 +290,7 @@
             self.log("disk failing", why=failure)
 
     def adopt(self, document: Document) -> None:
-        """Decide by this policy from the next request on.
+        """Put a decided policy into force at the node, at once.
 
         Raises:
             InvalidPolicyError: It cannot be put into force here.
--- a/orchidgap/decisions/__init__.py
+++ b/orchidgap/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Everything that is decided, free of sockets, files, clocks and randomness of its own.
+"""All rules of the balancer, free of sockets, files, clocks and randomness of their own.
 
 A request runs down the pipeline admission, coalescing, placement, origin, dispatch; the outcomes of
 its attempts run up it. `balancer` has the entry points, `ports` what the host program does.
@@ -16,26 +16,28 @@
 | late attempts: hedge or cancel         | `dispatch`          | a host's last response          |
 | how many attempts a host may have      | `concurrency_limit` | latencies of its attempts       |
 | which cache holds far more than others | `load_reports`      | what caches report              |
-| which host rests                       | `outlier_ejection`  | failures, its retry budget      |
+| which host is ejected for a while      | `outlier_ejection`  | failures, its retry budget      |
 | whether a request may be tried again   | `retry_policy`      | its class and attempts          |
 | who owns a slot, as servers say        | `slot_map`          | slot maps and redirections      |
 | what other settings would decide       | `shadow`            | each decision                   |
 
+Why a request is rejected, and by which function: see the table in `request_table`.
+
 What each guards against:
 
 | module              | without it                                                        |
 | ------------------- | ----------------------------------------------------------------- |
-| `admission`         | one tenant takes the others' part; all wait instead of going away |
+| `admission`         | one tenant takes the others' share; all wait and nobody is denied |
 | `coalescing`        | after a flush everybody fetches the same keys from the origin     |
 | `placement`         | a host that fails keeps its keys; keys scatter in overload        |
 | `hash_ranges`       | keys move, and are fetched anew, whenever a cache comes or goes   |
-| `rebalancing`       | a crowded range stays crowded                                     |
-| `hot_keys`          | the owner of a hot key is crowded whatever its range              |
-| `slow_start`        | a cold cache is pushed over as it starts                          |
+| `rebalancing`       | an overloaded range stays overloaded                              |
+| `hot_keys`          | the owner of a hot key is overloaded whatever its range           |
+| `slow_start`        | a cold cache is overloaded as it starts                           |
 | `origin`            | the origin is flooded by misses                                   |
 | `dispatch`          | a silent host holds requests until their clients give up          |
-| `concurrency_limit` | a slow host is crowded until it gets nothing done                 |
-| `load_reports`      | many balancers that each see little crowd one cache               |
+| `concurrency_limit` | a slow host is overloaded until it gets nothing done              |
+| `load_reports`      | many balancers that each see little overload one cache            |
 | `outlier_ejection`  | requests go to a host that is gone until the list says so         |
 | `retry_policy`      | a write runs twice; retries multiply an overload                  |
 
--- a/orchidgap/decisions/admission.py
+++ b/orchidgap/decisions/admission.py
@@ -1,5 +1,7 @@
 """The first stage: whether a request is let in, and the answer to what no other stage served.
 
+This is one of several places that reject: `request_table` has the table of all reasons.
+
 Two rules turn requests away early, while a quick answer still helps their clients:
 
 - All are, while the oldest request that waits for a cache has waited over half of the latency
--- a/orchidgap/decisions/balancer.py
+++ b/orchidgap/decisions/balancer.py
@@ -157,7 +157,10 @@
             self.placement.load_reports.record(host, in_flight)
 
     def on_settings(self, settings: ServiceSettings) -> None:
-        """New settings count for requests from now on; open ones keep theirs."""
+        """Follow new settings at once; open requests keep their class and number of attempts.
+
+        Hedging, cancelling and the time to come back follow the new settings for open requests too.
+        """
         super().on_settings(settings)
         self.latency_objective_us = settings.latency_objective_us
         self.placement.ranges.by_weight = settings.uses_listed_weights
@@ -204,7 +207,10 @@
         self.origin.drain_queue()
 
     def start_queue_timer(self, request: Request) -> None:
-        """The request waits; with nothing in flight it is given up once its objective is over."""
+        """The request waits; with nothing in flight it is rejected once its objective is over.
+
+        Or `EARLY_EXPIRY_US` before its client gives up, if that is earlier.
+        """
         request.queued = True
         objective_us = request.received_at_us + request.request_class.latency_objective_us
         expires_at_us = min(objective_us, request.deadline_us - EARLY_EXPIRY_US)
--- a/orchidgap/decisions/hash_ranges.py
+++ b/orchidgap/decisions/hash_ranges.py
@@ -1,7 +1,7 @@
 """The hash space in one contiguous range a cache, and the formula that resizes ranges by load.
 
 From "Deduplicator: When Computation Reuse Meets Load Balancing at the Network Edge" (Al Azad and
-Mastorakis), section IV-A and equations 1 and 2. Where this departs from the paper is told in
+Mastorakis), section IV-A and equations 1 and 2. Where this departs from the paper is described in
 `docs/design.md`. Nothing here knows of time, settings or requests.
 """
 
--- a/orchidgap/decisions/host_list.py
+++ b/orchidgap/decisions/host_list.py
@@ -1,4 +1,4 @@
-"""How the list of hosts that discovery tells is merged into what is known."""
+"""How the list of hosts that discovery returns is merged into what is known."""
 
 from __future__ import annotations
 
--- a/orchidgap/decisions/lifecycle.py
+++ b/orchidgap/decisions/lifecycle.py
@@ -11,7 +11,8 @@
 | LEAVING | | | | | |
 
 RESUME leads back to STARTING in place of SERVING while no READY has come. `StateRules` says what
-holds in a state. All times are whole microseconds of one clock that never goes back.
+holds in a state; `net/node_lifecycle` carries it out, and `net/server` maps signals to events. All
+times are whole microseconds of one clock that never goes back.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 # Clients learn that a balancer leaves from its health answer. Until they have asked, they still
 # connect.
 SHUTDOWN_ACCEPT_US = 400_000
-# In a drain, a connection that asked nothing for so long is taken for idle and closed.
+# From the start of a drain until connections without a request are closed.
 DRAIN_IDLE_US = 1_000_000
 # After SHUT_DOWN, when each open request has its answer at the latest.
 MAX_ANSWER_US = 3_500_000
@@ -60,9 +61,8 @@
     is_ready: bool  # the answer to a health check
     accepts_for_us: int | None  # how long new connections are accepted; None for the whole state
     closes_after_answer: bool  # a connection is closed after its next answer
-    closes_idle_after_us: (
-        int | None
-    )  # when connections without a request are closed; None for never
+    # when connections without a request are closed, from the start of the state; None for never
+    closes_idle_after_us: int | None
     can_resume: bool  # an operator can end the drain
 
 
--- a/orchidgap/decisions/load_reports.py
+++ b/orchidgap/decisions/load_reports.py
@@ -1,4 +1,4 @@
-"""What hosts report to hold, and the cut of a cache that holds far more than the others.
+"""What hosts report of their load, and the lower limit of a cache that holds far more than others.
 
 What a host holds comes from all balancers: a few answers of one's own say less of it.
 """
--- a/orchidgap/decisions/outlier_ejection.py
+++ b/orchidgap/decisions/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""When a host gets nothing for a while, as its last attempts failed.
+"""When a host is ejected: it gets nothing for a while, as its last attempts failed.
 
 The list of hosts is seconds late and knows only whether a process runs; a failed attempt tells
 at once. One spoilt answer among many says nothing of the host: those use up its retry budget
@@ -21,7 +21,7 @@
 
 
 def should_eject(host: HostState, outcome: AttemptOutcome) -> bool:
-    """Whether a host rests after this outcome, one of `HOST_FAILURES`.
+    """Whether a host is ejected after this outcome, one of `HOST_FAILURES`.
 
     Its retry budget has paid for the outcome already.
     """
@@ -29,6 +29,6 @@
 
 
 def ejection_time_us(host: HostState, outcome: AttemptOutcome) -> int:
-    """How long it rests, in microseconds."""
+    """How long it is ejected, in microseconds."""
     is_short = outcome == AttemptOutcome.QUEUE_FULL or host.is_origin
     return SHORT_EJECTION_US if is_short else EJECTION_US
--- a/orchidgap/decisions/pipeline.py
+++ b/orchidgap/decisions/pipeline.py
@@ -42,7 +42,7 @@
         """Whether the request may have one more attempt, at this host (`retry_policy`)."""
 
     def reject(self, request: Request) -> None:
-        """Give the request up, with its final answer."""
+        """Give the request up, with its final answer (`request_table` has the reasons)."""
 
     def reject_if_idle(self, request: Request) -> None:
         """Give the request up, unless it is answered or an attempt of it is in flight."""
--- a/orchidgap/decisions/placement.py
+++ b/orchidgap/decisions/placement.py
@@ -3,8 +3,9 @@
 | rule                                                        | function                |
 | ----------------------------------------------------------- | ----------------------- |
 | The owner of the range serves the key.                      | `choose_host`           |
-| A neighbour does where the owner does not accept it.        | `choose_host`           |
-| A hot key goes by chance to its owner or to neighbours.     | `forward`               |
+| A neighbour does where the owner has failed the request.    | `choose_host`           |
+| So it does where the owner is ejected, full or cold.        | `accepts`               |
+| A hot key goes by chance to its owner or to neighbours.     | `_spread_hot_key`       |
 | A read that no cache accepts goes to an origin with time.   | `forward`               |
 | So does one whose miss could not be followed by a fetch.    | `is_last_chance`        |
 | What failed at a cache is retried at a cache.               | `on_attempt_done`       |
@@ -95,7 +96,7 @@
             # From above, so that fetches of one key are shared.
             request.cache_missed = True
             self.previous_stage.forward(request)
-        elif self.ring and self.ring[self.owner_index(request)].in_flight:
+        elif self.ring and self.ring[self.preferred_index(request)].in_flight:
             self.enqueue(request)
         else:  # nothing is in flight there that would make room
             self.context.reject(request)
@@ -106,7 +107,10 @@
         return is_last and not request.is_write and self.origin.has_spare_capacity()
 
     def choose_host(self, request: Request) -> HostState | None:
-        """The owner of the request's key, else the nearest neighbour that accepts it, if any does.
+        """The request's preferred cache, else the nearest neighbour that accepts it, if any does.
+
+        The preferred cache is the owner of the key's slot, unless the key is hot. It is passed over
+        where it has failed this request or `accepts` says no.
 
         Two neighbours on each side at most. They are the same for all requests of a range, so
         they soon keep its hot keys. Of two as near, the one on the side of the key's half of the
@@ -118,7 +122,7 @@
         ring = self.ring
         if not ring:
             return None
-        owner_index = self.owner_index(request)
+        owner_index = self.preferred_index(request)
         owner = ring[owner_index]
         tried = [
             attempt.host for attempt in request.attempts if attempt.outcome not in INNOCENT_OUTCOMES
@@ -137,8 +141,8 @@
                     return neighbour
         return None
 
-    def owner_index(self, request: Request) -> int:
-        """The request's cache, an index of the ring: its slot's owner or, if hot, a neighbour."""
+    def preferred_index(self, request: Request) -> int:
+        """Which cache of the ring is tried first: the slot's owner or, if hot, a neighbour."""
         owner_index = self.ranges.owner_index(request.slot)
         return (owner_index + request.owner_offset) % len(self.ring)
 
--- a/orchidgap/decisions/ports.py
+++ b/orchidgap/decisions/ports.py
@@ -19,10 +19,10 @@
         """Send the request to a host; its attempts are numbered from 0 in this order."""
 
     def deny(self, request: int, retry_after_us: int) -> None:
-        """Final answer: a retry is harmless, best after this time (0: no advice)."""
+        """Final answer: the client's own retry is harmless, best after this time (0: no advice)."""
 
     def abort(self, request: int) -> None:
-        """Final answer: it failed, and nothing is promised about its effect."""
+        """Final answer: it failed and may have run, so that a retry could run it twice."""
 
     def cancel(self, request: int, number: int) -> None:
         """Stop waiting for one attempt of the request."""
--- a/orchidgap/decisions/rebalancing.py
+++ b/orchidgap/decisions/rebalancing.py
@@ -5,7 +5,7 @@
 | even       | a change of the list                                                | moved      |
 | moved      | a quiet list: half way back to even, `EVEN_OUT_STEPS` times          | even       |
 | any        | enough attempts counted: half way to the paper's formula, by loads  | rebalanced |
-| rebalanced | a change of the list: as `HashRanges.set_ring` tells                | rebalanced |
+| rebalanced | a change of the list: as `HashRanges.set_ring` describes            | rebalanced |
 
 Few counts draw no table: each balancer would draw another one by chance, and keys would be kept
 twice. Even shares are the same for all.
--- a/orchidgap/decisions/request_table.py
+++ b/orchidgap/decisions/request_table.py
@@ -1,4 +1,23 @@
-"""All open requests and known hosts by id: outcomes are booked once, final answers given once."""
+"""All open requests and known hosts by id: outcomes are booked once, final answers given once.
+
+Whatever stage rejects a request calls `RequestTable.reject`. Reasons, and where each is decided:
+
+| reason                                                        | decided by                    |
+| ------------------------------------------------------------- | ----------------------------- |
+| its tenant is over its share under overload                   | `Admission.forward`           |
+| the oldest request that waits for a cache has waited too long | `Admission.forward`           |
+| no cache accepts it, and no attempt in flight will make room  | `Placement.forward`           |
+| the same of the server that owns its slot                     | `forward_to_slot_owner`       |
+| no origin may take it, or waiting for one would be too long   | `Origin.forward`              |
+| no origin may take it any more after it has waited            | `Origin.drain_queue`          |
+| it has used up its attempts                                   | `Dispatch.forward`            |
+| its last attempt failed, and no stage has another one for it  | `Admission.on_attempt_done`   |
+| it waited in a stage until its objective or its client's time | `Balancer.start_queue_timer`  |
+
+The client is denied where its own retry is harmless, else its request is aborted (`ports.Port`);
+`RetryPolicy.retry_after_us` decides which. What a request is answered before it comes here, or
+without the decisions, is listed in `docs/architecture.md`.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +62,7 @@
         self.hosts: dict[str, HostState] = {}
 
     def on_settings(self, settings: ServiceSettings) -> None:
-        """New settings count for requests from now on; open ones keep their class."""
+        """Follow new settings at once; open requests keep their class and number of attempts."""
         self.settings = settings
         self.retry_policy = RetryPolicy.from_settings(settings)
 
--- a/orchidgap/decisions/retry_policy.py
+++ b/orchidgap/decisions/retry_policy.py
@@ -1,4 +1,4 @@
-"""When a request may have another attempt, and what a client is told that gets none.
+"""When a request may have another attempt, and when its client may retry if it gets none.
 
 An attempt may have run unless its outcome proves that it did not (`records.NEVER_EXECUTED`).
 What the request's class says of running twice decides then:
@@ -10,7 +10,19 @@
 | neither           | none                                                                  |
 
 A host's retry budget keeps retries a share of what it gets done: retries spend it and answers
-earn it.
+earn it. All conditions of a further attempt, with those that the stages check:
+
+| condition                                                    | checked by                       |
+| ------------------------------------------------------------ | -------------------------------- |
+| no final answer; nothing in flight, unless it may be hedged  | `RetryPolicy.allows`             |
+| attempts are left, and one more is safe (the table above)    | `allows_attempt_after`           |
+| a retry: after one of `RETRYABLE_OUTCOMES`, or a cancel      | `on_attempt_done` of the stages  |
+| a retry at a cache: the next cache has retry budget          | `Placement._retry`               |
+| a hedged request: the attempt is late, its host answers      | `Dispatch.is_lost`               |
+| a hedged request: the host accepts it and has retry budget   | `Dispatch._hedge`                |
+
+After a miss or a redirection the next attempt is no retry, and spends no budget. Nor does a retry
+at an origin, or one after a kept connection broke.
 """
 
 from __future__ import annotations
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -1,7 +1,7 @@
 """The service's settings, decoded once into typed records.
 
 The operators' names of settings, and the words that may stand there, are in this module only (those
-that sockets alone need are in `net/config.py`). They come as a flat map from path to text,
+that sockets alone need are in `net/config/`). They come as a flat map from path to text,
 `rule-sets.0.name` to `read`. Settings that are not named here are left aside.
 """
 
--- a/orchidgap/decisions/slow_start.py
+++ b/orchidgap/decisions/slow_start.py
@@ -1,8 +1,8 @@
 """How much a cache gets that has just started, and is cold.
 
-A cold cache serves a part of its capacity. The part rises evenly from the stated fraction, the
-slowest that is promised. Each balancer sends it a share of what it sent itself, so all together
-stay below the present capacity without any agreement.
+A cold cache serves a part of its capacity. The part rises linearly from the fraction in the
+settings, which is the slowest rise that caches promise. Each balancer sends it a share of what it
+sent itself, so all together stay below the present capacity without any agreement.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
         The chance is its share, by weight, of what was placed since its last chance, times its
         present capacity. What was asked and denied does not count, and no chance is saved up:
-        both would push a cold cache over.
+        both would overload a cold cache.
 
         Args:
             host: One that is cold.
--- a/orchidgap/http1/__init__.py
+++ b/orchidgap/http1/__init__.py
@@ -24,14 +24,18 @@
 class Http1:
     """The parts of a node that speaks HTTP/1.1 to clients, hosts and discovery."""
 
-    def make_listener(self, node: Node, most: int) -> ClientListener:
+    def make_listener(self, node: Node, max_clients: int) -> ClientListener:
         """Returns the clients' side, with so many connections at most."""
-        return ClientListener(node.loop, node, most, Http1ClientConnection)
+        return ClientListener(node.loop, node, max_clients, Http1ClientConnection)
 
-    def make_pools(self, node: Node, most: int, dial: Dial) -> HostConnectionPools:
+    def make_pools(self, node: Node, max_connections: int, dial: Dial) -> HostConnectionPools:
         """Returns the hosts' side, with so many connections at most."""
         return HostConnectionPools(
-            node.loop, most, node.config.connect_timeout_us, node.config.idle_timeout_us, dial
+            node.loop,
+            max_connections,
+            node.config.connect_timeout_us,
+            node.config.idle_timeout_us,
+            dial,
         )
 
     def migrating_requests(self, node: Node) -> Iterator[MigratingRequest]:
--- a/orchidgap/http1/chunked_encoding.py
+++ b/orchidgap/http1/chunked_encoding.py
@@ -1,7 +1,7 @@
 """Position in a body with chunked transfer coding (RFC 9112, section 7.1).
 
-The parser does not tell where in the framing it stands. `ChunkTracker` follows beside it, so that
-another process can go on with a body from the middle.
+The parser does not say where in the framing it stands. `ChunkTracker` follows the same bytes,
+so that another process can go on with a body from the middle.
 
 | state | next |
 | --- | --- |
--- a/orchidgap/http1/discovery.py
+++ b/orchidgap/http1/discovery.py
@@ -1,6 +1,6 @@
 """Discovery's list of hosts: fetched whole, then watched for changes, on one connection.
 
-What discovery has to tell has to be here within 6 s, whichever calls fail on the way. A watch that
+A change of the list has to arrive within 6 s, whichever calls fail on the way. A watch that
 has fallen silent is noticed in 4 s at most. Then a lost call costs 1 s, each one behind it 2 s, and
 one that fails 1 s at most. While discovery is down it is silent, and whoever has a call open at its
 return is answered at once: so silence is followed by the next call within `MAX_RETRY_GAP_US`, and
--- a/orchidgap/net/body_stream.py
+++ b/orchidgap/net/body_stream.py
@@ -1,4 +1,4 @@
-"""Bodies too large to be kept: they pass from one connection to another, with back-pressure."""
+"""Bodies too large to be buffered: they pass from connection to connection, with back-pressure."""
 
 from __future__ import annotations
 
--- a/orchidgap/net/config/__init__.py
+++ b/orchidgap/net/config/__init__.py
@@ -1,4 +1,4 @@
-"""What the program is told at start: one JSON file, named by GW_CONFIG."""
+"""The configuration: one JSON file, named by GW_CONFIG, read at start and at SIGHUP."""
 
 from orchidgap.errors import ConfigError
 from orchidgap.net.config.model import BalancerConfig, keep_until_restart
--- a/orchidgap/net/config/optional_parts.py
+++ b/orchidgap/net/config/optional_parts.py
@@ -1,8 +1,8 @@
-"""Parts of the configuration that a file may leave out: control, gossip, settings to be evaluated
-beside.
+"""Parts of the configuration that a file may leave out: control, gossip, settings for shadow
+evaluation.
 
 Each function gives None where the file has no such part, and raises SettingError where the part is
-no good.
+invalid.
 """
 
 from __future__ import annotations
--- a/orchidgap/net/dialing.py
+++ b/orchidgap/net/dialing.py
@@ -1,4 +1,4 @@
-"""Sockets on their way to an address, and sockets that listen."""
+"""Opens sockets: connections to an address, and listeners."""
 
 from __future__ import annotations
 
--- a/orchidgap/net/discovery.py
+++ b/orchidgap/net/discovery.py
@@ -1,4 +1,4 @@
-"""Who tells the node which hosts there are."""
+"""The interface of discovery: what gives the node its list of hosts."""
 
 from __future__ import annotations
 
--- a/orchidgap/net/handover/sibling.py
+++ b/orchidgap/net/handover/sibling.py
@@ -1,4 +1,4 @@
-"""The other process of this balancer: what it has told, and what it was told."""
+"""The other process of this balancer, as this one sees it: what each has told the other."""
 
 from __future__ import annotations
 
--- a/orchidgap/net/loop.py
+++ b/orchidgap/net/loop.py
@@ -1,4 +1,4 @@
-"""The one loop: what is ready, what is due, what comes next. It knows nothing of what it runs."""
+"""The event loop: sockets that are ready, timers that are due, and calls that come next."""
 
 from __future__ import annotations
 
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -44,11 +44,11 @@
 class ProtocolParts(Protocol):
     """One protocol, as far as the node needs it."""
 
-    def make_listener(self, node: Node, most: int) -> ClientListener:
-        """The clients' side, of `most` clients at a time."""
+    def make_listener(self, node: Node, max_clients: int) -> ClientListener:
+        """The clients' side, of at most `max_clients` at a time."""
 
-    def make_pools(self, node: Node, most: int, dial: Dial) -> ConnectionPools[Any]:
-        """The hosts' side, of `most` connections."""
+    def make_pools(self, node: Node, max_connections: int, dial: Dial) -> ConnectionPools[Any]:
+        """The hosts' side, of at most `max_connections`."""
 
     def make_discovery(self, node: Node, dial: Dial) -> HostDiscovery:
         """Who tells of hosts."""
@@ -76,9 +76,9 @@
         event_log: EventLog,
         protocol: ProtocolParts,
         dial: Dial = dial,
-        decider: Callable[..., Any] = Balancer,
+        make_balancer: Callable[..., Any] = Balancer,
     ) -> None:
-        """`decider` makes what decides; whatever it makes has the methods of a `Balancer`."""
+        """`make_balancer` makes the decisions; its result has the methods of a `Balancer`."""
         self.loop = loop
         self.event_log = event_log
         self.config = config
@@ -95,7 +95,7 @@
         self.pools = protocol.make_pools(self, INITIAL_CONNECTIONS, dial)
         self.set_descriptor_limit(config.descriptors)
         self.set_response_hold()
-        self.balancer: Balancer = decider(config.settings, self, config.seed, loop.now)
+        self.balancer: Balancer = make_balancer(config.settings, self, config.seed, loop.now)
         self.discovery = protocol.make_discovery(self, dial)
 
     def start(self) -> None:
@@ -287,8 +287,10 @@
         return True, self.balancer.summary()
 
     def apply_config(self, config: BalancerConfig) -> None:
-        """New settings count for requests from now on; what cannot change while it runs waits for
-        the next start.
+        """Follow a new configuration; open requests keep their class and number of attempts.
+
+        What cannot change while it runs (`RESTART_ONLY_FIELDS` and `STARTUP_SETTINGS`) is logged,
+        and waits for the next start.
         """
         old = self.config
         self.config, waiting = keep_until_restart(old, config)
--- a/orchidgap/net/node_lifecycle.py
+++ b/orchidgap/net/node_lifecycle.py
@@ -1,4 +1,8 @@
-"""The life of a node: what operators and signals ask of it, and how its clients are let go."""
+"""A node's drain and shutdown, as operators or signals ask: how its clients are let go.
+
+The states and their times are those of `decisions/lifecycle`. SIGTERM and SIGINT come here by
+`net/server.handle_signals`.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +44,7 @@
         """Whether it serves."""
         return self.is_ready(), self.lifecycle.state.value
 
-    def quiesce(self) -> tuple[bool, str]:
+    def drain(self) -> tuple[bool, str]:
         """Have all clients go elsewhere, none of them unanswered."""
         self.transition(LifecycleEvent.DRAIN)
         return True, self.lifecycle.state.value
@@ -54,7 +58,12 @@
     # --- from state to state
 
     def begin_shutdown(self) -> None:
-        """Answer what is open, let clients go, and end."""
+        """SIGTERM or SIGINT: answer what is open, let clients go, and end.
+
+        Health checks fail from now on, and each answer is the last of its connection, unless a
+        newer process takes the connections over. `drain_step` follows the times of `Lifecycle`; a
+        second signal changes nothing.
+        """
         self.transition(LifecycleEvent.SHUT_DOWN)
 
     def transition(self, event: LifecycleEvent) -> None:
--- a/orchidgap/net/request_handler.py
+++ b/orchidgap/net/request_handler.py
@@ -74,9 +74,8 @@
         slot: int = -1,
         upload: Upload | None = None,
     ) -> None:
-        """Take a request. Sets `caller.pending_request`, and has `caller.answer` called once.
+        """Take a request. Sets `responder.pending_request`; `responder.answer` is called once.
 
-        `left` is the time that the client waits, in microseconds; a slot below 0 is drawn from the
-        key. A body that flows is not in `body`; `pending_request.on_body_complete` is called at
-        its end.
+        `time_remaining_us` is how long the client waits; a slot below 0 is taken from the key. A
+        body that flows is not in `body`; `pending_request.on_body_complete` is called at its end.
         """
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -54,7 +54,7 @@
 def serve(
     path: str | None,
     protocol_for: Callable[[BalancerConfig], ProtocolParts],
-    decider: Callable[..., Any] = Balancer,
+    make_balancer: Callable[..., Any] = Balancer,
     make_guarded_node: GuardedNodeFactory | None = None,
     make_gossip: GossipFactory | None = None,
 ) -> None:
@@ -63,7 +63,7 @@
     Args:
         path: The configuration's file.
         protocol_for: What is spoken.
-        decider: What decides.
+        make_balancer: Makes the decisions; what it returns has the methods of a `Balancer`.
         make_guarded_node: Makes a node that serves by control's leases, where that is asked for.
         make_gossip: Makes what talks to other balancers, where that is asked for.
 
@@ -76,15 +76,15 @@
     log = EventLog(balancer_config.name)
     loop = Loop(on_error=log.exception)
     if balancer_config.shadow_settings:
-        decider = partial(ShadowBalancer, balancer_config.shadow_settings)
+        make_balancer = partial(ShadowBalancer, balancer_config.shadow_settings)
     protocol = protocol_for(balancer_config)
     holder: LeaseHolder | None = None
     if balancer_config.control and make_guarded_node:
         node, holder = make_guarded_node(
-            path, loop, balancer_config, log, protocol, decider=decider
+            path, loop, balancer_config, log, protocol, make_balancer=make_balancer
         )
     else:
-        node = Node(loop, balancer_config, log, protocol, decider=decider)
+        node = Node(loop, balancer_config, log, protocol, make_balancer=make_balancer)
     wakeup = handle_signals(loop, node, path)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP,))
     if balancer_config.admin:
@@ -110,7 +110,7 @@
         loop,
         {
             admin_protocol.HEALTH: node.health,
-            admin_protocol.DRAIN: node.quiesce,
+            admin_protocol.DRAIN: node.drain,
             admin_protocol.RESUME: node.resume,
             admin_protocol.SHADOW_REPORT: node.shadow_report,
         },
@@ -164,7 +164,7 @@
 
 
 def handle_signals(loop: Loop, node: Node, path: str | None) -> socket.socket:
-    """Have the node heed signals, as long as the socket returned is kept."""
+    """SIGHUP reloads the file, SIGTERM and SIGINT shut down, while the socket returned is kept."""
 
     def on_signals(numbers: bytes) -> None:
         if signal.SIGHUP in numbers:
@@ -176,7 +176,11 @@
 
 
 def reload_config(node: Node, path: str | None) -> None:
-    """Read the file again. One that cannot be used, or is only half there, changes nothing."""
+    """Read the file again. One that cannot be used, or is only half there, changes nothing.
+
+    `Node.apply_config` says what takes hold when. Where control decides the policy, that counts in
+    place of the file's settings, and only the rest of the file is followed.
+    """
     try:
         node.apply_config(config.read(path, node.config, node.settings))
     except ConfigError as error:
--- a/orchidgap/net/signals.py
+++ b/orchidgap/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals that wake a loop."""
+"""Delivers signals to a loop. What each of them does stands in `net/server.handle_signals`."""
 
 from __future__ import annotations
 
--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -39,20 +39,20 @@
         self.connection_count = 0
         self.slot_discovery: SlotDiscovery | None = None
 
-    def make_listener(self, node: Node, most: int) -> ClientListener:
+    def make_listener(self, node: Node, max_clients: int) -> ClientListener:
         """Returns the clients' side, with so many connections at most."""
 
         def make(listener: ClientListener, sock: socket.socket) -> RespClientConnection:
             self.connection_count += 1
             return RespClientConnection(listener, sock, self.config, self.connection_count)
 
-        return ClientListener(node.loop, node, most, make)
+        return ClientListener(node.loop, node, max_clients, make)
 
-    def make_pools(self, node: Node, most: int, dial: Dial) -> SlotServerConnectionPools:
+    def make_pools(self, node: Node, max_connections: int, dial: Dial) -> SlotServerConnectionPools:
         """Returns the hosts' side, with so many connections at most."""
         return SlotServerConnectionPools(
             node.loop,
-            most,
+            max_connections,
             node.config.connect_timeout_us,
             self.config.secret,
             dial,
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -183,7 +183,7 @@
                 share,
                 {
                     admin_protocol.HEALTH: node.health,
-                    admin_protocol.DRAIN: node.quiesce,
+                    admin_protocol.DRAIN: node.drain,
                     admin_protocol.RESUME: node.resume,
                 },
             )
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -16,7 +16,7 @@
         net.loop,
         {
             "health": net.node.health,
-            "quiesce": net.node.quiesce,
+            "quiesce": net.node.drain,
             "resume": net.node.resume,
             "watch": net.node.shadow_report,
         },
--- a/tests/net/test_node_lifecycle.py
+++ b/tests/net/test_node_lifecycle.py
@@ -50,7 +50,7 @@
     idle, busy = net.send_request("k1"), net.send_request("k2")
     net.answer_from_host(net.host_socket(0))
     assert "close" not in received_text(idle)
-    net.node.quiesce()
+    net.node.drain()
     asked, late = net.send_request("k3"), net.send_request("k4")
     net.advance(500_000)
     assert received_text(idle) is None and net.node.clients.listening_socket is None
@@ -87,7 +87,7 @@
     )
     net.answer_from_host(net.host_socket(0))
     received_text(idle)
-    net.node.quiesce()
+    net.node.drain()
     net.advance(990_000)
     assert received_text(idle) is None
     net.advance(20_000)
@@ -115,7 +115,7 @@
 def test_after_a_resume_all_is_as_before():
     """A drain is ended by hand. Connections are kept again."""
     net = NodeHarness()
-    net.node.quiesce()
+    net.node.drain()
     net.advance(2_000_000)
     net.node.resume()
     client = net.send_request("k1")
@@ -127,7 +127,7 @@
     net.turn()
     net.answer_all()
     assert received_text(client).startswith("HTTP/1.1 200")
-    net.node.quiesce()
+    net.node.drain()
     net.node.resume()
     net.advance(5_000_000)
     assert received_text(client) is None, "what the first drain had set up is off"
--- a/tests/net/test_response_streaming.py
+++ b/tests/net/test_response_streaming.py
@@ -260,7 +260,7 @@
     net = NodeHarness(1)
     client, far = net.send_request("k"), net.host_socket()
     net.send_and_turn(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
-    net.node.quiesce()
+    net.node.drain()
     net.advance(4_000_000)
     assert net.node.lifecycle.state.value == "draining"
     net.send_and_turn(far, b"x" * 99_995)
--- a/tests/simulation/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -16,9 +16,9 @@
 TRIALS = Path(__file__).parents[2] / "trials"
 
 
-def in_step(self, req, owner_index=Placement.owner_index):
+def in_step(self, req, preferred_index=Placement.preferred_index):
     """In one tenth of each second all balancers send all that they have to one cache."""
-    return 0 if self.context.now // 100_000 % 10 == 0 else owner_index(self, req)
+    return 0 if self.context.now // 100_000 % 10 == 0 else preferred_index(self, req)
 
 
 def not_me(self, host, accepts=Placement.accepts):
@@ -34,7 +34,7 @@
         "quarter",
         "calm: most",
     ),
-    "all at one moment": (Placement, "owner_index", in_step, "calm", "calm: herd"),
+    "all at one moment": (Placement, "preferred_index", in_step, "calm", "calm: herd"),
     "ranges stay as a release left them": (
         rebalancing,
         "EVEN_OUT_STEPS",
