--- a/orchidgap/simulation/balancer_instance.py
+++ b/orchidgap/simulation/balancer_instance.py
@@ -257,7 +257,7 @@
         if self.environment.front.on:
             commands = {
                 admin_protocol.HEALTH: node.health,
-                admin_protocol.DRAIN: node.quiesce,
+                admin_protocol.DRAIN: node.drain,
                 admin_protocol.RESUME: node.resume,
             }
             admin = AdminServer(loop, commands)
