--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -623,7 +623,7 @@
 
     def do_hosts(self, host: str, health: str) -> None:
         """The list changes beside it."""
-        self.listing.put(host, health)
+        self.discovery.set_health(host, health)
 
     def do_measure(self, name: str) -> None:
         """The stretch before ends, this one begins."""
@@ -747,7 +747,7 @@
             for control in self.controls:
                 self.way_to("shell", control)  # there to be cut before the first call
                 control.begin()
-            _, entries = self.listing.since(None, 1)
+            _, entries = self.discovery.changes_since(None, 1)
             for post in self.balancers.values():
                 post.start({"seq": 1, "whole": True, "hosts": entries})
             self.until(
--- a/orchidgap/simulation/discovery_server.py
+++ b/orchidgap/simulation/discovery_server.py
@@ -1,9 +1,13 @@
-"""Stand-in discovery: the list of hosts, its versions, and an agent for each balancer that can be watched."""
+"""Stand-in discovery: the endpoint list with its versions, and an agent for each balancer.
+
+An agent answers polls at once and holds a watch until the list changes or its time is up.
+Times are in microseconds of the loop's clock, unless a name says otherwise.
+"""
 
 from __future__ import annotations
 
 import socket
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 import orjson
@@ -16,218 +20,278 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-MOST_CALLS = 40  # a second, from one balancer: news come faster than that nowhere
-PRESUMED = (
-    6_000_000  # what there is to tell counts as told this much later, to one that does not ask
-)
-STATES = {"Ready": "up", "Terminating": "draining", "Gone": "gone"}
+MAX_CALLS_PER_SECOND = 40  # from one balancer: no list changes that often
+PRESUMED_KNOWN_AFTER_US = 6_000_000  # a change counts as known then, also to one that does not ask
+DELAY_SPREAD = (0.7, 1.3)  # of the delays before a change is listed
+
+READY = "Ready"
+GONE = "Gone"
+CHECKER_STATES = {READY: "up", "Terminating": "draining", GONE: "gone"}
+
+Entry = dict[str, Any]  # one host, with the keys of the operators' protocol
+
 
+class EndpointList(NamedTuple):
+    """A version of the list and the hosts in it."""
 
-class Listing:
-    """What discovery knows: an entry for each host, and in which version each last changed."""
+    version: int
+    entries: list[Entry]
+
+
+class DiscoveryServer:
+    """An entry for each host, and in which version each last changed."""
 
     def __init__(self, environment: Environment) -> None:
-        self.environment, self.loop = environment, environment.loop
-        self.seq = 1
-        self.entries: dict[str, dict[str, Any]] = {}
-        self.changed: dict[str, int] = {}
-        self.agents: dict[str, Agent] = {}
-        self.times: list[tuple[int, int]] = [(1, 0)]  # of each version
+        """Start with an empty list, of version 1."""
+        self.environment = environment
+        self.loop = environment.loop
+        self.version = 1
+        self.entries: dict[str, Entry] = {}
+        self.changed_in: dict[str, int] = {}
+        self.agents: dict[str, DiscoveryAgent] = {}
+        self.version_times: list[tuple[int, int]] = [(1, 0)]
 
     def add(
-        self, id: str, address: Address, kind: str, zone: int, rating: float, born: int
+        self, host: str, address: Address, kind: str, zone: int, rating: float, born: int
     ) -> None:
-        self.entries[id] = {
-            "host": id,
+        """List a host that is ready; `rating` is its share of the load beside the others."""
+        self.entries[host] = {
+            "host": host,
             "dial": f"{address[0]}:{address[1]}",
             "site": f"z{zone}",
             "class": kind,
-            "block": id,
-            "health": "Ready",
+            "block": host,
+            "health": READY,
             "share": round(rating, 3),
             "born_ms": born // 1000,
         }
-        self.changed[id] = self.seq
-
-    def put(self, id: str, health: str) -> None:
-        entry, store = self.entries[id], self.environment.servers[id]
-        born = store.born // 1000
-        if health == "Ready" and (not store.alive or store.vanished):
-            return  # it ended again before it was listed
-        if (entry["health"], entry["born_ms"]) != (health, born):
-            entry["health"], entry["born_ms"] = health, born
-            self.seq += 1
-            self.changed[id] = self.seq
-            self.times.append((self.seq, self.loop.now))
-            self.environment.referee.event(self.loop.now, f"list: {id} {health}")
-            for agent in self.agents.values():
-                agent.stir()
-                self.loop.call_later(PRESUMED, agent.presume, self.seq)
-
-    def put_later(self, id: str, health: str, seconds: float) -> None:
-        self.loop.call_later(
-            micros(seconds * self.environment.rng.uniform(0.7, 1.3)), self.put, id, health
-        )
-
-    def gone_later(self, id: str, seconds: float) -> None:
-        self.loop.call_later(
-            micros(seconds * self.environment.rng.uniform(0.7, 1.3)), self.gone_if_so, id
-        )
-
-    def gone_if_so(self, id: str) -> None:
-        store = self.environment.servers[id]
-        if not store.alive or store.vanished:
-            self.put(id, "Gone")
-
-    def seen(self, late: int) -> int:
-        """The version that is told by one that is so many microseconds behind."""
-        if not late:
-            return self.seq
-        return max(seq for seq, at in self.times if at <= self.loop.now - late)
-
-    def since(self, after: int | None, upto: int) -> tuple[bool, list[dict[str, Any]]]:
-        """Whether it is the whole list, and the entries of it."""
-        if after is None or after > self.seq:
-            return True, [
-                dict(entry) for entry in self.entries.values() if entry["health"] != "Gone"
-            ]
-        return False, [
-            dict(entry) for id, entry in self.entries.items() if after < self.changed[id] <= upto
+        self.changed_in[host] = self.version
+
+    def set_health(self, host: str, health: str) -> None:
+        """List a host with another health; one that ended again is not listed as ready."""
+        entry = self.entries[host]
+        server = self.environment.servers[host]
+        born_ms = server.born // 1000
+        if health == READY and (not server.alive or server.vanished):
+            return
+        if (entry["health"], entry["born_ms"]) == (health, born_ms):
+            return
+        entry["health"] = health
+        entry["born_ms"] = born_ms
+        self.version += 1
+        self.changed_in[host] = self.version
+        self.version_times.append((self.version, self.loop.now))
+        self.environment.referee.event(self.loop.now, f"list: {host} {health}")
+        for agent in self.agents.values():
+            agent.on_change()
+            self.loop.call_later(PRESUMED_KNOWN_AFTER_US, agent.presume_known, self.version)
+
+    def draw_delay_us(self, seconds: float) -> int:
+        """Draw a delay around so many seconds."""
+        return micros(seconds * self.environment.rng.uniform(*DELAY_SPREAD))
+
+    def set_health_later(self, host: str, health: str, seconds: float) -> None:
+        """List a host with another health after about so many seconds."""
+        self.loop.call_later(self.draw_delay_us(seconds), self.set_health, host, health)
+
+    def remove_later(self, host: str, seconds: float) -> None:
+        """Take a host off after about so many seconds, where it is not back by then."""
+        self.loop.call_later(self.draw_delay_us(seconds), self.remove_if_down, host)
+
+    def remove_if_down(self, host: str) -> None:
+        """Take a host off the list, where it does not run or cannot be reached."""
+        server = self.environment.servers[host]
+        if not server.alive or server.vanished:
+            self.set_health(host, GONE)
+
+    def version_before(self, lag_us: int) -> int:
+        """Return the version that an agent knows which is so far behind."""
+        if not lag_us:
+            return self.version
+        known_until = self.loop.now - lag_us
+        return max(version for version, at in self.version_times if at <= known_until)
+
+    def changes_since(self, after: int | None, up_to: int) -> tuple[bool, list[Entry]]:
+        """Return whether it is the whole list, and copies of its entries."""
+        if after is None or after > self.version:
+            listed = [entry for entry in self.entries.values() if entry["health"] != GONE]
+            return True, [dict(entry) for entry in listed]
+        changed = [
+            entry for host, entry in self.entries.items() if after < self.changed_in[host] <= up_to
         ]
-
-
-class Agent:
-    """Discovery's agent on a balancer's machine."""
-
-    def __init__(self, listing: Listing, balancer: str, address: Address) -> None:
-        self.listing, self.balancer, self.loop = listing, balancer, listing.loop
-        # silent; microseconds behind; the version it stays at
-        self.gone, self.late, self.frozen = False, 0, 0
-        self.crowded = 0.0  # the part of connections that are turned away
-        self.calls = (0, 0)  # the second, and how often it was asked in that
-        self.told_seq = 0
-        self.links: dict[AgentLink, None] = {}
-        # what the balancer would remember over a restart
-        self.last: tuple[int, list[dict[str, Any]]] = (1, [])
-        listing.environment.network.listen(address, self.accept)
-
-    def accept(self, sock: socket.socket, who: str) -> None:
-        if self.crowded and self.listing.environment.rng.random() < self.crowded:
-            self.count()
-            return sock.close()  # overbooked: whoever comes now is turned away
-        self.links[AgentLink(self, sock)] = None
-
-    def count(self) -> None:
-        """A call: so many in a second from one balancer add up to too many from all."""
-        referee, second = self.listing.environment.referee, self.loop.now // 1_000_000
-        referee.lists += 1
-        self.calls = (second, self.calls[1] + 1) if self.calls[0] == second else (second, 1)
-        if self.calls[1] == MOST_CALLS + 1:
-            why = f"discovery: {self.balancer} asked more than {MOST_CALLS} times in a second"
-            referee.breach("cold", self.loop.now, why)
-
-    def stir(self) -> None:
-        if self.gone or self.frozen:
+        return False, [dict(entry) for entry in changed]
+
+
+class DiscoveryAgent:
+    """Discovery's agent on a balancer's machine.
+
+    `latest` is the list that the balancer would remember over a restart. `rejection_ratio` is
+    the part of connections that are closed at once.
+    """
+
+    def __init__(self, server: DiscoveryServer, balancer: str, address: Address) -> None:
+        """Listen at the address that the balancer polls."""
+        self.server = server
+        self.balancer = balancer
+        self.loop = server.loop
+        self.silent = False
+        self.lag_us = 0
+        self.frozen_version = 0  # 0 where it is not frozen
+        self.rejection_ratio = 0.0
+        self.call_second = 0
+        self.calls_in_second = 0
+        self.notified_version = 0
+        self.connections: dict[AgentConnection, None] = {}
+        self.latest = EndpointList(1, [])
+        server.environment.network.listen(address, self.accept)
+
+    def accept(self, sock: socket.socket, name: str) -> None:
+        """Serve a connection, or close it where the agent is overloaded."""
+        rng = self.server.environment.rng
+        if self.rejection_ratio and rng.random() < self.rejection_ratio:
+            self.count_call()
+            return sock.close()
+        self.connections[AgentConnection(self, sock)] = None
+        return None
+
+    def count_call(self) -> None:
+        """Count a call; it is a breach where one balancer makes too many in a second."""
+        checker = self.server.environment.referee
+        second = self.loop.now // 1_000_000
+        checker.lists += 1
+        if second != self.call_second:
+            self.call_second = second
+            self.calls_in_second = 0
+        self.calls_in_second += 1
+        if self.calls_in_second == MAX_CALLS_PER_SECOND + 1:
+            limit = f"more than {MAX_CALLS_PER_SECOND} times in a second"
+            why = f"discovery: {self.balancer} asked {limit}"
+            checker.breach("cold", self.loop.now, why)
+
+    def on_change(self) -> None:
+        """Answer watches once this agent hears of a change."""
+        if self.silent or self.frozen_version:
             return
-        if self.late:
-            self.loop.call_later(self.late, self.wake)
+        if self.lag_us:
+            self.loop.call_later(self.lag_us, self.answer_watches)
         else:
-            self.wake()
-
-    def wake(self) -> None:
-        for link in list(self.links):
-            link.wake()
-
-    def set(self, gone: bool = False, late: int = 0, frozen: bool = False) -> None:
-        self.gone, self.late, self.frozen = gone, late, self.listing.seq if frozen else 0
-        if not gone:  # what was asked while it was silent
-            self.wake()
-        if not (gone or late or frozen):
-            self.loop.call_later(PRESUMED, self.presume, self.listing.seq)
-
-    def presume(self, seq: int) -> None:
-        """Who does not ask counts as told, or not asking would be the way to keep the drain rule."""
-        if (
-            not (self.gone or self.late or self.frozen)
-            and self.told_seq < seq
-            and self.listing.environment.is_alive(self.balancer)
-        ):
-            self.tell(seq, *self.listing.since(self.told_seq, seq))
-
-    def tell(self, seq: int, whole: bool, entries: list[dict[str, Any]]) -> None:
-        referee, now = self.listing.environment.referee, self.loop.now
-        self.told_seq = max(self.told_seq, seq)
-        there = {entry["host"]: entry for entry in entries}
-        for id, entry in there.items():
-            referee.tell(self.balancer, id, STATES[entry["health"]], now, entry["born_ms"])
+            self.answer_watches()
+
+    def answer_watches(self) -> None:
+        """Answer what waits, where there is something to tell."""
+        for connection in list(self.connections):
+            connection.answer_if_changed()
+
+    def set_fault(self, silent: bool = False, lag_us: int = 0, frozen: bool = False) -> None:
+        """Have it answer nothing, answer late or from an old list; without arguments, heal it."""
+        self.silent = silent
+        self.lag_us = lag_us
+        self.frozen_version = self.server.version if frozen else 0
+        if not silent:
+            self.answer_watches()
+        if not (silent or lag_us or frozen):
+            version = self.server.version
+            self.loop.call_later(PRESUMED_KNOWN_AFTER_US, self.presume_known, version)
+
+    def presume_known(self, version: int) -> None:
+        """Count a version as known: not asking must not be a way to keep the drain rule."""
+        is_faulty = self.silent or self.lag_us or self.frozen_version
+        if is_faulty or self.notified_version >= version:
+            return
+        if self.server.environment.is_alive(self.balancer):
+            whole, entries = self.server.changes_since(self.notified_version, version)
+            self.note_notified(version, whole, entries)
+
+    def note_notified(self, version: int, whole: bool, entries: list[Entry]) -> None:
+        """Tell the invariant checker what the balancer knows from now on."""
+        checker = self.server.environment.referee
+        now = self.loop.now
+        self.notified_version = max(self.notified_version, version)
+        by_host = {entry["host"]: entry for entry in entries}
+        for host, entry in by_host.items():
+            state = CHECKER_STATES[entry["health"]]
+            checker.tell(self.balancer, host, state, now, entry["born_ms"])
         if whole:
-            for id in self.listing.entries:
-                if id not in there:
-                    referee.tell(self.balancer, id, "gone", now)
-            self.last = seq, entries
+            for host in self.server.entries:
+                if host not in by_host:
+                    checker.tell(self.balancer, host, "gone", now)
+            self.latest = EndpointList(version, entries)
         else:
-            kept = {entry["host"]: entry for entry in self.last[1]} | {
-                entry["host"]: entry for entry in entries
-            }
-            self.last = seq, [entry for entry in kept.values() if entry["health"] != "Gone"]
+            merged = {entry["host"]: entry for entry in self.latest.entries} | by_host
+            listed = [entry for entry in merged.values() if entry["health"] != GONE]
+            self.latest = EndpointList(version, listed)
+
 
+class AgentConnection:
+    """A balancer's connection to its agent, with one call at a time."""
 
-class AgentLink:
-    def __init__(self, agent: Agent, sock: socket.socket) -> None:
-        self.agent, self.reader = agent, RequestReader()
+    def __init__(self, agent: DiscoveryAgent, sock: socket.socket) -> None:
+        """Watch the connection; nothing is asked yet."""
+        self.agent = agent
+        self.reader = RequestReader()
         self.after: int | None = None
         self.waits_until = 0
         self.pending = False
         self.conn = Connection(agent.loop, sock, self)
 
     def opened(self) -> None:
-        pass
+        """Do nothing: the balancer speaks first."""
 
     def received(self, view: memoryview) -> None:
+        """Take bytes from the balancer."""
         self.reader.feed(view)
         if self.reader.message.error_status:
-            return self.conn.fail("bad call")
-        if self.reader.message.complete and not self.pending:
-            self.asked()
+            self.conn.fail("bad call")
+        elif self.reader.message.complete and not self.pending:
+            self.on_call()
 
-    def asked(self) -> None:
-        self.agent.count()
+    def on_call(self) -> None:
+        """Begin a call: `after` is the version that is known, `wait_ms` how long it may wait."""
+        self.agent.count_call()
         parts = urlsplit(self.reader.message.target.decode())
         query = parse_qs(parts.query)
         self.after = int(query["after"][0]) if "after" in query else None
-        wait = int(query.get("wait_ms", ["0"])[0]) * 1000
-        self.pending, self.waits_until = True, self.agent.loop.now + wait
-        self.agent.loop.call_later(wait, self.due, self.waits_until)
-        self.wake()
-
-    def due(self, until: int) -> None:
+        wait_us = int(query.get("wait_ms", ["0"])[0]) * 1000
+        self.pending = True
+        self.waits_until = self.agent.loop.now + wait_us
+        self.agent.loop.call_later(wait_us, self.on_wait_over, self.waits_until)
+        self.answer_if_changed()
+
+    def on_wait_over(self, until: int) -> None:
+        """Answer the call that was to wait until then, changed or not."""
         if self.pending and until == self.waits_until:
-            self.wake(True)
+            self.answer_if_changed(True)
 
-    def wake(self, due: bool = False) -> None:
+    def current_answer(self) -> tuple[int, bool, list[Entry]]:
+        """Return the version to tell, whether the list is whole, and its entries."""
+        agent = self.agent
+        if agent.frozen_version and self.after is not None:
+            return max(self.after, agent.frozen_version), False, []
+        if agent.frozen_version:
+            return agent.latest.version, True, agent.latest.entries
+        version = agent.server.version_before(agent.lag_us)
+        whole, entries = agent.server.changes_since(self.after, version)
+        return version, whole, entries
+
+    def answer_if_changed(self, due: bool = False) -> None:
+        """Answer the call, where there is news or its time is up."""
         agent = self.agent
-        if not self.pending or agent.gone or not self.conn.is_open:
+        if not self.pending or agent.silent or not self.conn.is_open:
             return
-        listing = agent.listing
         due = due or self.waits_until <= agent.loop.now
-        if agent.frozen and self.after is not None:
-            seq, whole, entries = max(self.after, agent.frozen), False, []
-        elif agent.frozen:
-            seq, whole, entries = agent.last[0], True, agent.last[1]
-        else:
-            seq = listing.seen(agent.late)
-            whole, entries = listing.since(self.after, seq)
-        if self.after is not None and not due and (agent.frozen or seq <= self.after):
-            return
+        version, whole, entries = self.current_answer()
+        if self.after is not None and not due:
+            if agent.frozen_version or version <= self.after:
+                return
         self.pending = False
         if whole or entries:
-            agent.tell(seq, whole, entries)
-        told = listing.environment.endpoint_list_for(
-            agent.balancer, {"seq": seq, "whole": whole, "hosts": entries}
-        )
-        body = orjson.dumps(told)
+            agent.note_notified(version, whole, entries)
+        document = {"seq": version, "whole": whole, "hosts": entries}
+        answer = agent.server.environment.endpoint_list_for(agent.balancer, document)
+        body = orjson.dumps(answer)
         self.reader.advance()
         self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body)
 
     def ended(self, what: str) -> None:
-        self.agent.links.pop(self, None)
+        """Forget the connection."""
+        self.agent.connections.pop(self, None)
--- a/orchidgap/simulation/environment.py
+++ b/orchidgap/simulation/environment.py
@@ -45,7 +45,7 @@
     port_offset: int  # added to the ports, where several runs share a machine
     network: Any  # VirtualNetwork or LoopbackNetwork
     servers: dict[str, Any]  # stand-in hosts by id
-    listing: Any  # the stand-in discovery
+    discovery: Any  # the stand-in discovery
     clients: Any  # the stand-in clients
     front: Any  # the layer before the balancers, and the operators
     cluster: Any  # which server owns which slots
--- a/orchidgap/simulation/faults.py
+++ b/orchidgap/simulation/faults.py
@@ -87,14 +87,14 @@
 def crash(environment: Environment, trouble: Trouble) -> None:
     for store in caches(environment, trouble):
         store.stop()
-        environment.listing.gone_later(store.id, environment.plan.listing.notice_s)
+        environment.discovery.remove_later(store.id, environment.plan.listing.notice_s)
         later(environment, trouble, store.revive)
 
 
 def vanish(environment: Environment, trouble: Trouble) -> None:
     for store in caches(environment, trouble):
         store.vanish(True)
-        environment.listing.gone_later(store.id, environment.plan.listing.silent_s)
+        environment.discovery.remove_later(store.id, environment.plan.listing.silent_s)
         later(environment, trouble, store.vanish, False)
 
 
@@ -124,12 +124,12 @@
     """Listed as draining at once; it ends some seconds later, and may come back cold."""
     if not store.alive:
         return
-    environment.listing.put(store.id, "Terminating")
+    environment.discovery.set_health(store.id, "Terminating")
 
     def end() -> None:
         if store.alive:
             store.stop()
-            environment.listing.put(store.id, "Gone")
+            environment.discovery.set_health(store.id, "Gone")
             if back is not None:
                 environment.loop.call_later(back, store.revive)
 
@@ -205,9 +205,9 @@
     """It starts anew under its name, with nothing but the list it last had."""
     post = environment.balancers[name]
     if not post.alive:
-        seq, hosts = environment.listing.agents[name].last
+        seq, hosts = environment.discovery.agents[name].latest
         if not hosts:
-            _, hosts = environment.listing.since(None, seq)
+            _, hosts = environment.discovery.changes_since(None, seq)
         post.start({"seq": seq, "whole": True, "hosts": hosts})
 
 
@@ -242,7 +242,7 @@
     frozen: bool = False,
 ) -> None:
     agents = [
-        environment.listing.agents[name]
+        environment.discovery.agents[name]
         for name in (
             balancers(environment, trouble)
             if trouble.target or trouble.part
@@ -250,23 +250,23 @@
         )
     ]
     for agent in agents:
-        agent.set(gone, late, frozen)
+        agent.set_fault(gone, late, frozen)
 
     def end() -> None:
         for agent in agents:
-            agent.set()
+            agent.set_fault()
 
     later(environment, trouble, end)
 
 
 def discovery_crowded(environment: Environment, trouble: Trouble) -> None:
     """`size` of the calls for the list are turned away (0.9)."""
-    agents = list(environment.listing.agents.values())
-    for_a_time(environment, trouble, agents, "crowded", trouble.size or 0.9, 0.0)
+    agents = list(environment.discovery.agents.values())
+    for_a_time(environment, trouble, agents, "rejection_ratio", trouble.size or 0.9, 0.0)
     for agent in agents:  # a watch that is under way ends, too
-        for link in list(agent.links):
+        for link in list(agent.connections):
             link.conn.close()
-            agent.links.pop(link, None)
+            agent.connections.pop(link, None)
 
 
 def cut(environment: Environment, trouble: Trouble, hosts: list[Store], names: list[str]) -> None:
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -390,7 +390,7 @@
 
     def end() -> None:
         old.stop()
-        environment.listing.gone_later(old.id, environment.plan.listing.notice_s)
+        environment.discovery.remove_later(old.id, environment.plan.listing.notice_s)
 
     environment.loop.call_later(micros(trouble.for_s), end)
 
--- a/orchidgap/simulation/servers.py
+++ b/orchidgap/simulation/servers.py
@@ -285,7 +285,9 @@
             if self.is_origin:
                 self.loop.call_later(micros(self.model.stop_s), self.revive, False)
             else:  # it stays down
-                self.environment.listing.gone_later(self.id, self.environment.plan.listing.notice_s)
+                self.environment.discovery.remove_later(
+                    self.id, self.environment.plan.listing.notice_s
+                )
 
     def pump(self) -> None:
         while (
@@ -455,7 +457,7 @@
         self.frozen_until, self.slow = 0, 1.0
         self.environment.network.listen(self.address, self.accept)
         if cold:
-            self.environment.listing.put_later(
+            self.environment.discovery.set_health_later(
                 self.id, "Ready", self.environment.plan.listing.add_s
             )
 
@@ -472,7 +474,7 @@
         else:
             self.forget()
             self.born = self.loop.now
-            self.environment.listing.put_later(
+            self.environment.discovery.set_health_later(
                 self.id, "Ready", self.environment.plan.listing.add_s
             )
 
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -20,7 +20,7 @@
 from orchidgap.simulation.baselines import decider as decider_of
 from orchidgap.simulation.cache_contents import client_key_of, fill_caches, value_size_bytes
 from orchidgap.simulation.clients import Callers
-from orchidgap.simulation.discovery_server import Agent, Listing
+from orchidgap.simulation.discovery_server import DiscoveryAgent, DiscoveryServer
 from orchidgap.simulation.environment import AttemptLimit, Decider
 from orchidgap.simulation.invariant_checker import Referee, seconds_of
 from orchidgap.simulation.load_evenness import Stretches
@@ -88,7 +88,7 @@
         self.cold_misses: dict[bytes, None] = {}
         self.client_keys: dict[int | None, int] = {}  # by the decisions' number of each
         self.zone_by_address: dict[Address, int] = {}
-        self.listing = Listing(self)
+        self.discovery = DiscoveryServer(self)
         self.front = Front(self)
         attempts = plan.ceilings.dispatches
         self.attempt_limit = AttemptLimit(attempts, 0, attempts)
@@ -113,8 +113,6 @@
         """Make the clients, of the protocol that the plan names."""
         return RespCallers(self) if self.plan.dialect == "resp" else Callers(self)
 
-    # --- the hosts
-
     def add_hosts(self) -> None:
         """Make caches, origins and discovery, and fill the caches as far as the plan says."""
         plan = self.plan
@@ -131,8 +129,9 @@
         self.cluster.share([server.id for server in caches])
         if plan.dialect == "http":
             fill_caches(plan, self.rng, self.decider, caches)
+        agents = self.discovery.agents
         for name, balancer in self.balancers.items():
-            self.listing.agents[name] = Agent(self.listing, name, balancer.discovery_address)
+            agents[name] = DiscoveryAgent(self.discovery, name, balancer.discovery_address)
 
     def add_host(self, host_id: str, address: Address, is_origin: bool, zone: int) -> Store:
         """Start a stand-in host and list it; its speed is drawn."""
@@ -142,7 +141,7 @@
         server = kind(self, host_id, address, model, is_origin, zone, speed)
         self.servers[host_id] = server
         self.zone_by_address[address] = zone
-        self.listing.add(host_id, address, "origin" if is_origin else "cache", zone, 1.0, 0)
+        self.discovery.add(host_id, address, "origin" if is_origin else "cache", zone, 1.0, 0)
         return server
 
     # --- the balancers' configuration
@@ -183,8 +182,9 @@
 
     def latest_endpoint_list(self, name: str) -> dict[str, Any]:
         """Return the endpoint list as a balancer last had it."""
-        seq, hosts = self.listing.agents[name].last
-        return {"seq": seq, "whole": True, "hosts": hosts or self.listing.since(None, seq)[1]}
+        version, hosts = self.discovery.agents[name].latest
+        hosts = hosts or self.discovery.changes_since(None, version)[1]
+        return {"seq": version, "whole": True, "hosts": hosts}
 
     def max_attempts_at(self, came: int) -> int:
         """Return how many attempts a request may have; the larger while new settings come in."""
@@ -195,8 +195,6 @@
             return max(limit.current, limit.previous)
         return limit.previous
 
-    # --- the balancers' gossip
-
     def send_datagram(self, address: Address, data: bytes) -> None:
         """Carry a datagram from one balancer to another, or lose it."""
         if self.rng.random() >= self.plan.net.lose:
@@ -297,7 +295,7 @@
         _, descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
         try:
-            _, entries = self.listing.since(None, 1)
+            _, entries = self.discovery.changes_since(None, 1)
             for balancer in self.balancers.values():
                 balancer.start({"seq": 1, "whole": True, "hosts": entries})
             if self.folder:
@@ -350,8 +348,6 @@
         self.referee.start = self.start
         self.clients.end = self.start + micros(self.plan.seconds)
 
-    # --- the verdict
-
     def check_stretches(self, verdict: str) -> dict[str, Any]:
         """Return what the stretches add to the verdict."""
         found: list[tuple[str, float, str]] = []
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -305,7 +305,7 @@
 def test_a_watch_answers_on_a_change_and_otherwise_when_its_time_is_up():
     simulation = Simulation(checked(SMALL))
     try:
-        agent = simulation.listing.agents["b0"]
+        agent = simulation.discovery.agents["b0"]
         near, owner = simulation.network.dial(simulation.balancers["b0"].discovery_address), Owner()
         assert not isinstance(near, AttemptFailure) and isinstance(near, socket.socket)
         conn = Connection(simulation.loop, near, owner)
@@ -317,11 +317,11 @@
         assert b'"whole":false,"hosts":[]' in owner.got
         conn.send(b"GET /discovery/hosts?after=1&wait_ms=9000 HTTP/1.1\r\n\r\n")
         wait(simulation.loop.time + 10_000)
-        agent.set(gone=True)
-        simulation.listing.put("c01", "Terminating")
+        agent.set_fault(silent=True)
+        simulation.discovery.set_health("c01", "Terminating")
         wait(simulation.loop.time + 10_000)
         assert b"Terminating" not in owner.got, "it is silent"
-        agent.set()
+        agent.set_fault()
         wait(simulation.loop.time + 10_000)
         assert b"Terminating" in owner.got and simulation.referee.told["b0", "c01"][0] == "draining"
         assert parse_seconds(b"1") == 1_000_000
