--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -48,10 +48,10 @@
 from orchidgap.simulation.balancer_process import BalancerProcess
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.environment import Decider
-from orchidgap.simulation.faults import set_off
-from orchidgap.simulation.invariant_checker import Ask, Op
+from orchidgap.simulation.faults import start_fault
+from orchidgap.simulation.invariant_checker import ClientAttempt, Operation
 from orchidgap.simulation.loopback_network import LoopbackNetwork, cpu_seconds_of
-from orchidgap.simulation.plan import Trouble, Work, micros, millis
+from orchidgap.simulation.plan import Fault, RequestClassSpec, milliseconds_to_us, seconds_to_us
 from orchidgap.simulation.simulation import Simulation
 
 LOOK = 50_000  # between looks at what is seen
@@ -102,7 +102,7 @@
 
     environment: Town
 
-    def draw(self) -> Op:
+    def draw(self) -> Operation:
         op = super().draw()
         # what is long replaced is asked for too: whoever comes back may have it still
         numbers = (
@@ -111,13 +111,13 @@
             else list(self.environment.judge.fates)
         )
         name = "base" if self.rng.random() < 0.3 else f"v{self.rng.choice(numbers)}"
-        op.work = next(work for work in self.works if work.name == name)
-        op.counts = name == "base"
+        op.request_class = next(work for work in self.works if work.name == name)
+        op.counted = name == "base"
         return op
 
-    def unknown(self, ask: Ask) -> None:
+    def unknown(self, ask: ClientAttempt) -> None:
         self.environment.referee.aborted -= 1  # it asked which version counts, and was told
-        if ask.op.work.name == "base":
+        if ask.operation.request_class.name == "base":
             super().unknown(ask)
 
     def choose(self, but: str = "", key: int = 0) -> str | None:
@@ -224,12 +224,12 @@
         self.relays: dict[tuple[str, str], Relay] = {}
         self.latest = 0
         super().__init__(drill.plan, seed, real=True, policy=policy, disk=disk or memory_folder())
-        self.broke = self.referee.broke
-        setattr(self.referee, "broke", self.broke_off)  # noqa: B010
+        self.broke = self.referee.on_connection_lost
+        setattr(self.referee, "on_connection_lost", self.broke_off)  # noqa: B010
         assert self.folder
         self.place = Path(self.folder.name)
         self.controls = [ControlPost(self, number) for number in range(drill.control.count)]
-        self.judge = Judge(self.referee, millis(drill.control.lease_ms), SLACK)
+        self.judge = Judge(self.referee, milliseconds_to_us(drill.control.lease_ms), SLACK)
         self.shells: list[tuple[Fate, subprocess.Popen[bytes]]] = []
         self.watches = [RpcClient(self.loop, post.address, 300_000) for post in self.controls]
         self.questions = [RpcClient(self.loop, post.address, 500_000) for post in self.controls]
@@ -241,7 +241,7 @@
         if drill.links:
             self.link_hosts()
         self.talks: dict[str, DatagramRelay] = {}
-        for name, post in self.balancers.items() if drill.plan.pool else ():
+        for name, post in self.balancers.items() if drill.plan.gossip else ():
             at = (f"127.{TALKS}.{address_suffix(post.number)}", post.gossip_address[1])
             self.talks[name] = DatagramRelay(self.loop, at, post.gossip_address, self.rng)
 
@@ -277,7 +277,7 @@
         ]
         return super().gossip_settings(balancer) | {"peers": others}
 
-    def is_rule_set_listed(self, work: Work) -> bool:
+    def is_rule_set_listed(self, work: RequestClassSpec) -> bool:
         if not self.versions:
             return super().is_rule_set_listed(work)
         return work.name in ("base", f"v{self.telling}")
@@ -287,12 +287,12 @@
         decided = [number for number, fate in self.judge.fates.items() if fate.outcome == "decided"]
         return sorted({*list(self.judge.fates)[-2:], *decided[-2:]})
 
-    def broke_off(self, ask: Ask, at: int) -> None:
+    def broke_off(self, ask: ClientAttempt, at: int) -> None:
         """A connection ended unanswered. That its process died may be seen a moment later."""
 
         def judged() -> None:
             self.look()
-            if not ask.left and self.is_alive(ask.balancer, ask.life):
+            if not ask.abandoned and self.is_alive(ask.balancer, ask.incarnation):
                 self.broke(ask, at)
 
         self.loop.call_later(SLACK, judged)
@@ -376,7 +376,7 @@
     def seen(self, when: str, since: int) -> bool:
         what, *more = words(when, SEEN, when)
         if what == "seconds":
-            return self.loop.now - since >= micros(float(more[0]))
+            return self.loop.now - since >= seconds_to_us(float(more[0]))
         if what == "up":
             return all(post.ready_at > 0 for post in self.balancers.values() if post.alive)
         if what == "ended":
@@ -390,12 +390,20 @@
             return any(more[1] in self.lines(name)[self.log_from.get(name, 0) :] for name in names)
         if what == "gone":
             return self.process_of(more[0]).poll() is not None
-        asks = [ask for ask in reversed(self.referee.asks.values()) if ask.came > since]
+        asks = [
+            ask
+            for ask in reversed(self.referee.client_attempts.values())
+            if ask.arrived_at_us > since
+        ]
         if what == "takes":  # some balancer answers under that version
-            return any(ask.status == 200 and ask.op.work.name == more[0] for ask in asks)
+            return any(
+                ask.status == 200 and ask.operation.request_class.name == more[0] for ask in asks
+            )
         asks = [ask for ask in asks if ask.balancer == more[0]]
         if what == "serves":
-            return any(ask.status == 200 and ask.op.work.name == more[1] for ask in asks)
+            return any(
+                ask.status == 200 and ask.operation.request_class.name == more[1] for ask in asks
+            )
         return any(ask.status == 503 for ask in asks)
 
     # --- what is done
@@ -409,7 +417,7 @@
         elif what in ("draw", "mend"):
             getattr(self, what)()
         elif what != "nothing":
-            self.referee.event(self.loop.now, text)
+            self.referee.record_event(self.loop.now, text)
             getattr(self, f"do_{what}")(*more)
 
     def do_propose(self, how: str, by: str = "") -> None:
@@ -486,12 +494,13 @@
         if name in self.balancers:
             post = self.balancers[name]
             post.pauses.append(Pause(post.pauses.pop().start_us, self.loop.now + 1_000_000))
-            for ask in self.referee.asks.values():
+            for ask in self.referee.client_attempts.values():
                 if (
                     ask.balancer == name and not ask.status
                 ):  # it could not answer in time, and may say so now
-                    ask.due, ask.quiet_at = (
-                        self.loop.now + millis(ask.op.work.timeout_ms),
+                    ask.deadline_us, ask.last_attempt_ended_us = (
+                        self.loop.now
+                        + milliseconds_to_us(ask.operation.request_class.client_timeout_ms),
                         self.loop.now,
                     )
 
@@ -562,7 +571,7 @@
         """Each way, and a part of what goes there is lost."""
         for relay, _ in self.between(one, other):
             relay.set_condition(
-                LinkCondition(delay_us=millis(float(delay_ms)), loss_ratio=float(loss))
+                LinkCondition(delay_us=milliseconds_to_us(float(delay_ms)), loss_ratio=float(loss))
             )
 
     def do_lose(self, name: str, part: str) -> None:
@@ -605,7 +614,7 @@
         )
         self.until(lambda: shell.poll() is not None, 20, "struck off")
         shell.kill()
-        self.referee.event(self.loop.now, f"{name} struck off: {shell.returncode}")
+        self.referee.record_event(self.loop.now, f"{name} struck off: {shell.returncode}")
 
     def do_hup(self, name: str) -> None:
         """The file gets settings of its own, which control's go before."""
@@ -642,7 +651,7 @@
     def do_trouble(self, kind: str, seconds: str, whom: str = "", size: str = "0") -> None:
         """What trials have: `whom` is a part of the hosts, or one by name."""
         part, target = (float(whom[:-1]) / 100, "") if whom.endswith("%") else (0.0, whom)
-        set_off(self, Trouble(kind, 0.0, float(seconds), part, target, float(size)))
+        start_fault(self, Fault(kind, 0.0, float(seconds), part, target, float(size)))
 
     def draw(self) -> None:
         """A fault by chance, on whoever; `mend` ends them all."""
@@ -764,9 +773,9 @@
                 lambda: all(post.ready_at for post in self.balancers.values()), 30.0, "all up"
             )
             self.started, self.held = time.monotonic() - began, self.memory()
-            self.start = self.referee.start = self.loop.clock()
+            self.start = self.referee.started_at_us = self.loop.clock()
             self.loop.call_later(LOOK, self.weigh)
-            self.clients.end = self.start + micros(3_600)
+            self.clients.end = self.start + seconds_to_us(3_600)
             self.loop.call_soon(self.clients.arrive)
             self.loop.call_soon(self.watch)
             steps = [
--- a/orchidgap/fault_tests/commands.py
+++ b/orchidgap/fault_tests/commands.py
@@ -12,11 +12,12 @@
 import orjson
 from msgspec.structs import replace
 
+from orchidgap.errors import ScenarioError
 from orchidgap.fault_tests.cluster import Town
 from orchidgap.fault_tests.plan import Drill, read
 from orchidgap.fault_tests.planted_defects import DEFECTS
 from orchidgap.simulation.baselines import KINDS
-from orchidgap.simulation.plan import MOST_BALANCERS, BadPlan
+from orchidgap.simulation.plan import MAX_BALANCERS
 
 SHOWN = 12  # breaches told on the screen
 
@@ -30,12 +31,12 @@
             drill = of_size(drill, count)
         defect, policy = told["--defect"] or "", told["--policy"]
         if defect and defect not in DEFECTS:
-            raise BadPlan(f"no defect {defect!r}: one of {', '.join(DEFECTS)}")
+            raise ScenarioError(f"no defect {defect!r}: one of {', '.join(DEFECTS)}")
         if policy != "orchidgap" and (policy not in KINDS or drill.control.count or defect):
-            raise BadPlan(
+            raise ScenarioError(
                 f"--policy={policy}: one of {', '.join(KINDS)}, without control and defects"
             )
-    except BadPlan as trouble:
+    except ScenarioError as trouble:
         print(f"orchidgap: {trouble}", file=sys.stderr)
         return 2
     verdict, town = play(
@@ -56,13 +57,13 @@
     try:
         return int(told[name]) if told[name] else None
     except ValueError:
-        raise BadPlan(f"{name} wants a whole number, not {told[name]!r}") from None
+        raise ScenarioError(f"{name} wants a whole number, not {told[name]!r}") from None
 
 
 def of_size(drill: Drill, balancers: int) -> Drill:
     """The same with so many balancers."""
-    if not 1 <= balancers <= MOST_BALANCERS:
-        raise BadPlan(f"--balancers={balancers}: 1 to {MOST_BALANCERS} can be")
+    if not 1 <= balancers <= MAX_BALANCERS:
+        raise ScenarioError(f"--balancers={balancers}: 1 to {MAX_BALANCERS} can be")
     return replace(drill, plan=replace(drill.plan, balancers=balancers))
 
 
--- a/orchidgap/fault_tests/plan.py
+++ b/orchidgap/fault_tests/plan.py
@@ -11,7 +11,16 @@
 import msgspec
 from msgspec import Meta
 
-from orchidgap.simulation.plan import BadPlan, Count, Natural, Plan, Positive, Table, Work, checked
+from orchidgap.errors import ScenarioError
+from orchidgap.simulation.plan import (
+    Count,
+    NonNegative,
+    Plan,
+    PlanTable,
+    Positive,
+    RequestClassSpec,
+)
+from orchidgap.simulation.plan_file import validate_plan
 
 SEEN = {  # by the first word: how many more there are
     "up": 0,
@@ -53,14 +62,14 @@
 }
 
 
-class Control(Table, frozen=True):
+class Control(PlanTable, frozen=True):
     count: Annotated[int, Meta(ge=0, le=5)] = 1  # none: balancers have their files alone
     lease_ms: Positive = 2_000.0
     give_up_ms: Positive = 8_000.0
     alone: Literal["leave", "stay"] = "leave"
 
 
-class Step(Table, frozen=True):
+class Step(PlanTable, frozen=True):
     """`when` waits for what is seen from outside, no longer than `within-s`; `do` is done then, one act or
     several."""
 
@@ -70,14 +79,16 @@
     times: Count = 1
 
 
-class Drill(Table, frozen=True):
+class Drill(PlanTable, frozen=True):
     plan: Plan
     control: Control
     steps: tuple[Step, ...]
     outcomes: tuple[
         str, ...
     ] = ()  # what has to come of the proposals, in their order; none: whatever does
-    settle_s: Natural = 3.0  # at the end, all healed: within so much all serve under what counts
+    settle_s: NonNegative = (
+        3.0  # at the end, all healed: within so much all serve under what counts
+    )
     failing: bool = False  # processes whose disks can be made to fail at a step of a write
     links: bool = False  # each balancer reaches each host by a relay
 
@@ -86,12 +97,12 @@
     try:
         found = shlex.split(text)
     except ValueError as trouble:
-        raise BadPlan(f"{trouble} - at `{where}`") from None
+        raise ScenarioError(f"{trouble} - at `{where}`") from None
     if not found or found[0] not in known:
-        raise BadPlan(f"{text!r} begins with none of {', '.join(known)} - at `{where}`")
+        raise ScenarioError(f"{text!r} begins with none of {', '.join(known)} - at `{where}`")
     least, most = known[found[0]] if isinstance(known[found[0]], tuple) else (known[found[0]],) * 2
     if not least <= len(found) - 1 <= most:
-        raise BadPlan(f"{found[0]} takes {least} to {most} words - at `{where}`")
+        raise ScenarioError(f"{found[0]} takes {least} to {most} words - at `{where}`")
     return found
 
 
@@ -108,14 +119,14 @@
 def parse(text: str) -> Drill:
     """
     >>> drill = parse('name = "x"\\n[[step]]\\nwhen = "up"\\ndo = "propose 1; kill b0"')
-    >>> drill.control.count, drill.steps[0].when, [work.name for work in drill.plan.works()]
+    >>> drill.control.count, drill.steps[0].when, [work.name for work in drill.plan.request_classes()]
     (1, 'up', ['base', 'v0', 'v1'])
-    >>> parse('name = "x"\\n[[expect]]\\nstretch = "calm"\\nidle-s = 2').plan.expect[0].figures()
+    >>> parse('name = "x"\\n[[expect]]\\nstretch = "calm"\\nidle-s = 2').plan.evenness_bounds[0].figures()
     {'idle-s': 2.0}
     >>> parse('name = "x"\\n[[step]]\\nwhen = "soon"')
     Traceback (most recent call last):
         ...
-    orchidgap.simulation.plan.BadPlan: 'soon' begins with none of up, seconds, log, ended, serves, denies, \
+    orchidgap.errors.ScenarioError: 'soon' begins with none of up, seconds, log, ended, serves, denies, \
 takes, gone - at `step[0].when`
     """
     try:
@@ -128,20 +139,22 @@
             if name in told
         }
     except tomllib.TOMLDecodeError as trouble:
-        raise BadPlan(f"not TOML: {trouble}") from None
+        raise ScenarioError(f"not TOML: {trouble}") from None
     except msgspec.ValidationError as trouble:
-        raise BadPlan(str(trouble)) from None
+        raise ScenarioError(str(trouble)) from None
     for i, step in enumerate(steps):
         words(step.when, SEEN, f"step[{i}].when")
         for act in step.do.split(";"):
             words(act, DO, f"step[{i}].do")
     if control.count not in (0, 1, 3, 5):
-        raise BadPlan("none, 1, 3 or 5 can be - at `control.count`")
-    plan = checked(told)
+        raise ScenarioError("none, 1, 3 or 5 can be - at `control.count`")
+    plan = validate_plan(told)
     # every version has a class that no other has: what a client is answered for it tells which one governs
     if versions := versions_of(steps):
-        marks = [Work(f"v{n}", 0.01, 5, 1_000, 2_000) for n in range(versions + 1)]
-        plan = msgspec.structs.replace(plan, work=(Work("base", 1.0, 5, 1_000, 2_000), *marks))
+        marks = [RequestClassSpec(f"v{n}", 0.01, 5, 1_000, 2_000) for n in range(versions + 1)]
+        plan = msgspec.structs.replace(
+            plan, request_class_specs=(RequestClassSpec("base", 1.0, 5, 1_000, 2_000), *marks)
+        )
     return Drill(
         plan,
         control,
@@ -154,10 +167,10 @@
 
 
 def read(path: str) -> Drill:
-    """Raises BadPlan with one line."""
+    """Raises ScenarioError with one line."""
     try:
         return parse(Path(path).read_text())
     except OSError as trouble:
-        raise BadPlan(f"{path}: {trouble.strerror}") from None
-    except BadPlan as trouble:
-        raise BadPlan(f"{path}: {trouble}") from None
+        raise ScenarioError(f"{path}: {trouble.strerror}") from None
+    except ScenarioError as trouble:
+        raise ScenarioError(f"{path}: {trouble}") from None
--- a/orchidgap/fault_tests/rollout_checker.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidgap.simulation.invariant_checker import Ask, Referee
+from orchidgap.simulation.invariant_checker import ClientAttempt, InvariantChecker
 
 RULES = ("undecided", "old", "untrue", "uneven", "stuck")
 
@@ -33,7 +33,7 @@
 
 
 class Judge:
-    def __init__(self, referee: Referee, bound: int, slack: int) -> None:
+    def __init__(self, referee: InvariantChecker, bound: int, slack: int) -> None:
         self.referee, self.bound, self.slack = referee, bound, slack
         self.fates: dict[int, Fate] = {0: Fate(0, 0, "decided", 0)}
         self.counts = dict.fromkeys(RULES, 0)
@@ -45,7 +45,7 @@
 
     def breach(self, rule: str, at: int, text: str) -> None:
         self.counts[rule] += 1
-        self.referee.breaches.append((rule, (at - self.referee.start) / 1e6, text))
+        self.referee.breaches.append((rule, (at - self.referee.started_at_us) / 1e6, text))
 
     def told(self, fate: Fate, outcome: str, n: int, why: str, at: int) -> None:
         """Some caller was told this."""
@@ -58,11 +58,11 @@
         if outcome in ("decided", "nowhere") or not fate.outcome:
             fate.outcome, fate.n, fate.why, fate.ended = outcome, n, why, at
 
-    def governed(self) -> list[tuple[Ask, Fate]]:
+    def governed(self) -> list[tuple[ClientAttempt, Fate]]:
         """The reqs that tell which version governed them, with it."""
         found = []
-        for ask in self.referee.asks.values():
-            name = ask.op.work.name
+        for ask in self.referee.client_attempts.values():
+            name = ask.operation.request_class.name
             if (
                 ask.status == 200
                 and name[0] == "v"
@@ -77,27 +77,31 @@
         since: dict[int, int] = {}  # by version: when it was certainly decided, at the latest
         for fate in self.fates.values():
             if fate.outcome == "decided" and fate.number:
-                seen = [ask.answered_at for ask, by in governed if by is fate]
+                seen = [ask.answered_at_us for ask, by in governed if by is fate]
                 since[fate.n] = min([fate.ended, *seen])
         last: dict[int, int] = {}
         for ask, fate in governed:
             who = f"{ask.id.decode()} at {ask.balancer}: answered under v{fate.number}"
             if fate.outcome != "decided":
                 self.breach(
-                    "undecided", ask.answered_at, f"{who}, which holds {fate.outcome or 'nowhere'}"
+                    "undecided",
+                    ask.answered_at_us,
+                    f"{who}, which holds {fate.outcome or 'nowhere'}",
                 )
                 continue
-            if fate.number and ask.answered_at < fate.not_before:
-                self.breach("undecided", ask.answered_at, f"{who} before it was decided")
+            if fate.number and ask.answered_at_us < fate.not_before:
+                self.breach("undecided", ask.answered_at_us, f"{who} before it was decided")
             for n, when in since.items():
-                if n > fate.n and ask.came > when + self.bound + self.slack:
-                    late = f"sent {(ask.came - when) / 1e6:.2f} s after version {n} was decided"
-                    self.breach("old", ask.answered_at, f"{who}, {late}")
+                if n > fate.n and ask.arrived_at_us > when + self.bound + self.slack:
+                    late = f"sent {(ask.arrived_at_us - when) / 1e6:.2f} s after version {n} was decided"
+                    self.breach("old", ask.answered_at_us, f"{who}, {late}")
                     break
-            later = [n for n, when in since.items() if n > fate.n and ask.came > when]
+            later = [n for n, when in since.items() if n > fate.n and ask.arrived_at_us > when]
             if later:
                 self.mixed += 1
-                last[min(later)] = max(last.get(min(later), 0), ask.came - since[min(later)])
+                last[min(later)] = max(
+                    last.get(min(later), 0), ask.arrived_at_us - since[min(later)]
+                )
         self.took = [last.get(n, 0) for n in since]
 
     def verdict(self, verdict: dict[str, Any]) -> dict[str, Any]:
--- a/orchidgap/simulation/balancer_instance.py
+++ b/orchidgap/simulation/balancer_instance.py
@@ -175,7 +175,7 @@
         now = self.environment.loop.now
         self.alive = False
         self.died_at = now
-        self.environment.referee.died(self.name, self.incarnation, now)
+        self.environment.referee.on_balancer_killed(self.name, self.incarnation, now)
 
 
 class VirtualProcess(NamedTuple):
--- a/orchidgap/simulation/balancer_process.py
+++ b/orchidgap/simulation/balancer_process.py
@@ -52,7 +52,7 @@
 
     def start(self, known: dict[str, Any]) -> None:
         """Start the program, and poll until it serves."""
-        has_upgrades = any(fault.kind == "upgrade" for fault in self.environment.plan.trouble)
+        has_upgrades = any(fault.kind == "upgrade" for fault in self.environment.plan.faults)
         if has_upgrades and self.passed_listener is None:
             self.passed_listener = socket.create_server(self.address, backlog=LISTEN_BACKLOG)
         self.spawn(known)
--- a/orchidgap/simulation/balancer_settings.py
+++ b/orchidgap/simulation/balancer_settings.py
@@ -11,7 +11,7 @@
 
 from orchidgap.net.addresses import format_address
 from orchidgap.simulation.balancer_instance import BalancerInstance
-from orchidgap.simulation.plan import Plan, Work, micros, millis
+from orchidgap.simulation.plan import Plan, RequestClassSpec, milliseconds_to_us, seconds_to_us
 
 RULE_SETS_LISTED_BEFORE_S = 1.5
 RULE_SETS_LISTED_AFTER_S = 3.0
@@ -19,7 +19,7 @@
 EFFECTS = {"replayable": "retryable", "uniqued": "dedup", "non-replayable": "fragile"}
 
 
-def is_listed_at(work: Work, second: float) -> bool:
+def is_listed_at(work: RequestClassSpec, second: float) -> bool:
     """Return whether settings written at this second of a run have the rule set.
 
     They have it from a little before clients name it until a little after.
@@ -47,56 +47,58 @@
         document["admin_addr"] = format_address(balancer.admin_address)
     document["limits"] = {
         "cores": 1.0,
-        "memory_mb": plan.ceilings.memory_mb,
-        "sockets": plan.ceilings.sockets,
+        "memory_mb": plan.limits.max_memory_mb,
+        "sockets": plan.limits.max_sockets,
     }
     document["known"] = known
     return document
 
 
-def settings_document(plan: Plan, max_attempts: int, works: Iterable[Work]) -> dict[str, Any]:
+def settings_document(
+    plan: Plan, max_attempts: int, works: Iterable[RequestClassSpec]
+) -> dict[str, Any]:
     """Return the settings that the decisions run under, with the rule sets of `works`."""
     return {
-        "instances": plan.balancers,
+        "instances": plan.balancer_count,
         "registry-mode": "subscribe",
         "kinds": ["cache", "origin"],
         "family-info": {
-            "mode": "aside" if plan.dialect == "http" else "owned",
+            "mode": "aside" if plan.protocol == "http" else "owned",
             "origin-kind": 1,
         },
         "ceilings": ceilings_document(plan, max_attempts),
         "guarantees": {
-            "cold-from": plan.cache.cold_from,
-            "warm-after": micros(plan.cache.warm_s),
+            "cold-from": plan.cache.cold_speed_ratio,
+            "warm-after": seconds_to_us(plan.cache.warm_up_s),
         },
-        "customers": [{"name": tenant.name, "share": tenant.share} for tenant in plan.tenants()],
+        "customers": [{"name": tenant.name, "share": tenant.quota} for tenant in plan.tenants()],
         "rule-sets": [rule_set_document(work) for work in works],
     }
 
 
 def ceilings_document(plan: Plan, max_attempts: int) -> dict[str, Any]:
     """Return what the decisions may at most do."""
-    ceilings = plan.ceilings
+    ceilings = plan.limits
     return {
         "most-dispatches": max_attempts,
         "may-cancel": ceilings.may_cancel,
-        "may-duplicate": ceilings.may_double,
+        "may-duplicate": ceilings.may_hedge,
         "retry-after": ceilings.retry_after,
-        "max-retry-after": millis(ceilings.most_pause_ms),
-        "connect-timeout": millis(plan.net.connect_timeout_ms),
-        "conn-idle": micros(plan.cache.idle_s),
+        "max-retry-after": milliseconds_to_us(ceilings.max_retry_after_ms),
+        "connect-timeout": milliseconds_to_us(plan.network.connect_timeout_ms),
+        "conn-idle": seconds_to_us(plan.cache.idle_timeout_s),
     }
 
 
-def rule_set_document(work: Work) -> dict[str, Any]:
+def rule_set_document(work: RequestClassSpec) -> dict[str, Any]:
     """Return one rule set, with its times in microseconds."""
     return {
         "name": work.name,
         "effect": EFFECTS[work.effect],
-        "group": work.group,
-        "response-target": millis(work.target_ms),
-        "client-timeout": millis(work.timeout_ms),
-        "repeat-window": millis(work.window_ms),
+        "group": work.deduplication_scope,
+        "response-target": milliseconds_to_us(work.latency_objective_ms),
+        "client-timeout": milliseconds_to_us(work.client_timeout_ms),
+        "repeat-window": milliseconds_to_us(work.deduplication_window_ms),
     }
 
 
@@ -104,7 +106,7 @@
     """Return the part for RESP: the addresses that the slot map is first asked from."""
     return {
         "seeds": seeds,
-        "timeout-ms": plan.works()[0].timeout_ms,
+        "timeout-ms": plan.request_classes()[0].client_timeout_ms,
         "tenant": plan.tenants()[0].name,
     }
 
@@ -116,6 +118,6 @@
     return {
         "listen": format_address(balancer.gossip_address),
         "key": GOSSIP_KEY,
-        "draw-ms": round(plan.pool_draw_s * 1000),
+        "draw-ms": round(plan.rebalance_interval_s * 1000),
         "peers": [format_address(other.gossip_address) for other in others],
     }
--- a/orchidgap/simulation/cache_contents.py
+++ b/orchidgap/simulation/cache_contents.py
@@ -16,10 +16,10 @@
 def value_size_bytes(plan: Plan, key: int) -> int:
     """Return the size of a key's value: most are small, one in sixteen is large."""
     keys = plan.keys
-    bulk = plan.bulk
-    if bulk.share and key * 40_503 % 1_000 < bulk.share * 1_000:
-        return bulk.size + key % 1_000
-    return keys.most_size if key * 2_654_435_761 % 16 == 0 else keys.size
+    bulk = plan.large_bodies
+    if bulk.large_key_ratio and key * 40_503 % 1_000 < bulk.large_key_ratio * 1_000:
+        return bulk.body_bytes + key % 1_000
+    return keys.max_value_bytes if key * 2_654_435_761 % 16 == 0 else keys.min_value_bytes
 
 
 def client_key_of(number: int | None) -> int:
@@ -36,10 +36,10 @@
 
 def fill_caches(plan: Plan, rng: Random, decider: Decider, caches: list[Store]) -> None:
     """Put the hottest keys where this decider would have had them cached."""
-    hot_count = min(plan.keys.count, plan.cache.keys * plan.caches)
+    hot_count = min(plan.keys.count, plan.cache.capacity_keys * plan.cache_count)
     homes = getattr(decider, "homes", even)
     ids = [cache.id for cache in caches]
     for key in reversed(range(hot_count)):  # the hottest last: they stay longest
-        if rng.random() < plan.keys.warm:
+        if rng.random() < plan.keys.warm_ratio:
             for i in homes(slot_of(b"k%d" % key), ids):
                 caches[i].keep(key)
--- a/orchidgap/simulation/clients.py
+++ b/orchidgap/simulation/clients.py
@@ -12,8 +12,8 @@
 from orchidgap.http1.writers import parse_seconds
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
-from orchidgap.simulation.invariant_checker import SMALL, Ask, Op
-from orchidgap.simulation.plan import Work, micros, millis
+from orchidgap.simulation.invariant_checker import LARGE_BODY_BYTES, ClientAttempt, Operation
+from orchidgap.simulation.plan import RequestClassSpec, milliseconds_to_us, seconds_to_us
 
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
@@ -45,7 +45,7 @@
         self.clients, self.post = callers, post
         self.life = callers.environment.incarnation_of(post)
         self.reader = ResponseReader()
-        self.ask: Ask | None = None
+        self.ask: ClientAttempt | None = None
         self.message: tuple[bytes, ...] = ()
         self.used = 0
         self.left = b""  # of a large req, what is yet to be written
@@ -53,14 +53,14 @@
         self.conn = Connection(callers.loop, sock, self, opening=opening)
         callers.links[post][self] = None
 
-    def carry(self, ask: Ask, message: tuple[bytes, ...]) -> None:
+    def carry(self, ask: ClientAttempt, message: tuple[bytes, ...]) -> None:
         self.ask, self.message = ask, message
-        ask.began = self.clients.loop.now
+        ask.write_started_us = self.clients.loop.now
         self.used += 1
-        bulk, rng = self.clients.plan.bulk, self.clients.rng
-        slow = bool(bulk.slow_readers) and rng.random() < bulk.slow_readers
-        self.pace = round(bulk.pace_kb * 1_000) if slow else 0
-        if len(message) > 1 and len(message[1]) > SMALL:
+        bulk, rng = self.clients.plan.large_bodies, self.clients.rng
+        slow = bool(bulk.slow_reader_ratio) and rng.random() < bulk.slow_reader_ratio
+        self.pace = round(bulk.slow_rate_kb * 1_000) if slow else 0
+        if len(message) > 1 and len(message[1]) > LARGE_BODY_BYTES:
             self.left = message[1]
             self.conn.on_drained = self.more
             self.conn.send(message[0])
@@ -82,7 +82,7 @@
             if self.pace:
                 self.clients.loop.call_later(len(piece) * 1_000_000 // self.pace, self.more)
                 return
-        if not self.left and not self.conn.write_buffer and self.ask and not self.ask.came:
+        if not self.left and not self.conn.write_buffer and self.ask and not self.ask.arrived_at_us:
             self.conn.on_drained = None
             self.written()
 
@@ -96,19 +96,24 @@
         ask = self.ask
         if ask:
             now = self.clients.loop.now
-            ask.came, ask.due = now, now + millis(ask.op.work.timeout_ms)
-            ask.most = self.clients.environment.max_attempts_at(now)
-            self.clients.environment.referee.taken(ask)
-            self.clients.loop.call_later(ask.due - now + LATE_BY, self.clients.overdue, self, ask)
+            ask.arrived_at_us, ask.deadline_us = (
+                now,
+                now + milliseconds_to_us(ask.operation.request_class.client_timeout_ms),
+            )
+            ask.max_attempts = self.clients.environment.max_attempts_at(now)
+            self.clients.environment.referee.on_client_attempt(ask)
+            self.clients.loop.call_later(
+                ask.deadline_us - now + LATE_BY, self.clients.overdue, self, ask
+            )
 
     def received(self, view: memoryview) -> None:
         reader = self.reader
         if self.ask is None:
-            self.clients.environment.referee.more(None, self.clients.loop.now)
+            self.clients.environment.referee.on_extra_bytes(None, self.clients.loop.now)
             return self.close()
         reader.feed(view)
-        if not self.ask.first_at:
-            self.ask.first_at = self.clients.loop.now
+        if not self.ask.first_answer_byte_us:
+            self.ask.first_answer_byte_us = self.clients.loop.now
         if self.left:  # answered before it had sent all: what is left does not matter any more
             self.left, self.conn.on_drained = b"", None
             self.written()
@@ -119,16 +124,16 @@
             )
         if reader.message.complete:
             ask, self.ask = self.ask, None
-            if reader.message.body_size > SMALL:
-                self.clients.environment.referee.large += 1
+            if reader.message.body_size > LARGE_BODY_BYTES:
+                self.clients.environment.referee.large_bodies += 1
             body, status = reader.message.body, reader.message.status
             pause = parse_seconds(reader.message.fields.get(b"retry-after", b"")) or 0
             extra, lasts = reader.has_excess_data, reader.message.keep_alive
-            self.clients.environment.referee.answer(ask, status, body, self.clients.loop.now)
+            self.clients.environment.referee.on_answer(ask, status, body, self.clients.loop.now)
             if status == 404:
                 self.clients.unknown(ask)
             if extra:
-                self.clients.environment.referee.more(ask, self.clients.loop.now)
+                self.clients.environment.referee.on_extra_bytes(ask, self.clients.loop.now)
             reader.reset()
             if lasts and not extra:
                 self.clients.idle[self.post].append(self)
@@ -146,31 +151,31 @@
         callers.links[self.post].pop(self, None)
         if self in callers.idle[self.post]:
             callers.idle[self.post].remove(self)
-        if ask is None or ask.status or ask.left:
+        if ask is None or ask.status or ask.abandoned:
             return
         environment = callers.environment
         if not environment.is_alive(self.post, self.life):
-            ask.left = True
+            ask.abandoned = True
             return callers.heard(ask, 0, 0)
         unread = what != "closed" and not self.reader.started
         if unread:
-            environment.referee.doors += 1
+            environment.referee.failed_connections += 1
         if self.used > 1 and unread:  # it was closed between two reqs, and this one crossed that
             return callers.send(ask, self.message, self.post, fresh=True)
         if what == "closed" and self.reader.started and self.reader.on_connection_closed():
             why = f"{ask.id.decode()}: no telling where its answer ends"
-            environment.referee.breach("lost", callers.loop.now, why)
+            environment.referee.record_breach("lost", callers.loop.now, why)
         elif self.reader.message.error_status or self.reader.started:
-            environment.referee.unfinished(
+            environment.referee.on_truncated_answer(
                 ask, callers.loop.now
             )  # it can tell that this is not whole
-        elif self.used == 1 and not ask.sent:
+        elif self.used == 1 and not ask.host_attempts:
             ask.status = (
                 -1
             )  # the first on its connection, with nothing sent on for it: failed, not lost
             environment.referee.aborted += 1
         else:
-            environment.referee.broke(ask, callers.loop.now)
+            environment.referee.on_connection_lost(ask, callers.loop.now)
         callers.heard(ask, 500, 0)
 
     def close(self) -> None:
@@ -192,16 +197,16 @@
         )
         self.idle: dict[str, list[CallerLink]] = {post: [] for post in environment.balancers}
         self.links: dict[str, dict[CallerLink, None]] = {post: {} for post in environment.balancers}
-        works = environment.plan.works()
+        works = environment.plan.request_classes()
         self.works, self.work_ends = works, list(accumulate(work.share for work in works))
         self.weights = {
-            post: 1.0 + environment.plan.callers.skew * self.rng.uniform(-1, 1)
+            post: 1.0 + environment.plan.clients.balancer_skew * self.rng.uniform(-1, 1)
             for post in environment.balancers
         }
-        if environment.plan.callers.busy:
+        if environment.plan.clients.busy_balancer_ratio:
             for post in self.rng.sample(
                 list(environment.balancers),
-                round(environment.plan.callers.busy * len(environment.balancers)),
+                round(environment.plan.clients.busy_balancer_ratio * len(environment.balancers)),
             ):
                 self.weights[post] *= BUSY
         self.key_ends = list(
@@ -216,7 +221,7 @@
         self.scan = 0.0
         self.swell: dict[str, float] = {}
         self.lop: dict[str, float] = {}
-        self.end = environment.start + micros(environment.plan.seconds)
+        self.end = environment.start + seconds_to_us(environment.plan.duration_s)
 
     # --- what is asked
 
@@ -229,21 +234,26 @@
             "wave": 1.0 + 0.35 * math.sin(part * 12.6),
         }
         more = sum(
-            tenant.share * tenant.usage * (self.swell.get(tenant.name, 1.0) - 1.0)
+            tenant.quota * tenant.quota_usage * (self.swell.get(tenant.name, 1.0) - 1.0)
             for tenant in self.plan.tenants()
         )
-        total = sum(tenant.share * tenant.usage for tenant in self.plan.tenants())
-        return self.plan.rate * shape[self.plan.callers.shape] * self.load * (1.0 + more / total)
+        total = sum(tenant.quota * tenant.quota_usage for tenant in self.plan.tenants())
+        return (
+            self.plan.request_rate
+            * shape[self.plan.clients.load_shape]
+            * self.load
+            * (1.0 + more / total)
+        )
 
     def arrive(self) -> None:
         if self.loop.now >= self.end:
             return
         self.loop.call_later(max(1, round(self.rng.expovariate(self.rate()) * 1e6)), self.arrive)
         op = self.draw()
-        self.environment.referee.ops.append(op)
+        self.environment.referee.operations.append(op)
         self.attempt(op)
 
-    def draw(self) -> Op:
+    def draw(self) -> Operation:
         rng, plan = self.rng, self.plan
         work = self.works[
             bisect(self.work_ends, rng.random() * self.work_ends[-1], 0, len(self.works) - 1)
@@ -251,7 +261,7 @@
         if not self.named(work):  # the usual first one in its place
             work = next(other for other in self.works if self.named(other))
         usage = [
-            tenant.share * tenant.usage * self.swell.get(tenant.name, 1.0)
+            tenant.quota * tenant.quota_usage * self.swell.get(tenant.name, 1.0)
             for tenant in plan.tenants()
         ]
         tenant = rng.choices(plan.tenants(), usage)[0].name
@@ -262,9 +272,11 @@
             self.scanned += 1
             key = plan.keys.count + self.scanned
         cost = max(1, round(work.work_ms * 1000 * rng.gammavariate(4.0, SPREAD)))
-        return Op(len(self.environment.referee.ops), work, tenant, key, cost, self.loop.now)
+        return Operation(
+            len(self.environment.referee.operations), work, tenant, key, cost, self.loop.now
+        )
 
-    def named(self, work: Work) -> bool:
+    def named(self, work: RequestClassSpec) -> bool:
         """Whether clients name this class now."""
         second = (self.loop.now - self.environment.start) / 1e6
         return work.from_s <= second and (not work.until_s or second < work.until_s)
@@ -273,16 +285,16 @@
         """Connections to this balancer that have not ended."""
         return [link for link in self.links[post] if link.conn.is_open]
 
-    def unknown(self, ask: Ask) -> None:
+    def unknown(self, ask: ClientAttempt) -> None:
         """Its balancer does not know its class."""
         why = f"{ask.id.decode()}: a class that the settings have is unknown"
-        self.environment.referee.breach("lost", self.loop.now, why)
+        self.environment.referee.record_breach("lost", self.loop.now, why)
 
     # --- the tries
 
     def choose(self, but: str = "", key: int = 0) -> str | None:
         """The front layer: a balancer by its weight, that was not seen dead for the notice time."""
-        notice, now = micros(self.plan.callers.notice_s), self.loop.now
+        notice, now = seconds_to_us(self.plan.clients.failover_delay_s), self.loop.now
         open_ = [
             post
             for post in self.environment.balancers
@@ -290,7 +302,10 @@
             and self.environment.accepts_clients(post, notice, now)
             and (not self.environment.front.closed(post) or self.idle[post])
         ]
-        if self.plan.callers.apart and self.rng.random() < self.plan.callers.apart:
+        if (
+            self.plan.clients.own_zone_ratio
+            and self.rng.random() < self.plan.clients.own_zone_ratio
+        ):
             home = key % self.plan.cache.zones
             open_ = [post for post in open_ if self.environment.zone_of(post) == home] or open_
         if not open_:
@@ -302,34 +317,37 @@
                 weights[i] = others * self.lop[post] / max(0.01, 1 - self.lop[post])
         return self.rng.choices(open_, weights)[0]
 
-    def attempt(self, op: Op, but: str = "") -> None:
+    def attempt(self, op: Operation, but: str = "") -> None:
         post = self.choose(but, op.key)
         if post is None:
             return
-        op.tries += 1
+        op.attempt_count += 1
         self.asked += 1
         id = b"q%x" % self.asked
-        ask = Ask(id, op, post, self.environment.incarnation_of(post), 0, 0)
+        ask = ClientAttempt(id, op, post, self.environment.incarnation_of(post), 0, 0)
         self.loop.call_later(
             self.environment.client_one_way_us(), self.send, ask, self.message(ask, op), post
         )
 
-    def message(self, ask: Ask, op: Op) -> tuple[bytes, ...]:
-        work, body = op.work, b""
+    def message(self, ask: ClientAttempt, op: Operation) -> tuple[bytes, ...]:
+        work, body = op.request_class, b""
         head = [
             b"%b /%b/k%d HTTP/1.1" % (b"PUT" if work.write else b"GET", work.name.encode(), op.key),
             b"Host: service",
             b"Request-Id: " + ask.id,
             b"Request-Class: " + work.name.encode(),
             b"Tenant: " + op.tenant.encode(),
-            b"Request-Timeout: %.3f" % (work.timeout_ms / 1e3),
+            b"Request-Timeout: %.3f" % (work.client_timeout_ms / 1e3),
         ]
-        if op.tries > 1:
+        if op.attempt_count > 1:
             head.append(b"Client-Retry: 1")
         if work.write:
             body = b"op%d" % op.number
-            if self.plan.bulk.uploads and self.rng.random() < self.plan.bulk.uploads:
-                body = body.ljust(self.plan.bulk.size, b"w")
+            if (
+                self.plan.large_bodies.large_write_ratio
+                and self.rng.random() < self.plan.large_bodies.large_write_ratio
+            ):
+                body = body.ljust(self.plan.large_bodies.body_bytes, b"w")
             ask.body = body
             head.append(b"Content-Length: %d" % len(body))
             if work.effect == "uniqued":
@@ -340,59 +358,70 @@
             else (b"\r\n".join(head) + b"\r\n\r\n",)
         )
 
-    def send(self, ask: Ask, message: tuple[bytes, ...], post: str, fresh: bool = False) -> None:
-        ask.life = self.environment.incarnation_of(post)
+    def send(
+        self, ask: ClientAttempt, message: tuple[bytes, ...], post: str, fresh: bool = False
+    ) -> None:
+        ask.incarnation = self.environment.incarnation_of(post)
         idle = self.idle[post]
         while idle and not fresh:
             link = idle.pop()
-            if link.conn.is_open and link.life == ask.life:
+            if link.conn.is_open and link.life == ask.incarnation:
                 return link.carry(ask, message)
             link.close()
         if self.environment.front.closed(post) and not fresh:
             return self.refused(ask, post)
         came = self.environment.network.dial(self.environment.address_of(post))
         if isinstance(came, AttemptFailure):
-            self.environment.referee.doors += 1
+            self.environment.referee.failed_connections += 1
             return self.refused(ask, post)
         CallerLink(self, post, came, not self.environment.network.virtual).carry(ask, message)
-        if self.plan.callers.impatient and self.rng.random() < self.plan.callers.impatient:
+        if (
+            self.plan.clients.impatient_ratio
+            and self.rng.random() < self.plan.clients.impatient_ratio
+        ):
             self.loop.call_later(
-                self.rng.randrange(1, millis(ask.op.work.timeout_ms)), self.hang_up, ask
+                self.rng.randrange(
+                    1, milliseconds_to_us(ask.operation.request_class.client_timeout_ms)
+                ),
+                self.hang_up,
+                ask,
             )
 
-    def refused(self, ask: Ask, post: str) -> None:
+    def refused(self, ask: ClientAttempt, post: str) -> None:
         """Nothing was taken: the front layer tries another at once, one time."""
-        if ask.op.tries <= self.plan.callers.retries + 1:
-            self.attempt(ask.op, but=post)
+        if ask.operation.attempt_count <= self.plan.clients.max_retries + 1:
+            self.attempt(ask.operation, but=post)
 
-    def hang_up(self, ask: Ask) -> None:
+    def hang_up(self, ask: ClientAttempt) -> None:
         if not ask.status:
-            ask.left = True
-            ask.op.counts = False
+            ask.abandoned = True
+            ask.operation.counted = False
 
-    def overdue(self, link: CallerLink, ask: Ask) -> None:
+    def overdue(self, link: CallerLink, ask: ClientAttempt) -> None:
         if link.ask is ask and not ask.status and not link.reader.started:
             if self.environment.is_alive(
                 link.post, link.life
-            ) and not self.environment.was_paused_since(link.post, ask.came):
-                self.environment.referee.silent(ask, self.loop.now)
+            ) and not self.environment.was_paused_since(link.post, ask.arrived_at_us):
+                self.environment.referee.on_no_answer(ask, self.loop.now)
             link.ask = None
             link.close()
 
-    def heard(self, ask: Ask, status: int, pause: int) -> None:
+    def heard(self, ask: ClientAttempt, status: int, pause: int) -> None:
         """What a client makes of its answer: another try, where that is harmless and it has not given up."""
-        op, callers = ask.op, self.plan.callers
-        if op.done_at or op.tries > callers.retries or status == 200:
+        op, callers = ask.operation, self.plan.clients
+        if op.completed_at_us or op.attempt_count > callers.max_retries or status == 200:
             return
-        if not status and op.work.effect != "replayable":
+        if not status and op.request_class.effect != "replayable":
             return  # its balancer died, and what became of it is not known
-        if status not in (0, 429, 503) and op.work.effect == "non-replayable":
+        if status not in (0, 429, 503) and op.request_class.effect == "non-replayable":
             return
-        wait = millis(callers.backoff_ms) * self.rng.uniform(0.7, 1.3)
-        if pause and self.rng.random() < callers.honour:
+        wait = milliseconds_to_us(callers.backoff_ms) * self.rng.uniform(0.7, 1.3)
+        if pause and self.rng.random() < callers.retry_after_compliance:
             wait = max(wait, pause * self.rng.uniform(1.0, 1.2))
-        if op.work.effect == "uniqued" and self.loop.now + wait > op.born + millis(
-            op.work.window_ms
+        if (
+            op.request_class.effect == "uniqued"
+            and self.loop.now + wait
+            > op.created_at_us + milliseconds_to_us(op.request_class.deduplication_window_ms)
         ):
             return  # a repeat would no longer be known as one
         self.loop.call_later(round(wait), self.attempt, op)
@@ -427,7 +456,7 @@
         self.reader = ResponseReader()
         self.over = False
         self.conn = Connection(callers.loop, sock, self, opening=opening)
-        callers.environment.referee.bad += 1
+        callers.environment.referee.bad_requests += 1
         for at in range(0, len(text), 4_096):
             if self.conn.is_open:
                 self.conn.send(text[at : at + 4_096])
@@ -445,7 +474,7 @@
             if not self.over and self.reader.message.status < 400:
                 self.clients.environment.referee.bad_served += 1
                 what = f"a bad client was answered {self.reader.message.status}: {self.text[:40]!r}"
-                self.clients.environment.referee.breach("lost", self.clients.loop.now, what)
+                self.clients.environment.referee.record_breach("lost", self.clients.loop.now, what)
             self.over = True
 
     def due(self) -> None:
--- a/orchidgap/simulation/commands.py
+++ b/orchidgap/simulation/commands.py
@@ -13,10 +13,12 @@
 from rich.progress import BarColumn, Progress, TextColumn
 from rich.table import Table
 
+from orchidgap.errors import ScenarioError
 from orchidgap.simulation import hunt as hunts
 from orchidgap.simulation.baselines import NAMES
-from orchidgap.simulation.invariant_checker import RULES, seconds_of
-from orchidgap.simulation.plan import BadPlan, Plan, read, written
+from orchidgap.simulation.invariant_checker import RULES, simulated_duration_us
+from orchidgap.simulation.plan import Plan
+from orchidgap.simulation.plan_file import format_plan, read_plan
 from orchidgap.simulation.runner import TRY, keep, simulation_of
 
 SHOWN = 12  # breaches told on the screen
@@ -37,13 +39,13 @@
             from orchidgap.simulation.saturate import main as saturate
 
             return saturate(console, whole(told, "--seconds", 5))
-        plan = read(told["PLAN"])
+        plan = read_plan(told["PLAN"])
         if told["trial"]:
             return trial(console, plan, told, Path(told["--out"]) if told["--out"] else None)
         if told["compare"]:
             return compare(console, plan, told)
         return hunt(console, plan, told)
-    except BadPlan as trouble:
+    except ScenarioError as trouble:
         console.print(f"orchidgap: {trouble}", markup=False, soft_wrap=True)
         return 2
 
@@ -55,13 +57,13 @@
             raise ValueError
         return number
     except ValueError:
-        raise BadPlan(f"{name} wants a whole number, not {told[name]!r}") from None
+        raise ScenarioError(f"{name} wants a whole number, not {told[name]!r}") from None
 
 
 def trial(console: Console, plan: Plan, told: Mapping[str, Any], out: Path | None) -> int:
     seed = whole(told, "--seed", plan.seed)
     simulation = simulation_of(plan, seed, bool(told["--real"]), told["--policy"] or "orchidgap")
-    length = seconds_of(plan) / 1e6
+    length = simulated_duration_us(plan) / 1e6
     with Progress(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -78,8 +80,8 @@
                 task,
                 completed=second,
                 line=(
-                    f"{second:.0f} s  {len(referee.ops)} reqs  "
-                    f"{sum(referee.counts.values())} breaches  {up} hosts up"
+                    f"{second:.0f} s  {len(referee.operations)} reqs  "
+                    f"{sum(referee.breach_counts.values())} breaches  {up} hosts up"
                 ),
             )
 
@@ -98,7 +100,8 @@
 
 def figures(plan: Plan, simulation: Any, verdict: dict[str, Any]) -> Table:
     table = Table(
-        title=f"{plan.name}: {plan.about}" if plan.about else plan.name, title_justify="left"
+        title=f"{plan.name}: {plan.description}" if plan.description else plan.name,
+        title_justify="left",
     )
     for name in (
         "service",
@@ -262,10 +265,10 @@
     plan = hunts.named(plan, name, about)
     out.mkdir(parents=True, exist_ok=True)
     path = out / f"{name}.toml"
-    path.write_text(written(plan))
+    path.write_text(format_plan(plan))
     console.print(
-        f"{path}: {len(plan.trouble)} troubles, {plan.seconds:g} s, {plan.caches} caches, "
-        f"{plan.balancers} balancers, after {plays} plays",
+        f"{path}: {len(plan.faults)} troubles, {plan.duration_s:g} s, {plan.cache_count} caches, "
+        f"{plan.balancer_count} balancers, after {plays} plays",
         markup=False,
     )
 
--- a/orchidgap/simulation/discovery_server.py
+++ b/orchidgap/simulation/discovery_server.py
@@ -11,7 +11,7 @@
 from orchidgap.http1.readers import RequestReader
 from orchidgap.net.addresses import Address
 from orchidgap.net.connection import Connection
-from orchidgap.simulation.plan import micros
+from orchidgap.simulation.plan import seconds_to_us
 
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
@@ -59,19 +59,19 @@
             self.seq += 1
             self.changed[id] = self.seq
             self.times.append((self.seq, self.loop.now))
-            self.environment.referee.event(self.loop.now, f"list: {id} {health}")
+            self.environment.referee.record_event(self.loop.now, f"list: {id} {health}")
             for agent in self.agents.values():
                 agent.stir()
                 self.loop.call_later(PRESUMED, agent.presume, self.seq)
 
     def put_later(self, id: str, health: str, seconds: float) -> None:
         self.loop.call_later(
-            micros(seconds * self.environment.rng.uniform(0.7, 1.3)), self.put, id, health
+            seconds_to_us(seconds * self.environment.rng.uniform(0.7, 1.3)), self.put, id, health
         )
 
     def gone_later(self, id: str, seconds: float) -> None:
         self.loop.call_later(
-            micros(seconds * self.environment.rng.uniform(0.7, 1.3)), self.gone_if_so, id
+            seconds_to_us(seconds * self.environment.rng.uniform(0.7, 1.3)), self.gone_if_so, id
         )
 
     def gone_if_so(self, id: str) -> None:
@@ -120,11 +120,11 @@
     def count(self) -> None:
         """A call: so many in a second from one balancer add up to too many from all."""
         referee, second = self.listing.environment.referee, self.loop.now // 1_000_000
-        referee.lists += 1
+        referee.list_calls += 1
         self.calls = (second, self.calls[1] + 1) if self.calls[0] == second else (second, 1)
         if self.calls[1] == MOST_CALLS + 1:
             why = f"discovery: {self.balancer} asked more than {MOST_CALLS} times in a second"
-            referee.breach("cold", self.loop.now, why)
+            referee.record_breach("cold", self.loop.now, why)
 
     def stir(self) -> None:
         if self.gone or self.frozen:
@@ -159,11 +159,13 @@
         self.told_seq = max(self.told_seq, seq)
         there = {entry["host"]: entry for entry in entries}
         for id, entry in there.items():
-            referee.tell(self.balancer, id, STATES[entry["health"]], now, entry["born_ms"])
+            referee.on_list_written(
+                self.balancer, id, STATES[entry["health"]], now, entry["born_ms"]
+            )
         if whole:
             for id in self.listing.entries:
                 if id not in there:
-                    referee.tell(self.balancer, id, "gone", now)
+                    referee.on_list_written(self.balancer, id, "gone", now)
             self.last = seq, entries
         else:
             kept = {entry["host"]: entry for entry in self.last[1]} | {
--- a/orchidgap/simulation/environment.py
+++ b/orchidgap/simulation/environment.py
@@ -12,7 +12,7 @@
 
 from orchidgap.net.addresses import Address
 from orchidgap.net.loop import Loop
-from orchidgap.simulation.invariant_checker import Referee
+from orchidgap.simulation.invariant_checker import InvariantChecker
 from orchidgap.simulation.plan import Plan
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
     plan: Plan
     loop: Loop
     rng: Random
-    referee: Referee
+    referee: InvariantChecker
     start: int  # when the first request may come
     port_offset: int  # added to the ports, where several runs share a machine
     network: Any  # VirtualNetwork or LoopbackNetwork
--- a/orchidgap/simulation/faults.py
+++ b/orchidgap/simulation/faults.py
@@ -7,7 +7,7 @@
 
 from orchidgap.simulation.clients import rude
 from orchidgap.simulation.operations import OPS_ACTS
-from orchidgap.simulation.plan import Trouble, micros
+from orchidgap.simulation.plan import Fault, seconds_to_us
 from orchidgap.simulation.resp_cluster import failover, pointing, reshuffle
 from orchidgap.simulation.servers import Store
 from orchidgap.simulation.virtual_network import VirtualNetwork
@@ -20,26 +20,26 @@
 T = TypeVar("T")
 
 
-def set_off(environment: Environment, trouble: Trouble) -> None:
+def start_fault(environment: Environment, trouble: Fault) -> None:
     """Called at the trouble's time."""
-    what = f"{trouble.kind} {trouble.target} {trouble.part:g} {trouble.size:g}"
-    environment.referee.event(environment.loop.now, " ".join(what.split()))
+    what = f"{trouble.kind} {trouble.target} {trouble.target_ratio:g} {trouble.magnitude:g}"
+    environment.referee.record_event(environment.loop.now, " ".join(what.split()))
     if trouble.kind in OPS_ACTS:
         return OPS_ACTS[trouble.kind](environment, trouble, balancers(environment, trouble))
-    ACTS[trouble.kind](environment, trouble)
+    FAULTS[trouble.kind](environment, trouble)
 
 
 def some(
-    environment: Environment, trouble: Trouble, all_: list[T], name: Callable[[T], str]
+    environment: Environment, trouble: Fault, all_: list[T], name: Callable[[T], str]
 ) -> list[T]:
     """The target by name, or the part of all (one at least), drawn by the seed."""
     if trouble.target:
         return [one for one in all_ if name(one) == trouble.target]
-    count = max(1, round(trouble.part * len(all_)))
+    count = max(1, round(trouble.target_ratio * len(all_)))
     return environment.rng.sample(all_, min(count, len(all_)))
 
 
-def caches(environment: Environment, trouble: Trouble) -> list[Store]:
+def caches(environment: Environment, trouble: Fault) -> list[Store]:
     """A cache host by name, also an origin; else a part of the caches that run."""
     there = [store for store in environment.servers.values() if store.alive]
     if trouble.target:
@@ -52,14 +52,14 @@
     )
 
 
-def balancers(environment: Environment, trouble: Trouble) -> list[str]:
+def balancers(environment: Environment, trouble: Fault) -> list[str]:
     return some(environment, trouble, list(environment.balancers), str)
 
 
 def later(
-    environment: Environment, trouble: Trouble, act: Callable[..., None], *args: object
+    environment: Environment, trouble: Fault, act: Callable[..., None], *args: object
 ) -> None:
-    environment.loop.call_later(micros(trouble.for_s), act, *args)
+    environment.loop.call_later(seconds_to_us(trouble.duration_s), act, *args)
 
 
 def forget(what: dict[str, float], name: str) -> None:
@@ -68,7 +68,7 @@
 
 def for_a_time(
     environment: Environment,
-    trouble: Trouble,
+    trouble: Fault,
     things: list[Any],
     name: str,
     value: object,
@@ -84,24 +84,27 @@
     later(environment, trouble, put, usual)
 
 
-def crash(environment: Environment, trouble: Trouble) -> None:
+def crash(environment: Environment, trouble: Fault) -> None:
     for store in caches(environment, trouble):
         store.stop()
-        environment.listing.gone_later(store.id, environment.plan.listing.notice_s)
+        environment.listing.gone_later(store.id, environment.plan.discovery.removal_delay_s)
         later(environment, trouble, store.revive)
 
 
-def vanish(environment: Environment, trouble: Trouble) -> None:
+def vanish(environment: Environment, trouble: Fault) -> None:
     for store in caches(environment, trouble):
         store.vanish(True)
-        environment.listing.gone_later(store.id, environment.plan.listing.silent_s)
+        environment.listing.gone_later(store.id, environment.plan.discovery.silent_removal_delay_s)
         later(environment, trouble, store.vanish, False)
 
 
-def stall(environment: Environment, trouble: Trouble) -> None:
+def stall(environment: Environment, trouble: Fault) -> None:
     """Hosts stand still for `size` seconds (0.4 where it is 0), again and again until the trouble ends."""
-    hosts, end = caches(environment, trouble), environment.loop.now + micros(trouble.for_s)
-    length = micros(trouble.size or 0.4)
+    hosts, end = (
+        caches(environment, trouble),
+        environment.loop.now + seconds_to_us(trouble.duration_s),
+    )
+    length = seconds_to_us(trouble.magnitude or 0.4)
 
     def again() -> None:
         if environment.loop.now < end:
@@ -114,8 +117,10 @@
     again()
 
 
-def slow(environment: Environment, trouble: Trouble) -> None:
-    for_a_time(environment, trouble, caches(environment, trouble), "slow", trouble.size or 3.0, 1.0)
+def slow(environment: Environment, trouble: Fault) -> None:
+    for_a_time(
+        environment, trouble, caches(environment, trouble), "slow", trouble.magnitude or 3.0, 1.0
+    )
 
 
 def drain_one(
@@ -137,65 +142,67 @@
         store.draining = store.alive
 
     environment.loop.call_later(
-        micros(environment.plan.ceilings.drain_grace_ms / 1e3) + 200_000, refuse
+        seconds_to_us(environment.plan.limits.drain_grace_ms / 1e3) + 200_000, refuse
     )
-    environment.loop.call_later(micros(linger), end)
+    environment.loop.call_later(seconds_to_us(linger), end)
 
 
-def drain(environment: Environment, trouble: Trouble) -> None:
+def drain(environment: Environment, trouble: Fault) -> None:
     for store in caches(environment, trouble):
-        drain_one(environment, store, micros(trouble.for_s), trouble.size or LINGER)
+        drain_one(
+            environment, store, seconds_to_us(trouble.duration_s), trouble.magnitude or LINGER
+        )
 
 
-def deploy(environment: Environment, trouble: Trouble) -> None:
+def deploy(environment: Environment, trouble: Fault) -> None:
     """One batch of hosts after another, spread over the time; successors start cold."""
     hosts = caches(environment, trouble)
     for i, store in enumerate(hosts):
-        at = micros(trouble.for_s) * i // len(hosts)
+        at = seconds_to_us(trouble.duration_s) * i // len(hosts)
         environment.loop.call_later(at, drain_one, environment, store, 500_000)
 
 
-def shrink(environment: Environment, trouble: Trouble) -> None:
+def shrink(environment: Environment, trouble: Fault) -> None:
     hosts = caches(environment, trouble)
     for i, store in enumerate(hosts):
         environment.loop.call_later(
-            micros(trouble.for_s) * i // len(hosts), drain_one, environment, store, None
+            seconds_to_us(trouble.duration_s) * i // len(hosts), drain_one, environment, store, None
         )
 
 
-def flush(environment: Environment, trouble: Trouble) -> None:
+def flush(environment: Environment, trouble: Fault) -> None:
     for store in environment.servers.values():
-        store.flush(trouble.part or 0.9)
+        store.flush(trouble.target_ratio or 0.9)
 
 
-def scan(environment: Environment, trouble: Trouble) -> None:
-    for_a_time(environment, trouble, [environment.clients], "scan", trouble.size or 0.1, 0.0)
+def scan(environment: Environment, trouble: Fault) -> None:
+    for_a_time(environment, trouble, [environment.clients], "scan", trouble.magnitude or 0.1, 0.0)
 
 
-def hot_key(environment: Environment, trouble: Trouble) -> None:
+def hot_key(environment: Environment, trouble: Fault) -> None:
     """`size` of all reqs ask for one to three keys."""
     keys = environment.rng.sample(
         range(environment.plan.keys.count // 4, environment.plan.keys.count),
         environment.rng.randrange(1, 4),
     )
-    hot = (trouble.size or 0.2, [int(trouble.target)] if trouble.target.isdigit() else keys)
+    hot = (trouble.magnitude or 0.2, [int(trouble.target)] if trouble.target.isdigit() else keys)
     for_a_time(environment, trouble, [environment.clients], "hot", hot, (0.0, []))
 
 
-def hot_tenant(environment: Environment, trouble: Trouble) -> None:
+def hot_tenant(environment: Environment, trouble: Fault) -> None:
     name = trouble.target or environment.plan.tenants()[0].name
-    environment.clients.swell[name] = trouble.size or 4.0
+    environment.clients.swell[name] = trouble.magnitude or 4.0
     later(environment, trouble, forget, environment.clients.swell, name)
 
 
-def lopsided(environment: Environment, trouble: Trouble) -> None:
+def lopsided(environment: Environment, trouble: Fault) -> None:
     """One balancer suddenly carries `size` of all traffic."""
     name = balancers(environment, trouble)[0]
-    environment.clients.lop[name] = min(0.95, trouble.size or 0.7)
+    environment.clients.lop[name] = min(0.95, trouble.magnitude or 0.7)
     later(environment, trouble, forget, environment.clients.lop, name)
 
 
-def balancer_kill(environment: Environment, trouble: Trouble) -> None:
+def balancer_kill(environment: Environment, trouble: Fault) -> None:
     for name in balancers(environment, trouble):
         environment.balancers[name].kill()
         later(environment, trouble, again, environment, name)
@@ -211,12 +218,12 @@
         post.start({"seq": seq, "whole": True, "hosts": hosts})
 
 
-def balancer_roll(environment: Environment, trouble: Trouble) -> None:
+def balancer_roll(environment: Environment, trouble: Fault) -> None:
     """One after another gets SIGTERM and starts again."""
     names = balancers(environment, trouble)
     for i, name in enumerate(names):
         environment.loop.call_later(
-            micros(trouble.for_s) * i // len(names), roll_one, environment, name
+            seconds_to_us(trouble.duration_s) * i // len(names), roll_one, environment, name
         )
 
 
@@ -236,7 +243,7 @@
 
 def discovery(
     environment: Environment,
-    trouble: Trouble,
+    trouble: Fault,
     gone: bool = False,
     late: int = 0,
     frozen: bool = False,
@@ -245,7 +252,7 @@
         environment.listing.agents[name]
         for name in (
             balancers(environment, trouble)
-            if trouble.target or trouble.part
+            if trouble.target or trouble.target_ratio
             else environment.balancers
         )
     ]
@@ -259,17 +266,17 @@
     later(environment, trouble, end)
 
 
-def discovery_crowded(environment: Environment, trouble: Trouble) -> None:
+def discovery_crowded(environment: Environment, trouble: Fault) -> None:
     """`size` of the calls for the list are turned away (0.9)."""
     agents = list(environment.listing.agents.values())
-    for_a_time(environment, trouble, agents, "crowded", trouble.size or 0.9, 0.0)
+    for_a_time(environment, trouble, agents, "crowded", trouble.magnitude or 0.9, 0.0)
     for agent in agents:  # a watch that is under way ends, too
         for link in list(agent.links):
             link.conn.close()
             agent.links.pop(link, None)
 
 
-def cut(environment: Environment, trouble: Trouble, hosts: list[Store], names: list[str]) -> None:
+def cut(environment: Environment, trouble: Fault, hosts: list[Store], names: list[str]) -> None:
     if not isinstance(environment.network, VirtualNetwork):
         for store in hosts:  # no way between two processes can be cut: the host is silent to all
             store.vanish(True)
@@ -290,9 +297,9 @@
     later(environment, trouble, end)
 
 
-def link_loss(environment: Environment, trouble: Trouble) -> None:
+def link_loss(environment: Environment, trouble: Fault) -> None:
     """A share of the ways between balancers and hosts falls silent, drawn one by one."""
-    part = trouble.part or 0.2
+    part = trouble.target_ratio or 0.2
     for store in environment.servers.values():
         if not store.is_origin:
             names = [name for name in environment.balancers if environment.rng.random() < part]
@@ -300,7 +307,7 @@
                 cut(environment, trouble, [store], names)
 
 
-def partition(environment: Environment, trouble: Trouble) -> None:
+def partition(environment: Environment, trouble: Fault) -> None:
     """Some balancers lose a part of the hosts."""
     names = (
         [trouble.target]
@@ -310,22 +317,22 @@
         )
     )
     hosts = [store for store in environment.servers.values() if not store.is_origin]
-    count = max(1, round((trouble.part or 0.4) * len(hosts)))
+    count = max(1, round((trouble.target_ratio or 0.4) * len(hosts)))
     cut(environment, trouble, environment.rng.sample(hosts, count), names)
 
 
-def spoilt(environment: Environment, trouble: Trouble) -> None:
+def spoilt(environment: Environment, trouble: Fault) -> None:
     for_a_time(
-        environment, trouble, caches(environment, trouble), "spoilt", trouble.size or 0.2, 0.0
+        environment, trouble, caches(environment, trouble), "spoilt", trouble.magnitude or 0.2, 0.0
     )
 
 
-def bad_clients(environment: Environment, trouble: Trouble) -> None:
+def bad_clients(environment: Environment, trouble: Fault) -> None:
     """`size` a second."""
     rude(
         environment.clients,
-        environment.loop.now + micros(trouble.for_s),
-        round(1e6 / (trouble.size or 20.0)),
+        environment.loop.now + seconds_to_us(trouble.duration_s),
+        round(1e6 / (trouble.magnitude or 20.0)),
     )
 
 
@@ -333,21 +340,21 @@
     return [store for store in environment.servers.values() if store.is_origin]
 
 
-def slow_origin(environment: Environment, trouble: Trouble) -> None:
-    for_a_time(environment, trouble, origins(environment), "slow", trouble.size or 4.0, 1.0)
+def slow_origin(environment: Environment, trouble: Fault) -> None:
+    for_a_time(environment, trouble, origins(environment), "slow", trouble.magnitude or 4.0, 1.0)
 
 
-def stopped_origin(environment: Environment, trouble: Trouble) -> None:
+def stopped_origin(environment: Environment, trouble: Fault) -> None:
     for store in origins(environment):
         store.stop()
         later(environment, trouble, store.revive, False)
 
 
-def load(environment: Environment, trouble: Trouble) -> None:
-    for_a_time(environment, trouble, [environment.clients], "load", trouble.size or 4.0, 1.0)
+def load(environment: Environment, trouble: Fault) -> None:
+    for_a_time(environment, trouble, [environment.clients], "load", trouble.magnitude or 4.0, 1.0)
 
 
-ACTS: dict[str, Callable[[Environment, Trouble], None]] = {
+FAULTS: dict[str, Callable[[Environment, Fault], None]] = {
     "crash": crash,
     "vanish": vanish,
     "stall": stall,
@@ -364,7 +371,7 @@
     "balancer-roll": balancer_roll,
     "discovery-gone": lambda environment, trouble: discovery(environment, trouble, gone=True),
     "discovery-late": lambda environment, trouble: discovery(
-        environment, trouble, late=micros(trouble.size or 4.0)
+        environment, trouble, late=seconds_to_us(trouble.magnitude or 4.0)
     ),
     "discovery-stale": lambda environment, trouble: discovery(environment, trouble, frozen=True),
     "discovery-crowded": discovery_crowded,
--- a/orchidgap/simulation/hunt.py
+++ b/orchidgap/simulation/hunt.py
@@ -13,7 +13,8 @@
 import msgspec
 
 from orchidgap.simulation.invariant_checker import RULES
-from orchidgap.simulation.plan import KINDS, OPS_KINDS, Plan, Trouble, checked
+from orchidgap.simulation.plan import FAULT_KINDS, OPERATOR_FAULT_KINDS, Fault, Plan
+from orchidgap.simulation.plan_file import validate_plan
 from orchidgap.simulation.runner import play
 
 BASELINES = ("random", "ring", "bounded-ring", "least-out")
@@ -38,38 +39,40 @@
 def drawn(plan: Plan, number: int) -> Plan:
     """Run `number` of a hunt: another fleet, another load, one to five troubles."""
     rng = Random(f"{plan.seed} {number}")
-    kinds = KINDS + (
-        OPS_KINDS if any(trouble.kind in OPS_KINDS for trouble in plan.trouble) else ()
+    kinds = FAULT_KINDS + (
+        OPERATOR_FAULT_KINDS
+        if any(trouble.kind in OPERATOR_FAULT_KINDS for trouble in plan.faults)
+        else ()
     )
     troubles = [
-        trouble_of(rng, plan.seconds, kinds) for _ in range(rng.choice((1, 1, 2, 2, 3, 4, 5)))
+        trouble_of(rng, plan.duration_s, kinds) for _ in range(rng.choice((1, 1, 2, 2, 3, 4, 5)))
     ]
     return msgspec.structs.replace(
         plan,
         seed=rng.randrange(1 << 31),
-        balancers=rng.randrange(1, max(2, plan.balancers * 2)),
-        caches=rng.randrange(max(1, plan.caches // 2), plan.caches + 3),
-        rate=round(plan.rate * rng.uniform(0.4, 1.3), 1),
+        balancer_count=rng.randrange(1, max(2, plan.balancer_count * 2)),
+        cache_count=rng.randrange(max(1, plan.cache_count // 2), plan.cache_count + 3),
+        request_rate=round(plan.request_rate * rng.uniform(0.4, 1.3), 1),
         cache=msgspec.structs.replace(
-            plan.cache, zones=rng.choice((1, 1, 2, 3)), errors=rng.choice((0.0, 0.0, 0.01))
+            plan.cache, zones=rng.choice((1, 1, 2, 3)), error_ratio=rng.choice((0.0, 0.0, 0.01))
         ),
-        callers=msgspec.structs.replace(
-            plan.callers,
-            retries=rng.randrange(3),
-            impatient=rng.choice((0.0, 0.0, 0.03)),
-            shape=rng.choice(("steady", "ramp", "wave")),
+        clients=msgspec.structs.replace(
+            plan.clients,
+            max_retries=rng.randrange(3),
+            impatient_ratio=rng.choice((0.0, 0.0, 0.03)),
+            load_shape=rng.choice(("steady", "ramp", "wave")),
         ),
-        ceilings=msgspec.structs.replace(
-            plan.ceilings, may_double=rng.random() < 0.7, may_cancel=rng.random() < 0.8
+        limits=msgspec.structs.replace(
+            plan.limits, may_hedge=rng.random() < 0.7, may_cancel=rng.random() < 0.8
         ),
-        trouble=tuple(sorted(troubles, key=lambda trouble: trouble.at_s)),
+        faults=tuple(sorted(troubles, key=lambda trouble: trouble.start_s)),
     )
 
 
-def trouble_of(rng: Random, seconds: float, kinds: tuple[str, ...] = KINDS) -> Trouble:
+def trouble_of(rng: Random, seconds: float, kinds: tuple[str, ...] = FAULT_KINDS) -> Fault:
     kind = rng.choice(kinds)
     low, high = SIZES.get(kind, (0, 0))
-    return Trouble(
+    return Fault(
         kind,
         round(rng.uniform(0.05, 0.6) * seconds, 1),
         round(rng.uniform(0.05, 0.4) * seconds, 1),
@@ -161,24 +164,24 @@
 def smaller(plan: Plan) -> Iterator[Plan]:
     """Plans that are one step smaller, the largest steps first."""
     replace = msgspec.structs.replace
-    for i in range(len(plan.trouble)):
-        yield replace(plan, trouble=plan.trouble[:i] + plan.trouble[i + 1 :])
-    last = max((trouble.at_s for trouble in plan.trouble), default=0.0)
-    for seconds in (round(plan.seconds / 2, 1), round(plan.seconds * 0.8, 1)):
+    for i in range(len(plan.faults)):
+        yield replace(plan, faults=plan.faults[:i] + plan.faults[i + 1 :])
+    last = max((trouble.start_s for trouble in plan.faults), default=0.0)
+    for seconds in (round(plan.duration_s / 2, 1), round(plan.duration_s * 0.8, 1)):
         if seconds > max(2.0, last):
-            yield replace(plan, seconds=seconds)
-    if plan.balancers > 1:
-        yield replace(plan, balancers=1)
-        yield replace(plan, balancers=plan.balancers - 1)
-    if plan.caches > 1:
-        yield replace(plan, caches=max(1, plan.caches // 2))
-        yield replace(plan, caches=plan.caches - 1)
-    if plan.rate > 10:
-        yield replace(plan, rate=round(plan.rate / 2, 1))
-    if plan.callers.impatient or plan.callers.shape != "steady":
-        yield replace(plan, callers=replace(plan.callers, impatient=0.0, shape="steady"))
-    if plan.cache.errors or plan.cache.zones > 1:
-        yield replace(plan, cache=replace(plan.cache, errors=0.0, zones=1))
+            yield replace(plan, duration_s=seconds)
+    if plan.balancer_count > 1:
+        yield replace(plan, balancer_count=1)
+        yield replace(plan, balancer_count=plan.balancer_count - 1)
+    if plan.cache_count > 1:
+        yield replace(plan, cache_count=max(1, plan.cache_count // 2))
+        yield replace(plan, cache_count=plan.cache_count - 1)
+    if plan.request_rate > 10:
+        yield replace(plan, request_rate=round(plan.request_rate / 2, 1))
+    if plan.clients.impatient_ratio or plan.clients.load_shape != "steady":
+        yield replace(plan, clients=replace(plan.clients, impatient_ratio=0.0, load_shape="steady"))
+    if plan.cache.error_ratio or plan.cache.zones > 1:
+        yield replace(plan, cache=replace(plan.cache, error_ratio=0.0, zones=1))
 
 
 def shrink(plan: Plan, still: Callable[[Plan], bool], most: int = SHRINKS) -> tuple[Plan, int]:
@@ -217,4 +220,6 @@
 
 
 def named(plan: Plan, name: str, about: str) -> Plan:
-    return checked(msgspec.to_builtins(msgspec.structs.replace(plan, name=name, about=about)))
+    return validate_plan(
+        msgspec.to_builtins(msgspec.structs.replace(plan, name=name, description=about))
+    )
--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -7,16 +7,16 @@
 
 from orchidgap.decisions import load_skew
 from orchidgap.simulation.environment import Environment
-from orchidgap.simulation.invariant_checker import Arrival, Ask, Op
-from orchidgap.simulation.plan import Expect, millis
+from orchidgap.simulation.invariant_checker import ClientAttempt, HostAttempt, Operation
+from orchidgap.simulation.plan import EvennessBounds, milliseconds_to_us
 
 LEASTS = ("least", "served")  # of what a plan may expect; the others are bounded from above
 
 
-class Stretches:
+class PhaseRecorder:
     """The stretches of one run, one after another; each has a name."""
 
-    def __init__(self, environment: Environment, expect: tuple[Expect, ...]) -> None:
+    def __init__(self, environment: Environment, expect: tuple[EvennessBounds, ...]) -> None:
         self.environment, self.expect = environment, expect
         self.found: dict[str, dict[str, float]] = {}  # figures by name
         self.times: dict[str, tuple[int, int]] = {}  # since when, until when
@@ -36,33 +36,40 @@
         for name, (since, until) in self.times.items():
             self.found[name]["served"] = round(served(self.environment, since, until), 3)
             for one in self.expect:
-                if one.stretch == name:
+                if one.phase == name:
                     for text in unlike(self.found[name], one.figures()):
                         breach("uneven", until, f"{name}: {text}")
         return self.found
 
 
-def asked(environment: Environment, since: int, until: int) -> list[Op]:
-    return [op for op in environment.referee.ops if op.counts and since <= op.born < until]
+def asked(environment: Environment, since: int, until: int) -> list[Operation]:
+    return [
+        op
+        for op in environment.referee.operations
+        if op.counted and since <= op.created_at_us < until
+    ]
 
 
 def served(environment: Environment, since: int, until: int) -> float:
     """Value in time, of all that may not yet come in time."""
     now = environment.loop.now
-    return environment.referee.value(
+    return environment.referee.service_ratio(
         op
         for op in asked(environment, since, until)
-        if op.done_at or now - op.born > millis(op.work.target_ms)
+        if op.completed_at_us
+        or now - op.created_at_us > milliseconds_to_us(op.request_class.latency_objective_ms)
     )
 
 
-def dispatches(environment: Environment, since: int, until: int) -> Iterator[tuple[Ask, Arrival]]:
+def dispatches(
+    environment: Environment, since: int, until: int
+) -> Iterator[tuple[ClientAttempt, HostAttempt]]:
     """Reads that hosts were sent."""
-    for ask in environment.referee.asks.values():
-        if not ask.op.work.write and since <= ask.came < until:
-            for sent in ask.sent:
+    for ask in environment.referee.client_attempts.values():
+        if not ask.operation.request_class.write and since <= ask.arrived_at_us < until:
+            for sent in ask.host_attempts:
                 # what came after the answer lay before a host that said nothing
-                if not ask.answered_at or sent.first_at <= ask.answered_at:
+                if not ask.answered_at_us or sent.first_byte_at_us <= ask.answered_at_us:
                     yield ask, sent
 
 
@@ -80,9 +87,9 @@
     fetches = 0
     for ask, sent in dispatches(environment, since, until):
         if sent.host in caches:
-            reads.append(load_skew.CacheRead(sent.first_at, sent.host, ask.op.key))
-            if sent.ended_at:
-                took[sent.host].append(sent.ended_at - sent.first_at)
+            reads.append(load_skew.CacheRead(sent.first_byte_at_us, sent.host, ask.operation.key))
+            if sent.ended_at_us:
+                took[sent.host].append(sent.ended_at_us - sent.first_byte_at_us)
         elif environment.servers[sent.host].is_origin:
             fetches += 1
     times: dict[str, list[int]] = {id: [] for id in caches}
@@ -91,7 +98,7 @@
     share = load_skew.load_ratios(
         {id: len(row) for id, row in times.items()}, dict.fromkeys(caches, 1.0)
     )
-    count = sum(not op.work.write for op in asked(environment, since, until))
+    count = sum(not op.request_class.write for op in asked(environment, since, until))
     slowest = [sorted(row)[len(row) * 99 // 100] for row in took.values() if row]
     found: dict[str, float] = {
         "most": max(share.values(), default=0.0),
@@ -116,11 +123,14 @@
     caches = [id for id, store in environment.servers.items() if not store.is_origin]
     seconds = max(
         1,
-        min(int(environment.plan.seconds), (environment.loop.now - environment.start) // 1_000_000),
+        min(
+            int(environment.plan.duration_s),
+            (environment.loop.now - environment.start) // 1_000_000,
+        ),
     )
     found = {id: [0] * seconds for id in caches}
     for _, sent in dispatches(environment, environment.start, environment.loop.now):
-        second = (sent.first_at - environment.start) // 1_000_000
+        second = (sent.first_byte_at_us - environment.start) // 1_000_000
         if sent.host in found and second < seconds:
             found[sent.host][second] += 1
     return found
--- a/orchidgap/simulation/operations.py
+++ b/orchidgap/simulation/operations.py
@@ -12,7 +12,7 @@
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
 from orchidgap.simulation.environment import AttemptLimit
-from orchidgap.simulation.plan import OPS_KINDS, Trouble, micros
+from orchidgap.simulation.plan import OPERATOR_FAULT_KINDS, Fault, seconds_to_us
 
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
@@ -62,7 +62,7 @@
     def __init__(self, environment: Environment) -> None:
         self.environment = environment
         self.no_since: dict[str, int] = {}
-        self.on = any(trouble.kind in OPS_KINDS for trouble in environment.plan.trouble)
+        self.on = any(trouble.kind in OPERATOR_FAULT_KINDS for trouble in environment.plan.faults)
 
     def start(self) -> None:
         if self.on:
@@ -104,7 +104,7 @@
             b"",
         )
         self.over = False
-        environment.referee.calls += 1
+        environment.referee.operator_calls += 1
         came = environment.network.dial(environment.balancers[post].admin_address)
         if isinstance(came, AttemptFailure):
             return self.wrong("nobody lets it in")
@@ -138,7 +138,7 @@
 
     def wrong(self, why: str) -> None:
         self.over = True
-        self.environment.referee.breach(
+        self.environment.referee.record_breach(
             "late", self.environment.loop.now, f"call {self.name} at {self.post}: {why}"
         )
 
@@ -147,9 +147,9 @@
     """A call that is owed one of these words."""
 
     def heard(said: str) -> None:
-        environment.referee.event(environment.loop.now, f"{post}: {name}: {said}")
+        environment.referee.record_event(environment.loop.now, f"{post}: {name}: {said}")
         if not said.startswith(wanted or ("SUCCESS",)):
-            environment.referee.breach(
+            environment.referee.record_breach(
                 "late", environment.loop.now, f"call {name} at {post}: {said!r}"
             )
 
@@ -159,7 +159,7 @@
 # --- what they do
 
 
-def quiesce(environment: Environment, trouble: Trouble, names: list[str]) -> None:
+def quiesce(environment: Environment, trouble: Fault, names: list[str]) -> None:
     """Drained, looked at after four seconds, and back again when the trouble ends."""
     loop = environment.loop
     for name in names:
@@ -167,7 +167,10 @@
         loop.call_later(500_000, call, environment, name, "health", "FAILURE")
         loop.call_later(EMPTY_WITHIN, empty, environment, name, loop.now + EMPTY_WITHIN)
         loop.call_later(
-            max(EMPTY_WITHIN + 100_000, micros(trouble.for_s)), resume, environment, name
+            max(EMPTY_WITHIN + 100_000, seconds_to_us(trouble.duration_s)),
+            resume,
+            environment,
+            name,
         )
 
 
@@ -175,12 +178,14 @@
     """Four seconds after the call nobody may be sent there, nor be kept without need."""
     referee = environment.referee
     if name not in environment.front.no_since:
-        referee.breach("lost", now, f"{name}: was told to drain, and still says yes")
+        referee.record_breach("lost", now, f"{name}: was told to drain, and still says yes")
     for link in environment.clients.open_links(name):
         if link.ask is None:
-            referee.breach("lost", now, f"{name}: was told to drain, and holds an idle connection")
+            referee.record_breach(
+                "lost", now, f"{name}: was told to drain, and holds an idle connection"
+            )
         elif now - link.ask.began < LATELY:
-            referee.breach(
+            referee.record_breach(
                 "lost", now, f"{name}: was told to drain, and holds {link.ask.id.decode()}"
             )
 
@@ -190,17 +195,17 @@
 
     def back() -> None:
         if name in environment.front.no_since and environment.is_alive(name):
-            environment.referee.breach(
+            environment.referee.record_breach(
                 "lost", environment.loop.now, f"{name}: the drain ended, and it still says no"
             )
 
     environment.loop.call_later(BACK_WITHIN, back)
 
 
-def silent_calls(environment: Environment, trouble: Trouble, names: list[str]) -> None:
+def silent_calls(environment: Environment, trouble: Fault, names: list[str]) -> None:
     """`size` callers (100) that say nothing, and a call that is owed its answer beside them."""
     for name in names:
-        for _ in range(round(trouble.size or 100)):
+        for _ in range(round(trouble.magnitude or 100)):
             CallLink(environment, name, "", print)
         for at in (0, 1_000_000, 3_000_000):
             environment.loop.call_later(
@@ -208,11 +213,11 @@
             )
 
 
-def retune(environment: Environment, trouble: Trouble, names: list[str]) -> None:
+def retune(environment: Environment, trouble: Fault, names: list[str]) -> None:
     """The settings as they are to be from now on; `size`, where given, is how many dispatches may be."""
-    if trouble.size:
+    if trouble.magnitude:
         environment.attempt_limit = AttemptLimit(
-            round(trouble.size), environment.loop.now, environment.attempt_limit.current
+            round(trouble.magnitude), environment.loop.now, environment.attempt_limit.current
         )
     for name in names:
         environment.balancers[name].reload(
@@ -224,7 +229,7 @@
         )
 
 
-def bad_settings(environment: Environment, trouble: Trouble, names: list[str]) -> None:
+def bad_settings(environment: Environment, trouble: Fault, names: list[str]) -> None:
     """Files that cannot be used, one after another: nothing of them may count."""
     for name in names:
         tree = environment.balancer_settings(
@@ -265,11 +270,14 @@
     ]
 
 
-def upgrade(environment: Environment, trouble: Trouble, names: list[str]) -> None:
+def upgrade(environment: Environment, trouble: Fault, names: list[str]) -> None:
     """One after another: a new process beside the old one, which is told to end at the new one's yes."""
     for number, name in enumerate(names):
         environment.loop.call_later(
-            micros(trouble.for_s) * number // len(names), start_successor, environment, name
+            seconds_to_us(trouble.duration_s) * number // len(names),
+            start_successor,
+            environment,
+            name,
         )
 
 
@@ -279,17 +287,21 @@
         return
     until = environment.loop.now + YES_WITHIN
     post.start_successor(environment.latest_endpoint_list(name))
-    longest = max(round(work.timeout_ms * 1000) for work in environment.plan.works())
+    longest = max(
+        round(work.client_timeout_ms * 1000) for work in environment.plan.request_classes()
+    )
 
     def look() -> None:
         if not post.alive:
             return
         if post.successor_is_ready():
-            environment.referee.event(environment.loop.now, f"{name}: the new process says yes")
+            environment.referee.record_event(
+                environment.loop.now, f"{name}: the new process says yes"
+            )
             post.shut_down_predecessor()
             environment.loop.call_later(longest + 700_000, post.kill_predecessor)
         elif environment.loop.now > until:
-            environment.referee.breach(
+            environment.referee.record_breach(
                 "late", environment.loop.now, f"{name}: no yes of the new process in time"
             )
         else:
@@ -298,7 +310,7 @@
     look()
 
 
-OPS_ACTS: dict[str, Callable[[Environment, Trouble, list[str]], None]] = {
+OPS_ACTS: dict[str, Callable[[Environment, Fault, list[str]], None]] = {
     "quiesce": quiesce,
     "retune": retune,
     "bad-settings": bad_settings,
--- a/orchidgap/simulation/plan.py
+++ b/orchidgap/simulation/plan.py
@@ -1,28 +1,26 @@
-"""What a trial plays: a TOML file, read and checked once. A bad one ends in one line and starts nothing.
+"""The tables of a simulation's plan: each struct is a table of its TOML file.
 
-Times end in `-ms` or `-s` and may have decimals; `micros` and `millis` make whole microseconds of them.
+A field's `name=` is its word in the file where that differs from the field. Times of the file end
+in `-ms` or `-s` and may have decimals; `seconds_to_us` and `milliseconds_to_us` make whole
+microseconds. `plan_file` reads, checks and writes plans.
 """
 
 from __future__ import annotations
 
-import tomllib
-from pathlib import Path
 from typing import Annotated, Any, Literal
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
-from orchidgap.errors import ScenarioError
+MAX_BALANCERS = 400
 
-MOST_BALANCERS = 400
-
-Part = Annotated[float, Meta(ge=0.0, le=1.0)]
+Ratio = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0)]
-Natural = Annotated[float, Meta(ge=0.0)]
+NonNegative = Annotated[float, Meta(ge=0.0)]
 Count = Annotated[int, Meta(ge=1)]
 Name = Annotated[str, Meta(pattern="^[a-z0-9][a-z0-9-]{0,39}$")]
 
-KINDS = (
+FAULT_KINDS = (
     "crash",
     "vanish",
     "stall",
@@ -51,333 +49,293 @@
 )
 
 
-OPS_KINDS = ("quiesce", "retune", "bad-settings", "upgrade", "silent-calls")  # what operators do
-RESP_KINDS = ("reshuffle", "failover", "pointing")  # with slot servers only
-
+# what operators do
+OPERATOR_FAULT_KINDS = ("quiesce", "retune", "bad-settings", "upgrade", "silent-calls")
+# with slot servers only
+RESP_FAULT_KINDS = ("reshuffle", "failover", "pointing")
 
-class BadPlan(ScenarioError):
-    """One plain line: the file, the path in it, what was expected."""
 
-
-def micros(seconds: float) -> int:
+def seconds_to_us(seconds: float) -> int:
     """Whole microseconds of seconds."""
     return round(seconds * 1_000_000)
 
 
-def millis(milliseconds: float) -> int:
+def milliseconds_to_us(milliseconds: float) -> int:
     """Whole microseconds of milliseconds."""
     return round(milliseconds * 1_000)
 
 
-class Table(Struct, forbid_unknown_fields=True, rename="kebab", frozen=True):
-    """The common base of all tables of a plan."""
+class PlanTable(Struct, forbid_unknown_fields=True, rename="kebab", frozen=True):
+    """Base of all tables of a plan: unknown keys are errors."""
+
 
+class RequestClassSpec(PlanTable, frozen=True):
+    """A request class as clients use it.
 
-class Work(Table, frozen=True):
-    """A rule set as clients use it. `share` is of all reqs, `work-ms` the mean time on a core of speed 1."""
+    `share` is its part of all requests, relative to the other classes; `work_ms` is the mean time
+    on a core of speed 1. An answer within `latency_objective_ms` counts `priority_weight`, a later
+    one `late_value_ratio` of that.
+    """
 
     name: Name
     share: Positive
     work_ms: Positive
-    target_ms: Positive
-    timeout_ms: Positive
+    latency_objective_ms: Positive = field(name="target-ms")
+    client_timeout_ms: Positive = field(name="timeout-ms")
     effect: Literal["replayable", "uniqued", "non-replayable"] = "replayable"
-    value: Positive = 1.0
-    late_value: Part = 0.0
+    priority_weight: Positive = field(name="value", default=1.0)
+    late_value_ratio: Ratio = field(name="late-value", default=0.0)
     write: bool = False
-    group: Literal["all", "zone", "cell"] = "all"
-    window_ms: Natural = 2_000.0
-    from_s: Natural = 0.0  # clients name it from then on; settings have it a little before
-    until_s: Natural = 0.0  # and until then, where that is not 0
+    deduplication_scope: Literal["all", "zone", "cell"] = field(name="group", default="all")
+    deduplication_window_ms: NonNegative = field(name="window-ms", default=2_000.0)
+    # clients name it from then on; settings have it a little before
+    from_s: NonNegative = 0.0
+    # and until then, where that is not 0
+    until_s: NonNegative = 0.0
 
 
-class Bulk(Table, frozen=True):
-    """Large bodies: of reads by their key, of writes by chance. A slow side passes `pace-kb` a second."""
+class LargeBodyModel(PlanTable, frozen=True):
+    """Large bodies: of reads by their key, of writes by chance. A slow side passes `slow_rate_kb` a
+    second.
+    """
 
-    share: Part = 0.0  # of the keys have a large value
-    uploads: Part = 0.0  # of the writes are large
-    size: Count = 300_000
-    slow_readers: Part = 0.0
-    slow_writers: Part = 0.0
-    pace_kb: Positive = 128.0
+    # of the keys have a large value
+    large_key_ratio: Ratio = field(name="share", default=0.0)
+    # of the writes are large
+    large_write_ratio: Ratio = field(name="uploads", default=0.0)
+    body_bytes: Count = field(name="size", default=300_000)
+    slow_reader_ratio: Ratio = field(name="slow-readers", default=0.0)
+    slow_writer_ratio: Ratio = field(name="slow-writers", default=0.0)
+    slow_rate_kb: Positive = field(name="pace-kb", default=128.0)
 
 
-class Tenancy(Table, frozen=True):
-    """`share` is what a tenant was promised, `usage` how much of that it asks for."""
+class TenantSpec(PlanTable, frozen=True):
+    """A tenant: `quota` is what it was promised, `quota_usage` how much of that it asks for."""
 
     name: Name
-    share: Positive
-    usage: Positive = 1.0
+    quota: Positive = field(name="share")
+    quota_usage: Positive = field(name="usage", default=1.0)
 
 
-class Model(Table, frozen=True):
-    """What a host can do. Work above `queue` reqs a core waiting is turned away; above `crowd-at` reqs a core
-    each further one slows all by `crowd`. Cold, it has `cold-from` of its speed, rising for `warm-s`."""
+class HostModel(PlanTable, frozen=True):
+    """What a host can do.
+
+    Requests that wait above `queue_per_core` are rejected. Above `crowding_threshold` requests a
+    core each further one slows all by `crowding_slowdown`. After a start a host has
+    `cold_speed_ratio` of its speed, rising for `warm_up_s`. A load over `overload_multiple` of its
+    capacity during `overload_window_s` pushes it over.
+    """
 
     cores: Count = 2
     speed: Positive = 0.7
-    uneven: Part = 0.3  # speeds differ by up to this part, drawn by the seed
-    queue: Positive = 16.0  # waiting reqs a core
-    crowd_at: Positive = 6.0
-    crowd: Natural = 0.05
-    connect_work_ms: Natural = 0.5
-    connections: Count = 600
-    idle_s: Positive = 30.0
-    cold_from: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.3
-    warm_s: Natural = 8.0
-    fall_multiple: Positive = 3.0
-    fall_s: Positive = 3.0
-    keys: Count = 2_500  # kept at once, the longest unasked go first
-    ttl_s: Natural = 0.0  # 0: until void
-    errors: Part = 0.0
-    forgets_expired: bool = True  # what waits and nobody waits for is dropped
-    stop_s: Positive = 4.0  # the origin, once pushed over, stops for so long
+    # speeds differ by up to this part, drawn by the seed
+    speed_spread: Ratio = field(name="uneven", default=0.3)
+    # waiting requests a core
+    queue_per_core: Positive = field(name="queue", default=16.0)
+    crowding_threshold: Positive = field(name="crowd-at", default=6.0)
+    crowding_slowdown: NonNegative = field(name="crowd", default=0.05)
+    connection_work_ms: NonNegative = field(name="connect-work-ms", default=0.5)
+    max_connections: Count = field(name="connections", default=600)
+    idle_timeout_s: Positive = field(name="idle-s", default=30.0)
+    cold_speed_ratio: Annotated[float, Meta(gt=0.0, le=1.0)] = field(name="cold-from", default=0.3)
+    warm_up_s: NonNegative = field(name="warm-s", default=8.0)
+    overload_multiple: Positive = field(name="fall-multiple", default=3.0)
+    overload_window_s: Positive = field(name="fall-s", default=3.0)
+    # kept at once, the longest unasked go first
+    capacity_keys: Count = field(name="keys", default=2_500)
+    # 0: until void
+    ttl_s: NonNegative = 0.0
+    error_ratio: Ratio = field(name="errors", default=0.0)
+    # what waits and nobody waits for is dropped
+    drops_expired: bool = field(name="forgets-expired", default=True)
+    # the origin, once pushed over, stops for so long
+    overload_stop_s: Positive = field(name="stop-s", default=4.0)
     zones: Count = 1
 
 
-class Keys(Table, frozen=True):
+class KeyModel(PlanTable, frozen=True):
+    """The keys that clients ask for, by a Zipf distribution, and the sizes of their values in
+    bytes.
+    """
+
     count: Count = 20_000
-    zipf: Natural = 0.85
-    warm: Part = 0.95  # of the hottest keys' copies are there at the start
-    size: Count = 200  # bytes of a value
-    most_size: Count = 4_000
+    zipf: NonNegative = 0.85
+    # of the hottest keys' copies are there at the start
+    warm_ratio: Ratio = field(name="warm", default=0.95)
+    # bytes of a value
+    min_value_bytes: Count = field(name="size", default=200)
+    max_value_bytes: Count = field(name="most-size", default=4_000)
+
 
+class NetworkModel(PlanTable, frozen=True):
+    """One-way delays between zones in milliseconds, their jitter, and losses."""
 
-class Net(Table, frozen=True):
-    same_ms: Natural = 0.2  # one way
-    cross_ms: Natural = 1.0
-    jitter: Part = 0.2
+    # one way
+    same_zone_ms: NonNegative = field(name="same-ms", default=0.2)
+    cross_zone_ms: NonNegative = field(name="cross-ms", default=1.0)
+    jitter: Ratio = 0.2
     connect_timeout_ms: Positive = 100.0
-    lose: Part = 0.0  # of the datagrams between balancers
+    # of the datagrams between balancers
+    datagram_loss_ratio: Ratio = field(name="lose", default=0.0)
+
+
+class ClientModel(PlanTable, frozen=True):
+    """How clients send requests, retry, and spread over the balancers."""
+
+    max_retries: Annotated[int, Meta(ge=0, le=5)] = field(name="retries", default=1)
+    backoff_ms: NonNegative = 60.0
+    # of advice when to come back is followed
+    retry_after_compliance: Ratio = field(name="honour", default=0.9)
+    # of requests are given up by their client early
+    impatient_ratio: Ratio = field(name="impatient", default=0.0)
+    # until the front layer passes a dead balancer by
+    failover_delay_s: NonNegative = field(name="notice-s", default=2.0)
+    load_shape: Literal["steady", "ramp", "wave"] = field(name="shape", default="steady")
+    # how unlike the balancers' shares of the traffic are
+    balancer_skew: Ratio = field(name="skew", default=0.2)
+    # of the balancers see ten times the mean
+    busy_balancer_ratio: Ratio = field(name="busy", default=0.0)
+    # of the requests come to a balancer in their key's own zone
+    own_zone_ratio: Ratio = field(name="apart", default=0.0)
 
 
-class Callers(Table, frozen=True):
-    retries: Annotated[int, Meta(ge=0, le=5)] = 1
-    backoff_ms: Natural = 60.0
-    honour: Part = 0.9  # of advice when to come back is followed
-    impatient: Part = 0.0  # of reqs are given up by their client early
-    notice_s: Natural = 2.0  # until the front layer passes a dead balancer by
-    shape: Literal["steady", "ramp", "wave"] = "steady"
-    skew: Part = 0.2  # how unlike the balancers' shares of the traffic are
-    busy: Part = 0.0  # of the balancers see ten times the mean
-    apart: Part = 0.0  # of the reqs come to a balancer in their key's own zone
+class DiscoveryModel(PlanTable, frozen=True):
+    """How long discovery takes, in seconds, to notice a change of hosts."""
 
+    # until a host that ended by itself is taken off
+    removal_delay_s: NonNegative = field(name="notice-s", default=2.0)
+    # the same for one that went silent
+    silent_removal_delay_s: NonNegative = field(name="silent-s", default=6.0)
+    addition_delay_s: NonNegative = field(name="add-s", default=1.0)
 
-class Listing(Table, frozen=True):
-    notice_s: Natural = 2.0  # until a host that ended by itself is taken off
-    silent_s: Natural = 6.0  # the same for one that went silent
-    add_s: Natural = 1.0
 
+class BalancerLimits(PlanTable, frozen=True):
+    """What each balancer is told that it may do."""
 
-class Ceilings(Table, frozen=True):
-    dispatches: Count = 4
+    max_attempts: Count = field(name="dispatches", default=4)
     may_cancel: bool = True
-    may_double: bool = True
+    may_hedge: bool = field(name="may-double", default=True)
     retry_after: bool = True
-    most_pause_ms: Natural = 2_000.0
-    drain_grace_ms: Natural = 250.0
-    sockets: Annotated[int, Meta(ge=64)] = 1_024
-    memory_mb: Annotated[int, Meta(ge=32)] = 192
+    max_retry_after_ms: NonNegative = field(name="most-pause-ms", default=2_000.0)
+    drain_grace_ms: NonNegative = 250.0
+    max_sockets: Annotated[int, Meta(ge=64)] = field(name="sockets", default=1_024)
+    max_memory_mb: Annotated[int, Meta(ge=32)] = field(name="memory-mb", default=192)
 
 
-class Trouble(Table, frozen=True):
-    """`at-s` from the start, `for-s` how long; `part` of the targets or `target` by name; `size` is how much:
-    the slow-down, the factor of the load, the share of the traffic, the seconds of delay."""
+class Fault(PlanTable, frozen=True):
+    """One fault, from `start_s` after the start of the simulation.
 
-    kind: Literal[KINDS + OPS_KINDS + RESP_KINDS]  # type: ignore[valid-type]
-    at_s: Natural
-    for_s: Natural = 5.0
-    part: Part = 0.0
+    It hits `target` by name, or `target_ratio` of all that it can hit. `magnitude` is how much: the
+    factor of a slow-down or of the load, a share of the traffic, or seconds of delay; 0 stands for
+    the fault's default.
+    """
+
+    kind: Literal[FAULT_KINDS + OPERATOR_FAULT_KINDS + RESP_FAULT_KINDS]  # type: ignore[valid-type]
+    start_s: NonNegative = field(name="at-s")
+    duration_s: NonNegative = field(name="for-s", default=5.0)
+    target_ratio: Ratio = field(name="part", default=0.0)
     target: str = ""
-    size: Natural = 0.0
+    magnitude: NonNegative = field(name="size", default=0.0)
 
 
-class Stretch(Table, frozen=True):
-    """What is measured by itself, from then to the next one or the end."""
+class Phase(PlanTable, frozen=True):
+    """A stretch of the run that is measured by itself, until the next one or the end."""
 
     name: Name
-    from_s: Natural = 0.0
+    start_s: NonNegative = field(name="from-s", default=0.0)
 
 
-class Expect(Table, frozen=True):
-    """How even a stretch has to be. What is left out may be anything."""
+class EvennessBounds(PlanTable, frozen=True):
+    """Bounds on the figures of one phase. What is left out may be anything."""
 
-    stretch: str
-    most: Positive | None = None
-    least: Natural | None = None
-    herd: Positive | None = None
-    idle_s: Positive | None = None
-    copies: Positive | None = None
-    moved: Natural | None = None
-    served: Natural | None = None
-    fetches: Natural | None = None
-    p99_ms: Positive | None = None
+    phase: str = field(name="stretch")
+    max_load_ratio: Positive | None = field(name="most", default=None)
+    min_load_ratio: NonNegative | None = field(name="least", default=None)
+    max_herd_ratio: Positive | None = field(name="herd", default=None)
+    max_idle_s: Positive | None = field(name="idle-s", default=None)
+    max_replica_count: Positive | None = field(name="copies", default=None)
+    max_moved_ratio: NonNegative | None = field(name="moved", default=None)
+    min_service_ratio: NonNegative | None = field(name="served", default=None)
+    max_fetch_ratio: NonNegative | None = field(name="fetches", default=None)
+    max_p99_ms: Positive | None = field(name="p99-ms", default=None)
 
     def figures(self) -> dict[str, float]:
-        told: dict[str, Any] = msgspec.to_builtins(self)
+        """The bounds that are set, by their words in the plan's file."""
+        table: dict[str, Any] = msgspec.to_builtins(self)
         return {
-            name: value for name, value in told.items() if name != "stretch" and value is not None
+            name: value for name, value in table.items() if name != "stretch" and value is not None
         }
 
 
-class Plan(Table, frozen=True):
+class Plan(PlanTable, frozen=True):
+    """A whole simulation: its fleet, its load, its faults, and what is expected of it."""
+
     name: Name
-    seconds: Annotated[float, Meta(gt=0.0, le=7_200.0)] = 30.0
+    duration_s: Annotated[float, Meta(gt=0.0, le=7_200.0)] = field(name="seconds", default=30.0)
     seed: Annotated[int, Meta(ge=0)] = 1
-    balancers: Annotated[int, Meta(ge=1, le=MOST_BALANCERS)] = 2
-    caches: Annotated[int, Meta(ge=1, le=200)] = 6
-    origins: Annotated[int, Meta(ge=1, le=4)] = 1
-    rate: Positive = 150.0  # reqs a second, over all balancers
-    about: str = ""
-    dialect: Literal["http", "resp"] = "http"
-    pool: bool = False  # balancers tell each other what they count
-    pool_draw_s: Positive = 60.0  # and draw one table by it, so far apart at least
-    least: Part = 0.0  # service that is expected of the decisions, checked by the short plans
-    work: tuple[Work, ...] = ()
-    tenant: tuple[Tenancy, ...] = ()
-    cache: Model = Model()
-    origin: Model = Model(
-        cores=3, speed=1.0, uneven=0.0, queue=60.0, crowd=0.0, cold_from=1.0, warm_s=0.0
+    balancer_count: Annotated[int, Meta(ge=1, le=MAX_BALANCERS)] = field(
+        name="balancers", default=2
+    )
+    cache_count: Annotated[int, Meta(ge=1, le=200)] = field(name="caches", default=6)
+    origin_count: Annotated[int, Meta(ge=1, le=4)] = field(name="origins", default=1)
+    # requests a second, over all balancers
+    request_rate: Positive = field(name="rate", default=150.0)
+    description: str = field(name="about", default="")
+    protocol: Literal["http", "resp"] = field(name="dialect", default="http")
+    # balancers tell each other what they count
+    gossip: bool = field(name="pool", default=False)
+    # and draw one table by it, so far apart at least
+    rebalance_interval_s: Positive = field(name="pool-draw-s", default=60.0)
+    # service that is expected of the decisions, checked by the short plans
+    min_service_ratio: Ratio = field(name="least", default=0.0)
+    request_class_specs: tuple[RequestClassSpec, ...] = field(name="work", default=())
+    tenant_specs: tuple[TenantSpec, ...] = field(name="tenant", default=())
+    cache: HostModel = HostModel()
+    origin: HostModel = HostModel(
+        cores=3,
+        speed=1.0,
+        speed_spread=0.0,
+        queue_per_core=60.0,
+        crowding_slowdown=0.0,
+        cold_speed_ratio=1.0,
+        warm_up_s=0.0,
     )
-    keys: Keys = Keys()
-    bulk: Bulk = Bulk()
-    net: Net = Net()
-    callers: Callers = Callers()
-    listing: Listing = Listing()
-    ceilings: Ceilings = Ceilings()
-    trouble: tuple[Trouble, ...] = ()
-    stretch: tuple[Stretch, ...] = ()
-    expect: tuple[Expect, ...] = ()
-
-    def works(self) -> tuple[Work, ...]:
-        return self.work or (COMMANDS if self.dialect == "resp" else USUAL)
-
-    def tenants(self) -> tuple[Tenancy, ...]:
-        return self.tenant or (Tenancy("north", 0.5), Tenancy("south", 0.3), Tenancy("hills", 0.2))
-
-
-USUAL = (
-    Work("view", 0.70, 30, 500, 1_500, value=1),
-    Work("list", 0.22, 45, 500, 1_000, value=2),
-    Work("signup", 0.05, 60, 900, 2_500, "uniqued", value=8, write=True),
-    Work("submit", 0.03, 60, 900, 2_500, "non-replayable", value=8, write=True),
+    keys: KeyModel = KeyModel()
+    large_bodies: LargeBodyModel = field(name="bulk", default=LargeBodyModel())
+    network: NetworkModel = field(name="net", default=NetworkModel())
+    clients: ClientModel = field(name="callers", default=ClientModel())
+    discovery: DiscoveryModel = field(name="listing", default=DiscoveryModel())
+    limits: BalancerLimits = field(name="ceilings", default=BalancerLimits())
+    faults: tuple[Fault, ...] = field(name="trouble", default=())
+    phases: tuple[Phase, ...] = field(name="stretch", default=())
+    evenness_bounds: tuple[EvennessBounds, ...] = field(name="expect", default=())
+
+    def request_classes(self) -> tuple[RequestClassSpec, ...]:
+        """The plan's request classes, or the default ones of its protocol."""
+        return self.request_class_specs or (
+            DEFAULT_COMMAND_CLASSES if self.protocol == "resp" else DEFAULT_REQUEST_CLASSES
+        )
+
+    def tenants(self) -> tuple[TenantSpec, ...]:
+        """The plan's tenants, or three default ones."""
+        return self.tenant_specs or (
+            TenantSpec("north", 0.5),
+            TenantSpec("south", 0.3),
+            TenantSpec("hills", 0.2),
+        )
+
+
+DEFAULT_REQUEST_CLASSES = (
+    RequestClassSpec("view", 0.70, 30, 500, 1_500, priority_weight=1),
+    RequestClassSpec("list", 0.22, 45, 500, 1_000, priority_weight=2),
+    RequestClassSpec("signup", 0.05, 60, 900, 2_500, "uniqued", priority_weight=8, write=True),
+    RequestClassSpec(
+        "submit", 0.03, 60, 900, 2_500, "non-replayable", priority_weight=8, write=True
+    ),
 )
 
 
-COMMANDS = (
-    Work("read", 0.8, 1, 200, 1_000, value=1),
-    Work("write", 0.2, 1, 200, 1_000, "non-replayable", value=2, write=True),
+DEFAULT_COMMAND_CLASSES = (
+    RequestClassSpec("read", 0.8, 1, 200, 1_000, priority_weight=1),
+    RequestClassSpec("write", 0.2, 1, 200, 1_000, "non-replayable", priority_weight=2, write=True),
 )
-
-
-def read(path: str) -> Plan:
-    """
-    Takes the path of a TOML file. Raises BadPlan with one line.
-
-    >>> read("/nowhere/plan.toml")
-    Traceback (most recent call last):
-        ...
-    orchidgap.simulation.plan.BadPlan: /nowhere/plan.toml: No such file or directory
-    """
-    try:
-        text = Path(path).read_text()
-    except OSError as trouble:
-        raise BadPlan(f"{path}: {trouble.strerror}") from None
-    except UnicodeDecodeError:
-        raise BadPlan(f"{path}: not UTF-8 text") from None
-    try:
-        return parse(text)
-    except BadPlan as trouble:
-        raise BadPlan(f"{path}: {trouble}") from None
-
-
-def parse(text: str) -> Plan:
-    """
-    >>> parse('name = "x"').caches
-    6
-    >>> for bad in ('name = "x"\\nrate = 0', 'name = "x"\\n[cache]\\ncoers = 2', 'name = ',
-    ...             'name="x"\\nseconds="9"',
-    ...             'name="x"\\n[[trouble]]\\nkind="crsh"\\nat-s=1'):
-    ...     try:
-    ...         parse(bad)
-    ...     except BadPlan as trouble:
-    ...         print(trouble)
-    Expected `float` > 0.0 - at `$.rate`
-    Object contains unknown field `coers` - at `$.cache`
-    not TOML: Invalid value (at end of document)
-    Expected `float`, got `str` - at `$.seconds`
-    Invalid enum value 'crsh' - at `$.trouble[...].kind`
-    """
-    try:
-        told = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as trouble:
-        raise BadPlan(f"not TOML: {trouble}") from None
-    return checked(told)
-
-
-def checked(told: Any) -> Plan:
-    try:
-        plan = msgspec.convert(told, Plan)
-    except msgspec.ValidationError as trouble:
-        raise BadPlan(str(trouble)) from None
-    names = [work.name for work in plan.works()]
-    if len(set(names)) < len(names):
-        raise BadPlan("two rule sets of one name - at `$.work`")
-    names = [tenant.name for tenant in plan.tenants()]
-    if len(set(names)) < len(names):
-        raise BadPlan("two tenants of one name - at `$.tenant`")
-    for i, work in enumerate(plan.works()):
-        if work.timeout_ms < work.target_ms:
-            raise BadPlan(f"timeout-ms lies under target-ms - at `$.work[{i}]`")
-        if work.effect != "replayable" and not work.write:
-            raise BadPlan(f"what is not replayable must be a write - at `$.work[{i}]`")
-    if plan.dialect == "resp" and any(work.effect == "uniqued" for work in plan.works()):
-        raise BadPlan("commands have no marks: no rule set can be uniqued - at `$.work`")
-    for i, entry in enumerate(plan.trouble):
-        if entry.kind in OPS_KINDS and plan.dialect != "http":
-            raise BadPlan(f'{entry.kind} wants dialect = "http" - at `$.trouble[{i}]`')
-        if entry.kind in RESP_KINDS and plan.dialect != "resp":
-            raise BadPlan(f'{entry.kind} wants dialect = "resp" - at `$.trouble[{i}]`')
-        if entry.at_s >= plan.seconds:
-            raise BadPlan(f"at-s lies behind the end ({plan.seconds:g} s) - at `$.trouble[{i}]`")
-    if [one.from_s for one in plan.stretch] != sorted(one.from_s for one in plan.stretch):
-        raise BadPlan("one begins before the one that stands above it - at `$.stretch`")
-    return plan
-
-
-def written(plan: Plan) -> str:
-    """The plan as TOML, only what differs from the defaults.
-
-    >>> parse(written(parse('name = "x"\\nrate = 9.5\\n[cache]\\ncores = 3'))).cache.cores
-    3
-    """
-    told = msgspec.to_builtins(plan)
-    usual = msgspec.to_builtins(Plan(plan.name))
-    lines, tables = [], []
-    for name, value in told.items():
-        if name != "name" and value == usual[name]:
-            continue
-        if isinstance(value, dict):
-            # an origin's table that is there at all stands on the defaults of any host
-            base = msgspec.to_builtins(Model()) if name == "origin" else usual[name]
-            rows = [f"{key} = {leaf(at)}" for key, at in value.items() if at != base[key]]
-            tables += ["", f"[{name}]", *rows]
-        elif isinstance(value, (list, tuple)):
-            for row in value:
-                rows = [f"{key} = {leaf(at)}" for key, at in row.items() if at is not None]
-                tables += ["", f"[[{name}]]", *rows]
-        else:
-            lines.append(f"{name} = {leaf(value)}")
-    return "\n".join(lines + tables) + "\n"
-
-
-def leaf(value: Any) -> str:
-    """
-    >>> leaf(True), leaf(2), leaf(0.5), leaf('say "so"')
-    ('true', '2', '0.5', '"say \\\\"so\\\\""')
-    """
-    if isinstance(value, bool):
-        return str(value).lower()
-    if isinstance(value, str):
-        return msgspec.json.encode(value).decode()
-    return repr(value)
--- a/orchidgap/simulation/report.py
+++ b/orchidgap/simulation/report.py
@@ -14,8 +14,8 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
+from orchidgap.errors import ScenarioError
 from orchidgap.simulation.invariant_checker import RULES
-from orchidgap.simulation.plan import BadPlan
 
 WIDE, HIGH = 10.5, 2.5  # inches of a plot
 SHADES = "tab20"
@@ -25,15 +25,15 @@
 
 
 def read(folder: Path) -> dict[str, Any]:
-    """What a trial kept there. Raises BadPlan in one line."""
+    """What a trial kept there. Raises ScenarioError in one line."""
     path = folder / "trial.json"
     try:
         told: dict[str, Any] = msgspec.json.decode(path.read_bytes())
         return told | {"verdict": dict(told["verdict"])}
     except OSError as trouble:
-        raise BadPlan(f"{path}: {trouble.strerror}") from None
+        raise ScenarioError(f"{path}: {trouble.strerror}") from None
     except (msgspec.DecodeError, KeyError, TypeError, ValueError) as trouble:
-        raise BadPlan(f"{path}: not what a trial keeps ({trouble})") from None
+        raise ScenarioError(f"{path}: not what a trial keeps ({trouble})") from None
 
 
 def part_of(sorted_: list[int], part: float) -> float:
@@ -192,7 +192,7 @@
 
 
 def write(folder: Path) -> Path:
-    """Draws `report.html` in the folder; its path. Raises BadPlan."""
+    """Draws `report.html` in the folder; its path. Raises ScenarioError."""
     told = read(folder)
     verdict = told["verdict"]
     words = verdict["verdict"]
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -20,8 +20,8 @@
 from orchidgap.resp.writers import encode_array, encode_bulk, encode_command, encode_error
 from orchidgap.simulation.baselines import even
 from orchidgap.simulation.clients import LATE_BY, Callers
-from orchidgap.simulation.invariant_checker import Ask, Op
-from orchidgap.simulation.plan import Model, Trouble, micros, millis
+from orchidgap.simulation.invariant_checker import ClientAttempt, Operation
+from orchidgap.simulation.plan import Fault, HostModel, milliseconds_to_us, seconds_to_us
 from orchidgap.simulation.servers import Job, Store
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
         name = words[0].upper() if words else b""
         if name in (b"GETRANGE", b"APPEND"):
             number = int(words[3]) - BASE if name == b"GETRANGE" else int(words[2][:-1])
-            arrival = store.environment.referee.arrival(
+            arrival = store.environment.referee.on_host_attempt(
                 b"q%x" % number, store.id, store.group(), now, now
             )
             if arrival is None:
@@ -139,12 +139,14 @@
         if job:
             self.jobs.remove(job)
             body = text if outcome == "done" else b""
-            self.store.environment.referee.settled(job.arrival, outcome, self.store.loop.now, body)
+            self.store.environment.referee.on_attempt_settled(
+                job.arrival, outcome, self.store.loop.now, body
+            )
         self.conn.send(text)
 
     def ended(self, what: str) -> None:
         for job in self.jobs:
-            self.store.environment.referee.dropped(job.arrival, self.store.loop.now)
+            self.store.environment.referee.on_attempt_dropped(job.arrival, self.store.loop.now)
         self.store.links.pop(self, None)  # type: ignore[call-overload]
 
     def close(self) -> None:
@@ -161,7 +163,7 @@
         environment: Environment,
         id: str,
         address: Address,
-        model: Model,
+        model: HostModel,
         is_origin: bool,
         zone: int,
         speed: float,
@@ -212,9 +214,9 @@
             link.later(text, job, outcome)
             return self.loop.call_soon(self.pump)
         job.outcome = "done"
-        if job.arrival.ask.op.work.write:
-            self.environment.referee.effect(job.arrival, self.loop.now)
-            self.put_in(job.mark, [*self.data.get(job.mark, ()), job.arrival.ask.id])
+        if job.arrival.client_attempt.operation.request_class.write:
+            self.environment.referee.on_effect(job.arrival, self.loop.now)
+            self.put_in(job.mark, [*self.data.get(job.mark, ()), job.arrival.client_attempt.id])
         job.took = max(1, round(job.cost / self.speed * self.slow))
         job.ends = self.loop.now + job.took
         self.running[job] = None
@@ -238,13 +240,15 @@
 
     def finish(self, job: Job) -> None:
         del self.running[job]
-        ask = job.arrival.ask
-        self.environment.referee.ran(job.arrival, job.took, self.loop.now)
-        if ask.op.work.write:
+        ask = job.arrival.client_attempt
+        self.environment.referee.on_work_done(job.arrival, job.took, self.loop.now)
+        if ask.operation.request_class.write:
             text = b":%d\r\n" % len(self.data[job.mark])
         else:
             body = b"%b/%b/%b" % (job.mark, ask.id, self.id.encode())
-            text = encode_bulk(body.ljust(self.environment.value_size_bytes(ask.op.key), b"v"))
+            text = encode_bulk(
+                body.ljust(self.environment.value_size_bytes(ask.operation.key), b"v")
+            )
         link: Any = job.link
         link.later(text, job, "done")
         self.pump()
@@ -261,17 +265,22 @@
         self.clients, self.post = callers, post
         self.life = callers.environment.incarnation_of(post)
         self.reader = RespReader()
-        self.asks: deque[Ask] = deque()
+        self.asks: deque[ClientAttempt] = deque()
         self.conn = Connection(callers.loop, sock, self, opening=opening)
 
-    def carry(self, ask: Ask, message: tuple[bytes, ...]) -> None:
+    def carry(self, ask: ClientAttempt, message: tuple[bytes, ...]) -> None:
         self.asks.append(ask)
         self.conn.send(*message)
         if self.conn.is_open:
             now = self.clients.loop.now
-            ask.came, ask.due = now, now + millis(ask.op.work.timeout_ms)
-            self.clients.environment.referee.taken(ask)
-            self.clients.loop.call_later(ask.due - now + LATE_BY, self.clients.late, self, ask)
+            ask.arrived_at_us, ask.deadline_us = (
+                now,
+                now + milliseconds_to_us(ask.operation.request_class.client_timeout_ms),
+            )
+            self.clients.environment.referee.on_client_attempt(ask)
+            self.clients.loop.call_later(
+                ask.deadline_us - now + LATE_BY, self.clients.late, self, ask
+            )
 
     def opened(self) -> None: ...
 
@@ -280,10 +289,10 @@
         self.reader.feed(view)
         while (text := self.reader.read_item()) is not None:
             if not self.asks:
-                return callers.environment.referee.more(None, callers.loop.now)
+                return callers.environment.referee.on_extra_bytes(None, callers.loop.now)
             ask = self.asks.popleft()
             status = 503 if text.startswith(b"-TRYAGAIN") else 500 if text[:1] == b"-" else 200
-            callers.environment.referee.answer(ask, status, text, callers.loop.now)
+            callers.environment.referee.on_answer(ask, status, text, callers.loop.now)
             pause = text.rpartition(b"come back in ")[2].partition(b" ms")[0]
             callers.loop.call_later(
                 callers.environment.client_one_way_us(),
@@ -298,12 +307,12 @@
         callers.lanes[self.post] = [link for link in callers.lanes[self.post] if link is not self]
         lives = callers.environment.is_alive(self.post, self.life)
         for ask in self.asks:
-            if ask.status or ask.left:
+            if ask.status or ask.abandoned:
                 continue
             if lives and not callers.environment.balancers[self.post].is_shutting_down:
-                callers.environment.referee.broke(ask, callers.loop.now)
+                callers.environment.referee.on_connection_lost(ask, callers.loop.now)
             else:
-                ask.left = True
+                ask.abandoned = True
             callers.heard(ask, 0, 0)
         self.asks.clear()
 
@@ -315,18 +324,20 @@
         super().__init__(environment)
         self.lanes: dict[str, list[RespLink]] = {post: [] for post in environment.balancers}
 
-    def message(self, ask: Ask, op: Op) -> tuple[bytes, ...]:
+    def message(self, ask: ClientAttempt, op: Operation) -> tuple[bytes, ...]:
         number = int(ask.id[1:], 16)
-        if op.work.write:
+        if op.request_class.write:
             return (encode_command(b"APPEND", b"k%d" % op.key, b"%d;" % number),)
         return (encode_command(b"GETRANGE", b"k%d" % op.key, 0, BASE + number),)
 
-    def send(self, ask: Ask, message: tuple[bytes, ...], post: str, fresh: bool = False) -> None:
-        ask.life = self.environment.incarnation_of(post)
+    def send(
+        self, ask: ClientAttempt, message: tuple[bytes, ...], post: str, fresh: bool = False
+    ) -> None:
+        ask.incarnation = self.environment.incarnation_of(post)
         room = [
             link
             for link in self.lanes[post]
-            if len(link.asks) < DEPTH and link.life == ask.life and link.conn.is_open
+            if len(link.asks) < DEPTH and link.life == ask.incarnation and link.conn.is_open
         ]
         if not room:
             came = self.environment.network.dial(self.environment.address_of(post))
@@ -336,10 +347,10 @@
             self.lanes[post] += room
         room[0].carry(ask, message)
 
-    def late(self, link: RespLink, ask: Ask) -> None:
-        if not ask.status and not ask.left and self.environment.is_alive(link.post, link.life):
-            if not self.environment.was_paused_since(link.post, ask.came):
-                self.environment.referee.silent(ask, self.loop.now)
+    def late(self, link: RespLink, ask: ClientAttempt) -> None:
+        if not ask.status and not ask.abandoned and self.environment.is_alive(link.post, link.life):
+            if not self.environment.was_paused_since(link.post, ask.arrived_at_us):
+                self.environment.referee.on_no_answer(ask, self.loop.now)
 
 
 def slot_stores(environment: Environment) -> list[SlotStore]:
@@ -350,9 +361,12 @@
     ]
 
 
-def reshuffle(environment: Environment, trouble: Trouble) -> None:
+def reshuffle(environment: Environment, trouble: Fault) -> None:
     """Slots move from server to server, key by key, `size` of them (8) at a time, until the trouble ends."""
-    end, many = environment.loop.now + micros(trouble.for_s), round(trouble.size or 8)
+    end, many = (
+        environment.loop.now + seconds_to_us(trouble.duration_s),
+        round(trouble.magnitude or 8),
+    )
 
     def move() -> None:
         if environment.loop.now >= end:
@@ -378,7 +392,7 @@
     move()
 
 
-def failover(environment: Environment, trouble: Trouble) -> None:
+def failover(environment: Environment, trouble: Fault) -> None:
     """Another server takes all slots of one, which goes on answering for `for-s` all the same, then ends."""
     stores = slot_stores(environment)
     old = next((store for store in stores if store.id == trouble.target), stores[0])
@@ -390,12 +404,12 @@
 
     def end() -> None:
         old.stop()
-        environment.listing.gone_later(old.id, environment.plan.listing.notice_s)
+        environment.listing.gone_later(old.id, environment.plan.discovery.removal_delay_s)
 
-    environment.loop.call_later(micros(trouble.for_s), end)
+    environment.loop.call_later(seconds_to_us(trouble.duration_s), end)
 
 
-def pointing(environment: Environment, trouble: Trouble) -> None:
+def pointing(environment: Environment, trouble: Fault) -> None:
     """Two servers say of all slots that they are the other's, until the trouble ends."""
     first, second = slot_stores(environment)[:2]
     first.view, second.view = [second.id] * SPACE, [first.id] * SPACE
@@ -403,4 +417,4 @@
     def end() -> None:
         first.view = second.view = None
 
-    environment.loop.call_later(micros(trouble.for_s), end)
+    environment.loop.call_later(seconds_to_us(trouble.duration_s), end)
--- a/orchidgap/simulation/runner.py
+++ b/orchidgap/simulation/runner.py
@@ -8,16 +8,18 @@
 
 import msgspec
 
+from orchidgap.errors import ScenarioError
 from orchidgap.simulation.balancer_instance import VirtualBalancer
 from orchidgap.simulation.baselines import NAMES
 from orchidgap.simulation.load_evenness import by_second
-from orchidgap.simulation.plan import BadPlan, Plan, checked, written
+from orchidgap.simulation.plan import Plan
+from orchidgap.simulation.plan_file import format_plan, validate_plan
 from orchidgap.simulation.simulation import Simulation
 
 MAX_LOG_RECORDS_KEPT = 2_000
 
 # the plan of `orchidgap try`
-TRY = checked(
+TRY = validate_plan(
     {
         "name": "try",
         "about": "Three caches, one of which dies half way.",
@@ -36,12 +38,14 @@
     """Return a simulation of a plan, not played yet; `real` is on loopback.
 
     Raises:
-        BadPlan: there is no such policy, or it cannot be played on loopback.
+        ScenarioError: there is no such policy, or it cannot be played on loopback.
     """
     if policy not in NAMES:
-        raise BadPlan(f"no policy {policy!r}: one of {', '.join(NAMES)}")
+        raise ScenarioError(f"no policy {policy!r}: one of {', '.join(NAMES)}")
     if policy == "oracle" and real:
-        raise BadPlan("the oracle sees the stand-ins' state, which a process of its own cannot")
+        raise ScenarioError(
+            "the oracle sees the stand-ins' state, which a process of its own cannot"
+        )
     return Simulation(plan, seed, real, policy)
 
 
@@ -54,7 +58,7 @@
 ) -> tuple[dict[str, Any], Simulation]:
     """Play a plan; return the verdict and what is left of the simulation to look at.
 
-    `tick` is called each second, with the seconds played. Raises BadPlan.
+    `tick` is called each second, with the seconds played. Raises ScenarioError.
     """
     simulation = simulation_of(plan, seed, real, policy)
     return simulation.play(tick), simulation
@@ -75,14 +79,18 @@
     """Return what a report is drawn from, as plain values; the keys are those of `trial.json`."""
     checker = simulation.referee
     return {
-        "plan": written(simulation.plan),
+        "plan": format_plan(simulation.plan),
         "seed": simulation.seed,
         "policy": simulation.policy,
         "real": not simulation.network.virtual,
         "verdict": verdict,
-        "seconds": {str(second): row for second, row in sorted(checker.seconds.items())},
-        "waits": {str(second): sorted(row) for second, row in sorted(checker.waits.items())},
-        "denials": {str(second): count for second, count in sorted(checker.denials.items())},
+        "seconds": {str(second): row for second, row in sorted(checker.value_by_second.items())},
+        "waits": {
+            str(second): sorted(row) for second, row in sorted(checker.latencies_by_second.items())
+        },
+        "denials": {
+            str(second): count for second, count in sorted(checker.rejections_by_second.items())
+        },
         "series": [[at_us / 1e6, rows] for at_us, rows in checker.series],
         "reads": by_second(simulation),
         "events": checker.events,
@@ -96,4 +104,4 @@
     folder.mkdir(parents=True, exist_ok=True)
     document = msgspec.json.encode(report_document(simulation, verdict))
     (folder / "trial.json").write_bytes(document)
-    (folder / "plan.toml").write_text(written(simulation.plan))
+    (folder / "plan.toml").write_text(format_plan(simulation.plan))
--- a/orchidgap/simulation/servers.py
+++ b/orchidgap/simulation/servers.py
@@ -10,8 +10,8 @@
 from orchidgap.net.addresses import Address
 from orchidgap.net.connection import Connection
 from orchidgap.net.loop import Timer
-from orchidgap.simulation.invariant_checker import SMALL, Arrival, mark_of
-from orchidgap.simulation.plan import Model, micros, millis
+from orchidgap.simulation.invariant_checker import LARGE_BODY_BYTES, HostAttempt, body_fingerprint
+from orchidgap.simulation.plan import HostModel, milliseconds_to_us, seconds_to_us
 
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
@@ -46,9 +46,9 @@
         "took",
     )
 
-    def __init__(self, store: Store, link: HostLink, arrival: Arrival, mark: bytes) -> None:
+    def __init__(self, store: Store, link: HostLink, arrival: HostAttempt, mark: bytes) -> None:
         self.store, self.link, self.arrival, self.mark = store, link, arrival, mark
-        self.cost = arrival.ask.op.cost
+        self.cost = arrival.client_attempt.operation.work_us
         self.asking = False  # it was sent here for this one time, where servers own slots
         self.cold = False  # the req missed at a cold host before it came here
         self.outcome, self.took, self.ends = "done", 0, 0
@@ -76,7 +76,7 @@
         self.store, self.who, self.reader = store, who, RequestReader()
         self.job: Job | None = None
         self.first_at, self.idle_since = 0, store.loop.now
-        self.flow: Arrival | None = None  # whose answer is being given, piece by piece
+        self.flow: HostAttempt | None = None  # whose answer is being given, piece by piece
         self.left, self.chunked = b"", False
         self.beyond = False  # it has no room for this one: it says so once, and closes
         self.conn = Connection(store.loop, sock, self)
@@ -101,18 +101,22 @@
         id = fields.get(b"request-id", b"")
         if self.reader.message.target in (b"/alive", b"/metrics/load") or not id:
             return self.say(MISS)
-        arrival = store.environment.referee.arrival(id, store.id, store.group(), self.first_at, now)
+        arrival = store.environment.referee.on_host_attempt(
+            id, store.id, store.group(), self.first_at, now
+        )
         if arrival is None:
             return self.say(UNFIT)
-        if self.reader.message.body_size > SMALL:
-            store.environment.referee.large += 1
-        if mark_of(self.reader.message.body) != mark_of(arrival.ask.body):
+        if self.reader.message.body_size > LARGE_BODY_BYTES:
+            store.environment.referee.large_bodies += 1
+        if body_fingerprint(self.reader.message.body) != body_fingerprint(
+            arrival.client_attempt.body
+        ):
             what = f"{id.decode()}: another body than its client sent"
-            store.environment.referee.breach("lost", now, what)
+            store.environment.referee.record_breach("lost", now, what)
         self.job = Job(store, self, arrival, fields.get(b"idempotency-key", b""))
         store.loop.call_later(store.one_way_us(self.who), store.receive, self.job)
 
-    def give(self, arrival: Arrival, body: bytes, pace: int) -> None:
+    def give(self, arrival: HostAttempt, body: bytes, pace: int) -> None:
         """A large answer, in one of the ways that HTTP has, as fast as it is read or, with a pace, slowly."""
         way = self.store.environment.rng.choice(("length", "chunks", "close"))
         head = {
@@ -121,7 +125,7 @@
             "close": b"Connection: close",
         }[way]
         self.flow, self.left, self.chunked = arrival, body, way == "chunks"
-        arrival.flows = True
+        arrival.streaming = True
         self.conn.on_drained = lambda: self.more(pace, way)
         self.conn.send(b"HTTP/1.1 200 OK\r\n%b\r\nCache-Result: hit\r\n\r\n" % head)
         if not self.conn.write_buffer:
@@ -138,7 +142,7 @@
                 return
         if self.flow and not self.left and self.conn.is_open and not self.conn.write_buffer:
             arrival, self.flow, self.conn.on_drained = self.flow, None, None
-            arrival.flows = False
+            arrival.streaming = False
             if way == "close":
                 return self.close()
             self.say(*((b"0\r\n\r\n",) if self.chunked else ()))
@@ -151,12 +155,12 @@
 
     def ended(self, what: str) -> None:
         if self.job:
-            self.store.environment.referee.dropped(self.job.arrival, self.store.loop.now)
+            self.store.environment.referee.on_attempt_dropped(self.job.arrival, self.store.loop.now)
         self.store.links.pop(self, None)
 
     def close(self) -> None:
         if self.flow:
-            self.flow.flows = False  # it gives no more by itself
+            self.flow.streaming = False  # it gives no more by itself
         if self.conn.is_open:
             self.conn.close()
             self.ended("")
@@ -170,7 +174,7 @@
         environment: Environment,
         id: str,
         address: Address,
-        model: Model,
+        model: HostModel,
         is_origin: bool,
         zone: int,
         speed: float,
@@ -194,7 +198,7 @@
         self.loaded = 0  # work that came in that stretch
         self.alive, self.vanished, self.draining = True, False, False
         self.frozen_until = self.born = self.owed = self.count = 0
-        self.slow, self.spoilt, self.errors = 1.0, 0.0, model.errors
+        self.slow, self.spoilt, self.errors = 1.0, 0.0, model.error_ratio
         self.cut: dict[str, bool] = {}  # balancers that it cannot hear
         environment.network.listen(address, self.accept)
         self.loop.call_later(SWEEP, self.sweep)
@@ -213,13 +217,13 @@
         if not self.alive:
             return sock.close()
         link = HostLink(self, sock, who)
-        link.beyond = sum(not other.beyond for other in self.links) >= self.model.connections
+        link.beyond = sum(not other.beyond for other in self.links) >= self.model.max_connections
         self.links[link] = None
-        self.environment.referee.dials += 1
-        self.owed += millis(self.model.connect_work_ms)
+        self.environment.referee.connections_dialled += 1
+        self.owed += milliseconds_to_us(self.model.connection_work_ms)
 
     def sweep(self) -> None:
-        now, idle_for = self.loop.now, micros(self.model.idle_s)
+        now, idle_for = self.loop.now, seconds_to_us(self.model.idle_timeout_s)
         for link in list(self.links):
             if not link.job and not link.reader.started and now - link.idle_since > idle_for:
                 link.close()
@@ -231,14 +235,14 @@
         if not self.born or self.is_origin:
             return 1.0
         age = self.loop.now - self.born
-        part = min(1.0, age / max(1, micros(self.model.warm_s)))
-        return self.model.cold_from + (1.0 - self.model.cold_from) * part
+        part = min(1.0, age / max(1, seconds_to_us(self.model.warm_up_s)))
+        return self.model.cold_speed_ratio + (1.0 - self.model.cold_speed_ratio) * part
 
     def cold(self) -> bool:
         return (
             bool(self.born)
             and not self.is_origin
-            and self.loop.now - self.born < micros(self.model.warm_s)
+            and self.loop.now - self.born < seconds_to_us(self.model.warm_up_s)
         )
 
     def capacity(self) -> float:
@@ -251,11 +255,11 @@
         if self.vanished or self.cut.get(job.link.who):
             self.held.append(job)
             return
-        job.cold = job.arrival.ask.id in self.environment.cold_misses
+        job.cold = job.arrival.client_attempt.id in self.environment.cold_misses
         self.weigh(job)
         if not self.alive:
             return
-        room = len(self.waiting) < self.model.queue * self.model.cores
+        room = len(self.waiting) < self.model.queue_per_core * self.model.cores
         if self.draining or not room or job.link.beyond:
             return self.reply(job, "full")
         self.waiting.append(job)
@@ -266,26 +270,30 @@
         it can do now. What is turned away counts too: it was sent.
         """
         now = self.loop.now
-        referee, ask = self.environment.referee, job.arrival.ask
+        referee, ask = self.environment.referee, job.arrival.client_attempt
         blamed = (
             job.cold
             if self.is_origin
-            else referee.starts.get((ask.balancer, self.id), 0) >= self.born // 1000
+            else referee.notified_starts.get((ask.balancer, self.id), 0) >= self.born // 1000
         )
-        cost = job.cost if self.is_origin or ask.op.key in self.kept else GLANCE
+        cost = job.cost if self.is_origin or ask.operation.key in self.kept else GLANCE
         self.load.append((now, cost, blamed))
         self.loaded += cost
-        while self.load[0][0] < now - micros(self.model.fall_s):
+        while self.load[0][0] < now - seconds_to_us(self.model.overload_window_s):
             self.loaded -= self.load.popleft()[1]
-        most = self.model.fall_multiple * self.capacity() * self.model.fall_s + CHANCE
+        most = (
+            self.model.overload_multiple * self.capacity() * self.model.overload_window_s + CHANCE
+        )
         if self.loaded > most and (self.is_origin or self.cold()):
             part = sum(cost for _, cost, blamed in self.load if blamed) / self.loaded
-            referee.fell(self.id, part, self.is_origin, now)
+            referee.on_host_overloaded(self.id, part, self.is_origin, now)
             self.stop()
             if self.is_origin:
-                self.loop.call_later(micros(self.model.stop_s), self.revive, False)
+                self.loop.call_later(seconds_to_us(self.model.overload_stop_s), self.revive, False)
             else:  # it stays down
-                self.environment.listing.gone_later(self.id, self.environment.plan.listing.notice_s)
+                self.environment.listing.gone_later(
+                    self.id, self.environment.plan.discovery.removal_delay_s
+                )
 
     def pump(self) -> None:
         while (
@@ -294,26 +302,27 @@
             and self.loop.now >= self.frozen_until
         ):
             job = self.waiting.popleft()
-            if not job.link.conn.is_open and self.model.forgets_expired:
+            if not job.link.conn.is_open and self.model.drops_expired:
                 continue  # nobody waits for it
             self.begin(job)
 
     def begin(self, job: Job) -> None:
-        op, cost = job.arrival.ask.op, job.cost
-        if op.work.write:
+        op, cost = job.arrival.client_attempt.operation, job.cost
+        if op.request_class.write:
             cost = self.write(job)
         elif not self.is_origin and not self.has(op.key):
             job.outcome, cost = "miss", GLANCE
-            self.environment.record_miss(job.arrival.ask.id, self)
+            self.environment.record_miss(job.arrival.client_attempt.id, self)
         if job.outcome == "done" and self.errors and self.environment.rng.random() < self.errors:
             job.outcome = "error"
         cost += self.owed
         self.owed = 0
         crowd = max(
             0.0,
-            (len(self.waiting) + len(self.running) + 1) / self.model.cores - self.model.crowd_at,
+            (len(self.waiting) + len(self.running) + 1) / self.model.cores
+            - self.model.crowding_threshold,
         )
-        pace = self.speed * self.warmth() / (1.0 + self.model.crowd * crowd) / self.slow
+        pace = self.speed * self.warmth() / (1.0 + self.model.crowding_slowdown * crowd) / self.slow
         job.took = max(1, round(cost / pace))
         job.ends = self.loop.now + job.took
         self.running[job] = None
@@ -321,16 +330,18 @@
 
     def write(self, job: Job) -> int:
         """It takes effect as it begins, once for each mark that is remembered; gives the work left."""
-        ask, now = job.arrival.ask, self.loop.now
-        if ask.op.work.effect == "uniqued":
+        ask, now = job.arrival.client_attempt, self.loop.now
+        if ask.operation.request_class.effect == "uniqued":
             memory = self.environment.marks.setdefault(self.group(), {})
             if memory.get(job.mark, 0) > now:
                 return GLANCE
-            memory[job.mark] = now + millis(ask.op.work.window_ms)
-        self.environment.referee.effect(job.arrival, now)
+            memory[job.mark] = now + milliseconds_to_us(
+                ask.operation.request_class.deduplication_window_ms
+            )
+        self.environment.referee.on_effect(job.arrival, now)
         for store in self.environment.servers.values():
             if not store.is_origin:
-                store.kept.pop(ask.op.key, None)
+                store.kept.pop(ask.operation.key, None)
         return job.cost
 
     def has(self, key: int) -> bool:
@@ -342,21 +353,21 @@
 
     def keep(self, key: int) -> None:
         ttl = self.model.ttl_s
-        self.kept[key] = self.loop.now + micros(ttl) if ttl else 1 << 62
+        self.kept[key] = self.loop.now + seconds_to_us(ttl) if ttl else 1 << 62
         self.kept.move_to_end(key)
-        while len(self.kept) > self.model.keys:
+        while len(self.kept) > self.model.capacity_keys:
             self.kept.popitem(last=False)
 
     def finish(self, job: Job) -> None:
         del self.running[job]
-        ask = job.arrival.ask
+        ask = job.arrival.client_attempt
         if job.outcome != "miss":
-            self.environment.referee.ran(job.arrival, job.took, self.loop.now)
-        if self.is_origin and job.outcome == "done" and not ask.op.work.write:
-            self.environment.referee.fetches += 1
+            self.environment.referee.on_work_done(job.arrival, job.took, self.loop.now)
+        if self.is_origin and job.outcome == "done" and not ask.operation.request_class.write:
+            self.environment.referee.origin_fetches += 1
             for store in self.environment.misses.pop(ask.id, ()):
                 if store.alive:
-                    store.keep(ask.op.key)
+                    store.keep(ask.operation.key)
         self.reply(job, job.outcome)
         self.pump()
 
@@ -375,18 +386,18 @@
         body = b""
         if outcome == "done":
             self.count += 1
-            ask = job.arrival.ask
+            ask = job.arrival.client_attempt
             body = (b"%b/%b/%d:" % (ask.id, self.id.encode(), self.count)).ljust(
-                self.environment.value_size_bytes(ask.op.key), b"v"
+                self.environment.value_size_bytes(ask.operation.key), b"v"
             )
         if outcome == "done" and self.spoilt and self.environment.rng.random() < self.spoilt:
             return self.spoil(job, body)
-        referee.settled(job.arrival, outcome, now, body)
+        referee.on_attempt_settled(job.arrival, outcome, now, body)
         link.job = None
-        if len(body) > SMALL:
-            bulk = self.environment.plan.bulk
-            slow = self.environment.rng.random() < bulk.slow_writers
-            return link.give(job.arrival, body, round(bulk.pace_kb * 1_000) if slow else 0)
+        if len(body) > LARGE_BODY_BYTES:
+            bulk = self.environment.plan.large_bodies
+            slow = self.environment.rng.random() < bulk.slow_writer_ratio
+            return link.give(job.arrival, body, round(bulk.slow_rate_kb * 1_000) if slow else 0)
         if outcome == "done":
             link.say(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nCache-Result: hit\r\n\r\n" % len(body),
@@ -402,7 +413,7 @@
         how = self.environment.rng.choice(SPOILS)
         link, head = job.link, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n" % len(body)
         good = how in ("behind", "ahead")
-        self.environment.referee.settled(
+        self.environment.referee.on_attempt_settled(
             job.arrival, "done" if good else "spoilt", self.loop.now, body if good else b""
         )
         link.job = None
@@ -456,7 +467,7 @@
         self.environment.network.listen(self.address, self.accept)
         if cold:
             self.environment.listing.put_later(
-                self.id, "Ready", self.environment.plan.listing.add_s
+                self.id, "Ready", self.environment.plan.discovery.addition_delay_s
             )
 
     def vanish(self, gone: bool) -> None:
@@ -465,7 +476,9 @@
             return
         self.vanished = gone
         silent = any(store.vanished for store in self.environment.servers.values())
-        self.environment.referee.hidden_until = 1 << 62 if silent else self.loop.now + UNSEEN
+        self.environment.referee.silent_host_until_us = (
+            1 << 62 if silent else self.loop.now + UNSEEN
+        )
         self.environment.network.set_silent(self.address, gone)
         if gone:
             self.halt()
@@ -473,7 +486,7 @@
             self.forget()
             self.born = self.loop.now
             self.environment.listing.put_later(
-                self.id, "Ready", self.environment.plan.listing.add_s
+                self.id, "Ready", self.environment.plan.discovery.addition_delay_s
             )
 
     def part(self, who: str, cut: bool) -> None:
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -22,11 +22,11 @@
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.discovery_server import Agent, Listing
 from orchidgap.simulation.environment import AttemptLimit, Decider
-from orchidgap.simulation.invariant_checker import Referee, seconds_of
-from orchidgap.simulation.load_evenness import Stretches
+from orchidgap.simulation.invariant_checker import InvariantChecker, simulated_duration_us
+from orchidgap.simulation.load_evenness import PhaseRecorder
 from orchidgap.simulation.loopback_network import LoopbackNetwork
 from orchidgap.simulation.operations import BINDS_AFTER, Front
-from orchidgap.simulation.plan import Plan, Work, micros, millis
+from orchidgap.simulation.plan import Plan, RequestClassSpec, milliseconds_to_us, seconds_to_us
 from orchidgap.simulation.resp_cluster import Cluster, RespCallers, SlotStore
 from orchidgap.simulation.servers import Store
 from orchidgap.simulation.virtual_network import VirtualNetwork
@@ -79,7 +79,7 @@
         self.loop: Loop = self.network.loop
         self.folder = tempfile.TemporaryDirectory(dir=disk) if real else None
         self.start = self.loop.now + (LOOPBACK_LEAD_US if real else 0)
-        self.referee = Referee(plan, self.start, LOOPBACK_SLACK_US if real else 0)
+        self.referee = InvariantChecker(plan, self.start, LOOPBACK_SLACK_US if real else 0)
         self.deduplication_scope = most_common_scope(plan)
         self.servers: dict[str, Store] = {}
         self.cluster = Cluster()
@@ -90,16 +90,16 @@
         self.zone_by_address: dict[Address, int] = {}
         self.listing = Listing(self)
         self.front = Front(self)
-        attempts = plan.ceilings.dispatches
+        attempts = plan.limits.max_attempts
         self.attempt_limit = AttemptLimit(attempts, 0, attempts)
         self.balancers: dict[str, Balancer] = {}
-        for i in range(plan.balancers):
+        for i in range(plan.balancer_count):
             name = f"b{i}"
             zone = i % plan.cache.zones
             self.balancers[name] = self.make_balancer(name, i, zone, self.decider)
         self.add_hosts()
         self.clients = self.make_clients()
-        self.stretches = Stretches(self, plan.expect)
+        self.stretches = PhaseRecorder(self, plan.evenness_bounds)
         if isinstance(self.network, VirtualNetwork):
             self.network.round_trip = self.round_trip_us
 
@@ -111,7 +111,7 @@
 
     def make_clients(self) -> Callers:
         """Make the clients, of the protocol that the plan names."""
-        return RespCallers(self) if self.plan.dialect == "resp" else Callers(self)
+        return RespCallers(self) if self.plan.protocol == "resp" else Callers(self)
 
     # --- the hosts
 
@@ -120,16 +120,16 @@
         plan = self.plan
         zones = plan.cache.zones
         # ids have one length: ranges and the copies at the start go by the order of ids
-        digits = max(2, len(str(plan.caches - 1)))
-        for i in range(plan.caches):
+        digits = max(2, len(str(plan.cache_count - 1)))
+        for i in range(plan.cache_count):
             address = (f"127.2.0.{i + 1}", HOST_PORT + self.port_offset)
             self.add_host(f"c{i:0{digits}d}", address, False, i % zones)
-        for i in range(plan.origins if plan.dialect == "http" else 0):
+        for i in range(plan.origin_count if plan.protocol == "http" else 0):
             address = (f"127.2.1.{i + 1}", HOST_PORT + self.port_offset)
             self.add_host(f"o{i}", address, True, i % zones)
         caches = [server for server in self.servers.values() if not server.is_origin]
         self.cluster.share([server.id for server in caches])
-        if plan.dialect == "http":
+        if plan.protocol == "http":
             fill_caches(plan, self.rng, self.decider, caches)
         for name, balancer in self.balancers.items():
             self.listing.agents[name] = Agent(self.listing, name, balancer.discovery_address)
@@ -137,8 +137,8 @@
     def add_host(self, host_id: str, address: Address, is_origin: bool, zone: int) -> Store:
         """Start a stand-in host and list it; its speed is drawn."""
         model = self.plan.origin if is_origin else self.plan.cache
-        speed = model.speed * (1.0 + model.uneven * self.rng.uniform(-1, 1))
-        kind = SlotStore if self.plan.dialect == "resp" else Store
+        speed = model.speed * (1.0 + model.speed_spread * self.rng.uniform(-1, 1))
+        kind = SlotStore if self.plan.protocol == "resp" else Store
         server = kind(self, host_id, address, model, is_origin, zone, speed)
         self.servers[host_id] = server
         self.zone_by_address[address] = zone
@@ -153,16 +153,16 @@
         """Return a balancer's configuration, with the endpoint list that it starts with."""
         plan = self.plan
         document: dict[str, Any] = {}
-        if plan.dialect == "resp":
+        if plan.protocol == "resp":
             seeds = [format_address(server.address) for server in self.servers.values()]
             document["resp"] = balancer_settings.resp_document(plan, seeds)
             known = {"seq": 1, "whole": True, "hosts": []}
-        if plan.pool and self.policy == "orchidgap":
+        if plan.gossip and self.policy == "orchidgap":
             document["pool"] = self.gossip_settings(balancer)
         document |= balancer_settings.process_document(
             plan, balancer, self.seed, known, self.front.on
         )
-        works = [work for work in plan.works() if self.is_rule_set_listed(work)]
+        works = [work for work in plan.request_classes() if self.is_rule_set_listed(work)]
         document["settings"] = balancer_settings.settings_document(
             plan, self.attempt_limit.current, works
         )
@@ -173,7 +173,7 @@
         others = [other for other in self.balancers.values() if other is not balancer]
         return balancer_settings.gossip_document(self.plan, balancer, others)
 
-    def is_rule_set_listed(self, work: Work) -> bool:
+    def is_rule_set_listed(self, work: RequestClassSpec) -> bool:
         """Return whether settings that are written now have the rule set."""
         return balancer_settings.is_listed_at(work, (self.loop.now - self.start) / 1e6)
 
@@ -199,7 +199,7 @@
 
     def send_datagram(self, address: Address, data: bytes) -> None:
         """Carry a datagram from one balancer to another, or lose it."""
-        if self.rng.random() >= self.plan.net.lose:
+        if self.rng.random() >= self.plan.network.datagram_loss_ratio:
             self.loop.call_later(self.one_way_us(0, 0), self.deliver_datagram, address, data)
 
     def deliver_datagram(self, address: Address, data: bytes) -> None:
@@ -241,9 +241,9 @@
 
     def one_way_us(self, zone: int, other: int) -> int:
         """Draw the latency of one message between two zones."""
-        net = self.plan.net
-        base_ms = net.same_ms if zone == other else net.cross_ms
-        return millis(base_ms * (1.0 + net.jitter * self.rng.uniform(-1, 1)))
+        net = self.plan.network
+        base_ms = net.same_zone_ms if zone == other else net.cross_zone_ms
+        return milliseconds_to_us(base_ms * (1.0 + net.jitter * self.rng.uniform(-1, 1)))
 
     def client_one_way_us(self) -> int:
         """Draw the latency of one message between a client and a balancer."""
@@ -305,7 +305,7 @@
             self.schedule()
             self.run(tick)
             verdict = self.build_verdict()
-            if self.plan.stretch:
+            if self.plan.phases:
                 verdict |= self.check_stretches(verdict["verdict"])
             return verdict
         finally:
@@ -313,21 +313,23 @@
 
     def schedule(self) -> None:
         """Set timers for the load, the faults and the stretches of the plan."""
-        from orchidgap.simulation.faults import set_off
+        from orchidgap.simulation.faults import start_fault
 
         self.loop.call_at(self.start, self.clients.arrive)
         self.loop.call_at(self.start, self.front.start)
         self.loop.call_at(self.start, self.sample)
-        for fault in self.plan.trouble:
-            self.loop.call_at(self.start + micros(fault.at_s), set_off, self, fault)
-        for stretch in self.plan.stretch:
-            begins_at = self.start + micros(stretch.from_s)
+        for fault in self.plan.faults:
+            self.loop.call_at(self.start + seconds_to_us(fault.start_s), start_fault, self, fault)
+        for stretch in self.plan.phases:
+            begins_at = self.start + seconds_to_us(stretch.start_s)
             self.loop.call_at(begins_at, self.stretches.begin, stretch.name)
-        self.loop.call_at(self.start + micros(self.plan.seconds), self.stretches.begin, "")
+        self.loop.call_at(
+            self.start + seconds_to_us(self.plan.duration_s), self.stretches.begin, ""
+        )
 
     def run(self, tick: Callable[[float], None] | None) -> None:
         """Run the loop for as long as the plan says."""
-        end = self.start + seconds_of(self.plan)
+        end = self.start + simulated_duration_us(self.plan)
         now = self.start
         while now < end:
             now = min(end, now + TICK_INTERVAL_US)
@@ -347,8 +349,8 @@
                 raise RuntimeError("a balancer did not come up; see its log")
             self.loop.run_once(STARTUP_POLL_US)
         self.start = self.loop.clock() + LEAD_WHEN_ALL_ARE_UP_US
-        self.referee.start = self.start
-        self.clients.end = self.start + micros(self.plan.seconds)
+        self.referee.started_at_us = self.start
+        self.clients.end = self.start + seconds_to_us(self.plan.duration_s)
 
     # --- the verdict
 
@@ -374,7 +376,7 @@
             verdict["verdict"] = "broken"
             verdict["first_fault"] = faults[0]
         if processes:
-            verdict |= process_costs(processes, len(self.referee.asks))
+            verdict |= process_costs(processes, len(self.referee.client_attempts))
         return verdict
 
     def close(self) -> None:
@@ -396,5 +398,7 @@
 
 def most_common_scope(plan: Plan) -> str:
     """Return the deduplication scope of most rule sets with an idempotency key."""
-    scopes = Counter(work.group for work in plan.works() if work.effect == "uniqued")
+    scopes = Counter(
+        work.deduplication_scope for work in plan.request_classes() if work.effect == "uniqued"
+    )
     return scopes.most_common(1)[0][0] if scopes else "all"
--- a/tests/simulation/test_command.py
+++ b/tests/simulation/test_commands.py
@@ -10,7 +10,8 @@
 from planted import CELLS, USUAL, LeavesTheGroup
 
 from orchidgap.simulation import hunt
-from orchidgap.simulation.plan import Trouble, checked, parse, read
+from orchidgap.simulation.plan import Fault
+from orchidgap.simulation.plan_file import parse_plan, read_plan, validate_plan
 from orchidgap.simulation.report import write
 from orchidgap.simulation.runner import keep, play
 from orchidgap.simulation.simulation import Simulation
@@ -53,7 +54,9 @@
     assert "report: " in err
     (tmp_path / "kept" / "report.html").unlink()
     assert run("report", tmp_path / "kept")[0] == 0 and (tmp_path / "kept" / "report.html").exists()
-    assert parse((tmp_path / "kept" / "plan.toml").read_text()) == read(str(tmp_path / "p.toml"))
+    assert parse_plan((tmp_path / "kept" / "plan.toml").read_text()) == read_plan(
+        str(tmp_path / "p.toml")
+    )
 
 
 @pytest.mark.parametrize(
@@ -113,10 +116,10 @@
 
 
 def test_a_hunt_draws_the_same_run_from_the_same_number():
-    plan = checked({"name": "h", "seconds": 6})
+    plan = validate_plan({"name": "h", "seconds": 6})
     assert hunt.drawn(plan, 3) == hunt.drawn(plan, 3) != hunt.drawn(plan, 4)
-    kinds = {trouble.kind for number in range(80) for trouble in hunt.drawn(plan, number).trouble}
-    assert len(kinds) > 20 and all(hunt.drawn(plan, number).trouble for number in range(80))
+    kinds = {trouble.kind for number in range(80) for trouble in hunt.drawn(plan, number).faults}
+    assert len(kinds) > 20 and all(hunt.drawn(plan, number).faults for number in range(80))
 
 
 def test_a_hunt_tells_the_same_whatever_the_jobs(tmp_path):
@@ -130,7 +133,7 @@
 
 def test_what_is_found_shrinks_to_a_plan_that_still_shows_it():
     """A defect planted, a day with more than it takes: what is left is one trouble and a few seconds."""
-    plan = checked(
+    plan = validate_plan(
         CELLS
         | {
             "seconds": 12.0,
@@ -151,15 +154,17 @@
     assert (
         still(small)
         and plays <= 25
-        and len(small.trouble) <= 2
-        and small.seconds < 12
-        and small.caches < 6
+        and len(small.faults) <= 2
+        and small.duration_s < 12
+        and small.cache_count < 6
     )
 
 
 def test_what_fails_in_a_play_is_a_finding():
-    plan = msgspec.structs.replace(checked(USUAL), trouble=(Trouble("crash", 1.0, target="c00"),))
-    assert hunt.sort_of(hunt.verdict_of((plan, "nobody"))).startswith("failed BadPlan")
+    plan = msgspec.structs.replace(
+        validate_plan(USUAL), faults=(Fault("crash", 1.0, target="c00"),)
+    )
+    assert hunt.sort_of(hunt.verdict_of((plan, "nobody"))).startswith("failed ScenarioError")
     kept = hunt.verdict_of((plan, "orchidgap"))
     assert (
         hunt.sort_of(kept) == "" and hunt.sort_of(kept | {"late": 2, "faults": 1}) == "late fault"
@@ -167,7 +172,7 @@
 
 
 def test_a_report_draws_ranges_only_where_they_are_seen(tmp_path):
-    verdict, simulation = play(parse(TINY), policy="ring")
+    verdict, simulation = play(parse_plan(TINY), policy="ring")
     keep(tmp_path, simulation, verdict)
     assert "none are drawn" in write(tmp_path).read_text()
 
--- a/tests/simulation/test_plans.py
+++ b/tests/simulation/test_plans.py
@@ -6,8 +6,9 @@
 import msgspec
 import pytest
 
-from orchidgap.simulation.faults import ACTS
-from orchidgap.simulation.plan import KINDS, RESP_KINDS, checked, parse, read, written
+from orchidgap.simulation.faults import FAULTS
+from orchidgap.simulation.plan import FAULT_KINDS, RESP_FAULT_KINDS
+from orchidgap.simulation.plan_file import format_plan, parse_plan, read_plan, validate_plan
 from orchidgap.simulation.runner import TRY, play
 
 SHIPPED = sorted((Path(__file__).parents[2] / "trials").glob("*.toml"))
@@ -15,19 +16,19 @@
 
 @pytest.mark.parametrize("path", SHIPPED, ids=lambda path: path.stem)
 def test_a_shipped_plan_keeps_the_rules(path):
-    plan = read(str(path))
+    plan = read_plan(str(path))
     verdict, simulation = play(plan)
     assert verdict["verdict"] == "kept" and not verdict["faults"], simulation.referee.breaches[:5]
-    assert verdict["service"] >= plan.least > 0 and plan.name == path.stem
+    assert verdict["service"] >= plan.min_service_ratio > 0 and plan.name == path.stem
     assert verdict["bad_ignored"] == verdict["bad_served"] == 0
 
 
 def test_the_plans_together_have_every_kind_of_trouble():
-    used = [trouble.kind for path in SHIPPED for trouble in read(str(path)).trouble]
-    assert [kind for kind in KINDS + RESP_KINDS if kind not in used] == []
+    used = [trouble.kind for path in SHIPPED for trouble in read_plan(str(path)).faults]
+    assert [kind for kind in FAULT_KINDS + RESP_FAULT_KINDS if kind not in used] == []
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", FAULT_KINDS)
 def test_every_trouble_acts_alone_and_is_seen(kind):
     """Each is a different day from the calm one, and each is told in the trial's events."""
     told = {
@@ -38,19 +39,19 @@
         "rate": 60,
         "cache": {"zones": 2},
     }
-    calm, _ = play(checked(told))
+    calm, _ = play(validate_plan(told))
     verdict, simulation = play(
-        checked(told | {"trouble": [{"kind": kind, "at-s": 1, "for-s": 2, "part": 0.4}]})
+        validate_plan(told | {"trouble": [{"kind": kind, "at-s": 1, "for-s": 2, "part": 0.4}]})
     )
     assert verdict["verdict"] == "kept", simulation.referee.breaches[:5]
     assert verdict["trace"] != calm["trace"] and any(
         text.startswith(kind) for _, text in simulation.referee.events
     )
-    assert kind in ACTS
+    assert kind in FAULTS
 
 
 def test_the_same_plan_and_seed_give_the_same_trace_and_another_seed_another():
-    plan = msgspec.structs.replace(TRY, seconds=4.0, trouble=())
+    plan = msgspec.structs.replace(TRY, duration_s=4.0, faults=())
     first, second, other = (play(plan, seed)[0]["trace"] for seed in (1, 1, 2))
     assert first == second != other
 
@@ -77,5 +78,5 @@
 
 def test_a_plan_written_out_and_read_again_is_the_same():
     for path in SHIPPED:
-        plan = read(str(path))
-        assert parse(written(plan)) == plan
+        plan = read_plan(str(path))
+        assert parse_plan(format_plan(plan)) == plan
--- a/tests/simulation/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -9,8 +9,9 @@
 from orchidgap.decisions import rebalancing
 from orchidgap.decisions.hot_keys import HotKeyDetector
 from orchidgap.decisions.placement import Placement
-from orchidgap.simulation.load_evenness import Stretches
-from orchidgap.simulation.plan import Expect, read
+from orchidgap.simulation.load_evenness import PhaseRecorder
+from orchidgap.simulation.plan import EvennessBounds
+from orchidgap.simulation.plan_file import read_plan
 from orchidgap.simulation.runner import play
 
 TRIALS = Path(__file__).parents[2] / "trials"
@@ -56,7 +57,7 @@
 def test_a_planted_unevenness_is_caught(name, monkeypatch):
     owner, what, planted, plan, said = DEFECTS[name]
     monkeypatch.setattr(owner, what, planted)
-    verdict, simulation = play(read(str(TRIALS / f"spread-{plan}.toml")))
+    verdict, simulation = play(read_plan(str(TRIALS / f"spread-{plan}.toml")))
     assert verdict["verdict"] == "broken" and verdict["uneven"]
     assert any(
         rule == "uneven" and text.startswith(said) for rule, _, text in simulation.referee.breaches
@@ -65,18 +66,22 @@
 
 def test_what_is_out_when_a_stretch_ends_counts_as_it_comes_out():
     """One req that was out at that moment broke a drill that lost none."""
-    work = Namespace(write=False, target_ms=500)
+    work = Namespace(write=False, latency_objective_ms=500)
     ops = [
-        Namespace(counts=True, born=born, done_at=done, work=work)
+        Namespace(counted=True, created_at_us=born, completed_at_us=done, request_class=work)
         for born, done in ((1, 9), (990_000, 0))
     ]
-    referee = Namespace(asks={}, ops=ops, value=lambda all_: mean(op.done_at > 0 for op in all_))
+    referee = Namespace(
+        client_attempts={},
+        operations=ops,
+        service_ratio=lambda all_: mean(op.completed_at_us > 0 for op in all_),
+    )
     simulation = Namespace(servers={}, start=0, loop=Namespace(now=1_000_000), referee=referee)
-    stretches = Stretches(simulation, (Expect("calm", served=0.9),))
+    stretches = PhaseRecorder(simulation, (EvennessBounds("calm", min_service_ratio=0.9),))
     stretches.runs = "calm", 0
     stretches.begin("")
     for late, served in ((0, 0.5), (1_010_000, 1.0)):
-        ops[1].done_at, simulation.loop.now = late, 3_000_000
+        ops[1].completed_at_us, simulation.loop.now = late, 3_000_000
         said = []
         assert (
             stretches.judge(lambda *told, said=said: said.append(told))["calm"]["served"] == served
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from orchidgap.errors import ScenarioError
 from orchidgap.http1.writers import parse_seconds
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
@@ -11,9 +12,15 @@
 from orchidgap.simulation.balancer_loop import BalancerLoop
 from orchidgap.simulation.baselines import NAMES
 from orchidgap.simulation.clients import CallerLink
-from orchidgap.simulation.invariant_checker import RULES, Arrival, Ask, Op, Referee
+from orchidgap.simulation.invariant_checker import (
+    RULES,
+    ClientAttempt,
+    HostAttempt,
+    InvariantChecker,
+    Operation,
+)
 from orchidgap.simulation.listening_queue import ListeningQueue
-from orchidgap.simulation.plan import BadPlan, checked
+from orchidgap.simulation.plan_file import validate_plan
 from orchidgap.simulation.runner import play, simulation_of
 from orchidgap.simulation.simulation import Simulation
 from orchidgap.simulation.virtual_network import VirtualNetwork, connected_pair
@@ -114,7 +121,7 @@
 
 def test_a_balancer_killed_with_reqs_held_loses_none_of_them():
     """They are its clients' to ask again; what it held does not count as lost, and no other balancer suffers."""
-    plan = checked(
+    plan = validate_plan(
         SMALL
         | {
             "trouble": [
@@ -124,13 +131,17 @@
         }
     )
     verdict, simulation = play(plan)
-    held = [ask for ask in simulation.referee.asks.values() if ask.left and not ask.status]
+    held = [
+        ask
+        for ask in simulation.referee.client_attempts.values()
+        if ask.abandoned and not ask.status
+    ]
     assert held and verdict["verdict"] == "kept" and simulation.balancers["b0"].incarnation == 2
 
 
 @pytest.mark.parametrize("part", [1.0])
 def test_a_plan_that_leaves_no_host_still_answers_everybody(part):
-    plan = checked(
+    plan = validate_plan(
         SMALL
         | {
             "trouble": [
@@ -145,15 +156,15 @@
 
 @pytest.mark.parametrize("name", NAMES)
 def test_every_decider_plays_and_the_oracle_sees_what_the_others_cannot(name):
-    verdict, _ = play(checked(SMALL), policy=name)
+    verdict, _ = play(validate_plan(SMALL), policy=name)
     assert verdict["verdict"] == "kept" and verdict["service"] > 0.9 and not verdict["faults"]
 
 
 def test_what_cannot_be_played_is_told_in_a_line():
-    with pytest.raises(BadPlan, match="no policy"):
-        simulation_of(checked(SMALL), policy="best")
-    with pytest.raises(BadPlan, match="oracle"):
-        simulation_of(checked(SMALL), real=True, policy="oracle")
+    with pytest.raises(ScenarioError, match="no policy"):
+        simulation_of(validate_plan(SMALL), policy="best")
+    with pytest.raises(ScenarioError, match="oracle"):
+        simulation_of(validate_plan(SMALL), real=True, policy="oracle")
 
 
 # --- the referee's own judgement, case by case
@@ -166,16 +177,18 @@
             {"name": "w", "share": 1, "work-ms": 10, "target-ms": 100, "timeout-ms": 1000} | work
         ],
     }
-    plan = checked(told)
-    referee = Referee(plan, 0)
-    ask = Ask(b"q1", Op(0, plan.works()[0], "north", 1, 1, 0), "b0", 1, 0, 1_000_000)
-    referee.ops.append(ask.op)
-    referee.taken(ask)
+    plan = validate_plan(told)
+    referee = InvariantChecker(plan, 0)
+    ask = ClientAttempt(
+        b"q1", Operation(0, plan.request_classes()[0], "north", 1, 1, 0), "b0", 1, 0, 1_000_000
+    )
+    referee.operations.append(ask.operation)
+    referee.on_client_attempt(ask)
     return referee, ask
 
 
 def broken(referee):
-    return [rule for rule in RULES if referee.counts[rule]]
+    return [rule for rule in RULES if referee.breach_counts[rule]]
 
 
 UNIQUED = {"effect": "uniqued", "write": True, "window-ms": 200}
@@ -197,11 +210,11 @@
 )
 def test_a_second_dispatch_is_judged_by_what_the_first_came_to(work, outcome, second, breaks):
     referee, _ = judge(**work)
-    first = referee.arrival(b"q1", "o0", "all", 10_000, 10_000)
+    first = referee.on_host_attempt(b"q1", "o0", "all", 10_000, 10_000)
     if outcome:
-        referee.settled(first, outcome, 20_000)
+        referee.on_attempt_settled(first, outcome, 20_000)
     host, group, at = second
-    referee.arrival(b"q1", host, group, at, at)
+    referee.on_host_attempt(b"q1", host, group, at, at)
     assert broken(referee) == breaks
 
 
@@ -224,10 +237,10 @@
     work, outcome, status, at, breaks
 ):
     referee, ask = judge(**work)
-    sent = referee.arrival(b"q1", "c0", "all", 10_000, 10_000)
+    sent = referee.on_host_attempt(b"q1", "c0", "all", 10_000, 10_000)
     if outcome:
-        referee.settled(sent, outcome, 20_000)
-    referee.answer(ask, status, b"nobody made this", at)
+        referee.on_attempt_settled(sent, outcome, 20_000)
+    referee.on_answer(ask, status, b"nobody made this", at)
     assert broken(referee) == breaks
 
 
@@ -242,34 +255,43 @@
 )
 def test_a_dispatch_begun_after_the_grace_breaks_the_drain(told, first_at, breaks):
     referee, _ = judge()
-    referee.tell("b0", "c0", *told)
-    referee.arrival(b"q1", "c0", "all", first_at, first_at)
+    referee.on_list_written("b0", "c0", *told)
+    referee.on_host_attempt(b"q1", "c0", "all", first_at, first_at)
     assert broken(referee) == breaks
 
 
 def test_what_is_written_before_the_list_was_told_is_no_breach_on_real_sockets():
     """Told and written race there: both times are taken by the peers, and the slack lies between them."""
-    plan = checked({"name": "j"})
-    referee = Referee(plan, 0, slack=50_000)
-    ask = Ask(b"q1", Op(0, plan.works()[0], "north", 1, 1, 0), "b0", 1, 0, 1_500_000)
-    referee.taken(ask)
-    referee.tell("b0", "c0", "draining", 0)
+    plan = validate_plan({"name": "j"})
+    referee = InvariantChecker(plan, 0, slack=50_000)
+    ask = ClientAttempt(
+        b"q1", Operation(0, plan.request_classes()[0], "north", 1, 1, 0), "b0", 1, 0, 1_500_000
+    )
+    referee.on_client_attempt(ask)
+    referee.on_list_written("b0", "c0", "draining", 0)
     assert isinstance(
-        referee.arrival(b"q1", "c0", "all", 299_000, 299_500), Arrival
+        referee.on_host_attempt(b"q1", "c0", "all", 299_000, 299_500), HostAttempt
     ) and not broken(referee)
-    referee.arrival(b"q1", "c0", "all", 301_000, 301_000)
+    referee.on_host_attempt(b"q1", "c0", "all", 301_000, 301_000)
     assert broken(referee) == ["drain"]
 
 
 def test_a_connection_closed_between_reqs_is_asked_again_and_one_closed_on_a_req_is_lost():
-    simulation = Simulation(checked(SMALL))
+    simulation = Simulation(validate_plan(SMALL))
     try:
         post = next(iter(simulation.balancers))
         simulation.balancers[post].alive, simulation.balancers[post].incarnation = True, 1
         for unread, breaks in ((True, []), (False, ["lost"])):
             near, far = connected_pair()
             link = CallerLink(simulation.clients, post, near, False)
-            ask = Ask(b"q7", Op(0, simulation.plan.works()[0], "north", 1, 1, 0), post, 1, 0, 0)
+            ask = ClientAttempt(
+                b"q7",
+                Operation(0, simulation.plan.request_classes()[0], "north", 1, 1, 0),
+                post,
+                1,
+                0,
+                0,
+            )
             link.used = 1
             link.carry(ask, (b"GET /view/k1 HTTP/1.1\r\n\r\n",))
             if not unread:
@@ -283,7 +305,7 @@
 
 def test_a_cache_keeps_what_it_has_room_for_and_a_cold_one_is_slow():
     simulation = Simulation(
-        checked(SMALL | {"cache": {"keys": 3, "cold-from": 0.25, "warm-s": 8, "ttl-s": 2}})
+        validate_plan(SMALL | {"cache": {"keys": 3, "cold-from": 0.25, "warm-s": 8, "ttl-s": 2}})
     )
     try:
         store = simulation.servers["c00"]
@@ -303,7 +325,7 @@
 
 
 def test_a_watch_answers_on_a_change_and_otherwise_when_its_time_is_up():
-    simulation = Simulation(checked(SMALL))
+    simulation = Simulation(validate_plan(SMALL))
     try:
         agent = simulation.listing.agents["b0"]
         near, owner = simulation.network.dial(simulation.balancers["b0"].discovery_address), Owner()
@@ -323,7 +345,10 @@
         assert b"Terminating" not in owner.got, "it is silent"
         agent.set()
         wait(simulation.loop.time + 10_000)
-        assert b"Terminating" in owner.got and simulation.referee.told["b0", "c01"][0] == "draining"
+        assert (
+            b"Terminating" in owner.got
+            and simulation.referee.notified_states["b0", "c01"][0] == "draining"
+        )
         assert parse_seconds(b"1") == 1_000_000
     finally:
         simulation.close()
