--- /dev/null
+++ b/orchidgap/simulation/discovery_faults.py
@@ -0,0 +1,62 @@
+"""Faults of discovery: it is silent, late, frozen or crowded."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from orchidgap.simulation.fault_targets import call_at_end, pick_balancers, set_attribute_until_end
+from orchidgap.simulation.plan import Fault, seconds_to_us
+
+if TYPE_CHECKING:
+    from orchidgap.simulation.environment import Environment
+
+
+def _disturb_discovery(
+    environment: Environment,
+    fault: Fault,
+    gone: bool = False,
+    late: int = 0,
+    frozen: bool = False,
+) -> None:
+    """Puts the agents of balancers, all where none is named, into one state until the end."""
+    agents = [
+        environment.listing.agents[name]
+        for name in (
+            pick_balancers(environment, fault)
+            if fault.target or fault.target_ratio
+            else environment.balancers
+        )
+    ]
+    for agent in agents:
+        agent.set(gone, late, frozen)
+
+    def end() -> None:
+        for agent in agents:
+            agent.set()
+
+    call_at_end(environment, fault, end)
+
+
+def discovery_crowded(environment: Environment, fault: Fault) -> None:
+    """A part `magnitude` of the calls for the list is rejected (0.9)."""
+    agents = list(environment.listing.agents.values())
+    set_attribute_until_end(environment, fault, agents, "crowded", fault.magnitude or 0.9, 0.0)
+    for agent in agents:  # a watch that is under way ends, too
+        for link in list(agent.links):
+            link.conn.close()
+            agent.links.pop(link, None)
+
+
+def discovery_gone(environment: Environment, fault: Fault) -> None:
+    """Discovery is silent."""
+    _disturb_discovery(environment, fault, gone=True)
+
+
+def discovery_late(environment: Environment, fault: Fault) -> None:
+    """Discovery tells of changes `magnitude` seconds late (4)."""
+    _disturb_discovery(environment, fault, late=seconds_to_us(fault.magnitude or 4.0))
+
+
+def discovery_stale(environment: Environment, fault: Fault) -> None:
+    """Discovery goes on telling the list as it is now."""
+    _disturb_discovery(environment, fault, frozen=True)
--- /dev/null
+++ b/orchidgap/simulation/host_faults.py
@@ -0,0 +1,143 @@
+"""Faults of hosts: they end, fall silent, slow down, shut down gracefully or lose copies."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from orchidgap.simulation.fault_targets import (
+    call_at_end,
+    origins,
+    pick_hosts,
+    set_attribute_until_end,
+)
+from orchidgap.simulation.plan import Fault, seconds_to_us
+from orchidgap.simulation.servers import Store
+
+if TYPE_CHECKING:
+    from orchidgap.simulation.environment import Environment
+
+DRAIN_LINGER_S = 2.5  # that a draining host goes on with what it has
+DEPLOY_RESTART_US = 500_000
+REFUSAL_DELAY_US = 200_000  # after the grace, until a draining host refuses connections
+DEFAULT_STALL_S = 0.4
+
+
+def crash(environment: Environment, fault: Fault) -> None:
+    """Hosts end by themselves and come back at the end; discovery notices after its delay."""
+    for store in pick_hosts(environment, fault):
+        store.stop()
+        environment.listing.gone_later(store.id, environment.plan.discovery.removal_delay_s)
+        call_at_end(environment, fault, store.revive)
+
+
+def vanish(environment: Environment, fault: Fault) -> None:
+    """Hosts fall silent and come back at the end; discovery notices after its delay."""
+    for store in pick_hosts(environment, fault):
+        store.vanish(True)
+        environment.listing.gone_later(store.id, environment.plan.discovery.silent_removal_delay_s)
+        call_at_end(environment, fault, store.vanish, False)
+
+
+def stall(environment: Environment, fault: Fault) -> None:
+    """Hosts stand still for `magnitude` seconds (0.4), again and again until the end."""
+    hosts = pick_hosts(environment, fault)
+    end = environment.loop.now + seconds_to_us(fault.duration_s)
+    length = seconds_to_us(fault.magnitude or DEFAULT_STALL_S)
+
+    def stall_once() -> None:
+        if environment.loop.now < end:
+            for store in hosts:
+                store.stand(environment.loop.now + length)
+            environment.loop.call_later(
+                length + environment.rng.randrange(length, 4 * length), stall_once
+            )
+
+    stall_once()
+
+
+def slow(environment: Environment, fault: Fault) -> None:
+    """Hosts take `magnitude` times as long (3)."""
+    set_attribute_until_end(
+        environment, fault, pick_hosts(environment, fault), "slow", fault.magnitude or 3.0, 1.0
+    )
+
+
+def drain_host(
+    environment: Environment,
+    store: Store,
+    restart_after_us: int | None,
+    linger_s: float = DRAIN_LINGER_S,
+) -> None:
+    """Listed as draining at once; it ends some seconds later, and may come back cold."""
+    if not store.alive:
+        return
+    environment.listing.put(store.id, "Terminating")
+
+    def end() -> None:
+        if store.alive:
+            store.stop()
+            environment.listing.put(store.id, "Gone")
+            if restart_after_us is not None:
+                environment.loop.call_later(restart_after_us, store.revive)
+
+    def refuse() -> None:
+        store.draining = store.alive
+
+    environment.loop.call_later(
+        seconds_to_us(environment.plan.limits.drain_grace_ms / 1e3) + REFUSAL_DELAY_US, refuse
+    )
+    environment.loop.call_later(seconds_to_us(linger_s), end)
+
+
+def drain(environment: Environment, fault: Fault) -> None:
+    """Hosts shut down gracefully, lingering for `magnitude` seconds (2.5), and come back after the
+    duration.
+    """
+    for store in pick_hosts(environment, fault):
+        drain_host(
+            environment, store, seconds_to_us(fault.duration_s), fault.magnitude or DRAIN_LINGER_S
+        )
+
+
+def deploy(environment: Environment, fault: Fault) -> None:
+    """One batch of hosts after another, spread over the time; successors start cold."""
+    hosts = pick_hosts(environment, fault)
+    for i, store in enumerate(hosts):
+        at = seconds_to_us(fault.duration_s) * i // len(hosts)
+        environment.loop.call_later(at, drain_host, environment, store, DEPLOY_RESTART_US)
+
+
+def shrink(environment: Environment, fault: Fault) -> None:
+    """Hosts shut down gracefully one after another, spread over the duration, and stay away."""
+    hosts = pick_hosts(environment, fault)
+    for i, store in enumerate(hosts):
+        environment.loop.call_later(
+            seconds_to_us(fault.duration_s) * i // len(hosts), drain_host, environment, store, None
+        )
+
+
+def flush(environment: Environment, fault: Fault) -> None:
+    """Hosts lose a part of their copies (0.9)."""
+    for store in environment.servers.values():
+        store.flush(fault.target_ratio or 0.9)
+
+
+def spoilt(environment: Environment, fault: Fault) -> None:
+    """A part `magnitude` (0.2) of what hosts answer is malformed."""
+    set_attribute_until_end(
+        environment, fault, pick_hosts(environment, fault), "spoilt", fault.magnitude or 0.2, 0.0
+    )
+
+
+def slow_origin(environment: Environment, fault: Fault) -> None:
+    """The origins take `magnitude` times as long (4)."""
+    set_attribute_until_end(
+        environment, fault, origins(environment), "slow", fault.magnitude or 4.0, 1.0
+    )
+
+
+def stopped_origin(environment: Environment, fault: Fault) -> None:
+    """The origins stop and come back at the end."""
+    for store in origins(environment):
+        store.stop()
+        call_at_end(environment, fault, store.revive, False)
--- /dev/null
+++ b/orchidgap/simulation/network_faults.py
@@ -0,0 +1,61 @@
+"""Faults of the network: connections between balancers and hosts are cut."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from orchidgap.simulation.fault_targets import call_at_end
+from orchidgap.simulation.plan import Fault
+from orchidgap.simulation.servers import Store
+from orchidgap.simulation.virtual_network import VirtualNetwork
+
+if TYPE_CHECKING:
+    from orchidgap.simulation.environment import Environment
+
+
+def _cut_links(
+    environment: Environment, fault: Fault, hosts: list[Store], names: list[str]
+) -> None:
+    """Cuts the connections between some hosts and balancers until the end."""
+    if not isinstance(environment.network, VirtualNetwork):
+        for store in hosts:  # no way between two processes can be cut: the host is silent to all
+            store.vanish(True)
+            call_at_end(environment, fault, store.vanish, False)
+        return
+    for name in names:
+        for store in hosts:
+            environment.network.cut[name, store.address] = True
+            store.part(name, True)
+
+    def end() -> None:
+        assert isinstance(environment.network, VirtualNetwork)
+        for name in names:
+            for store in hosts:
+                environment.network.cut.pop((name, store.address), None)
+                store.part(name, False)
+
+    call_at_end(environment, fault, end)
+
+
+def link_loss(environment: Environment, fault: Fault) -> None:
+    """A share of the ways between balancers and hosts falls silent, drawn one by one."""
+    part = fault.target_ratio or 0.2
+    for store in environment.servers.values():
+        if not store.is_origin:
+            names = [name for name in environment.balancers if environment.rng.random() < part]
+            if names:
+                _cut_links(environment, fault, [store], names)
+
+
+def partition(environment: Environment, fault: Fault) -> None:
+    """Some balancers lose a part of the hosts."""
+    names = (
+        [fault.target]
+        if fault.target
+        else environment.rng.sample(
+            list(environment.balancers), max(1, len(environment.balancers) // 2)
+        )
+    )
+    hosts = [store for store in environment.servers.values() if not store.is_origin]
+    count = max(1, round((fault.target_ratio or 0.4) * len(hosts)))
+    _cut_links(environment, fault, environment.rng.sample(hosts, count), names)
