--- a/orchidgap/simulation/discovery_server.py
+++ b/orchidgap/simulation/discovery_server.py
@@ -15,7 +15,7 @@
 from orchidgap.http1.readers import RequestReader
 from orchidgap.net.addresses import Address
 from orchidgap.net.connection import Connection
-from orchidgap.simulation.plan import micros
+from orchidgap.simulation.plan import seconds_to_us
 
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
@@ -81,14 +81,14 @@
         self.version += 1
         self.changed_in[host] = self.version
         self.version_times.append((self.version, self.loop.now))
-        self.environment.referee.event(self.loop.now, f"list: {host} {health}")
+        self.environment.referee.record_event(self.loop.now, f"list: {host} {health}")
         for agent in self.agents.values():
             agent.on_change()
             self.loop.call_later(PRESUMED_KNOWN_AFTER_US, agent.presume_known, self.version)
 
     def draw_delay_us(self, seconds: float) -> int:
         """Draw a delay around so many seconds."""
-        return micros(seconds * self.environment.rng.uniform(*DELAY_SPREAD))
+        return seconds_to_us(seconds * self.environment.rng.uniform(*DELAY_SPREAD))
 
     def set_health_later(self, host: str, health: str, seconds: float) -> None:
         """List a host with another health after about so many seconds."""
@@ -158,7 +158,7 @@
         """Count a call; it is a breach where one balancer makes too many in a second."""
         checker = self.server.environment.referee
         second = self.loop.now // 1_000_000
-        checker.lists += 1
+        checker.list_calls += 1
         if second != self.call_second:
             self.call_second = second
             self.calls_in_second = 0
@@ -166,7 +166,7 @@
         if self.calls_in_second == MAX_CALLS_PER_SECOND + 1:
             limit = f"more than {MAX_CALLS_PER_SECOND} times in a second"
             why = f"discovery: {self.balancer} asked {limit}"
-            checker.breach("cold", self.loop.now, why)
+            checker.record_breach("cold", self.loop.now, why)
 
     def on_change(self) -> None:
         """Answer watches once this agent hears of a change."""
@@ -210,11 +210,11 @@
         by_host = {entry["host"]: entry for entry in entries}
         for host, entry in by_host.items():
             state = CHECKER_STATES[entry["health"]]
-            checker.tell(self.balancer, host, state, now, entry["born_ms"])
+            checker.on_list_written(self.balancer, host, state, now, entry["born_ms"])
         if whole:
             for host in self.server.entries:
                 if host not in by_host:
-                    checker.tell(self.balancer, host, "gone", now)
+                    checker.on_list_written(self.balancer, host, "gone", now)
             self.latest = EndpointList(version, entries)
         else:
             merged = {entry["host"]: entry for entry in self.latest.entries} | by_host
