--- a/orchidgap/fault_tests/actions.py
+++ b/orchidgap/fault_tests/actions.py
@@ -27,8 +27,8 @@
 from orchidgap.fault_tests.rollout_checker import ProposalRecord
 from orchidgap.net.addresses import format_address
 from orchidgap.simulation.balancer_instance import Pause
-from orchidgap.simulation.faults import set_off
-from orchidgap.simulation.plan import Trouble, millis
+from orchidgap.simulation.faults import start_fault
+from orchidgap.simulation.plan import Fault, milliseconds_to_us
 
 FOREVER_US = 1 << 62
 FILE_VERSION = 999  # of settings that no proposal has
@@ -66,7 +66,7 @@
             ActionKind.HEAL: links.heal,
             ActionKind.EVICT: self.evict,
             ActionKind.RELOAD: self.reload,
-            ActionKind.SET_HOST_HEALTH: cluster.listing.put,
+            ActionKind.SET_HOST_HEALTH: cluster.discovery.set_health,
             ActionKind.ROLL_OUT_BY_SIGNAL: self.roll_out_by_signal,
             ActionKind.MEASURE: cluster.stretches.begin,
             ActionKind.SIMULATION_FAULT: self.simulation_fault,
@@ -85,7 +85,7 @@
         elif action.kind is ActionKind.END_FAULTS:
             self.cluster.end_faults()
         elif action.kind is not ActionKind.NOTHING:
-            self.cluster.referee.event(self.cluster.loop.now, action.text)
+            self.cluster.referee.record_event(self.cluster.loop.now, action.text)
             self.handlers[action.kind](*arguments)
 
     def _first_balancers(self, percentage: str) -> list[str]:
@@ -139,7 +139,7 @@
         cluster = self.cluster
         cluster.wait_until(lambda: process.poll() is not None, EVICTION_TIMEOUT_S, "struck off")
         process.kill()
-        cluster.referee.event(cluster.loop.now, f"{name} struck off: {process.returncode}")
+        cluster.referee.record_event(cluster.loop.now, f"{name} struck off: {process.returncode}")
 
     def reload(self, name: str) -> None:
         """Give a balancer's file settings of its own; those of control go before."""
@@ -226,7 +226,7 @@
 
     def slow(self, one: str, other: str, delay_ms: str, loss_ratio: str = "0") -> None:
         """Delay everything between the two, and lose a part."""
-        self.cluster.links.slow(one, other, millis(float(delay_ms)), float(loss_ratio))
+        self.cluster.links.slow(one, other, milliseconds_to_us(float(delay_ms)), float(loss_ratio))
 
     def lose_datagrams(self, name: str, percentage: str) -> None:
         """Lose a part of the datagrams to and from a balancer, or of all."""
@@ -258,4 +258,4 @@
         if target.endswith("%"):
             ratio = float(target.rstrip("%")) / 100
             target = ""
-        set_off(self.cluster, Trouble(kind, 0.0, float(duration_s), ratio, target, float(size)))
+        start_fault(self.cluster, Fault(kind, 0.0, float(duration_s), ratio, target, float(size)))
--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -28,9 +28,9 @@
 from orchidgap.simulation.balancer_instance import BalancerInstance, Pause
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.environment import Decider
-from orchidgap.simulation.invariant_checker import Ask
+from orchidgap.simulation.invariant_checker import ClientAttempt
 from orchidgap.simulation.loopback_network import LoopbackNetwork
-from orchidgap.simulation.plan import Work, millis
+from orchidgap.simulation.plan import RequestClassSpec, milliseconds_to_us
 from orchidgap.simulation.simulation import Balancer, Simulation
 
 LOOK_INTERVAL_US = 50_000
@@ -78,14 +78,16 @@
         self.configured_version = 0
         self.last_proposal = 0
         super().__init__(test.plan, seed, real=True, policy=policy, disk=disk or memory_folder())
-        self.report_unanswered = self.referee.broke
-        setattr(self.referee, "broke", self._on_unanswered)  # noqa: B010
+        self.report_unanswered = self.referee.on_connection_lost
+        setattr(self.referee, "on_connection_lost", self._on_unanswered)  # noqa: B010
         self.links = Links(self.loop, self.rng, self.port_offset, self._topology())
         self.controls = [
             ControlProcess(self.launcher, self.links, test.control, number)
             for number in range(test.control.count)
         ]
-        self.checker = RolloutChecker(self.referee, millis(test.control.lease_ms), SLACK_US)
+        self.checker = RolloutChecker(
+            self.referee, milliseconds_to_us(test.control.lease_ms), SLACK_US
+        )
         self.proposers = ProposalCallers(self.checker, self.proposer_wait_s())
         self.control_clients = [
             RpcClient(self.loop, control.address, CALL_TIMEOUT_US) for control in self.controls
@@ -118,7 +120,7 @@
     def _add_relays(self) -> None:
         if self.test.relays_to_hosts:
             self._add_host_relays()
-        if self.test.plan.pool:
+        if self.test.plan.gossip:
             for name, post in self.balancers.items():
                 self.links.add_datagram_relay(name, post.number, post.gossip_address)
 
@@ -183,7 +185,7 @@
         ]
         return super().gossip_settings(balancer) | {"peers": peers}
 
-    def is_rule_set_listed(self, work: Work) -> bool:
+    def is_rule_set_listed(self, work: RequestClassSpec) -> bool:
         """Return whether the settings that are being written have this class."""
         if not self.proposal_count:
             return super().is_rule_set_listed(work)
@@ -199,12 +201,12 @@
         ]
         return sorted({*list(proposals)[-RECENT_COUNT:], *decided[-RECENT_COUNT:]})
 
-    def _on_unanswered(self, ask: Ask, at_us: int) -> None:
+    def _on_unanswered(self, ask: ClientAttempt, at_us: int) -> None:
         """A connection ended unanswered; that its process died may be seen a moment later."""
 
         def report_unless_dead() -> None:
             self.look()
-            if not ask.left and self.is_alive(ask.balancer, ask.life):
+            if not ask.abandoned and self.is_alive(ask.balancer, ask.incarnation):
                 self.report_unanswered(ask, at_us)
 
         self.loop.call_later(SLACK_US, report_unless_dead)
@@ -248,7 +250,7 @@
         for control in self.controls:
             control.address_for(OPERATOR)  # there to be cut before the first call
             control.start(self.controls)
-        _, entries = self.listing.since(None, 1)
+        _, entries = self.discovery.changes_since(None, 1)
         for post in self.balancers.values():
             post.start({"seq": 1, "whole": True, "hosts": entries})
 
@@ -283,10 +285,12 @@
         post = self.balancers[name]
         stopped_us = post.pauses.pop().start_us
         post.pauses.append(Pause(stopped_us, self.loop.now + 1_000_000))
-        for ask in self.referee.asks.values():
+        for ask in self.referee.client_attempts.values():
             if ask.balancer == name and not ask.status:
-                ask.due = self.loop.now + millis(ask.op.work.timeout_ms)
-                ask.quiet_at = self.loop.now
+                ask.deadline_us = self.loop.now + milliseconds_to_us(
+                    ask.operation.request_class.client_timeout_ms
+                )
+                ask.last_attempt_ended_us = self.loop.now
 
     def look(self) -> None:
         """Take note of processes and callers of control that have ended."""
--- a/orchidgap/fault_tests/commands.py
+++ b/orchidgap/fault_tests/commands.py
@@ -13,12 +13,13 @@
 import msgspec
 import orjson
 
+from orchidgap.errors import ScenarioError
 from orchidgap.fault_tests.cluster import Cluster
 from orchidgap.fault_tests.plan import FaultTest, read
 from orchidgap.fault_tests.planted_defects import DEFECTS
 from orchidgap.fault_tests.runner import FaultTestRunner
 from orchidgap.simulation.baselines import KINDS
-from orchidgap.simulation.plan import MOST_BALANCERS, BadPlan
+from orchidgap.simulation.plan import MAX_BALANCERS
 
 MAX_SHOWN_BREACHES = 12
 DEFAULT_POLICY = "orchidgap"
@@ -38,7 +39,7 @@
         defect = arguments["--defect"] or ""
         policy = arguments["--policy"]
         _check_options(test, defect, policy)
-    except BadPlan as error:
+    except ScenarioError as error:
         print(f"orchidgap: {error}", file=sys.stderr)
         return EXIT_BAD_PLAN
     out = Path(arguments["--out"]) if arguments["--out"] else None
@@ -53,22 +54,24 @@
     try:
         return int(arguments[name]) if arguments[name] else None
     except ValueError:
-        raise BadPlan(f"{name} wants a whole number, not {arguments[name]!r}") from None
+        raise ScenarioError(f"{name} wants a whole number, not {arguments[name]!r}") from None
 
 
 def _check_options(test: FaultTest, defect: str, policy: str) -> None:
     if defect and defect not in DEFECTS:
-        raise BadPlan(f"no defect {defect!r}: one of {', '.join(DEFECTS)}")
+        raise ScenarioError(f"no defect {defect!r}: one of {', '.join(DEFECTS)}")
     if policy == DEFAULT_POLICY:
         return
     if policy not in KINDS or test.control.count or defect:
-        raise BadPlan(f"--policy={policy}: one of {', '.join(KINDS)}, without control and defects")
+        raise ScenarioError(
+            f"--policy={policy}: one of {', '.join(KINDS)}, without control and defects"
+        )
 
 
 def with_balancers(test: FaultTest, count: int) -> FaultTest:
-    """Return the same test with so many balancers; BadPlan if they are too many or none."""
-    if not 1 <= count <= MOST_BALANCERS:
-        raise BadPlan(f"--balancers={count}: 1 to {MOST_BALANCERS} can be")
+    """Return the same test with so many balancers; ScenarioError if they are too many or none."""
+    if not 1 <= count <= MAX_BALANCERS:
+        raise ScenarioError(f"--balancers={count}: 1 to {MAX_BALANCERS} can be")
     return replace(test, plan=msgspec.structs.replace(test.plan, balancers=count))
 
 
--- a/orchidgap/fault_tests/conditions.py
+++ b/orchidgap/fault_tests/conditions.py
@@ -4,8 +4,8 @@
 
 from orchidgap.fault_tests.cluster import Cluster
 from orchidgap.fault_tests.plan import ANY_PROCESS, Condition, ConditionKind
-from orchidgap.simulation.invariant_checker import Ask
-from orchidgap.simulation.plan import micros
+from orchidgap.simulation.invariant_checker import ClientAttempt
+from orchidgap.simulation.plan import seconds_to_us
 
 STATUS_OK = 200
 STATUS_DENIED = 503
@@ -24,7 +24,7 @@
         arguments = condition.arguments
         match condition.kind:
             case ConditionKind.SECONDS_PASSED:
-                return cluster.loop.now - since_us >= micros(float(arguments[0]))
+                return cluster.loop.now - since_us >= seconds_to_us(float(arguments[0]))
             case ConditionKind.ALL_UP:
                 return all(post.ready_at > 0 for post in cluster.balancers.values() if post.alive)
             case ConditionKind.PROPOSALS_ENDED:
@@ -57,8 +57,12 @@
         return any(ask.balancer == arguments[0] and ask.status == STATUS_DENIED for ask in asks)
 
     @staticmethod
-    def _is_served(ask: Ask, request_class: str) -> bool:
-        return ask.status == STATUS_OK and ask.op.work.name == request_class
+    def _is_served(ask: ClientAttempt, request_class: str) -> bool:
+        return ask.status == STATUS_OK and ask.operation.request_class.name == request_class
 
-    def _asks_since(self, since_us: int) -> list[Ask]:
-        return [ask for ask in reversed(self.cluster.referee.asks.values()) if ask.came > since_us]
+    def _asks_since(self, since_us: int) -> list[ClientAttempt]:
+        return [
+            ask
+            for ask in reversed(self.cluster.referee.client_attempts.values())
+            if ask.arrived_at_us > since_us
+        ]
--- a/orchidgap/fault_tests/plan.py
+++ b/orchidgap/fault_tests/plan.py
@@ -17,7 +17,16 @@
 import msgspec
 from msgspec import Meta
 
-from orchidgap.simulation.plan import BadPlan, Count, Natural, Plan, Positive, Table, Work, checked
+from orchidgap.errors import ScenarioError
+from orchidgap.simulation.plan import (
+    Count,
+    NonNegative,
+    Plan,
+    PlanTable,
+    Positive,
+    RequestClassSpec,
+)
+from orchidgap.simulation.plan_file import validate_plan
 
 ALL_CONTROL = "all"
 ALL_BALANCERS = "all"
@@ -164,7 +173,7 @@
     repeat_count: int
 
 
-class ControlSettings(Table, frozen=True):
+class ControlSettings(PlanTable, frozen=True):
     """The table `control`; without control processes balancers have their files alone."""
 
     count: Annotated[int, Meta(ge=0, le=5)] = 1
@@ -173,7 +182,7 @@
     on_lost_quorum: Literal["leave", "stay"] = msgspec.field(name="alone", default="leave")
 
 
-class StepTable(Table, frozen=True):
+class StepTable(PlanTable, frozen=True):
     """A table `step`, as the file has it."""
 
     when: str
@@ -200,7 +209,7 @@
     control: ControlSettings
     steps: tuple[Step, ...]
     outcomes: tuple[str, ...] = ()
-    settle_s: Natural = 3.0
+    settle_s: NonNegative = 3.0
     failing_disks: bool = False
     relays_to_hosts: bool = False
 
@@ -234,17 +243,17 @@
     """Split a condition or an action into words, and check how many there are.
 
     Raises:
-        BadPlan: The first word is unknown, or the number of words is wrong.
+        ScenarioError: The first word is unknown, or the number of words is wrong.
     """
     try:
         words = shlex.split(text)
     except ValueError as error:
-        raise BadPlan(f"{error} - at `{where}`") from None
+        raise ScenarioError(f"{error} - at `{where}`") from None
     if not words or words[0] not in known:
-        raise BadPlan(f"{text!r} begins with none of {', '.join(known)} - at `{where}`")
+        raise ScenarioError(f"{text!r} begins with none of {', '.join(known)} - at `{where}`")
     least, most = known[words[0]]
     if not least <= len(words) - 1 <= most:
-        raise BadPlan(f"{words[0]} takes {least} to {most} words - at `{where}`")
+        raise ScenarioError(f"{words[0]} takes {least} to {most} words - at `{where}`")
     return words
 
 
@@ -273,27 +282,31 @@
 def _with_class_per_version(plan: Plan, version_count: int) -> Plan:
     """Give each version a class that no other has: an answer for it tells which one governs."""
     marks = [
-        Work(class_of_version(number), 0.01, 5, 1_000, 2_000) for number in range(version_count + 1)
+        RequestClassSpec(class_of_version(number), 0.01, 5, 1_000, 2_000)
+        for number in range(version_count + 1)
     ]
-    return msgspec.structs.replace(plan, work=(Work(COMMON_CLASS, 1.0, 5, 1_000, 2_000), *marks))
+    return msgspec.structs.replace(
+        plan, request_class_specs=(RequestClassSpec(COMMON_CLASS, 1.0, 5, 1_000, 2_000), *marks)
+    )
 
 
 def parse(text: str) -> FaultTest:
     """Read a plan.
 
     Raises:
-        BadPlan: With one line that tells what is wrong, and where.
+        ScenarioError: With one line that tells what is wrong, and where.
 
     >>> test = parse('name = "x"\\n[[step]]\\nwhen = "up"\\ndo = "propose 1; kill b0"')
-    >>> works = [work.name for work in test.plan.works()]
+    >>> works = [work.name for work in test.plan.request_classes()]
     >>> test.control.count, test.steps[0].condition.text, works
     (1, 'up', ['base', 'v0', 'v1'])
-    >>> parse('name = "x"\\n[[expect]]\\nstretch = "calm"\\nidle-s = 2').plan.expect[0].figures()
+    >>> test = parse('name = "x"\\n[[expect]]\\nstretch = "calm"\\nidle-s = 2')
+    >>> test.plan.evenness_bounds[0].figures()
     {'idle-s': 2.0}
     >>> parse('name = "x"\\n[[step]]\\nwhen = "soon"')
     Traceback (most recent call last):
         ...
-    orchidgap.simulation.plan.BadPlan: 'soon' begins with none of up, seconds, log, ended, \
+    orchidgap.errors.ScenarioError: 'soon' begins with none of up, seconds, log, ended, \
 serves, denies, takes, gone - at `step[0].when`
     """
     try:
@@ -301,17 +314,17 @@
         control = msgspec.convert(document.pop("control", {}), ControlSettings)
         tables = msgspec.convert(document.pop("step", ()), tuple[StepTable, ...])
     except tomllib.TOMLDecodeError as error:
-        raise BadPlan(f"not TOML: {error}") from None
+        raise ScenarioError(f"not TOML: {error}") from None
     except msgspec.ValidationError as error:
-        raise BadPlan(str(error)) from None
+        raise ScenarioError(str(error)) from None
     outcomes = tuple(document.pop("outcomes", ()))
     settle_s = float(document.pop("settle-s", 3.0))
     failing_disks = bool(document.pop("failing", False))
     relays_to_hosts = bool(document.pop("links", False))
     steps = tuple(_parse_step(table, index) for index, table in enumerate(tables))
     if control.count not in CONTROL_COUNTS:
-        raise BadPlan("none, 1, 3 or 5 can be - at `control.count`")
-    plan = checked(document)
+        raise ScenarioError("none, 1, 3 or 5 can be - at `control.count`")
+    plan = validate_plan(document)
     test = FaultTest(plan, control, steps, outcomes, settle_s, failing_disks, relays_to_hosts)
     proposal_count = test.proposal_count()
     if not proposal_count:
@@ -324,11 +337,11 @@
     """Read a plan file.
 
     Raises:
-        BadPlan: With one line that begins with the path.
+        ScenarioError: With one line that begins with the path.
     """
     try:
         return parse(Path(path).read_text())
     except OSError as error:
-        raise BadPlan(f"{path}: {error.strerror}") from None
-    except BadPlan as error:
-        raise BadPlan(f"{path}: {error}") from None
+        raise ScenarioError(f"{path}: {error.strerror}") from None
+    except ScenarioError as error:
+        raise ScenarioError(f"{path}: {error}") from None
--- a/orchidgap/fault_tests/rollout_checker.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -18,7 +18,7 @@
 from typing import Any, NamedTuple
 
 from orchidgap.fault_tests.plan import ProposalOutcome, version_of_class
-from orchidgap.simulation.invariant_checker import Ask, Referee
+from orchidgap.simulation.invariant_checker import ClientAttempt, InvariantChecker
 
 UNDECIDED = "undecided"
 OLD = "old"
@@ -55,7 +55,7 @@
 class GovernedRequest(NamedTuple):
     """A request, and the proposal under whose version it was answered."""
 
-    request: Ask
+    request: ClientAttempt
     proposal: ProposalRecord
 
     def describe(self) -> str:
@@ -77,7 +77,7 @@
             an earlier one.
     """
 
-    def __init__(self, referee: Referee, bound_us: int, slack_us: int) -> None:
+    def __init__(self, referee: InvariantChecker, bound_us: int, slack_us: int) -> None:
         """Check the requests of `referee`.
 
         Args:
@@ -96,7 +96,7 @@
     def breach(self, rule: str, at_us: int, text: str) -> None:
         """Record that a rule broke."""
         self.breach_counts[rule] += 1
-        self.referee.breaches.append((rule, (at_us - self.referee.start) / 1e6, text))
+        self.referee.breaches.append((rule, (at_us - self.referee.started_at_us) / 1e6, text))
 
     def on_outcome(
         self,
@@ -130,10 +130,10 @@
     def _governed_requests(self) -> list[GovernedRequest]:
         """Return the requests that tell which version governed them."""
         found = []
-        for request in self.referee.asks.values():
+        for request in self.referee.client_attempts.values():
             if request.status != 200:
                 continue
-            number = version_of_class(request.op.work.name)
+            number = version_of_class(request.operation.request_class.name)
             if number is not None and number in self.proposals:
                 found.append(GovernedRequest(request, self.proposals[number]))
         return found
@@ -143,7 +143,7 @@
         decided_us: dict[int, int] = {}
         for proposal in self.proposals.values():
             if proposal.outcome is ProposalOutcome.DECIDED and proposal.number:
-                answered_us = [request.answered_at for request, by in governed if by is proposal]
+                answered_us = [request.answered_at_us for request, by in governed if by is proposal]
                 decided_us[proposal.version] = min([proposal.ended_us, *answered_us])
         return decided_us
 
@@ -160,12 +160,12 @@
             later_versions = [
                 version
                 for version, since_us in decided_us.items()
-                if version > one.proposal.version and request.came > since_us
+                if version > one.proposal.version and request.arrived_at_us > since_us
             ]
             if later_versions:
                 self.outdated_answers += 1
                 version = min(later_versions)
-                age_us = request.came - decided_us[version]
+                age_us = request.arrived_at_us - decided_us[version]
                 last_outdated_us[version] = max(last_outdated_us.get(version, 0), age_us)
         self.rollout_us = [last_outdated_us.get(version, 0) for version in decided_us]
 
@@ -175,21 +175,21 @@
         if proposal.outcome is not ProposalOutcome.DECIDED:
             outcome = proposal.outcome.value or ProposalOutcome.DROPPED.value
             text = f"{governed.describe()}, which holds {outcome}"
-            self.breach(UNDECIDED, request.answered_at, text)
+            self.breach(UNDECIDED, request.answered_at_us, text)
             return False
-        if proposal.number and request.answered_at < proposal.undecided_until_us:
+        if proposal.number and request.answered_at_us < proposal.undecided_until_us:
             text = f"{governed.describe()} before it was decided"
-            self.breach(UNDECIDED, request.answered_at, text)
+            self.breach(UNDECIDED, request.answered_at_us, text)
         return True
 
     def _check_age(self, governed: GovernedRequest, decided_us: dict[int, int]) -> None:
         request, proposal = governed
         for version, since_us in decided_us.items():
             latest_us = since_us + self.bound_us + self.slack_us
-            if version > proposal.version and request.came > latest_us:
-                age_s = (request.came - since_us) / 1e6
+            if version > proposal.version and request.arrived_at_us > latest_us:
+                age_s = (request.arrived_at_us - since_us) / 1e6
                 late = f"sent {age_s:.2f} s after version {version} was decided"
-                self.breach(OLD, request.answered_at, f"{governed.describe()}, {late}")
+                self.breach(OLD, request.answered_at_us, f"{governed.describe()}, {late}")
                 return
 
     def verdict(self, verdict: dict[str, Any]) -> dict[str, Any]:
--- a/orchidgap/fault_tests/runner.py
+++ b/orchidgap/fault_tests/runner.py
@@ -13,7 +13,7 @@
 from orchidgap.fault_tests.decision_watch import DecisionWatch
 from orchidgap.fault_tests.final_checks import EXTRA_WAIT_S, FinalChecks
 from orchidgap.fault_tests.plan import Step
-from orchidgap.simulation.plan import micros
+from orchidgap.simulation.plan import seconds_to_us
 
 START_TIMEOUT_S = 30.0
 TERMINATION_TIMEOUT_S = 6
@@ -55,9 +55,9 @@
         cluster.wait_until(self._all_ready, START_TIMEOUT_S, "all up")
         self.costs.on_started(time.monotonic() - began_s)
         cluster.start = cluster.loop.clock()
-        cluster.referee.start = cluster.start
+        cluster.referee.started_at_us = cluster.start
         cluster.loop.call_later(LOOK_INTERVAL_US, self.costs.sample)
-        cluster.clients.end = cluster.start + micros(MAX_DURATION_S)
+        cluster.clients.end = cluster.start + seconds_to_us(MAX_DURATION_S)
         cluster.loop.call_soon(cluster.clients.arrive)
         cluster.loop.call_soon(self.decision_watch.poll)
 
--- a/orchidgap/fault_tests/version_clients.py
+++ b/orchidgap/fault_tests/version_clients.py
@@ -8,7 +8,7 @@
 from orchidgap.fault_tests.rollout_checker import RolloutChecker
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.environment import Environment
-from orchidgap.simulation.invariant_checker import Ask, Op
+from orchidgap.simulation.invariant_checker import ClientAttempt, Operation
 
 RECENT_VERSION_RATIO = 0.8  # of requests for one version's class
 COMMON_CLASS_RATIO = 0.3  # of all requests
@@ -23,12 +23,12 @@
         checker: Callable[[], RolloutChecker],
         recent_versions: Callable[[], list[int]],
     ) -> None:
-        """Ask for what `recent_versions` tells, and at times for all in the checker."""
+        """ClientAttempt for what `recent_versions` tells, and at times for all in the checker."""
         super().__init__(environment)
         self.checker = checker
         self.recent_versions = recent_versions
 
-    def draw(self) -> Op:
+    def draw(self) -> Operation:
         """Draw an operation of the common class, or of one version's own."""
         op = super().draw()
         # what was replaced long ago is asked for too: whoever comes back may have it still
@@ -38,14 +38,14 @@
             numbers = list(self.checker().proposals)
         is_common = self.rng.random() < COMMON_CLASS_RATIO
         name = COMMON_CLASS if is_common else class_of_version(self.rng.choice(numbers))
-        op.work = next(work for work in self.works if work.name == name)
-        op.counts = name == COMMON_CLASS
+        op.request_class = next(work for work in self.works if work.name == name)
+        op.counted = name == COMMON_CLASS
         return op
 
-    def unknown(self, ask: Ask) -> None:
+    def unknown(self, ask: ClientAttempt) -> None:
         """Take an answer that the class is unknown for what it is: another version governs."""
         self.environment.referee.aborted -= 1
-        if ask.op.work.name == COMMON_CLASS:
+        if ask.operation.request_class.name == COMMON_CLASS:
             super().unknown(ask)
 
     def choose(self, but: str = "", key: int = 0) -> str | None:
--- a/orchidgap/simulation/balancer_instance.py
+++ b/orchidgap/simulation/balancer_instance.py
@@ -175,7 +175,7 @@
         now = self.environment.loop.now
         self.alive = False
         self.died_at = now
-        self.environment.referee.died(self.name, self.incarnation, now)
+        self.environment.referee.on_balancer_killed(self.name, self.incarnation, now)
 
 
 class VirtualProcess(NamedTuple):
@@ -257,7 +257,7 @@
         if self.environment.front.on:
             commands = {
                 admin_protocol.HEALTH: node.health,
-                admin_protocol.DRAIN: node.quiesce,
+                admin_protocol.DRAIN: node.drain,
                 admin_protocol.RESUME: node.resume,
             }
             admin = AdminServer(loop, commands)
