--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -49,8 +49,8 @@
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.environment import Decider
 from orchidgap.simulation.faults import start_fault
-from orchidgap.simulation.invariant_checker import ClientAttempt, Operation
 from orchidgap.simulation.loopback_network import LoopbackNetwork, cpu_seconds_of
+from orchidgap.simulation.observations import ClientAttempt, Operation
 from orchidgap.simulation.plan import Fault, RequestClassSpec, milliseconds_to_us, seconds_to_us
 from orchidgap.simulation.simulation import Simulation
 
--- a/orchidgap/fault_tests/rollout_checker.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -14,7 +14,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidgap.simulation.invariant_checker import ClientAttempt, InvariantChecker
+from orchidgap.simulation.invariant_checker import InvariantChecker
+from orchidgap.simulation.observations import ClientAttempt
 
 RULES = ("undecided", "old", "untrue", "uneven", "stuck")
 
--- a/orchidgap/simulation/clients.py
+++ b/orchidgap/simulation/clients.py
@@ -12,7 +12,7 @@
 from orchidgap.http1.writers import parse_seconds
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
-from orchidgap.simulation.invariant_checker import LARGE_BODY_BYTES, ClientAttempt, Operation
+from orchidgap.simulation.observations import LARGE_BODY_BYTES, ClientAttempt, Operation
 from orchidgap.simulation.plan import RequestClassSpec, milliseconds_to_us, seconds_to_us
 
 if TYPE_CHECKING:
--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -7,8 +7,9 @@
 
 from orchidgap.decisions import load_skew
 from orchidgap.simulation.environment import Environment
-from orchidgap.simulation.invariant_checker import ClientAttempt, HostAttempt, Operation
+from orchidgap.simulation.observations import ClientAttempt, HostAttempt, Operation
 from orchidgap.simulation.plan import EvennessBounds, milliseconds_to_us
+from orchidgap.simulation.verdict import service_ratio
 
 LEASTS = ("least", "served")  # of what a plan may expect; the others are bounded from above
 
@@ -53,7 +54,7 @@
 def served(environment: Environment, since: int, until: int) -> float:
     """Value in time, of all that may not yet come in time."""
     now = environment.loop.now
-    return environment.referee.service_ratio(
+    return service_ratio(
         op
         for op in asked(environment, since, until)
         if op.completed_at_us
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -20,7 +20,7 @@
 from orchidgap.resp.writers import encode_array, encode_bulk, encode_command, encode_error
 from orchidgap.simulation.baselines import even
 from orchidgap.simulation.clients import LATE_BY, Callers
-from orchidgap.simulation.invariant_checker import ClientAttempt, Operation
+from orchidgap.simulation.observations import ClientAttempt, Operation
 from orchidgap.simulation.plan import Fault, HostModel, milliseconds_to_us, seconds_to_us
 from orchidgap.simulation.servers import Job, Store
 
--- a/orchidgap/simulation/servers.py
+++ b/orchidgap/simulation/servers.py
@@ -10,7 +10,7 @@
 from orchidgap.net.addresses import Address
 from orchidgap.net.connection import Connection
 from orchidgap.net.loop import Timer
-from orchidgap.simulation.invariant_checker import LARGE_BODY_BYTES, HostAttempt, body_fingerprint
+from orchidgap.simulation.observations import LARGE_BODY_BYTES, HostAttempt, body_fingerprint
 from orchidgap.simulation.plan import HostModel, milliseconds_to_us, seconds_to_us
 
 if TYPE_CHECKING:
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -29,6 +29,7 @@
 from orchidgap.simulation.plan import Plan, RequestClassSpec, milliseconds_to_us, seconds_to_us
 from orchidgap.simulation.resp_cluster import Cluster, RespCallers, SlotStore
 from orchidgap.simulation.servers import Store
+from orchidgap.simulation.verdict import verdict_line
 from orchidgap.simulation.virtual_network import VirtualNetwork
 
 LOOPBACK_SLACK_US = 50_000  # on real sockets each time limit is so much longer
@@ -366,7 +367,7 @@
 
     def build_verdict(self) -> dict[str, Any]:
         """Return the checker's verdict, with the balancers' faults and costs."""
-        verdict = self.referee.verdict()
+        verdict = verdict_line(self.referee)
         balancers = self.balancers.values()
         virtual = [one for one in balancers if isinstance(one, VirtualBalancer)]
         processes = [one for one in balancers if isinstance(one, BalancerProcess)]
--- a/tests/simulation/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -1,7 +1,6 @@
 """What makes a load uneven on purpose is caught by a shipped plan, seen from the hosts alone."""
 
 from pathlib import Path
-from statistics import mean
 from types import SimpleNamespace as Namespace
 
 import pytest
@@ -66,7 +65,9 @@
 
 def test_what_is_out_when_a_stretch_ends_counts_as_it_comes_out():
     """One req that was out at that moment broke a drill that lost none."""
-    work = Namespace(write=False, latency_objective_ms=500)
+    work = Namespace(
+        write=False, latency_objective_ms=500, priority_weight=1.0, late_value_ratio=0.0
+    )
     ops = [
         Namespace(counted=True, created_at_us=born, completed_at_us=done, request_class=work)
         for born, done in ((1, 9), (990_000, 0))
@@ -74,7 +75,6 @@
     referee = Namespace(
         client_attempts={},
         operations=ops,
-        service_ratio=lambda all_: mean(op.completed_at_us > 0 for op in all_),
     )
     simulation = Namespace(servers={}, start=0, loop=Namespace(now=1_000_000), referee=referee)
     stretches = PhaseRecorder(simulation, (EvennessBounds("calm", min_service_ratio=0.9),))
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -12,14 +12,9 @@
 from orchidgap.simulation.balancer_loop import BalancerLoop
 from orchidgap.simulation.baselines import NAMES
 from orchidgap.simulation.clients import CallerLink
-from orchidgap.simulation.invariant_checker import (
-    RULES,
-    ClientAttempt,
-    HostAttempt,
-    InvariantChecker,
-    Operation,
-)
+from orchidgap.simulation.invariant_checker import RULES, InvariantChecker
 from orchidgap.simulation.listening_queue import ListeningQueue
+from orchidgap.simulation.observations import ClientAttempt, HostAttempt, Operation
 from orchidgap.simulation.plan_file import validate_plan
 from orchidgap.simulation.runner import play, simulation_of
 from orchidgap.simulation.simulation import Simulation
