--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -795,7 +795,7 @@
             self.until(lambda: not self.shells, wait, "no proposal open")
             self.settle()
             self.judge.judge()
-            found = self.stretches.judge(self.judge.breach)
+            found = self.stretches.finish(self.judge.breach)
             told = self.judge.verdict(self.build_verdict()) | self.costs()
             return told | {"stretches": found} if found else told
         finally:
--- a/orchidgap/simulation/commands.py
+++ b/orchidgap/simulation/commands.py
@@ -208,13 +208,13 @@
     console.print(table)
     sorts: dict[str, int] = {}
     for number, verdict in found["broken"]:
-        sorts.setdefault(hunts.sort_of(verdict), number)
+        sorts.setdefault(hunts.failure_kind(verdict), number)
     for sort, number in sorts.items():
         console.print(f"run {number}: {sort}", markup=False)
         save(
             console,
-            hunts.drawn(plan, number),
-            hunts.breaks_as(sort),
+            hunts.draw_plan(plan, number),
+            hunts.breaks_like(sort),
             f"run-{number}",
             f"breaks: {sort}",
             out,
@@ -224,8 +224,8 @@
         if row["loss"] > 0.02 and not sorts:
             save(
                 console,
-                hunts.drawn(plan, row["run"]),
-                hunts.loses_as(row["best"], row["loss"]),
+                hunts.draw_plan(plan, row["run"]),
+                hunts.loses_like(row["best"], row["loss"]),
                 f"run-{row['run']}",
                 f"loses {row['loss']} to {row['best']}",
                 out,
@@ -261,8 +261,8 @@
 ) -> None:
     plays = 0
     if not told["--whole"]:
-        plan, plays = hunts.shrink(plan, still)
-    plan = hunts.named(plan, name, about)
+        plan, plays = hunts.shrink_plan(plan, still)
+    plan = hunts.name_plan(plan, name, about)
     out.mkdir(parents=True, exist_ok=True)
     path = out / f"{name}.toml"
     path.write_text(format_plan(plan))
--- a/orchidgap/simulation/hunt.py
+++ b/orchidgap/simulation/hunt.py
@@ -1,4 +1,4 @@
-"""Draws plans and mixes of troubles, finds breaches and losses, and shrinks them to plans that replay.
+"""Draws plans and mixes of faults, finds breaches and losses, and shrinks plans that show them.
 
 Every run comes from a number alone: run 17 of a plan is the same run on any machine.
 """
@@ -18,10 +18,10 @@
 from orchidgap.simulation.runner import play
 
 BASELINES = ("random", "ring", "bounded-ring", "least-out")
-WORST = 8  # of the runs with the largest losses, that the baselines play too
-KEPT_LOSS = 0.6  # of a loss that a smaller plan must still show
-SHRINKS = 60  # plays that one shrinking may take
-SIZES = {
+BASELINE_RUNS = 8  # of the runs with the largest losses, that the baselines play too
+KEPT_LOSS_RATIO = 0.6  # of a loss that a smaller plan must still show
+MAX_SHRINK_PLAYS = 60  # plays that one shrinking may take
+MAGNITUDE_RANGES = {
     "stall": (0.2, 1.2),
     "slow": (2, 8),
     "scan": (0.05, 0.4),
@@ -36,16 +36,16 @@
 }
 
 
-def drawn(plan: Plan, number: int) -> Plan:
-    """Run `number` of a hunt: another fleet, another load, one to five troubles."""
+def draw_plan(plan: Plan, number: int) -> Plan:
+    """Run `number` of a hunt: another fleet, another load, one to five faults."""
     rng = Random(f"{plan.seed} {number}")
     kinds = FAULT_KINDS + (
         OPERATOR_FAULT_KINDS
-        if any(trouble.kind in OPERATOR_FAULT_KINDS for trouble in plan.faults)
+        if any(fault.kind in OPERATOR_FAULT_KINDS for fault in plan.faults)
         else ()
     )
-    troubles = [
-        trouble_of(rng, plan.duration_s, kinds) for _ in range(rng.choice((1, 1, 2, 2, 3, 4, 5)))
+    faults = [
+        draw_fault(rng, plan.duration_s, kinds) for _ in range(rng.choice((1, 1, 2, 2, 3, 4, 5)))
     ]
     return msgspec.structs.replace(
         plan,
@@ -65,13 +65,14 @@
         limits=msgspec.structs.replace(
             plan.limits, may_hedge=rng.random() < 0.7, may_cancel=rng.random() < 0.8
         ),
-        faults=tuple(sorted(troubles, key=lambda trouble: trouble.start_s)),
+        faults=tuple(sorted(faults, key=lambda fault: fault.start_s)),
     )
 
 
-def trouble_of(rng: Random, seconds: float, kinds: tuple[str, ...] = FAULT_KINDS) -> Fault:
+def draw_fault(rng: Random, seconds: float, kinds: tuple[str, ...] = FAULT_KINDS) -> Fault:
+    """A fault of a random kind, time and size, in a run of so many seconds."""
     kind = rng.choice(kinds)
-    low, high = SIZES.get(kind, (0, 0))
+    low, high = MAGNITUDE_RANGES.get(kind, (0, 0))
     return Fault(
         kind,
         round(rng.uniform(0.05, 0.6) * seconds, 1),
@@ -82,15 +83,15 @@
     )
 
 
-def verdict_of(job: tuple[Plan, str]) -> dict[str, Any]:
+def play_verdict(job: tuple[Plan, str]) -> dict[str, Any]:
     """One play, in a process of its own; a play that fails is a finding too."""
     plan, policy = job
     try:
         return play(plan, policy=policy)[0]
-    except Exception as trouble:
+    except Exception as error:  # noqa: BLE001  # any failure is a finding
         return {
             "verdict": "failed",
-            "what": f"{type(trouble).__name__}: {trouble}",
+            "what": f"{type(error).__name__}: {error}",
             "service": 0.0,
             "reqs": 0,
             "trace": "",
@@ -98,7 +99,7 @@
         } | dict.fromkeys(RULES, 0)
 
 
-def sort_of(verdict: dict[str, Any]) -> str:
+def failure_kind(verdict: dict[str, Any]) -> str:
     """What is wrong with it: the rules broken, in a word that a smaller plan must still earn."""
     if verdict["verdict"] == "failed":
         return f"failed {verdict['what'].partition(':')[0]}"
@@ -112,61 +113,67 @@
     first: int = 0,
     seen: Callable[[int, dict[str, Any]], None] | None = None,
 ) -> dict[str, Any]:
-    """Plays the runs, then the baselines on the worst; what was found, the worst first."""
+    """Play the runs, then the baselines on the worst ones.
+
+    Args:
+        plan: What the drawn plans vary.
+        runs: How many are played.
+        jobs: Processes that play at once.
+        first: The number of the first run.
+        seen: Called with each run's number and verdict, in order.
+
+    Returns:
+        What was found, the largest losses first.
+    """
     found: list[tuple[int, dict[str, Any]]] = []
     numbers = range(first, first + runs)
     with ProcessPoolExecutor(jobs) as pool:
-        for number, verdict in zip(
-            numbers, pool.map(verdict_of, ((drawn(plan, n), "orchidgap") for n in numbers))
-        ):
+        plays = ((draw_plan(plan, number), "orchidgap") for number in numbers)
+        for number, verdict in zip(numbers, pool.map(play_verdict, plays)):
             found.append((number, verdict))
             if seen:
                 seen(number, verdict)
-        broken = [(number, verdict) for number, verdict in found if verdict["verdict"] != "kept"]
-        worst = sorted(
-            (item for item in found if item[1]["verdict"] == "kept"),
-            key=lambda item: item[1]["service"],
-        )
-        rows = []
-        for number, verdict in worst[:WORST]:
-            others = dict(
-                zip(
-                    BASELINES,
-                    pool.map(verdict_of, ((drawn(plan, number), name) for name in BASELINES)),
-                )
-            )
-            keeps = {
-                name: other["service"]
-                for name, other in others.items()
-                if other["verdict"] == "kept"
-            }
-            best = max(
-                keeps.items(), key=lambda item: item[1], default=("none kept the rules", 0.0)
-            )
-            rows.append(
-                {
-                    "run": number,
-                    "service": verdict["service"],
-                    "best": best[0],
-                    "best_service": best[1],
-                    "loss": round(best[1] - verdict["service"], 4),
-                }
-            )
+        kept = (item for item in found if item[1]["verdict"] == "kept")
+        worst = sorted(kept, key=lambda item: item[1]["service"])
+        rows = [
+            _compare_with_baselines(pool, plan, number, verdict)
+            for number, verdict in worst[:BASELINE_RUNS]
+        ]
     rows.sort(key=lambda row: -row["loss"])
     return {
         "runs": runs,
-        "broken": broken,
+        "broken": [item for item in found if item[1]["verdict"] != "kept"],
         "losses": rows,
         "mean": sum(verdict["service"] for _, verdict in found) / max(1, runs),
     }
 
 
-def smaller(plan: Plan) -> Iterator[Plan]:
+def _compare_with_baselines(
+    pool: ProcessPoolExecutor, plan: Plan, number: int, verdict: dict[str, Any]
+) -> dict[str, Any]:
+    """One row of the losses: how far the run stays behind the best baseline that kept the rules."""
+    plays = ((draw_plan(plan, number), name) for name in BASELINES)
+    verdicts = dict(zip(BASELINES, pool.map(play_verdict, plays)))
+    services = {
+        name: other["service"] for name, other in verdicts.items() if other["verdict"] == "kept"
+    }
+    none_kept = ("none kept the rules", 0.0)
+    best, best_service = max(services.items(), key=lambda item: item[1], default=none_kept)
+    return {
+        "run": number,
+        "service": verdict["service"],
+        "best": best,
+        "best_service": best_service,
+        "loss": round(best_service - verdict["service"], 4),
+    }
+
+
+def smaller_plans(plan: Plan) -> Iterator[Plan]:
     """Plans that are one step smaller, the largest steps first."""
     replace = msgspec.structs.replace
     for i in range(len(plan.faults)):
         yield replace(plan, faults=plan.faults[:i] + plan.faults[i + 1 :])
-    last = max((trouble.start_s for trouble in plan.faults), default=0.0)
+    last = max((fault.start_s for fault in plan.faults), default=0.0)
     for seconds in (round(plan.duration_s / 2, 1), round(plan.duration_s * 0.8, 1)):
         if seconds > max(2.0, last):
             yield replace(plan, duration_s=seconds)
@@ -184,12 +191,14 @@
         yield replace(plan, cache=replace(plan.cache, error_ratio=0.0, zones=1))
 
 
-def shrink(plan: Plan, still: Callable[[Plan], bool], most: int = SHRINKS) -> tuple[Plan, int]:
+def shrink_plan(
+    plan: Plan, still: Callable[[Plan], bool], most: int = MAX_SHRINK_PLAYS
+) -> tuple[Plan, int]:
     """The smallest plan found that still shows it, and how many plays that took."""
     plays, again = 0, True
     while again and plays < most:
         again = False
-        for candidate in smaller(plan):
+        for candidate in smaller_plans(plan):
             if plays >= most:
                 break
             plays += 1
@@ -199,27 +208,29 @@
     return plan, plays
 
 
-def breaks_as(sort: str) -> Callable[[Plan], bool]:
+def breaks_like(sort: str) -> Callable[[Plan], bool]:
     """Whether a plan still earns one of the words."""
     words = sort.split()
     return lambda plan: any(
-        word in sort_of(verdict_of((plan, "orchidgap"))).split() for word in words
+        word in failure_kind(play_verdict((plan, "orchidgap"))).split() for word in words
     )
 
 
-def loses_as(best: str, loss: float) -> Callable[[Plan], bool]:
+def loses_like(best: str, loss: float) -> Callable[[Plan], bool]:
     """Whether a plan still shows most of that loss against the same baseline."""
 
     def still(plan: Plan) -> bool:
-        ours, other = verdict_of((plan, "orchidgap")), verdict_of((plan, best))
+        ours, other = play_verdict((plan, "orchidgap")), play_verdict((plan, best))
         return bool(
-            other["verdict"] == "kept" and other["service"] - ours["service"] >= KEPT_LOSS * loss
+            other["verdict"] == "kept"
+            and other["service"] - ours["service"] >= KEPT_LOSS_RATIO * loss
         )
 
     return still
 
 
-def named(plan: Plan, name: str, about: str) -> Plan:
+def name_plan(plan: Plan, name: str, about: str) -> Plan:
+    """The plan under another name and description; raises ScenarioError where they cannot be."""
     return validate_plan(
         msgspec.to_builtins(msgspec.structs.replace(plan, name=name, description=about))
     )
--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -1,4 +1,4 @@
-"""How even a stretch of a trial or a drill was, by what stand-in caches and clients saw."""
+"""How evenly the load lay on the caches in each phase of a run, by what hosts and clients saw."""
 
 from __future__ import annotations
 
@@ -11,96 +11,128 @@
 from orchidgap.simulation.plan import EvennessBounds, milliseconds_to_us
 from orchidgap.simulation.verdict import service_ratio
 
-LEASTS = ("least", "served")  # of what a plan may expect; the others are bounded from above
+# of what a plan may expect; the others are bounded from above
+LOWER_BOUNDED_FIGURES = ("least", "served")
 
 
 class PhaseRecorder:
-    """The stretches of one run, one after another; each has a name."""
+    """The phases of one run, one after another, and their figures."""
 
     def __init__(self, environment: Environment, expect: tuple[EvennessBounds, ...]) -> None:
-        self.environment, self.expect = environment, expect
-        self.found: dict[str, dict[str, float]] = {}  # figures by name
-        self.times: dict[str, tuple[int, int]] = {}  # since when, until when
-        self.runs: tuple[str, int] = "", 0  # the one that does, since when
+        """Begin with no phase.
+
+        Args:
+            environment: The run that is measured.
+            expect: What its plan expects of the phases.
+        """
+        self.environment = environment
+        self.bounds = expect
+        self.figures_by_phase: dict[str, dict[str, float]] = {}
+        self.intervals: dict[str, tuple[int, int]] = {}  # from, to, in microseconds
+        self.current: tuple[str, int] = "", 0  # the phase that runs, and its start in microseconds
 
     def begin(self, name: str) -> None:
-        """The one before ends, and is looked at while its caches are as they were."""
-        old, since = self.runs
-        self.runs = name, self.environment.loop.now
+        """End the phase before, measure it while its caches are as they were, and begin another."""
+        old, since = self.current
+        self.current = name, self.environment.loop.now
         if old:
-            self.times[old] = since, self.environment.loop.now
-            self.found[old] = figures(self.environment, *self.times[old])
+            self.intervals[old] = since, self.environment.loop.now
+            self.figures_by_phase[old] = measure_phase(self.environment, *self.intervals[old])
 
-    def judge(self, breach: Callable[[str, int, str], None]) -> dict[str, dict[str, float]]:
-        """At the end: what was still out when a stretch ended counts as it came out."""
+    def finish(self, breach: Callable[[str, int, str], None]) -> dict[str, dict[str, float]]:
+        """Compare all phases with their bounds at the end of the run.
+
+        What was in flight when a phase ended counts as it came out.
+
+        Args:
+            breach: Called with the rule, the time in microseconds, and a description.
+        """
         self.begin("")
-        for name, (since, until) in self.times.items():
-            self.found[name]["served"] = round(served(self.environment, since, until), 3)
-            for one in self.expect:
+        for name, (since, until) in self.intervals.items():
+            self.figures_by_phase[name]["served"] = round(
+                service_between(self.environment, since, until), 3
+            )
+            for one in self.bounds:
                 if one.phase == name:
-                    for text in unlike(self.found[name], one.figures()):
+                    for text in describe_deviations(self.figures_by_phase[name], one.figures()):
                         breach("uneven", until, f"{name}: {text}")
-        return self.found
+        return self.figures_by_phase
 
 
-def asked(environment: Environment, since: int, until: int) -> list[Operation]:
+def operations_between(environment: Environment, since: int, until: int) -> list[Operation]:
+    """Counted operations that were begun in an interval, in microseconds."""
     return [
-        op
-        for op in environment.referee.operations
-        if op.counted and since <= op.created_at_us < until
+        operation
+        for operation in environment.referee.operations
+        if operation.counted and since <= operation.created_at_us < until
     ]
 
 
-def served(environment: Environment, since: int, until: int) -> float:
-    """Value in time, of all that may not yet come in time."""
+def service_between(environment: Environment, since: int, until: int) -> float:
+    """Value in time, of all that was answered or can no longer be in time."""
     now = environment.loop.now
     return service_ratio(
-        op
-        for op in asked(environment, since, until)
-        if op.completed_at_us
-        or now - op.created_at_us > milliseconds_to_us(op.request_class.latency_objective_ms)
+        operation
+        for operation in operations_between(environment, since, until)
+        if operation.completed_at_us
+        or now - operation.created_at_us
+        > milliseconds_to_us(operation.request_class.latency_objective_ms)
     )
 
 
-def dispatches(
+def read_attempts(
     environment: Environment, since: int, until: int
 ) -> Iterator[tuple[ClientAttempt, HostAttempt]]:
-    """Reads that hosts were sent."""
-    for ask in environment.referee.client_attempts.values():
-        if not ask.operation.request_class.write and since <= ask.arrived_at_us < until:
-            for sent in ask.host_attempts:
+    """Attempts of reads at hosts, each with the client attempt that it belongs to."""
+    for client_attempt in environment.referee.client_attempts.values():
+        if (
+            not client_attempt.operation.request_class.write
+            and since <= client_attempt.arrived_at_us < until
+        ):
+            for sent in client_attempt.host_attempts:
                 # what came after the answer lay before a host that said nothing
-                if not ask.answered_at_us or sent.first_byte_at_us <= ask.answered_at_us:
-                    yield ask, sent
+                if (
+                    not client_attempt.answered_at_us
+                    or sent.first_byte_at_us <= client_attempt.answered_at_us
+                ):
+                    yield client_attempt, sent
+
 
+def measure_phase(environment: Environment, since: int, until: int) -> dict[str, float]:
+    """Figures of the caches that run at the end of a phase, by their words in the plan's file.
 
-def figures(environment: Environment, since: int, until: int) -> dict[str, float]:
-    """Of the caches that run at the end. `most` and `least` are shares of the even one, `idle-s` the longest
-    time in which one of them got nothing, `copies` the caches that keep a key, `moved` the part of reads that
-    came to another cache than the key's read before, `p99-ms` of the slowest cache."""
+    `most` and `least` are shares of the even one, `idle-s` the longest
+    time in which one of them got nothing, `copies` the caches that keep a key, `moved` the part of
+    reads that came to another cache than the key's read before, `p99-ms` of the slowest cache.
+    """
     caches = {
-        id: store
-        for id, store in environment.servers.items()
+        host_id: store
+        for host_id, store in environment.servers.items()
         if not store.is_origin and store.alive
     }
     reads: list[load_skew.CacheRead] = []
-    took: dict[str, list[int]] = {id: [] for id in caches}
+    latencies_us: dict[str, list[int]] = {host_id: [] for host_id in caches}
     fetches = 0
-    for ask, sent in dispatches(environment, since, until):
+    for client_attempt, sent in read_attempts(environment, since, until):
         if sent.host in caches:
-            reads.append(load_skew.CacheRead(sent.first_byte_at_us, sent.host, ask.operation.key))
+            reads.append(
+                load_skew.CacheRead(sent.first_byte_at_us, sent.host, client_attempt.operation.key)
+            )
             if sent.ended_at_us:
-                took[sent.host].append(sent.ended_at_us - sent.first_byte_at_us)
+                latencies_us[sent.host].append(sent.ended_at_us - sent.first_byte_at_us)
         elif environment.servers[sent.host].is_origin:
             fetches += 1
-    times: dict[str, list[int]] = {id: [] for id in caches}
-    for at, id, _ in reads:
-        times[id].append(at)
+    times: dict[str, list[int]] = {host_id: [] for host_id in caches}
+    for at, host_id, _ in reads:
+        times[host_id].append(at)
     share = load_skew.load_ratios(
-        {id: len(row) for id, row in times.items()}, dict.fromkeys(caches, 1.0)
+        {host_id: len(row) for host_id, row in times.items()}, dict.fromkeys(caches, 1.0)
+    )
+    count = sum(
+        not operation.request_class.write
+        for operation in operations_between(environment, since, until)
     )
-    count = sum(not op.request_class.write for op in asked(environment, since, until))
-    slowest = [sorted(row)[len(row) * 99 // 100] for row in took.values() if row]
+    slowest = [sorted(row)[len(row) * 99 // 100] for row in latencies_us.values() if row]
     found: dict[str, float] = {
         "most": max(share.values(), default=0.0),
         "least": min(share.values(), default=0.0),
@@ -119,9 +151,9 @@
     return {name: round(value, 3) for name, value in found.items()} | {"reads": count}
 
 
-def by_second(environment: Environment) -> dict[str, list[int]]:
+def reads_by_second(environment: Environment) -> dict[str, list[int]]:
     """Reads that each cache was sent, by second from the start: what a heat map is drawn from."""
-    caches = [id for id, store in environment.servers.items() if not store.is_origin]
+    caches = [host_id for host_id, store in environment.servers.items() if not store.is_origin]
     seconds = max(
         1,
         min(
@@ -129,22 +161,22 @@
             (environment.loop.now - environment.start) // 1_000_000,
         ),
     )
-    found = {id: [0] * seconds for id in caches}
-    for _, sent in dispatches(environment, environment.start, environment.loop.now):
+    found = {host_id: [0] * seconds for host_id in caches}
+    for _, sent in read_attempts(environment, environment.start, environment.loop.now):
         second = (sent.first_byte_at_us - environment.start) // 1_000_000
         if sent.host in found and second < seconds:
             found[sent.host][second] += 1
     return found
 
 
-def unlike(found: dict[str, float], expected: dict[str, Any]) -> list[str]:
-    """What is not as it was to be, in words.
+def describe_deviations(found: dict[str, float], expected: dict[str, Any]) -> list[str]:
+    """Figures that are out of their bounds, in words.
 
-    >>> unlike({"most": 1.3, "least": 0.9}, {"most": 1.25, "least": 0.85})
+    >>> describe_deviations({"most": 1.3, "least": 0.9}, {"most": 1.25, "least": 0.85})
     ['most 1.3, over 1.25']
     """
     return [
-        f"{name} {found[name]:g}, {'under' if name in LEASTS else 'over'} {bound:g}"
+        f"{name} {found[name]:g}, {'under' if name in LOWER_BOUNDED_FIGURES else 'over'} {bound:g}"
         for name, bound in expected.items()
-        if (found[name] < bound if name in LEASTS else found[name] > bound)
+        if (found[name] < bound if name in LOWER_BOUNDED_FIGURES else found[name] > bound)
     ]
--- a/orchidgap/simulation/runner.py
+++ b/orchidgap/simulation/runner.py
@@ -11,7 +11,7 @@
 from orchidgap.errors import ScenarioError
 from orchidgap.simulation.balancer_instance import VirtualBalancer
 from orchidgap.simulation.baselines import NAMES
-from orchidgap.simulation.load_evenness import by_second
+from orchidgap.simulation.load_evenness import reads_by_second
 from orchidgap.simulation.plan import Plan
 from orchidgap.simulation.plan_file import format_plan, validate_plan
 from orchidgap.simulation.simulation import Simulation
@@ -92,7 +92,7 @@
             str(second): count for second, count in sorted(checker.rejections_by_second.items())
         },
         "series": [[at_us / 1e6, rows] for at_us, rows in checker.series],
-        "reads": by_second(simulation),
+        "reads": reads_by_second(simulation),
         "events": checker.events,
         "breaches": checker.breaches,
         "modes": log_rows(simulation),
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -358,7 +358,7 @@
     def check_stretches(self, verdict: str) -> dict[str, Any]:
         """Return what the stretches add to the verdict."""
         found: list[tuple[str, float, str]] = []
-        figures = self.stretches.judge(
+        figures = self.stretches.finish(
             lambda rule, at, text: found.append((rule, (at - self.start) / 1e6, text))
         )
         self.referee.breaches += found
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -117,9 +117,11 @@
 
 def test_a_hunt_draws_the_same_run_from_the_same_number():
     plan = validate_plan({"name": "h", "seconds": 6})
-    assert hunt.drawn(plan, 3) == hunt.drawn(plan, 3) != hunt.drawn(plan, 4)
-    kinds = {trouble.kind for number in range(80) for trouble in hunt.drawn(plan, number).faults}
-    assert len(kinds) > 20 and all(hunt.drawn(plan, number).faults for number in range(80))
+    assert hunt.draw_plan(plan, 3) == hunt.draw_plan(plan, 3) != hunt.draw_plan(plan, 4)
+    kinds = {
+        trouble.kind for number in range(80) for trouble in hunt.draw_plan(plan, number).faults
+    }
+    assert len(kinds) > 20 and all(hunt.draw_plan(plan, number).faults for number in range(80))
 
 
 def test_a_hunt_tells_the_same_whatever_the_jobs(tmp_path):
@@ -150,7 +152,7 @@
         return bool(Simulation(candidate, decider=LeavesTheGroup).play()["twice"])
 
     assert still(plan)
-    small, plays = hunt.shrink(plan, still, most=25)
+    small, plays = hunt.shrink_plan(plan, still, most=25)
     assert (
         still(small)
         and plays <= 25
@@ -164,10 +166,11 @@
     plan = msgspec.structs.replace(
         validate_plan(USUAL), faults=(Fault("crash", 1.0, target="c00"),)
     )
-    assert hunt.sort_of(hunt.verdict_of((plan, "nobody"))).startswith("failed ScenarioError")
-    kept = hunt.verdict_of((plan, "orchidgap"))
+    assert hunt.failure_kind(hunt.play_verdict((plan, "nobody"))).startswith("failed ScenarioError")
+    kept = hunt.play_verdict((plan, "orchidgap"))
     assert (
-        hunt.sort_of(kept) == "" and hunt.sort_of(kept | {"late": 2, "faults": 1}) == "late fault"
+        hunt.failure_kind(kept) == ""
+        and hunt.failure_kind(kept | {"late": 2, "faults": 1}) == "late fault"
     )
 
 
--- a/tests/simulation/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -78,12 +78,12 @@
     )
     simulation = Namespace(servers={}, start=0, loop=Namespace(now=1_000_000), referee=referee)
     stretches = PhaseRecorder(simulation, (EvennessBounds("calm", min_service_ratio=0.9),))
-    stretches.runs = "calm", 0
+    stretches.current = "calm", 0
     stretches.begin("")
     for late, served in ((0, 0.5), (1_010_000, 1.0)):
         ops[1].completed_at_us, simulation.loop.now = late, 3_000_000
         said = []
         assert (
-            stretches.judge(lambda *told, said=said: said.append(told))["calm"]["served"] == served
+            stretches.finish(lambda *told, said=said: said.append(told))["calm"]["served"] == served
         )
         assert bool(said) == (served < 0.9)
