--- a/orchidgap/fault_tests/actions.py
+++ b/orchidgap/fault_tests/actions.py
@@ -22,6 +22,7 @@
     ActionKind,
     ProposalOutcome,
     class_of_version,
+    parse_action,
 )
 from orchidgap.fault_tests.random_faults import draw_fault
 from orchidgap.fault_tests.rollout_checker import ProposalRecord
@@ -79,7 +80,7 @@
         arguments = action.arguments
         if arguments and arguments[0].endswith("%"):
             for name in self._first_balancers(arguments[0]):
-                self.perform(Action.of(action.kind, name))
+                self.perform(parse_action(f"{action.kind.value} {name}", action.text))
         elif action.kind is ActionKind.RANDOM_FAULT:
             self.random_fault()
         elif action.kind is ActionKind.END_FAULTS:
--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -28,8 +28,8 @@
 from orchidgap.simulation.balancer_instance import BalancerInstance, Pause
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.environment import Decider
-from orchidgap.simulation.invariant_checker import ClientAttempt
 from orchidgap.simulation.loopback_network import LoopbackNetwork
+from orchidgap.simulation.observations import ClientAttempt
 from orchidgap.simulation.plan import RequestClassSpec, milliseconds_to_us
 from orchidgap.simulation.simulation import Balancer, Simulation
 
--- a/orchidgap/fault_tests/conditions.py
+++ b/orchidgap/fault_tests/conditions.py
@@ -4,7 +4,7 @@
 
 from orchidgap.fault_tests.cluster import Cluster
 from orchidgap.fault_tests.plan import ANY_PROCESS, Condition, ConditionKind
-from orchidgap.simulation.invariant_checker import ClientAttempt
+from orchidgap.simulation.observations import ClientAttempt
 from orchidgap.simulation.plan import seconds_to_us
 
 STATUS_OK = 200
--- a/orchidgap/fault_tests/rollout_checker.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -18,7 +18,8 @@
 from typing import Any, NamedTuple
 
 from orchidgap.fault_tests.plan import ProposalOutcome, version_of_class
-from orchidgap.simulation.invariant_checker import ClientAttempt, InvariantChecker
+from orchidgap.simulation.invariant_checker import InvariantChecker
+from orchidgap.simulation.observations import ClientAttempt
 
 UNDECIDED = "undecided"
 OLD = "old"
--- a/orchidgap/fault_tests/runner.py
+++ b/orchidgap/fault_tests/runner.py
@@ -101,6 +101,6 @@
     def _verdict(self) -> dict[str, Any]:
         cluster = self.cluster
         cluster.checker.check()
-        stretches = cluster.stretches.judge(cluster.checker.breach)
+        stretches = cluster.stretches.finish(cluster.checker.breach)
         verdict = cluster.checker.verdict(cluster.build_verdict()) | self.costs.report()
         return verdict | {"stretches": stretches} if stretches else verdict
--- a/orchidgap/fault_tests/version_clients.py
+++ b/orchidgap/fault_tests/version_clients.py
@@ -8,7 +8,7 @@
 from orchidgap.fault_tests.rollout_checker import RolloutChecker
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.environment import Environment
-from orchidgap.simulation.invariant_checker import ClientAttempt, Operation
+from orchidgap.simulation.observations import ClientAttempt, Operation
 
 RECENT_VERSION_RATIO = 0.8  # of requests for one version's class
 COMMON_CLASS_RATIO = 0.3  # of all requests
