--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -105,11 +105,8 @@
     time in which one of them got nothing, `copies` the caches that keep a key, `moved` the part of
     reads that came to another cache than the key's read before, `p99-ms` of the slowest cache.
     """
-    caches = {
-        host_id: store
-        for host_id, store in environment.servers.items()
-        if not store.is_origin and store.alive
-    }
+    servers = environment.servers
+    caches = {id_: one for id_, one in servers.items() if not one.is_origin and one.alive}
     reads: list[load_skew.CacheRead] = []
     latencies_us: dict[str, list[int]] = {host_id: [] for host_id in caches}
     fetches = 0
