--- a/tests/decisions/test_config_compatibility.py
+++ b/tests/decisions/test_config_compatibility.py
@@ -1,6 +1,6 @@
 """Which configuration may follow which."""
 
-from hypothesis import given
+from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
 from orchidgap.decisions.config_compatibility import (
@@ -27,11 +27,13 @@
 )
 
 
+@settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(TREES)
 def test_a_configuration_may_follow_itself(tree):
     assert find_incompatibility(shape_of(tree), shape_of(tree), empty_lists(tree)) == ""
 
 
+@settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(TREES, LEAVES)
 def test_a_key_may_be_added_and_then_not_be_left_out(tree, value):
     """Somebody adds a key that nothing had before; the file after that lacks it again."""
@@ -41,6 +43,7 @@
     assert told == "new is missing"
 
 
+@settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(TREES, st.integers(), st.text())
 def test_a_value_stays_of_its_kind(tree, number, text):
     """A number becomes a text, as by a pair of quotes too many."""
@@ -48,6 +51,7 @@
     assert told == "new is a text, where a number was"
 
 
+@settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(TREES, st.sampled_from(sorted(OPTIONAL_KEYS)))
 def test_what_describes_a_moment_may_be_left_out(tree, name):
     without = {key: value for key, value in tree.items() if key != name}
