--- a/orchidgap/fault_tests/commands.py
+++ b/orchidgap/fault_tests/commands.py
@@ -18,7 +18,7 @@
 from orchidgap.fault_tests.plan import FaultTest, read
 from orchidgap.fault_tests.planted_defects import DEFECTS
 from orchidgap.fault_tests.runner import FaultTestRunner
-from orchidgap.simulation.baselines import KINDS
+from orchidgap.simulation.baselines import PROCESS_POLICIES
 from orchidgap.simulation.plan import MAX_BALANCERS
 
 MAX_SHOWN_BREACHES = 12
@@ -62,9 +62,9 @@
         raise ScenarioError(f"no defect {defect!r}: one of {', '.join(DEFECTS)}")
     if policy == DEFAULT_POLICY:
         return
-    if policy not in KINDS or test.control.count or defect:
+    if policy not in PROCESS_POLICIES or test.control.count or defect:
         raise ScenarioError(
-            f"--policy={policy}: one of {', '.join(KINDS)}, without control and defects"
+            f"--policy={policy}: one of {', '.join(PROCESS_POLICIES)}, without control and defects"
         )
 
 
--- a/orchidgap/simulation/cache_contents.py
+++ b/orchidgap/simulation/cache_contents.py
@@ -7,7 +7,7 @@
 
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.net.request_key import key_number
-from orchidgap.simulation.baselines import even
+from orchidgap.simulation.baselines import even_range_owner
 from orchidgap.simulation.environment import Decider
 from orchidgap.simulation.plan import Plan
 from orchidgap.simulation.servers import Store
@@ -37,7 +37,7 @@
 def fill_caches(plan: Plan, rng: Random, decider: Decider, caches: list[Store]) -> None:
     """Put the hottest keys where this decider would have had them cached."""
     hot_count = min(plan.keys.count, plan.cache.capacity_keys * plan.cache_count)
-    homes = getattr(decider, "homes", even)
+    homes = getattr(decider, "homes", even_range_owner)
     ids = [cache.id for cache in caches]
     for key in reversed(range(hot_count)):  # the hottest last: they stay longest
         if rng.random() < plan.keys.warm_ratio:
--- a/orchidgap/simulation/commands.py
+++ b/orchidgap/simulation/commands.py
@@ -15,7 +15,7 @@
 
 from orchidgap.errors import ScenarioError
 from orchidgap.simulation import hunt as hunts
-from orchidgap.simulation.baselines import NAMES
+from orchidgap.simulation.baselines import POLICY_NAMES
 from orchidgap.simulation.invariant_checker import RULES, simulated_duration_us
 from orchidgap.simulation.plan import Plan
 from orchidgap.simulation.plan_file import format_plan, read_plan
@@ -31,9 +31,9 @@
         if told["try"]:
             return trial(console, TRY, told, Path(told["--out"] or "trial-out"))
         if told["report"]:
-            from orchidgap.simulation.report import write
+            from orchidgap.simulation.report import write_report
 
-            console.print(f"report: {write(Path(told['DIR']))}")
+            console.print(f"report: {write_report(Path(told['DIR']))}")
             return 0
         if told["saturate"]:
             from orchidgap.simulation.saturate import main as saturate
@@ -91,9 +91,9 @@
         console.print(f"{rule} at {at:.3f} s: {text}", markup=False, soft_wrap=True)
     if out:
         keep(out, simulation, verdict)
-        from orchidgap.simulation.report import write
+        from orchidgap.simulation.report import write_report
 
-        console.print(f"report: {write(out)}", markup=False, soft_wrap=True)
+        console.print(f"report: {write_report(out)}", markup=False, soft_wrap=True)
     print(orjson.dumps(verdict).decode())
     return 0 if verdict["verdict"] == "kept" else 1
 
@@ -150,7 +150,7 @@
     ):
         table.add_column(name, justify="right")
     rows = {}
-    for policy in NAMES:
+    for policy in POLICY_NAMES:
         verdict = rows[policy] = simulation_of(plan, seed, False, policy).play()
         table.add_row(
             policy,
--- a/orchidgap/simulation/process.py
+++ b/orchidgap/simulation/process.py
@@ -10,7 +10,7 @@
 from orchidgap.composition import protocol_for
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
-from orchidgap.simulation.baselines import KINDS
+from orchidgap.simulation.baselines import PROCESS_POLICIES
 
 
 def main() -> None:
@@ -18,7 +18,7 @@
     policy = sys.argv[1]
     config = sys.argv[2].partition("=")[2]
     try:
-        serve(config, protocol_for, KINDS[policy])
+        serve(config, protocol_for, PROCESS_POLICIES[policy])
     except ConfigError as error:
         sys.exit(f"orchidgap: {error}")
 
--- a/orchidgap/simulation/report.py
+++ b/orchidgap/simulation/report.py
@@ -1,4 +1,7 @@
-"""One HTML file out of what a trial kept: plots over time, verdict, troubles, breaches, changes of mode."""
+"""One HTML page of a recorded run: verdict, plots over time, faults, broken rules, log events.
+
+Reads `trial.json` as `runner` writes it; the page carries its plots in itself.
+"""
 
 from __future__ import annotations
 
@@ -17,211 +20,262 @@
 from orchidgap.errors import ScenarioError
 from orchidgap.simulation.invariant_checker import RULES
 
-WIDE, HIGH = 10.5, 2.5  # inches of a plot
-SHADES = "tab20"
+PLOT_SIZE_INCHES = (10.5, 2.5)  # width and height
+HOST_COLOURS = "tab20"
+HOST_COLOUR_COUNT = 20
+FAULT_COLOUR = "#a00"
+REJECTION_BAR_HEIGHT = 0.3  # of the second with the most rejections
+PLOTTED_PERCENTILES = (0.5, 0.99)
+MOST_READS_OVER_EVEN = 3.0  # the end of the heat map's scale
+MAX_LABELLED_CACHES = 12
+MAX_LOG_ROWS = 300
+
+Recording = dict[str, Any]
 STYLE = """body{font:15px/1.45 sans-serif;max-width:1080px;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;text-align:left}
 img{max-width:100%}pre{background:#f5f5f5;padding:.8em;overflow:auto}.broken{color:#a00}.kept{color:#060}"""
 
 
-def read(folder: Path) -> dict[str, Any]:
-    """What a trial kept there. Raises ScenarioError in one line."""
+def read_recording(folder: Path) -> Recording:
+    """Return what a run recorded in a folder.
+
+    Raises:
+        ScenarioError: There is no recording, or it cannot be read.
+    """
     path = folder / "trial.json"
     try:
-        told: dict[str, Any] = msgspec.json.decode(path.read_bytes())
-        return told | {"verdict": dict(told["verdict"])}
-    except OSError as trouble:
-        raise ScenarioError(f"{path}: {trouble.strerror}") from None
-    except (msgspec.DecodeError, KeyError, TypeError, ValueError) as trouble:
-        raise ScenarioError(f"{path}: not what a trial keeps ({trouble})") from None
+        recording: Recording = msgspec.json.decode(path.read_bytes())
+        return recording | {"verdict": dict(recording["verdict"])}
+    except OSError as error:
+        raise ScenarioError(f"{path}: {error.strerror}") from None
+    except (msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
+        raise ScenarioError(f"{path}: not what a trial keeps ({error})") from None
 
 
-def part_of(sorted_: list[int], part: float) -> float:
-    """A percentile in milliseconds of sorted microseconds.
+def percentile_ms(sorted_us: list[int], fraction: float) -> float:
+    """Return a percentile, in milliseconds, of sorted microseconds.
 
-    >>> part_of([1000, 2000, 3000], 0.5), part_of([5000], 0.99)
+    >>> percentile_ms([1000, 2000, 3000], 0.5), percentile_ms([5000], 0.99)
     (2.0, 5.0)
     """
-    return sorted_[min(len(sorted_) - 1, int(part * len(sorted_)))] / 1000
+    index = min(len(sorted_us) - 1, int(fraction * len(sorted_us)))
+    return sorted_us[index] / 1000
 
 
-def drawn(figure: Any) -> str:
-    """The figure as a picture in the page itself."""
-    file = io.BytesIO()
-    figure.savefig(file, format="png", dpi=90, bbox_inches="tight")
+def embed_figure(figure: Any) -> str:
+    """Return the figure as an `img` element that carries its picture."""
+    picture = io.BytesIO()
+    figure.savefig(picture, format="png", dpi=90, bbox_inches="tight")
     pyplot.close(figure)
-    return f'<img alt="" src="data:image/png;base64,{base64.b64encode(file.getvalue()).decode()}">'
+    encoded = base64.b64encode(picture.getvalue()).decode()
+    return f'<img alt="" src="data:image/png;base64,{encoded}">'
 
 
-def framed(told: dict[str, Any], title: str) -> tuple[Any, Any]:
-    """A plot over the trial's time, with its troubles marked."""
-    figure, axes = pyplot.subplots(figsize=(WIDE, HIGH))
+def time_axes(recording: Recording, title: str) -> tuple[Any, Any]:
+    """Return an empty plot over the run's time, with its faults marked."""
+    figure, axes = pyplot.subplots(figsize=PLOT_SIZE_INCHES)
     axes.set_title(title, loc="left", fontsize=11)
     axes.set_xlabel("seconds")
-    for at, text in told["events"]:
+    for at, text in recording["events"]:
         if not text.startswith("list:"):
-            axes.axvline(at, color="#a00", linewidth=0.8, linestyle=":")
+            axes.axvline(at, color=FAULT_COLOUR, linewidth=0.8, linestyle=":")
     return figure, axes
 
 
-def service(told: dict[str, Any]) -> str:
-    figure, axes = framed(told, "service: value in time over value asked, by second")
-    rows = sorted((int(second), row) for second, row in told["seconds"].items())
+def plot_service(recording: Recording) -> str:
+    """Plot the value answered in time over the value asked for, and rejections, by second."""
+    figure, axes = time_axes(recording, "service: value in time over value asked, by second")
+    rows = sorted((int(second), row) for second, row in recording["seconds"].items())
     axes.plot(
-        [second for second, _ in rows], [row[1] / row[0] if row[0] else 1.0 for _, row in rows]
+        [second for second, _ in rows],
+        [in_time / asked if asked else 1.0 for _, (asked, in_time, *_) in rows],
     )
+    rejections = recording["denials"]
+    most = max(1, *rejections.values()) if rejections else 1
     axes.bar(
-        [int(second) for second in told["denials"]],
-        [
-            min(1.0, count / max(1, max(told["denials"].values()))) * 0.3
-            for count in told["denials"].values()
-        ],
+        [int(second) for second in rejections],
+        [min(1.0, count / most) * REJECTION_BAR_HEIGHT for count in rejections.values()],
         color="#c80",
         alpha=0.5,
-        label="denied or aborted (their most: 0.3)",
+        label=f"denied or aborted (their most: {REJECTION_BAR_HEIGHT})",
     )
     axes.set_ylim(0, 1.05)
     axes.legend(loc="lower right", fontsize=8)
-    return drawn(figure)
+    return embed_figure(figure)
 
 
-def latency(told: dict[str, Any]) -> str:
-    figure, axes = framed(told, "time to a done answer, ms")
-    seconds = sorted(int(second) for second in told["waits"])
-    for part in (0.5, 0.99):
+def plot_latency(recording: Recording) -> str:
+    """Plot percentiles of the time to a done answer, by second."""
+    figure, axes = time_axes(recording, "time to a done answer, ms")
+    seconds = sorted(int(second) for second in recording["waits"])
+    for fraction in PLOTTED_PERCENTILES:
         axes.plot(
             seconds,
-            [part_of(told["waits"][str(second)], part) for second in seconds],
-            label=f"p{part * 100:g}",
+            [percentile_ms(recording["waits"][str(second)], fraction) for second in seconds],
+            label=f"p{fraction * 100:g}",
         )
     axes.set_yscale("log")
     axes.legend(loc="upper right", fontsize=8)
-    return drawn(figure)
+    return embed_figure(figure)
 
 
-def out(told: dict[str, Any]) -> str:
-    figure, axes = framed(told, "at each host, waiting and running")
-    ids = sorted({id for _, rows in told["series"] for id in rows["out"]})
-    shades = pyplot.get_cmap(SHADES)
-    for i, id in enumerate(ids):
+def plot_in_flight(recording: Recording) -> str:
+    """Plot what is queued and running at each host."""
+    figure, axes = time_axes(recording, "at each host, waiting and running")
+    host_ids = sorted({host_id for _, rows in recording["series"] for host_id in rows["out"]})
+    colours = pyplot.get_cmap(HOST_COLOURS)
+    for i, host_id in enumerate(host_ids):
         axes.plot(
-            [at for at, _ in told["series"]],
-            [rows["out"].get(id, 0) for _, rows in told["series"]],
-            label=id,
-            color="black" if id.startswith("o") else shades(i % 20),
+            [at for at, _ in recording["series"]],
+            [rows["out"].get(host_id, 0) for _, rows in recording["series"]],
+            label=host_id,
+            color="black" if host_id.startswith("o") else colours(i % HOST_COLOUR_COUNT),
             linewidth=1,
         )
     axes.legend(loc="upper left", bbox_to_anchor=(1.0, 1.0), fontsize=7)
-    return drawn(figure)
+    return embed_figure(figure)
 
 
-def ranges(told: dict[str, Any]) -> str:
-    rows = [(at, row["sizes"]) for at, row in told["series"] if row.get("sizes")]
+def plot_ranges(recording: Recording) -> str:
+    """Plot the sizes of the hash ranges as the first balancer has them."""
+    rows = [(at, row["sizes"]) for at, row in recording["series"] if row.get("sizes")]
     if not rows:
-        return "<p>Ranges are not seen from outside: none are drawn for this policy or on real sockets.</p>"
-    figure, axes = framed(told, "ranges as the first balancer has them, slots")
-    ids = sorted({id for _, sizes in rows for id in sizes})
-    shades = pyplot.get_cmap(SHADES)
+        return (
+            "<p>Ranges are not seen from outside: "
+            "none are drawn for this policy or on real sockets.</p>"
+        )
+    figure, axes = time_axes(recording, "ranges as the first balancer has them, slots")
+    host_ids = sorted({host_id for _, sizes in rows for host_id in sizes})
+    colours = pyplot.get_cmap(HOST_COLOURS)
     axes.stackplot(
         [at for at, _ in rows],
-        [[sizes.get(id, 0) for _, sizes in rows] for id in ids],
-        labels=ids,
-        colors=[shades(i % 20) for i in range(len(ids))],
+        [[sizes.get(host_id, 0) for _, sizes in rows] for host_id in host_ids],
+        labels=host_ids,
+        colors=[colours(i % HOST_COLOUR_COUNT) for i in range(len(host_ids))],
         step="post",
     )
     axes.legend(loc="upper left", bbox_to_anchor=(1.0, 1.0), fontsize=7)
-    return drawn(figure)
+    return embed_figure(figure)
 
 
-def heat(told: dict[str, Any]) -> str:
-    """Caches over time, each second of each by its reads over the even share."""
-    ids = sorted(told["reads"])
-    rows = [told["reads"][id] for id in ids]
-    evens = [max(sum(second) / len(ids), 1e-9) for second in zip(*rows)]
-    figure, axes = framed(told, "reads of each cache, over the even share of that second")
+def plot_reads(recording: Recording) -> str:
+    """Draw a heat map of the caches' reads in each second, over the even share of that second."""
+    host_ids = sorted(recording["reads"])
+    rows = [recording["reads"][host_id] for host_id in host_ids]
+    evens = [max(sum(second) / len(host_ids), 1e-9) for second in zip(*rows)]
+    figure, axes = time_axes(recording, "reads of each cache, over the even share of that second")
     picture = axes.imshow(
         [[count / even for count, even in zip(row, evens)] for row in rows],
         aspect="auto",
         origin="lower",
         vmin=0.0,
-        vmax=3.0,
+        vmax=MOST_READS_OVER_EVEN,
         cmap="magma",
         interpolation="nearest",
-        extent=(0, len(evens), -0.5, len(ids) - 0.5),
+        extent=(0, len(evens), -0.5, len(host_ids) - 0.5),
     )
-    step = max(1, len(ids) // 12)
-    axes.set_yticks(range(0, len(ids), step), ids[::step])
+    step = max(1, len(host_ids) // MAX_LABELLED_CACHES)
+    axes.set_yticks(range(0, len(host_ids), step), host_ids[::step])
     figure.colorbar(picture, ax=axes)
-    return drawn(figure)
+    return embed_figure(figure)
 
 
-def rules(told: dict[str, Any]) -> str:
-    figure, axes = framed(told, "rules broken")
+def plot_breaches(recording: Recording) -> str:
+    """Mark each broken rule at its time."""
+    figure, axes = time_axes(recording, "rules broken")
     for i, rule in enumerate(RULES):
-        times = [at for name, at, _ in told["breaches"] if name == rule]
-        axes.plot(times, [i] * len(times), "x", color="#a00")
+        times = [at for name, at, _ in recording["breaches"] if name == rule]
+        axes.plot(times, [i] * len(times), "x", color=FAULT_COLOUR)
     axes.set_yticks(range(len(RULES)), RULES)
     axes.set_ylim(-0.5, len(RULES) - 0.5)
-    axes.set_xlim(0, max([1, *(at for at, _ in told["series"])]))
-    return drawn(figure)
+    axes.set_xlim(0, max([1, *(at for at, _ in recording["series"])]))
+    return embed_figure(figure)
 
 
-def table(rows: list[tuple[object, ...]], head: tuple[str, ...]) -> str:
-    """
-    >>> table([(1, "<")], ("n", "what"))
+def html_table(rows: list[tuple[object, ...]], head: tuple[str, ...]) -> str:
+    """Return a table with its cells escaped.
+
+    >>> html_table([(1, "<")], ("n", "what"))
     '<table><tr><th>n</th><th>what</th></tr><tr><td>1</td><td>&lt;</td></tr></table>'
     """
+    return (
+        "<table>"
+        + _html_row("th", head)
+        + "".join(_html_row("td", row) for row in rows)
+        + "</table>"
+    )
 
-    def line(tag: str, cells: tuple[object, ...]) -> str:
-        return (
-            "<tr>" + "".join(f"<{tag}>{html.escape(str(cell))}</{tag}>" for cell in cells) + "</tr>"
-        )
 
-    return "<table>" + line("th", head) + "".join(line("td", row) for row in rows) + "</table>"
+def _html_row(tag: str, cells: tuple[object, ...]) -> str:
+    escaped = "".join(f"<{tag}>{html.escape(str(cell))}</{tag}>" for cell in cells)
+    return f"<tr>{escaped}</tr>"
 
 
-def evenness(stretches: dict[str, dict[str, float]]) -> str:
-    """
-    >>> evenness({}), evenness({"calm": {"most": 1.2}}).count("<td>")
+def evenness_table(stretches: dict[str, dict[str, float]]) -> str:
+    """Return a table of how even the load was in each stretch; nothing where there are none.
+
+    >>> evenness_table({}), evenness_table({"calm": {"most": 1.2}}).count("<td>")
     ('', 2)
     """
     if not stretches:
         return ""
     names = tuple(next(iter(stretches.values())))
-    return table([(name, *row.values()) for name, row in stretches.items()], ("stretch", *names))
+    rows: list[tuple[object, ...]] = [(name, *row.values()) for name, row in stretches.items()]
+    return html_table(rows, ("stretch", *names))
+
+
+def _heading(recording: Recording) -> str:
+    verdict = recording["verdict"]
+    outcome = verdict["verdict"]
+    policy = html.escape(recording["policy"])
+    on_sockets = ", real sockets" if recording["real"] else ""
+    return (
+        f"<!doctype html><meta charset=utf-8><title>{outcome}</title><style>{STYLE}</style>\n"
+        f"<h1>{policy}, seed {recording['seed']}{on_sockets}: "
+        f"<span class={outcome}>{outcome}</span>, service {verdict['service']:.3f}</h1>"
+    )
+
+
+def _verdict_table(verdict: dict[str, Any]) -> str:
+    rows: list[tuple[object, ...]] = [
+        (name, value) for name, value in verdict.items() if name != "stretches"
+    ]
+    return html_table(rows, ("figure", ""))
+
 
+def _breaches_section(breaches: list[list[object]]) -> str:
+    if not breaches:
+        return "<h2>No rule was broken</h2>"
+    return "<h2>Rules broken</h2>" + _table_of(breaches, ("rule", "second", "what"))
 
-def write(folder: Path) -> Path:
-    """Draws `report.html` in the folder; its path. Raises ScenarioError."""
-    told = read(folder)
-    verdict = told["verdict"]
-    words = verdict["verdict"]
+
+def _table_of(rows: list[list[object]], head: tuple[str, ...]) -> str:
+    return html_table([tuple(row) for row in rows], head)
+
+
+def write_report(folder: Path) -> Path:
+    """Draw `report.html` in a run's folder and return its path.
+
+    Raises:
+        ScenarioError: There is no recording in the folder, or it cannot be read.
+    """
+    recording = read_recording(folder)
+    verdict = recording["verdict"]
     parts = [
-        f"<!doctype html><meta charset=utf-8><title>{words}</title><style>{STYLE}</style>",
-        f"<h1>{html.escape(told['policy'])}, seed {told['seed']}{', real sockets' * told['real']}: "
-        f"<span class={words}>{words}</span>, service {verdict['service']:.3f}</h1>",
-        table(
-            [(name, value) for name, value in verdict.items() if name != "stretches"],
-            ("figure", ""),
-        ),
-        evenness(verdict.get("stretches", {})),
-        service(told),
-        latency(told),
-        out(told),
-        heat(told),
-        ranges(told),
-        rules(told),
-        "<h2>Rules broken</h2>"
-        + table([tuple(row) for row in told["breaches"]], ("rule", "second", "what"))
-        if told["breaches"]
-        else "<h2>No rule was broken</h2>",
-        "<h2>Troubles and the list</h2>"
-        + table([tuple(row) for row in told["events"]], ("second", "what")),
+        _heading(recording),
+        _verdict_table(verdict),
+        evenness_table(verdict.get("stretches", {})),
+        plot_service(recording),
+        plot_latency(recording),
+        plot_in_flight(recording),
+        plot_reads(recording),
+        plot_ranges(recording),
+        plot_breaches(recording),
+        _breaches_section(recording["breaches"]),
+        "<h2>Troubles and the list</h2>" + _table_of(recording["events"], ("second", "what")),
         "<h2>What the balancers logged</h2>"
-        + table(
-            [tuple(row) for row in told["modes"][:300]], ("balancer", "second", "event", "what")
-        ),
-        f"<h2>The plan</h2><pre>{html.escape(told['plan'])}</pre>",
+        + _table_of(recording["modes"][:MAX_LOG_ROWS], ("balancer", "second", "event", "what")),
+        f"<h2>The plan</h2><pre>{html.escape(recording['plan'])}</pre>",
     ]
     path = folder / "report.html"
     path.write_text("\n".join(parts))
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -18,7 +18,7 @@
 from orchidgap.resp.local_commands import slot_of_key as slot_at
 from orchidgap.resp.reader import RespReader
 from orchidgap.resp.writers import encode_array, encode_bulk, encode_command, encode_error
-from orchidgap.simulation.baselines import even
+from orchidgap.simulation.baselines import even_range_owner
 from orchidgap.simulation.clients import LATE_BY, Callers
 from orchidgap.simulation.observations import ClientAttempt, Operation
 from orchidgap.simulation.plan import Fault, HostModel, milliseconds_to_us, seconds_to_us
@@ -43,7 +43,7 @@
         self.moved = 0
 
     def share(self, ids: list[str]) -> None:
-        self.owner = [ids[even(slot, ids)[0]] for slot in range(SPACE)]
+        self.owner = [ids[even_range_owner(slot, ids)[0]] for slot in range(SPACE)]
 
     def ranges(self, view: list[str]) -> list[tuple[int, int, str]]:
         found: list[tuple[int, int, str]] = []
--- a/orchidgap/simulation/runner.py
+++ b/orchidgap/simulation/runner.py
@@ -10,7 +10,7 @@
 
 from orchidgap.errors import ScenarioError
 from orchidgap.simulation.balancer_instance import VirtualBalancer
-from orchidgap.simulation.baselines import NAMES
+from orchidgap.simulation.baselines import POLICY_NAMES
 from orchidgap.simulation.load_evenness import reads_by_second
 from orchidgap.simulation.plan import Plan
 from orchidgap.simulation.plan_file import format_plan, validate_plan
@@ -40,8 +40,8 @@
     Raises:
         ScenarioError: there is no such policy, or it cannot be played on loopback.
     """
-    if policy not in NAMES:
-        raise ScenarioError(f"no policy {policy!r}: one of {', '.join(NAMES)}")
+    if policy not in POLICY_NAMES:
+        raise ScenarioError(f"no policy {policy!r}: one of {', '.join(POLICY_NAMES)}")
     if policy == "oracle" and real:
         raise ScenarioError(
             "the oracle sees the stand-ins' state, which a process of its own cannot"
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -17,7 +17,7 @@
 from orchidgap.simulation import balancer_settings
 from orchidgap.simulation.balancer_instance import BalancerInstance, VirtualBalancer
 from orchidgap.simulation.balancer_process import BalancerProcess, process_costs
-from orchidgap.simulation.baselines import decider as decider_of
+from orchidgap.simulation.baselines import policy_class
 from orchidgap.simulation.cache_contents import client_key_of, fill_caches, value_size_bytes
 from orchidgap.simulation.clients import Callers
 from orchidgap.simulation.discovery_server import DiscoveryAgent, DiscoveryServer
@@ -66,13 +66,13 @@
             plan: what is played.
             seed: of all chances that are drawn; the plan's own where it is None.
             real: play on loopback with processes, not on the virtual clock.
-            policy: the name of what decides, of `baselines.NAMES`.
+            policy: the name of what decides, of `baselines.POLICY_NAMES`.
             decider: what decides, in place of that policy.
             disk: the folder for the processes' files; None for the system's temporary one.
         """
         self.plan = plan
         self.policy = policy
-        self.decider = decider or decider_of(policy, self)
+        self.decider = decider or policy_class(policy, self)
         self.seed = plan.seed if seed is None else seed
         self.rng = Random(self.seed)
         self.network: VirtualNetwork | LoopbackNetwork
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -12,7 +12,7 @@
 from orchidgap.simulation import hunt
 from orchidgap.simulation.plan import Fault
 from orchidgap.simulation.plan_file import parse_plan, read_plan, validate_plan
-from orchidgap.simulation.report import write
+from orchidgap.simulation.report import write_report
 from orchidgap.simulation.runner import keep, play
 from orchidgap.simulation.simulation import Simulation
 
@@ -177,7 +177,7 @@
 def test_a_report_draws_ranges_only_where_they_are_seen(tmp_path):
     verdict, simulation = play(parse_plan(TINY), policy="ring")
     keep(tmp_path, simulation, verdict)
-    assert "none are drawn" in write(tmp_path).read_text()
+    assert "none are drawn" in write_report(tmp_path).read_text()
 
 
 def test_real_balancers_play_the_same_plan(tmp_path):
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -10,7 +10,7 @@
 from orchidgap.net.connection import Connection
 from orchidgap.net.loop import READ
 from orchidgap.simulation.balancer_loop import BalancerLoop
-from orchidgap.simulation.baselines import NAMES
+from orchidgap.simulation.baselines import POLICY_NAMES
 from orchidgap.simulation.clients import CallerLink
 from orchidgap.simulation.invariant_checker import RULES, InvariantChecker
 from orchidgap.simulation.listening_queue import ListeningQueue
@@ -149,7 +149,7 @@
     assert verdict["verdict"] == "kept" and verdict["denied"] + verdict["aborted"] > 50
 
 
-@pytest.mark.parametrize("name", NAMES)
+@pytest.mark.parametrize("name", POLICY_NAMES)
 def test_every_decider_plays_and_the_oracle_sees_what_the_others_cannot(name):
     verdict, _ = play(validate_plan(SMALL), policy=name)
     assert verdict["verdict"] == "kept" and verdict["service"] > 0.9 and not verdict["faults"]
