--- a/orchidgap/control/messages/lease.py
+++ b/orchidgap/control/messages/lease.py
@@ -61,7 +61,8 @@
         members_without_quorum: The caller's own entry: its name, and the incarnation that is
             registered, None for none.
         proposal: What is proposed; without its document where the caller has promised or refused
-        it. document: The policy in force, only where the caller runs an earlier version.
+            it.
+        document: The policy in force, only where the caller runs an earlier version.
     """
 
     ballot: Ballot
--- a/orchidgap/simulation/baselines.py
+++ b/orchidgap/simulation/baselines.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-from binascii import crc_hqx
 from bisect import bisect_right
 from collections.abc import Callable, Iterable, Sequence
 from functools import lru_cache
@@ -16,7 +15,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple, cast
 
 from orchidgap.decisions.balancer import Balancer
-from orchidgap.decisions.hash_ranges import SLOT_COUNT
+from orchidgap.decisions.hash_ranges import SLOT_COUNT, slot_of_key
 from orchidgap.decisions.host_list import HostEntry, ListScope
 from orchidgap.decisions.ports import Port
 from orchidgap.decisions.records import Attempt, AttemptOutcome, HostState, HostStatus, Request
@@ -122,10 +121,7 @@
         body_streaming: bool = False,
     ) -> None:
         """A request has come; see `Balancer.on_request`. The key is always hashed here."""
-        if key is None:
-            slot = self.rng.randrange(SLOT_COUNT)
-        else:
-            slot = crc_hqx(b"%d" % key, 0) & (SLOT_COUNT - 1)
+        slot = self.rng.randrange(SLOT_COUNT) if key is None else slot_of_key(key)
         request = Request(
             request_id,
             self.settings.request_classes[request_class],
