--- a/orchidgap/control/lease_service.py
+++ b/orchidgap/control/lease_service.py
@@ -129,7 +129,7 @@
         promised_proposal=request.promised_proposal,
         refused_proposal=request.refused_proposal,
         refusal_reason=request.refusal_reason[:MAX_REASON_CHARS],
-        heard_at_us=0,
+        last_heartbeat_us=0,
         lease_expires_at_us=0,
     )
 
--- a/orchidgap/control/messages/operators.py
+++ b/orchidgap/control/messages/operators.py
@@ -144,7 +144,7 @@
             promised_proposal=holder.promised_proposal,
             refused_proposal=holder.refused_proposal,
             refusal_reason=holder.refusal_reason,
-            heard_ago_us=now_us - holder.heard_at_us,
+            heard_ago_us=now_us - holder.last_heartbeat_us,
             lease_remaining_us=holder.lease_expires_at_us - now_us,
         )
 
--- a/orchidgap/decisions/dispatch.py
+++ b/orchidgap/decisions/dispatch.py
@@ -75,9 +75,9 @@
             late_after_us = context.latency_objective_us
         if host.is_origin or context.limiter.hosts_are_owners:
             late_after_us = max(late_after_us, ORIGIN_LATE_LATENCIES * host.smoothed_latency_us)
-        context.call_later(late_after_us, self.on_late, attempt)
+        context.call_later(late_after_us, self.on_attempt_overdue, attempt)
 
-    def on_late(self, attempt: Attempt) -> None:
+    def on_attempt_overdue(self, attempt: Attempt) -> None:
         """Hedge an attempt that is still in flight, or count it as slow and maybe cancel it.
 
         The host's time-out would tell a second too late. An origin is waited for.
--- a/orchidgap/decisions/leases.py
+++ b/orchidgap/decisions/leases.py
@@ -48,7 +48,7 @@
         promised_proposal: The proposal number that it holds a promise for, 0 for none.
         refused_proposal: The proposal number that it refused last, 0 for none.
         refusal_reason: Why it refused.
-        heard_at_us: When it was heard last.
+        last_heartbeat_us: When it was heard last.
         lease_expires_at_us: It may hold a lease until then.
     """
 
@@ -59,7 +59,7 @@
     promised_proposal: int
     refused_proposal: int
     refusal_reason: str
-    heard_at_us: int
+    last_heartbeat_us: int
     lease_expires_at_us: int
 
     def is_prepared(self, proposal_number: int, version: int) -> bool:
@@ -144,7 +144,9 @@
             expires_at_us = now_us + self.max_lease_us
         else:
             expires_at_us = before.lease_expires_at_us if before else 0
-        self.holders[key] = holder._replace(heard_at_us=now_us, lease_expires_at_us=expires_at_us)
+        self.holders[key] = holder._replace(
+            last_heartbeat_us=now_us, lease_expires_at_us=expires_at_us
+        )
         return granted
 
     def _make_room(self, now_us: int) -> None:
@@ -162,7 +164,7 @@
     def remove_expired(self, now_us: int) -> None:
         """Forget balancers that have been away for long."""
         for key, holder in list(self.holders.items()):
-            last_seen_us = max(holder.lease_expires_at_us, holder.heard_at_us)
+            last_seen_us = max(holder.lease_expires_at_us, holder.last_heartbeat_us)
             if last_seen_us + FORGET_AFTER_US < now_us:
                 del self.holders[key]
 
--- a/orchidgap/decisions/request_table.py
+++ b/orchidgap/decisions/request_table.py
@@ -128,7 +128,7 @@
         if request.answered and not request.in_flight:
             self.requests.pop(request_id, None)
 
-    def on_client_gone(self, request_id: int) -> None:
+    def on_client_disconnect(self, request_id: int) -> None:
         """Nobody waits for an answer any more."""
         request = self.requests.get(request_id)
         if request is not None:
--- a/orchidgap/decisions/shadow.py
+++ b/orchidgap/decisions/shadow.py
@@ -68,14 +68,14 @@
 
     context: ShadowBalancer
 
-    def on_late(self, attempt: Attempt) -> None:
-        """See `Dispatch.on_late`."""
+    def on_attempt_overdue(self, attempt: Attempt) -> None:
+        """See `Dispatch.on_attempt_overdue`."""
         is_judged = not (attempt.outcome or attempt.host.is_origin or self.is_lost(attempt))
         if is_judged:
             cancels = self.should_cancel(attempt, self.context.settings)
             other_cancels = self.should_cancel(attempt, self.context.other_settings)
             self.context.count_if(Difference.CANCELLATION, cancels != other_cancels)
-        super().on_late(attempt)
+        super().on_attempt_overdue(attempt)
 
 
 class ShadowBalancer(Balancer):
--- a/orchidgap/fault_tests/actions.py
+++ b/orchidgap/fault_tests/actions.py
@@ -94,7 +94,7 @@
         elif action.kind is ActionKind.END_FAULTS:
             self.cluster.end_faults()
         elif action.kind is not ActionKind.NOTHING:
-            self.cluster.referee.record_event(self.cluster.loop.now, action.text)
+            self.cluster.invariant_checker.record_event(self.cluster.loop.now, action.text)
             self.handlers[action.kind](*arguments)
 
     def _first_balancers(self, percentage: str) -> list[str]:
@@ -156,7 +156,7 @@
         finally:
             command.close()
         exit_code = command.process.returncode
-        cluster.referee.record_event(cluster.loop.now, f"{name} struck off: {exit_code}")
+        cluster.invariant_checker.record_event(cluster.loop.now, f"{name} struck off: {exit_code}")
 
     def close(self) -> None:
         """End the commands whose step was not reached."""
--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -94,9 +94,9 @@
         # reports that wait for the end of a process to be seen, the oldest first
         self.unreported: deque[Callable[[], None]] = deque()
         self.scheduling = SchedulingWatch()
-        self.referee.lateness.run_delay_us = self.run_delay_us
-        self.report_unanswered = self.referee.on_connection_lost
-        setattr(self.referee, "on_connection_lost", self._on_unanswered)  # noqa: B010
+        self.invariant_checker.lateness.run_delay_us = self.run_delay_us
+        self.report_unanswered = self.invariant_checker.on_connection_lost
+        setattr(self.invariant_checker, "on_connection_lost", self._on_unanswered)  # noqa: B010
         self.links = Links(self.loop, self.rng, self.port_offset, self._topology())
         self.controls = [
             ControlProcess(self.launcher, self.links, test.control, number)
@@ -106,7 +106,7 @@
         grace_ms = GRACE_LEASES * control.lease_ms + control.give_up_ms + GRACE_EXTRA_MS
         self.majority_watch = MajorityWatch(milliseconds_to_us(grace_ms))
         self.checker = RolloutChecker(
-            self.referee, milliseconds_to_us(test.control.lease_ms), SLACK_US
+            self.invariant_checker, milliseconds_to_us(test.control.lease_ms), SLACK_US
         )
         self.proposers = ProposalCallers(self.checker, self.proposer_wait_s())
         self.control_clients = [
@@ -261,7 +261,7 @@
             f"({turn.cpu_us // 1000} ms of CPU, its calls {turn.calls_us // 1000} ms, "
             f"ready and not run {turn.run_delay_us // 1000} ms)"
         )
-        self.referee.record_event(self.loop.now, text)
+        self.invariant_checker.record_event(self.loop.now, text)
 
     # --- configurations
 
@@ -338,7 +338,7 @@
         resumed_us = self.loop.clock()  # the turn may have begun long before the signal
         stopped_us = post.pauses.pop().start_us
         post.pauses.append(Pause(stopped_us, resumed_us + 1_000_000))
-        for ask in self.referee.client_attempts.values():
+        for ask in self.invariant_checker.client_attempts.values():
             if ask.balancer == name and not ask.status:
                 ask.deadline_us = resumed_us + milliseconds_to_us(
                     ask.operation.request_class.client_timeout_ms
--- a/orchidgap/fault_tests/commands.py
+++ b/orchidgap/fault_tests/commands.py
@@ -114,7 +114,9 @@
                 shutil.copytree(copied, out, dirs_exist_ok=True, symlinks=True)
             raise
         if verdict["verdict"] == "broken":
-            story = tell_breaches(cluster.referee, Path(copied), cluster.scheduling.describe)
+            story = tell_breaches(
+                cluster.invariant_checker, Path(copied), cluster.scheduling.describe
+            )
             print(story, file=sys.stderr)
             if out is None and not defect:
                 out = Path(tempfile.mkdtemp(prefix=f"orchidgap-drill-{test.plan.name}-"))
@@ -126,10 +128,12 @@
 
 
 def _write_report(out: Path, verdict: dict[str, Any], cluster: Cluster) -> None:
-    referee = cluster.referee
-    lines = [f"{at_s:9.3f} {text}" for at_s, text in referee.events]
-    lines += [f"{at_s:9.3f} {rule}: {text}" for rule, at_s, text in referee.breaches]
+    invariant_checker = cluster.invariant_checker
+    lines = [f"{at_s:9.3f} {text}" for at_s, text in invariant_checker.events]
+    lines += [f"{at_s:9.3f} {rule}: {text}" for rule, at_s, text in invariant_checker.breaches]
     (out / "events.txt").write_text("\n".join(sorted(lines)) + "\n")
-    denials = describe_denials(referee.rejections, referee.events, out, referee.started_at_us)
+    denials = describe_denials(
+        invariant_checker.rejections, invariant_checker.events, out, invariant_checker.started_at_us
+    )
     (out / "denials.txt").write_text(denials)
     (out / "verdict.json").write_bytes(orjson.dumps(verdict))
--- a/orchidgap/fault_tests/conditions.py
+++ b/orchidgap/fault_tests/conditions.py
@@ -63,6 +63,6 @@
     def _asks_since(self, since_us: int) -> list[ClientAttempt]:
         return [
             ask
-            for ask in reversed(self.cluster.referee.client_attempts.values())
+            for ask in reversed(self.cluster.invariant_checker.client_attempts.values())
             if ask.arrived_at_us > since_us
         ]
--- a/orchidgap/fault_tests/denial_report.py
+++ b/orchidgap/fault_tests/denial_report.py
@@ -100,7 +100,7 @@
             for reason, count in line.reasons.items():
                 counts[reason] = counts[reason].plus(count, 0)
     for rejection in rejections:
-        if not rejection.had_room:
+        if not rejection.had_capacity:
             continue
         lines = logs.get(rejection.balancer, [])
         seen_s = (rejection.at_us - started_at_us) / 1e6
@@ -126,7 +126,7 @@
             index = bisect_right(starts, seen_s)
             if index:
                 name = f"{kind}, {_age_class(seen_s - starts[index - 1])}"
-                counts[name] = counts[name].plus(1, rejection.had_room)
+                counts[name] = counts[name].plus(1, rejection.had_capacity)
     return dict(sorted(counts.items()))
 
 
@@ -158,7 +158,7 @@
     with_room = Counter[str]()
     for rejection in rejections:
         denied[rejection.balancer] += 1
-        with_room[rejection.balancer] += rejection.had_room
+        with_room[rejection.balancer] += rejection.had_capacity
     return {name: DenialCount(denied[name], with_room[name]) for name in sorted(denied)}
 
 
--- a/orchidgap/fault_tests/dial_stream.py
+++ b/orchidgap/fault_tests/dial_stream.py
@@ -185,7 +185,7 @@
 
     def _draw_attempt(self) -> ClientAttempt:
         cluster = self.cluster
-        operations = cluster.referee.operations
+        operations = cluster.invariant_checker.operations
         operation = Operation(
             number=len(operations),
             request_class=self.rng.choice(self.request_classes),
@@ -240,12 +240,10 @@
         else:
             DialledConnection(self, sock, attempt, message).start_if_up()
 
-    def send_once_more(
-        self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str
-    ) -> None:
+    def resend(self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str) -> None:
         """Have the other clients send what crossed an end; the next one is dialled here."""
         self.sent_again += 1
-        self.cluster.clients.send_once_more(attempt, message, balancer)
+        self.cluster.clients.resend(attempt, message, balancer)
         self.dial_next()
 
     def on_refused(self, attempt: ClientAttempt, balancer: str) -> None:
@@ -299,9 +297,11 @@
         return {"dial_stream": asdict(total)} if self.streams else {}
 
     def _report_stream(self, stream: DialStream, counts: DialCounts) -> None:
-        referee = self.cluster.referee
+        invariant_checker = self.cluster.invariant_checker
         rows = ", ".join(f"{name} {count}" for name, count in asdict(counts).items() if count)
-        referee.record_event(stream.began_us, f"connections dialled at {stream.balancer}: {rows}")
+        invariant_checker.record_event(
+            stream.began_us, f"connections dialled at {stream.balancer}: {rows}"
+        )
         if counts.remainder() or counts.open:
             text = f"{stream.balancer}: not all dialled connections are accounted for: {rows}"
-            referee.record_breach("lost", stream.began_us, text)
+            invariant_checker.record_breach("lost", stream.began_us, text)
--- a/orchidgap/fault_tests/model/acceptor_steps.py
+++ b/orchidgap/fault_tests/model/acceptor_steps.py
@@ -58,7 +58,7 @@
     @staticmethod
     def _with_lease_table(acceptor: AcceptorView, leases: LeaseTable) -> AcceptorView:
         holders = sorted(
-            holder._replace(heard_at_us=0)
+            holder._replace(last_heartbeat_us=0)
             for holder in leases.holders.values()
             if holder.lease_expires_at_us > 0
         )
@@ -96,7 +96,7 @@
             promised_proposal=promised,
             refused_proposal=0,
             refusal_reason="",
-            heard_at_us=0,
+            last_heartbeat_us=0,
             lease_expires_at_us=0,
         )
         granted = leases.on_heartbeat(holder, 0, 0)
--- a/orchidgap/fault_tests/readiness_report.py
+++ b/orchidgap/fault_tests/readiness_report.py
@@ -4,10 +4,10 @@
 
 from orchidgap.fault_tests.balancer_process import ClusterBalancer
 from orchidgap.fault_tests.cluster import SLACK_US, Cluster
-from orchidgap.fault_tests.readiness_watch import ReadinessReport, judge_starts, overlap_us
+from orchidgap.fault_tests.readiness_watch import ReadinessReport, check_starts, overlap_us
 
 
-def judge_readiness(cluster: Cluster) -> ReadinessReport:
+def check_readiness(cluster: Cluster) -> ReadinessReport:
     """Judge all starts of the run up to now."""
     starts = [
         start
@@ -26,4 +26,4 @@
         stopped_us = overlap_us(cluster.balancers[balancer].pauses, since_us, until_us)
         return until_us - since_us - stopped_us - delay_us
 
-    return judge_starts(starts, cluster.loop.now, SLACK_US, usable_us)
+    return check_starts(starts, cluster.loop.now, SLACK_US, usable_us)
--- a/orchidgap/fault_tests/readiness_watch.py
+++ b/orchidgap/fault_tests/readiness_watch.py
@@ -55,7 +55,7 @@
 """Returns how much of the time between two times a balancer could use, in microseconds."""
 
 
-def judge_starts(
+def check_starts(
     starts: Iterable[ProcessStart], end_us: int, tolerance_us: int, usable_us: UsableTime
 ) -> ReadinessReport:
     """Judge all starts of a run that ended at a time.
--- a/orchidgap/fault_tests/request_ledger.py
+++ b/orchidgap/fault_tests/request_ledger.py
@@ -36,12 +36,12 @@
 class WrittenRequest:
     """A request whose last byte was written to a connection of one process.
 
-    `was_sent_again`: it crossed the end of that connection, and its client wrote it once more.
+    `was_resent`: it crossed the end of that connection, and its client wrote it once more.
     """
 
     attempt: ClientAttempt
     process: ProcessKey
-    was_sent_again: bool = False
+    was_resent: bool = False
 
 
 @dataclass(slots=True)
@@ -143,27 +143,31 @@
         self.written: list[WrittenRequest] = []
         self.last_by_id: dict[bytes, WrittenRequest] = {}
         self.end_times_us: dict[ProcessKey, int] = {}
-        referee = cluster.referee
-        self.on_client_attempt: Callable[[ClientAttempt], None] = referee.on_client_attempt
-        self.on_balancer_ended: Callable[[str, int, int, bool], None] = referee.on_balancer_ended
-        setattr(referee, "on_client_attempt", self.on_written)  # noqa: B010
-        setattr(referee, "on_balancer_ended", self.on_ended)  # noqa: B010
+        invariant_checker = cluster.invariant_checker
+        self.on_client_attempt: Callable[[ClientAttempt], None] = (
+            invariant_checker.on_client_attempt
+        )
+        self.on_balancer_ended: Callable[[str, int, int, bool], None] = (
+            invariant_checker.on_balancer_ended
+        )
+        setattr(invariant_checker, "on_client_attempt", self.on_written)  # noqa: B010
+        setattr(invariant_checker, "on_balancer_ended", self.on_ended)  # noqa: B010
 
     def on_written(self, attempt: ClientAttempt) -> None:
         """The last byte of a request is written."""
         earlier = self.last_by_id.get(attempt.id)
         if earlier:
-            earlier.was_sent_again = True
+            earlier.was_resent = True
         key = ProcessKey(attempt.balancer, attempt.incarnation)
         request = WrittenRequest(attempt, key)
         self.last_by_id[attempt.id] = request
         self.written.append(request)
         self.on_client_attempt(attempt)
 
-    def on_ended(self, balancer: str, life: int, at: int, was_killed: bool) -> None:
+    def on_ended(self, balancer: str, incarnation: int, at: int, was_killed: bool) -> None:
         """A process has ended; what it logged, it logged before."""
-        self.end_times_us[ProcessKey(balancer, life)] = at
-        self.on_balancer_ended(balancer, life, at, was_killed)
+        self.end_times_us[ProcessKey(balancer, incarnation)] = at
+        self.on_balancer_ended(balancer, incarnation, at, was_killed)
 
     def rows(self) -> dict[ProcessKey, LedgerRow]:
         """Return the figures of each process that a request was written to."""
@@ -179,7 +183,7 @@
     def _end_of(self, request: WrittenRequest) -> str:
         """Return the name of the figure that a request belongs to, empty for none."""
         attempt = request.attempt
-        if request.was_sent_again:
+        if request.was_resent:
             return "crossed"
         if attempt.status > 0:
             return "answered"
@@ -221,12 +225,12 @@
                 row.counted = row.written
 
     def _check(self, process: ProcessKey, row: LedgerRow) -> None:
-        referee = self.cluster.referee
+        invariant_checker = self.cluster.invariant_checker
         now_us = self.cluster.loop.now
         who = f"process {process.incarnation} of {process.balancer}"
-        referee.record_event(now_us, f"requests written to {who}: {row.describe()}")
+        invariant_checker.record_event(now_us, f"requests written to {who}: {row.describe()}")
         faults = row.faults()
         if self.cluster.process_end(*process) is ProcessEnd.EXITED and not row.counted:
             faults.append(f"it ended by itself and did not say what it read: {row.describe()}")
         for fault in faults:
-            referee.record_breach("lost", now_us, f"requests to {who}: {fault}")
+            invariant_checker.record_breach("lost", now_us, f"requests to {who}: {fault}")
--- a/orchidgap/fault_tests/rollout_checker.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -78,15 +78,15 @@
             an earlier one.
     """
 
-    def __init__(self, referee: InvariantChecker, bound_us: int, slack_us: int) -> None:
-        """Check the requests of `referee`.
+    def __init__(self, invariant_checker: InvariantChecker, bound_us: int, slack_us: int) -> None:
+        """Check the requests of `invariant_checker`.
 
         Args:
-            referee: What clients saw.
+            invariant_checker: What clients saw.
             bound_us: How long after a decision an earlier version may answer.
             slack_us: How much later than that answers may be seen on a busy machine.
         """
-        self.referee = referee
+        self.invariant_checker = invariant_checker
         self.bound_us = bound_us
         self.slack_us = slack_us
         self.proposals = {0: ProposalRecord(0, 0, ProposalOutcome.DECIDED)}
@@ -97,7 +97,9 @@
     def breach(self, rule: str, at_us: int, text: str) -> None:
         """Record that a rule broke."""
         self.breach_counts[rule] += 1
-        self.referee.breaches.append((rule, (at_us - self.referee.started_at_us) / 1e6, text))
+        self.invariant_checker.breaches.append(
+            (rule, (at_us - self.invariant_checker.started_at_us) / 1e6, text)
+        )
 
     def on_outcome(
         self,
@@ -131,7 +133,7 @@
     def _governed_requests(self) -> list[GovernedRequest]:
         """Return the requests that tell which version governed them."""
         found = []
-        for request in self.referee.client_attempts.values():
+        for request in self.invariant_checker.client_attempts.values():
             if request.status != 200:
                 continue
             number = version_of_class(request.operation.request_class.name)
--- a/orchidgap/fault_tests/runner.py
+++ b/orchidgap/fault_tests/runner.py
@@ -13,7 +13,7 @@
 from orchidgap.fault_tests.decision_watch import DecisionWatch
 from orchidgap.fault_tests.final_checks import EXTRA_WAIT_S, FinalChecks
 from orchidgap.fault_tests.plan import Step
-from orchidgap.fault_tests.readiness_report import judge_readiness
+from orchidgap.fault_tests.readiness_report import check_readiness
 from orchidgap.fault_tests.request_ledger import RequestLedger
 from orchidgap.fault_tests.rollout_checker import STUCK
 from orchidgap.simulation.plan import seconds_to_us
@@ -61,7 +61,7 @@
         cluster.wait_until(self._all_ready, START_TIMEOUT_S, "all up")
         self.costs.on_started(time.monotonic() - began_s)
         cluster.start = cluster.loop.clock()
-        cluster.referee.started_at_us = cluster.start
+        cluster.invariant_checker.started_at_us = cluster.start
         cluster.loop.call_later(LOOK_INTERVAL_US, self.costs.sample)
         cluster.clients.end = cluster.start + seconds_to_us(MAX_DURATION_S)
         cluster.loop.call_soon(cluster.clients.on_arrival)
@@ -115,9 +115,11 @@
         cluster.checker.check()
         cluster.report_all_unanswered()
         accounts = self.actions.dial_streams.report() | self.ledger.report()
-        for text in cluster.majority_watch.withheld(cluster.referee.client_attempts.values()):
+        for text in cluster.majority_watch.withheld(
+            cluster.invariant_checker.client_attempts.values()
+        ):
             cluster.checker.breach(STUCK, cluster.loop.now, text)
-        readiness = judge_readiness(cluster)
+        readiness = check_readiness(cluster)
         for text in readiness.breaches:
             cluster.checker.breach(STUCK, cluster.loop.now, text)
         stretches = cluster.stretches.finish(cluster.checker.breach)
--- a/orchidgap/fault_tests/soak_faults.py
+++ b/orchidgap/fault_tests/soak_faults.py
@@ -77,7 +77,7 @@
 
     def note(self, text: str) -> None:
         """Record what is done."""
-        self.cluster.referee.record_event(self.loop.now, text)
+        self.cluster.invariant_checker.record_event(self.loop.now, text)
 
     def send_signal_later(self, name: str, number: int, delay_us: int) -> None:
         """Send a signal to the process that runs now, unless it has ended by then."""
@@ -133,7 +133,7 @@
         post = self.cluster.balancers[name]
         return [
             attempt
-            for attempt in self.cluster.referee.client_attempts.values()
+            for attempt in self.cluster.invariant_checker.client_attempts.values()
             if (attempt.balancer, attempt.incarnation) == (name, post.incarnation)
             and attempt.arrived_at_us
             and not attempt.status
--- a/orchidgap/fault_tests/version_clients.py
+++ b/orchidgap/fault_tests/version_clients.py
@@ -44,7 +44,7 @@
 
     def on_unknown_class(self, attempt: ClientAttempt) -> None:
         """Take an answer that the class is unknown for what it is: another version governs."""
-        self.environment.referee.answered_failed -= 1
+        self.environment.invariant_checker.answered_failed -= 1
         if attempt.operation.request_class.name == COMMON_CLASS:
             super().on_unknown_class(attempt)
 
--- a/orchidgap/http1/host_connection.py
+++ b/orchidgap/http1/host_connection.py
@@ -125,7 +125,7 @@
     def opened(self) -> None:
         """The connection has come up."""
         self.cancel_timer()
-        if self.attempt and self.loop.is_held_up:
+        if self.attempt and self.loop.is_stalled:
             # the host may drain by now, and the list that tells it may wait to be read
             self.start_is_postponed = True
             self.loop.call_next_turn(self.start_postponed)
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -137,7 +137,7 @@
 
     def let_go() -> None:
         detach()
-        node.call_decisions(node.balancer.on_client_gone, exchange.number)
+        node.call_decisions(node.balancer.on_client_disconnect, exchange.number)
 
     return MigratingRequest(
         [STREAMING_UPLOAD, content.to_wire()],
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -183,7 +183,7 @@
         pending = self.pending_request
         self.pending_request = None
         if pending:
-            pending.on_client_gone()
+            pending.on_client_disconnect()
         self.reject(status)
 
     def accept_request(self) -> None:
@@ -352,16 +352,16 @@
             self.conn.send(response_head(status, close=True, retry_after_us=retry_after_us))
             self.finish()
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing is owed to this client, and nothing of it waits to be read."""
-        return not (self.pending_request or self.streaming) and super().is_quiet()
+        return not (self.pending_request or self.streaming) and super().is_idle()
 
     def on_disconnect(self) -> None:
         """The client has gone: its request is of no use any more."""
         pending = self.pending_request
         self.pending_request = None
         if pending:
-            pending.on_client_gone()
+            pending.on_client_disconnect()
 
     # --- migration between two processes of one balancer
 
--- a/orchidgap/net/client_connection.py
+++ b/orchidgap/net/client_connection.py
@@ -72,17 +72,17 @@
         self.listener.loop.call_soon(self.conn.fail, "closed")
         return True
 
-    def finish(self, looked_at_us: int = 0) -> None:
+    def finish(self, read_up_to_us: int = 0) -> None:
         """Let it read its last answer, but keep no other client out by that.
 
         What it sends from now on is dropped: its connection has ended on this side, so it asks
         elsewhere.
 
         Args:
-            looked_at_us: Before which time all that had come was read, 0 where that is not known.
+            read_up_to_us: Before which time all that had come was read, 0 where that is not known.
         """
         if self.conn.is_open and not self.conn.closing:
-            self._tell_closing(ConnectionEnd.FINISHED, looked_at_us)
+            self._tell_closing(ConnectionEnd.FINISHED, read_up_to_us)
             self.since_us = self.listener.loop.clock()
             self.listener.idle.pop(self, None)
             self.listener.awaiting_request.pop(self, None)
@@ -95,7 +95,7 @@
         self.reject(503)
         self.conn.discard_received()
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether it has nothing to read, and nothing of it is to be read here."""
         return not self.conn.write_buffer and not self.conn.is_stale()
 
@@ -113,23 +113,23 @@
 
         What it sent is read in place of the close, which would reset it unread.
         """
-        looked_at_us = self.listener.loop.clock()
+        read_up_to_us = self.listener.loop.clock()
         if self.conn.has_unread_bytes():
             self.conn.on_ready(READ)
             return False
-        self.close(end, looked_at_us)
+        self.close(end, read_up_to_us)
         return True
 
-    def close(self, end: ConnectionEnd, looked_at_us: int = 0) -> None:
+    def close(self, end: ConnectionEnd, read_up_to_us: int = 0) -> None:
         """Close it without a word.
 
         Args:
             end: Why.
-            looked_at_us: Before which time all that had come was read, 0 where that is not known.
+            read_up_to_us: Before which time all that had come was read, 0 where that is not known.
         """
         if self in self.listener.open_clients:
             if self.conn.is_open and not self.conn.closing:
-                self._tell_closing(end, looked_at_us)
+                self._tell_closing(end, read_up_to_us)
             counts = self.listener.counts
             counts.on_connection_end(end)
             if end in CLOSED_HERE and self.conn.has_unread_bytes():
@@ -137,9 +137,9 @@
         self.conn.close()
         self.listener.forget(self)
 
-    def _tell_closing(self, end: ConnectionEnd, looked_at_us: int = 0) -> None:
+    def _tell_closing(self, end: ConnectionEnd, read_up_to_us: int = 0) -> None:
         if self.listener.on_closing:
-            self.listener.on_closing(self, end, looked_at_us)
+            self.listener.on_closing(self, end, read_up_to_us)
 
     def _tell_shut(self) -> None:
         """Tell of a request that came before the shutdown and is not going to be read."""
--- a/orchidgap/net/client_listener.py
+++ b/orchidgap/net/client_listener.py
@@ -242,7 +242,7 @@
         """Let a client in. One for whom there is no room is told so: left in the backlog, what it
         asks would count as accepted and never be answered.
         """
-        if self.has_room():
+        if self.has_capacity():
             self.serve(sock)
         else:
             self.open(sock).reject(503)
@@ -253,7 +253,7 @@
         One that is rejected holds no descriptor beyond the most.
         """
         has_descriptor = self.has_descriptor_for_client()
-        if self.admissions_left != 0 and has_descriptor and self.has_room():
+        if self.admissions_left != 0 and has_descriptor and self.has_capacity():
             if self.admissions_left:
                 self.admissions_left -= 1
             self.serve(sock)
@@ -278,16 +278,16 @@
 
     def adopt_connection(self, sock: socket.socket) -> None:
         """Take over a connection on which nothing is under way from another process."""
-        has_room = self.has_room()
-        looked_at_us = self.loop.clock()
+        has_capacity = self.has_capacity()
+        read_up_to_us = self.loop.clock()
         client = self.make_client(self, sock)
         self.open_clients[client] = None
         self.counts.connections_adopted += 1
-        if not has_room and client.conn.has_unread_bytes():
+        if not has_capacity and client.conn.has_unread_bytes():
             client.reject_at_once()
             return
         self.idle[client] = None
-        if not has_room:
-            client.finish(looked_at_us)
+        if not has_capacity:
+            client.finish(read_up_to_us)
             return
         client.conn.on_ready(READ)
--- a/orchidgap/net/client_table.py
+++ b/orchidgap/net/client_table.py
@@ -42,7 +42,7 @@
         """Whether so many clients are open that somebody has to make way for another."""
         return len(self.open_clients) - len(self.closing) >= self.max_clients
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether another client can be served; one that nobody needs makes way for it."""
         return not self.is_full() or self.close_unneeded()
 
@@ -70,16 +70,16 @@
         asks is on its way.
         """
         while unneeded := self._find_unneeded():
-            if unneeded.let_go(ConnectionEnd.MADE_WAY):
+            if unneeded.let_go(ConnectionEnd.EVICTED):
                 return True
         return False
 
     def _find_unneeded(self) -> ClientConnection | None:
-        waiting = next((client for client in self.awaiting_request if client.is_quiet()), None)
+        waiting = next((client for client in self.awaiting_request if client.is_idle()), None)
         waited_us = self.loop.now - waiting.since_us if waiting else 0
         if waited_us >= UNUSED_AFTER_US:
             return waiting
-        idle = next((client for client in self.idle if client.is_quiet()), None)
+        idle = next((client for client in self.idle if client.is_idle()), None)
         return idle or (waiting if waited_us >= NEWCOMER_US else None)
 
     def trim_idle(self) -> None:
@@ -94,10 +94,10 @@
             and len(self.open_clients) - len(self.closing) > self.max_clients // 2
         ):
             client = next(iter(self.idle))
-            looked_at_us = self.loop.clock()
-            if not client.is_quiet():
+            read_up_to_us = self.loop.clock()
+            if not client.is_idle():
                 return
-            client.finish(looked_at_us)  # see release_idle
+            client.finish(read_up_to_us)  # see release_idle
 
     def close_oldest_closing(self) -> bool:
         """Close the connection that has had its last answer for longest; whether there was one.
@@ -143,13 +143,13 @@
         """Let those go who ask nothing; who has just come is about to."""
         newcomer_since_us = self.loop.now - NEWCOMER_US
         for client in [*self.idle, *self.awaiting_request]:
-            looked_at_us = self.loop.clock()
+            read_up_to_us = self.loop.clock()
             if client.conn.has_unread_bytes():
-                looked_at_us = 0  # one read may not take all of them
+                read_up_to_us = 0  # one read may not take all of them
             client.conn.on_ready(READ)  # a request that has come is still answered
             if client in self.idle:
                 # a close would reset it, and the answer with it, if its next request came just now
-                client.finish(looked_at_us)
+                client.finish(read_up_to_us)
             elif (
                 client in self.awaiting_request
                 and not client.request_begun
--- a/orchidgap/net/connection_log.py
+++ b/orchidgap/net/connection_log.py
@@ -37,21 +37,21 @@
         """Write to this log."""
         self.event_log = event_log
 
-    def on_closing(self, client: ClientConnection, end: ConnectionEnd, looked_at_us: int) -> None:
+    def on_closing(self, client: ClientConnection, end: ConnectionEnd, read_up_to_us: int) -> None:
         """Write what is known of a connection that is about to be closed, or shut for sending.
 
         The time is that before the last look for unread bytes: a request that was written before it
         was read, or is among them.
         """
         closed_us = monotonic_us()
-        if looked_at_us:
-            closed_us -= client.listener.loop.clock() - looked_at_us
+        if read_up_to_us:
+            closed_us -= client.listener.loop.clock() - read_up_to_us
         facts = {
             "end": end.value,
             "read": client.requests_begun,
             "answered": client.requests_answered,
-            "looked": looked_at_us > 0,
-            "unread": not looked_at_us and client.conn.has_unread_bytes(),
+            "looked": read_up_to_us > 0,
+            "unread": not read_up_to_us and client.conn.has_unread_bytes(),
             "closed_us": closed_us,
         }
         with suppress(OSError):  # its client has reset it: who would ask for this line has gone
--- a/orchidgap/net/connection_pools.py
+++ b/orchidgap/net/connection_pools.py
@@ -139,7 +139,7 @@
 
         The host may drain by now, and discovery may have told so while this process stood still.
         """
-        if self.loop.is_held_up:
+        if self.loop.is_stalled:
             PostponedSend(self.loop, attempt, partial(self.send_now, host))
         else:
             self.send_now(host, attempt)
--- a/orchidgap/net/exchange.py
+++ b/orchidgap/net/exchange.py
@@ -223,7 +223,7 @@
         failure = attempt.abandon("cancelled")
         self.node.loop.call_soon(attempt.settle, failure.outcome)
 
-    def on_client_gone(self) -> None:
+    def on_client_disconnect(self) -> None:
         """Nobody waits for the answer any more."""
         if self.streaming_attempt:
             attempt = self.streaming_attempt
@@ -233,8 +233,8 @@
         if self.closed:
             return
         self.close()
-        self.node.traffic_counts.on_request_end(RequestEnd.CLIENT_GONE)
-        self.node.call_decisions(self.node.balancer.on_client_gone, self.number)
+        self.node.traffic_counts.on_request_end(RequestEnd.CLIENT_DISCONNECTED)
+        self.node.call_decisions(self.node.balancer.on_client_disconnect, self.number)
         if self.fallback_status:  # the decisions do not know of its attempts
             for attempt in self.attempts:
                 self.cancel_attempt(attempt)
@@ -248,7 +248,7 @@
                 attempt.settle(attempt.abandon("overdue").outcome)
         if not self.closed:
             self.node.event_log("unanswered", req=self.number)
-            self.node.call_decisions(self.node.balancer.on_client_gone, self.number)
+            self.node.call_decisions(self.node.balancer.on_client_disconnect, self.number)
             self.answer(500)
 
     # --- what its attempts ask and tell
--- a/orchidgap/net/loop.py
+++ b/orchidgap/net/loop.py
@@ -21,7 +21,7 @@
 LATE_TURN_US = 100_000  # a timer that is called so long after it was due is told of
 CPU_SAMPLE_INTERVAL_US = 100_000
 MAX_POSTPONED_TURNS = 3  # for which calls wait on end, as each of them was held up
-HELD_UP_TURN_US = 50_000  # what is ready may tell otherwise than what a turn knew so long ago
+STALLED_TURN_US = 50_000  # what is ready may tell otherwise than what a turn knew so long ago
 
 
 def system_clock() -> Callable[[], int]:
@@ -113,7 +113,7 @@
         self.selector = selectors.DefaultSelector()
         self.priority_callbacks: set[Callable[[int], None]] = set()  # whose turn comes first
         self.timers: list[tuple[int, int, Timer]] = []
-        self.soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
+        self.ready_callbacks: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self.postponed: list[Callable[[], None]] = []  # to the next turn
         self._postponed_turns = 0  # for how many on end what was postponed has waited on
         self.timer_count = 0
@@ -164,7 +164,7 @@
         """Call after the call under way: what comes of an attempt must not run into the decision to
         send it.
         """
-        self.soon.append((callback, args))
+        self.ready_callbacks.append((callback, args))
 
     def call_next_turn(self, callback: Callable[[], None]) -> None:
         """Call in the next turn, once sockets whose turn comes first have been served; later where
@@ -173,15 +173,15 @@
         self.postponed.append(callback)
 
     @property
-    def is_held_up(self) -> bool:
+    def is_stalled(self) -> bool:
         """Whether the selector was asked so long ago that what is ready now may tell otherwise."""
-        return self.clock() - self.last_poll_us > HELD_UP_TURN_US
+        return self.clock() - self.last_poll_us > STALLED_TURN_US
 
     @property
     def current_us(self) -> int:
         """The time of the turn under way; of the clock, where that turn has been held up."""
         time_us = self.clock()
-        return time_us if time_us - self.last_poll_us > HELD_UP_TURN_US else self.now
+        return time_us if time_us - self.last_poll_us > STALLED_TURN_US else self.now
 
     def run(self) -> None:
         """Turn until told to stop."""
@@ -193,14 +193,14 @@
         time-out.
         """
         entered_us = self.clock()
-        wait_us = 0 if self.soon or self.postponed else max_wait_us
+        wait_us = 0 if self.ready_callbacks or self.postponed else max_wait_us
         if self.timers:
             wait_us = max(0, min(wait_us, self.timers[0][0] - entered_us))
         events = self.selector.select(wait_us / 1e6)
         now = self.clock()
         was_ready_before = now - entered_us < IMMEDIATE_WAIT_US
         self.ready_since_us = self.last_poll_us if was_ready_before else now
-        if now - entered_us > HELD_UP_TURN_US:
+        if now - entered_us > STALLED_TURN_US:
             # it may have been held up since the selector answered, not while it waited
             events = self.selector.select(0)
             now = self.clock()
@@ -211,8 +211,8 @@
         if self.on_late_turn:
             self._watch_lateness(self.on_late_turn)
         self._run_due_timers()
-        for _ in range(len(self.soon)):
-            callback, args = self.soon.popleft()
+        for _ in range(len(self.ready_callbacks)):
+            callback, args = self.ready_callbacks.popleft()
             self.run_callback(callback, *args)
         turn_us = self.clock() - self.last_poll_us
         if turn_us > self.longest_turn_us:
@@ -234,8 +234,8 @@
         """Call what is due. In a turn that was held up only what was due as the selector was asked:
         what is ready by now comes first.
         """
-        was_held_up = self.now - self.last_poll_us > HELD_UP_TURN_US
-        due_by_us = self.last_poll_us if was_held_up else self.now
+        was_stalled = self.now - self.last_poll_us > STALLED_TURN_US
+        due_by_us = self.last_poll_us if was_stalled else self.now
         while self.timers and self.timers[0][0] <= due_by_us:
             _, _, timer = heappop(self.timers)
             if timer.callback is not None:
@@ -249,7 +249,7 @@
         """
         may_wait_on = self._postponed_turns < MAX_POSTPONED_TURNS
         for index, callback in enumerate(callbacks):
-            if may_wait_on and self.is_held_up:
+            if may_wait_on and self.is_stalled:
                 self._postponed_turns += 1
                 self.postponed[:0] = callbacks[index:]
                 return
--- a/orchidgap/net/request_handler.py
+++ b/orchidgap/net/request_handler.py
@@ -16,7 +16,7 @@
     def has_begun(self) -> bool:
         """Whether it is answered or an attempt of it was sent; else it waits for a host."""
 
-    def on_client_gone(self) -> None:
+    def on_client_disconnect(self) -> None:
         """Its client has gone away."""
 
     def on_body_complete(self) -> None:
--- a/orchidgap/net/traffic_counts.py
+++ b/orchidgap/net/traffic_counts.py
@@ -16,14 +16,14 @@
     CLIENT_CLOSED = "client_closed"
     BROKEN = "broken"  # reset, not read for too long, or a fault
     FINISHED = "finished"  # after its last answer
-    MADE_WAY = "made_way"  # for another client
+    EVICTED = "made_way"  # for another client
     SILENT = "silent"  # it brought no request in time
     SHUTDOWN = "shutdown"  # it had asked nothing when the process ended
     TRUNCATED = "truncated"  # reset, as its answer could not be given whole
     MIGRATED = "migrated"  # to another process of this balancer
 
 
-CLOSED_HERE = frozenset((ConnectionEnd.MADE_WAY, ConnectionEnd.SILENT, ConnectionEnd.SHUTDOWN))
+CLOSED_HERE = frozenset((ConnectionEnd.EVICTED, ConnectionEnd.SILENT, ConnectionEnd.SHUTDOWN))
 
 
 class RequestEnd(Enum):
@@ -35,7 +35,7 @@
     FAILED = "failed"
     INVALID = "invalid"  # its host found fault with it
     NOT_PERMITTED = "not_permitted"  # control gave no permission to serve
-    CLIENT_GONE = "client_gone"
+    CLIENT_DISCONNECTED = "client_gone"
     MIGRATED = "migrated"
 
 
--- a/orchidgap/resp/replies.py
+++ b/orchidgap/resp/replies.py
@@ -103,10 +103,10 @@
             body = to_resp3(body)
         self.set_encoded(body)
 
-    def on_client_gone(self) -> None:
+    def on_client_disconnect(self) -> None:
         """Its client has closed."""
         if self.pending_request:
-            self.pending_request.on_client_gone()
+            self.pending_request.on_client_disconnect()
 
     def has_disconnected(self) -> bool:
         """Whether its client has closed."""
@@ -164,10 +164,10 @@
                 items[position] = item
         self.set_encoded(encode_array(items))
 
-    def on_client_gone(self) -> None:
+    def on_client_disconnect(self) -> None:
         """Its client has closed."""
         for part in self.parts:
-            part.on_client_gone()
+            part.on_client_disconnect()
 
 
 def to_resp3(text: bytes) -> bytes:
--- a/orchidgap/resp/server.py
+++ b/orchidgap/resp/server.py
@@ -108,11 +108,11 @@
         self.in_flight_by_slot = {}
         self.held_by_owner = {}
         for reply in replies:
-            reply.on_client_gone()
+            reply.on_client_disconnect()
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing is owed to this client, and nothing of it waits to be read."""
-        return not self.replies and super().is_quiet()
+        return not self.replies and super().is_idle()
 
     # --- what replies ask
 
--- a/orchidgap/resp/slot_server_connection.py
+++ b/orchidgap/resp/slot_server_connection.py
@@ -185,7 +185,7 @@
     def opened(self) -> None:
         """The connection has come up."""
         self.cancel_timer()
-        if self.loop.is_held_up:
+        if self.loop.is_stalled:
             # the server may drain by now, and the list that tells it may wait to be read
             self.loop.call_next_turn(self.start)
         else:
--- a/orchidgap/simulation/admin_calls.py
+++ b/orchidgap/simulation/admin_calls.py
@@ -22,7 +22,7 @@
 
 def dial_admin(environment: Environment, balancer: str, command: str) -> socket.socket | None:
     """Connect to a balancer's admin address; a refusal breaks the rules, and gives None."""
-    environment.referee.operator_calls += 1
+    environment.invariant_checker.operator_calls += 1
     address = environment.balancers[balancer].admin_address
     dialled: socket.socket | AttemptFailure = environment.network.dial(address)
     if not isinstance(dialled, AttemptFailure):
@@ -33,7 +33,7 @@
 
 def record_bad_call(environment: Environment, text: str) -> None:
     """Record that a call did not get what it is owed."""
-    environment.referee.record_breach("late", environment.loop.now, f"call {text}")
+    environment.invariant_checker.record_breach("late", environment.loop.now, f"call {text}")
 
 
 class AdminCall:
@@ -110,7 +110,9 @@
     """Send a command that is owed a line with one of these beginnings; without any, success."""
 
     def on_reply(reply: str) -> None:
-        environment.referee.record_event(environment.loop.now, f"{balancer}: {command}: {reply}")
+        environment.invariant_checker.record_event(
+            environment.loop.now, f"{balancer}: {command}: {reply}"
+        )
         if not reply.startswith(accepted or (protocol.SUCCEEDED,)):
             record_bad_call(environment, f"{command} at {balancer}: {reply!r}")
 
--- a/orchidgap/simulation/bad_clients.py
+++ b/orchidgap/simulation/bad_clients.py
@@ -54,7 +54,7 @@
         self.reader = ResponseReader()
         self.settled = False
         self.conn = Connection(clients.loop, sock, self, opening=opening)
-        clients.environment.referee.bad_requests += 1
+        clients.environment.invariant_checker.bad_requests += 1
         for start in range(0, len(text), PIECE_BYTES):
             if self.conn.is_open:
                 self.conn.send(text[start : start + PIECE_BYTES])
@@ -73,16 +73,16 @@
         if not message.complete:
             return
         if not self.settled and message.status < FIRST_ERROR_STATUS:
-            referee = self.clients.environment.referee
-            referee.bad_served += 1
+            invariant_checker = self.clients.environment.invariant_checker
+            invariant_checker.bad_served += 1
             what = f"a bad client was answered {message.status}: {self.text[:40]!r}"
-            referee.record_breach("lost", self.clients.loop.now, what)
+            invariant_checker.record_breach("lost", self.clients.loop.now, what)
         self.settled = True
 
     def on_due(self) -> None:
         """By now it should have its error, or be closed."""
         if not self.settled and self.conn.is_open:
-            self.clients.environment.referee.bad_ignored += 1
+            self.clients.environment.invariant_checker.bad_ignored += 1
         self.conn.close()
 
     def ended(self, what: str) -> None:
--- a/orchidgap/simulation/balancer_connection.py
+++ b/orchidgap/simulation/balancer_connection.py
@@ -18,7 +18,7 @@
     ConnectionEndFacts,
     RequestEnd,
     awaits_shut_note,
-    judge_end,
+    classify_request_end,
 )
 from orchidgap.simulation.timed_connection import TimedConnection
 
@@ -50,9 +50,7 @@
     ) -> None:
         """Send a request on an idle connection or, with `fresh` always, on a new one."""
 
-    def send_once_more(
-        self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str
-    ) -> None:
+    def resend(self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str) -> None:
         """Send what crossed an end once more, on a new connection, with the time that is left."""
 
     def on_outcome(self, attempt: ClientAttempt, status: int, retry_after_us: int) -> None:
@@ -242,11 +240,11 @@
         now_us = clients.loop.clock()
         timeout_us = milliseconds_to_us(attempt.operation.request_class.client_timeout_ms)
         attempt.arrived_at_us = now_us
-        if not attempt.was_sent_again:  # its time goes on
+        if not attempt.was_resent:  # its time goes on
             attempt.deadline_us = now_us + timeout_us
         overdue_in_us = max(0, attempt.deadline_us - now_us) + OVERDUE_US
         attempt.max_attempts = clients.environment.max_attempts_at(now_us)
-        clients.environment.referee.on_client_attempt(attempt)
+        clients.environment.invariant_checker.on_client_attempt(attempt)
         self.overdue_timer = clients.loop.call_later(
             overdue_in_us, clients.on_overdue, self, attempt
         )
@@ -259,7 +257,7 @@
         # the kernel's time: this process may have stood still before it read
         received_at_us = self.conn.received_at_us
         if self.attempt is None:
-            self.clients.environment.referee.on_extra_bytes(None, received_at_us)
+            self.clients.environment.invariant_checker.on_extra_bytes(None, received_at_us)
             self.close()
             return
         reader.feed(view)
@@ -290,18 +288,18 @@
         if self.overdue_timer:
             self.overdue_timer.cancel()
         clients = self.clients
-        referee = clients.environment.referee
+        invariant_checker = clients.environment.invariant_checker
         if message.body_size > LARGE_BODY_BYTES:
-            referee.large_bodies += 1
+            invariant_checker.large_bodies += 1
         status = message.status
         retry_after_us = parse_seconds(message.fields.get(b"retry-after", b"")) or 0
         has_excess_data = self.reader.has_excess_data
         stays_open = message.keep_alive and not has_excess_data
-        referee.on_answer(attempt, status, message.body, received_at_us)
+        invariant_checker.on_answer(attempt, status, message.body, received_at_us)
         if status == STATUS_UNKNOWN_CLASS:
             clients.on_unknown_class(attempt)
         if has_excess_data:
-            referee.on_extra_bytes(attempt, received_at_us)
+            invariant_checker.on_extra_bytes(attempt, received_at_us)
         self.reader.reset()
         if stays_open:
             clients.idle[self.balancer].append(self)
@@ -325,7 +323,7 @@
             attempt.incarnation = NO_PROCESS  # a later end of the process excuses nothing
             self._await_shut_note(attempt, facts, clients.loop.now + SHUT_NOTE_TIMEOUT_US)
         else:
-            self._judge(attempt, facts)
+            self._handle_request_end(attempt, facts)
 
     def _await_shut_note(
         self, attempt: ClientAttempt, facts: ConnectionEndFacts, wait_until_us: int
@@ -340,19 +338,19 @@
                 SHUT_NOTE_CHECK_US, self._await_shut_note, attempt, facts, wait_until_us
             )
         else:
-            self._judge(attempt, facts)
+            self._handle_request_end(attempt, facts)
 
-    def _judge(self, attempt: ClientAttempt, facts: ConnectionEndFacts) -> None:
+    def _handle_request_end(self, attempt: ClientAttempt, facts: ConnectionEndFacts) -> None:
         """Send again what its connection's end excuses, and tell the checker of the rest."""
         clients = self.clients
-        end = judge_end(facts)
-        if end is RequestEnd.CROSSED and attempt.was_sent_again:
+        end = classify_request_end(facts)
+        if end is RequestEnd.RACED_CLOSE and attempt.was_resent:
             end = RequestEnd.LOST if attempt.arrived_at_us else RequestEnd.NOT_TAKEN
         if end is RequestEnd.PROCESS_KILLED:
             attempt.abandoned = True
             clients.on_outcome(attempt, 0, 0)
-        elif end is RequestEnd.CROSSED:
-            clients.send_once_more(attempt, self.message, self.balancer)
+        elif end is RequestEnd.RACED_CLOSE:
+            clients.resend(attempt, self.message, self.balancer)
         elif end is RequestEnd.NOT_TAKEN:
             self._on_not_taken(attempt)
         else:
@@ -386,7 +384,7 @@
 
     def _send_again(self, attempt: ClientAttempt) -> None:
         """Send what was never written whole on a new connection."""
-        self.clients.environment.referee.failed_connections += 1
+        self.clients.environment.invariant_checker.failed_connections += 1
         self.clients.send_attempt(attempt, self.message, self.balancer, fresh=True)
 
     def _on_not_taken(self, attempt: ClientAttempt) -> None:
@@ -394,24 +392,24 @@
         if self.request_count > 1:
             self._send_again(attempt)
             return
-        referee = self.clients.environment.referee
-        referee.failed_connections += 1
-        if self.conn.connecting or attempt.was_sent_again:
+        invariant_checker = self.clients.environment.invariant_checker
+        invariant_checker.failed_connections += 1
+        if self.conn.connecting or attempt.was_resent:
             self.clients.on_refused(attempt, self.balancer)
             return
-        referee.cut_while_written += 1
+        invariant_checker.cut_while_written += 1
         self.clients.on_outcome(attempt, STATUS_FAILED, 0)
 
     def _report_end(self, attempt: ClientAttempt, end: RequestEnd) -> None:
         """Tell the checker of a request whose connection ended under it."""
         now_us = self.clients.loop.now
-        referee = self.clients.environment.referee
+        invariant_checker = self.clients.environment.invariant_checker
         if end is RequestEnd.TRUNCATED:
-            referee.on_truncated_answer(attempt, now_us)
+            invariant_checker.on_truncated_answer(attempt, now_us)
         elif self.reader.started:
-            referee.on_unreadable_answer(attempt, now_us)
+            invariant_checker.on_unreadable_answer(attempt, now_us)
         else:
-            referee.on_connection_lost(attempt, now_us)
+            invariant_checker.on_connection_lost(attempt, now_us)
 
     def abandon(self) -> None:
         """Close it under its request: the client waits no longer."""
--- a/orchidgap/simulation/balancer_faults.py
+++ b/orchidgap/simulation/balancer_faults.py
@@ -41,10 +41,10 @@
     """Asks one balancer to leave, and starts it again once it has."""
     post = environment.balancers[name]
     post.shut_down()
-    life = post.incarnation
+    incarnation = post.incarnation
 
     def restart_when_gone() -> None:
-        if post.incarnation == life:
+        if post.incarnation == incarnation:
             if post.alive:
                 environment.loop.call_later(ROLL_CHECK_INTERVAL_US, restart_when_gone)
             else:
--- a/orchidgap/simulation/balancer_instance.py
+++ b/orchidgap/simulation/balancer_instance.py
@@ -210,7 +210,9 @@
         self.died_at = now
         self.ends[self.incarnation] = end
         was_killed = end is ProcessEnd.KILLED
-        self.environment.referee.on_balancer_ended(self.name, self.incarnation, now, was_killed)
+        self.environment.invariant_checker.on_balancer_ended(
+            self.name, self.incarnation, now, was_killed
+        )
 
 
 class VirtualProcess(NamedTuple):
@@ -277,12 +279,12 @@
         return node
 
     def on_connection_closing(
-        self, client: ClientConnection, end: ConnectionEnd, looked_at_us: int
+        self, client: ClientConnection, end: ConnectionEnd, read_up_to_us: int
     ) -> None:
         """Keep what the process knows of a client's connection as it closes it."""
         number = socket_number(client.conn.sock)
-        closed_at_us = looked_at_us or self.environment.loop.clock()
-        self.close_records.note(number, client, end, closed_at_us, looked_at_us > 0)
+        closed_at_us = read_up_to_us or self.environment.loop.clock()
+        self.close_records.note(number, client, end, closed_at_us, read_up_to_us > 0)
 
     def start_gossip(self, loop: BalancerLoop, node: Node, settings: BalancerConfig) -> None:
         """Connect the node to the other balancers, where its settings name them."""
@@ -299,7 +301,7 @@
 
     def start_admin(self, loop: BalancerLoop, node: Node) -> None:
         """Open the admin address, where the plan has operators call it."""
-        if self.environment.front.is_active:
+        if self.environment.ingress.is_active:
             commands = {
                 admin_protocol.HEALTH: node.health,
                 admin_protocol.DRAIN: node.drain,
--- a/orchidgap/simulation/balancer_process.py
+++ b/orchidgap/simulation/balancer_process.py
@@ -156,7 +156,7 @@
         end = self.process_end(self.incarnation)
         if end is ProcessEnd.EXITED and not self.is_shutting_down:
             now_us = self.environment.loop.now
-            self.environment.referee.on_balancer_crashed(self.name, code, now_us)
+            self.environment.invariant_checker.on_balancer_crashed(self.name, code, now_us)
         self.mark_ended(end)
 
     def release(self) -> None:
--- a/orchidgap/simulation/baselines.py
+++ b/orchidgap/simulation/baselines.py
@@ -302,7 +302,7 @@
     def completion_us(self, host_id: str, cost_us: int) -> float:
         """Return the microseconds until work of that cost would be done at a host."""
         server = self.environment.servers[host_id]
-        if not server.alive or server.vanished or server.draining or server.spoilt_ratio:
+        if not server.alive or server.vanished or server.draining or server.malformed_ratio:
             return NEVER_US
         running_us = sum(job.ends_at_us - self.now for job in server.running)
         waiting_us = sum(
--- a/orchidgap/simulation/clients.py
+++ b/orchidgap/simulation/clients.py
@@ -130,7 +130,7 @@
         delay_us = max(1, round(self.rng.expovariate(self.request_rate()) * 1e6))
         self.loop.call_later(delay_us, self.on_arrival)
         operation = self.draw_operation()
-        self.environment.referee.operations.append(operation)
+        self.environment.invariant_checker.operations.append(operation)
         self.start_attempt(operation)
 
     def draw_operation(self) -> Operation:
@@ -150,7 +150,7 @@
         key = self._draw_key(request_class)
         gamma = rng.gammavariate(WORK_GAMMA_SHAPE, WORK_GAMMA_SCALE)
         work_us = max(1, round(request_class.work_ms * 1000 * gamma))
-        number = len(self.environment.referee.operations)
+        number = len(self.environment.invariant_checker.operations)
         return Operation(number, request_class, tenant_name, key, work_us, self.loop.now)
 
     def _draw_key(self, request_class: RequestClassSpec) -> int:
@@ -176,21 +176,21 @@
     def on_unknown_class(self, attempt: ClientAttempt) -> None:
         """Its balancer does not know its class."""
         why = f"{attempt.id.decode()}: a class that the settings have is unknown"
-        self.environment.referee.record_breach("lost", self.loop.now, why)
+        self.environment.invariant_checker.record_breach("lost", self.loop.now, why)
 
     # --- the attempts
 
     def choose_balancer(self, excluded: str = "", key: int = 0) -> str | None:
-        """Choose as the front does: by weight, of those not seen dead for its notice time."""
+        """Choose as the ingress does: by weight, of those not seen dead for its notice time."""
         settings = self.plan.clients
         notice_us = seconds_to_us(settings.failover_delay_s)
-        front = self.environment.front
+        ingress = self.environment.ingress
         candidates = self.environment.accepting_balancers(notice_us, self.loop.now)
-        if excluded or front.not_ready_since_us:
+        if excluded or ingress.not_ready_since_us:
             candidates = [
                 name
                 for name in candidates
-                if name != excluded and (not front.is_closed(name) or self.idle[name])
+                if name != excluded and (not ingress.is_closed(name) or self.idle[name])
             ]
         if settings.own_zone_ratio and self.rng.random() < settings.own_zone_ratio:
             zone = key % self.plan.cache.zones
@@ -262,12 +262,12 @@
                 self.departures.draw_close(attempt, connection)
                 return
             connection.close()
-        if environment.front.is_closed(balancer) and not fresh:
+        if environment.ingress.is_closed(balancer) and not fresh:
             self.on_refused(attempt, balancer)
             return
         sock = environment.network.dial(environment.address_of(balancer))
         if isinstance(sock, AttemptFailure):
-            environment.referee.failed_connections += 1
+            environment.invariant_checker.failed_connections += 1
             self.on_refused(attempt, balancer)
             return
         # written at once where it is up: this process may stand still before its next turn
@@ -278,11 +278,11 @@
         self.departures.draw_close(attempt, connection)
 
     def on_refused(self, attempt: ClientAttempt, balancer: str) -> None:
-        """Nothing was accepted: the front tries another balancer at once, one time.
+        """Nothing was accepted: the ingress tries another balancer at once, one time.
 
         What had crossed an end is still owed its answer, by whichever balancer there is.
         """
-        if attempt.was_sent_again:
+        if attempt.was_resent:
             attempt.incarnation = NO_PROCESS  # whose end would excuse it
             self.loop.call_later(REFUSED_PAUSE_US, self.send_elsewhere, attempt, balancer)
         elif attempt.operation.attempt_count <= self.plan.clients.max_retries + 1:
@@ -290,16 +290,14 @@
 
     # --- once more, after the end of a connection crossed a request
 
-    def send_once_more(
-        self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str
-    ) -> None:
+    def resend(self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str) -> None:
         """Send what crossed an end once more, on a new connection, with the time that is left."""
         if not attempt.arrived_at_us:  # its last byte was never written: its time runs from here
             timeout_us = milliseconds_to_us(attempt.operation.request_class.client_timeout_ms)
             attempt.deadline_us = self.loop.clock() + timeout_us
-        self.environment.referee.failed_connections += 1
-        self.environment.referee.sent_once_more += 1
-        attempt.was_sent_again = True
+        self.environment.invariant_checker.failed_connections += 1
+        self.environment.invariant_checker.sent_once_more += 1
+        attempt.was_resent = True
         attempt.message = message
         self._send_with_time_left(attempt, balancer)
 
@@ -308,7 +306,7 @@
         if attempt.status or attempt.abandoned:
             return
         if self.loop.clock() >= attempt.deadline_us:
-            self.environment.referee.on_no_answer(attempt, self.loop.now)
+            self.environment.invariant_checker.on_no_answer(attempt, self.loop.now)
             return
         balancer = self.choose_balancer(refused_by, attempt.operation.key)
         if balancer is None:
@@ -333,7 +331,7 @@
             return
         end = self.environment.process_end(connection.balancer, connection.incarnation)
         if end is not ProcessEnd.KILLED:
-            self.environment.referee.on_no_answer(attempt, self.loop.now)
+            self.environment.invariant_checker.on_no_answer(attempt, self.loop.now)
         connection.attempt = None
         connection.close()
 
--- a/orchidgap/simulation/commands.py
+++ b/orchidgap/simulation/commands.py
@@ -74,20 +74,20 @@
         task = progress.add_task(plan.name, total=length, line="")
 
         def tick(second: float) -> None:
-            referee = simulation.referee
+            invariant_checker = simulation.invariant_checker
             up = sum(store.alive and not store.vanished for store in simulation.servers.values())
             progress.update(
                 task,
                 completed=second,
                 line=(
-                    f"{second:.0f} s  {len(referee.operations)} reqs  "
-                    f"{sum(referee.breach_counts.values())} breaches  {up} hosts up"
+                    f"{second:.0f} s  {len(invariant_checker.operations)} reqs  "
+                    f"{sum(invariant_checker.breach_counts.values())} breaches  {up} hosts up"
                 ),
             )
 
         verdict = simulation.play(tick)
     console.print(figures(plan, simulation, verdict))
-    for rule, at, text in simulation.referee.breaches[:SHOWN]:
+    for rule, at, text in simulation.invariant_checker.breaches[:SHOWN]:
         console.print(f"{rule} at {at:.3f} s: {text}", markup=False, soft_wrap=True)
     if out:
         keep(out, simulation, verdict)
--- a/orchidgap/simulation/departure_judge.py
+++ b/orchidgap/simulation/departure_checker.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING, NamedTuple
 
-from orchidgap.simulation.lateness import LatenessJudge, RecordBreach
+from orchidgap.simulation.lateness import LatenessChecker, RecordBreach
 from orchidgap.simulation.observations import HostAttempt
 
 if TYPE_CHECKING:
@@ -33,14 +33,14 @@
     who: str
 
 
-class DepartureJudge:
+class DepartureChecker:
     """Judges attempts against the close of their client's connection.
 
     On real sockets they are judged at the end, when the kernel's counts have all been read.
     """
 
     def __init__(
-        self, tolerance_us: int, lateness: LatenessJudge, record_breach: RecordBreach
+        self, tolerance_us: int, lateness: LatenessChecker, record_breach: RecordBreach
     ) -> None:
         """Judge by the page's limit, longer by the tolerance, which is 0 on the virtual clock."""
         self.max_start_us = MAX_START_AFTER_CLOSE_US + tolerance_us
@@ -63,7 +63,7 @@
         else:
             self._report(late)
 
-    def judge_all(self) -> None:
+    def check_all(self) -> None:
         """Judge what could only be judged at the end."""
         late_attempts = self._late_attempts
         self._late_attempts = []
--- a/orchidgap/simulation/departures.py
+++ b/orchidgap/simulation/departures.py
@@ -44,7 +44,7 @@
         of a request: while it waits, while an attempt is in flight, and between two attempts.
         """
         ratio = self.settings.leaving_ratio
-        if not ratio or attempt.was_sent_again or self.rng.random() >= ratio:
+        if not ratio or attempt.was_resent or self.rng.random() >= ratio:
             return
         longest_ms = attempt.operation.request_class.client_timeout_ms
         stay_ms = LEAST_STAY_MS * (longest_ms / LEAST_STAY_MS) ** self.rng.random()
--- a/orchidgap/simulation/discovery_server.py
+++ b/orchidgap/simulation/discovery_server.py
@@ -81,7 +81,7 @@
         self.version += 1
         self.changed_in[host] = self.version
         self.version_times.append((self.version, self.loop.now))
-        self.environment.referee.record_event(self.loop.now, f"list: {host} {health}")
+        self.environment.invariant_checker.record_event(self.loop.now, f"list: {host} {health}")
         for agent in self.agents.values():
             agent.on_change()
             self.loop.call_later(PRESUMED_KNOWN_AFTER_US, agent.presume_known, self.version)
@@ -156,7 +156,7 @@
 
     def count_call(self) -> None:
         """Count a call; it is a breach where one balancer makes too many in a second."""
-        checker = self.server.environment.referee
+        checker = self.server.environment.invariant_checker
         second = self.loop.now // 1_000_000
         checker.list_calls += 1
         if second != self.call_second:
@@ -204,7 +204,7 @@
 
     def note_notified(self, version: int, whole: bool, entries: list[Entry]) -> None:
         """Tell the invariant checker what the balancer knows from now on."""
-        checker = self.server.environment.referee
+        checker = self.server.environment.invariant_checker
         now = self.loop.clock()  # the turn may have begun long before the write
         self.notified_version = max(self.notified_version, version)
         by_host = {entry["host"]: entry for entry in entries}
--- a/orchidgap/simulation/environment.py
+++ b/orchidgap/simulation/environment.py
@@ -51,18 +51,19 @@
     plan: Plan
     loop: Loop
     rng: Random
-    referee: InvariantChecker
+    invariant_checker: InvariantChecker
     start: int  # when the first request may come
     port_offset: int  # added to the ports, where several runs share a machine
     network: Any  # VirtualNetwork or LoopbackNetwork
     servers: dict[str, Any]  # stand-in hosts by id
     discovery: Any  # the stand-in discovery
     clients: Any  # the stand-in clients
-    front: Any  # the layer before the balancers, and the operators
+    ingress: Any  # the layer before the balancers, and the operators
     cluster: Any  # which server owns which slots
     attempt_limit: AttemptLimit
     deduplication_scope: str  # of most of the requests with an idempotency key
-    marks: dict[str, dict[bytes, int]]  # by scope: idempotency keys, and until when they count
+    # by scope: idempotency keys, and until when they count
+    deduplication_records: dict[str, dict[bytes, int]]
     misses: Any  # by request id: the caches that lacked its key
     cold_misses: dict[bytes, None]  # requests that a cache lacked while it was warming up
 
--- a/orchidgap/simulation/faults.py
+++ b/orchidgap/simulation/faults.py
@@ -60,7 +60,7 @@
 def start_fault(environment: Environment, fault: Fault) -> None:
     """Record the fault among the run's events and set it off."""
     description = f"{fault.kind} {fault.target} {fault.target_ratio:g} {fault.magnitude:g}"
-    environment.referee.record_event(environment.loop.now, " ".join(description.split()))
+    environment.invariant_checker.record_event(environment.loop.now, " ".join(description.split()))
     if fault.kind in OPERATOR_FAULTS:
         OPERATOR_FAULTS[fault.kind](environment, fault, pick_balancers(environment, fault))
     else:
--- a/orchidgap/simulation/host_faults.py
+++ b/orchidgap/simulation/host_faults.py
@@ -130,7 +130,7 @@
         environment,
         fault,
         pick_hosts(environment, fault),
-        "spoilt_ratio",
+        "malformed_ratio",
         fault.magnitude or 0.2,
         0.0,
     )
--- a/orchidgap/simulation/front.py
+++ b/orchidgap/simulation/ingress.py
@@ -24,12 +24,12 @@
 
 
 class HealthProbe:
-    """One question to a balancer whether it serves; tells the front the answer, once."""
+    """One question to a balancer whether it serves; tells the ingress the answer, once."""
 
-    def __init__(self, front: Front, balancer: str, sock: socket.socket, opening: bool) -> None:
+    def __init__(self, ingress: Ingress, balancer: str, sock: socket.socket, opening: bool) -> None:
         """Ask on a socket that is connected or, with `opening`, on its way."""
-        loop = front.environment.loop
-        self.front = front
+        loop = ingress.environment.loop
+        self.ingress = ingress
         self.balancer = balancer
         self.reader = ResponseReader()
         self.settled = False
@@ -55,14 +55,14 @@
 
     def _settle(self, is_ready: bool) -> None:
         self.settled = True
-        self.front.on_probe_result(self.balancer, is_ready)
+        self.ingress.on_probe_result(self.balancer, is_ready)
 
     def _time_out(self) -> None:
         if not self.settled:
             self.conn.fail("late")
 
 
-class Front:
+class Ingress:
     """Deals out connections: none to a balancer that has said for a while that it does not serve.
 
     Attributes:
--- a/orchidgap/simulation/invariant_checker.py
+++ b/orchidgap/simulation/invariant_checker.py
@@ -19,8 +19,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-from orchidgap.simulation.departure_judge import DepartureJudge
-from orchidgap.simulation.lateness import FailedAnswer, LateAnswer, LatenessJudge
+from orchidgap.simulation.departure_checker import DepartureChecker
+from orchidgap.simulation.lateness import FailedAnswer, LateAnswer, LatenessChecker
 from orchidgap.simulation.observations import (
     LARGE_BODY_BYTES,
     ClientAttempt,
@@ -29,7 +29,7 @@
     body_fingerprint,
 )
 from orchidgap.simulation.plan import Plan, milliseconds_to_us, seconds_to_us
-from orchidgap.simulation.repeat_judge import RepeatJudge
+from orchidgap.simulation.repeat_checker import RepeatChecker
 
 RULES = ("lost", "twice", "late", "drain", "cold")
 MAX_DESCRIBED_BREACHES = 50  # of each rule; the others are only counted
@@ -47,12 +47,12 @@
     Attributes:
         at_us: When it had the answer.
         balancer: Whose answer it was.
-        had_room: Hosts of each kind had a core to spare.
+        had_capacity: Hosts of each kind had a core to spare.
     """
 
     at_us: int
     balancer: str
-    had_room: bool
+    had_capacity: bool
 
 
 class InvariantChecker:
@@ -80,9 +80,9 @@
 
         self.breach_counts = dict.fromkeys(RULES, 0)
         self.breaches: list[tuple[str, float, str]] = []  # rule, seconds, description
-        self.lateness = LatenessJudge(plan, slack, self.record_breach)
-        self.repeats = RepeatJudge(plan.limits, slack, self.record_breach)
-        self.departures = DepartureJudge(slack, self.lateness, self.record_breach)
+        self.lateness = LatenessChecker(plan, slack, self.record_breach)
+        self.repeats = RepeatChecker(plan.limits, slack, self.record_breach)
+        self.departures = DepartureChecker(slack, self.lateness, self.record_breach)
         self.digest = blake2b(digest_size=8)
         self.latency = HdrHistogram(1, 60_000_000, 3)
         self.useful_work_us = 0
@@ -96,7 +96,7 @@
         # of these, while hosts of each kind had a core to spare
         self.rejected_with_room = 0
         self.rejections: list[Rejection] = []
-        self.hosts_have_room: Callable[[], bool] = lambda: False
+        self.hosts_have_capacity: Callable[[], bool] = lambda: False
         self.answered_failed = 0  # with neither 200 nor a refusal
         self.truncated = 0  # answers that were cut off, as their clients could tell
         self.cut_while_written = 0  # requests whose connection ended before their last byte
@@ -152,15 +152,15 @@
             return
         attempt.status = status
         attempt.answered_at_us = at_us
-        self._judge_time(attempt, body, at_us, who)
+        self._check_time(attempt, body, at_us, who)
         if len(body) > LARGE_BODY_BYTES:
             at_us = attempt.answered_at_us = attempt.first_answer_byte_us or at_us
         if status == 200:
-            self._judge_success(attempt, body, at_us, who)
+            self._check_success(attempt, body, at_us, who)
         else:
-            self._judge_failure(attempt, status, at_us, who)
+            self._check_failure(attempt, status, at_us, who)
 
-    def _judge_time(self, attempt: ClientAttempt, body: bytes, at_us: int, who: str) -> None:
+    def _check_time(self, attempt: ClientAttempt, body: bytes, at_us: int, who: str) -> None:
         """The last byte has to come before the client timeout.
 
         A body that is larger than the page allows has longer by what the plan's slow sides paused.
@@ -171,9 +171,9 @@
             producer = attempt.produced_bodies.get(body_fingerprint(body))
             deadline_us += producer.writing_paused_us if producer else 0
         if at_us > deadline_us + self.tolerance_us:
-            self.lateness.on_late(LateAnswer(attempt, at_us, deadline_us, who))
+            self.lateness.record_late_answer(LateAnswer(attempt, at_us, deadline_us, who))
 
-    def _judge_success(self, attempt: ClientAttempt, body: bytes, at_us: int, who: str) -> None:
+    def _check_success(self, attempt: ClientAttempt, body: bytes, at_us: int, who: str) -> None:
         """The body has to be one that a host produced for this request."""
         operation = attempt.operation
         fingerprint = body_fingerprint(body)
@@ -186,13 +186,13 @@
             self.latency.record_value(max(1, latency_us))
             self.latencies_by_second.setdefault(self._second_of(at_us), []).append(latency_us)
 
-    def _judge_failure(self, attempt: ClientAttempt, status: int, at_us: int, who: str) -> None:
+    def _check_failure(self, attempt: ClientAttempt, status: int, at_us: int, who: str) -> None:
         """A rejection has to be harmless to retry, and none may be held back."""
         if status in (429, 503):
             self.rejected += 1
-            had_room = self.hosts_have_room()
-            self.rejected_with_room += had_room
-            self.rejections.append(Rejection(at_us, attempt.balancer, had_room))
+            had_capacity = self.hosts_have_capacity()
+            self.rejected_with_room += had_capacity
+            self.rejections.append(Rejection(at_us, attempt.balancer, had_capacity))
             self.repeats.on_rejection(attempt, at_us, who)
         else:
             self.answered_failed += 1
@@ -265,13 +265,16 @@
                 "lost", at, f"{attempt.id.decode()} at {attempt.balancer}: never answered"
             )
 
-    def on_balancer_ended(self, balancer: str, life: int, at: int, was_killed: bool) -> None:
+    def on_balancer_ended(self, balancer: str, incarnation: int, at: int, was_killed: bool) -> None:
         """Its process ended. What one held that was killed outright is its clients' to attempt
         again; all else stays owed.
         """
         self.add_to_trace(at, "died", balancer)
         for attempt in self.client_attempts.values() if was_killed else ():
-            if (attempt.balancer, attempt.incarnation) == (balancer, life) and not attempt.status:
+            if (attempt.balancer, attempt.incarnation) == (
+                balancer,
+                incarnation,
+            ) and not attempt.status:
                 attempt.abandoned = True
         for told in (self.notified_states, self.notified_starts):
             for pair in [pair for pair in told if pair[0] == balancer]:
@@ -311,7 +314,7 @@
         request_class = attempt.operation.request_class
         now = HostAttempt(attempt, host, group, first_at)
         who = f"{request_id.decode()} ({request_class.name}) from {attempt.balancer} to {host}"
-        self._judge_drain(now, at, who)
+        self._check_drain(now, at, who)
         if attempt.status and first_at > attempt.answered_at_us + self.tolerance_us:
             rule = "twice" if request_class.write else "late"
             self.record_breach(rule, at, f"{who}: sent after the final answer")
@@ -319,7 +322,7 @@
         attempt.host_attempts.append(now)
         return now
 
-    def _judge_drain(self, sent: HostAttempt, at_us: int, who: str) -> None:
+    def _check_drain(self, sent: HostAttempt, at_us: int, who: str) -> None:
         """None may begin later than the grace after its balancer was notified."""
         attempt = sent.client_attempt
         state, notified_us = self.notified_states.get((attempt.balancer, sent.host), ("", 0))
--- a/orchidgap/simulation/lateness.py
+++ b/orchidgap/simulation/lateness.py
@@ -57,17 +57,17 @@
     Attributes:
         attempt: Of which client.
         at_us: When the first byte came to the host.
-        told_us: The time that it was told.
+        sent_timeout_us: The time that it was told.
         who: The request, its balancer and its host, for a breach's text.
     """
 
     attempt: ClientAttempt
     at_us: int
-    told_us: int
+    sent_timeout_us: int
     who: str
 
 
-class LatenessJudge:
+class LatenessChecker:
     """Judges at once on the virtual clock; on real sockets once all that was seen has been read.
 
     Attributes:
@@ -90,35 +90,35 @@
     def on_told_time(self, told: ToldTime) -> None:
         """An attempt told its host how long its balancer waits: at most what its client does."""
         if self._overstated_us(told) > 0:
-            self._judge(partial(self._judge_told_time, told))
+            self._check(partial(self._check_told_time, told))
 
-    def on_late(self, late: LateAnswer) -> None:
+    def record_late_answer(self, late: LateAnswer) -> None:
         """An answer came after its client timeout and the tolerance."""
-        self._judge(partial(self._judge_late, late))
+        self._check(partial(self._check_late, late))
 
     def on_failed(self, failed: FailedAnswer) -> None:
         """A request was given up; a host may have yet to read the attempt that it waited for."""
-        self._judge(partial(self._judge_waiting, failed))
+        self._check(partial(self._check_waiting, failed))
 
-    def judge_all(self) -> None:
+    def check_all(self) -> None:
         """Judge what could only be judged with all attempts known; called at the end."""
         deferred = self._deferred
         self._deferred = []
-        for judge in deferred:
-            judge()
+        for check in deferred:
+            check()
 
-    def _judge(self, judge: Callable[[], None]) -> None:
+    def _check(self, check: Callable[[], None]) -> None:
         """Judge at once, or at the end where not all may have been read yet."""
         if self.tolerance_us:
-            self._deferred.append(judge)
+            self._deferred.append(check)
         else:
-            judge()
+            check()
 
     def _overstated_us(self, told: ToldTime) -> int:
         left_us = max(0, told.attempt.deadline_us - told.at_us)
-        return told.told_us - left_us - TOLD_TIME_SLACK_US - self.tolerance_us
+        return told.sent_timeout_us - left_us - TOLD_TIME_SLACK_US - self.tolerance_us
 
-    def _judge_told_time(self, told: ToldTime) -> None:
+    def _check_told_time(self, told: ToldTime) -> None:
         excess_us = self._overstated_us(told)
         if self._got_no_core(told.attempt, told.at_us, excess_us):
             return
@@ -126,7 +126,7 @@
         text = f"{told.who}: told {over_ms:.0f} ms more than was left to its client"
         self.record_breach(LATE, told.at_us, text)
 
-    def _judge_late(self, late: LateAnswer) -> None:
+    def _check_late(self, late: LateAnswer) -> None:
         """An answer that came after its client timeout, and by how much."""
         late_us = late.at_us - late.deadline_us
         if self._got_no_core(late.attempt, late.at_us, late_us - self.tolerance_us):
@@ -134,7 +134,7 @@
         text = f"{late.who}: answered {late_us / 1e3:.1f} ms after its client timeout"
         self.record_breach(LATE, late.at_us, text)
 
-    def _judge_waiting(self, failed: FailedAnswer) -> None:
+    def _check_waiting(self, failed: FailedAnswer) -> None:
         """A request that was given up is answered at once.
 
         An attempt that ended after the answer was in flight when it was given.
--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -63,7 +63,7 @@
     """Counted operations that were begun in an interval, in microseconds."""
     return [
         operation
-        for operation in environment.referee.operations
+        for operation in environment.invariant_checker.operations
         if operation.counted and since <= operation.created_at_us < until
     ]
 
@@ -84,7 +84,7 @@
     environment: Environment, since: int, until: int
 ) -> Iterator[tuple[ClientAttempt, HostAttempt]]:
     """Attempts of reads at hosts, each with the client attempt that it belongs to."""
-    for client_attempt in environment.referee.client_attempts.values():
+    for client_attempt in environment.invariant_checker.client_attempts.values():
         if (
             not client_attempt.operation.request_class.write
             and since <= client_attempt.arrived_at_us < until
--- a/orchidgap/simulation/spoilt_answers.py
+++ b/orchidgap/simulation/malformed_answers.py
@@ -12,7 +12,7 @@
 PROMISED_BYTES = 3_000_000_000
 
 
-def spoilt_answer(kind: str, body: bytes, rng: Random) -> tuple[bytes, ...]:
+def malformed_answer(kind: str, body: bytes, rng: Random) -> tuple[bytes, ...]:
     """Return what is written in the place of an answer with this body.
 
     Args:
--- a/orchidgap/simulation/observations.py
+++ b/orchidgap/simulation/observations.py
@@ -67,7 +67,7 @@
     `produced_bodies`: what hosts produced for it, by fingerprint; `max_attempts`: of the balancer,
     where that is not the plan's; `start_line` (method and target), `idempotency_key` and `body`:
     what its client sends, which goes on unchanged; `message`: the same with its head;
-    `was_sent_again`: once more, as the end of its first connection had crossed it;
+    `was_resent`: once more, as the end of its first connection had crossed it;
     `reading_paused_us`: how long its client read nothing, as the plan has slow readers do.
     """
 
@@ -93,7 +93,7 @@
     body: bytes = b""
     max_attempts: int = 0
     message: tuple[bytes, ...] = ()
-    was_sent_again: bool = False
+    was_resent: bool = False
 
 
 def body_fingerprint(body: bytes) -> bytes:
--- a/orchidgap/simulation/operator_faults.py
+++ b/orchidgap/simulation/operator_faults.py
@@ -49,9 +49,11 @@
 
 def check_drained(environment: Environment, name: str, now_us: int) -> None:
     """Four seconds after the call no client may be sent there, nor be kept without need."""
-    referee = environment.referee
-    if name not in environment.front.not_ready_since_us:
-        referee.record_breach("lost", now_us, f"{name}: was told to drain, and still says yes")
+    invariant_checker = environment.invariant_checker
+    if name not in environment.ingress.not_ready_since_us:
+        invariant_checker.record_breach(
+            "lost", now_us, f"{name}: was told to drain, and still says yes"
+        )
     for connection in environment.clients.open_connections(name):
         attempt = connection.attempt
         if attempt is None:
@@ -60,7 +62,9 @@
             held = attempt.id.decode()
         else:
             continue
-        referee.record_breach("lost", now_us, f"{name}: was told to drain, and holds {held}")
+        invariant_checker.record_breach(
+            "lost", now_us, f"{name}: was told to drain, and holds {held}"
+        )
 
 
 def _resume(environment: Environment, name: str) -> None:
@@ -70,9 +74,9 @@
 
 
 def _check_resumed(environment: Environment, name: str) -> None:
-    if name in environment.front.not_ready_since_us and environment.is_alive(name):
+    if name in environment.ingress.not_ready_since_us and environment.is_alive(name):
         text = f"{name}: the drain ended, and it still says no"
-        environment.referee.record_breach("lost", environment.loop.now, text)
+        environment.invariant_checker.record_breach("lost", environment.loop.now, text)
 
 
 def silent_calls(environment: Environment, fault: Fault, names: list[str]) -> None:
@@ -140,12 +144,12 @@
     if not balancer.alive:
         return
     if balancer.successor_is_ready():
-        environment.referee.record_event(loop.now, f"{name}: the new process says yes")
+        environment.invariant_checker.record_event(loop.now, f"{name}: the new process says yes")
         balancer.shut_down_predecessor()
         loop.call_later(_longest_shutdown_us(environment), balancer.kill_predecessor)
     elif loop.now > give_up_at_us:
         text = f"{name}: no yes of the new process in time"
-        environment.referee.record_breach("late", loop.now, text)
+        environment.invariant_checker.record_breach("late", loop.now, text)
     else:
         loop.call_later(
             SUCCESSOR_LOOK_INTERVAL_US, _watch_successor, environment, name, give_up_at_us
--- a/orchidgap/simulation/plan.py
+++ b/orchidgap/simulation/plan.py
@@ -190,7 +190,7 @@
     impatient_ratio: Ratio = field(name="impatient", default=0.0)
     # of requests are ended early by a client that closes its connection
     leaving_ratio: Ratio = field(name="leave", default=0.0)
-    # until the front layer passes a dead balancer by
+    # until the ingress layer passes a dead balancer by
     failover_delay_s: NonNegative = field(name="notice-s", default=2.0)
     load_shape: Literal["steady", "ramp", "wave"] = field(name="shape", default="steady")
     # how unlike the balancers' shares of the traffic are
--- a/orchidgap/simulation/repeat_judge.py
+++ b/orchidgap/simulation/repeat_checker.py
@@ -10,7 +10,7 @@
 TWICE = "twice"
 
 
-class RepeatJudge:
+class RepeatChecker:
     """Judges at once what hosts and clients saw."""
 
     def __init__(
@@ -23,10 +23,10 @@
 
     def on_host_attempt(self, sent: HostAttempt, at_us: int, who: str) -> None:
         """An attempt is at its host; those before it are known already."""
-        self._judge_repeat(sent, at_us, who)
-        self._judge_attempt_count(sent.client_attempt, at_us, who)
+        self._check_repeat(sent, at_us, who)
+        self._check_attempt_count(sent.client_attempt, at_us, who)
 
-    def _judge_repeat(self, sent: HostAttempt, at_us: int, who: str) -> None:
+    def _check_repeat(self, sent: HostAttempt, at_us: int, who: str) -> None:
         """What may have run before may run again only where its repeat is dropped."""
         request_class = sent.client_attempt.operation.request_class
         earlier = possibly_executed(sent.client_attempt)
@@ -48,7 +48,7 @@
                     TWICE, at_us, f"{who}: sent again outside the group that drops repeats"
                 )
 
-    def _judge_attempt_count(self, attempt: ClientAttempt, at_us: int, who: str) -> None:
+    def _check_attempt_count(self, attempt: ClientAttempt, at_us: int, who: str) -> None:
         in_flight = any(sent.in_flight for sent in attempt.host_attempts)
         if not self.limits.may_hedge and in_flight:
             self.record_breach(TWICE, at_us, f"{who}: a second copy while one is out")
--- a/orchidgap/simulation/request_end.py
+++ b/orchidgap/simulation/request_end.py
@@ -30,7 +30,7 @@
 
     PROCESS_KILLED = auto()
     NOT_TAKEN = auto()  # its last byte was never written
-    CROSSED = auto()  # written to a closed connection: its client sends it once more
+    RACED_CLOSE = auto()  # written to a closed connection: its client sends it once more
     TRUNCATED = auto()  # its client can tell that the answer is not whole
     LOST = auto()
 
@@ -89,23 +89,24 @@
     answer_has_no_end: bool = False
 
 
-def judge_end(facts: ConnectionEndFacts) -> RequestEnd:
+def classify_request_end(facts: ConnectionEndFacts) -> RequestEnd:
     """Return what a connection's end means for its request.
 
-    >>> judge_end(ConnectionEndFacts(ProcessEnd.RUNNING, was_written=True, was_reset=True))
+    >>> facts = ConnectionEndFacts(ProcessEnd.RUNNING, was_written=True, was_reset=True)
+    >>> classify_request_end(facts)
     <RequestEnd.LOST: 5>
     """
     if facts.process_end is ProcessEnd.KILLED:
         return RequestEnd.PROCESS_KILLED
     if not facts.was_written:
-        return RequestEnd.CROSSED if has_crossed(facts) else RequestEnd.NOT_TAKEN
+        return RequestEnd.RACED_CLOSE if raced_close(facts) else RequestEnd.NOT_TAKEN
     if facts.process_end is ProcessEnd.KILLED_PAST_GRACE:
         return RequestEnd.LOST
     if facts.answer_is_malformed or facts.answer_has_no_end:
         return RequestEnd.LOST
     if facts.answer_begun:
         return RequestEnd.TRUNCATED
-    return RequestEnd.CROSSED if has_crossed(facts) else RequestEnd.LOST
+    return RequestEnd.RACED_CLOSE if raced_close(facts) else RequestEnd.LOST
 
 
 def awaits_shut_note(facts: ConnectionEndFacts) -> bool:
@@ -115,12 +116,12 @@
     ended_in_order = not (facts.was_reset or facts.was_closed_at_write or facts.answer_begun)
     return (
         ended_in_order
-        and judge_end(facts) is RequestEnd.LOST
+        and classify_request_end(facts) is RequestEnd.LOST
         and was_written_after_last_look(facts)
     )
 
 
-def has_crossed(facts: ConnectionEndFacts) -> bool:
+def raced_close(facts: ConnectionEndFacts) -> bool:
     """Return whether a request was written to a connection that was closed, and never read."""
     record = facts.close_record
     if record is None or not was_written_after_last_look(facts):
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -1,6 +1,6 @@
 """Stand-in slot servers and clients that speak the cluster dialect of RESP, from its public specification.
 
-Every command can be told from all others on the wire, so that the referee judges commands as it does reqs:
+Every command can be told from all others on the wire, so that the invariant checker judges commands as it does reqs:
 a read is `GETRANGE key 0 N` with N the number of the try, a write is `APPEND key "number;"`. A server answers
 what it served with a value that names key and try.
 """
@@ -28,7 +28,7 @@
     ConnectionEndFacts,
     ProcessEnd,
     RequestEnd,
-    judge_end,
+    classify_request_end,
 )
 from orchidgap.simulation.servers import Store
 
@@ -99,7 +99,7 @@
         name = words[0].upper() if words else b""
         if name in (b"GETRANGE", b"APPEND"):
             number = int(words[3]) - BASE if name == b"GETRANGE" else int(words[2][:-1])
-            arrival = store.environment.referee.on_host_attempt(
+            arrival = store.environment.invariant_checker.on_host_attempt(
                 b"q%x" % number, store.id, store.deduplication_group(), now, now
             )
             if arrival is None:
@@ -153,14 +153,16 @@
         if job:
             self.jobs.remove(job)
             body = text if outcome == "done" else b""
-            self.store.environment.referee.on_attempt_settled(
+            self.store.environment.invariant_checker.on_attempt_settled(
                 job.attempt, outcome, self.store.loop.now, body
             )
         self.conn.send(text)
 
     def ended(self, what: str) -> None:
         for job in self.jobs:
-            self.store.environment.referee.on_attempt_dropped(job.attempt, self.store.loop.now)
+            self.store.environment.invariant_checker.on_attempt_dropped(
+                job.attempt, self.store.loop.now
+            )
         self.store.connections.pop(self, None)  # type: ignore[call-overload]
 
     def close(self) -> None:
@@ -229,7 +231,7 @@
             return self.loop.call_soon(self.start_waiting)
         job.outcome = "done"
         if job.attempt.client_attempt.operation.request_class.write:
-            self.environment.referee.on_effect(job.attempt, self.loop.now)
+            self.environment.invariant_checker.on_effect(job.attempt, self.loop.now)
             self.put_in(
                 job.idempotency_key,
                 [*self.data.get(job.idempotency_key, ()), job.attempt.client_attempt.id],
@@ -258,7 +260,7 @@
     def finish(self, job: HostJob) -> None:
         del self.running[job]
         ask = job.attempt.client_attempt
-        self.environment.referee.on_work_done(job.attempt, job.duration_us, self.loop.now)
+        self.environment.invariant_checker.on_work_done(job.attempt, job.duration_us, self.loop.now)
         if ask.operation.request_class.write:
             text = b":%d\r\n" % len(self.data[job.idempotency_key])
         else:
@@ -296,7 +298,7 @@
 
     def __init__(self, callers: RespClients, post: str, sock: socket.socket, opening: bool) -> None:
         self.clients, self.post = callers, post
-        self.life = callers.environment.incarnation_of(post)
+        self.incarnation = callers.environment.incarnation_of(post)
         self.reader = RespReader()
         self.asks: deque[ClientAttempt] = deque()
         self.written: dict[bytes, WrittenCommand] = {}  # those of `asks`, by id
@@ -316,10 +318,10 @@
             self.written[ask.id] = command._replace(met_end=self.conn.peer_has_closed())
             now = self.clients.loop.now
             ask.arrived_at_us = now
-            if not ask.was_sent_again:  # its time goes on
+            if not ask.was_resent:  # its time goes on
                 timeout_us = milliseconds_to_us(ask.operation.request_class.client_timeout_ms)
                 ask.deadline_us = now + timeout_us
-            self.clients.environment.referee.on_client_attempt(ask)
+            self.clients.environment.invariant_checker.on_client_attempt(ask)
             self.clients.loop.call_later(
                 ask.deadline_us - now + OVERDUE_US, self.clients.late, self, ask
             )
@@ -331,11 +333,11 @@
         self.reader.feed(view)
         while (text := self.reader.read_item()) is not None:
             if not self.asks:
-                return callers.environment.referee.on_extra_bytes(None, callers.loop.now)
+                return callers.environment.invariant_checker.on_extra_bytes(None, callers.loop.now)
             ask = self.asks.popleft()
             del self.written[ask.id]
             status = 503 if text.startswith(b"-TRYAGAIN") else 500 if text[:1] == b"-" else 200
-            callers.environment.referee.on_answer(ask, status, text, callers.loop.now)
+            callers.environment.invariant_checker.on_answer(ask, status, text, callers.loop.now)
             pause = text.rpartition(b"come back in ")[2].partition(b" ms")[0]
             callers.loop.call_later(
                 callers.environment.client_one_way_us(),
@@ -348,7 +350,7 @@
     def ended(self, what: str) -> None:
         callers = self.clients
         callers.lanes[self.post] = [link for link in callers.lanes[self.post] if link is not self]
-        process_end = callers.environment.process_end(self.post, self.life)
+        process_end = callers.environment.process_end(self.post, self.incarnation)
         close_record = callers.environment.close_record(self.post, self.number, self.dialled_at_us)
         asks = list(self.asks)
         self.asks.clear()
@@ -366,18 +368,18 @@
                 close_record=close_record,
                 was_seen_by_host=bool(ask.host_attempts),
             )
-            self._on_end(ask, judge_end(facts), command.message)
+            self._on_end(ask, classify_request_end(facts), command.message)
 
     def _on_end(self, ask: ClientAttempt, end: RequestEnd, message: tuple[bytes, ...]) -> None:
         """Send what crossed the end once more; what else was taken is owed."""
         callers = self.clients
-        if end is RequestEnd.CROSSED and not ask.was_sent_again:
-            callers.send_once_more(ask, message, self.post)
+        if end is RequestEnd.RACED_CLOSE and not ask.was_resent:
+            callers.resend(ask, message, self.post)
             return
         was_taken = ask.arrived_at_us > 0
-        if end is RequestEnd.LOST or (end is RequestEnd.CROSSED and was_taken):
-            callers.environment.referee.on_connection_lost(ask, callers.loop.now)
-        elif ask.was_sent_again and end is not RequestEnd.PROCESS_KILLED:
+        if end is RequestEnd.LOST or (end is RequestEnd.RACED_CLOSE and was_taken):
+            callers.environment.invariant_checker.on_connection_lost(ask, callers.loop.now)
+        elif ask.was_resent and end is not RequestEnd.PROCESS_KILLED:
             callers.on_refused(ask, self.post)
             return
         else:
@@ -407,7 +409,7 @@
             for link in self.lanes[post]
             if not fresh
             and len(link.asks) < DEPTH
-            and link.life == ask.incarnation
+            and link.incarnation == ask.incarnation
             and link.conn.is_open
         ]
         if not room:
@@ -426,8 +428,8 @@
         wait_us = resumed_us + timeout_us + OVERDUE_US - self.loop.now
         if resumed_us > ask.arrived_at_us and wait_us > 0:
             self.loop.call_later(min(wait_us, OVERDUE_US), self.late, link, ask)
-        elif self.environment.process_end(link.post, link.life) is not ProcessEnd.KILLED:
-            self.environment.referee.on_no_answer(ask, self.loop.now)
+        elif self.environment.process_end(link.post, link.incarnation) is not ProcessEnd.KILLED:
+            self.environment.invariant_checker.on_no_answer(ask, self.loop.now)
 
 
 def slot_stores(environment: Environment) -> list[SlotStore]:
--- a/orchidgap/simulation/runner.py
+++ b/orchidgap/simulation/runner.py
@@ -77,7 +77,7 @@
 
 def report_document(simulation: Simulation, verdict: dict[str, Any]) -> dict[str, Any]:
     """Return what a report is drawn from, as plain values; the keys are those of `trial.json`."""
-    checker = simulation.referee
+    checker = simulation.invariant_checker
     return {
         "plan": format_plan(simulation.plan),
         "seed": simulation.seed,
--- a/orchidgap/simulation/server_connection.py
+++ b/orchidgap/simulation/server_connection.py
@@ -112,29 +112,29 @@
         """A request is whole: a probe, or an attempt that the checker is told of."""
         store = self.store
         message = self.reader.message
-        referee = store.environment.referee
+        invariant_checker = store.environment.invariant_checker
         now_us = self.conn.received_at_us
         request_id = message.fields.get(b"request-id", b"")
         if message.target in PROBE_TARGETS or not request_id:
             self.write_answer(MISS)
             return
-        attempt = referee.on_host_attempt(
+        attempt = invariant_checker.on_host_attempt(
             request_id, store.id, store.deduplication_group(), self.first_byte_at_us, now_us
         )
         if attempt is None:
             self.write_answer(INVALID)
             return
         if message.body_size > LARGE_BODY_BYTES:
-            referee.large_bodies += 1
+            invariant_checker.large_bodies += 1
         for part in changed_parts(message, attempt.client_attempt):
             text = f"{request_id.decode()}: another {part} than its client sent"
-            referee.record_breach("lost", now_us, text)
-        self._judge_told_time(attempt, message)
-        self._judge_departure(attempt)
+            invariant_checker.record_breach("lost", now_us, text)
+        self._check_told_time(attempt, message)
+        self._check_departure(attempt)
         self.job = HostJob(self, attempt, message.fields.get(b"idempotency-key", b""))
         store.loop.call_later(store.one_way_us(self.balancer), store.receive, self.job)
 
-    def _judge_told_time(self, attempt: HostAttempt, message: Message) -> None:
+    def _check_told_time(self, attempt: HostAttempt, message: Message) -> None:
         """Have the time that an attempt tells judged.
 
         What was written in time comes late where the balancer was stopped meanwhile, or where a
@@ -142,8 +142,8 @@
         client dialled again, which may have been long before it wrote.
         """
         sent = attempt.client_attempt
-        told_us = parse_seconds(message.fields.get(b"request-timeout", b""))
-        if told_us is None or sent.was_sent_again:
+        sent_timeout_us = parse_seconds(message.fields.get(b"request-timeout", b""))
+        if sent_timeout_us is None or sent.was_resent:
             return
         environment = self.store.environment
         stopped_until_us = environment.last_pause_end_us(sent.balancer)
@@ -151,16 +151,16 @@
         if max(stopped_until_us, faulty_until_us) > sent.arrived_at_us:
             return
         who = f"{sent.id.decode()} from {sent.balancer} to {self.store.id}"
-        told = ToldTime(sent, attempt.first_byte_at_us, told_us, who)
-        environment.referee.lateness.on_told_time(told)
+        told = ToldTime(sent, attempt.first_byte_at_us, sent_timeout_us, who)
+        environment.invariant_checker.lateness.on_told_time(told)
 
-    def _judge_departure(self, attempt: HostAttempt) -> None:
+    def _check_departure(self, attempt: HostAttempt) -> None:
         """Have an attempt judged whose client may have closed its connection before."""
         environment = self.store.environment
         sent = attempt.client_attempt
         pauses = environment.balancers[sent.balancer].pauses
         who = f"{sent.id.decode()} from {sent.balancer} to {self.store.id}"
-        environment.referee.departures.on_host_attempt(attempt, pauses, who)
+        environment.invariant_checker.departures.on_host_attempt(attempt, pauses, who)
 
     # --- answers
 
@@ -189,7 +189,7 @@
             self._write_more(bytes_per_s)
 
     def _write_more(self, bytes_per_s: int) -> None:
-        while self.unsent_body and self._has_room():
+        while self.unsent_body and self._has_capacity():
             piece = self.unsent_body[:PIECE_BYTES]
             self.unsent_body = self.unsent_body[PIECE_BYTES:]
             if self.body_form == "chunks":
@@ -202,10 +202,10 @@
                     self.streaming.writing_paused_us += delay_us
                 self.store.loop.call_later(delay_us, self._write_more, bytes_per_s)
                 return
-        if self.streaming and not self.unsent_body and self._has_room():
+        if self.streaming and not self.unsent_body and self._has_capacity():
             self._end_large_answer(self.streaming)
 
-    def _has_room(self) -> bool:
+    def _has_capacity(self) -> bool:
         return self.conn.is_open and not self.conn.write_buffer
 
     def _end_large_answer(self, attempt: HostAttempt) -> None:
@@ -224,8 +224,8 @@
     def ended(self, what: str) -> None:
         """The balancer has closed it, or it broke."""
         if self.job:
-            referee = self.store.environment.referee
-            referee.on_attempt_dropped(self.job.attempt, self.store.loop.now)
+            invariant_checker = self.store.environment.invariant_checker
+            invariant_checker.on_attempt_dropped(self.job.attempt, self.store.loop.now)
         self.store.connections.pop(self, None)
 
     def close(self) -> None:
--- a/orchidgap/simulation/servers.py
+++ b/orchidgap/simulation/servers.py
@@ -12,10 +12,10 @@
 
 from orchidgap.net.addresses import Address
 from orchidgap.simulation.host_job import HostJob
+from orchidgap.simulation.malformed_answers import KINDS, WHOLE_KINDS, malformed_answer
 from orchidgap.simulation.observations import LARGE_BODY_BYTES, ClientAttempt
 from orchidgap.simulation.plan import HostModel, milliseconds_to_us, seconds_to_us
 from orchidgap.simulation.server_connection import MISS, ServerConnection
-from orchidgap.simulation.spoilt_answers import KINDS, WHOLE_KINDS, spoilt_answer
 
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
@@ -55,7 +55,7 @@
         connections: All that are open.
         partitioned_from: Balancers that it cannot hear, by name.
         slowdown: It takes so many times as long.
-        spoilt_ratio: The part of its answers that is malformed.
+        malformed_ratio: The part of its answers that is malformed.
         error_ratio: The part that is an error.
         started_at_us: When its process started, 0 for long ago.
         frozen_until_us: It stands still until then.
@@ -95,7 +95,7 @@
         self.connection_work_us = 0  # of new connections, which the next job pays for
         self.answer_count = 0
         self.slowdown = 1.0
-        self.spoilt_ratio = 0.0
+        self.malformed_ratio = 0.0
         self.error_ratio = model.error_ratio
         self.partitioned_from: dict[str, bool] = {}
         environment.network.listen(address, self.accept)
@@ -121,7 +121,7 @@
         open_count = sum(not other.is_beyond_limit for other in self.connections)
         connection.is_beyond_limit = open_count >= self.model.max_connections
         self.connections[connection] = None
-        self.environment.referee.connections_dialled += 1
+        self.environment.invariant_checker.connections_dialled += 1
         if not self.vanished:
             self.connection_work_us += milliseconds_to_us(self.model.connection_work_ms)
 
@@ -167,8 +167,8 @@
         self.record_load(job)
         if not self.alive:
             return
-        has_room = len(self.waiting) < self.model.queue_per_core * self.model.cores
-        if self.draining or not has_room or job.connection.is_beyond_limit:
+        has_capacity = len(self.waiting) < self.model.queue_per_core * self.model.cores
+        if self.draining or not has_capacity or job.connection.is_beyond_limit:
             self.answer_later(job, "full")
             return
         self.waiting.append(job)
@@ -198,7 +198,7 @@
     def _counts_as_known(self, job: HostJob) -> bool:
         if self.is_origin:
             return job.missed_cold
-        notified_starts = self.environment.referee.notified_starts
+        notified_starts = self.environment.invariant_checker.notified_starts
         balancer = job.attempt.client_attempt.balancer
         return notified_starts.get((balancer, self.id), 0) >= self.started_at_us // 1000
 
@@ -206,8 +206,8 @@
         """It was pushed over. An origin comes back, a cache stays away."""
         counted_us = sum(load.work_us for load in self.recent_load if load.counts)
         ratio = counted_us / self.recent_work_us
-        referee = self.environment.referee
-        referee.on_host_overloaded(self.id, ratio, self.is_origin, self.loop.now)
+        invariant_checker = self.environment.invariant_checker
+        invariant_checker.on_host_overloaded(self.id, ratio, self.is_origin, self.loop.now)
         self.stop()
         if self.is_origin:
             self.loop.call_later(seconds_to_us(self.model.overload_stop_s), self.revive, False)
@@ -268,12 +268,14 @@
         now_us = self.loop.now
         request_class = attempt.operation.request_class
         if request_class.effect == "uniqued":
-            marks = self.environment.marks.setdefault(self.deduplication_group(), {})
-            if marks.get(job.idempotency_key, 0) > now_us:
+            deduplication_records = self.environment.deduplication_records.setdefault(
+                self.deduplication_group(), {}
+            )
+            if deduplication_records.get(job.idempotency_key, 0) > now_us:
                 return LOOKUP_WORK_US
             window_us = milliseconds_to_us(request_class.deduplication_window_ms)
-            marks[job.idempotency_key] = now_us + window_us
-        self.environment.referee.on_effect(job.attempt, now_us)
+            deduplication_records[job.idempotency_key] = now_us + window_us
+        self.environment.invariant_checker.on_effect(job.attempt, now_us)
         for store in self.environment.servers.values():
             if not store.is_origin:
                 store.copies.pop(attempt.operation.key, None)
@@ -284,8 +286,8 @@
         del self.running[job]
         attempt = job.attempt.client_attempt
         if job.outcome != "miss":
-            referee = self.environment.referee
-            referee.on_work_done(job.attempt, job.duration_us, self.loop.now)
+            invariant_checker = self.environment.invariant_checker
+            invariant_checker.on_work_done(job.attempt, job.duration_us, self.loop.now)
         is_read = not attempt.operation.request_class.write
         if self.is_origin and job.outcome == "done" and is_read:
             self._store_where_missed(attempt)
@@ -293,7 +295,7 @@
         self.start_waiting()
 
     def _store_where_missed(self, attempt: ClientAttempt) -> None:
-        self.environment.referee.origin_fetches += 1
+        self.environment.invariant_checker.origin_fetches += 1
         for store in self.environment.misses.pop(attempt.id, ()):
             if store.alive:
                 store.store_copy(attempt.operation.key)
@@ -340,11 +342,11 @@
         environment = self.environment
         now_us = self.loop.clock()
         body = self._next_body(job) if outcome == "done" else b""
-        may_spoil = outcome == "done" and self.spoilt_ratio
-        if may_spoil and environment.rng.random() < self.spoilt_ratio:
-            self._write_spoilt(job, body)
+        may_spoil = outcome == "done" and self.malformed_ratio
+        if may_spoil and environment.rng.random() < self.malformed_ratio:
+            self._write_malformed(job, body)
             return
-        environment.referee.on_attempt_settled(job.attempt, outcome, now_us, body)
+        environment.invariant_checker.on_attempt_settled(job.attempt, outcome, now_us, body)
         connection.job = None
         if len(body) > LARGE_BODY_BYTES:
             bodies = environment.plan.large_bodies
@@ -370,17 +372,19 @@
         if connection.is_beyond_limit:
             connection.conn.close_gracefully()
 
-    def _write_spoilt(self, job: HostJob, body: bytes) -> None:
+    def _write_malformed(self, job: HostJob, body: bytes) -> None:
         """The work has run, and what is written of it is spoilt."""
         environment = self.environment
         kind = environment.rng.choice(KINDS)
         is_whole = kind in WHOLE_KINDS
         outcome = "done" if is_whole else "spoilt"
         told_body = body if is_whole else b""
-        environment.referee.on_attempt_settled(job.attempt, outcome, self.loop.clock(), told_body)
+        environment.invariant_checker.on_attempt_settled(
+            job.attempt, outcome, self.loop.clock(), told_body
+        )
         job.attempt.was_broken_off = not is_whole
         job.connection.job = None
-        job.connection.write_answer(*spoilt_answer(kind, body, environment.rng))
+        job.connection.write_answer(*malformed_answer(kind, body, environment.rng))
 
     # --- faults
 
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -22,8 +22,8 @@
 from orchidgap.simulation.clients import Clients
 from orchidgap.simulation.discovery_server import DiscoveryAgent, DiscoveryServer
 from orchidgap.simulation.environment import AttemptLimit, Decider
-from orchidgap.simulation.front import Front
 from orchidgap.simulation.garbage_collection import rare_collections
+from orchidgap.simulation.ingress import Ingress
 from orchidgap.simulation.invariant_checker import (
     LOST_AFTER_US,
     InvariantChecker,
@@ -32,7 +32,7 @@
 from orchidgap.simulation.load_evenness import PhaseRecorder
 from orchidgap.simulation.loopback_network import LoopbackNetwork
 from orchidgap.simulation.plan import Plan, RequestClassSpec, milliseconds_to_us, seconds_to_us
-from orchidgap.simulation.rejection_judge import excessive_rejections, is_calm
+from orchidgap.simulation.rejection_checker import excessive_rejections, is_calm
 from orchidgap.simulation.request_end import CloseRecord, ProcessEnd
 from orchidgap.simulation.resp_cluster import Cluster, RespClients, SlotStore
 from orchidgap.simulation.servers import Store
@@ -87,18 +87,20 @@
         self.loop: Loop = self.network.loop
         self.folder = tempfile.TemporaryDirectory(dir=disk) if real else None
         self.start = self.loop.now + (LOOPBACK_LEAD_US if real else 0)
-        self.referee = InvariantChecker(plan, self.start, LOOPBACK_SLACK_US if real else 0)
-        self.referee.hosts_have_room = self.hosts_have_room
+        self.invariant_checker = InvariantChecker(
+            plan, self.start, LOOPBACK_SLACK_US if real else 0
+        )
+        self.invariant_checker.hosts_have_capacity = self.hosts_have_capacity
         self.deduplication_scope = most_common_scope(plan)
         self.servers: dict[str, Store] = {}
         self.cluster = Cluster()
-        self.marks: dict[str, dict[bytes, int]] = {}
+        self.deduplication_records: dict[str, dict[bytes, int]] = {}
         self.misses: dict[bytes, list[Store]] = {}
         self.cold_misses: dict[bytes, None] = {}
         self.client_keys: dict[int | None, int] = {}  # by the decisions' number of each
         self.zone_by_address: dict[Address, int] = {}
         self.discovery = DiscoveryServer(self)
-        self.front = Front(self)
+        self.ingress = Ingress(self)
         attempts = plan.limits.max_attempts
         self.attempt_limit = AttemptLimit(attempts, 0, attempts)
         self.balancers: dict[str, Balancer] = {}
@@ -171,7 +173,7 @@
         if plan.gossip and self.policy == "orchidgap":
             document["pool"] = self.gossip_settings(balancer)
         document |= balancer_settings.process_document(
-            plan, balancer, self.seed, known, self.front.is_active
+            plan, balancer, self.seed, known, self.ingress.is_active
         )
         works = [work for work in plan.request_classes() if self.is_rule_set_listed(work)]
         document["settings"] = balancer_settings.settings_document(
@@ -273,15 +275,15 @@
         """Draw how long a connection from a balancer to a host takes to come up."""
         return 2 * self.one_way_us(self.zone_of(balancer), self.zone_by_address.get(address, 0))
 
-    def hosts_have_room(self) -> bool:
+    def hosts_have_capacity(self) -> bool:
         """Return whether caches and origins have a core to spare, of those that answer."""
-        has_room = {False: False, True: False}
+        has_capacity = {False: False, True: False}
         for server in self.servers.values():
             answers = server.alive and not server.vanished and not server.draining
             if answers and len(server.running) < server.model.cores:
-                has_room[server.is_origin] = True
+                has_capacity[server.is_origin] = True
         has_origins = any(server.is_origin for server in self.servers.values())
-        return has_room[False] and (has_room[True] or not has_origins)
+        return has_capacity[False] and (has_capacity[True] or not has_origins)
 
     def value_size_bytes(self, key: int) -> int:
         """Return the size of a key's value: most are small, one in sixteen is large."""
@@ -315,7 +317,7 @@
             placement = getattr(first.node.balancer, "placement", None)
             if placement is not None:
                 rows["sizes"] = {host.id: host.range_size for host in placement.ring}
-        self.referee.series.append((self.loop.now - self.start, rows))
+        self.invariant_checker.series.append((self.loop.now - self.start, rows))
         self.loop.call_later(SAMPLE_INTERVAL_US, self.sample)
 
     def play(self, tick: Callable[[float], None] | None = None) -> dict[str, Any]:
@@ -348,7 +350,7 @@
         from orchidgap.simulation.faults import start_fault
 
         self.loop.call_at(self.start, self.clients.on_arrival)
-        self.loop.call_at(self.start, self.front.start)
+        self.loop.call_at(self.start, self.ingress.start)
         self.loop.call_at(self.start, self.sample)
         for fault in self.plan.faults:
             self.loop.call_at(self.start + seconds_to_us(fault.start_s), start_fault, self, fault)
@@ -381,7 +383,7 @@
                 raise RuntimeError("a balancer did not come up; see its log")
             self.loop.run_once(STARTUP_POLL_US)
         self.start = self.loop.clock() + LEAD_WHEN_ALL_ARE_UP_US
-        self.referee.started_at_us = self.start
+        self.invariant_checker.started_at_us = self.start
         self.clients.end = self.start + seconds_to_us(self.plan.duration_s)
 
     def check_stretches(self, verdict: str) -> dict[str, Any]:
@@ -390,14 +392,14 @@
         figures = self.stretches.finish(
             lambda rule, at, text: found.append((rule, (at - self.start) / 1e6, text))
         )
-        self.referee.breaches += found
+        self.invariant_checker.breaches += found
         verdict = "broken" if found else verdict
         return {"verdict": verdict, "uneven": len(found), "stretches": figures}
 
     def build_verdict(self) -> dict[str, Any]:
         """Return the checker's verdict, with the balancers' faults and costs."""
         self.report_unanswered_requests()
-        verdict = verdict_line(self.referee)
+        verdict = verdict_line(self.invariant_checker)
         balancers = self.balancers.values()
         virtual = [one for one in balancers if isinstance(one, VirtualBalancer)]
         processes = [one for one in balancers if isinstance(one, BalancerProcess)]
@@ -407,16 +409,16 @@
             verdict["verdict"] = "broken"
             verdict["first_fault"] = faults[0]
         if processes:
-            verdict |= process_costs(processes, len(self.referee.client_attempts))
+            verdict |= process_costs(processes, len(self.invariant_checker.client_attempts))
         return verdict
 
     def report_rejecting_balancers(self) -> None:
         """Report balancers that rejected all they got, where the day gave no reason to."""
         if not is_calm(self.plan):
             return
-        attempts = self.referee.client_attempts.values()
+        attempts = self.invariant_checker.client_attempts.values()
         for stretch in excessive_rejections(attempts, len(self.balancers)):
-            self.referee.record_breach("lost", stretch.since_us, stretch.describe())
+            self.invariant_checker.record_breach("lost", stretch.since_us, stretch.describe())
 
     def report_unanswered_requests(self) -> None:
         """Report what is still owed its answer at the end, though its time is long over.
@@ -424,14 +426,14 @@
         Only what came before the last look at the sockets has been read: a turn may take long.
         """
         now_us = self.loop.last_poll_us
-        for attempt in self.referee.unanswered(now_us):
+        for attempt in self.invariant_checker.unanswered(now_us):
             timeout_ms = attempt.operation.request_class.client_timeout_ms
             resumed_us = self.last_pause_end_us(attempt.balancer)
             if resumed_us + milliseconds_to_us(timeout_ms) + LOST_AFTER_US > now_us:
                 continue
             end = self.process_end(attempt.balancer, attempt.incarnation)
             if end is not ProcessEnd.KILLED:
-                self.referee.on_no_answer(attempt, now_us)
+                self.invariant_checker.on_no_answer(attempt, now_us)
 
     def close(self) -> None:
         """End all balancers and close all sockets and files."""
--- a/orchidgap/simulation/verdict.py
+++ b/orchidgap/simulation/verdict.py
@@ -61,8 +61,8 @@
 
 def verdict_line(checker: InvariantChecker) -> dict[str, Any]:
     """The line that every simulation ends with, by its keys in their order."""
-    checker.lateness.judge_all()
-    checker.departures.judge_all()
+    checker.lateness.check_all()
+    checker.departures.check_all()
     operations = [operation for operation in checker.operations if operation.counted]
     checker.value_by_second = value_by_second(checker)
     return {
--- a/orchidgap/simulation/virtual_clock.py
+++ b/orchidgap/simulation/virtual_clock.py
@@ -135,13 +135,13 @@
         """
         self.now = self.last_poll_us = self.ready_since_us = self.time
         timers = self.timers
-        soon = self.soon
+        ready_callbacks = self.ready_callbacks
         may_have_ready = self.ordered_selector.may_have_ready
         worked = False if sockets_are_idle else self.run_ready_sockets()
         while True:
             if timers and timers[0][0] <= self.time:
                 worked |= self.run_due_timers()
-            if soon:
+            if ready_callbacks:
                 worked |= self.run_soon()
             if not worked:
                 return
@@ -168,9 +168,9 @@
 
     def run_soon(self) -> bool:
         """Run what stood in the queue at the begin of this call; return whether it had any."""
-        count = len(self.soon)
+        count = len(self.ready_callbacks)
         for _ in range(count):
-            callback, args = self.soon.popleft()
+            callback, args = self.ready_callbacks.popleft()
             callback(*args)
         return count > 0
 
--- a/orchidgap/wirehost/messages.py
+++ b/orchidgap/wirehost/messages.py
@@ -83,14 +83,14 @@
             self.load_report.apply_to(balancer)
 
 
-class ClientGone(NamedTuple):
+class ClientDisconnected(NamedTuple):
     """The client of a request has gone."""
 
     request_id: int
 
     def apply_to(self, balancer: Balancer) -> None:
         """Have the decisions act on it."""
-        balancer.on_client_gone(self.request_id)
+        balancer.on_client_disconnect(self.request_id)
 
 
 class TimerFired(NamedTuple):
@@ -107,7 +107,9 @@
     """The instance ends."""
 
 
-MessageToBalancer = HostList | RequestArrived | AttemptEnded | ClientGone | TimerFired | LoadReport
+MessageToBalancer = (
+    HostList | RequestArrived | AttemptEnded | ClientDisconnected | TimerFired | LoadReport
+)
 Message = Start | Exit | MessageToBalancer | None  # None: it decides nothing
 
 
@@ -209,8 +211,10 @@
     return decode_load(parts[1], parts[4])
 
 
-def _decode_client_gone(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> ClientGone:
-    return ClientGone(int(parts[1]))
+def _decode_client_disconnected(
+    parts: Sequence[str], entry_lines: Sequence[Sequence[str]]
+) -> ClientDisconnected:
+    return ClientDisconnected(int(parts[1]))
 
 
 def _decode_timer(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> TimerFired:
@@ -227,7 +231,7 @@
     words.REQUEST: _decode_request,
     words.ATTEMPT_ENDED: _decode_ended,
     words.LOAD_REPORT: _decode_load_report,
-    words.CLIENT_GONE: _decode_client_gone,
+    words.CLIENT_DISCONNECTED: _decode_client_disconnected,
     words.TIMER_FIRED: _decode_timer,
     words.EXIT: _decode_exit,
 }
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -78,7 +78,7 @@
         self.loop.run_once(wait_us)
 
     def has_pending_callbacks(self) -> bool:
-        return bool(self.loop.soon)
+        return bool(self.loop.ready_callbacks)
 
     def next_timer_us(self) -> int | None:
         return self.loop.timers[0][0] if self.loop.timers else None
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -22,7 +22,7 @@
                 len(balancer.attempted_hosts(request))
             ):  # the client timeout ends what is out
                 balancer.finish_attempt(request, "timeout", number, over=False)
-            balancer.on_client_gone(request)
+            balancer.on_client_disconnect(request)
             assert (
                 len(balancer.actions("deny", request) + balancer.actions("abort", request)) == 1
             ), (outcomes, request_class)
@@ -48,7 +48,7 @@
     assert balancer.actions("deny", balancer.send_request(None)) and balancer.actions(
         "deny", balancer.send_request(4, "mark")
     )
-    balancer.on_client_gone(99)
+    balancer.on_client_disconnect(99)
     balancer.finish_attempt(99, "done")
     balancer.on_wake(12345)
     balancer.list_hosts(["c0"], state="gone")
--- a/tests/decisions/test_coalescing.py
+++ b/tests/decisions/test_coalescing.py
@@ -37,7 +37,7 @@
     lead, follower = balancer.send_request(5), balancer.send_request(5)
     balancer.finish_attempt(lead, "miss")
     balancer.finish_attempt(follower, "miss")
-    balancer.on_client_gone(lead)
+    balancer.on_client_disconnect(lead)
     assert balancer.attempted_hosts(follower)[-1] == "o"
 
 
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -26,7 +26,7 @@
             balancer.now += lag
             balancer.finish_attempt(request, "done")
         else:
-            balancer.on_client_gone(request)
+            balancer.on_client_disconnect(request)
             balancer.now += lag
     assert balancer.hosts[owner].concurrency_limit == pytest.approx(limit, abs=0.2)
 
@@ -58,7 +58,7 @@
     assert origin.concurrency_limit < 0.3
     went = sum(
         bool(balancer.attempted_hosts(balancer.send_request(key, "once")))
-        and not balancer.on_client_gone(balancer.last_request_id)
+        and not balancer.on_client_disconnect(balancer.last_request_id)
         for key in range(20)
     )
     assert went < 12 and balancer.actions("deny")
--- a/tests/fault_tests/test_denial_report.py
+++ b/tests/fault_tests/test_denial_report.py
@@ -14,8 +14,8 @@
 START_US = 1_000_000_000
 
 
-def rejection(at_s, had_room=True, balancer="b0"):
-    return Rejection(START_US + round(at_s * 1e6), balancer, had_room)
+def rejection(at_s, had_capacity=True, balancer="b0"):
+    return Rejection(START_US + round(at_s * 1e6), balancer, had_capacity)
 
 
 def write_log(folder, lines):
--- a/tests/fault_tests/test_fault_tests.py
+++ b/tests/fault_tests/test_fault_tests.py
@@ -61,7 +61,10 @@
     test = read(str(DRILLS / f"{name}.toml"))
     verdict, cluster = play(test)
     assert test.plan.name == name
-    assert verdict["verdict"] == "kept", (cluster.referee.breaches[:5], cluster.logs.tails())
+    assert verdict["verdict"] == "kept", (
+        cluster.invariant_checker.breaches[:5],
+        cluster.logs.tails(),
+    )
     assert verdict["decided"] > 0 or "stay" in name or name.startswith("spread-")
 
 
--- a/tests/fault_tests/test_request_ledger.py
+++ b/tests/fault_tests/test_request_ledger.py
@@ -17,7 +17,7 @@
     log.write_text(f'{{"at": 8.0, "event": "traffic", {traffic}}}\nno event\n' if traffic else "")
     checker = InvariantChecker(validate_plan({"name": "x", "balancers": 1}), 0)
     cluster = SimpleNamespace(
-        referee=checker,
+        invariant_checker=checker,
         loop=SimpleNamespace(now=NOW_US),
         balancers=["b0"],
         process_end=lambda name, number: end,
@@ -31,10 +31,10 @@
 
 def write(ledger, number, status=0):
     """Write a request to the first process of the balancer."""
-    request_class = ledger.cluster.referee.plan.request_classes()[0]
+    request_class = ledger.cluster.invariant_checker.plan.request_classes()[0]
     operation = Operation(number, request_class, "north", 1, 1, 0)
     attempt = ClientAttempt(b"q%d" % number, operation, "b0", 1, 1, 2_000_000)
-    ledger.cluster.referee.on_client_attempt(attempt)
+    ledger.cluster.invariant_checker.on_client_attempt(attempt)
     attempt.status = status
     return attempt
 
@@ -53,14 +53,14 @@
     # a process that reads a request, says nothing and resets: its client sends it again
     ledger, checker = make_ledger(tmp_path, '"requests": {"arrived": 2}, "rejected": {}')
     write(ledger, 1, status=200)
-    ledger.cluster.referee.on_client_attempt(write(ledger, 2))
+    ledger.cluster.invariant_checker.on_client_attempt(write(ledger, 2))
     ledger.last_by_id[b"q2"].attempt.status = 200
     figures = ledger.report()["ledger"]
     assert (figures["written"], figures["crossed"]) == (3, 1)
     assert not checker.breaches  # of three that were written it read two
     ledger, checker = make_ledger(tmp_path, '"requests": {"arrived": 3}, "rejected": {}')
     write(ledger, 1, status=200)
-    ledger.cluster.referee.on_client_attempt(write(ledger, 2))
+    ledger.cluster.invariant_checker.on_client_attempt(write(ledger, 2))
     ledger.last_by_id[b"q2"].attempt.status = 200
     ledger.report()
     assert "3 were read, of 3 written and 1 taken for unread" in checker.breaches[0][2]
--- a/tests/fault_tests/test_restarts.py
+++ b/tests/fault_tests/test_restarts.py
@@ -18,7 +18,7 @@
     # a listener that is closed over its accept queue resets requests that were written
     verdict, cluster = play(read(str(DRILLS / "shutdown-under-dials.toml")), seed)
     dialled = verdict["dial_stream"]
-    assert verdict["verdict"] == "kept", (dialled, cluster.referee.breaches[:5])
+    assert verdict["verdict"] == "kept", (dialled, cluster.invariant_checker.breaches[:5])
     assert DialCounts(**dialled).remainder() == 0
     assert dialled["served"] > 100
     assert dialled["refused"] > 0
@@ -29,7 +29,7 @@
     # without room, each newcomer without a request was closed for the next one: its write was reset
     verdict, cluster = play(read(str(DRILLS / "shutdown-under-later-dials.toml")), seed)
     dialled, ledger = verdict["dial_stream"], verdict["ledger"]
-    assert verdict["verdict"] == "kept", (dialled, ledger, cluster.referee.breaches[:5])
+    assert verdict["verdict"] == "kept", (dialled, ledger, cluster.invariant_checker.breaches[:5])
     assert dialled["written_late"] > 100
     assert ledger["crossed"] < ledger["written"] // 20
 
@@ -39,7 +39,7 @@
     # a connection between the kill, the new listener and its first accept might be nobody's
     verdict, cluster = play(read(str(DRILLS / "restart-under-dials.toml")), seed)
     dialled, ledger = verdict["dial_stream"], verdict["ledger"]
-    assert verdict["verdict"] == "kept", (dialled, ledger, cluster.referee.breaches[:5])
+    assert verdict["verdict"] == "kept", (dialled, ledger, cluster.invariant_checker.breaches[:5])
     assert DialCounts(**dialled).remainder() == 0
     assert ledger["remainder"] == 0
     assert ledger["killed"] > 0
--- a/tests/fault_tests/test_resumption.py
+++ b/tests/fault_tests/test_resumption.py
@@ -37,7 +37,7 @@
         loop=loop,
         balancers={"b0": post},
         process_of=lambda name: SimpleNamespace(send_signal=stand_still_and_send),
-        referee=SimpleNamespace(client_attempts={b"q1": ask}),
+        invariant_checker=SimpleNamespace(client_attempts={b"q1": ask}),
     )
     Cluster.resume(cluster, "b0")
     resumed_us = 1_000 + STOOD_STILL_US
--- a/tests/fault_tests/test_scheduling_watch.py
+++ b/tests/fault_tests/test_scheduling_watch.py
@@ -38,7 +38,7 @@
     attempt = ClientAttempt(b"q1", operation, "b0", 1, 0, 1_500_000)
     checker.on_client_attempt(attempt)
     checker.on_answer(attempt, status, b"", at_us)
-    checker.lateness.judge_all()
+    checker.lateness.check_all()
     return checker
 
 
--- a/tests/fault_tests/test_silent_hosts.py
+++ b/tests/fault_tests/test_silent_hosts.py
@@ -11,7 +11,7 @@
 def test_refusals_beside_silent_hosts_come_at_once():
     """Two of three hosts are silent under three times the load: hundreds are refused."""
     verdict, cluster = play(read(str(PLAN)))
-    assert verdict["verdict"] == "kept", (verdict, cluster.referee.breaches[:5])
+    assert verdict["verdict"] == "kept", (verdict, cluster.invariant_checker.breaches[:5])
     assert verdict["denied"] > 100
 
 
--- a/tests/fault_tests/test_soak_faults.py
+++ b/tests/fault_tests/test_soak_faults.py
@@ -37,7 +37,7 @@
         loop=loop,
         rng=random.Random(0),
         seed=2,
-        referee=SimpleNamespace(record_event=lambda at, text: None),
+        invariant_checker=SimpleNamespace(record_event=lambda at, text: None),
         process_of=lambda name: process,
     )
     post.has_exited = lambda: False
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -180,19 +180,19 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
         b"HTTP/1.1 200 OK\r\nX: " + b"y" * 20_000,
         b"\0\0\0",
     ],
 )
-def test_an_answer_that_never_ends_or_is_none_costs_its_link_and_not_the_req(spoilt):
+def test_an_answer_that_never_ends_or_is_none_costs_its_link_and_not_the_req(malformed):
     net = LoopbackHarness(2)
     client = net.connect_client(request_text())
     net.turn()
     _, old = net.next_host_request()
-    old.sendall(spoilt)
+    old.sendall(malformed)
     net.turn()
     text, new = net.next_host_request()
     assert net.verdicts == ["reset"] and "/read/k1" in text and new is not old
--- a/tests/net/test_backlog.py
+++ b/tests/net/test_backlog.py
@@ -32,7 +32,7 @@
 from orchidgap.net.dialing import SO_ATTACH_FILTER, stop_handshakes
 
 FEW_DESCRIPTORS = 64  # of them 8 for clients, and 16 clients more that read their last answer
-LONGER_THAN_THE_ROOM = 100
+LARGER_THAN_SOCKET_BUFFERS = 100
 DESCRIPTORS_ARE_SHORT_US = 100_000
 SO_DETACH_FILTER = 27  # Linux
 SYSTEM_BACKLOG = 4_096  # more than that no listener of this system holds, whatever it asks for
@@ -64,7 +64,7 @@
     net, address = listening()
     with signals(net, None):
         told_to_end(net)
-        seen = settle(net, queue_clients(address, LONGER_THAN_THE_ROOM, stays))
+        seen = settle(net, queue_clients(address, LARGER_THAN_SOCKET_BUFFERS, stays))
     assert not unanswered(seen), tally(seen)
 
 
@@ -75,7 +75,7 @@
     net, address = listening()
     with signals(net, None):
         told_to_end(net)
-        clients = queue_clients(address, LONGER_THAN_THE_ROOM)
+        clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
         seen = settle(net, clients)
     refused = [client for client in clients if client.saw() == "503"]
     untold = [client for client in refused if "Retry-After: " not in client.text]
@@ -146,9 +146,9 @@
     net.node.clients.leave_listener()
     with signals(net, None):
         told_to_end(net)
-        clients = queue_clients(address, LONGER_THAN_THE_ROOM)
+        clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
         seen = settle(net, clients)
-    assert tally(seen) == {"no end": LONGER_THAN_THE_ROOM}
+    assert tally(seen) == {"no end": LARGER_THAN_SOCKET_BUFFERS}
     assert net.node.traffic_counts.connections_accepted == 0
     for _ in clients:
         other.accept()[0].close()
@@ -186,7 +186,7 @@
     pair, shared = pair_on_one_listener(monkeypatch)
     address = shared.getsockname()
     shared.close()
-    clients = queue_clients(address, LONGER_THAN_THE_ROOM)
+    clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
     die(pair.new)
     with signals(pair.old, None):
         signal.raise_signal(signal.SIGTERM)
@@ -203,7 +203,7 @@
     shared.close()
     pair.old.node.begin_shutdown()
     pair.old.advance(SHUTDOWN_ACCEPT_US - 1)
-    clients = queue_clients(address, LONGER_THAN_THE_ROOM)
+    clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
     pair.new.now = pair.old.now
     saw = settle_pair(pair, clients)
     pair.end()
@@ -351,7 +351,7 @@
     """
     net = LoopbackHarness(1, sockets=FEW_DESCRIPTORS, start=False)
     address = net.listen()
-    clients = queue_clients(address, LONGER_THAN_THE_ROOM)
+    clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
     with signals(net, None):
         signal.raise_signal(signal.SIGTERM)
         net.node.start()
@@ -635,7 +635,7 @@
     with signals(net, None):
         signal.raise_signal(signal.SIGTERM)
         net.turn()
-        clients = queue_clients(address, 3 * LONGER_THAN_THE_ROOM)
+        clients = queue_clients(address, 3 * LARGER_THAN_SOCKET_BUFFERS)
         net.advance(20_000)
         for client in clients:
             client.look()
--- a/tests/net/test_connection_log.py
+++ b/tests/net/test_connection_log.py
@@ -27,7 +27,7 @@
     ConnectionEndFacts,
     ProcessEnd,
     RequestEnd,
-    judge_end,
+    classify_request_end,
 )
 
 
@@ -130,15 +130,15 @@
     far = net.connect_client()
     net.turn()
     only_client(net).since_us -= NEWCOMER_US  # who came since makes no way
-    is_quiet = Http1ClientConnection.is_quiet
+    is_idle = Http1ClientConnection.is_idle
 
     def ask_behind_look(client):
-        was_quiet = is_quiet(client)
-        if was_quiet:
+        was_idle = is_idle(client)
+        if was_idle:
             net.send_more(far, request_text())
-        return was_quiet
+        return was_idle
 
-    monkeypatch.setattr(Http1ClientConnection, "is_quiet", ask_behind_look)
+    monkeypatch.setattr(Http1ClientConnection, "is_idle", ask_behind_look)
     assert not net.node.clients.close_unneeded()
     assert not net.lines.told
     net.answer_from_host(net.host_socket())
@@ -225,7 +225,7 @@
             close_record=LoggedCloseRecords(self.path, 0).find(self.far.getsockname()[1], 0),
             was_seen_by_host=bool(self.net.next_host_request()[0]),
         )
-        return seen, judge_end(facts)
+        return seen, classify_request_end(facts)
 
 
 @pytest.fixture
@@ -237,7 +237,7 @@
     # a process that stood still behind its look was told of a lost request
     crossing.ask_before(crossing.net.node.clients, "on_closing")
     crossing.net.node.clients.release_idle()
-    assert crossing.end() == ("", RequestEnd.CROSSED)
+    assert crossing.end() == ("", RequestEnd.RACED_CLOSE)
 
 
 def test_a_request_that_comes_between_the_line_and_the_shutdown_crosses_the_end(crossing):
@@ -250,34 +250,34 @@
 
     crossing.net.node.clients.on_closing = tell_and_ask
     crossing.net.node.clients.release_idle()
-    assert crossing.end() == ("", RequestEnd.CROSSED)
+    assert crossing.end() == ("", RequestEnd.RACED_CLOSE)
 
 
 def test_a_request_that_comes_behind_the_shutdown_crosses_the_end(crossing):
     crossing.net.node.clients.release_idle()
     crossing.ask()
     assert crossing.was_closed_at_write
-    assert crossing.end() == ("", RequestEnd.CROSSED)
+    assert crossing.end() == ("", RequestEnd.RACED_CLOSE)
 
 
 def test_a_request_that_comes_between_the_last_look_and_the_close_crosses_the_end(crossing):
     crossing.ask_before(crossing.net.node.clients, "on_closing")
-    assert only_client(crossing.net).let_go(ConnectionEnd.MADE_WAY)
-    assert crossing.end() == (RESET, RequestEnd.CROSSED)
+    assert only_client(crossing.net).let_go(ConnectionEnd.EVICTED)
+    assert crossing.end() == (RESET, RequestEnd.RACED_CLOSE)
 
 
 def test_a_request_that_is_being_written_at_the_last_look_crosses_the_end(crossing):
     # its write had begun 8 us before the look, its bytes came behind that: it was called lost
     began_us = monotonic_us()
     crossing.ask_before(crossing.net.node.clients, "on_closing")
-    assert only_client(crossing.net).let_go(ConnectionEnd.MADE_WAY)
+    assert only_client(crossing.net).let_go(ConnectionEnd.EVICTED)
     crossing.wrote_us = began_us
-    assert crossing.end() == (RESET, RequestEnd.CROSSED)
+    assert crossing.end() == (RESET, RequestEnd.RACED_CLOSE)
 
 
 def test_a_request_that_was_written_before_the_look_that_a_process_claims_is_lost(crossing):
     crossing.ask()
-    only_client(crossing.net).close(ConnectionEnd.MADE_WAY, crossing.net.loop.clock())
+    only_client(crossing.net).close(ConnectionEnd.EVICTED, crossing.net.loop.clock())
     assert crossing.end() == (RESET, RequestEnd.LOST)
 
 
--- a/tests/net/test_discovered_hosts.py
+++ b/tests/net/test_discovered_hosts.py
@@ -3,21 +3,21 @@
 import orjson
 import pytest
 from loopback_harness import LoopbackHarness, received_or_reset, request_text, wait_until_readable
-from net_scenarios import LIST, discovery_socket, host_states, idle_links, tell_list
+from net_scenarios import LIST, discovery_socket, host_states, idle_links, push_host_list
 from node_harness import NodeHarness, received_text
 
 
 def test_the_list_is_fetched_whole_and_then_watched_without_a_gap():
     net = NodeHarness(1)
     assert received_text(discovery_socket(net)).startswith(f"GET {LIST} HTTP/1.1")
-    tell_list(net, 41, True, [net.host_entry(0), net.host_entry(3), net.host_entry(9)])
+    push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(3), net.host_entry(9)])
     assert host_states(net) == {"c0": "up", "c3": "up", "o": "up"}
     assert received_text(discovery_socket(net)).startswith(f"GET {LIST}?after=41&wait_ms=3000 ")
     net.advance(3_000_000)
-    tell_list(net, 43, False, [net.host_entry(0, "Terminating"), net.host_entry(3, "Gone")])
+    push_host_list(net, 43, False, [net.host_entry(0, "Terminating"), net.host_entry(3, "Gone")])
     assert host_states(net) == {"c0": "draining", "o": "up"}
     assert received_text(discovery_socket(net)).startswith(f"GET {LIST}?after=43&")
-    tell_list(net, 43, False, [])
+    push_host_list(net, 43, False, [])
     net.advance(50_000)
     assert received_text(discovery_socket(net)) is None, "no spin where an agent does not wait"
     net.advance(140_000)
@@ -29,12 +29,12 @@
 @pytest.mark.parametrize(
     "does",
     [
-        lambda net: tell_list(net, 1, True, [], status=500),
-        lambda net: tell_list(net, 1, False, []),
+        lambda net: push_host_list(net, 1, True, [], status=500),
+        lambda net: push_host_list(net, 1, False, []),
         lambda net: net.answer_from_host(discovery_socket(net), 200, "not JSON"),
         lambda net: net.answer_from_host(discovery_socket(net), 200, "[]"),
-        lambda net: tell_list(net, 1, True, [{"host": "x"}]),
-        lambda net: tell_list(net, 1, True, [7]),
+        lambda net: push_host_list(net, 1, True, [{"host": "x"}]),
+        lambda net: push_host_list(net, 1, True, [7]),
         lambda net: discovery_socket(net).close(),
         lambda net: net.send_and_turn(discovery_socket(net), "garbage\r\n\r\n"),
         lambda net: net.advance(1_000_000),
@@ -60,7 +60,7 @@
     for _ in range(30):
         if len(net.dialled) == times + 1:
             net.advance(100_000)
-    tell_list(net, 9, True, [net.host_entry(5), net.host_entry(9)])
+    push_host_list(net, 9, True, [net.host_entry(5), net.host_entry(9)])
     assert host_states(net) == {"c5": "up", "o": "up"} and "list back" in net.log.lines
 
 
@@ -74,7 +74,7 @@
         net.host_entry(1) | {"dial": "localhost:80"},
         net.host_entry(2) | {"share": None},
     ]
-    tell_list(net, 41, True, [*odd, net.host_entry(9)])
+    push_host_list(net, 41, True, [*odd, net.host_entry(9)])
     assert host_states(net) == {"c0": "draining", "c1": "draining", "c2": "up", "o": "up"}
     net.send_request()
     assert net.dialled[-1][0] == 102
@@ -86,9 +86,9 @@
     """
     for seq, hosts, wait in ((42, [{"host": "x"}], 100_000), (3, [], 100_000)):
         net = NodeHarness(1)
-        tell_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
+        push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
         received_text(discovery_socket(net))
-        tell_list(net, seq, False, hosts)
+        push_host_list(net, seq, False, hosts)
         net.advance(wait)
         assert received_text(discovery_socket(net)).startswith(
             f"GET {LIST} HTTP/1.1"
@@ -103,9 +103,9 @@
     address is dialled.
     """
     net = NodeHarness(1)
-    tell_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
+    push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
     [link] = idle_links(net, 1)
-    tell_list(net, 42, False, [net.host_entry(0, port=300)])
+    push_host_list(net, 42, False, [net.host_entry(0, port=300)])
     net.send_request("again")
     assert net.dialled[-1][0] == 300
     received_text(link)
@@ -114,7 +114,7 @@
 
 def test_a_restart_is_told_in_milliseconds_of_unix_time():
     net = NodeHarness(2)
-    tell_list(
+    push_host_list(
         net,
         41,
         True,
@@ -126,7 +126,7 @@
 def test_a_list_that_is_there_counts_before_requests_that_came_earlier_in_the_same_turn():
     # A soak's balancer that had been stopped sent to a host that it had been told was draining.
     net = LoopbackHarness(1)
-    tell_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
+    push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
     client = net.connect_client(request_text("k1"))
     net.turn()
     cache = net.host_socket()
--- a/tests/net/test_exchange.py
+++ b/tests/net/test_exchange.py
@@ -171,7 +171,7 @@
     assert received_text(client) is None
 
 
-def test_time_that_the_loop_was_held_up_is_taken_off():
+def test_time_that_the_loop_was_stalled_is_taken_off():
     """The loop is held up for a while after a request came. The delay is taken off the
     request's time, not added to the answer.
     """
@@ -235,7 +235,7 @@
     ).encode()
 
 
-def test_a_request_that_waited_for_a_process_that_was_held_up_has_its_objective_from_its_arrival():
+def test_a_request_that_waited_for_a_process_that_was_stalled_has_its_objective_from_its_arrival():
     # Drills with stopped balancers were late: given up, and 503 held back for as long as the stop was.
     net = LoopbackHarness(0)
     net.node.balancer.hosts["o"].concurrency_limit = 1.0
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -8,7 +8,7 @@
     request_text,
     wait_until_readable,
 )
-from net_scenarios import discovery_socket, tell_list
+from net_scenarios import discovery_socket, push_host_list
 
 from orchidgap.net.client_listener import MAX_CLOSING_CLIENTS
 from orchidgap.net.client_table import REQUEST_TIMEOUT_US, UNUSED_AFTER_US
@@ -58,7 +58,7 @@
     discovery_socket(net).close()  # discovery breaks off and is back, with all of them still there
     net.turn()
     net.advance(200_000)
-    tell_list(net, 41, True, [net.host_entry(5), net.host_entry(9)])
+    push_host_list(net, 41, True, [net.host_entry(5), net.host_entry(9)])
     assert set(net.node.balancer.hosts) == {"c5", "o"}
     assert silent
 
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -109,7 +109,7 @@
     assert "Connection: close" in received_or_reset(client) and received_or_reset(client) == ""
 
 
-def test_who_came_at_the_end_of_a_turn_that_was_held_up_is_a_newcomer():
+def test_who_came_at_the_end_of_a_turn_that_was_stalled_is_a_newcomer():
     """The process gets no core in a turn, and lets a client in at its end. That counted as there
     since the turn's begin, and was closed as one that has said nothing for long.
     """
--- a/tests/net/test_loop.py
+++ b/tests/net/test_loop.py
@@ -2,7 +2,7 @@
 
 import os
 
-from orchidgap.net.loop import HELD_UP_TURN_US, MAX_POSTPONED_TURNS, READ, Loop
+from orchidgap.net.loop import MAX_POSTPONED_TURNS, READ, STALLED_TURN_US, Loop
 
 
 class StandInClock:
@@ -118,13 +118,13 @@
     assert calls == ["postponed"]
 
 
-def test_what_is_postponed_is_called_though_every_turn_is_held_up_before():
+def test_what_is_postponed_is_called_though_every_turn_is_stalled_before():
     # Where what comes first took long in every turn, no attempt that had been put off was ever sent.
     clock, loop, _ = loop_with_reports()
     reader, writer = os.pipe()
 
     def work(mask):
-        clock.now_us += 2 * HELD_UP_TURN_US
+        clock.now_us += 2 * STALLED_TURN_US
 
     loop.watch(reader, READ, work, first=True)
     os.write(writer, b"x")
@@ -146,10 +146,10 @@
     os.close(writer)
 
 
-def test_a_turn_is_held_up_once_its_selector_was_asked_long_ago():
+def test_a_turn_is_stalled_once_its_selector_was_asked_long_ago():
     clock, loop, _ = loop_with_reports()
     loop.run_once(0)
-    clock.now_us += HELD_UP_TURN_US
-    assert not loop.is_held_up
+    clock.now_us += STALLED_TURN_US
+    assert not loop.is_stalled
     clock.now_us += 1
-    assert loop.is_held_up
+    assert loop.is_stalled
--- a/tests/net/test_postponed_attempts.py
+++ b/tests/net/test_postponed_attempts.py
@@ -3,9 +3,9 @@
 """
 
 import pytest
-from held_up_turn import BEFORE_CALLBACKS, BEFORE_WRITE, HELD_UP_US, bring_changes, hold_up
 from loopback_harness import received_or_reset, wait_until_readable
-from test_held_up_turns import comes_up, is_read
+from stalled_turn import BEFORE_CALLBACKS, BEFORE_WRITE, STALL_US, bring_changes, stall_turn
+from test_stalled_turns import comes_up, is_read
 
 from orchidgap.decisions.records import AttemptOutcome
 
@@ -19,7 +19,7 @@
     def __init__(self, make_scene, moment, monkeypatch):
         self.scene = make_scene()
         self.net = self.scene.net
-        hold_up(self.net, monkeypatch, moment, HELD_UP_US, lambda net: None)
+        stall_turn(self.net, monkeypatch, moment, STALL_US, lambda net: None)
         self.net.loop.run_once()
         assert self.net.loop.postponed
         [self.exchange] = self.net.node.exchanges.values()
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -5,7 +5,7 @@
 
 import orjson
 import pytest
-from net_scenarios import GOOD, LIST, host_states, idle_links, signals, tell_list
+from net_scenarios import GOOD, LIST, host_states, idle_links, push_host_list, signals
 from node_harness import NodeHarness, received_text
 
 from orchidgap.net import config
@@ -17,7 +17,7 @@
     change nothing; a move keeps the list and its connections.
     """
     net, path = NodeHarness(1), tmp_path / "c"
-    tell_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
+    push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
     [link], before = idle_links(net, 1), host_states(net)
     with signals(net, str(path)):
         for round, text in enumerate(
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize(
-    ("spoilt", "why"),
+    ("malformed", "why"),
     [
         (b"", "is not JSON"),
         (b"{", "is not JSON"),
@@ -129,7 +129,7 @@
         (lambda file: file.update({"listen": 7}), "is a number, where a text was"),
     ],
 )
-def test_a_spoilt_file_changes_nothing(tmp_path, spoilt, why):
+def test_a_malformed_file_changes_nothing(tmp_path, malformed, why):
     """SIGHUP comes, and the file lacks a key, has a value of another kind or is cut off. The
     running settings are kept, and the log says why.
     """
@@ -137,13 +137,13 @@
     path.write_bytes(orjson.dumps(FILE))
     net.node.config = config.read(str(path))
     before, dialled = net.node.config, len(net.dialled)
-    if callable(spoilt):
-        spoilt(file := copy.deepcopy(FILE) | {"discovery": "127.0.0.1:8777"})
-        spoilt = orjson.dumps(file)
-    if spoilt is None:
+    if callable(malformed):
+        malformed(file := copy.deepcopy(FILE) | {"discovery": "127.0.0.1:8777"})
+        malformed = orjson.dumps(file)
+    if malformed is None:
         path.unlink()
     else:
-        path.write_bytes(spoilt)
+        path.write_bytes(malformed)
     told = []
     net.node.event_log = lambda event, **facts: told.append((event, facts.get("why")))
     reload_config(net.node, str(path))
--- a/tests/net/test_held_up_timers.py
+++ b/tests/net/test_stalled_timers.py
@@ -3,14 +3,6 @@
 """
 
 import pytest
-from held_up_turn import (
-    BEFORE_CALLBACKS,
-    BEFORE_TIMERS,
-    HELD_UP_US,
-    SELECTOR_ANSWERED,
-    bring_changes,
-    hold_up,
-)
 from loopback_harness import (
     LoopbackHarness,
     received_or_reset,
@@ -18,7 +10,15 @@
     request_text,
     wait_until_readable,
 )
-from net_scenarios import discovery_socket, host_states, tell_list
+from net_scenarios import discovery_socket, host_states, push_host_list
+from stalled_turn import (
+    BEFORE_CALLBACKS,
+    BEFORE_TIMERS,
+    SELECTOR_ANSWERED,
+    STALL_US,
+    bring_changes,
+    stall_turn,
+)
 
 from orchidgap.decisions.lifecycle import SHUTDOWN_ACCEPT_US
 from orchidgap.http1.discovery import RESPONSE_GRACE_US, WATCH_TIMEOUT_MS
@@ -36,7 +36,7 @@
 @pytest.fixture
 def net():
     net = LoopbackHarness(1)
-    tell_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
+    push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
     received_text(discovery_socket(net))
     return net
 
@@ -48,47 +48,47 @@
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_an_answer_that_came_in_the_hold_up_beats_the_timer_that_calls_it_late(
+def test_an_answer_that_came_in_the_stall_beats_the_timer_that_calls_it_late(
     net, moment, monkeypatch
 ):
     # The origin was asked for what the cache had answered already.
     client = net.connect_client(request_text("k1"))
     net.turn()
     _, cache = net.next_host_request()
-    net.now += LATE_READ_US - HELD_UP_US // 2
+    net.now += LATE_READ_US - STALL_US // 2
 
     def answer(net):
         net.send_host_answer(cache)
         wait_until_readable(net.node_socket_of(cache))
 
-    hold_up(net, monkeypatch, moment, HELD_UP_US, answer)
+    stall_turn(net, monkeypatch, moment, STALL_US, answer)
     turn(net)
     assert "200" in (received_or_reset(client) or "")
     assert ORIGIN_PORT not in [port for port, _ in net.dialled]
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_a_list_that_came_in_the_hold_up_beats_the_timer_that_gives_its_call_up(
+def test_a_list_that_came_in_the_stall_beats_the_timer_that_gives_its_call_up(
     net, moment, monkeypatch
 ):
     # The call was given up over a list that was there, and its host got requests for longer.
-    net.now += WATCH_TIMEOUT_MS * 1_000 + RESPONSE_GRACE_US - HELD_UP_US // 2
+    net.now += WATCH_TIMEOUT_MS * 1_000 + RESPONSE_GRACE_US - STALL_US // 2
     entry = net.host_entry(0, "Terminating")
-    hold_up(net, monkeypatch, moment, HELD_UP_US, lambda net: bring_changes(net, entry))
+    stall_turn(net, monkeypatch, moment, STALL_US, lambda net: bring_changes(net, entry))
     turn(net)
     assert host_states(net)["c0"] == "draining"
     assert "list lost" not in net.log.lines
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_a_request_whose_rest_came_in_the_hold_up_is_answered(net, moment, monkeypatch):
+def test_a_request_whose_rest_came_in_the_stall_is_answered(net, moment, monkeypatch):
     # It was answered 408, though its last byte was there before its time was up.
     text = request_text("k1")
     client = net.connect_client(text[:20])
     net.turn()
     net.advance(REQUEST_TIMEOUT_US - SWEEP_INTERVAL_US)
-    net.now += SWEEP_INTERVAL_US - HELD_UP_US // 2
-    hold_up(net, monkeypatch, moment, HELD_UP_US, lambda net: net.send_more(client, text[20:]))
+    net.now += SWEEP_INTERVAL_US - STALL_US // 2
+    stall_turn(net, monkeypatch, moment, STALL_US, lambda net: net.send_more(client, text[20:]))
     turn(net)
     assert received_or_reset(client) is None
     net.answer_from_host(net.next_host_request()[1])
@@ -96,13 +96,13 @@
 
 
 @pytest.mark.parametrize("moment", [SELECTOR_ANSWERED, BEFORE_CALLBACKS])
-def test_a_client_that_is_let_in_after_a_hold_up_counts_as_just_come(net, moment, monkeypatch):
+def test_a_client_that_is_let_in_after_a_stall_counts_as_just_come(net, moment, monkeypatch):
     # It was let go in the same turn, before it could ask, as if it had been silent for long.
     net.listen()
     net.node.begin_shutdown()
-    net.advance(SHUTDOWN_ACCEPT_US - HELD_UP_US // 2)
+    net.advance(SHUTDOWN_ACCEPT_US - STALL_US // 2)
     client = net.connect_client()
-    hold_up(net, monkeypatch, moment, HELD_UP_US, lambda net: None)
+    stall_turn(net, monkeypatch, moment, STALL_US, lambda net: None)
     turn(net)
     assert received_or_reset(client) is None
     net.send_more(client, request_text("k1"))
@@ -134,13 +134,13 @@
     net.now += ELAPSED_US
     origin.sendall(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
     wait_until_readable(net.node_socket_of(origin))
-    hold_up(net, monkeypatch, moment, HELD_UP_US, lambda net: None)
+    stall_turn(net, monkeypatch, moment, STALL_US, lambda net: None)
     turn(net)
     answer = received_or_reset(client)
     assert "503" in answer
     retry_after = next(line for line in answer.split("\r\n") if line.startswith("Retry-After"))
     told_us = round(float(retry_after.split(": ")[1]) * 1e6)
-    assert told_us <= REMEMBERED_US - ELAPSED_US - HELD_UP_US
+    assert told_us <= REMEMBERED_US - ELAPSED_US - STALL_US
 
 
 def write_text(id, left="2.0"):
@@ -169,7 +169,7 @@
         net.turn()
         net.send_more(client, text[-1:])
     came_at_us = net.now
-    hold_up(net, monkeypatch, moment, HELD_UP_US, lambda net: None)
+    stall_turn(net, monkeypatch, moment, STALL_US, lambda net: None)
     turn(net)
     assert received_or_reset(client) is None
     net.advance(came_at_us + denied_after_us + STEP_US - net.now)
--- a/tests/net/test_held_up_turns.py
+++ b/tests/net/test_stalled_turns.py
@@ -3,17 +3,6 @@
 """
 
 import pytest
-from held_up_turn import (
-    BEFORE_CALLBACKS,
-    BEFORE_DECISION,
-    BEFORE_TIMERS,
-    BEFORE_WRITE,
-    HELD_UP_US,
-    SELECTOR_ANSWERED,
-    HeldUpScene,
-    bring_changes,
-    told_us,
-)
 from loopback_harness import (
     LoopbackHarness,
     received_or_reset,
@@ -21,7 +10,18 @@
     request_text,
     wait_until_readable,
 )
-from net_scenarios import discovery_socket, tell_list
+from net_scenarios import discovery_socket, push_host_list
+from stalled_turn import (
+    BEFORE_CALLBACKS,
+    BEFORE_DECISION,
+    BEFORE_TIMERS,
+    BEFORE_WRITE,
+    SELECTOR_ANSWERED,
+    STALL_US,
+    StalledTurnScenario,
+    bring_changes,
+    sent_timeout_us,
+)
 
 from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES
 from orchidgap.net.loop import READ_BUFFER_BYTES
@@ -35,7 +35,7 @@
 BEFORE_SENT = (*BEFORE_OPENED, BEFORE_DECISION, BEFORE_WRITE)
 
 
-class Scene(HeldUpScene):
+class Scene(StalledTurnScenario):
     """A node before a turn in which an attempt will begin, at the host of this number."""
 
     def __init__(self, number):
@@ -43,7 +43,7 @@
         self.port = ORIGIN_PORT if number == ORIGIN else CACHE_PORT + number
         self.net = LoopbackHarness(1)
         net = self.net
-        tell_list(net, 41, True, [net.host_entry(0), net.host_entry(ORIGIN)])
+        push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(ORIGIN)])
         self.client = net.connect_client()
         self.clients = [self.client]  # that wait for an answer
         net.turn()
@@ -165,19 +165,19 @@
 ):
     # The tests below would prove nothing where the attempt went elsewhere all along.
     scene = make_scene()
-    scene.run_held_up_turn(monkeypatch, moment)
+    scene.run_stalled_turn(monkeypatch, moment)
     assert scene.begun()
 
 
 @pytest.mark.parametrize("health", ["Terminating", "Gone"])
 @pytest.mark.parametrize(("make_scene", "moment"), SCENES)
-def test_a_host_that_drains_while_the_turn_is_held_up_is_sent_nothing(
+def test_a_host_that_drains_while_the_turn_is_stalled_is_sent_nothing(
     make_scene, moment, health, monkeypatch
 ):
     # A soak's balancer that had been stopped sent to a host that it had been told was draining.
     scene = make_scene()
     entry = scene.net.host_entry(scene.number, health)
-    scene.run_held_up_turn(monkeypatch, moment, lambda net: bring_changes(net, entry))
+    scene.run_stalled_turn(monkeypatch, moment, lambda net: bring_changes(net, entry))
     assert scene.begun() == []
 
 
@@ -185,11 +185,11 @@
     ("make_scene", "moment"),
     [(is_read, BEFORE_WRITE), (comes_up, BEFORE_CALLBACKS)],
 )
-def test_a_host_that_drains_in_a_second_hold_up_is_sent_nothing(make_scene, moment, monkeypatch):
+def test_a_host_that_drains_in_a_second_stall_is_sent_nothing(make_scene, moment, monkeypatch):
     # What waited for the next turn was sent in that one, though it was held up too.
     scene = make_scene()
     entry = scene.net.host_entry(scene.number, "Terminating")
-    scene.run_two_held_up_turns(monkeypatch, moment, lambda net: bring_changes(net, entry))
+    scene.run_two_stalled_turns(monkeypatch, moment, lambda net: bring_changes(net, entry))
     assert scene.begun() == []
 
 
@@ -200,7 +200,7 @@
     known = scene.net.host_entry(ORIGIN)
     drains = scene.net.host_entry(0, "Terminating")
     entries = [known] * (2 * READ_BUFFER_BYTES // len(str(known))) + [drains]
-    scene.run_held_up_turn(monkeypatch, moment, lambda net: bring_changes(net, *entries))
+    scene.run_stalled_turn(monkeypatch, moment, lambda net: bring_changes(net, *entries))
     assert scene.begun() == []
 
 
@@ -208,11 +208,11 @@
 def test_a_host_is_told_no_more_than_is_left_once_the_turn_goes_on(make_scene, moment, monkeypatch):
     # A host was told more than was left to its client, by as long as the turn was held up.
     scene = make_scene("2.0")
-    scene.run_held_up_turn(monkeypatch, moment)
-    told = [told_us(text) for text in scene.begun()]
+    scene.run_stalled_turn(monkeypatch, moment)
+    told = [sent_timeout_us(text) for text in scene.begun()]
     assert told
     waited_us = scene.net.now - scene.asked_at_us
-    assert waited_us >= HELD_UP_US
+    assert waited_us >= STALL_US
     assert max(told) <= 2_000_000 - waited_us + SLACK_US
 
 
@@ -228,7 +228,7 @@
         f"Request-Timeout: {left}\r\nContent-Length: {4 * MAX_BUFFERED_BODY_BYTES}\r\n\r\n"
     )
     scene.net.send_more(scene.client, head.encode() + bytes(MAX_BUFFERED_BODY_BYTES))
-    scene.run_held_up_turn(monkeypatch, moment)
+    scene.run_stalled_turn(monkeypatch, moment)
     assert f"Request-Timeout: {left}" in scene.begun_writes()
 
 
@@ -238,15 +238,15 @@
 ):
     # The clock of the turn said that there was time left.
     scene = make_scene("0.750" if make_scene is is_late else "0.250")
-    scene.run_held_up_turn(monkeypatch, moment)
+    scene.run_stalled_turn(monkeypatch, moment)
     assert scene.begun() == []
 
 
 @pytest.mark.parametrize(("make_scene", "moment"), SCENES)
-def test_no_attempt_begins_for_a_client_that_left_while_the_turn_was_held_up(
+def test_no_attempt_begins_for_a_client_that_left_while_the_turn_was_stalled(
     make_scene, moment, monkeypatch
 ):
     # The turn knows nothing of the client's end, which the kernel has.
     scene = make_scene()
-    scene.run_held_up_turn(monkeypatch, moment, scene.departure_of_clients())
+    scene.run_stalled_turn(monkeypatch, moment, scene.departure_of_clients())
     assert scene.begun() == []
--- a/tests/net/test_traffic_counts.py
+++ b/tests/net/test_traffic_counts.py
@@ -29,7 +29,7 @@
     net.turn(2)
     counts = counts_that_add_up(net)
     assert counts.requests_arrived == 2
-    assert counts.request_ends == {RequestEnd.SERVED: 1, RequestEnd.CLIENT_GONE: 1}
+    assert counts.request_ends == {RequestEnd.SERVED: 1, RequestEnd.CLIENT_DISCONNECTED: 1}
     assert counts.connections_accepted == 2
     assert counts.connection_ends == {ConnectionEnd.CLIENT_CLOSED: 1}
 
--- a/tests/net_scenarios.py
+++ b/tests/net_scenarios.py
@@ -59,7 +59,7 @@
     return next(far for port, far in reversed(net.dialled) if port == 8500)
 
 
-def tell_list(net, seq, whole, hosts, status=200):
+def push_host_list(net, seq, whole, hosts, status=200):
     net.answer_from_host(
         discovery_socket(net),
         status,
--- a/tests/resp/test_resp.py
+++ b/tests/resp/test_resp.py
@@ -192,10 +192,10 @@
     assert client.ask(b"GET", other) in (b"$5\r\nother\r\n", b"$4\r\nlate\r\n")
 
 
-@pytest.mark.parametrize("spoilt", [b"$536870912\r\nxx", b"?what\r\n", b"$3\r\nabcdef\r\n"])
-def test_what_a_server_says_that_cannot_be_read_costs_its_link(town, spoilt):
+@pytest.mark.parametrize("malformed", [b"$536870912\r\nxx", b"?what\r\n", b"$3\r\nabcdef\r\n"])
+def test_what_a_server_says_that_cannot_be_read_costs_its_link(town, malformed):
     client, key = Client(town), key_of(town, 0)
-    town.servers[0].script = [spoilt]
+    town.servers[0].script = [malformed]
     assert client.ask(b"SET", key, b"1").startswith(b"-ERR given up, it may have run")
     assert client.ask(b"SET", key, b"2", wait=900_000) == b"+OK\r\n"
 
--- a/tests/resp/test_resp_backlog.py
+++ b/tests/resp/test_resp_backlog.py
@@ -17,7 +17,7 @@
 from orchidgap.resp.writers import encode_command
 
 FEW_DESCRIPTORS = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
-LONGER_THAN_THE_ROOM = 100
+LARGER_THAN_SOCKET_BUFFERS = 100
 PING = encode_command(b"PING")
 REPLIES = {"+PON", "-ERR"}
 
@@ -72,7 +72,7 @@
     reply.
     """
     net, address = told_to_end()
-    seen = settle(net, pings(address, LONGER_THAN_THE_ROOM, stays))
+    seen = settle(net, pings(address, LARGER_THAN_SOCKET_BUFFERS, stays))
     assert set(seen) <= REPLIES, tally(seen)
 
 
@@ -105,7 +105,7 @@
     town = Town(limits=FEW_DESCRIPTORS)
     town.share.call_soon(town.node.begin_shutdown)
     town.wait(SHUTDOWN_ACCEPT_US - 1)
-    clients = [Client(town) for _ in range(LONGER_THAN_THE_ROOM)]
+    clients = [Client(town) for _ in range(LARGER_THAN_SOCKET_BUFFERS)]
     for client in clients:
         client.conn.send(PING)
     town.wait(5_000_000)
--- a/tests/resp/test_slot_discovery.py
+++ b/tests/resp/test_slot_discovery.py
@@ -2,8 +2,8 @@
 
 import pytest
 from loopback_harness import received_text
-from net_scenarios import tell_list
-from test_held_up_commands import Scene
+from net_scenarios import push_host_list
+from test_stalled_commands import Scene
 
 
 @pytest.mark.parametrize("health", ["Terminating", "Gone", "Odd"])
@@ -12,7 +12,7 @@
     # A server that had gone went on being sent commands: such an entry has no address.
     scene = Scene(0, 2_000)
     entries = [scene.net.host_entry(0, health), scene.net.host_entry(1)]
-    tell_list(scene.net, 42, is_whole, entries)
+    push_host_list(scene.net, 42, is_whole, entries)
     scene.ask(1)
     scene.net.turn()
     assert scene.begun() == []
@@ -21,8 +21,8 @@
 def test_a_server_that_comes_back_is_sent_commands_again():
     # The state of a host that had gone must not stay with its address.
     scene = Scene(0, 2_000)
-    tell_list(scene.net, 42, False, [scene.net.host_entry(0, "Gone")])
-    tell_list(scene.net, 43, False, [scene.net.host_entry(0)])
+    push_host_list(scene.net, 42, False, [scene.net.host_entry(0, "Gone")])
+    push_host_list(scene.net, 43, False, [scene.net.host_entry(0)])
     scene.ask(1)
     scene.net.turn()
     assert scene.begun()
@@ -36,7 +36,7 @@
     replacement = {**scene.net.host_entry(0), "host": "c0-again"}
     gone = scene.net.host_entry(0, "Gone")
     entries = [replacement, gone] if is_last else [gone, replacement]
-    tell_list(scene.net, 42, is_whole, [*entries, scene.net.host_entry(1)])
+    push_host_list(scene.net, 42, is_whole, [*entries, scene.net.host_entry(1)])
     scene.ask(1)
     scene.net.turn()
     assert scene.begun()
@@ -46,12 +46,12 @@
     # The server was called gone by the later list until the next whole one.
     scene = Scene(0, 2_000)
     replacement = {**scene.net.host_entry(0), "host": "c0-again"}
-    tell_list(scene.net, 42, False, [replacement])
-    tell_list(scene.net, 43, False, [scene.net.host_entry(0, "Gone")])
+    push_host_list(scene.net, 42, False, [replacement])
+    push_host_list(scene.net, 43, False, [scene.net.host_entry(0, "Gone")])
     scene.ask(1)
     scene.net.turn()
     assert scene.begun()
-    tell_list(scene.net, 44, False, [{**replacement, "health": "Gone"}])
+    push_host_list(scene.net, 44, False, [{**replacement, "health": "Gone"}])
     scene.ask(2)
     scene.net.turn()
     assert scene.begun() == []
@@ -60,7 +60,7 @@
 def test_commands_for_a_server_that_has_gone_are_denied_without_a_wait_for_another_owner():
     # Each waited for an owner that the map did not name, and held the client's next one behind it.
     scene = Scene(0, 2_000)
-    tell_list(scene.net, 42, False, [scene.net.host_entry(0, "Gone")])
+    push_host_list(scene.net, 42, False, [scene.net.host_entry(0, "Gone")])
     for number in (1, 2, 3):
         scene.ask(number)
     scene.net.turn()
--- a/tests/resp/test_held_up_commands.py
+++ b/tests/resp/test_stalled_commands.py
@@ -5,19 +5,19 @@
 from functools import cache
 
 import pytest
-from held_up_turn import (
+from loopback_harness import LoopbackHarness, received_text, wait_until_readable
+from net_scenarios import discovery_socket, push_host_list
+from node_harness import EventRecorder
+from resp_harness import RULES
+from stalled_turn import (
     BEFORE_CALLBACKS,
     BEFORE_DECISION,
     BEFORE_WRITE,
-    HELD_UP_US,
     SELECTOR_ANSWERED,
-    HeldUpScene,
+    STALL_US,
+    StalledTurnScenario,
     bring_changes,
 )
-from loopback_harness import LoopbackHarness, received_text, wait_until_readable
-from net_scenarios import discovery_socket, tell_list
-from node_harness import EventRecorder
-from resp_harness import RULES
 
 from orchidgap.net import config
 from orchidgap.net.loop import Loop
@@ -29,7 +29,7 @@
 FIRST_PORT, SECOND_PORT = 100, 101
 SLOTS = 16_384
 WAITING = 40  # commands, more than one server is sent at a time
-SHORT_TIMEOUT_MS = HELD_UP_US // 1000 - 50  # over before the turn goes on
+SHORT_TIMEOUT_MS = STALL_US // 1000 - 50  # over before the turn goes on
 LONG_TIMEOUT_MS = 2_000
 BEFORE_OPENED = (SELECTOR_ANSWERED, BEFORE_CALLBACKS)
 
@@ -63,7 +63,7 @@
         self.node = Node(self.loop, settled, self.log, protocol, self.dial)
         self.node.start()
         self.turn()
-        tell_list(self, 41, True, [self.host_entry(0), self.host_entry(1)])
+        push_host_list(self, 41, True, [self.host_entry(0), self.host_entry(1)])
         self.turn()
         self.send_and_turn(self.host_socket(0), slot_ranges())
 
@@ -88,7 +88,7 @@
     )
 
 
-class Scene(HeldUpScene):
+class Scene(StalledTurnScenario):
     """A node before a turn in which a command will be sent to the server of this number."""
 
     def __init__(self, number, timeout_ms):
@@ -178,19 +178,19 @@
 ):
     # The tests below would prove nothing where the command went elsewhere all along.
     scene = make_scene()
-    scene.run_held_up_turn(monkeypatch, moment)
+    scene.run_stalled_turn(monkeypatch, moment)
     assert scene.begun()
 
 
 @pytest.mark.parametrize("health", ["Terminating", "Gone"])
 @pytest.mark.parametrize(("make_scene", "moment"), SCENES)
-def test_a_server_that_drains_while_the_turn_is_held_up_is_sent_nothing(
+def test_a_server_that_drains_while_the_turn_is_stalled_is_sent_nothing(
     make_scene, moment, health, monkeypatch
 ):
     # A process that had stood still sent commands to servers that had been draining for long.
     scene = make_scene()
     entry = scene.net.host_entry(scene.number, health)
-    scene.run_held_up_turn(monkeypatch, moment, lambda net: bring_changes(net, entry))
+    scene.run_stalled_turn(monkeypatch, moment, lambda net: bring_changes(net, entry))
     assert scene.begun() == []
 
 
@@ -198,11 +198,11 @@
     ("make_scene", "moment"),
     [(is_read, BEFORE_WRITE), (comes_up, BEFORE_CALLBACKS)],
 )
-def test_a_server_that_drains_in_a_second_hold_up_is_sent_nothing(make_scene, moment, monkeypatch):
+def test_a_server_that_drains_in_a_second_stall_is_sent_nothing(make_scene, moment, monkeypatch):
     # What waited for the next turn was sent in that one, though it was held up too.
     scene = make_scene()
     entry = scene.net.host_entry(scene.number, "Terminating")
-    scene.run_two_held_up_turns(monkeypatch, moment, lambda net: bring_changes(net, entry))
+    scene.run_two_stalled_turns(monkeypatch, moment, lambda net: bring_changes(net, entry))
     assert scene.begun() == []
 
 
@@ -212,17 +212,17 @@
 ):
     # The clock of the turn said that there was time left.
     scene = make_scene(SHORT_TIMEOUT_MS)
-    scene.run_held_up_turn(monkeypatch, moment)
+    scene.run_stalled_turn(monkeypatch, moment)
     assert scene.begun() == []
 
 
 @pytest.mark.parametrize(("make_scene", "moment"), SCENES)
-def test_no_command_is_sent_for_a_client_that_left_while_the_turn_was_held_up(
+def test_no_command_is_sent_for_a_client_that_left_while_the_turn_was_stalled(
     make_scene, moment, monkeypatch
 ):
     # RESP's connections did not ask whether their client was still there.
     scene = make_scene()
-    scene.run_held_up_turn(monkeypatch, moment, scene.departure_of_clients())
+    scene.run_stalled_turn(monkeypatch, moment, scene.departure_of_clients())
     assert scene.begun() == []
 
 
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -320,7 +320,7 @@
         exchange = self.exchange(req)
         self.close_request(req)
         exchange.close()
-        exchange.client.close(ConnectionEnd.MADE_WAY)
+        exchange.client.close(ConnectionEnd.EVICTED)
 
 
 class ClosesFirstRequest(Defect):
--- a/tests/simulation/test_crossing.py
+++ b/tests/simulation/test_crossing.py
@@ -44,7 +44,7 @@
             close_record=self.close_record,
             max_attempts_at=lambda came: 3,
             client_one_way_us=lambda: 0,
-            referee=SimpleNamespace(
+            invariant_checker=SimpleNamespace(
                 failed_connections=0,
                 on_client_attempt=lambda attempt: None,
                 on_connection_lost=lambda attempt, at: self.lost.append(attempt),
@@ -56,7 +56,7 @@
         is_earlier = self.record and self.record.closed_at_us < dialled_at_us
         return None if is_earlier else self.record
 
-    def send_once_more(self, attempt, message, balancer):
+    def resend(self, attempt, message, balancer):
         self.sent_once_more.append(attempt)
 
     def on_outcome(self, attempt, status, retry_after_us):
@@ -164,7 +164,7 @@
     owner.record = closed_now(owner)
     far.close()
     attempt = attempt_at()
-    attempt.was_sent_again = True
+    attempt.was_resent = True
     connection.start(attempt, MESSAGE)
     owner.run()
     assert owner.lost == [attempt] and not owner.sent_once_more
@@ -247,7 +247,7 @@
     attempt.arrived_at_us = simulation.loop.clock()
     attempt.deadline_us = attempt.arrived_at_us + TIMEOUT_US
     simulation.network.loop.run_until(attempt.arrived_at_us + elapsed_us)
-    simulation.clients.send_once_more(attempt, MESSAGE, "b0")
+    simulation.clients.resend(attempt, MESSAGE, "b0")
     return attempt
 
 
@@ -257,7 +257,7 @@
     assert sent == [
         (simulation.loop.clock(), "b0", (MESSAGE[0].replace(b"9.000", b"%.3f" % left_s),))
     ]
-    assert attempt.was_sent_again
+    assert attempt.was_resent
     assert attempt.deadline_us == attempt.arrived_at_us + TIMEOUT_US
 
 
@@ -271,9 +271,9 @@
 
 def test_the_end_of_a_process_that_did_not_take_it_excuses_nothing(simulation, sent):
     attempt = crossed_at(simulation, 0)
-    simulation.referee.client_attempts[attempt.id] = attempt
+    simulation.invariant_checker.client_attempts[attempt.id] = attempt
     simulation.clients.on_refused(attempt, "b0")
-    simulation.referee.on_balancer_ended("b0", 1, simulation.loop.now, was_killed=True)
+    simulation.invariant_checker.on_balancer_ended("b0", 1, simulation.loop.now, was_killed=True)
     simulation.network.loop.run_until(simulation.loop.clock() + 50_000)
     assert not attempt.abandoned
     assert [balancer for _, balancer, _ in sent] == ["b0", "b1"]
@@ -286,4 +286,4 @@
     simulation.clients.on_refused(attempt, "b0")
     simulation.network.loop.run_until(attempt.deadline_us + 100_000)
     assert len(sent) == 1
-    assert simulation.referee.breach_counts["lost"] == 1
+    assert simulation.invariant_checker.breach_counts["lost"] == 1
--- a/tests/simulation/test_departures.py
+++ b/tests/simulation/test_departures.py
@@ -5,8 +5,8 @@
 import pytest
 
 from orchidgap.errors import ScenarioError
-from orchidgap.simulation.departure_judge import MAX_START_AFTER_CLOSE_US, DepartureJudge
-from orchidgap.simulation.lateness import LatenessJudge
+from orchidgap.simulation.departure_checker import MAX_START_AFTER_CLOSE_US, DepartureChecker
+from orchidgap.simulation.lateness import LatenessChecker
 from orchidgap.simulation.observations import HostAttempt
 from orchidgap.simulation.plan import Plan
 from orchidgap.simulation.plan_file import parse_plan
@@ -16,12 +16,12 @@
 LATEST_US = LEFT_AT_US + MAX_START_AFTER_CLOSE_US
 
 
-def judge_of(breaches, tolerance_us=0):
+def checker_of(breaches, tolerance_us=0):
     def record(rule, at_us, text):
         breaches.append(rule)
 
-    lateness = LatenessJudge(Plan("x"), tolerance_us, record)
-    return DepartureJudge(tolerance_us, lateness, record)
+    lateness = LatenessChecker(Plan("x"), tolerance_us, record)
+    return DepartureChecker(tolerance_us, lateness, record)
 
 
 def attempt_at(first_byte_at_us, left_at_us=LEFT_AT_US):
@@ -35,14 +35,14 @@
 def test_an_attempt_may_begin_for_a_tenth_of_a_second_after_the_close(first_byte_at_us, found):
     """The bound is that of the standing page: 0.1 s, and not a microsecond more."""
     breaches = []
-    judge_of(breaches).on_host_attempt(attempt_at(first_byte_at_us), [], "q1")
+    checker_of(breaches).on_host_attempt(attempt_at(first_byte_at_us), [], "q1")
     assert breaches == found
 
 
 def test_an_attempt_of_a_client_that_stays_is_not_judged():
     """Without a close there is nothing to be late for."""
     breaches = []
-    judge_of(breaches).on_host_attempt(attempt_at(9_000_000, left_at_us=0), [], "q1")
+    checker_of(breaches).on_host_attempt(attempt_at(9_000_000, left_at_us=0), [], "q1")
     assert breaches == []
 
 
@@ -50,11 +50,11 @@
 def test_on_sockets_only_the_kernels_count_of_the_excess_excuses(delay_us, found):
     """A balancer that got no core for all of the excess is excused, and for less it is not."""
     breaches = []
-    judge = judge_of(breaches, TOLERANCE_US)
-    judge.lateness.run_delay_us = lambda balancer, since_us, until_us: delay_us
-    judge.on_host_attempt(attempt_at(LATEST_US + TOLERANCE_US + 10), [], "q1")
+    checker = checker_of(breaches, TOLERANCE_US)
+    checker.lateness.run_delay_us = lambda balancer, since_us, until_us: delay_us
+    checker.on_host_attempt(attempt_at(LATEST_US + TOLERANCE_US + 10), [], "q1")
     assert breaches == [], "the kernel's count is not read yet"
-    judge.judge_all()
+    checker.check_all()
     assert breaches == found
 
 
--- a/tests/simulation/test_invariant_checker.py
+++ b/tests/simulation/test_invariant_checker.py
@@ -17,7 +17,7 @@
     verdict = simulation.play()
     assert verdict["verdict"] == "broken" and verdict[rule], (
         verdict,
-        simulation.referee.breaches[:3],
+        simulation.invariant_checker.breaches[:3],
     )
 
 
@@ -34,6 +34,6 @@
     simulation = Simulation(validate_plan(day), decider=Balancer)
     verdict = simulation.play()
     assert not any(verdict[rule] for rule in RULES) and not verdict["faults"], (
-        simulation.referee.breaches[:3]
+        simulation.invariant_checker.breaches[:3]
     )
     assert verdict["reqs"] > 50 and verdict["service"] > 0.1
--- a/tests/simulation/test_kernel_times.py
+++ b/tests/simulation/test_kernel_times.py
@@ -32,9 +32,9 @@
     """A client's request at a balancer's listener, both in this process."""
     loop = Loop()
     plan = Plan(name="pause")
-    referee = InvariantChecker(plan, loop.now, LOOPBACK_SLACK_US)
+    invariant_checker = InvariantChecker(plan, loop.now, LOOPBACK_SLACK_US)
     environment = SimpleNamespace(
-        referee=referee,
+        invariant_checker=invariant_checker,
         network=LoopbackNetwork,
         incarnation_of=lambda name: 1,
         max_attempts_at=lambda now: 4,
@@ -60,15 +60,17 @@
             loop.run_once(10_000)
         balancer.recv(1 << 12)
         with balancer:
-            yield SimpleNamespace(loop=loop, referee=referee, ask=ask, balancer=balancer)
+            yield SimpleNamespace(
+                loop=loop, invariant_checker=invariant_checker, ask=ask, balancer=balancer
+            )
         link.conn.close()
 
 
 def read_answer(exchange):
     while not exchange.ask.status:
         exchange.loop.run_once(10_000)
-    exchange.referee.lateness.judge_all()
-    return [text for rule, _, text in exchange.referee.breaches if rule == "late"]
+    exchange.invariant_checker.lateness.check_all()
+    return [text for rule, _, text in exchange.invariant_checker.breaches if rule == "late"]
 
 
 def test_a_pause_of_the_simulation_is_not_held_against_the_balancer(exchange):
@@ -104,12 +106,12 @@
 def never_answered(exchange):
     simulation = SimpleNamespace(
         loop=exchange.loop,
-        referee=exchange.referee,
+        invariant_checker=exchange.invariant_checker,
         last_pause_end_us=lambda name: 0,
         process_end=lambda name, incarnation: ProcessEnd.RUNNING,
     )
     Simulation.report_unanswered_requests(simulation)
-    return [text for rule, _, text in exchange.referee.breaches if rule == "lost"]
+    return [text for rule, _, text in exchange.invariant_checker.breaches if rule == "lost"]
 
 
 def test_an_answer_that_came_while_the_last_turn_stood_still_is_not_missing(exchange):
@@ -147,12 +149,14 @@
 def dispatch():
     """A balancer's connection to a host that it was told is draining, both in this process."""
     loop = Loop()
-    referee = InvariantChecker(Plan(name="drain"), loop.now, LOOPBACK_SLACK_US)
+    invariant_checker = InvariantChecker(Plan(name="drain"), loop.now, LOOPBACK_SLACK_US)
     operation = Operation(0, READ, "", 0, 1, loop.now)
     ask = ClientAttempt(b"q1", operation, "b0", 1, loop.now, loop.now + 2_000_000)
     ask.start_line = b"GET /read/k1"
-    referee.on_client_attempt(ask)
-    environment = SimpleNamespace(referee=referee, last_pause_end_us=lambda name: 0)
+    invariant_checker.on_client_attempt(ask)
+    environment = SimpleNamespace(
+        invariant_checker=invariant_checker, last_pause_end_us=lambda name: 0
+    )
     store = SimpleNamespace(
         id="c0",
         loop=loop,
@@ -167,19 +171,21 @@
         socket.create_connection(listener.getsockname()) as balancer,
     ):
         host = ServerConnection(store, listener.accept()[0], "b0")
-        yield SimpleNamespace(loop=loop, referee=referee, ask=ask, balancer=balancer)
+        yield SimpleNamespace(
+            loop=loop, invariant_checker=invariant_checker, ask=ask, balancer=balancer
+        )
         host.conn.close()
 
 
 def drain_breaches(dispatch):
     while not dispatch.ask.host_attempts:
         dispatch.loop.run_once(10_000)
-    return [text for rule, _, text in dispatch.referee.breaches if rule == "drain"]
+    return [text for rule, _, text in dispatch.invariant_checker.breaches if rule == "drain"]
 
 
 def test_a_request_that_was_given_up_unread_was_sent_when_it_was_written(dispatch):
     # Written 700 ms before this process read it, and given up just then: it counted as sent at its end.
-    dispatch.referee.on_list_written("b0", "c0", "draining", dispatch.loop.clock())
+    dispatch.invariant_checker.on_list_written("b0", "c0", "draining", dispatch.loop.clock())
     dispatch.balancer.sendall(REQUEST)
     time.sleep(PAUSE_S)
     dispatch.balancer.shutdown(socket.SHUT_WR)
@@ -187,7 +193,7 @@
 
 
 def test_a_request_to_a_draining_host_breaks_the_rule_with_an_end_behind_it_too(dispatch):
-    dispatch.referee.on_list_written("b0", "c0", "draining", dispatch.loop.clock())
+    dispatch.invariant_checker.on_list_written("b0", "c0", "draining", dispatch.loop.clock())
     time.sleep(PAUSE_S)
     dispatch.balancer.sendall(REQUEST)
     dispatch.balancer.shutdown(socket.SHUT_WR)
--- a/tests/simulation/test_late_connection.py
+++ b/tests/simulation/test_late_connection.py
@@ -42,10 +42,10 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         environment = SimpleNamespace(
             network=LoopbackNetwork(),
-            referee=SimpleNamespace(on_client_attempt=lambda attempt: None),
+            invariant_checker=SimpleNamespace(on_client_attempt=lambda attempt: None),
             incarnation_of=lambda balancer: 1,
             address_of=lambda balancer: listener.getsockname(),
-            front=SimpleNamespace(is_closed=lambda balancer: False),
+            ingress=SimpleNamespace(is_closed=lambda balancer: False),
             max_attempts_at=lambda at_us: 4,
         )
         clients = SimpleNamespace(
--- a/tests/simulation/test_listening_queue.py
+++ b/tests/simulation/test_listening_queue.py
@@ -19,7 +19,7 @@
 ADDRESS = ("127.1.0.1", 7070)
 HOST = ("127.0.0.1", 100)
 FEW_DESCRIPTORS = 64
-LONGER_THAN_THE_ROOM = 100
+LARGER_THAN_SOCKET_BUFFERS = 100
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv"
 
 
@@ -85,7 +85,7 @@
     return client
 
 
-@pytest.mark.parametrize("many", [20, LONGER_THAN_THE_ROOM])
+@pytest.mark.parametrize("many", [20, LARGER_THAN_SOCKET_BUFFERS])
 def test_a_queue_is_not_reset_by_the_end(many):
     """Clients wait as the listener is shut, more than there is room for or fewer. Each request
     is answered.
--- a/tests/simulation/test_operator_faults.py
+++ b/tests/simulation/test_operator_faults.py
@@ -12,14 +12,18 @@
 
 def test_a_request_that_was_sent_after_the_drain_is_told():
     # The check itself failed where a request was open: it asked for a field that attempts do not have.
-    referee = InvariantChecker(Plan(name="drain"), 0)
+    invariant_checker = InvariantChecker(Plan(name="drain"), 0)
     plan = Plan(name="drain")
     operation = Operation(0, plan.request_classes()[0], "", 0, 1, 0)
     attempt = ClientAttempt(b"q1", operation, "b0", 1, 0, 0, write_started_us=NOW_US - 1_000_000)
     connection = SimpleNamespace(attempt=attempt)
     clients = SimpleNamespace(open_connections=lambda name: [connection])
     environment = SimpleNamespace(
-        referee=referee, front=SimpleNamespace(not_ready_since_us={"b0": 0}), clients=clients
+        invariant_checker=invariant_checker,
+        ingress=SimpleNamespace(not_ready_since_us={"b0": 0}),
+        clients=clients,
     )
     check_drained(environment, "b0", NOW_US)
-    assert [text for _, _, text in referee.breaches] == ["b0: was told to drain, and holds q1"]
+    assert [text for _, _, text in invariant_checker.breaches] == [
+        "b0: was told to drain, and holds q1"
+    ]
--- a/tests/simulation/test_plans.py
+++ b/tests/simulation/test_plans.py
@@ -18,7 +18,9 @@
 def test_a_shipped_plan_keeps_the_rules(path):
     plan = read_plan(str(path))
     verdict, simulation = play(plan)
-    assert verdict["verdict"] == "kept" and not verdict["faults"], simulation.referee.breaches[:5]
+    assert verdict["verdict"] == "kept" and not verdict["faults"], (
+        simulation.invariant_checker.breaches[:5]
+    )
     assert verdict["service"] >= plan.min_service_ratio > 0 and plan.name == path.stem
     assert verdict["bad_ignored"] == verdict["bad_served"] == 0
 
@@ -43,9 +45,9 @@
     verdict, simulation = play(
         validate_plan(told | {"trouble": [{"kind": kind, "at-s": 1, "for-s": 2, "part": 0.4}]})
     )
-    assert verdict["verdict"] == "kept", simulation.referee.breaches[:5]
+    assert verdict["verdict"] == "kept", simulation.invariant_checker.breaches[:5]
     assert verdict["trace"] != calm["trace"] and any(
-        text.startswith(kind) for _, text in simulation.referee.events
+        text.startswith(kind) for _, text in simulation.invariant_checker.events
     )
     assert kind in FAULTS
 
--- a/tests/simulation/test_rejection_judge.py
+++ b/tests/simulation/test_rejection_checker.py
@@ -5,7 +5,7 @@
 import pytest
 
 from orchidgap.simulation.plan_file import validate_plan
-from orchidgap.simulation.rejection_judge import (
+from orchidgap.simulation.rejection_checker import (
     excessive_rejections,
     is_calm,
     rejecting_stretches,
--- a/tests/simulation/test_request_end.py
+++ b/tests/simulation/test_request_end.py
@@ -8,7 +8,7 @@
     ProcessEnd,
     RequestEnd,
     awaits_shut_note,
-    judge_end,
+    classify_request_end,
 )
 
 WRITE_BEGAN_US = 5_000
@@ -43,8 +43,8 @@
         (TAKEN._replace(was_written=False), RequestEnd.NOT_TAKEN),
         (TAKEN._replace(was_written=False, earlier_requests=3), RequestEnd.NOT_TAKEN),
         (RESTING, RequestEnd.LOST),
-        (RESTING._replace(was_reset=True), RequestEnd.CROSSED),
-        (RESTING._replace(was_closed_at_write=True), RequestEnd.CROSSED),
+        (RESTING._replace(was_reset=True), RequestEnd.RACED_CLOSE),
+        (RESTING._replace(was_closed_at_write=True), RequestEnd.RACED_CLOSE),
         (RESTING._replace(was_reset=True, was_seen_by_host=True), RequestEnd.LOST),
         (RESTING._replace(was_closed_at_write=True, was_seen_by_host=True), RequestEnd.LOST),
         (TAKEN._replace(answer_begun=True), RequestEnd.TRUNCATED),
@@ -59,11 +59,11 @@
             RESTING._replace(process_end=ProcessEnd.KILLED_PAST_GRACE, was_reset=True),
             RequestEnd.LOST,
         ),
-        (RESTING._replace(process_end=ProcessEnd.EXITED, was_reset=True), RequestEnd.CROSSED),
+        (RESTING._replace(process_end=ProcessEnd.EXITED, was_reset=True), RequestEnd.RACED_CLOSE),
     ],
 )
 def test_what_the_end_of_a_connection_means_for_its_request(facts, end):
-    assert judge_end(facts) is end
+    assert classify_request_end(facts) is end
 
 
 # a crossing needs the balancer's own record, on the first request as on a later one
@@ -72,10 +72,12 @@
 def test_an_end_that_the_kernel_and_the_balancer_both_tell_of_crossed_its_request(facts, seen):
     crossed = facts._replace(**{seen: True})
     read = crossed.earlier_requests
-    assert judge_end(crossed) is RequestEnd.CROSSED
-    assert judge_end(noted(crossed, closed_at_us=WRITE_BEGAN_US)) is RequestEnd.CROSSED
-    assert judge_end(crossed._replace(was_written=False)) is RequestEnd.CROSSED
-    assert judge_end(facts) is RequestEnd.LOST
+    assert classify_request_end(crossed) is RequestEnd.RACED_CLOSE
+    assert (
+        classify_request_end(noted(crossed, closed_at_us=WRITE_BEGAN_US)) is RequestEnd.RACED_CLOSE
+    )
+    assert classify_request_end(crossed._replace(was_written=False)) is RequestEnd.RACED_CLOSE
+    assert classify_request_end(facts) is RequestEnd.LOST
     not_excused = {
         "the process noted nothing": crossed._replace(close_record=None),
         "written first": noted(crossed, closed_at_us=WRITE_BEGAN_US + 1),
@@ -87,17 +89,17 @@
         "one before it was not answered": noted(crossed, requests_answered=read - 1),
         "at a host": crossed._replace(was_seen_by_host=True),
     }
-    found = {name: judge_end(case) for name, case in not_excused.items()}
+    found = {name: classify_request_end(case) for name, case in not_excused.items()}
     assert found == dict.fromkeys(not_excused, RequestEnd.LOST)
 
 
 # a request that its balancer found unread behind its shutdown came after the last look, and was not read
 @pytest.mark.parametrize("facts", [FIRST, RESTING], ids=["first", "resting"])
 def test_an_end_in_order_crossed_what_the_process_found_unread_behind_its_shutdown(facts):
-    assert judge_end(facts) is RequestEnd.LOST
+    assert classify_request_end(facts) is RequestEnd.LOST
     assert awaits_shut_note(facts)
     crossed = noted(facts, shut_unread_at_us=WRITE_BEGAN_US)
-    assert judge_end(crossed) is RequestEnd.CROSSED
+    assert classify_request_end(crossed) is RequestEnd.RACED_CLOSE
     assert not awaits_shut_note(crossed)
     read = crossed.earlier_requests
     not_excused = {
@@ -108,7 +110,7 @@
         "one before it was not answered": noted(crossed, requests_answered=read - 1),
         "at a host": crossed._replace(was_seen_by_host=True),
     }
-    found = {name: judge_end(case) for name, case in not_excused.items()}
+    found = {name: classify_request_end(case) for name, case in not_excused.items()}
     assert found == dict.fromkeys(not_excused, RequestEnd.LOST)
     awaited = {name: awaits_shut_note(case) for name, case in not_excused.items()}
     assert awaited == dict.fromkeys(not_excused, False) | {"found before it was written": True}
@@ -116,11 +118,11 @@
 
 # the balancer looked while the client wrote, and found nothing: a soak called that lost, by 8 us
 @pytest.mark.parametrize("facts", [FIRST, RESTING], ids=["first", "resting"])
-@pytest.mark.parametrize("looked_at_us", [WRITE_BEGAN_US + 1, WRITTEN_AT_US])
-def test_an_end_crossed_what_was_being_written_at_a_look_that_found_nothing(facts, looked_at_us):
+@pytest.mark.parametrize("read_up_to_us", [WRITE_BEGAN_US + 1, WRITTEN_AT_US])
+def test_an_end_crossed_what_was_being_written_at_a_look_that_found_nothing(facts, read_up_to_us):
     reset = facts._replace(was_reset=True)
-    crossed = noted(reset, closed_at_us=looked_at_us, was_looked_at=True)
-    assert judge_end(crossed) is RequestEnd.CROSSED
+    crossed = noted(reset, closed_at_us=read_up_to_us, was_looked_at=True)
+    assert classify_request_end(crossed) is RequestEnd.RACED_CLOSE
     read = crossed.earlier_requests
     not_excused = {
         "written whole before the look": noted(crossed, closed_at_us=WRITTEN_AT_US + 1),
@@ -131,5 +133,5 @@
         "at a host": crossed._replace(was_seen_by_host=True),
         "in order": crossed._replace(was_reset=False),
     }
-    found = {name: judge_end(case) for name, case in not_excused.items()}
+    found = {name: classify_request_end(case) for name, case in not_excused.items()}
     assert found == dict.fromkeys(not_excused, RequestEnd.LOST)
--- a/tests/simulation/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -59,8 +59,9 @@
     verdict, simulation = play(read_plan(str(TRIALS / f"spread-{plan}.toml")))
     assert verdict["verdict"] == "broken" and verdict["uneven"]
     assert any(
-        rule == "uneven" and text.startswith(said) for rule, _, text in simulation.referee.breaches
-    ), simulation.referee.breaches
+        rule == "uneven" and text.startswith(said)
+        for rule, _, text in simulation.invariant_checker.breaches
+    ), simulation.invariant_checker.breaches
 
 
 def test_what_is_out_when_a_stretch_ends_counts_as_it_comes_out():
@@ -72,11 +73,13 @@
         Namespace(counted=True, created_at_us=born, completed_at_us=done, request_class=work)
         for born, done in ((1, 9), (990_000, 0))
     ]
-    referee = Namespace(
+    invariant_checker = Namespace(
         client_attempts={},
         operations=ops,
     )
-    simulation = Namespace(servers={}, start=0, loop=Namespace(now=1_000_000), referee=referee)
+    simulation = Namespace(
+        servers={}, start=0, loop=Namespace(now=1_000_000), invariant_checker=invariant_checker
+    )
     stretches = PhaseRecorder(simulation, (EvennessBounds("calm", min_service_ratio=0.9),))
     stretches.current = "calm", 0
     stretches.begin("")
--- a/tests/simulation/test_told_times.py
+++ b/tests/simulation/test_told_times.py
@@ -17,7 +17,9 @@
     told = []
     entry = {"host": "c0", "health": "Terminating", "born_ms": 0}
     environment = SimpleNamespace(
-        referee=SimpleNamespace(on_list_written=lambda *facts: told.append(facts), list_calls=0),
+        invariant_checker=SimpleNamespace(
+            on_list_written=lambda *facts: told.append(facts), list_calls=0
+        ),
         network=SimpleNamespace(listen=lambda address, accept: None),
         endpoint_list_for=lambda balancer, document: document,
     )
