--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -131,7 +131,7 @@
     verdict, simulation = play(plan)
     held = [
         ask
-        for ask in simulation.referee.client_attempts.values()
+        for ask in simulation.invariant_checker.client_attempts.values()
         if ask.abandoned and not ask.status
     ]
     assert held and verdict["verdict"] == "kept" and simulation.balancers["b0"].incarnation == 2
@@ -165,10 +165,10 @@
         simulation_of(validate_plan(SMALL), real=True, policy="oracle")
 
 
-# --- the referee's own judgement, case by case
+# --- the invariant checker's own judgement, case by case
 
 
-def judge(**work):
+def check(**work):
     told = {
         "name": "j",
         "work": [
@@ -176,17 +176,17 @@
         ],
     }
     plan = validate_plan(told)
-    referee = InvariantChecker(plan, 0)
+    invariant_checker = InvariantChecker(plan, 0)
     ask = ClientAttempt(
         b"q1", Operation(0, plan.request_classes()[0], "north", 1, 1, 0), "b0", 1, 0, 1_000_000
     )
-    referee.operations.append(ask.operation)
-    referee.on_client_attempt(ask)
-    return referee, ask
+    invariant_checker.operations.append(ask.operation)
+    invariant_checker.on_client_attempt(ask)
+    return invariant_checker, ask
 
 
-def broken(referee):
-    return [rule for rule in RULES if referee.breach_counts[rule]]
+def broken(invariant_checker):
+    return [rule for rule in RULES if invariant_checker.breach_counts[rule]]
 
 
 UNIQUED = {"effect": "uniqued", "write": True, "window-ms": 200}
@@ -207,13 +207,13 @@
     ],
 )
 def test_a_second_dispatch_is_judged_by_what_the_first_came_to(work, outcome, second, breaks):
-    referee, _ = judge(**work)
-    first = referee.on_host_attempt(b"q1", "o0", "all", 10_000, 10_000)
+    invariant_checker, _ = check(**work)
+    first = invariant_checker.on_host_attempt(b"q1", "o0", "all", 10_000, 10_000)
     if outcome:
-        referee.on_attempt_settled(first, outcome, 20_000)
+        invariant_checker.on_attempt_settled(first, outcome, 20_000)
     host, group, at = second
-    referee.on_host_attempt(b"q1", host, group, at, at)
-    assert broken(referee) == breaks
+    invariant_checker.on_host_attempt(b"q1", host, group, at, at)
+    assert broken(invariant_checker) == breaks
 
 
 @pytest.mark.parametrize(
@@ -234,12 +234,12 @@
 def test_a_final_answer_is_judged_by_what_may_have_run_and_by_its_time(
     work, outcome, status, at, breaks
 ):
-    referee, ask = judge(**work)
-    sent = referee.on_host_attempt(b"q1", "c0", "all", 10_000, 10_000)
+    invariant_checker, ask = check(**work)
+    sent = invariant_checker.on_host_attempt(b"q1", "c0", "all", 10_000, 10_000)
     if outcome:
-        referee.on_attempt_settled(sent, outcome, 20_000)
-    referee.on_answer(ask, status, b"nobody made this", at)
-    assert broken(referee) == breaks
+        invariant_checker.on_attempt_settled(sent, outcome, 20_000)
+    invariant_checker.on_answer(ask, status, b"nobody made this", at)
+    assert broken(invariant_checker) == breaks
 
 
 @pytest.mark.parametrize(
@@ -252,26 +252,26 @@
     ],
 )
 def test_a_dispatch_begun_after_the_grace_breaks_the_drain(told, first_at, breaks):
-    referee, _ = judge()
-    referee.on_list_written("b0", "c0", *told)
-    referee.on_host_attempt(b"q1", "c0", "all", first_at, first_at)
-    assert broken(referee) == breaks
+    invariant_checker, _ = check()
+    invariant_checker.on_list_written("b0", "c0", *told)
+    invariant_checker.on_host_attempt(b"q1", "c0", "all", first_at, first_at)
+    assert broken(invariant_checker) == breaks
 
 
 def test_what_is_written_before_the_list_was_told_is_no_breach_on_real_sockets():
     """Told and written race there: both times are taken by the peers, and the slack lies between them."""
     plan = validate_plan({"name": "j"})
-    referee = InvariantChecker(plan, 0, slack=50_000)
+    invariant_checker = InvariantChecker(plan, 0, slack=50_000)
     ask = ClientAttempt(
         b"q1", Operation(0, plan.request_classes()[0], "north", 1, 1, 0), "b0", 1, 0, 1_500_000
     )
-    referee.on_client_attempt(ask)
-    referee.on_list_written("b0", "c0", "draining", 0)
+    invariant_checker.on_client_attempt(ask)
+    invariant_checker.on_list_written("b0", "c0", "draining", 0)
     assert isinstance(
-        referee.on_host_attempt(b"q1", "c0", "all", 299_000, 299_500), HostAttempt
-    ) and not broken(referee)
-    referee.on_host_attempt(b"q1", "c0", "all", 301_000, 301_000)
-    assert broken(referee) == ["drain"]
+        invariant_checker.on_host_attempt(b"q1", "c0", "all", 299_000, 299_500), HostAttempt
+    ) and not broken(invariant_checker)
+    invariant_checker.on_host_attempt(b"q1", "c0", "all", 301_000, 301_000)
+    assert broken(invariant_checker) == ["drain"]
 
 
 @pytest.mark.parametrize(
@@ -317,8 +317,8 @@
             far.recv(100)
         far.close()
         simulation.network.loop.run_until(simulation.network.loop.time + 1_000)
-        assert broken(simulation.referee) == breaks
-        assert ask.was_sent_again is not bool(breaks)
+        assert broken(simulation.invariant_checker) == breaks
+        assert ask.was_resent is not bool(breaks)
         # sent once more, it is at the listener again
         assert len(accepted) == (1 if breaks else 2)
     finally:
@@ -369,14 +369,14 @@
         wait(simulation.loop.time + 10_000)
         assert (
             b"Terminating" in owner.got
-            and simulation.referee.notified_states["b0", "c01"][0] == "draining"
+            and simulation.invariant_checker.notified_states["b0", "c01"][0] == "draining"
         )
         assert parse_seconds(b"1") == 1_000_000
     finally:
         simulation.close()
 
 
-def test_denials_are_counted_apart_where_hosts_had_room():
+def test_denials_are_counted_apart_where_hosts_had_capacity():
     """A verdict of kept with a third of all denied told nothing of whether hosts were full then."""
     work = {"name": "view", "share": 1, "work-ms": 200, "target-ms": 300, "timeout-ms": 1000}
     full = SMALL | {"rate": 120, "work": [work], "keys": {"count": 4000, "zipf": 0.1}}
@@ -384,9 +384,9 @@
     assert verdict["denied"] > 50 > verdict["denied_with_room"] * 5
     simulation = Simulation(validate_plan(SMALL))
     try:
-        assert simulation.hosts_have_room()
+        assert simulation.hosts_have_capacity()
         simulation.servers["o0"].stop()
-        assert not simulation.hosts_have_room()
+        assert not simulation.hosts_have_capacity()
     finally:
         simulation.close()
 
--- a/tests/held_up_turn.py
+++ b/tests/stalled_turn.py
@@ -14,7 +14,7 @@
 from orchidgap.net.loop import READ
 from orchidgap.resp.slot_discovery import SlotDiscovery
 
-HELD_UP_US = 300_000  # past the grace of a drain
+STALL_US = 300_000  # past the grace of a drain
 SELECTOR_ANSWERED = "the selector has answered"
 BEFORE_CALLBACKS = "before the first callback"
 BEFORE_DECISION = "before the decision"
@@ -22,7 +22,7 @@
 BEFORE_WRITE = "between the decision and the write"
 
 
-class HoldUp:
+class TurnStall:
     """Stands still once, for `held_us` of the node's clock, and has `meanwhile` happen."""
 
     def __init__(self, net, held_us, meanwhile):
@@ -40,9 +40,9 @@
         return age_us + self.held_us if self.is_over and age_us is not None else age_us
 
 
-def hold_up(net, monkeypatch, moment, held_us, meanwhile):
+def stall_turn(net, monkeypatch, moment, held_us, meanwhile):
     """Have the next turn that gets to this moment stand still there."""
-    stands_still = HoldUp(net, held_us, meanwhile)
+    stands_still = TurnStall(net, held_us, meanwhile)
     receive_age_us = connection.receive_age_us
     monkeypatch.setattr(
         connection, "receive_age_us", lambda *seen: stands_still.age(receive_age_us(*seen))
@@ -57,7 +57,7 @@
 
         net.loop.selector.select = answered
     elif moment == BEFORE_CALLBACKS:
-        hold_up_first(net, stands_still)
+        stall_turn_first(net, stands_still)
     elif moment == BEFORE_TIMERS:
         net.loop.call_at(0, stands_still)
     elif moment == BEFORE_DECISION:
@@ -67,7 +67,7 @@
     return stands_still
 
 
-def hold_up_first(net, stands_still):
+def stall_turn_first(net, stands_still):
     """A callback that comes before all others of the next turn."""
     near, far = socket.socketpair()
     net.kept.append(far)
@@ -103,28 +103,28 @@
     wait_until_readable(discovery.conn.sock)
 
 
-def told_us(text):
+def sent_timeout_us(text):
     """The time that a host was told, in microseconds."""
     lines = text.split("\r\n")
     field = next(line for line in lines if line.startswith("Request-Timeout"))
     return round(float(field.split(": ")[1]) * 1e6)
 
 
-class HeldUpScene:
+class StalledTurnScenario:
     """A node, `net`, before a turn in which it will send; `clients` wait for an answer."""
 
-    def run_held_up_turn(self, monkeypatch, moment, meanwhile=lambda net: None):
+    def run_stalled_turn(self, monkeypatch, moment, meanwhile=lambda net: None):
         """The held-up turn, which may wait as long as any, and those that follow."""
-        hold_up(self.net, monkeypatch, moment, HELD_UP_US, meanwhile)
+        stall_turn(self.net, monkeypatch, moment, STALL_US, meanwhile)
         self.net.loop.run_once()
         self.net.turn()
 
-    def run_two_held_up_turns(self, monkeypatch, moment, meanwhile):
+    def run_two_stalled_turns(self, monkeypatch, moment, meanwhile):
         """A held-up turn that postpones what it has to send, and one that is held up before it is sent."""
-        hold_up(self.net, monkeypatch, moment, HELD_UP_US, lambda net: None)
+        stall_turn(self.net, monkeypatch, moment, STALL_US, lambda net: None)
         self.net.loop.run_once()
         assert self.net.loop.postponed
-        self.run_held_up_turn(monkeypatch, BEFORE_CALLBACKS, meanwhile)
+        self.run_stalled_turn(monkeypatch, BEFORE_CALLBACKS, meanwhile)
 
     def departure_of_clients(self):
         """Have all clients close, as far as the kernel knows, while a turn is held up."""
