--- a/orchidgap/control/__init__.py
+++ b/orchidgap/control/__init__.py
@@ -1,7 +1,8 @@
-"""Control: a change of policy is decided once for all balancers.
+"""Control: replicated storage and coordinated rollout of the policy of all balancers.
 
-Control processes keep the policy in a register of which each has an acceptor (`acceptor`,
-`proposer`), drive what is proposed (`rollout_driver`) and grant leases to balancers
-(`lease_service`). A balancer keeps its lease (`lease_keeper`) and serves by it (`guarded_node`).
-Operators act through `cli`. All of them speak by `messages`.
+Control processes keep the policy in a replicated register. Each of them has an acceptor
+(`acceptor`) and a proposer (`proposer`), drives the open proposal to its decision
+(`rollout_driver`) and grants leases to balancers (`lease_service`). A balancer renews its lease
+(`lease_keeper`) and accepts requests only while it is permitted to serve (`guarded_node`).
+Operators use `cli`. All of them communicate with `messages`.
 """
--- a/orchidgap/control/acceptor.py
+++ b/orchidgap/control/acceptor.py
@@ -1,4 +1,4 @@
-"""A control process's acceptor of the register, with its disk: one durable write after another."""
+"""The register's acceptor in a control process; writes its state durably, one write at a time."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 from orchidgap.state.durable_store import DurableStore
 
 REGISTER_FILE = "register"
-MAX_WAITING_CALLS = 256
-SLOW_WRITE_US = ANSWER_TIMEOUT_US  # whoever asked has given up by then
+MAX_QUEUED_CALLS = 256
+SLOW_WRITE_US = ANSWER_TIMEOUT_US  # callers have timed out by then
 DISK_EVENTS = {
-    DiskState.SOUND: "disk recovered",
+    DiskState.HEALTHY: "disk recovered",
     DiskState.SLOW: "disk slow",
     DiskState.FAILING: "disk failing",
 }
@@ -41,32 +41,32 @@
 
 
 @dataclass(frozen=True)
-class WaitingCall:
-    """A call that waits for the write before it.
+class QueuedCall:
+    """A call that is queued until the current write is finished.
 
     Attributes:
-        queued_at_us: When it came.
-        run: Handles it.
-        give_up: Answers that it can't be handled.
+        queued_at_us: The time at which the call arrived.
+        run: Handles the call.
+        reject: Answers that the call cannot be handled.
     """
 
     queued_at_us: int
     run: Callable[[Acceptor[PolicyState]], None]
-    give_up: Callable[[], None]
+    reject: Callable[[], None]
 
 
 class DurableAcceptor:
     """The acceptor of one control process.
 
-    What it promises and accepts is durable before it is told. Leases are granted meanwhile,
-    however long the disk takes.
+    Promises and accepted values are durable before they are reported. Leases are granted during a
+    write, however long it takes.
 
     Attributes:
-        name: The control process.
+        name: The name of the control process.
         acceptor: The acceptor, None while this process has lost its register and has not recovered.
         highest_ballot_count: The highest count of any ballot that this process has seen.
-        disk_state: How the disk behaves.
-        writer: Writes in the background.
+        disk_state: The state of the disk.
+        writer: Writes the register's file in the background.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         leases: LeaseTable,
         log: EventLog,
     ) -> None:
-        """Make an acceptor that knows nothing before `load` or `recover`."""
+        """Create an acceptor without a register until `load` or `recover` is called."""
         self.name = name
         self.loop = loop
         self.clock = clock
@@ -88,32 +88,32 @@
         self.writer = BackgroundWriter(loop, store)
         self.acceptor: Acceptor[PolicyState] | None = None
         self.highest_ballot_count = 0
-        self.disk_state = DiskState.SOUND
-        self._waiting: deque[WaitingCall] = deque()
+        self.disk_state = DiskState.HEALTHY
+        self._queue: deque[QueuedCall] = deque()
         self._writing_since_us: int | None = None
 
     @property
-    def is_lost(self) -> bool:
-        """Whether this process has lost its register, and may take part in nothing."""
+    def has_lost_register(self) -> bool:
+        """Whether this process has lost its register, and must not take part in rounds."""
         return self.acceptor is None
 
     @property
     def is_writing(self) -> bool:
-        """Whether a write is under way."""
+        """Whether a write is in progress."""
         return self._writing_since_us is not None
 
     @property
     def policy(self) -> PolicyState:
-        """The register's value as accepted here, which need not be chosen."""
+        """The register's value accepted by this process, which may not be chosen."""
         return self.acceptor.state.value if self.acceptor else INITIAL_STATE
 
     @property
     def accepted_ballot(self) -> Ballot:
-        """The ballot under which that value was accepted."""
+        """The ballot under which `policy` was accepted."""
         return self.acceptor.state.accepted_ballot if self.acceptor else NO_BALLOT
 
     def observe_ballot(self, ballot: Ballot) -> None:
-        """Note a ballot that somebody uses, so that this process's next one is higher."""
+        """Record a ballot in use, so that the next ballot of this process is higher."""
         self.highest_ballot_count = max(self.highest_ballot_count, ballot[0])
 
     def next_ballot(self) -> Ballot:
@@ -121,17 +121,17 @@
         self.highest_ballot_count += 1
         return self.highest_ballot_count, self.name
 
-    # The register's file.
+    # Register file.
 
-    def load(self, begin_anew: bool, has_others: bool) -> None:
-        """Read the register from the disk.
+    def load(self, create_if_missing: bool, has_peers: bool) -> None:
+        """Read the register from disk.
 
         Args:
-            begin_anew: Begin with nothing decided where there is no register.
-            has_others: Whether a lost register can be had from other processes.
+            create_if_missing: Whether to create a register with nothing decided if there is none.
+            has_peers: Whether a lost register can be recovered from other processes.
 
         Raises:
-            ConfigError: There is no register, and it can't be had; or the disk fails.
+            ConfigError: There is no register and it cannot be recovered, or the disk fails.
         """
         problem = ""
         content = None
@@ -142,20 +142,20 @@
             self.store.set_aside(REGISTER_FILE)
         if content is not None:
             self._install(acceptor_state_from_wire(content))
-        elif begin_anew and not problem:
+        elif create_if_missing and not problem:
             self._create()
-        elif has_others:
-            self.log("register lost", why=problem or "nothing there")
+        elif has_peers:
+            self.log("register lost", why=problem or "file is missing")
         else:
-            problem = problem or f"{self.store.folder} holds no register"
+            problem = problem or f"{self.store.folder} contains no register"
             raise ConfigError(
-                f"{problem}; --new begins with none decided",
+                f"{problem}; --new creates a register with nothing decided",
                 location=str(self.store.folder),
                 expected="a register",
             )
 
     def recover(self, state: RegisterState) -> None:
-        """Write a register in the place of the lost one, and take part again once it is durable."""
+        """Write a register in place of the lost one; use it once the write is durable."""
 
         def on_written(durable: bool) -> None:
             if durable:
@@ -165,7 +165,7 @@
         self.write_state(state, on_written)
 
     def write_state(self, state: RegisterState, on_written: Callable[[bool], None]) -> None:
-        """Write the register; `on_written` is told whether it is durable."""
+        """Write the register; `on_written` receives whether it is durable."""
         self._writing_since_us = self.clock()
         self.writer.write(
             REGISTER_FILE, acceptor_state_to_wire(state), partial(self._on_written, on_written)
@@ -193,59 +193,59 @@
             self._set_disk_state(DiskState.FAILING, why=error)
         else:
             slow = duration_us > SLOW_WRITE_US
-            state = DiskState.SLOW if slow else DiskState.SOUND
+            state = DiskState.SLOW if slow else DiskState.HEALTHY
             self._set_disk_state(state, duration_ms=duration_us // 1000)
         on_written(not error)
-        self._run_waiting()
+        self._run_queued()
 
     def check_disk(self) -> None:
-        """Give up the calls whose askers have, and tell of a write that takes long.
+        """Reject queued calls whose callers have timed out, and log a write that is slow.
 
-        Called regularly: behind a disk that stands still, calls must not pile up.
+        Called periodically, so that calls do not accumulate while the disk is blocked.
         """
         now_us = self.clock()
-        while self._waiting and now_us - self._waiting[0].queued_at_us > ANSWER_TIMEOUT_US:
-            self._waiting.popleft().give_up()
-        if self._writing_since_us is None or self.disk_state is not DiskState.SOUND:
+        while self._queue and now_us - self._queue[0].queued_at_us > ANSWER_TIMEOUT_US:
+            self._queue.popleft().reject()
+        if self._writing_since_us is None or self.disk_state is not DiskState.HEALTHY:
             return
         duration_us = now_us - self._writing_since_us
         if duration_us > SLOW_WRITE_US:
             self._set_disk_state(DiskState.SLOW, duration_ms=duration_us // 1000)
 
-    def _set_disk_state(self, state: DiskState, **facts: object) -> None:
+    def _set_disk_state(self, state: DiskState, **fields: object) -> None:
         if state is not self.disk_state:
             self.disk_state = state
-            self.log(DISK_EVENTS[state], **facts)
+            self.log(DISK_EVENTS[state], **fields)
 
     # The two phases of a round.
 
     def on_prepare(
         self, request: PrepareRequest, on_answer: Callable[[PrepareAnswer | None], None]
     ) -> None:
-        """Answer the first phase, after what was asked before."""
+        """Queue the first phase of a round and answer it after the calls before it."""
         self._enqueue(partial(self._prepare, request, on_answer), partial(on_answer, None))
 
     def on_accept(
         self, request: AcceptRequest, on_answer: Callable[[AcceptAnswer | None], None]
     ) -> None:
-        """Answer the second phase, after what was asked before."""
+        """Queue the second phase of a round and answer it after the calls before it."""
         self._enqueue(partial(self._accept, request, on_answer), partial(on_answer, None))
 
     def _enqueue(
-        self, run: Callable[[Acceptor[PolicyState]], None], give_up: Callable[[], None]
+        self, run: Callable[[Acceptor[PolicyState]], None], reject: Callable[[], None]
     ) -> None:
-        if len(self._waiting) >= MAX_WAITING_CALLS:
-            give_up()
+        if len(self._queue) >= MAX_QUEUED_CALLS:
+            reject()
             return
-        self._waiting.append(WaitingCall(self.clock(), run, give_up))
+        self._queue.append(QueuedCall(self.clock(), run, reject))
         if not self.is_writing:
-            self.loop.call_soon(self._run_waiting)
+            self.loop.call_soon(self._run_queued)
 
-    def _run_waiting(self) -> None:
-        while self._waiting and not self.is_writing:
-            call = self._waiting.popleft()
+    def _run_queued(self) -> None:
+        while self._queue and not self.is_writing:
+            call = self._queue.popleft()
             if self.acceptor is None:
-                call.give_up()
+                call.reject()
             else:
                 call.run(self.acceptor)
 
--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -1,6 +1,6 @@
-"""The command `orchidgap change`: what operators ask of control from a shell.
+"""The command `orchidgap change`: requests of operators to control from a shell.
 
-Each command prints text or JSON and ends with an `ExitCode`.
+Each command prints text or JSON and exits with an `ExitCode`.
 """
 
 from __future__ import annotations
@@ -45,14 +45,14 @@
 from orchidgap.net.addresses import Address, parse_address
 from orchidgap.net.loop import Loop
 
-CALL_TIMEOUT_US = 3_000_000  # a control process may have to ask the others
+CALL_TIMEOUT_US = 3_000_000  # a control process may have to call the others first
 POLL_INTERVAL_S = 0.1
-EVICT_COMMAND = "strike"  # the operators' word
-CHANGE_ID_BYTES = 6  # of the digest that names a change without a name
+EVICT_COMMAND = "strike"  # the name of the command for operators
+CHANGE_ID_BYTES = 6  # size of the digest that is the default id of a change
 
 
 class ExitCode(IntEnum):
-    """What a command ends with."""
+    """Exit codes of the commands."""
 
     DONE = 0
     BAD_INPUT = 1
@@ -61,20 +61,20 @@
 
 
 class ControlClient:
-    """Calls to control from outside of any loop.
+    """Sends calls to control from outside an event loop.
 
     Attributes:
-        answer_lost: A call had no answer; it may have been heard all the same.
+        answer_lost: Whether a call had no answer; it may have been processed nevertheless.
     """
 
     def __init__(self, addresses: list[Address]) -> None:
-        """Make a client of these control processes."""
+        """Create a client of these control processes."""
         loop = Loop()
         self.clients = [RpcClient(loop, address, CALL_TIMEOUT_US) for address in addresses]
         self.answer_lost = False
 
     def call_any(self, method: RpcMethod[RequestT, AnswerT], request: RequestT) -> AnswerT | None:
-        """Return the first answer of any process: they all know the same, or find out."""
+        """Return the first answer of any process; each knows or determines the chosen state."""
         for client in list(self.clients):
             answer = client.call_and_wait(method, request)
             if answer is not None:
@@ -94,10 +94,10 @@
 
     Args:
         command: check, propose, status, history or strike.
-        arguments: As docopt has them.
+        arguments: The arguments as parsed by docopt.
 
     Returns:
-        What to exit with.
+        The exit code.
     """
     try:
         addresses = [parse_address(text.strip()) for text in arguments["--at"].split(",")]
@@ -137,7 +137,7 @@
 
 
 def check(control: ControlClient, document: Document, as_json: bool) -> ExitCode:
-    """Say whether a policy could be proposed."""
+    """Print whether a policy could be proposed."""
     answer = control.call_any(CHECK, CheckRequest(document=document))
     if answer is None:
         return _show_unknown(as_json)
@@ -149,10 +149,10 @@
 
 
 class ProposeCommand:
-    """Proposes a change and waits for its end.
+    """Proposes a change and waits for its result.
 
-    The same request may be sent again while no answer comes: control counts it once, by the
-    proposal count that it carries.
+    The same request may be resent while there is no answer. Control applies it only once, because
+    of the proposal count that it contains.
     """
 
     def __init__(
@@ -163,27 +163,31 @@
         again: bool,
         as_json: bool,
     ) -> None:
-        """Prepare to propose.
+        """Create a command; nothing is sent before `run`.
 
         Args:
-            control: Whom to call.
-            change_id: The change's name.
+            control: The client of control.
+            change_id: The id of the change.
             document: The policy.
-            again: Propose it even though it was decided before.
-            as_json: Print JSON in place of text.
+            again: Whether to propose the change even if it was decided before.
+            as_json: Whether to print JSON instead of text.
         """
         self.control = control
         self.change_id = change_id
         self.document = document
         self.again = again
         self.as_json = as_json
-        self.proposal_count: int | None = None  # as told last; None before anything was proposed
-        self.waits_for = ""  # who is waited for, as told last; empty before it is proposed
+        self.proposal_count: int | None = (
+            None  # from the last answer; None before the first proposal
+        )
+        self.waits_for = (
+            ""  # the pending balancers that were printed last; empty before the change is proposed
+        )
 
     def run(self, wait_s: float) -> ExitCode:
-        """Propose the change, wait for its end at most this long, and print what came of it."""
+        """Propose the change, wait for its result at most this long, and print the result."""
         give_up_at_s = time.monotonic() + wait_s
-        answer = self._ask()
+        answer = self._query_change()
         while True:
             exit_code = self._show_end(answer)
             if exit_code is not None:
@@ -194,7 +198,7 @@
                 return _show_unknown(self.as_json)
             answer = self._next_answer(answer)
 
-    def _ask(self) -> ChangeAnswer | None:
+    def _query_change(self) -> ChangeAnswer | None:
         return self.control.call_any(CHANGE, ChangeRequest(change_id=self.change_id))
 
     def _propose(self) -> ChangeAnswer | None:
@@ -208,17 +212,17 @@
         return self.control.call_any(PROPOSE, request)
 
     def _next_answer(self, answer: ChangeAnswer | None) -> ChangeAnswer | None:
-        """Ask how far the change is, or propose it."""
+        """Query the state of the change, or propose it."""
         if self.waits_for:
             time.sleep(POLL_INTERVAL_S)
-            return self._ask()
+            return self._query_change()
         if answer is None and self.proposal_count is not None:
-            # Whether it was heard is not known: the same request again, which counts once.
+            # It is unknown whether the request arrived: resend it, as it is applied only once.
             time.sleep(POLL_INTERVAL_S)
             return self._propose()
         if answer is None:
             time.sleep(POLL_INTERVAL_S)
-            answer = self._ask()
+            answer = self._query_change()
         if answer is None:
             return None
         self.proposal_count = answer.proposal_count
@@ -226,20 +230,20 @@
         return self._propose()
 
     def _show_end(self, answer: ChangeAnswer | None) -> ExitCode | None:
-        """Print how the change ended; return None if that is not known yet."""
+        """Print the result of the change; return None if it is not known yet."""
         if answer is None:
             return None
         state = answer.state
         sent = self.proposal_count is not None
-        # Whether the answer may be about this call, and not about an earlier one of the same name.
-        about_this_call = sent and (bool(self.waits_for) or self.control.answer_lost)
+        # Whether the answer may refer to this proposal, not to an earlier one with the same id.
+        concerns_this_proposal = sent and (bool(self.waits_for) or self.control.answer_lost)
         in_force = answer.current_version == answer.version
-        if state is ChangeState.DECIDED and (about_this_call or not self.again or in_force):
+        if state is ChangeState.DECIDED and (concerns_this_proposal or not self.again or in_force):
             return self._show_decided(answer)
         ended = (
             state is ChangeState.INVALID
             or (state is ChangeState.BUSY and sent)
-            or (state is ChangeState.DROPPED and about_this_call)
+            or (state is ChangeState.DROPPED and concerns_this_proposal)
         )
         if not ended:
             return None
@@ -259,7 +263,7 @@
         return ExitCode.DONE
 
     def _show_progress(self, answer: ChangeAnswer) -> None:
-        """Print who is waited for, if that has changed."""
+        """Print the pending balancers if they have changed."""
         self.proposal_count = answer.proposal_count
         pending_members = answer.pending_members or ()
         waits_for = ", ".join(member.name for member in pending_members) or "the decision"
@@ -297,7 +301,7 @@
 
 
 def status(control: ControlClient, history_only: bool, as_json: bool) -> ExitCode:
-    """Print what all control processes that answer know, or only the changes that ended."""
+    """Print the merged status of all control processes that answer, or only the history."""
     answers = control.status_of_all()
     if not answers:
         return _show_unknown(as_json)
--- a/orchidgap/control/guarded_node.py
+++ b/orchidgap/control/guarded_node.py
@@ -1,7 +1,7 @@
 """A node that accepts requests only while the balancer has permission to serve.
 
-It asks at each request, so that a process that was stopped for longer than its lease finds out
-before the first request that it accepts.
+The permission is checked for each request. A process that was stopped for longer than its lease
+therefore detects the expired lease before it accepts another request.
 """
 
 from __future__ import annotations
@@ -19,30 +19,31 @@
 
 
 class ServingGuard(Protocol):
-    """Knows whether the balancer may serve now."""
+    """Decides whether the balancer may serve at the moment."""
 
     def may_serve(self) -> bool:
-        """Return whether it may accept a request at this moment."""
+        """Return whether the balancer may accept a request at this moment."""
         ...
 
     def retry_after_us(self) -> int:
-        """Return when a client that is denied may come back, in microseconds."""
+        """Return the delay in microseconds after which a denied client may retry."""
         ...
 
 
 class LeaseGuardedNode(Node):
-    """A node that a guard has to allow each request."""
+    """A node that accepts a request only if its guard permits it."""
 
     guard: ServingGuard
 
     def is_ready(self) -> bool:
-        """Return whether it serves."""
+        """Return whether the node accepts requests."""
         return self.guard.may_serve() and super().is_ready()
 
     def knows_request_class(self, name: str) -> bool:
-        """Return whether the request class exists; any may while it must not serve.
+        """Return whether the request class exists; without permission to serve, always return True.
 
-        Without permission it must not answer 404 by a policy that may no longer be in force.
+        Without permission the node must not answer 404 according to a policy that may no longer be
+        in force.
         """
         return not self.guard.may_serve() or super().knows_request_class(name)
 
@@ -61,9 +62,9 @@
         upload: Upload | None = None,
         is_client_retry: bool = False,
     ) -> None:
-        """Accept a request, or answer 503 with a time to come back."""
-        # The permission may have come back since `knows_request_class` was asked, with
-        # a policy that does not have the request class.
+        """Accept a request, or answer 503 with a time for a retry."""
+        # Since the call of `knows_request_class` the balancer may have regained its permission,
+        # under a policy that does not have the request class.
         known = request_class in self.config.settings.request_classes
         if not self.guard.may_serve() or not known:
             self.traffic_counts.requests_arrived += 1
@@ -88,16 +89,16 @@
     def put_policy_into_force(
         self, settings: Mapping[str, Any], config: BalancerConfig, accepting: bool
     ) -> None:
-        """Decide by these settings from now on (see `Balancer.on_settings` for open requests).
+        """Apply these settings from now on (see `Balancer.on_settings` for open requests).
 
-        `LeaseKeeper.adopt` calls it once the answers of a majority show that a newer version has
+        `LeaseKeeper.adopt` calls this once the answers of a majority show that a newer version has
         been decided.
 
         Args:
-            settings: The policy's settings, which count when the file is read again.
-            config: The balancer's configuration under them.
-            accepting: Whether the listener is open. If not, nothing depends on the settings before,
-                and those that take effect at startup only are put into force too.
+            settings: The policy's settings, which also apply when the file is reloaded.
+            config: The balancer's configuration with these settings.
+            accepting: Whether the listener is open. If it is not, nothing depends on the previous
+                settings yet, and settings that take effect only at startup are applied as well.
         """
         self.settings = settings
         if accepting:
--- a/orchidgap/control/heartbeat.py
+++ b/orchidgap/control/heartbeat.py
@@ -1,6 +1,6 @@
-"""A balancer's heartbeats to control: what one has brought so far, and when the next one is due.
+"""A balancer's heartbeats to control: the answers to the current one, and the time of the next.
 
-Times are whole microseconds.
+Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from orchidgap.net.loop import Loop, Timer
 
 CALL_TIMEOUT_US = 500_000
-FIRST_INTERVAL_US = 100_000  # until control has said how often
-MAX_DOUBLINGS = 4  # of an interval, while heartbeats fail
+FIRST_INTERVAL_US = 100_000  # until the first answer specifies an interval
+MAX_DOUBLINGS = 4  # of the delay, while heartbeats fail
 MAX_BACKOFF_US = 2_000_000
 BACKOFF_JITTER = (0.75, 1.25)
 INTERVAL_JITTER = (0.8, 1.0)
@@ -22,13 +22,13 @@
 
 @dataclass(eq=False)
 class Heartbeat:
-    """One heartbeat to all control processes, and what they answered.
+    """One heartbeat to all control processes, and their answers.
 
     Attributes:
-        sent_at_us: When it was sent; a lease counts from then.
-        answers: In the order they came, None for a call that failed.
-        state_known: The chosen state could be told from the answers so far.
-        done: Answers that come from now on change nothing.
+        sent_at_us: The time at which the heartbeat was sent; a lease starts at this time.
+        answers: The answers in order of arrival, None for a call that failed.
+        state_known: Whether the answers so far determine the chosen state.
+        done: Whether further answers are ignored.
     """
 
     sent_at_us: int
@@ -38,15 +38,15 @@
 
 
 class HeartbeatSchedule:
-    """When the next heartbeat is sent. Each call replaces the time that was set before.
+    """Schedules the next heartbeat. Each call replaces the time set by the previous call.
 
     Attributes:
-        interval_us: Between heartbeats that succeed; control says how long.
-        failures: How many heartbeats in a row brought nothing.
+        interval_us: The interval between successful heartbeats, as specified by control.
+        failures: The number of consecutive heartbeats that failed.
     """
 
     def __init__(self, loop: Loop, rng: Random, send: Callable[[], None]) -> None:
-        """Make a schedule with nothing due; `send` sends a heartbeat."""
+        """Create a schedule without a pending heartbeat; `send` sends a heartbeat."""
         self.loop = loop
         self.rng = rng
         self.send = send
@@ -55,20 +55,21 @@
         self.timer: Timer | None = None
 
     def send_after(self, delay_us: int) -> None:
-        """Send the next one after this time."""
+        """Send the next heartbeat after this delay."""
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(delay_us, self.send)
 
-    def send_after_interval(self, spent_us: int) -> None:
-        """Send the next one an interval after the last, which was sent `spent_us` ago."""
+    def send_after_interval(self, elapsed_us: int) -> None:
+        """Send the next heartbeat one interval after the last, which was sent `elapsed_us` ago."""
         interval_us = round(self.interval_us * self.rng.uniform(*INTERVAL_JITTER))
-        self.send_after(max(0, interval_us - spent_us))
+        self.send_after(max(0, interval_us - elapsed_us))
 
     def send_after_backoff(self) -> None:
-        """Count a failure, and wait longer after each one, with jitter.
+        """Count a failure and send the next heartbeat after an exponential backoff with jitter.
 
-        Hundreds of balancers that start together would keep control too busy to answer any of them.
+        Without it, hundreds of balancers that start together would overload control so that it
+        could not answer any of them.
         """
         self.failures += 1
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
@@ -76,5 +77,5 @@
         self.send_after(round(backoff_us * self.rng.uniform(*BACKOFF_JITTER)))
 
     def retry_soon(self) -> None:
-        """Send the next one after a short time, which grows with the failures."""
+        """Send the next heartbeat after a short delay, which grows with the number of failures."""
         self.send_after(FIRST_INTERVAL_US << min(self.failures, MAX_DOUBLINGS))
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -1,10 +1,10 @@
-"""A balancer's side of control: it renews its lease, promises proposals and adopts versions.
+"""The balancer's client of control: renews its lease, promises proposals and adopts versions.
 
-A heartbeat goes to every control process at once. What `LeaseState` says of the answers is done
-here: a version is put into force at the node, a proposal is checked and written. The first lease
-opens the listener.
+Each heartbeat is sent to all control processes at once. `LeaseState` evaluates the answers, and the
+lease keeper carries out the result: it puts a version into force at the node, or checks a proposal
+and writes it to disk. The first lease opens the listener.
 
-Times are whole microseconds.
+Times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 from orchidgap.control.validation import (
     InvalidPolicyError,
     check_startup_settings,
-    config_under,
+    config_with_policy,
     settings_of,
 )
 from orchidgap.decisions.cas_register import quorum_size
@@ -62,19 +62,19 @@
 from orchidgap.state.background_writer import BackgroundWriter
 from orchidgap.state.durable_store import DurableStore
 
-RETRY_AFTER_US = 1_000_000  # told to clients while there is no permission; up to half more or less
+RETRY_AFTER_US = 1_000_000  # for clients while there is no permission; with jitter of up to half
 DEREGISTER_TIMEOUT_US = 300_000
-MAX_LOOP_WAIT_US = 10_000  # of one turn of the loop, while it deregisters
+MAX_LOOP_WAIT_US = 10_000  # longest wait in one turn of the loop during deregistration
 
 
 class LeaseKeeper:
     """Renews the lease of one balancer process.
 
     Attributes:
-        lease: The lease, promises and the version in force.
-        node: The node that it guards; to be set before `begin`.
-        incarnation: Drawn at random, unique to this process.
-        clients: One for each control process.
+        lease: The lease, the promises and the version in force.
+        node: The node whose requests it permits; must be set before `begin`.
+        incarnation: A random identifier of this process.
+        clients: One client for each control process.
     """
 
     def __init__(
@@ -87,16 +87,16 @@
         rng: Random,
         clock: Callable[[], int] = boot_clock,
     ) -> None:
-        """Prepare; nothing is sent before `begin`.
+        """Create a lease keeper; it sends nothing before `begin`.
 
         Args:
-            config_path: The balancer's file, which is read again for each policy.
-            loop: The loop that calls back.
-            config: The balancer's configuration, with a part for control.
-            log: Where events go.
+            config_path: The balancer's configuration file, which is reloaded for each policy.
+            loop: The event loop.
+            config: The balancer's configuration; must contain the part for control.
+            log: The event log.
             store: The balancer's own folder.
-            rng: For the incarnation and for jitter.
-            clock: A clock that goes on while the machine sleeps.
+            rng: The random generator for the incarnation and for jitter.
+            clock: A clock that continues while the machine is suspended.
         """
         assert config.control
         self.config_path = config_path
@@ -116,23 +116,23 @@
         self.on_first_lease: Callable[[], None] | None = None  # None once the listener is open
         self.heartbeat = Heartbeat(0, done=True)
         self.schedule = HeartbeatSchedule(loop, rng, lambda: self.send_heartbeat())
-        # When each control process gave the last answer that was heard, by its own clock.
+        # The time of the last answer received from each control process, by that process's clock.
         self.last_answers_at_us = [0] * len(self.clients)
         self.logged_permission = ServingPermission.DENIED
-        self.invalid_version = 0  # decided, and cannot be adopted here
+        self.invalid_version = 0  # the last decided version that this balancer could not adopt
         self.closing = False
 
-    # --- what the node asks
+    # --- permission checks of the node
 
     def may_serve(self) -> bool:
         """Return whether the node may accept a request at this moment."""
         return self.lease.permission(self.clock()) is not ServingPermission.DENIED
 
     def retry_after_us(self) -> int:
-        """Return when a client that is denied may come back, with jitter."""
+        """Return the delay after which a denied client may retry, with jitter."""
         return self.rng.randrange(RETRY_AFTER_US // 2, RETRY_AFTER_US * 3 // 2)
 
-    # --- start and end
+    # --- start and shutdown
 
     def begin(self, on_first_lease: Callable[[], None]) -> None:
         """Send the first heartbeat; `on_first_lease` opens the listener."""
@@ -147,7 +147,7 @@
         self.send_heartbeat()
 
     def _log_stored_policy(self) -> None:
-        """Look at what the process before this one left; control tells what is in force."""
+        """Log the version stored by the previous process; control determines what is in force."""
         try:
             content: Any = self.store.read(ADOPTED_POLICY_FILE)
         except CorruptFileError as error:
@@ -158,7 +158,7 @@
             self.log("stored policy found", version=AdoptedPolicy.from_wire(content).version)
 
     def close(self) -> None:
-        """Deregister, so that no change waits for a lease that nobody uses; then end all calls."""
+        """Deregister, so that no change waits for an unused lease; then close all clients."""
         self.closing = True
         answers: list[EmptyMessage | None] = []
         for client in self.clients:
@@ -175,7 +175,7 @@
     # --- heartbeats
 
     def send_heartbeat(self) -> None:
-        """Ask every control process for a lease."""
+        """Request a lease from every control process."""
         if self.closing:
             return
         self.update_permission()
@@ -193,14 +193,14 @@
                 last_answer_at_us=self.last_answers_at_us[index],
             )
             client.call(LEASE, request, partial(self._on_answer, heartbeat, index))
-        self.schedule.send_after_backoff()  # for when no answer comes
+        self.schedule.send_after_backoff()  # in case no answer arrives
 
     def _on_answer(self, heartbeat: Heartbeat, index: int, answer: LeaseAnswer | None) -> None:
         if answer:
             self.last_answers_at_us[index] = answer.answered_at_us
         if heartbeat is not self.heartbeat or heartbeat.done or self.closing:
             return
-        heartbeat.answers.append(self._checked_answer(answer))
+        heartbeat.answers.append(self._validate_answer(answer))
         answers = [known for known in heartbeat.answers if known]
         chosen, granted = evaluate_answers(
             len(self.clients), [(known.ballot, known, known.granted) for known in answers]
@@ -220,31 +220,31 @@
             self._on_state_unknown(len(answers))
         self.update_permission()
 
-    def _checked_answer(self, answer: LeaseAnswer | None) -> LeaseAnswer | None:
-        """Return the answer unless it comes from a cluster of another size."""
+    def _validate_answer(self, answer: LeaseAnswer | None) -> LeaseAnswer | None:
+        """Return the answer, or None if the cluster has a different number of processes."""
         if answer is None or answer.process_count == len(self.clients):
             return answer
         self.log(
             "control process count differs",
-            why=f"it has {answer.process_count} processes, this file {len(self.clients)}",
+            why=f"cluster has {answer.process_count} processes, this file {len(self.clients)}",
         )
         return None
 
     def _on_state_unknown(self, answer_count: int) -> None:
-        """Try again soon; where a majority differs, one of them has to find out what is chosen."""
+        """Retry soon; if a majority answered, have one process settle the chosen state."""
         if answer_count >= quorum_size(len(self.clients)):
             self.rng.choice(self.clients).call(SETTLE, EmptyMessage(), _ignore_answer)
             self.schedule.failures = 0
         self.schedule.retry_soon()
 
-    # --- what is chosen
+    # --- chosen state
 
     def _on_chosen_state(self, chosen: LeaseAnswer, granted: bool, heartbeat: Heartbeat) -> None:
         lease = self.lease
         lease.lease_us = chosen.lease_us
         self.schedule.interval_us = min(known.next_call_us for known in heartbeat.answers if known)
         registered = chosen.members_without_quorum.get(self.name) == self.incarnation
-        tell_lease = partial(
+        update_lease = partial(
             lease.on_chosen_state,
             chosen.version,
             chosen.proposal.proposal_number if chosen.proposal else 0,
@@ -252,9 +252,9 @@
             heartbeat.sent_at_us,
             granted,
         )
-        step = tell_lease()
+        step = update_lease()
         if step is NextStep.ADOPT_VERSION and self._adopt_chosen(chosen):
-            step = tell_lease()
+            step = update_lease()
             self.schedule.send_after(0)
         if step is NextStep.CHECK_PROPOSAL and chosen.proposal is not None:
             self.check_proposal(chosen.proposal)
@@ -263,8 +263,8 @@
             self.rng.choice(self.clients).call(REGISTER, self._member(), _ignore_answer)
 
     def _adopt_chosen(self, chosen: LeaseAnswer) -> bool:
-        """Put a decided version into force; return whether that was possible."""
-        problem = "" if chosen.document else "it did not come with the answer"
+        """Adopt a decided version; return whether it could be put into force."""
+        problem = "" if chosen.document else "the answer did not contain its policy"
         if not problem:
             try:
                 self.adopt(chosen.document)
@@ -281,7 +281,7 @@
         adopted = AdoptedPolicy(
             version=chosen.version, change_id=chosen.change_id, document=chosen.document
         )
-        # The register has it: nothing is lost if this write fails.
+        # The register also contains the policy, so nothing is lost if this write fails.
         self.writer.write(ADOPTED_POLICY_FILE, adopted.to_wire(), self._on_policy_written)
         return True
 
@@ -290,25 +290,25 @@
             self.log("disk failing", why=failure)
 
     def adopt(self, document: Document) -> None:
-        """Put a decided policy into force at the node, at once.
+        """Put a decided policy into force at the node immediately.
 
         Raises:
-            InvalidPolicyError: It cannot be put into force here.
+            InvalidPolicyError: The policy cannot be put into force at this balancer.
         """
-        config = config_under(document, self.config_path, None)
+        config = config_with_policy(document, self.config_path, None)
         if self.lease.version >= 0:
             check_startup_settings(self.node.config.settings, config.settings)
         listening = self.on_first_lease is None
         self.node.put_policy_into_force(settings_of(document), config, accepting=listening)
 
-    # --- what is proposed
+    # --- open proposal
 
     def check_proposal(self, proposal: ProposalMessage | ProposalNotice) -> None:
-        """Check a proposal and write it; the promise is given once it is on the disk."""
+        """Check a proposal and write it to disk; it is promised once the write is durable."""
         assert isinstance(proposal, ProposalMessage)
         refusal_reason = ""
         try:
-            config = config_under(proposal.document, self.config_path, self.node.config)
+            config = config_with_policy(proposal.document, self.config_path, self.node.config)
             check_startup_settings(self.node.config.settings, config.settings)
         except InvalidPolicyError as error:
             refusal_reason = str(error)
@@ -323,23 +323,23 @@
         self.writer.write(PROMISED_PROPOSAL_FILE, proposal.to_wire(), on_written)
 
     def on_proposal_checked(self, proposal: ProposalMessage, refusal_reason: str) -> None:
-        """Promise a proposal that is on the disk, or refuse it for this reason."""
+        """Promise a proposal that is stored durably, or refuse it with this reason."""
         number = proposal.proposal_number
         if self.lease.writing_proposal != number or self.closing:
-            return  # the write took so long that something else is proposed, or nothing
-        facts = {"version": proposal.version, "change": proposal.change_id}
+            return  # the proposal was dropped or replaced during the write
+        fields = {"version": proposal.version, "change": proposal.change_id}
         if refusal_reason:
             self.lease.refuse(number, refusal_reason)
-            self.log("proposal refused", **facts, why=refusal_reason)
+            self.log("proposal refused", **fields, why=refusal_reason)
         else:
             self.lease.on_promise_durable(number)
-            self.log("proposal promised", **facts)
+            self.log("proposal promised", **fields)
         self.schedule.send_after(0)
 
-    # --- the permission to serve
+    # --- permission to serve
 
     def update_permission(self) -> None:
-        """Log the permission where it has changed; open the listener at the first lease."""
+        """Log the permission if it has changed; open the listener at the first lease."""
         permission = self.lease.permission(self.clock())
         if permission is ServingPermission.LEASE and self.on_first_lease:
             open_listener, self.on_first_lease = self.on_first_lease, None
@@ -359,7 +359,7 @@
 
 
 def _ignore_answer(answer: object) -> None:
-    """The next heartbeat tells what came of it."""
+    """Ignore an answer; the answers to the next heartbeat show the result of the call."""
 
 
 def create_guarded_node(
@@ -371,16 +371,16 @@
     make_store: Callable[[Path], DurableStore] = DurableStore,
     **node_options: Any,
 ) -> tuple[LeaseGuardedNode, LeaseKeeper]:
-    """Make a node whose settings come from control, and what renews its lease.
+    """Create a node whose settings come from control, and the lease keeper that guards it.
 
     Args:
-        config_path: The balancer's file, which is read again for each policy.
-        loop: The loop that calls back.
-        config: The balancer's configuration, with a part for control.
-        log: Where events go.
-        node_args: Passed on to the node.
+        config_path: The balancer's configuration file, which is reloaded for each policy.
+        loop: The event loop.
+        config: The balancer's configuration; must contain the part for control.
+        log: The event log.
+        node_args: Positional arguments for the node.
         make_store: Opens the balancer's own folder.
-        node_options: Passed on to the node.
+        node_options: Keyword arguments for the node.
 
     Raises:
         ConfigError: The folder cannot be used.
--- a/orchidgap/control/lease_service.py
+++ b/orchidgap/control/lease_service.py
@@ -1,4 +1,4 @@
-"""What a control process answers balancers: leases, and who serves without a quorum."""
+"""Handles balancers' calls to a control process: leases, registration and deregistration."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 MAX_NAME_CHARS = 100
 MAX_INCARNATION_CHARS = 40
-MAX_WORD_CHARS = 5
+MAX_ON_LOST_QUORUM_CHARS = 5
 MAX_REASON_CHARS = 500
 
-CALLS_PER_LEASE = 4  # while nothing is proposed
+CALLS_PER_LEASE = 4  # while there is no open proposal
 MIN_CALL_INTERVAL_US = 50_000
 CALL_COST_US = 2_500
-"""What one balancer's call costs a control process, as reckoned for how often all may call."""
+"""Estimated cost of a balancer's call for a control process; limits how often balancers call."""
 
 OnEmptyAnswer = Callable[[EmptyMessage | None], None]
 
 
 class LeaseService:
-    """Grants leases, and registers balancers that serve without a quorum."""
+    """Grants leases and registers balancers that serve without a quorum."""
 
     def __init__(
         self,
@@ -45,14 +45,14 @@
         proposer: RegisterProposer,
         process_count: int,
     ) -> None:
-        """Make a service.
+        """Create a service.
 
         Args:
-            clock: Microseconds that go on while the machine sleeps.
+            clock: A clock in microseconds that continues while the machine is suspended.
             acceptor: This process's acceptor.
-            leases: The leases that it has granted.
+            leases: The leases granted by this process.
             proposer: Changes the register.
-            process_count: How many control processes there are.
+            process_count: The number of control processes.
         """
         self.clock = clock
         self.acceptor = acceptor
@@ -63,8 +63,8 @@
     def on_lease(
         self, request: LeaseRequest, on_answer: Callable[[LeaseAnswer | None], None]
     ) -> None:
-        """Answer a heartbeat with what is accepted here, and perhaps a lease."""
-        if self.acceptor.is_lost:
+        """Answer a heartbeat with the accepted register value and, if possible, a lease."""
+        if self.acceptor.has_lost_register:
             on_answer(None)
             return
         holder = _holder_of(request)
@@ -89,12 +89,12 @@
         on_answer(answer)
 
     def on_deregister(self, request: MemberRequest, on_answer: OnEmptyAnswer) -> None:
-        """Forget a balancer that ends: no change waits for it any more."""
+        """Deregister a balancer that shuts down, so that no change waits for it."""
         name, incarnation = request.name, request.incarnation
         self.leases.deregister(name, incarnation)
         if self.acceptor.policy.members_without_quorum.get(name) == incarnation:
             evict = partial(policy_rollout.evict_member, name=name, incarnation=incarnation)
-            self.proposer.update(evict, lambda policy: None, shareable=True)
+            self.proposer.update(evict, lambda policy: None, batchable=True)
         on_answer(EmptyMessage())
 
     def on_register(self, request: MemberRequest, on_answer: OnEmptyAnswer) -> None:
@@ -102,16 +102,17 @@
         register = partial(
             policy_rollout.register_member, name=request.name, incarnation=request.incarnation
         )
-        self.proposer.update(register, _once_chosen(on_answer), shareable=True)
+        self.proposer.update(register, _once_chosen(on_answer), batchable=True)
 
     def on_settle(self, request: EmptyMessage, on_answer: OnEmptyAnswer) -> None:
-        """Find out what is chosen, for a balancer that was told different things."""
-        self.proposer.read(_once_chosen(on_answer), shareable=True)
+        """Settle which value is chosen, for a balancer that received differing answers."""
+        self.proposer.read(_once_chosen(on_answer), batchable=True)
 
     def _call_interval_us(self) -> int:
-        """Return when a balancer is to call next.
+        """Return the interval between a balancer's calls.
 
-        While something is proposed that is often, as far as one process can hear all of them.
+        It is short while there is an open proposal, but long enough that one process can handle the
+        calls of all balancers.
         """
         interval_us = self.leases.lease_us // CALLS_PER_LEASE
         if self.acceptor.policy.proposal is None:
@@ -124,7 +125,7 @@
     return LeaseHolder(
         name=request.name[:MAX_NAME_CHARS],
         incarnation=request.incarnation[:MAX_INCARNATION_CHARS],
-        on_lost_quorum=request.on_lost_quorum[:MAX_WORD_CHARS],
+        on_lost_quorum=request.on_lost_quorum[:MAX_ON_LOST_QUORUM_CHARS],
         version=request.version,
         promised_proposal=request.promised_proposal,
         refused_proposal=request.refused_proposal,
@@ -137,7 +138,7 @@
 def _proposal_for(
     holder: LeaseHolder, policy: PolicyState
 ) -> ProposalMessage | ProposalNotice | None:
-    """Return what is proposed, without its document for a balancer that has answered it."""
+    """Return the open proposal; without its document if the balancer has promised or refused it."""
     proposal = policy.proposal
     if proposal is None:
         return None
--- a/orchidgap/control/messages/__init__.py
+++ b/orchidgap/control/messages/__init__.py
@@ -1,11 +1,11 @@
-"""Every message of control and the register's file, typed, with the words that stand in their JSON.
+"""Typed messages of control and of the register's file, with the names that their JSON uses.
 
-No other module of control knows a JSON key, a path or a word of the wire. A message's fields stand
-in the order in which JSON has them. Who reads one passes over keys that it doesn't know, as a
-newer program may have sent them.
+No other module of control uses a JSON key, a path or an enum value of the wire format. The fields
+of a message are declared in the order of their JSON keys. Unknown keys are ignored on reading,
+because a newer version may have sent them.
 
-Balancers and the command line call control; control processes call each other. An `RpcMethod`
-names each call with its request and its answer. Times are whole microseconds.
+Balancers and the command line call control processes; control processes call each other. Each call
+is described by an `RpcMethod` with its request and answer types. Times are integer microseconds.
 """
 
 from orchidgap.control.messages.base import (
--- a/orchidgap/control/messages/base.py
+++ b/orchidgap/control/messages/base.py
@@ -1,4 +1,4 @@
-"""What all messages of control have in common, and what a call between processes is."""
+"""Base types of all messages of control, and the description of a call between processes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from msgspec import Struct, field
 
 WireObject = Mapping[str, object]
-"""A JSON object, parsed."""
+"""A parsed JSON object."""
 
 LENIENT_TYPES: Mapping[object, Callable[[Any], object]] = {str: str, int: int, bool: bool}
-"""Types whose values are converted and not refused: `"5"` is a number, 5 is a text."""
+"""Field types that also accept each other's values: `"5"` is read as a number, 5 as a string."""
 
 
 class WireMessage(Struct, frozen=True, kw_only=True):
-    """Base of all messages."""
+    """Base class of all messages."""
 
     @classmethod
     def from_wire(cls, wire: WireObject) -> Self:
@@ -26,8 +26,8 @@
 
         Raises:
             KeyError: A key is missing.
-            TypeError: A value is of another kind.
-            ValueError: A value can't be converted.
+            TypeError: A value has a wrong type.
+            ValueError: A value cannot be converted.
         """
         values = {}
         for info in _fields_of(cls):
@@ -39,14 +39,14 @@
 
     @classmethod
     def read_field(cls, info: msgspec.structs.FieldInfo, value: Any) -> object:
-        """Convert one value to its field's type."""
+        """Convert one value to the type of its field."""
         convert = LENIENT_TYPES.get(info.type)
         if convert is not None:
             return convert(value)
         return msgspec.convert(value, info.type, strict=False)
 
     def to_wire(self) -> dict[str, object]:
-        """Return the JSON object."""
+        """Return the message as a JSON object."""
         wire: dict[str, object] = msgspec.to_builtins(self)
         return wire
 
@@ -57,17 +57,17 @@
 
 
 class EmptyMessage(WireMessage, frozen=True):
-    """A request without arguments, or an answer that only says that it was done."""
+    """A request without arguments, or an answer that only acknowledges the request."""
 
 
 class ErrorAnswer(WireMessage, frozen=True):
-    """Why a call was refused."""
+    """The reason why a call was rejected."""
 
     reason: str = field(name="why")
 
 
 class MemberRequest(WireMessage, frozen=True):
-    """Names one process of a balancer."""
+    """Identifies one process of a balancer."""
 
     name: str
     incarnation: str = field(name="life")
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class RpcMethod(Generic[RequestT, AnswerT]):
-    """One call: its path, and the types of its request and its answer."""
+    """Describes a call: its path, and the types of its request and its answer."""
 
     path: str
     request_type: type[RequestT]
--- a/orchidgap/control/messages/consensus.py
+++ b/orchidgap/control/messages/consensus.py
@@ -1,4 +1,4 @@
-"""What control processes say to each other: a round's two phases, and how far a proposal is."""
+"""Calls between control processes: both phases of a round, and the progress of a proposal."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class PrepareRequest(WireMessage, frozen=True):
-    """The first phase of a round: promise to accept nothing under a lower ballot."""
+    """First phase of a round: asks for a promise to accept nothing under a lower ballot."""
 
     ballot: Ballot
 
 
 class PrepareAnswer(WireMessage, frozen=True, omit_defaults=True):
-    """A promise with what was accepted before, or the higher ballot that forbids it.
+    """A promise with the value accepted so far, or the higher ballot that prevents the promise.
 
     Attributes:
-        promised: Whether the promise is given.
-        promised_ballot: The highest ballot that was promised.
-        accepted_ballot: The ballot of the value; with a promise only.
-        value: The register's value in its wire form; with a promise only.
+        promised: Whether the acceptor promises.
+        promised_ballot: The highest ballot that the acceptor has promised.
+        accepted_ballot: The ballot under which the value was accepted; only with a promise.
+        value: The register's value in its wire format; only with a promise.
     """
 
     promised: bool = field(name="ok")
@@ -32,11 +32,11 @@
 
 
 class AcceptRequest(WireMessage, frozen=True):
-    """The second phase of a round: accept this value.
+    """Second phase of a round: asks to accept a value.
 
     Attributes:
-        ballot: The round's ballot.
-        value: The register's value in its wire form, read only where the ballot is high enough.
+        ballot: The ballot of the round.
+        value: The register's value in its wire format, parsed only if the ballot is high enough.
     """
 
     ballot: Ballot
@@ -44,19 +44,19 @@
 
 
 class AcceptAnswer(WireMessage, frozen=True, omit_defaults=True):
-    """Whether the value was accepted, and if not, for which balancers the acceptor waits."""
+    """Whether the value was accepted, and if not, which balancers the acceptor waits for."""
 
     accepted: bool = field(name="ok")
     pending_members: tuple[PendingMember, ...] = field(name="late", default=())
 
 
 class ProgressAnswer(WireMessage, frozen=True):
-    """How far a proposal is, as one control process knows it.
+    """Progress of the open proposal, as known to one control process.
 
     Attributes:
-        proposal_number: What is proposed, 0 for nothing.
-        pending_members: Who has to promise before it is decided.
-        refusals: Who refused it.
+        proposal_number: The number of the open proposal, 0 for none.
+        pending_members: The balancers that have to promise before the proposal can be decided.
+        refusals: The balancers that refused the proposal, with their reasons.
     """
 
     proposal_number: int = field(name="try")
--- a/orchidgap/control/messages/lease.py
+++ b/orchidgap/control/messages/lease.py
@@ -1,4 +1,4 @@
-"""What balancers say to control processes: heartbeats for a lease, and coming and going."""
+"""Calls from balancers to control processes: heartbeats, registration and deregistration."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class LeaseRequest(WireMessage, frozen=True):
-    """A balancer's heartbeat, which asks for a lease.
+    """A balancer's heartbeat, which requests a lease.
 
     Attributes:
         name: The balancer's name.
-        incarnation: Unique to its process.
-        on_lost_quorum: What it does without a lease, a word of `OnLostQuorum`.
-        version: The version under which it serves, -1 for none.
-        promised_proposal: The number of the proposal that it holds a promise for, 0 for none.
-        refused_proposal: The number of the proposal that it refused last, 0 for none.
-        refusal_reason: Why it refused.
-        last_answer_at_us: The time of the last answer that it heard, as the answer gave it.
+        incarnation: Identifier of the balancer's process.
+        on_lost_quorum: What the balancer does without a lease, a value of `OnLostQuorum`.
+        version: The policy version that the balancer applies, -1 for none.
+        promised_proposal: The number of the proposal that the balancer has promised, 0 for none.
+        refused_proposal: The number of the proposal that the balancer refused last, 0 for none.
+        refusal_reason: Why the balancer refused that proposal.
+        last_answer_at_us: `answered_at_us` of the last answer that the balancer received.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 
 class ProposalNotice(WireMessage, frozen=True):
-    """A proposal without its document, for a balancer that has it."""
+    """A proposal without its document, for a balancer that already has the document."""
 
     proposal_number: int = field(name="try")
     version: int = field(name="n")
@@ -46,23 +46,22 @@
 
 
 class LeaseAnswer(WireMessage, frozen=True):
-    """What one control process knows, and whether it grants a lease.
+    """The state known to one control process, and whether it grants a lease.
 
     Attributes:
         ballot: The ballot under which this process accepted the register's value.
-        granted: Whether it grants a lease.
-        answered_at_us: The time by this process's clock.
-        lease_us: How long a lease lasts.
-        next_call_us: When the balancer is to ask again.
-        process_count: How many control processes there are.
-        version: The version in force.
-        change_id: The change that made it.
-        proposal_number: The proposal by which it was decided.
-        members_without_quorum: The caller's own entry: its name, and the incarnation that is
-            registered, None for none.
-        proposal: What is proposed; without its document where the caller has promised or refused
-            it.
-        document: The policy in force, only where the caller runs an earlier version.
+        granted: Whether this process grants a lease.
+        answered_at_us: The time of the answer by this process's clock.
+        lease_us: The duration of a lease.
+        next_call_us: The delay until the balancer's next heartbeat.
+        process_count: The number of control processes.
+        version: The policy version in force.
+        change_id: The change that created this version.
+        proposal_number: The number of the proposal that became this version.
+        members_without_quorum: The caller's own entry only: its name, and the incarnation that is
+            registered to serve without a quorum, None for none.
+        proposal: The open proposal; without its document if the caller has promised or refused it.
+        document: The policy in force; only if the caller applies an earlier version.
     """
 
     ballot: Ballot
@@ -80,7 +79,7 @@
 
     @classmethod
     def read_field(cls, info: msgspec.structs.FieldInfo, value: Any) -> object:
-        """Convert one value to its field's type."""
+        """Convert one value to the type of its field."""
         if info.name != "proposal":
             return super().read_field(info, value)
         if value is None:
--- a/orchidgap/control/messages/operators.py
+++ b/orchidgap/control/messages/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of control through the command line, and what it answers."""
+"""Requests of operators to control through the command line, and their answers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class CheckAnswer(WireMessage, frozen=True):
-    """Why it can't be; empty where it can."""
+    """The reason why the policy cannot be proposed; empty if it can."""
 
     reason: str = field(name="why")
 
@@ -32,9 +32,9 @@
     Attributes:
         change_id: The proposer's name for the change.
         document: The policy.
-        again: Propose it even though it was decided before.
-        known_proposal_count: The proposal count that the caller knew of: the request counts only as
-            long as that stands.
+        again: Whether to propose the change even if it was decided before.
+        known_proposal_count: The proposal count known to the caller. The request has an effect only
+            while the register still has this count.
     """
 
     change_id: str = field(name="id")
@@ -44,34 +44,34 @@
 
 
 class ChangeRequest(WireMessage, frozen=True):
-    """Asks what became of a change."""
+    """Asks for the state of a change."""
 
     change_id: str = field(name="id")
 
 
 class ChangeState(Enum):
-    """How far a change is. The values are the words of the wire."""
+    """State of a change. The values are part of the wire format."""
 
     PROPOSED = "proposed"
     DECIDED = "decided"
     DROPPED = "nowhere"
     INVALID = "unfit"
-    BUSY = "busy"  # another one is proposed
+    BUSY = "busy"  # another change is proposed
     UNKNOWN = "unknown"
 
 
 class ChangeAnswer(WireMessage, frozen=True, omit_defaults=True):
-    """How far a change is. What a state doesn't have isn't sent.
+    """State of a change. Fields that do not apply to the state are omitted.
 
     Attributes:
-        state: How far it is.
-        version: The version that it is, or would become.
-        proposal_number: What is proposed as this process knows it.
-        pending_members: Who has to promise before it is decided.
-        refusals: Who refused it.
+        state: The state of the change.
+        version: The version that the change became, or would become.
+        proposal_number: The number of the open proposal, as known to the answering process.
+        pending_members: The balancers that have to promise before the change can be decided.
+        refusals: The balancers that refused the change, with their reasons.
         current_version: The version in force.
-        lease_us: How long after a decision the version before may govern requests.
-        reason: Why it isn't in force.
+        lease_us: How long after the decision the previous version may still apply to requests.
+        reason: Why the change is not in force.
         proposal_count: The highest proposal number so far.
     """
 
@@ -87,21 +87,21 @@
 
 
 class EvictAnswer(WireMessage, frozen=True):
-    """Whether that process is no longer registered to serve without a quorum."""
+    """Whether the process is now not registered to serve without a quorum."""
 
     evicted: bool = field(name="struck")
 
 
 class DiskState(Enum):
-    """How an acceptor's disk behaves. The values are the words of the wire."""
+    """State of an acceptor's disk. The values are part of the wire format."""
 
-    SOUND = ""
+    HEALTHY = ""
     SLOW = "slow"
     FAILING = "fails"
 
 
 class ProposalStatus(WireMessage, frozen=True):
-    """A proposal as status tells it."""
+    """A proposal in a status answer, without its document."""
 
     change_id: str = field(name="id")
     version: int = field(name="n")
@@ -109,18 +109,18 @@
 
 
 class HolderStatus(WireMessage, frozen=True):
-    """One balancer process as status tells it.
+    """One balancer process in a status answer.
 
     Attributes:
         name: The balancer's name.
-        incarnation: Unique to its process.
-        on_lost_quorum: What it does without a lease, a word of `OnLostQuorum`.
-        version: The version under which it serves, -1 for none.
-        promised_proposal: The number of the proposal that it holds a promise for, 0 for none.
-        refused_proposal: The number of the proposal that it refused last, 0 for none.
-        refusal_reason: Why it refused.
-        heard_ago_us: How long ago it was heard.
-        lease_remaining_us: How long its lease holds yet; negative where it has run out.
+        incarnation: Identifier of the balancer's process.
+        on_lost_quorum: What the balancer does without a lease, a value of `OnLostQuorum`.
+        version: The policy version that the balancer applies, -1 for none.
+        promised_proposal: The number of the proposal that the balancer has promised, 0 for none.
+        refused_proposal: The number of the proposal that the balancer refused last, 0 for none.
+        refusal_reason: Why the balancer refused that proposal.
+        heartbeat_age_us: The time since the balancer's last heartbeat.
+        lease_remaining_us: The time until its lease expires; negative if it has expired.
     """
 
     name: str
@@ -130,12 +130,12 @@
     promised_proposal: int = field(name="promised")
     refused_proposal: int = field(name="refused")
     refusal_reason: str = field(name="why")
-    heard_ago_us: int = field(name="heard")
+    heartbeat_age_us: int = field(name="heard")
     lease_remaining_us: int = field(name="until")
 
     @classmethod
     def of(cls, holder: LeaseHolder, now_us: int) -> Self:
-        """Return how a balancer stands at this time."""
+        """Return the status of a balancer at this time."""
         return cls(
             name=holder.name,
             incarnation=holder.incarnation,
@@ -144,30 +144,30 @@
             promised_proposal=holder.promised_proposal,
             refused_proposal=holder.refused_proposal,
             refusal_reason=holder.refusal_reason,
-            heard_ago_us=now_us - holder.last_heartbeat_us,
+            heartbeat_age_us=now_us - holder.last_heartbeat_us,
             lease_remaining_us=holder.lease_expires_at_us - now_us,
         )
 
 
 class StatusAnswer(WireMessage, frozen=True):
-    """All that one control process knows.
+    """The complete state known to one control process.
 
     Attributes:
-        name: The control process's name.
-        process_names: All control processes.
-        lost_register: Whether it has lost its disk and takes part in nothing yet.
-        lease_us: How long a lease lasts.
-        disk_state: How its disk behaves.
+        name: The name of the control process.
+        process_names: The names of all control processes.
+        lost_register: Whether this process has lost its register and takes no part in rounds yet.
+        lease_us: The duration of a lease.
+        disk_state: The state of its disk.
         ballot: The ballot under which it accepted the register's value.
-        version: The version in force, as accepted here.
-        change_id: The change that made it.
+        version: The version in force, as accepted by this process.
+        change_id: The change that created this version.
         members_without_quorum: Balancers registered to serve without a lease, with incarnations.
         history: The last changes that ended, oldest first.
-        proposal: What is proposed.
-        proposal_number: What is proposed, 0 for nothing.
-        pending_members: Who has to promise before it is decided.
-        refusals: Who refused it.
-        holders: The balancers that it has heard.
+        proposal: The open proposal.
+        proposal_number: The number of the open proposal, 0 for none.
+        pending_members: The balancers that have to promise before the proposal can be decided.
+        refusals: The balancers that refused the proposal, with their reasons.
+        holders: The balancers that this process has received heartbeats from.
     """
 
     name: str
--- a/orchidgap/control/messages/register.py
+++ b/orchidgap/control/messages/register.py
@@ -1,4 +1,4 @@
-"""The register's value and its file: how JSON and the disk have them."""
+"""Conversion of the register's value and of its file to and from JSON."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ProposalMessage(WireMessage, frozen=True):
-    """A proposal, whole."""
+    """A proposal with its document."""
 
     change_id: str = field(name="id")
     document: Document = field(name="doc")
@@ -42,7 +42,7 @@
 
 
 class RecordMessage(Struct, frozen=True, array_like=True):
-    """How a change ended; a list of four."""
+    """The result of a change that ended; encoded as a list of four values."""
 
     version: int
     change_id: str
@@ -73,7 +73,7 @@
 
 
 def policy_state_to_wire(state: PolicyState) -> dict[str, object]:
-    """Return the register's value as JSON and the disk have it."""
+    """Return the register's value in the format used in JSON and on disk."""
     return PolicyStateMessage(
         version=state.version,
         change_id=state.change_id,
@@ -90,7 +90,7 @@
     """Read the register's value.
 
     Raises:
-        KeyError, TypeError, ValueError: It isn't one.
+        KeyError, TypeError, ValueError: The object is not a valid register value.
     """
     message = PolicyStateMessage.from_wire(wire)
     return PolicyState(
@@ -106,15 +106,15 @@
 
 
 def acceptor_state_to_wire(state: AcceptorState[PolicyState]) -> list[object]:
-    """Return the content of an acceptor's file."""
+    """Return the content of an acceptor's register file."""
     return [state.promised_ballot, state.accepted_ballot, policy_state_to_wire(state.value)]
 
 
 def acceptor_state_from_wire(content: Any) -> AcceptorState[PolicyState]:
-    """Read the content of an acceptor's file.
+    """Read the content of an acceptor's register file.
 
     Raises:
-        KeyError, TypeError, ValueError: It isn't one.
+        KeyError, TypeError, ValueError: The content is not a valid register.
     """
     promised_ballot, accepted_ballot, value = content
     return AcceptorState(
--- a/orchidgap/control/messages/reports.py
+++ b/orchidgap/control/messages/reports.py
@@ -1,4 +1,4 @@
-"""What the command line prints with --json, where that is not an answer of control as it came."""
+"""Output of the command line with --json, where it is not simply an answer of control."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class ControlSummary(WireMessage, frozen=True):
-    """How many control processes there are, and how many answer.
+    """The number of control processes, and how many of them are available.
 
     Attributes:
-        process_count: All of them.
-        available_count: Those that answer and have their register.
+        process_count: The number of all control processes.
+        available_count: The number of those that answer and have their register.
         has_quorum: Whether changes can be decided and leases granted.
     """
 
@@ -24,18 +24,19 @@
 
 
 class StatusReport(WireMessage, frozen=True):
-    """What all control processes that answer know, laid together.
+    """The merged state of all control processes that answer.
 
     Attributes:
         version: The version in force.
-        change_id: The change that made it.
-        proposal: What is proposed.
-        pending_members: Who has to promise before it is decided, and for how long at most that is
-            waited for, in microseconds; 0 if only a promise or an eviction ends it.
-        refusals: Who refused it, and why.
-        control: The control processes.
-        lease_us: How long a lease lasts.
-        holders: The balancers, by name.
+        change_id: The change that created this version.
+        proposal: The open proposal.
+        pending_members: The balancers that have to promise before the proposal can be decided, each
+            with the longest remaining wait in microseconds; 0 if the wait ends only with a promise
+            or an eviction.
+        refusals: The balancers that refused the proposal, with their reasons.
+        control: The number and availability of control processes.
+        lease_us: The duration of a lease.
+        holders: The balancers, ordered by name.
         members_without_quorum: Balancers registered to serve without a lease, with incarnations.
         history: The last changes that ended, oldest first.
     """
@@ -53,5 +54,5 @@
 
 
 def change_report_to_wire(change_id: str, answer: ChangeAnswer) -> dict[str, object]:
-    """Return how far a change is, with its id."""
+    """Return the state of a change together with its id."""
     return {"id": change_id, **answer.to_wire()}
--- a/orchidgap/control/operator_service.py
+++ b/orchidgap/control/operator_service.py
@@ -1,4 +1,4 @@
-"""What a control process answers operators: checks, proposals, evictions and status."""
+"""Handles operators' calls to a control process: checks, proposals, evictions and status."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class OperatorService:
-    """Answers the command line."""
+    """Handles the calls of the command line."""
 
     def __init__(
         self,
@@ -44,15 +44,15 @@
         proposer: RegisterProposer,
         driver: RolloutDriver,
     ) -> None:
-        """Make a service.
+        """Create a service.
 
         Args:
-            clock: Microseconds that go on while the machine sleeps.
+            clock: A clock in microseconds that continues while the machine is suspended.
             group: All control processes.
             acceptor: This process's acceptor.
-            leases: The leases that it has granted.
+            leases: The leases granted by this process.
             proposer: Changes the register.
-            driver: Drives what is proposed.
+            driver: Decides or drops the open proposal.
         """
         self.clock = clock
         self.group = group
@@ -64,7 +64,7 @@
     def on_check(
         self, request: CheckRequest, on_answer: Callable[[CheckAnswer | None], None]
     ) -> None:
-        """Tell whether a policy could be proposed."""
+        """Answer whether a policy could be proposed."""
         reason = ""
         try:
             validate(request.document)
@@ -73,7 +73,7 @@
         on_answer(CheckAnswer(reason=reason))
 
     def on_propose(self, request: ProposeRequest, on_answer: OnChangeAnswer) -> None:
-        """Propose a change, and tell how far it is then."""
+        """Propose a change and answer with its state afterwards."""
         try:
             validate(request.document)
         except InvalidPolicyError as error:
@@ -96,9 +96,10 @@
         self.proposer.update(submit, on_value)
 
     def on_change(self, request: ChangeRequest, on_answer: OnChangeAnswer) -> None:
-        """Tell what became of a change.
+        """Answer with the state of a change.
 
-        How far it is goes by what is known here; its end is told only by a majority's word.
+        The progress of an open proposal is taken from this process's own state; the result of a
+        change only from a value read from a majority.
         """
         change_id = request.change_id
         policy = self.acceptor.policy
@@ -110,9 +111,10 @@
     def on_evict(
         self, request: MemberRequest, on_answer: Callable[[EvictAnswer | None], None]
     ) -> None:
-        """Remove a balancer from those that serve without a quorum.
+        """Remove a balancer from those registered to serve without a quorum.
 
-        One incarnation only: a call that comes late must not remove a balancer that has come back.
+        Only the given incarnation is removed, so that a late call does not remove a balancer that
+        has restarted.
         """
         name, incarnation = request.name, request.incarnation
 
@@ -124,19 +126,19 @@
             on_answer(EvictAnswer(evicted=evicted))
 
         evict = partial(policy_rollout.evict_member, name=name, incarnation=incarnation)
-        self.proposer.update(evict, on_value, shareable=True)
+        self.proposer.update(evict, on_value, batchable=True)
 
     def on_status(
         self, request: EmptyMessage, on_answer: Callable[[StatusAnswer | None], None]
     ) -> None:
-        """Tell all that this process knows."""
+        """Answer with the complete state known to this process."""
         now_us = self.clock()
         policy = self.acceptor.policy
         progress = self.driver.progress()
         answer = StatusAnswer(
             name=self.group.name,
             process_names=tuple(self.group.names),
-            lost_register=self.acceptor.is_lost,
+            lost_register=self.acceptor.has_lost_register,
             lease_us=self.leases.lease_us,
             disk_state=self.acceptor.disk_state,
             ballot=self.acceptor.accepted_ballot,
@@ -155,7 +157,7 @@
         on_answer(answer)
 
     def _describe(self, policy: PolicyState | None, change_id: str) -> ChangeAnswer | None:
-        """Return how far a change is by this state of the register, None where that isn't known."""
+        """Return the state of a change according to this register value, None if it is unknown."""
         if policy is None:
             return None
         proposal = policy.proposal
--- a/orchidgap/control/process.py
+++ b/orchidgap/control/process.py
@@ -1,4 +1,4 @@
-"""A control process: its parts, its start and its end."""
+"""A control process: its components, startup and shutdown."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from orchidgap.net.signals import watch_signals
 from orchidgap.state.durable_store import DurableStore
 
-TICK_US = 100_000  # a quarter more at most, by chance
+TICK_US = 100_000  # plus a random delay of up to a quarter
 LOCK_TIMEOUT_S = 30.0
 LOCK_RETRY_S = 0.05
 
@@ -50,12 +50,12 @@
     """One control process, without its sockets and signals.
 
     Attributes:
-        acceptor: Its acceptor of the register.
-        leases: The leases that it has granted.
+        acceptor: The register's acceptor in this process.
+        leases: The leases granted by this process.
         proposer: Changes the register.
-        driver: Drives what is proposed.
+        driver: Decides or drops the open proposal.
         group: All control processes.
-        server: Its calls.
+        server: Handles the calls to this process.
     """
 
     def __init__(
@@ -68,16 +68,16 @@
         rng: Random,
         clock: Callable[[], int] = boot_clock,
     ) -> None:
-        """Make a process that has not begun.
+        """Create a process that has not started.
 
         Args:
-            loop: The loop that it runs on.
-            config: Its configuration.
-            others: Whoever brings calls to each of the other processes.
-            store: Its folder.
-            log: Is told what happens.
-            rng: Spreads its ticks and its next rounds.
-            clock: Microseconds that go on while the machine sleeps.
+            loop: The event loop.
+            config: The configuration of this process.
+            others: The callers for the other processes, by name.
+            store: The folder of this process.
+            log: The event log.
+            rng: The random generator that spreads ticks and retries of rounds.
+            clock: A clock in microseconds that continues while the machine is suspended.
         """
         self.loop = loop
         self.rng = rng
@@ -119,39 +119,39 @@
         server.add_handler(EVICT, operator_service.on_evict)
         server.add_handler(STATUS, operator_service.on_status)
 
-    def start(self, begin_anew: bool) -> None:
-        """Read the register and begin to tick.
+    def start(self, create_if_missing: bool) -> None:
+        """Load the register and start the periodic tick.
 
         Args:
-            begin_anew: Begin with nothing decided where there is no register.
+            create_if_missing: Whether to create a register with nothing decided if there is none.
 
         Raises:
-            ConfigError: There is no register, and it can't be had.
+            ConfigError: There is no register and it cannot be recovered, or the disk fails.
         """
-        self.acceptor.load(begin_anew, has_others=bool(self.group.others))
+        self.acceptor.load(create_if_missing, has_peers=bool(self.group.others))
         self._tick()
 
     def _tick(self) -> None:
         self.loop.call_later(TICK_US + self.rng.randrange(TICK_US // 4), self._tick)
         self.leases.remove_expired(self.clock())
         self.acceptor.check_disk()
-        if not self.acceptor.is_lost:
+        if not self.acceptor.has_lost_register:
             self.driver.tick()
         elif not self.proposer.running and not self.acceptor.is_writing:
             self.recover_register()
 
     def recover_register(self) -> None:
-        """Get the lost register back from the others.
+        """Recover the lost register from the other processes.
 
-        What this process had promised is lost with it. A round of a majority of the others, under a
-        ballot higher than any that it may have had a part in, makes up for that: only what this
-        round finds is taken up.
+        The promises of this process are lost as well. To compensate, it runs a round with a
+        majority of the others, under a ballot higher than any that it may have taken part in, and
+        adopts only the value that this round finds.
         """
 
         def on_value(value: PolicyState | None) -> None:
-            if value is None or not self.acceptor.is_lost:
+            if value is None or not self.acceptor.has_lost_register:
                 return
-            # the round's own ballot: under a higher one something else may be chosen
+            # the ballot of this round: under a higher one another value may be chosen
             ballot = self.proposer.last_ballot
             self.acceptor.recover(AcceptorState(ballot, ballot, value))
 
@@ -160,21 +160,21 @@
 
 def run(
     path: str | None,
-    begin_anew: bool,
+    create_if_missing: bool,
     make_store: Callable[[Path], DurableStore] = DurableStore,
 ) -> None:
     """Run a control process until SIGTERM or SIGINT.
 
     Args:
-        path: Its configuration.
-        begin_anew: Begin with nothing decided where there is no register.
-        make_store: Opens its folder.
+        path: The path of the configuration file.
+        create_if_missing: Whether to create a register with nothing decided if there is none.
+        make_store: Opens the folder of the process.
 
     Raises:
-        ConfigError: It can't start.
+        ConfigError: The process cannot start.
     """
     if not path:
-        raise ConfigError("--config names no file", expected="a file")
+        raise ConfigError("--config requires a file", expected="a file")
     config = read_process_config(path)
     log = EventLog(config.name)
     loop = Loop(on_error=log.exception)
@@ -186,7 +186,7 @@
         if name != config.name
     }
     process = ControlProcess(loop, config, others, store, log, Random())
-    process.start(begin_anew)
+    process.start(create_if_missing)
     _listen(process.server, config)
     signal_socket = watch_signals(
         loop, (signal.SIGTERM, signal.SIGINT), lambda numbers: setattr(loop, "running", False)
@@ -216,7 +216,7 @@
 def _open_store(
     folder: str, make_store: Callable[[Path], DurableStore], log: EventLog
 ) -> DurableStore:
-    """Open the folder and have it for this process alone."""
+    """Open the folder and lock it for exclusive use by this process."""
     try:
         store = make_store(Path(folder))
     except OSError as error:
@@ -229,15 +229,15 @@
 
 
 def _lock(store: DurableStore, log: EventLog) -> None:
-    """Wait for the folder's lock, which a process before this one may hold yet."""
+    """Wait for the folder's lock, which a previous process may still hold."""
     if store.lock():
         return
-    log("waiting for folder lock", why="a process before it still writes")
+    log("waiting for folder lock", why="a previous process is still writing")
     give_up_at_s = time.monotonic() + LOCK_TIMEOUT_S
     while not store.lock():
         if time.monotonic() > give_up_at_s:
             raise ConfigError(
-                f"{store.folder} is another process's",
+                f"{store.folder} is locked by another process",
                 location=str(store.folder),
                 expected="a folder of its own",
             )
--- a/orchidgap/control/process_config.py
+++ b/orchidgap/control/process_config.py
@@ -1,4 +1,4 @@
-"""A control process's configuration: one JSON file, whose keys stand in this module only."""
+"""A control process's configuration: one JSON file, whose keys are used only in this module."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
     """A control process's configuration.
 
     Attributes:
-        name: This process.
-        addresses: Where each process listens, by name, this one among them.
-        folder: Where its register is.
-        lease_us: How long a lease lasts.
-        give_up_us: How long a proposal may wait for balancers.
-        beyond_loopback: Whether it may listen on other addresses than loopback's.
+        name: The name of this process.
+        addresses: The listen address of each process by name, including this one.
+        folder: The folder of its register.
+        lease_us: The duration of a lease.
+        give_up_us: How long a proposal may wait for balancers before it is dropped.
+        beyond_loopback: Whether the process may listen on an address other than loopback.
     """
 
     name: str
@@ -49,15 +49,15 @@
 
     @property
     def listen_address(self) -> Address:
-        """Where this process listens."""
+        """The listen address of this process."""
         return self.addresses[self.name]
 
 
 def read_process_config(path: str) -> ProcessConfig:
-    """Read the file.
+    """Read and check a configuration file.
 
     Raises:
-        ConfigError: It can't be read, or can't be meant.
+        ConfigError: The file cannot be read or is invalid.
     """
     try:
         config = _parse(orjson.loads(Path(path).read_bytes()))
@@ -85,18 +85,18 @@
 def _check(path: str, config: ProcessConfig) -> None:
     if config.name not in config.addresses:
         raise ConfigError(
-            f"{path}: control has no address for {config.name}", location=path, key=PROCESSES
+            f"{path}: control contains no address for {config.name}", location=path, key=PROCESSES
         )
     if len(config.addresses) not in PROCESS_COUNTS:
         raise ConfigError(
-            f"{path}: {len(config.addresses)} control processes; 1, 3 or 5 can be",
+            f"{path}: {len(config.addresses)} control processes; must be 1, 3 or 5",
             location=path,
             key=PROCESSES,
             expected="1, 3 or 5",
         )
     if not MIN_LEASE_US <= config.lease_us <= MAX_LEASE_US or config.give_up_us < config.lease_us:
         raise ConfigError(
-            f"{path}: lease-ms goes from 1000 to 600000, and give-up-ms is no less",
+            f"{path}: lease-ms must be from 1000 to 600000, and give-up-ms at least lease-ms",
             location=path,
             key=LEASE,
             expected="1000 to 600000",
@@ -104,8 +104,8 @@
     host = config.listen_address[0]
     if not ipaddress.IPv4Address(host).is_loopback and not config.beyond_loopback:
         raise ConfigError(
-            f"{path}: {format_address(config.listen_address)} is beyond loopback; "
-            "set beyond-loopback to true, as whoever reaches it can change the policy",
+            f"{path}: {format_address(config.listen_address)} is not a loopback address; "
+            "set beyond-loopback to true to allow it; anyone who reaches it can change the policy",
             location=path,
             key=BEYOND_LOOPBACK,
             expected="true",
--- a/orchidgap/control/process_group.py
+++ b/orchidgap/control/process_group.py
@@ -1,4 +1,4 @@
-"""All control processes, as one of them sees them."""
+"""Calls from one control process to all control processes."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from orchidgap.decisions.cas_register import quorum_size
 from orchidgap.net.loop import Loop
 
-ANSWER_TIMEOUT_US = 500_000  # for a control process to answer another, or itself
+ANSWER_TIMEOUT_US = 500_000  # for an answer of a control process to another one or to itself
 
 
 class Caller(Protocol):
-    """Whoever brings calls to one other process; `RpcClient` does."""
+    """Sends calls to one other process; implemented by `RpcClient`."""
 
     def call(
         self,
@@ -24,7 +24,7 @@
         request: RequestT,
         on_answer: Callable[[AnswerT | None], None],
     ) -> None:
-        """Call a method; `on_answer` is called once, later."""
+        """Call a method; `on_answer` is called once, after this function has returned."""
 
 
 class ProcessGroup:
@@ -32,16 +32,16 @@
 
     Attributes:
         loop: The loop that calls back.
-        name: This process.
-        names: All of them, in their order.
-        others: Whoever brings calls to each of the others.
+        name: The name of this process.
+        names: The names of all processes, sorted.
+        others: The callers for the other processes, by name.
         server: This process's own server.
     """
 
     def __init__(
         self, loop: Loop, name: str, others: Mapping[str, Caller], server: RpcServer
     ) -> None:
-        """Make a group of this process and the others."""
+        """Create a group of this process and the others."""
         self.loop = loop
         self.name = name
         self.names = sorted([name, *others])
@@ -50,12 +50,12 @@
 
     @property
     def quorum(self) -> int:
-        """How many processes are a majority."""
+        """The number of processes in a majority."""
         return quorum_size(len(self.names))
 
     @property
     def rank(self) -> int:
-        """This process's place among all, from 0."""
+        """The position of this process among all names, starting at 0."""
         return self.names.index(self.name)
 
     def call_all(
@@ -64,13 +64,13 @@
         request: RequestT,
         on_answer: Callable[[str, AnswerT | None], None],
     ) -> None:
-        """Call a method of every process, this one among them.
+        """Call a method of every process, including this one.
 
         Args:
-            method: What is called.
+            method: The method to call.
             request: The request.
-            on_answer: Called once for each process with its name and its answer, None where there
-                is none in time.
+            on_answer: Called once for each process with its name and its answer, None if there is
+                no answer in time.
         """
         for other, caller in self.others.items():
             caller.call(method, request, partial(on_answer, other))
@@ -82,11 +82,11 @@
         request: RequestT,
         on_answer: Callable[[AnswerT | None], None],
     ) -> None:
-        """Call this process's own server, which is given as long as the others."""
+        """Call this process's own server, with the same timeout as for the others."""
 
         def on_wire_answer(wire: WireObject | None) -> None:
             if timer.callback is None:
-                return  # too late, or answered
+                return  # timed out or already answered
             timer.cancel()
             on_answer(None if wire is None else method.answer_type.from_wire(wire))
 
--- a/orchidgap/control/proposer.py
+++ b/orchidgap/control/proposer.py
@@ -1,4 +1,4 @@
-"""A control process's proposer: changes of the register, one round after another."""
+"""The register's proposer in a control process; it runs one round at a time."""
 
 from __future__ import annotations
 
@@ -24,126 +24,127 @@
 from orchidgap.decisions.policy_rollout import PolicyState
 from orchidgap.net.loop import Loop
 
-MAX_ATTEMPTS = 6  # rounds for one update, before its caller is told that its end is not known
-MAX_WAITING_UPDATES = 256
+MAX_ATTEMPTS = 6  # rounds for one update; after that its result is reported as unknown
+MAX_QUEUED_UPDATES = 256
 MIN_BACK_OFF_US = 10_000
 FIRST_MAX_BACK_OFF_US = 40_000  # doubles with each attempt
 
 UpdateFunction = Callable[[PolicyState], PolicyState]
 OnValue = Callable[[PolicyState | None], None]
-"""Is told the value that is chosen now, None where that isn't known."""
+"""Receives the value that is now chosen, None if that is not known."""
 
 
 @dataclass(frozen=True)
 class PendingUpdate:
-    """A change of the register that waits for its round.
+    """A queued change of the register.
 
     Attributes:
-        update: Makes the new value of the old one.
-        on_value: Told how it ended.
-        shareable: Whether it may share a round with others: no acceptor waits for a balancer before
-            it accepts it.
+        update: Computes the new value from the old one.
+        on_value: Receives the value that is chosen after the round.
+        batchable: Whether the update may share a round with others. It may if acceptors accept its
+            value without waiting for a balancer.
     """
 
     update: UpdateFunction
     on_value: OnValue
-    shareable: bool
+    batchable: bool
 
 
 class RegisterProposer:
-    """Changes the register, for this process and for whoever calls it.
+    """Changes the register on behalf of this process and its callers.
 
-    Updates take turns. Shareable ones that follow each other share a round, as hundreds of
-    balancers register at once.
+    Updates run one after another. Consecutive batchable updates share a round, because hundreds of
+    balancers may register at the same time.
 
     Attributes:
-        running: Whether a round of this process is under way or about to begin.
-        last_ballot: The ballot of the round that ended last.
+        running: Whether a round of this process is in progress or scheduled.
+        last_ballot: The ballot of the last round that ended.
+        batch_size: The number of updates in the current round.
     """
 
     def __init__(
         self, loop: Loop, rng: Random, group: ProcessGroup, acceptor: DurableAcceptor
     ) -> None:
-        """Make a proposer that has nothing to do."""
+        """Create a proposer without updates."""
         self.loop = loop
         self.rng = rng
         self.group = group
         self.acceptor = acceptor
         self.running = False
         self.last_ballot = NO_BALLOT
-        self.sharing_count = 1  # updates that the round under way is for
-        self._waiting: deque[PendingUpdate] = deque()
+        self.batch_size = 1
+        self._queue: deque[PendingUpdate] = deque()
 
-    def update(self, update: UpdateFunction, on_value: OnValue, shareable: bool = False) -> None:
+    def update(self, update: UpdateFunction, on_value: OnValue, batchable: bool = False) -> None:
         """Change the register.
 
         Args:
-            update: Makes the new value of the old one, or returns the old one.
-            on_value: Told the value that is chosen then, None where that isn't known.
-            shareable: Whether the update may share a round with others.
+            update: Computes the new value from the old one, or returns the old one.
+            on_value: Receives the value that is chosen after that, None if it is not known.
+            batchable: Whether the update may share a round with others.
         """
-        if len(self._waiting) >= MAX_WAITING_UPDATES:
+        if len(self._queue) >= MAX_QUEUED_UPDATES:
             on_value(None)
             return
-        self._waiting.append(PendingUpdate(update, on_value, shareable))
+        self._queue.append(PendingUpdate(update, on_value, batchable))
         if not self.running:
             self.running = True
             self.loop.call_soon(self.begin_round, MAX_ATTEMPTS)
 
-    def read(self, on_value: OnValue, shareable: bool = False) -> None:
-        """Find out which value is chosen."""
-        self.update(lambda policy: policy, on_value, shareable)
+    def read(self, on_value: OnValue, batchable: bool = False) -> None:
+        """Determine which value is chosen."""
+        self.update(lambda policy: policy, on_value, batchable)
 
     def begin_round(self, attempts_left: int) -> None:
-        """Begin a round for the updates at the head of the queue, if there are any."""
-        if not self._waiting:
+        """Start a round for the updates at the head of the queue, if any."""
+        if not self._queue:
             self.running = False
             return
         ballot = self.acceptor.next_ballot()
-        shareable = list(takewhile(lambda pending: pending.shareable, self._waiting))
-        self.sharing_count = max(1, len(shareable))
-        excluded = self.group.name if self.acceptor.is_lost else ""
+        batchable = list(takewhile(lambda pending: pending.batchable, self._queue))
+        self.batch_size = max(1, len(batchable))
+        excluded = self.group.name if self.acceptor.has_lost_register else ""
         proposer = Proposer(ballot, len(self.group.names), self._apply_updates, excluded)
         ProposerRound(self, proposer, attempts_left).begin()
 
-    def on_round_over(
+    def on_round_end(
         self, proposer: Proposer[PolicyState], value: PolicyState | None, attempts_left: int
     ) -> None:
-        """Tell whose updates they were, or try again."""
+        """Retry the round after a delay, or report its result to the callers of its updates."""
         self.last_ballot = proposer.ballot
         if value is None and attempts_left > 1:
-            # by chance, as another proposer would try again at the same time
+            # a random delay, because a competing proposer would otherwise retry at the same time
             failures = MAX_ATTEMPTS - attempts_left
             delay_us = self.rng.randrange(MIN_BACK_OFF_US, FIRST_MAX_BACK_OFF_US << failures)
             self.loop.call_later(delay_us, self.begin_round, attempts_left - 1)
             return
-        ended = [self._waiting.popleft() for _ in range(self.sharing_count)]
+        finished = [self._queue.popleft() for _ in range(self.batch_size)]
         self.loop.call_soon(self.begin_round, MAX_ATTEMPTS)
-        for pending in ended:
+        for pending in finished:
             pending.on_value(value)
 
     def _apply_updates(self, policy: PolicyState) -> PolicyState:
-        for pending in islice(self._waiting, self.sharing_count):
+        for pending in islice(self._queue, self.batch_size):
             policy = pending.update(policy)
         return policy
 
 
 class ProposerRound:
-    """One round on the network."""
+    """Sends the messages of one round and collects their answers."""
 
     def __init__(
         self, owner: RegisterProposer, proposer: Proposer[PolicyState], attempts_left: int
     ) -> None:
-        """Make a round that has not begun."""
+        """Create a round that has not started."""
         self.owner = owner
         self.proposer = proposer
         self.attempts_left = attempts_left
-        self.over = False
+        self.is_finished = False
         self.prepare_answers = 0
         self.accept_answers = 0
 
     def begin(self) -> None:
-        """Ask all acceptors for their promises."""
+        """Request a promise from every acceptor."""
         request = PrepareRequest(ballot=self.proposer.ballot)
         self.owner.group.call_all(PREPARE, request, self._on_prepare_answer)
 
@@ -151,17 +152,17 @@
         self.prepare_answers += 1
         if answer:
             self.owner.acceptor.observe_ballot(answer.promised_ballot)
-        if self.over:
+        if self.is_finished:
             return
-        if answer and self._is_last_promise(process, answer):
+        if answer and self._completes_quorum(process, answer):
             self._send_value()
             return
         all_answered = self.prepare_answers == len(self.owner.group.names)
         if all_answered and self.proposer.value is None:
             self._end(None)
 
-    def _is_last_promise(self, process: str, answer: PrepareAnswer) -> bool:
-        """Return whether the value to be accepted became known by this answer."""
+    def _completes_quorum(self, process: str, answer: PrepareAnswer) -> bool:
+        """Record a promise; return whether it completes a quorum and determines the value."""
         if not answer.promised or answer.accepted_ballot is None or answer.value is None:
             return False
         value = policy_state_from_wire(answer.value)
@@ -175,17 +176,18 @@
 
     def _on_accept_answer(self, process: str, answer: AcceptAnswer | None) -> None:
         self.accept_answers += 1
-        if self.over:
+        if self.is_finished:
             return
         if answer and answer.accepted and self.proposer.on_accepted(process):
             self._end(self.proposer.value)
             return
         if self.accept_answers == len(self.owner.group.names):
             if answer and answer.pending_members:
-                # Another round would wait for the same balancers; the driver asks for them first.
+                # No retries: another round would wait for the same balancers. The driver checks for
+                # pending balancers before it proposes a decision.
                 self.attempts_left = 1
             self._end(None)
 
     def _end(self, value: PolicyState | None) -> None:
-        self.over = True
-        self.owner.on_round_over(self.proposer, value, self.attempts_left)
+        self.is_finished = True
+        self.owner.on_round_end(self.proposer, value, self.attempts_left)
--- a/orchidgap/control/rollout_driver.py
+++ b/orchidgap/control/rollout_driver.py
@@ -1,4 +1,4 @@
-"""Drives what is proposed: asks all control processes how far it is, and decides or drops it."""
+"""Drives the open proposal: polls its progress, and decides or drops it."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from orchidgap.net.event_log import EventLog
 
 RANK_DELAY_US = 1_000_000
-"""So much later each further process drives what another one proposed."""
+"""Additional delay per rank before a process drives a proposal made by another process."""
 
 END_EVENTS = {ChangeResult.DECIDED: "change decided", ChangeResult.DROPPED: "change dropped"}
 
 
 @dataclass
 class ProgressPoll:
-    """What all processes answered of one proposal.
+    """The collected answers of all processes about one proposal.
 
     Attributes:
-        proposal_number: The proposal.
-        answer_count: Processes whose answer has come, or will not come.
-        agreeing_count: Those that know this proposal.
-        pending_members: Balancers that any of these waits for.
-        refusals: Why any balancer refused, by its name.
+        proposal_number: The number of the proposal.
+        answer_count: The number of processes that have answered or failed to answer.
+        agreeing_count: The number of processes with the same open proposal.
+        pending_members: The balancers that any of these processes waits for.
+        refusals: The reasons of balancers that refused, by balancer name.
     """
 
     proposal_number: int
@@ -40,7 +40,7 @@
     refusals: dict[str, str] = field(default_factory=dict)
 
     def add(self, answer: ProgressAnswer | None) -> None:
-        """Take in one process's answer, None where it gave none."""
+        """Add the answer of one process, None if it did not answer."""
         self.answer_count += 1
         if answer is None or answer.proposal_number != self.proposal_number:
             return
@@ -50,13 +50,13 @@
 
 
 class RolloutDriver:
-    """Decides or drops what is proposed, in any control process.
+    """Decides or drops the open proposal; it runs in every control process.
 
-    The process that was asked to propose it drives it at once, the others one after another later.
+    The process that received the proposal drives it immediately, the others after a delay by rank.
 
     Attributes:
-        own_proposal: The number of the proposal that was made here last.
-        polling: Whether the other processes are being asked.
+        own_proposal: The number of the last proposal made through this process.
+        polling: Whether a poll of all processes is in progress.
     """
 
     def __init__(
@@ -69,16 +69,16 @@
         give_up_us: int,
         log: EventLog,
     ) -> None:
-        """Make a driver.
+        """Create a driver.
 
         Args:
-            clock: Microseconds that go on while the machine sleeps.
+            clock: A clock in microseconds that continues while the machine is suspended.
             group: All control processes.
             acceptor: This process's acceptor.
-            leases: The leases that it has granted.
+            leases: The leases granted by this process.
             proposer: Changes the register.
-            give_up_us: How long a proposal may wait for balancers.
-            log: Is told how changes end.
+            give_up_us: How long a proposal may wait for balancers before it is dropped.
+            log: Logs the results of changes.
         """
         self.clock = clock
         self.group = group
@@ -93,7 +93,7 @@
         self._seen_since_us = 0
 
     def progress(self) -> ProgressAnswer:
-        """Return how far the proposal is, as far as this process knows."""
+        """Return the progress of the open proposal, as known to this process."""
         now_us = self.clock()
         policy = self.acceptor.policy
         return ProgressAnswer(
@@ -105,11 +105,11 @@
     def on_progress(
         self, request: EmptyMessage, on_answer: Callable[[ProgressAnswer | None], None]
     ) -> None:
-        """Answer another process that drives."""
-        on_answer(None if self.acceptor.is_lost else self.progress())
+        """Answer a poll of the process that drives the proposal."""
+        on_answer(None if self.acceptor.has_lost_register else self.progress())
 
     def tick(self) -> None:
-        """Drive what is proposed, if it is this process's turn; called regularly."""
+        """Drive the open proposal if this process's delay has passed; called periodically."""
         now_us = self.clock()
         proposal = self.acceptor.policy.proposal
         number = proposal.proposal_number if proposal else 0
@@ -134,10 +134,11 @@
         self.group.call_all(PROGRESS, EmptyMessage(), on_answer)
 
     def _end_poll(self, poll: ProgressPoll) -> None:
-        """Decide or drop the proposal, or wait on.
+        """Decide or drop the proposal, or leave it open.
 
-        A balancer that may serve is known to one process of any majority, so a majority that waits
-        for nobody suffices. A refusal ends the proposal, whatever else is known.
+        Every majority contains a process that knows of a given balancer that may serve. A majority
+        without pending balancers therefore suffices for a decision. A refusal always drops the
+        proposal.
         """
         if poll.agreeing_count < self.group.quorum:
             return
@@ -164,6 +165,6 @@
         if policy is None or policy.proposal or not policy.history:
             return
         record = policy.history[-1]
-        facts = {"why": record.reason} if record.reason else {}
+        fields = {"why": record.reason} if record.reason else {}
         event = END_EVENTS[record.result]
-        self.log(event, change=record.change_id, version=record.version, **facts)
+        self.log(event, change=record.change_id, version=record.version, **fields)
--- a/orchidgap/control/rpc_client.py
+++ b/orchidgap/control/rpc_client.py
@@ -1,4 +1,4 @@
-"""The calling side of control's RPC: short JSON calls over HTTP/1.1, on the loop."""
+"""The client of control's RPC: short JSON calls over HTTP/1.1, on the event loop."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from orchidgap.net.dialing import dial
 from orchidgap.net.loop import Loop, Timer
 
-MAX_CONNECTIONS = 4  # to one address; one call at a time on each
+MAX_CONNECTIONS = 4  # to one address, each with one call at a time
 MAX_ANSWER_BYTES = 1 << 22
-MAX_WAIT_US = 10_000  # of one turn of the loop while a call is waited for
+MAX_WAIT_US = 10_000  # longest wait in one turn of the loop while a call is in progress
 
 OnBody = Callable[[bytes | None], None]
-"""Is told an answer's body, None where there was no proper answer."""
+"""Receives the body of an answer, None if there was no valid answer."""
 
 
 class RpcClientConnection:
-    """One connection, on which one call at a time may be under way."""
+    """One connection, which carries one call at a time."""
 
     def __init__(self, client: RpcClient, sock: socket.socket) -> None:
         """Take over a socket that is connected or connecting."""
         self.client = client
-        self.on_body: OnBody | None = None  # of the call under way
+        self.on_body: OnBody | None = None  # of the call in progress
         self.timer: Timer | None = None
         self.reader = ResponseReader(MAX_ANSWER_BYTES)
         self.conn = Connection(client.loop, sock, self, opening=True)
@@ -46,25 +46,25 @@
         )
 
     def opened(self) -> None:
-        """Nothing: what is sent before waits in the connection."""
+        """Do nothing: the connection buffers bytes that are sent before it is open."""
 
     def received(self, view: memoryview) -> None:
-        """Take in a part of an answer."""
+        """Process received bytes of an answer."""
         self.reader.feed(view)
         message = self.reader.message
         if message.error_status or self.on_body is None:
-            self.ended("no proper answer")
+            self.ended("malformed or unexpected answer")
         elif message.complete:
             self._end_call(message.body if message.status == 200 else None, message.keep_alive)
 
     def ended(self, reason: str) -> None:
-        """Give up the connection and the call under way."""
+        """Abandon the connection and the call in progress."""
         if self in self.client.idle:
             self.client.idle.remove(self)
         self._end_call(None, reusable=False)
 
     def close(self) -> None:
-        """Close the connection; nobody is told."""
+        """Close the connection without a callback."""
         self.conn.close()
         self.client.connections.pop(self, None)
 
@@ -81,20 +81,20 @@
 
 
 class RpcClient:
-    """Calls to one address.
+    """Sends calls to one address.
 
-    An answer that doesn't come in time counts as none. The call may have been heard all the same.
+    A call without an answer in time counts as failed, although the server may have processed it.
 
     Attributes:
-        loop: The loop that calls back.
-        address: Whom it calls.
-        timeout_us: How long a call may take.
+        loop: The event loop.
+        address: The address of the server.
+        timeout_us: The time limit of a call.
         connections: All open connections.
-        idle: Those without a call under way.
+        idle: The connections without a call in progress.
     """
 
     def __init__(self, loop: Loop, address: Address, timeout_us: int) -> None:
-        """Make a client; it connects with its first call."""
+        """Create a client; it connects at the first call."""
         self.loop = loop
         self.address = address
         self.timeout_us = timeout_us
@@ -110,10 +110,10 @@
         """Call a method.
 
         Args:
-            method: What is called.
+            method: The method to call.
             request: The request.
-            on_answer: Called once, after the call under way; with None where there was no answer,
-                or none that can be read.
+            on_answer: Called once, after this function has returned; with None if there was no
+                valid answer.
         """
 
         def on_body(body: bytes | None) -> None:
@@ -124,7 +124,7 @@
     def call_and_wait(
         self, method: RpcMethod[RequestT, AnswerT], request: RequestT
     ) -> AnswerT | None:
-        """Call a method from outside of the loop, which runs until the answer is there."""
+        """Call a method from outside the event loop; runs the loop until the answer arrives."""
         answers: list[AnswerT | None] = []
         self.call(method, request, answers.append)
         while not answers:
@@ -132,11 +132,11 @@
         return answers[0]
 
     def probe(self, path: str, on_answer: Callable[[bool], None]) -> None:
-        """Ask for a path with GET; `on_answer` is told whether the answer was 200."""
+        """Send a GET request; `on_answer` receives whether the status was 200."""
         self._send("GET", path, b"", lambda body: on_answer(body is not None))
 
     def close(self) -> None:
-        """Close all connections; who waits for an answer isn't called."""
+        """Close all connections without calling back for calls in progress."""
         for connection in list(self.connections):
             connection.on_body = None
             connection.close()
--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -1,4 +1,4 @@
-"""The answering side of control's RPC: short JSON calls over HTTP/1.1, on the loop."""
+"""The server of control's RPC: short JSON calls over HTTP/1.1, on the event loop."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from orchidgap.net.loop import Loop
 
 MAX_REQUEST_BYTES = 1 << 22
-MAX_PIPELINED = 4  # requests that may wait on one connection
+MAX_PIPELINED = 4  # requests that may be queued on one connection
 MAX_CONNECTIONS = 4_096
 MAX_ACCEPTED_AT_ONCE = 64
 BACKLOG = 512
@@ -28,42 +28,42 @@
 MAX_REASON_CHARS = 200
 
 OnWireAnswer = Callable[[WireObject | None], None]
-"""Is told a call's answer, None where the process can't give one now."""
+"""Receives the answer of a call, None if the process cannot answer at the moment."""
 
 WireHandler = Callable[[WireObject, OnWireAnswer], None]
 
 
 class UnknownCallError(Exception):
-    """A call that isn't one.
+    """A call with an unknown path, or a request that is not a JSON object.
 
     Attributes:
-        status: The HTTP status that says so.
-        path: What was called.
+        status: The HTTP status of the answer.
+        path: The path that was called.
     """
 
     def __init__(self, status: int, path: str) -> None:
-        """Keep the status and the path."""
+        """Create the error with its HTTP status and path."""
         super().__init__(f"no such call: {path}")
         self.status = status
         self.path = path
 
 
 class RpcServerConnection:
-    """One connection to the server; a call is answered before the next one begins."""
+    """One connection to the server; each call is answered before the next one starts."""
 
     def __init__(self, server: RpcServer, sock: socket.socket) -> None:
         """Take over a connected socket."""
         self.server = server
         self.last_active_us = server.loop.now
         self.reader = RequestReader(MAX_REQUEST_BYTES)
-        self.answering = False  # a call is under way
+        self.answering = False  # whether a call is in progress
         self.conn = Connection(server.loop, sock, self)
 
     def opened(self) -> None:
-        """Nothing: it was connected when it came."""
+        """Do nothing: an accepted socket is already connected."""
 
     def received(self, view: memoryview) -> None:
-        """Take in a part of a request."""
+        """Process received bytes of a request."""
         self.last_active_us = self.server.loop.now
         self.reader.feed(view)
         if len(self.reader.pipelined) > MAX_PIPELINED:
@@ -72,7 +72,7 @@
         self._begin_call()
 
     def ended(self, reason: str) -> None:
-        """Forget the connection, which has ended."""
+        """Remove the connection, which has ended."""
         self.server.connections.pop(self, None)
 
     def _begin_call(self) -> None:
@@ -119,15 +119,15 @@
 
 
 class RpcServer:
-    """Takes calls by their paths, and hands each to its handler.
+    """Dispatches calls to handlers by path.
 
     Attributes:
-        loop: The loop that it runs on.
+        loop: The event loop.
         connections: All open connections.
     """
 
     def __init__(self, loop: Loop) -> None:
-        """Make a server without handlers that doesn't listen yet."""
+        """Create a server without handlers that does not listen yet."""
         self.loop = loop
         self.connections: dict[RpcServerConnection, None] = {}
         self._handlers: dict[str, WireHandler] = {}
@@ -139,12 +139,12 @@
         method: RpcMethod[RequestT, AnswerT],
         handler: Callable[[RequestT, Callable[[AnswerT | None], None]], None],
     ) -> None:
-        """Have a method's calls answered.
+        """Register the handler of a method.
 
         Args:
-            method: What is called.
-            handler: Told the request, and whom to call with the answer: once, with None where the
-                process can't answer now.
+            method: The method.
+            handler: Receives the request and a callback for the answer, to be called once, with
+                None if the process cannot answer at the moment.
         """
 
         def handle(wire: WireObject, on_wire_answer: OnWireAnswer) -> None:
@@ -156,16 +156,16 @@
         self._handlers[method.path] = handle
 
     def dispatch(self, path: str, wire: object, on_answer: OnWireAnswer) -> None:
-        """Hand a call to its handler.
+        """Pass a call to its handler.
 
         Args:
-            path: What is called.
-            wire: The request as JSON has it.
-            on_answer: Called once, perhaps later.
+            path: The path of the call.
+            wire: The request, parsed from JSON.
+            on_answer: Called once with the answer, possibly after this function has returned.
 
         Raises:
-            UnknownCallError: There is no such call, or the request is no object.
-            KeyError, TypeError, ValueError: The request can't be read.
+            UnknownCallError: The path is unknown, or the request is not a JSON object.
+            KeyError, TypeError, ValueError: The request is invalid.
         """
         handler = self._handlers.get(path)
         if handler is None:
@@ -175,21 +175,21 @@
         handler(wire, on_answer)
 
     def listen(self, address: Address) -> None:
-        """Begin to accept connections.
+        """Start to accept connections.
 
         Raises:
-            OSError: The address can't be had.
+            OSError: The address is not available.
         """
         listener = open_listener(address, BACKLOG)
         self._listener_watch = ListenerWatch(self.loop, listener, self._accept)
 
     @property
     def listener(self) -> socket.socket | None:
-        """Its socket, None until it listens."""
+        """The listening socket, None before `listen`."""
         return self._listener_watch.listener if self._listener_watch else None
 
     def drop(self, connection: RpcServerConnection) -> None:
-        """Close a connection at once."""
+        """Close a connection immediately."""
         connection.conn.close()
         self.connections.pop(connection, None)
 
@@ -201,9 +201,9 @@
                 sock, _ = watch.listener.accept()
             except BlockingIOError:
                 return
-            except ConnectionAbortedError:  # gone before it was let in
+            except ConnectionAbortedError:  # closed by the client before it was accepted
                 continue
-            except OSError:  # no descriptor is left
+            except OSError:  # no file descriptor is available
                 watch.rest()
                 return
             if len(self.connections) >= MAX_CONNECTIONS:
--- a/orchidgap/control/status_report.py
+++ b/orchidgap/control/status_report.py
@@ -1,4 +1,4 @@
-"""The status of control: what its processes know, laid together, and how that is printed."""
+"""Merges the status answers of control processes and formats them for operators."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def merge_status(answers: Sequence[StatusAnswer]) -> StatusReport:
-    """Lay together what several control processes answered; at least one has to.
+    """Merge the status answers of several control processes; there must be at least one.
 
-    The register's value is that of the highest ballot. What is waited for counts only from
-    processes that know the same proposal.
+    The register's value is taken from the answer with the highest ballot. Pending balancers and
+    refusals are taken only from processes that have the same proposal.
     """
     newest = max(answers, key=lambda answer: answer.ballot)
     process_count = len(newest.process_names)
@@ -47,7 +47,7 @@
 
 
 def _merge_holders(answers: Iterable[StatusAnswer]) -> tuple[HolderStatus, ...]:
-    """Return each balancer as it was heard last, with the longest lease that it may have."""
+    """Return each balancer's most recent status, with the longest lease that it may hold."""
     merged: dict[tuple[str, str], HolderStatus] = {}
     for answer in answers:
         for holder in answer.holders:
@@ -55,14 +55,14 @@
             known = merged.get(key)
             if known is None:
                 merged[key] = holder
-            elif holder.heard_ago_us < known.heard_ago_us:
+            elif holder.heartbeat_age_us < known.heartbeat_age_us:
                 longest_us = max(holder.lease_remaining_us, known.lease_remaining_us)
                 merged[key] = msgspec.structs.replace(holder, lease_remaining_us=longest_us)
     return tuple(holder for _, holder in sorted(merged.items(), key=lambda item: item[0]))
 
 
 def format_pending_members(pending_members: Iterable[tuple[str, int]]) -> str:
-    """Return who is waited for and how long, for operators; names with microseconds come in."""
+    """Format pending balancers and the remaining wait for each, given in microseconds."""
     return ", ".join(
         f"{name} ({_format_wait(time_remaining_us)})" for name, time_remaining_us in pending_members
     )
@@ -75,7 +75,7 @@
 
 
 def format_history(history: Iterable[RecordMessage]) -> list[str]:
-    """Return a line for each change that ended, oldest first."""
+    """Return one line for each change that ended, oldest first."""
     lines = []
     for record in history:
         result = f"version {record.version}" if record.version else record.result.value
@@ -85,12 +85,12 @@
 
 
 def format_status(report: StatusReport) -> list[str]:
-    """Return the lines of a report: the version, what is proposed, and a table of balancers."""
+    """Return the lines of a report: the version, the open proposal, and a table of balancers."""
     control = report.control
-    trouble = "" if control.has_quorum else ", too few: leases run out, nothing can be decided"
+    warning = "" if control.has_quorum else ", too few: leases run out, nothing can be decided"
     lines = [
         f"version {report.version} {report.change_id} counts; control: "
-        f"{control.available_count} of {control.process_count} answer{trouble}"
+        f"{control.available_count} of {control.process_count} answer{warning}"
     ]
     if report.proposal:
         waits_for = format_pending_members(report.pending_members.items()) or "the decision"
@@ -107,11 +107,11 @@
 
 
 def _format_holder(holder: HolderStatus) -> str:
-    heard_ago_s = holder.heard_ago_us / US_PER_SECOND
+    heartbeat_age_s = holder.heartbeat_age_us / US_PER_SECOND
     lease = "none"
     if holder.lease_remaining_us > 0:
         lease = f"{holder.lease_remaining_us / US_PER_SECOND:.1f} s"
     return (
         f"{holder.name:<16} {holder.version:>7} {holder.promised_proposal or '':>8} "
-        f"{holder.on_lost_quorum:>6} {heard_ago_s:>6.1f} s {lease:>8}"
+        f"{holder.on_lost_quorum:>6} {heartbeat_age_s:>6.1f} s {lease:>8}"
     )
--- a/orchidgap/control/validation.py
+++ b/orchidgap/control/validation.py
@@ -1,7 +1,7 @@
-"""Checks of a proposed policy: what can be seen without a balancer, and what a balancer looks at.
+"""Validates a proposed policy, independently of a balancer and against a balancer's configuration.
 
-A proposed policy is a JSON object `{"settings": {...}}`, whole, with `"needs"` where it requires a
-certain format.
+A proposed policy is a JSON object `{"settings": {...}}` with all settings. It has the key `"needs"`
+if it requires a certain format.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 SETTINGS_KEY = "settings"
 FORMAT_KEY = "needs"
-SUPPORTED_FORMAT = 1  # the newest format of a policy that this program knows
+SUPPORTED_FORMAT = 1  # the newest policy format that this program supports
 
 
 class InvalidPolicyError(OrchidgapError):
-    """A policy cannot be put into force; the message tells operators why."""
+    """A policy cannot be put into force; the message explains the reason to operators."""
 
 
 def validate(document: Document) -> None:
-    """Check all of a proposed policy that does not depend on the balancer.
+    """Check everything in a proposed policy that does not depend on the balancer.
 
     Raises:
-        InvalidPolicyError: No balancer could run it.
+        InvalidPolicyError: No balancer could apply the policy.
 
     >>> rule_set = {"name": "a", "effect": "retryable", "client-timeout": 9}
     >>> validate({"settings": {"rule-sets": [rule_set]}})
@@ -58,18 +58,19 @@
     return settings
 
 
-def config_under(
+def config_with_policy(
     document: Document, config_path: str | None, before: BalancerConfig | None
 ) -> BalancerConfig:
-    """Return the balancer's configuration with the settings of a policy in place of its own.
+    """Return a balancer's configuration with its settings replaced by those of a policy.
 
     Args:
         document: The policy.
-        config_path: The balancer's own file.
-        before: The configuration that it has to be able to follow, if any.
+        config_path: The balancer's own configuration file.
+        before: The configuration that the new one must be able to replace in a running balancer, if
+            any.
 
     Raises:
-        InvalidPolicyError: The policy is not valid, or the file does not go with it.
+        InvalidPolicyError: The policy is invalid, or incompatible with the configuration file.
     """
     validate(document)
     try:
@@ -79,12 +80,12 @@
 
 
 def check_startup_settings(current: ServiceSettings, new: ServiceSettings) -> None:
-    """Check that no setting differs that takes effect at a restart only.
+    """Check that no setting changes that takes effect only at a restart.
 
-    Such a policy could not be in force everywhere at once.
+    A policy with such a change could not be in force on all balancers at the same time.
 
     Raises:
-        InvalidPolicyError: One differs.
+        InvalidPolicyError: A setting of this kind has changed.
     """
     kept = new.keeping_startup_settings(current)
     for name in kept._fields:
--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -1,6 +1,6 @@
 import pytest
 from control_cluster import ControlCluster
-from rpc_ends import Ends
+from rpc_pair import RpcPair
 
 
 @pytest.fixture
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture
-def ends():
+def rpc_pair():
     """A client and a server of control's RPC that listens on loopback."""
-    ends = Ends()
-    yield ends
-    ends.close()
+    rpc_pair = RpcPair()
+    yield rpc_pair
+    rpc_pair.close()
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -25,11 +25,11 @@
 DOCUMENT = {"settings": {"rule-sets": [{"name": "a", "effect": "retryable", "client-timeout": 9}]}}
 
 
-def over_the_wire(wire):
+def json_round_trip(wire):
     return json.loads(orjson.dumps(wire))
 
 
-class HeldWriter:
+class ManualWriter:
     """A disk whose writes end when the test calls what is in `pending`."""
 
     def __init__(self):
@@ -47,24 +47,24 @@
 
     def call(self, method, request, on_answer):
         loop = self.cluster.loop
-        if {self.caller, self.target} & self.cluster.cut_off:
+        if {self.caller, self.target} & self.cluster.partitioned:
             loop.call_later(TIMEOUT_US, on_answer, None)
             return
 
         def on_wire_answer(wire):
-            answer = wire and method.answer_type.from_wire(over_the_wire(wire))
+            answer = wire and method.answer_type.from_wire(json_round_trip(wire))
             loop.call_later(DELAY_US, on_answer, answer)
 
         server = self.cluster.processes[self.target].server
-        wire = over_the_wire(request.to_wire())
+        wire = json_round_trip(request.to_wire())
         loop.call_later(DELAY_US, server.dispatch, method.path, wire, on_wire_answer)
 
 
 class ControlCluster:
-    """So many control processes, each with a folder of its own; `cut_off` names those nobody reaches."""
+    """So many control processes, each with a folder of its own; `partitioned` names those nobody reaches."""
 
     def __init__(self, folder, count):
-        self.loop, self.cut_off, self.log = VirtualClockLoop(), set(), []
+        self.loop, self.partitioned, self.log = VirtualClockLoop(), set(), []
         names = [f"k{number}" for number in range(count)]
         self.processes = {}
         for name in names:
@@ -76,7 +76,7 @@
                 ProcessConfig(name, addresses, str(folder), LEASE_US, 6 * LEASE_US, False),
                 others,
                 store,
-                lambda event, name=name, **facts: self.log.append((name, event, facts)),
+                lambda event, name=name, **fields: self.log.append((name, event, fields)),
                 Random(name),
                 lambda: self.loop.now,
             )
@@ -85,7 +85,7 @@
 
     def start(self):
         for process in self.processes.values():
-            process.start(begin_anew=True)
+            process.start(create_if_missing=True)
 
     def run(self, duration_us):
         self.loop.run_until(self.loop.now + duration_us)
@@ -96,10 +96,10 @@
 
         def on_wire_answer(wire):
             answers.append(
-                None if wire is None else method.answer_type.from_wire(over_the_wire(wire))
+                None if wire is None else method.answer_type.from_wire(json_round_trip(wire))
             )
 
-        wire = over_the_wire(request.to_wire())
+        wire = json_round_trip(request.to_wire())
         self.processes[name].server.dispatch(method.path, wire, on_wire_answer)
         return answers
 
@@ -131,10 +131,10 @@
         )
         return self.ask(name, LEASE, request, 0)
 
-    def ask_all_leases(self, balancer, **facts):
+    def ask_all_leases(self, balancer, **fields):
         """Asks every process for a lease, as a balancer that has heard all answers so far."""
         return [
-            self.ask_lease(name, balancer, last_answer_at_us=self.loop.now, **facts)
+            self.ask_lease(name, balancer, last_answer_at_us=self.loop.now, **fields)
             for name in self.processes
         ]
 
@@ -147,5 +147,5 @@
         )
         return self.ask(name, PROPOSE, request, 200_000)
 
-    def state_of(self, name, change_id):
+    def query_change(self, name, change_id):
         return self.ask(name, CHANGE, ChangeRequest(change_id=change_id), 1_000_000)
--- a/tests/control/rpc_ends.py
+++ b/tests/control/rpc_pair.py
@@ -8,10 +8,10 @@
 from orchidgap.net.loop import Loop
 
 TIMEOUT_US = 5_000_000  # far more than any answer here takes on a busy machine
-PATIENCE_US = 10_000_000
+WAIT_LIMIT_US = 10_000_000
 
 
-class Ends:
+class RpcPair:
     """A client and a server on one loop; the server keeps the calls of CHECK unanswered in `pending`."""
 
     def __init__(self):
@@ -26,12 +26,12 @@
         self.client = RpcClient(self.loop, self.server.listener.getsockname(), TIMEOUT_US)
 
     def run_until(self, condition):
-        until = self.loop.clock() + PATIENCE_US
+        until = self.loop.clock() + WAIT_LIMIT_US
         while not condition():
             assert self.loop.clock() < until
             self.loop.run_once(5_000)
 
-    def say(self, text):
+    def send_and_receive(self, text):
         """Sends bytes to the server; what comes back until it closes or says nothing more."""
         with socket.create_connection(self.server.listener.getsockname()) as sock:
             sock.sendall(text)
--- a/tests/control/test_acceptor.py
+++ b/tests/control/test_acceptor.py
@@ -1,7 +1,7 @@
 """An acceptor with its disk: what it grants and answers beside a write, and what becomes of a bad disk."""
 
 import pytest
-from control_cluster import DOCUMENT, LEASE_US, ControlCluster, HeldWriter
+from control_cluster import DOCUMENT, LEASE_US, ControlCluster, ManualWriter
 
 from orchidgap.control.messages import (
     ACCEPT,
@@ -35,7 +35,7 @@
 def test_leases_go_on_beside_a_write_for_those_who_are_prepared_for_it(cluster):
     """A decision is on its way to a slow disk. Who has promised it gets leases meanwhile, who hasn't gets
     none; once it is durable, all get leases again."""
-    writer = HeldWriter()
+    writer = ManualWriter()
     answers = begin_decision(cluster, writer)
     acceptor, now_us = cluster.processes["k0"].acceptor, cluster.loop.now
     assert not answers and acceptor.policy.version == 0
@@ -51,7 +51,7 @@
 def test_a_write_that_failed_may_be_there_all_the_same(cluster):
     """The write of a decision fails. The next process may find it on the disk: until then nobody gets a
     lease who isn't prepared for it."""
-    writer = HeldWriter()
+    writer = ManualWriter()
     answers = begin_decision(cluster, writer)
     acceptor, now_us = cluster.processes["k0"].acceptor, cluster.loop.now
     writer.pending.pop()("Input/output error")
@@ -63,7 +63,7 @@
 def test_what_waits_for_a_disk_that_stands_still_is_given_up(cluster):
     """A disk stands still under a write. What is asked meanwhile is answered with no answer, and doesn't
     pile up; the other processes decide without this one."""
-    writer = HeldWriter()
+    writer = ManualWriter()
     begin_decision(cluster, writer)
     answers = [
         cluster.call("k0", PREPARE, PrepareRequest(ballot=(count, "k1"))) for count in range(10, 14)
@@ -78,7 +78,7 @@
 def test_one_call_is_written_after_another(cluster):
     """Two calls come at the same moment. The second begins when the first is on the disk: a promise made beside
     a write would be overwritten by it."""
-    acceptor, writer = cluster.processes["k0"].acceptor, HeldWriter()
+    acceptor, writer = cluster.processes["k0"].acceptor, ManualWriter()
     acceptor.writer = writer
     answers = [
         cluster.call("k0", PREPARE, PrepareRequest(ballot=(count, "k1"))) for count in (30, 31)
@@ -94,7 +94,7 @@
 
 def test_a_disk_s_troubles_are_logged_once_each(cluster):
     """A disk is slow, then fails, then is sound again. The log has one line for each."""
-    writer = HeldWriter()
+    writer = ManualWriter()
     begin_decision(cluster, writer)
     cluster.run(1_000_000)
     acceptor = cluster.processes["k0"].acceptor
@@ -105,7 +105,7 @@
         writer.pending.pop()("")
     events = [event for name, event, _ in cluster.log if name == "k0" and "disk" in event]
     assert events == ["disk slow", "disk failing", "disk recovered"]
-    assert acceptor.disk_state is DiskState.SOUND
+    assert acceptor.disk_state is DiskState.HEALTHY
 
 
 def test_a_value_that_cannot_be_read_is_not_accepted(cluster):
@@ -128,5 +128,5 @@
     (tmp_path / "k0" / "register").write_text("torn")
     cluster = ControlCluster(tmp_path, 1)
     with pytest.raises(ConfigError, match="--new"):
-        cluster.processes["k0"].start(begin_anew=False)
+        cluster.processes["k0"].start(create_if_missing=False)
     assert (tmp_path / "k0" / "register.damaged").read_text() == "torn"
--- a/tests/control/test_cli.py
+++ b/tests/control/test_cli.py
@@ -108,7 +108,7 @@
     assert json.loads(capsys.readouterr().out) == {"id": "x"} | DECIDED
 
 
-class ProcessStandIn:
+class FakeProcess:
     """One control process, which is there or not."""
 
     def __init__(self, answer):
@@ -122,7 +122,7 @@
 
 def test_a_process_that_does_not_answer_is_asked_last_from_then_on():
     """The first of two control processes is away. Each call to it takes seconds, so it is tried once."""
-    away, there = ProcessStandIn(None), ProcessStandIn("answer")
+    away, there = FakeProcess(None), FakeProcess("answer")
     client = cli.ControlClient([])
     client.clients = [away, there]
     assert client.call_any(CHANGE, None) == "answer" and client.answer_lost
@@ -132,7 +132,7 @@
     assert client.call_any(CHANGE, None) is None
 
 
-class RegisteredStandIn:
+class FakeRegistration:
     """Control that knows b1 to serve without a quorum, and may have lost its majority."""
 
     def __init__(self, answer):
@@ -156,7 +156,7 @@
     ],
 )
 def test_only_a_process_that_is_registered_is_evicted(name, answer, code, text, count, capsys):
-    control = RegisteredStandIn(answer)
+    control = FakeRegistration(answer)
     assert cli.evict(control, name, as_json=False) == code
     assert capsys.readouterr().out.startswith(text)
     assert control.evictions == [(EVICT, MemberRequest(name=name, incarnation="7"))] * count
--- a/tests/control/test_heartbeat.py
+++ b/tests/control/test_heartbeat.py
@@ -22,19 +22,19 @@
 
     def __init__(self, seed=1):
         self.loop = VirtualClockLoop()
-        self.began_at_us = self.loop.now
+        self.started_at_us = self.loop.now
         self.sent_at_us = []
         self.schedule = HeartbeatSchedule(self.loop, Random(seed), self.send)
 
     def send(self):
-        self.sent_at_us.append(self.loop.now - self.began_at_us)
+        self.sent_at_us.append(self.loop.now - self.started_at_us)
 
     def next_after_us(self):
         """How long after now the next heartbeat is sent."""
         count, now_us = len(self.sent_at_us), self.loop.now
         self.loop.run_until(now_us + 60_000_000)
         assert len(self.sent_at_us) == count + 1
-        return self.sent_at_us[-1] - (now_us - self.began_at_us)
+        return self.sent_at_us[-1] - (now_us - self.started_at_us)
 
 
 def test_only_the_time_set_last_counts():
@@ -58,11 +58,11 @@
 
 
 @given(st.integers(0, 100), st.integers(0, 3_000_000))
-def test_an_interval_counts_from_the_heartbeat_before(seed, spent_us):
+def test_an_interval_counts_from_the_heartbeat_before(seed, elapsed_us):
     recorder = Recorder(seed)
     recorder.schedule.interval_us = 1_000_000
-    recorder.schedule.send_after_interval(spent_us)
-    low, high = (max(0, round(1_000_000 * factor) - spent_us) for factor in INTERVAL_JITTER)
+    recorder.schedule.send_after_interval(elapsed_us)
+    low, high = (max(0, round(1_000_000 * factor) - elapsed_us) for factor in INTERVAL_JITTER)
     assert low <= recorder.next_after_us() <= high
 
 
--- a/tests/control/test_lease_keeper.py
+++ b/tests/control/test_lease_keeper.py
@@ -36,13 +36,13 @@
 }
 
 
-class ControlStandIn:
+class FakeControl:
     """Notes calls, and answers heartbeats with what it is told to: at once, or later by hand."""
 
     def __init__(self):
         self.calls = []
         self.answer = None
-        self.at_once = True
+        self.answers_immediately = True
         self.waiting = []
 
     @property
@@ -54,12 +54,12 @@
 
     def call(self, method, request, on_answer):
         self.calls.append((method, request))
-        if method is LEASE and self.at_once:
+        if method is LEASE and self.answers_immediately:
             on_answer(self.answer and method.answer_type.from_wire(self.answer))
         else:
             self.waiting.append(on_answer)
 
-    def answer_now(self, **changes):
+    def answer_oldest_call(self, **changes):
         """Answer the call that waits for longest."""
         wire = NOTHING_DECIDED | {"size": 3} | changes
         self.waiting.pop(0)(LEASE.answer_type.from_wire(wire))
@@ -76,13 +76,13 @@
         None,
         loop,
         config,
-        lambda event, **facts: events.append((event, facts)),
+        lambda event, **fields: events.append((event, fields)),
         DurableStore(folder),
         Random(1),
         lambda: loop.now,
     )
     keeper.events = events
-    keeper.clients = [ControlStandIn() for _ in range(count)]
+    keeper.clients = [FakeControl() for _ in range(count)]
     keeper.writer = ImmediateWriter(loop, keeper.store)
     return keeper
 
@@ -177,58 +177,62 @@
     assert (tmp_path / "policy.damaged").read_text() == "torn"
 
 
-def make_waiting_keeper(folder, loop):
+def make_keeper_with_pending_heartbeat(folder, loop):
     """One of three control processes, whose answers come when the test says so; it has sent its first
     heartbeat."""
     keeper = make_keeper(folder, loop, count=3)
     for client in keeper.clients:
-        client.at_once = False
+        client.answers_immediately = False
     keeper.begin(lambda: None)
     return keeper
 
 
 def events_of(keeper, name):
-    return [facts for event, facts in keeper.events if event == name]
+    return [fields for event, fields in keeper.events if event == name]
 
 
 def test_a_majority_s_grants_make_a_lease_and_the_third_answer_adds_nothing(tmp_path):
     """Two of three grant a lease under one ballot. The third answer comes after that and tells of another
     state; it must not count with the two before."""
-    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
+    keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     first, second, third = keeper.clients
-    first.answer_now()
+    first.answer_oldest_call()
     assert not keeper.may_serve()
-    second.answer_now()
+    second.answer_oldest_call()
     assert keeper.may_serve()
-    tell_lease = keeper.lease.on_chosen_state
+    update_lease = keeper.lease.on_chosen_state
     keeper.lease.on_chosen_state = pytest.fail
-    third.answer_now(at=77)
-    keeper.lease.on_chosen_state = tell_lease
+    third.answer_oldest_call(at=77)
+    keeper.lease.on_chosen_state = update_lease
     assert keeper.last_answers_at_us == [1, 1, 77]
 
 
 def test_a_state_that_is_chosen_counts_once_until_a_lease_is_granted(tmp_path):
     """Two of three agree and only one grants: the state is known, and there is no lease. The third one
     grants too and makes a majority of grants."""
-    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
+    keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     told = []
-    tell_lease = keeper.lease.on_chosen_state
-    keeper.lease.on_chosen_state = lambda *facts: (told.append(facts[-1]), tell_lease(*facts))[1]
+    update_lease = keeper.lease.on_chosen_state
+    keeper.lease.on_chosen_state = lambda *fields: (told.append(fields[-1]), update_lease(*fields))[
+        1
+    ]
     first, second, third = keeper.clients
-    first.answer_now()
-    second.answer_now(grants=False)
+    first.answer_oldest_call()
+    second.answer_oldest_call(grants=False)
     assert told == [False] and not keeper.may_serve()
-    third.answer_now()
+    third.answer_oldest_call()
     assert told == [False, True] and keeper.may_serve()
 
 
 def test_a_state_without_a_lease_is_told_once_for_one_heartbeat(tmp_path):
-    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
+    keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     told = []
-    tell_lease = keeper.lease.on_chosen_state
-    keeper.lease.on_chosen_state = lambda *facts: (told.append(facts[-1]), tell_lease(*facts))[1]
+    update_lease = keeper.lease.on_chosen_state
+    keeper.lease.on_chosen_state = lambda *fields: (told.append(fields[-1]), update_lease(*fields))[
+        1
+    ]
     for client in keeper.clients:
-        client.answer_now(grants=False)
+        client.answer_oldest_call(grants=False)
     assert told == [False]
 
 
@@ -236,22 +240,22 @@
     """Answers take longer than the wait for the next heartbeat. A lease by them would count from a time
     that the acceptors do not know any more."""
     loop = VirtualClockLoop()
-    keeper = make_waiting_keeper(tmp_path, loop)
+    keeper = make_keeper_with_pending_heartbeat(tmp_path, loop)
     loop.run_until(loop.now + 700_000)
     assert all(client.count == 2 for client in keeper.clients)
     for client in keeper.clients:
-        client.answer_now(at=5)
+        client.answer_oldest_call(at=5)
     assert not keeper.may_serve() and keeper.last_answers_at_us == [5, 5, 5]
     for client in keeper.clients[:2]:
-        client.answer_now(at=6)
+        client.answer_oldest_call(at=6)
     assert keeper.may_serve()
 
 
 def test_the_next_heartbeat_tells_which_answer_was_heard_last(tmp_path):
     loop = VirtualClockLoop()
-    keeper = make_waiting_keeper(tmp_path, loop)
-    keeper.clients[0].answer_now(at=41)
-    keeper.clients[1].answer_now(at=42)
+    keeper = make_keeper_with_pending_heartbeat(tmp_path, loop)
+    keeper.clients[0].answer_oldest_call(at=41)
+    keeper.clients[1].answer_oldest_call(at=42)
     loop.run_until(loop.now + LEASE_US)
     last = [client.requests(LEASE)[-1].last_answer_at_us for client in keeper.clients]
     assert last == [41, 42, 0]
@@ -260,22 +264,22 @@
 def test_answers_of_a_cluster_of_another_size_count_for_nothing(tmp_path):
     """A balancer's file lists three control processes, and those that it calls are five: two answers are
     no majority."""
-    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
+    keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     for client in keeper.clients:
-        client.answer_now(size=5)
+        client.answer_oldest_call(size=5)
     assert not keeper.may_serve() and keeper.lease.version == -1
-    facts = events_of(keeper, "control process count differs")
-    assert facts == [{"why": "it has 5 processes, this file 3"}] * 3
+    fields = events_of(keeper, "control process count differs")
+    assert fields == [{"why": "cluster has 5 processes, this file 3"}] * 3
 
 
 @pytest.mark.parametrize(("answering", "settles"), [(3, 1), (2, 1), (1, 0)])
 def test_where_control_processes_differ_one_is_asked_to_find_out(tmp_path, answering, settles):
     """Each has accepted the value under another ballot, so no value is certainly chosen. Only a majority
     can find out."""
-    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
+    keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     for number, client in enumerate(keeper.clients):
         if number < answering:
-            client.answer_now(ballot=[number + 1, "k"])
+            client.answer_oldest_call(ballot=[number + 1, "k"])
         else:
             client.waiting.pop(0)(None)
     assert sum(len(client.requests(SETTLE)) for client in keeper.clients) == settles
@@ -284,12 +288,12 @@
 
 def test_the_back_off_begins_anew_with_an_answer(tmp_path):
     loop = VirtualClockLoop()
-    keeper = make_waiting_keeper(tmp_path, loop)
+    keeper = make_keeper_with_pending_heartbeat(tmp_path, loop)
     loop.run_until(loop.now + 5_000_000)
     assert keeper.schedule.failures > 2
     for client in keeper.clients:
         while client.waiting:
-            client.answer_now()
+            client.answer_oldest_call()
     assert keeper.schedule.failures == 0
 
 
@@ -323,8 +327,8 @@
     keeper.begin(lambda: None)
     loop.run_until(loop.now + 4 * LEASE_US)
     assert not keeper.may_serve() and not keeper.clients[0].requests(REGISTER)
-    facts = events_of(keeper, "version invalid")
-    assert facts == [{"version": 1, "why": "it does not go with this file"}]
+    fields = events_of(keeper, "version invalid")
+    assert fields == [{"version": 1, "why": "it does not go with this file"}]
 
 
 def test_a_version_whose_policy_did_not_come_is_not_adopted(tmp_path):
@@ -332,11 +336,11 @@
     keeper.adopt = pytest.fail
     keeper.clients[0].answer = NOTHING_DECIDED | {"n": 1, "id": "x", "try": 1}
     keeper.begin(lambda: None)
-    facts = events_of(keeper, "version invalid")
-    assert facts == [{"version": 1, "why": "it did not come with the answer"}]
+    fields = events_of(keeper, "version invalid")
+    assert fields == [{"version": 1, "why": "the answer did not contain its policy"}]
 
 
-class NodeStandIn:
+class FakeNode:
     """Notes what is put into force."""
 
     def __init__(self, origin_kind):
@@ -371,7 +375,7 @@
     """A balancer starts, and the policy in force has another kind of origin than its file: nothing depends
     on that yet. Later such a policy cannot be in force without a restart."""
     keeper = make_keeper(tmp_path, VirtualClockLoop())
-    keeper.node = NodeStandIn("old")
+    keeper.node = FakeNode("old")
     keeper.on_first_lease = lambda: None
     keeper.adopt(DOCUMENT)
     assert keeper.node.in_force == [(DOCUMENT["settings"], False)]
@@ -379,7 +383,7 @@
     keeper.on_first_lease = None
     with pytest.raises(InvalidPolicyError, match="origin_kind cannot change while"):
         keeper.adopt(DOCUMENT)
-    keeper.node = NodeStandIn("new")
+    keeper.node = FakeNode("new")
     keeper.adopt(DOCUMENT)
     assert keeper.node.in_force == [(DOCUMENT["settings"], True)]
     assert config_files == [None, None, None]
@@ -390,7 +394,7 @@
 ):
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
-    keeper.node = NodeStandIn("old")
+    keeper.node = FakeNode("old")
     proposal = ProposalMessage(change_id="x", document=DOCUMENT, proposal_number=3, version=1)
     keeper.check_proposal(proposal)
     assert keeper.lease.refused_proposal == 3 and "origin_kind" in keeper.lease.refusal_reason
@@ -406,7 +410,7 @@
 ):
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
-    keeper.node = NodeStandIn("new")
+    keeper.node = FakeNode("new")
     proposal = ProposalMessage(change_id="x", document=DOCUMENT, proposal_number=3, version=1)
     keeper.check_proposal(proposal)
     assert keeper.lease.promised_proposal == 3
@@ -455,7 +459,9 @@
     keeper.clients[0].answer = None
     loop.run_until(loop.now + 3 * LEASE_US)
     assert len(opened) == 1
-    changes = [(facts["before"], facts["now"]) for facts in events_of(keeper, "serving permission")]
+    changes = [
+        (fields["before"], fields["now"]) for fields in events_of(keeper, "serving permission")
+    ]
     assert changes == [("denied", "lease"), ("lease", "denied")]
 
 
@@ -476,8 +482,8 @@
 def test_answers_that_come_while_a_process_ends_start_nothing(tmp_path):
     """It waits for its good-byes to be heard, and answers to the heartbeat before come in: it must not take
     a lease, register, or begin to promise any more."""
-    keeper = make_waiting_keeper(tmp_path, VirtualClockLoop())
+    keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     keeper.closing = True
     for client in keeper.clients:
-        client.answer_now()
+        client.answer_oldest_call()
     assert not keeper.may_serve() and keeper.lease.version == -1
--- a/tests/control/test_lease_service.py
+++ b/tests/control/test_lease_service.py
@@ -69,13 +69,13 @@
     assert cluster.ask("k0", REGISTER, member, 200_000) == EmptyMessage()
     cluster.propose("k0", "x")
     cluster.run(LEASE_US)
-    pending = cluster.state_of("k0", "x").pending_members
+    pending = cluster.query_change("k0", "x").pending_members
     assert [(pending_one.name, pending_one.time_remaining_us) for pending_one in pending] == [
         ("b0", 0)
     ]
     assert cluster.ask("k0", DEREGISTER, member, 0) == EmptyMessage()
     cluster.run(1_000_000)
-    assert cluster.state_of("k0", "x").state is ChangeState.DECIDED
+    assert cluster.query_change("k0", "x").state is ChangeState.DECIDED
 
 
 def test_long_texts_are_cut(cluster):
--- a/tests/control/test_process.py
+++ b/tests/control/test_process.py
@@ -42,22 +42,22 @@
     lost.acceptor.acceptor, lost.acceptor.highest_ballot_count = None, 0
     ballots, begin_round = [], lost.proposer.begin_round
 
-    def begin_noted_round(attempts_left):
+    def begin_recorded_round(attempts_left):
         begin_round(attempts_left)
         if lost.proposer.running:
             ballots.append((lost.acceptor.highest_ballot_count, "k0"))
 
-    on_round_over = lost.proposer.on_round_over
+    on_round_end = lost.proposer.on_round_end
 
-    def hear_of_a_higher_ballot(proposer, value, attempts_left):
+    def observe_higher_ballot(proposer, value, attempts_left):
         lost.acceptor.highest_ballot_count += 7  # as another proposer's ballot would have it
-        on_round_over(proposer, value, attempts_left)
+        on_round_end(proposer, value, attempts_left)
 
-    lost.proposer.begin_round = begin_noted_round
-    lost.proposer.on_round_over = hear_of_a_higher_ballot
+    lost.proposer.begin_round = begin_recorded_round
+    lost.proposer.on_round_end = observe_higher_ballot
     lost.recover_register()
     cluster.run(3_000_000)
-    assert not lost.acceptor.is_lost and lost.acceptor.accepted_ballot in ballots
+    assert not lost.acceptor.has_lost_register and lost.acceptor.accepted_ballot in ballots
     assert lost.acceptor.policy.version == 1
     assert ("k0", "register recovered", {"version": 1}) in cluster.log
 
@@ -85,12 +85,12 @@
 def test_a_minority_decides_nothing_and_what_was_decided_without_it_reaches_it(cluster):
     """One process is cut off. A change that is proposed there comes to nothing; the other two decide one,
     and the process knows it when it is back."""
-    cluster.cut_off = {"k0"}
+    cluster.partitioned = {"k0"}
     assert cluster.ask("k0", PROPOSE, propose_request("x"), 20_000_000) is None
     answer = cluster.ask("k1", PROPOSE, propose_request("y"))
     assert answer.state is ChangeState.PROPOSED
     cluster.run(3 * LEASE_US)
-    cluster.cut_off = set()
+    cluster.partitioned = set()
     answer = cluster.ask("k0", CHANGE, ChangeRequest(change_id="y"))
     assert answer.state is ChangeState.DECIDED
     assert cluster.processes["k0"].acceptor.policy.change_id == "y"
--- a/tests/control/test_process_config.py
+++ b/tests/control/test_process_config.py
@@ -36,20 +36,23 @@
         ({}, "name is missing"),
         ({"name": "k0"}, "control is missing"),
         ({"name": "k0", "control": {}}, "dir is missing"),
-        (GOOD | {"name": "k9"}, "control has no address for k9"),
+        (GOOD | {"name": "k9"}, "control contains no address for k9"),
         (
             GOOD | {"control": {"k0": "127.0.0.1:1", "k1": "127.0.0.1:2"}},
-            "2 control processes; 1, 3 or 5 can be",
+            "2 control processes; must be 1, 3 or 5",
+        ),
+        (
+            GOOD | {"lease-ms": 10},
+            "lease-ms must be from 1000 to 600000, and give-up-ms at least lease-ms",
         ),
-        (GOOD | {"lease-ms": 10}, "lease-ms goes from 1000 to 600000, and give-up-ms is no less"),
         (
             GOOD | {"lease-ms": 2_000, "give-up-ms": 1_000},
-            "lease-ms goes from 1000 to 600000, and give-up-ms is no less",
+            "lease-ms must be from 1000 to 600000, and give-up-ms at least lease-ms",
         ),
         (
             GOOD | {"control": {"k0": "10.0.0.1:7500"}},
-            "10.0.0.1:7500 is beyond loopback; set beyond-loopback to true, as whoever reaches it "
-            "can change the policy",
+            "10.0.0.1:7500 is not a loopback address; set beyond-loopback to true to allow "
+            "it; anyone who reaches it can change the policy",
         ),
     ],
 )
@@ -73,5 +76,5 @@
     """A fleet's control listens beyond loopback: only where the file says so in so many words."""
     wire = GOOD | {"control": {"k0": "10.0.0.1:7500"}, "beyond-loopback": True}
     assert read(tmp_path, wire).listen_address == ("10.0.0.1", 7500)
-    with pytest.raises(ConfigError, match="beyond loopback"):
+    with pytest.raises(ConfigError, match="is not a loopback address; set beyond-loopback"):
         read(tmp_path, wire | {"beyond-loopback": 1})
--- a/tests/control/test_proposer.py
+++ b/tests/control/test_proposer.py
@@ -23,7 +23,7 @@
 
     def begin_counted_round(attempts_left):
         begin_round(attempts_left)
-        rounds.append(process.proposer.sharing_count)
+        rounds.append(process.proposer.batch_size)
 
     process.proposer.begin_round = begin_counted_round
     registered = [
@@ -45,12 +45,12 @@
     """The list that the process's further rounds are noted in."""
     rounds, begin_round = [], process.proposer.begin_round
 
-    def begin_noted_round(attempts_left):
+    def begin_recorded_round(attempts_left):
         begin_round(attempts_left)
         if process.proposer.running:
             rounds.append(attempts_left)
 
-    process.proposer.begin_round = begin_noted_round
+    process.proposer.begin_round = begin_recorded_round
     return rounds
 
 
@@ -73,7 +73,7 @@
     process, values = cluster.processes["k1"], []
     cluster.run(100_000)
     rounds = count_rounds(process)
-    cluster.cut_off = {"k1"}
+    cluster.partitioned = {"k1"}
     process.proposer.update(lambda policy: policy, values.append)
     cluster.run(20_000_000)
     assert values == [None] and rounds == [6, 5, 4, 3, 2, 1]
--- a/tests/control/test_rollout_driver.py
+++ b/tests/control/test_rollout_driver.py
@@ -17,7 +17,7 @@
 
 
 def events_of_changes(cluster):
-    return [(event, facts) for _, event, facts in cluster.log if event.startswith("change ")]
+    return [(event, fields) for _, event, fields in cluster.log if event.startswith("change ")]
 
 
 def test_a_change_is_decided_once_all_have_promised(cluster):
@@ -25,7 +25,7 @@
     hold_lease_and_propose(cluster)
     cluster.ask_all_leases("b0", promised=1)
     cluster.run(500_000)
-    assert cluster.state_of("k1", "x").state is ChangeState.DECIDED
+    assert cluster.query_change("k1", "x").state is ChangeState.DECIDED
     assert events_of_changes(cluster) == [("change decided", {"change": "x", "version": 1})]
 
 
@@ -34,7 +34,7 @@
     hold_lease_and_propose(cluster)
     cluster.ask_all_leases("b0", refused=1, reason="disk: full")
     cluster.run(500_000)
-    answer = cluster.state_of("k1", "x")
+    answer = cluster.query_change("k1", "x")
     assert (answer.state, answer.reason) == (ChangeState.DROPPED, "b0: disk: full")
     expected = {"change": "x", "version": 0, "why": "b0: disk: full"}
     assert events_of_changes(cluster) == [("change dropped", expected)]
@@ -51,7 +51,7 @@
     for _ in range(3):
         cluster.run(LEASE_US // 2)
         cluster.ask_all_leases("b0")
-    answer = cluster.state_of("k1", "x")
+    answer = cluster.query_change("k1", "x")
     assert answer.state is ChangeState.DROPPED
     assert answer.reason == "no promise in time from b0"
 
@@ -61,7 +61,7 @@
     cluster.run(2 * LEASE_US)
     cluster.ask_all_leases("b0")
     assert cluster.propose("k0", "x").state is ChangeState.PROPOSED
-    cluster.cut_off = {"k0"}
+    cluster.partitioned = {"k0"}
     cluster.ask_all_leases("b0", promised=1)
     cluster.run(RANK_DELAY_US * 3 // 4)
     assert cluster.processes["k1"].acceptor.policy.version == 0
@@ -73,7 +73,7 @@
     """The first process in rank is away. A change is proposed through the last one, which doesn't wait for its
     turn."""
     cluster.run(2 * LEASE_US)
-    cluster.cut_off = {"k0"}
+    cluster.partitioned = {"k0"}
     assert cluster.propose("k2", "x").state is ChangeState.PROPOSED
     cluster.run(RANK_DELAY_US * 7 // 10)
     assert {cluster.processes[name].acceptor.policy.version for name in ("k1", "k2")} == {1}
@@ -90,7 +90,7 @@
     assert answer.state is ChangeState.PROPOSED and not answer.pending_members
     updates = []
     driver.proposer.update = lambda *update: updates.append(update)
-    cluster.cut_off = {"k0"}
+    cluster.partitioned = {"k0"}
     cluster.run(3 * RANK_DELAY_US)
     assert not updates
 
--- a/tests/control/test_rpc_client.py
+++ b/tests/control/test_rpc_client.py
@@ -3,7 +3,7 @@
 import socket
 
 import pytest
-from rpc_ends import TIMEOUT_US
+from rpc_pair import TIMEOUT_US
 
 from orchidgap.control import rpc_client
 from orchidgap.control.messages import (
@@ -18,91 +18,91 @@
 from orchidgap.control.rpc_client import RpcClient
 
 
-def test_a_call_is_answered_and_its_connection_used_again(ends):
+def test_a_call_is_answered_and_its_connection_used_again(rpc_pair):
     """Two calls follow each other. Both are answered, on one connection."""
     request = MemberRequest(name="b", incarnation="1")
-    assert ends.client.call_and_wait(REGISTER, request) == EmptyMessage()
-    assert ends.client.call_and_wait(REGISTER, request) == EmptyMessage()
-    assert len(ends.client.connections) == 1 and len(ends.server.connections) == 1
+    assert rpc_pair.client.call_and_wait(REGISTER, request) == EmptyMessage()
+    assert rpc_pair.client.call_and_wait(REGISTER, request) == EmptyMessage()
+    assert len(rpc_pair.client.connections) == 1 and len(rpc_pair.server.connections) == 1
 
 
-def test_a_process_that_cannot_answer_gives_no_answer(ends):
+def test_a_process_that_cannot_answer_gives_no_answer(rpc_pair):
     """A control process has lost its register, and says that it can't answer now."""
-    assert ends.client.call_and_wait(REGISTER, MemberRequest(name="", incarnation="1")) is None
-    assert ends.client.call_and_wait(SETTLE, EmptyMessage()) is None  # nobody handles it
+    assert rpc_pair.client.call_and_wait(REGISTER, MemberRequest(name="", incarnation="1")) is None
+    assert rpc_pair.client.call_and_wait(SETTLE, EmptyMessage()) is None  # nobody handles it
 
 
-def test_an_answer_that_does_not_come_in_time_counts_as_none(ends):
+def test_an_answer_that_does_not_come_in_time_counts_as_none(rpc_pair):
     """A process is stopped in the middle of a call. Its caller goes on without it, and is not told a late
     answer."""
-    answers, ends.client.timeout_us = [], 50_000
-    ends.client.call(CHECK, CheckRequest(document={}), answers.append)
-    ends.run_until(lambda: answers and ends.pending)
-    assert answers == [None] and not ends.client.connections
-    ends.pending.pop()(CheckAnswer(reason="late"))
-    ends.loop.run_once(0)
+    answers, rpc_pair.client.timeout_us = [], 50_000
+    rpc_pair.client.call(CHECK, CheckRequest(document={}), answers.append)
+    rpc_pair.run_until(lambda: answers and rpc_pair.pending)
+    assert answers == [None] and not rpc_pair.client.connections
+    rpc_pair.pending.pop()(CheckAnswer(reason="late"))
+    rpc_pair.loop.run_once(0)
     assert answers == [None]
 
 
-def test_an_address_where_nobody_listens_gives_no_answer(ends):
+def test_an_address_where_nobody_listens_gives_no_answer(rpc_pair):
     """The process that is called is down."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
-    client = RpcClient(ends.loop, address, TIMEOUT_US)
+    client = RpcClient(rpc_pair.loop, address, TIMEOUT_US)
     assert client.call_and_wait(REGISTER, MemberRequest(name="b", incarnation="1")) is None
 
 
-def test_only_so_many_calls_are_under_way_at_once(ends):
+def test_only_so_many_calls_are_under_way_at_once(rpc_pair):
     """Somebody calls a slow process again and again. What is beyond the bound ends at once."""
     answers = []
     for _ in range(rpc_client.MAX_CONNECTIONS + 1):
-        ends.client.call(CHECK, CheckRequest(document={}), answers.append)
-    ends.run_until(lambda: len(ends.pending) == rpc_client.MAX_CONNECTIONS)
+        rpc_pair.client.call(CHECK, CheckRequest(document={}), answers.append)
+    rpc_pair.run_until(lambda: len(rpc_pair.pending) == rpc_client.MAX_CONNECTIONS)
     assert answers == [None]
-    for on_answer in ends.pending:
+    for on_answer in rpc_pair.pending:
         on_answer(CheckAnswer(reason="x"))
-    ends.run_until(lambda: len(answers) == rpc_client.MAX_CONNECTIONS + 1)
+    rpc_pair.run_until(lambda: len(answers) == rpc_client.MAX_CONNECTIONS + 1)
     assert answers[1:] == [CheckAnswer(reason="x")] * rpc_client.MAX_CONNECTIONS
 
 
-def test_a_client_that_is_closed_calls_nobody_back(ends):
+def test_a_client_that_is_closed_calls_nobody_back(rpc_pair):
     """A process ends while its calls are under way. Nobody is called any more."""
     answers = []
-    ends.client.call(CHECK, CheckRequest(document={}), answers.append)
-    ends.run_until(lambda: ends.pending)
-    ends.client.close()
-    ends.run_until(lambda: not ends.server.connections)
-    assert not answers and not ends.client.connections
+    rpc_pair.client.call(CHECK, CheckRequest(document={}), answers.append)
+    rpc_pair.run_until(lambda: rpc_pair.pending)
+    rpc_pair.client.close()
+    rpc_pair.run_until(lambda: not rpc_pair.server.connections)
+    assert not answers and not rpc_pair.client.connections
 
 
 @pytest.mark.parametrize(
     "body",
     [b"{", b"[]", b"7", b"{}", b'{"why":', b"null"],
 )
-def test_an_answer_that_cannot_be_read_counts_as_none(ends, body):
+def test_an_answer_that_cannot_be_read_counts_as_none(rpc_pair, body):
     """Something else than control is at the other end, or a damaged answer comes. It counts as none."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        client, answers = RpcClient(ends.loop, listener.getsockname(), TIMEOUT_US), []
+        client, answers = RpcClient(rpc_pair.loop, listener.getsockname(), TIMEOUT_US), []
         client.call(CHECK, CheckRequest(document={}), answers.append)
         sock, _ = listener.accept()
         with sock:
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
             sock.sendall(head + body)
-            ends.run_until(lambda: answers)
+            rpc_pair.run_until(lambda: answers)
         client.close()
     assert answers == [None]
 
 
-def test_a_probe_tells_whether_the_answer_is_200(ends):
+def test_a_probe_tells_whether_the_answer_is_200(rpc_pair):
     """A fault test asks a balancer whether it is up, which answers 200 without a body, or 503."""
     for status, is_up in ((b"200 OK", True), (b"503 Service Unavailable", False)):
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            client, answers = RpcClient(ends.loop, listener.getsockname(), TIMEOUT_US), []
+            client, answers = RpcClient(rpc_pair.loop, listener.getsockname(), TIMEOUT_US), []
             client.probe("/up", answers.append)
             sock, _ = listener.accept()
             with sock:
                 sock.sendall(b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % status)
-                ends.run_until(lambda answers=answers: answers)
+                rpc_pair.run_until(lambda answers=answers: answers)
                 assert sock.recv(1 << 10).startswith(b"GET /up HTTP/1.1\r\n")
             client.close()
         assert answers == [is_up]
--- a/tests/control/test_status_report.py
+++ b/tests/control/test_status_report.py
@@ -97,7 +97,7 @@
 """
 
 
-class ControlStandIn:
+class FakeControl:
     """Control processes with these answers."""
 
     def __init__(self, answers):
@@ -116,7 +116,7 @@
     ],
 )
 def test_status_and_history_as_text(answers, table, capsys):
-    control = ControlStandIn(answers)
+    control = FakeControl(answers)
     assert cli.status(control, history_only=False, as_json=False) == 0
     assert capsys.readouterr().out == table
     assert cli.status(control, history_only=True, as_json=False) == 0
@@ -124,7 +124,7 @@
 
 
 def test_status_as_json(capsys):
-    control = ControlStandIn([ONE, OTHER, WITHOUT_REGISTER])
+    control = FakeControl([ONE, OTHER, WITHOUT_REGISTER])
     assert cli.status(control, history_only=False, as_json=True) == 0
     expected = {
         "n": 2,
@@ -143,5 +143,5 @@
 
 
 def test_no_answer_is_not_known(capsys):
-    assert cli.status(ControlStandIn([]), history_only=False, as_json=False) == 3
+    assert cli.status(FakeControl([]), history_only=False, as_json=False) == 3
     assert "control does not answer" in capsys.readouterr().out
--- a/tests/control/test_validation.py
+++ b/tests/control/test_validation.py
@@ -3,7 +3,7 @@
 import pytest
 
 from orchidgap.control import validation
-from orchidgap.control.validation import InvalidPolicyError, config_under, validate
+from orchidgap.control.validation import InvalidPolicyError, config_with_policy, validate
 from orchidgap.net import config
 
 DOCUMENT = {"settings": {"rule-sets": [{"name": "a", "effect": "retryable", "client-timeout": 9}]}}
@@ -47,9 +47,9 @@
     """Reading the file looks at the settings alone: a policy with a part that this program does not know
     would seem to be fine."""
     monkeypatch.setattr(validation, "read", lambda path, before, settings: (path, before, settings))
-    assert config_under(DOCUMENT, "c.json", None) == ("c.json", None, DOCUMENT["settings"])
+    assert config_with_policy(DOCUMENT, "c.json", None) == ("c.json", None, DOCUMENT["settings"])
     with pytest.raises(InvalidPolicyError, match="more is no part of a version"):
-        config_under(DOCUMENT | {"more": 1}, "c.json", None)
+        config_with_policy(DOCUMENT | {"more": 1}, "c.json", None)
 
 
 def test_a_file_that_does_not_go_with_a_policy_makes_it_invalid(monkeypatch):
@@ -58,4 +58,4 @@
 
     monkeypatch.setattr(validation, "read", read)
     with pytest.raises(InvalidPolicyError, match=r"^c.json: pool.key is too short$"):
-        config_under(DOCUMENT, "c.json", None)
+        config_with_policy(DOCUMENT, "c.json", None)
