--- a/orchidgap/control/cli.py
+++ b/orchidgap/control/cli.py
@@ -113,8 +113,10 @@
         return check(control, document, as_json)
     if command == "propose":
         change_id = arguments["--id"] or _digest(document)
-        attempt = ProposeCommand(control, change_id, document, arguments["--again"], as_json)
-        return attempt.run(wait_s)
+        propose_command = ProposeCommand(
+            control, change_id, document, arguments["--again"], as_json
+        )
+        return propose_command.run(wait_s)
     if command == EVICT_COMMAND:
         return evict(control, arguments["NAME"], as_json)
     return status(control, command == "history", as_json)
@@ -177,19 +179,17 @@
         self.document = document
         self.again = again
         self.as_json = as_json
-        self.proposal_count: int | None = (
-            None  # from the last answer; None before the first proposal
-        )
-        self.waits_for = (
-            ""  # the pending balancers that were printed last; empty before the change is proposed
-        )
+        # The proposal count of the last answer; None before the first proposal.
+        self.proposal_count: int | None = None
+        # The pending balancers of the last answer; empty before the change is proposed.
+        self.waits_for = ""
 
     def run(self, wait_s: float) -> ExitCode:
         """Propose the change, wait for its result at most this long, and print the result."""
         give_up_at_s = time.monotonic() + wait_s
         answer = self._query_change()
         while True:
-            exit_code = self._show_end(answer)
+            exit_code = self._show_result(answer)
             if exit_code is not None:
                 return exit_code
             if answer and answer.state is ChangeState.PROPOSED:
@@ -229,7 +229,7 @@
         self.control.answer_lost = False
         return self._propose()
 
-    def _show_end(self, answer: ChangeAnswer | None) -> ExitCode | None:
+    def _show_result(self, answer: ChangeAnswer | None) -> ExitCode | None:
         """Print the result of the change; return None if it is not known yet."""
         if answer is None:
             return None
@@ -240,12 +240,12 @@
         in_force = answer.current_version == answer.version
         if state is ChangeState.DECIDED and (concerns_this_proposal or not self.again or in_force):
             return self._show_decided(answer)
-        ended = (
+        has_failed = (
             state is ChangeState.INVALID
             or (state is ChangeState.BUSY and sent)
             or (state is ChangeState.DROPPED and concerns_this_proposal)
         )
-        if not ended:
+        if not has_failed:
             return None
         self._show_answer(answer, f"{self.change_id} holds nowhere: {answer.reason}")
         return ExitCode.DROPPED
@@ -263,7 +263,7 @@
         return ExitCode.DONE
 
     def _show_progress(self, answer: ChangeAnswer) -> None:
-        """Print the pending balancers if they have changed."""
+        """Record the pending balancers, and print them if they have changed."""
         self.proposal_count = answer.proposal_count
         pending_members = answer.pending_members or ()
         waits_for = ", ".join(member.name for member in pending_members) or "the decision"
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -73,7 +73,7 @@
     Attributes:
         lease: The lease, the promises and the version in force.
         node: The node whose requests it permits; must be set before `begin`.
-        incarnation: A random identifier of this process.
+        incarnation: The unique identifier of this process, drawn at random.
         clients: One client for each control process.
     """
 
@@ -119,7 +119,7 @@
         # The time of the last answer received from each control process, by that process's clock.
         self.last_answers_at_us = [0] * len(self.clients)
         self.logged_permission = ServingPermission.DENIED
-        self.invalid_version = 0  # the last decided version that this balancer could not adopt
+        self.invalid_version = 0  # a decided version that this balancer could not adopt
         self.closing = False
 
     # --- permission checks of the node
@@ -201,9 +201,10 @@
         if heartbeat is not self.heartbeat or heartbeat.done or self.closing:
             return
         heartbeat.answers.append(self._validate_answer(answer))
-        answers = [known for known in heartbeat.answers if known]
+        answers = [received for received in heartbeat.answers if received]
         chosen, granted = evaluate_answers(
-            len(self.clients), [(known.ballot, known, known.granted) for known in answers]
+            len(self.clients),
+            [(received.ballot, received, received.granted) for received in answers],
         )
         if chosen is not None and (granted or not heartbeat.state_known):
             heartbeat.state_known = True
@@ -242,7 +243,9 @@
     def _on_chosen_state(self, chosen: LeaseAnswer, granted: bool, heartbeat: Heartbeat) -> None:
         lease = self.lease
         lease.lease_us = chosen.lease_us
-        self.schedule.interval_us = min(known.next_call_us for known in heartbeat.answers if known)
+        self.schedule.interval_us = min(
+            received.next_call_us for received in heartbeat.answers if received
+        )
         registered = chosen.members_without_quorum.get(self.name) == self.incarnation
         update_lease = partial(
             lease.on_chosen_state,
@@ -326,7 +329,7 @@
         """Promise a proposal that is stored durably, or refuse it with this reason."""
         number = proposal.proposal_number
         if self.lease.writing_proposal != number or self.closing:
-            return  # the proposal was dropped or replaced during the write
+            return  # dropped or replaced during the write, or shutting down
         fields = {"version": proposal.version, "change": proposal.change_id}
         if refusal_reason:
             self.lease.refuse(number, refusal_reason)
--- a/orchidgap/control/messages/lease.py
+++ b/orchidgap/control/messages/lease.py
@@ -18,7 +18,7 @@
 
     Attributes:
         name: The balancer's name.
-        incarnation: Identifier of the balancer's process.
+        incarnation: The unique identifier of the balancer's process.
         on_lost_quorum: What the balancer does without a lease, a value of `OnLostQuorum`.
         version: The policy version that the balancer applies, -1 for none.
         promised_proposal: The number of the proposal that the balancer has promised, 0 for none.
--- a/orchidgap/control/proposer.py
+++ b/orchidgap/control/proposer.py
@@ -26,8 +26,8 @@
 
 MAX_ATTEMPTS = 6  # rounds for one update; after that its result is reported as unknown
 MAX_QUEUED_UPDATES = 256
-MIN_BACK_OFF_US = 10_000
-FIRST_MAX_BACK_OFF_US = 40_000  # doubles with each attempt
+MIN_BACKOFF_US = 10_000
+FIRST_MAX_BACKOFF_US = 40_000  # doubles with each attempt
 
 UpdateFunction = Callable[[PolicyState], PolicyState]
 OnValue = Callable[[PolicyState | None], None]
@@ -115,7 +115,7 @@
         if value is None and attempts_left > 1:
             # a random delay, because a competing proposer would otherwise retry at the same time
             failures = MAX_ATTEMPTS - attempts_left
-            delay_us = self.rng.randrange(MIN_BACK_OFF_US, FIRST_MAX_BACK_OFF_US << failures)
+            delay_us = self.rng.randrange(MIN_BACKOFF_US, FIRST_MAX_BACKOFF_US << failures)
             self.loop.call_later(delay_us, self.begin_round, attempts_left - 1)
             return
         finished = [self._queue.popleft() for _ in range(self.batch_size)]
--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -5,7 +5,7 @@
 
 @pytest.fixture
 def cluster(tmp_path):
-    """Three control processes that have begun with nothing decided."""
+    """Three started control processes with nothing decided."""
     cluster = ControlCluster(tmp_path, 3)
     cluster.start()
     return cluster
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def rpc_pair():
-    """A client and a server of control's RPC that listens on loopback."""
+    """A client and a server of control's RPC; the server listens on loopback."""
     rpc_pair = RpcPair()
     yield rpc_pair
     rpc_pair.close()
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -1,4 +1,4 @@
-"""Control processes on a virtual clock that call each other through the loop, a millisecond each way."""
+"""Control processes on a virtual clock; calls between them take one millisecond in each direction."""
 
 import json
 from random import Random
@@ -30,7 +30,7 @@
 
 
 class ManualWriter:
-    """A disk whose writes end when the test calls what is in `pending`."""
+    """A background writer whose writes end when the test calls the callbacks in `pending`."""
 
     def __init__(self):
         self.pending = []
@@ -40,7 +40,7 @@
 
 
 class LocalCaller:
-    """Brings one process's calls to another one, unless one of them is cut off."""
+    """Delivers the calls of one process to another, unless one of them is partitioned."""
 
     def __init__(self, cluster, caller, target):
         self.cluster, self.caller, self.target = cluster, caller, target
@@ -61,7 +61,7 @@
 
 
 class ControlCluster:
-    """So many control processes, each with a folder of its own; `partitioned` names those nobody reaches."""
+    """Several control processes, each with its own folder; those in `partitioned` are unreachable."""
 
     def __init__(self, folder, count):
         self.loop, self.partitioned, self.log = VirtualClockLoop(), set(), []
@@ -91,7 +91,7 @@
         self.loop.run_until(self.loop.now + duration_us)
 
     def call(self, name, method, request):
-        """Calls one process; the list that its answer comes into."""
+        """Calls one process; returns a list to which its answer is appended."""
         answers = []
 
         def on_wire_answer(wire):
@@ -104,7 +104,7 @@
         return answers
 
     def ask(self, name, method, request, within_us=5_000_000):
-        """Calls one process and lets time pass; its answer, None where there was none."""
+        """Calls one process and advances the clock; returns the answer, None if there was none."""
         answers = self.call(name, method, request)
         self.run(within_us)
         return answers[0] if answers else None
@@ -132,7 +132,7 @@
         return self.ask(name, LEASE, request, 0)
 
     def ask_all_leases(self, balancer, **fields):
-        """Asks every process for a lease, as a balancer that has heard all answers so far."""
+        """Requests a lease from every process, as a balancer that has received all answers so far."""
         return [
             self.ask_lease(name, balancer, last_answer_at_us=self.loop.now, **fields)
             for name in self.processes
--- a/tests/control/immediate_writer.py
+++ b/tests/control/immediate_writer.py
@@ -4,7 +4,7 @@
 
 
 class ImmediateWriter(BackgroundWriter):
-    """Writes at once and without a child: a virtual clock does not wait for one."""
+    """Writes immediately and without a child process, for which a virtual clock would not wait."""
 
     def write(self, name, content, on_written):
         try:
--- a/tests/control/rpc_pair.py
+++ b/tests/control/rpc_pair.py
@@ -1,4 +1,4 @@
-"""A client and a server of control's RPC on one loop."""
+"""A client and a server of control's RPC on one event loop."""
 
 import socket
 
@@ -7,12 +7,12 @@
 from orchidgap.control.rpc_server import RpcServer
 from orchidgap.net.loop import Loop
 
-TIMEOUT_US = 5_000_000  # far more than any answer here takes on a busy machine
+TIMEOUT_US = 5_000_000  # much longer than any answer in these tests takes on a busy machine
 WAIT_LIMIT_US = 10_000_000
 
 
 class RpcPair:
-    """A client and a server on one loop; the server keeps the calls of CHECK unanswered in `pending`."""
+    """A client and a server on one event loop; calls of CHECK stay unanswered in `pending`."""
 
     def __init__(self):
         self.loop = Loop()
@@ -26,27 +26,27 @@
         self.client = RpcClient(self.loop, self.server.listener.getsockname(), TIMEOUT_US)
 
     def run_until(self, condition):
-        until = self.loop.clock() + WAIT_LIMIT_US
+        deadline_us = self.loop.clock() + WAIT_LIMIT_US
         while not condition():
-            assert self.loop.clock() < until
+            assert self.loop.clock() < deadline_us
             self.loop.run_once(5_000)
 
     def send_and_receive(self, text):
-        """Sends bytes to the server; what comes back until it closes or says nothing more."""
+        """Sends bytes to the server; returns the received bytes until it closes or sends no more."""
         with socket.create_connection(self.server.listener.getsockname()) as sock:
             sock.sendall(text)
             sock.setblocking(False)
-            data, quiet = b"", 0
-            while quiet < 20:
+            data, empty_reads = b"", 0
+            while empty_reads < 20:
                 self.loop.run_once(1_000)
                 try:
                     part = sock.recv(1 << 16)
                 except BlockingIOError:
-                    quiet += 1
+                    empty_reads += 1
                     continue
                 if not part:
                     return data + b"<closed>"
-                data, quiet = data + part, 0
+                data, empty_reads = data + part, 0
             return data
 
     def close(self):
--- a/tests/control/test_acceptor.py
+++ b/tests/control/test_acceptor.py
@@ -1,4 +1,4 @@
-"""An acceptor with its disk: what it grants and answers beside a write, and what becomes of a bad disk."""
+"""The durable acceptor: leases and answers during a write, and slow or failing disks."""
 
 import pytest
 from control_cluster import DOCUMENT, LEASE_US, ControlCluster, ManualWriter
@@ -20,7 +20,7 @@
 
 
 def begin_decision(cluster, writer):
-    """k0 has a decision on its way to that disk; b0 has promised, and holds a lease. Its answers to come."""
+    """Starts to write a decision in k0 while b0 holds a lease and has promised; returns k0's answers."""
     cluster.run(2 * LEASE_US)
     assert cluster.ask_lease("k0", "b0", promised=1).granted
     cluster.processes["k0"].acceptor.writer = writer
@@ -32,9 +32,9 @@
     return answers
 
 
-def test_leases_go_on_beside_a_write_for_those_who_are_prepared_for_it(cluster):
-    """A decision is on its way to a slow disk. Who has promised it gets leases meanwhile, who hasn't gets
-    none; once it is durable, all get leases again."""
+def test_during_a_write_only_balancers_that_promised_get_leases(cluster):
+    """While a decision is written to a slow disk, balancers that promised it get leases and others do not.
+    Once the decision is durable, all get leases again."""
     writer = ManualWriter()
     answers = begin_decision(cluster, writer)
     acceptor, now_us = cluster.processes["k0"].acceptor, cluster.loop.now
@@ -43,14 +43,14 @@
     assert not cluster.ask_lease("k0", "b1").granted
     writer.pending.pop()("")
     assert answers == [AcceptAnswer(accepted=True)] and acceptor.policy.version == 1
-    # it is told of version 1 in the same answer
+    # the same answer contains version 1
     answer = cluster.ask_lease("k0", "b1", last_answer_at_us=now_us)
     assert answer.granted and answer.version == 1
 
 
-def test_a_write_that_failed_may_be_there_all_the_same(cluster):
-    """The write of a decision fails. The next process may find it on the disk: until then nobody gets a
-    lease who isn't prepared for it."""
+def test_after_a_failed_write_only_balancers_that_promised_get_leases(cluster):
+    """The write of a decision fails, but a restarted process may still find it on disk. Until then only
+    balancers that promised the decision get leases."""
     writer = ManualWriter()
     answers = begin_decision(cluster, writer)
     acceptor, now_us = cluster.processes["k0"].acceptor, cluster.loop.now
@@ -60,9 +60,9 @@
     assert cluster.ask_lease("k0", "b0", promised=1, last_answer_at_us=now_us).granted
 
 
-def test_what_waits_for_a_disk_that_stands_still_is_given_up(cluster):
-    """A disk stands still under a write. What is asked meanwhile is answered with no answer, and doesn't
-    pile up; the other processes decide without this one."""
+def test_calls_queued_behind_a_blocked_disk_time_out(cluster):
+    """The disk blocks during a write. Calls that arrive meanwhile time out and do not accumulate; the other
+    processes decide without this one."""
     writer = ManualWriter()
     begin_decision(cluster, writer)
     answers = [
@@ -75,9 +75,9 @@
     assert cluster.ask("k1", PROPOSE, request).state is ChangeState.PROPOSED
 
 
-def test_one_call_is_written_after_another(cluster):
-    """Two calls come at the same moment. The second begins when the first is on the disk: a promise made beside
-    a write would be overwritten by it."""
+def test_calls_are_written_one_at_a_time(cluster):
+    """Two calls arrive at the same time. The second starts when the first is on disk, because a promise made
+    during a write would be overwritten by it."""
     acceptor, writer = cluster.processes["k0"].acceptor, ManualWriter()
     acceptor.writer = writer
     answers = [
@@ -92,8 +92,8 @@
     assert acceptor.acceptor.state.promised_ballot == (31, "k1")
 
 
-def test_a_disk_s_troubles_are_logged_once_each(cluster):
-    """A disk is slow, then fails, then is sound again. The log has one line for each."""
+def test_each_change_of_the_disk_state_is_logged_once(cluster):
+    """A disk is slow, then fails, then recovers. The log has one line for each state."""
     writer = ManualWriter()
     begin_decision(cluster, writer)
     cluster.run(1_000_000)
@@ -108,9 +108,9 @@
     assert acceptor.disk_state is DiskState.HEALTHY
 
 
-def test_a_value_that_cannot_be_read_is_not_accepted(cluster):
-    """Some caller sends a value without its keys. Under a low ballot it is refused unread; under a high one
-    the register keeps what it has."""
+def test_an_invalid_value_is_not_accepted(cluster):
+    """A caller sends a value without its keys. Under a low ballot it is rejected before it is parsed; under a
+    high ballot the register keeps its value."""
     acceptor = cluster.processes["k0"].acceptor
     cluster.ask("k0", PREPARE, PrepareRequest(ballot=(9, "k1")))
     low = cluster.ask("k0", ACCEPT, AcceptRequest(ballot=(8, "k1"), value={}))
@@ -121,9 +121,9 @@
     assert acceptor.acceptor.state == state
 
 
-def test_a_damaged_register_is_set_aside_and_a_lone_process_says_so(tmp_path):
-    """The only control process finds a torn register. It keeps the file for whoever looks, and ends with a
-    line that tells how to begin anew."""
+def test_a_single_process_with_a_damaged_register_sets_it_aside_and_fails_to_start(tmp_path):
+    """The only control process finds a truncated register. It keeps the file for inspection, and fails with a
+    message that names the option for a new register."""
     (tmp_path / "k0").mkdir()
     (tmp_path / "k0" / "register").write_text("torn")
     cluster = ControlCluster(tmp_path, 1)
--- a/tests/control/test_cli.py
+++ b/tests/control/test_cli.py
@@ -1,4 +1,4 @@
-"""What operators are told of a change, by what control answers."""
+"""The output of the command line for the answers of control."""
 
 import json
 import subprocess
@@ -29,7 +29,7 @@
 
 
 class ScriptedControl:
-    """Control as it answers, one call after another; the last answer again and again."""
+    """Answers calls with a list of answers in order; the last one is repeated."""
 
     def __init__(self, answers):
         self.answers = list(answers)
@@ -48,9 +48,9 @@
     ("answers", "again", "code", "proposals"),
     [
         ([UNKNOWN, PROPOSED, PROPOSED, DECIDED], False, ExitCode.DONE, [3]),
-        ([PROPOSED, DECIDED], False, ExitCode.DONE, []),  # another proposer's call was the same
+        ([PROPOSED, DECIDED], False, ExitCode.DONE, []),  # proposed by another operator
         ([DECIDED], False, ExitCode.DONE, []),
-        ([DECIDED], True, ExitCode.DONE, []),  # it counts: nothing to decide anew
+        ([DECIDED], True, ExitCode.DONE, []),  # already in force, so it is not proposed again
         ([REPLACED], False, ExitCode.DONE, []),
         ([REPLACED, PROPOSED, DECIDED], True, ExitCode.DONE, [4]),
         (
@@ -58,7 +58,7 @@
             False,
             ExitCode.DROPPED,
             [4],
-        ),  # an earlier no is not this call's
+        ),  # the first "nowhere" is the result of an earlier proposal
         ([UNKNOWN, BUSY], False, ExitCode.DROPPED, [3]),
         ([BUSY, BUSY], False, ExitCode.DROPPED, [4]),
         ([UNKNOWN, UNFIT], False, ExitCode.DROPPED, [3]),
@@ -67,41 +67,41 @@
             False,
             ExitCode.DONE,
             [3, 3],
-        ),  # the same call, which counts once
+        ),  # the request is resent and applied once
         (
             [UNKNOWN, LOST, NOWHERE],
             False,
             ExitCode.DROPPED,
             [3, 3],
-        ),  # it was heard, and turned down since
+        ),  # the request was processed, and the change was dropped since
         (
             [UNKNOWN, NOWHERE, PROPOSED, DECIDED],
             False,
             ExitCode.DONE,
             [3, 4],
-        ),  # another's came between
-        # a call had no answer before anything was proposed: a no is still not about this call
+        ),  # another proposal was made in between
+        # a call had no answer before anything was proposed: a "nowhere" is still about an earlier one
         ([LOST, NOWHERE, NOWHERE, PROPOSED, DECIDED], False, ExitCode.DONE, [4, 4]),
         ([LOST], False, ExitCode.UNKNOWN, []),
         ([UNKNOWN, LOST], False, ExitCode.UNKNOWN, [3]),
     ],
 )
-def test_what_a_proposer_is_told(answers, again, code, proposals, monkeypatch, capsys):
-    """An operator proposes a change. Control answers one call after another: it may know the change from
-    before, have another one in the way, refuse it, or not answer, and then the call may have been heard.
-    The command must not say that a change is in force or dropped by an answer about an earlier call."""
+def test_result_and_proposals_of_a_change(answers, again, code, proposals, monkeypatch, capsys):
+    """An operator proposes a change. Control may know the change from before, be busy with another one, refuse
+    it, or not answer although the call was processed. The command must not report a change as in force or
+    dropped because of an answer about an earlier proposal."""
     monkeypatch.setattr(cli.time, "sleep", lambda seconds: None)
     monkeypatch.setattr(cli.time, "monotonic", iter(range(100)).__next__)
     control = ScriptedControl(answers)
     command = cli.ProposeCommand(control, "x", {}, again, as_json=False)
     assert command.run(8) == code
     assert control.proposals[: len(proposals)] == proposals
-    said = capsys.readouterr().out
-    assert ("waits for b1 (0.9 s at most), b2 (until" in said) == (PROPOSED in answers)
-    assert said.count("waits for") <= 1
+    output = capsys.readouterr().out
+    assert ("waits for b1 (0.9 s at most), b2 (until" in output) == (PROPOSED in answers)
+    assert output.count("waits for") <= 1
 
 
-def test_as_json_only_the_end_is_printed(monkeypatch, capsys):
+def test_with_json_only_the_result_is_printed(monkeypatch, capsys):
     monkeypatch.setattr(cli.time, "sleep", lambda seconds: None)
     control = ScriptedControl([UNKNOWN, PROPOSED, DECIDED])
     assert cli.ProposeCommand(control, "x", {}, False, as_json=True).run(8) == ExitCode.DONE
@@ -109,7 +109,7 @@
 
 
 class FakeProcess:
-    """One control process, which is there or not."""
+    """One control process with a fixed answer; None if it is unavailable."""
 
     def __init__(self, answer):
         self.answer = answer
@@ -120,20 +120,20 @@
         return self.answer
 
 
-def test_a_process_that_does_not_answer_is_asked_last_from_then_on():
-    """The first of two control processes is away. Each call to it takes seconds, so it is tried once."""
-    away, there = FakeProcess(None), FakeProcess("answer")
+def test_a_process_that_does_not_answer_is_called_last_from_then_on():
+    """The first of two control processes is unavailable. Each call to it takes seconds, so it is called once."""
+    unavailable, available = FakeProcess(None), FakeProcess("answer")
     client = cli.ControlClient([])
-    client.clients = [away, there]
+    client.clients = [unavailable, available]
     assert client.call_any(CHANGE, None) == "answer" and client.answer_lost
     assert client.call_any(CHANGE, None) == "answer"
-    assert (away.count, there.count) == (1, 2)
-    client.clients = [away]
+    assert (unavailable.count, available.count) == (1, 2)
+    client.clients = [unavailable]
     assert client.call_any(CHANGE, None) is None
 
 
 class FakeRegistration:
-    """Control that knows b1 to serve without a quorum, and may have lost its majority."""
+    """Control in which b1 is registered to serve without a quorum; evictions may be unanswered."""
 
     def __init__(self, answer):
         self.answer = answer
@@ -155,15 +155,15 @@
         ("b2", None, ExitCode.DROPPED, "b2 is not among those", 0),
     ],
 )
-def test_only_a_process_that_is_registered_is_evicted(name, answer, code, text, count, capsys):
+def test_only_a_registered_process_is_evicted(name, answer, code, text, count, capsys):
     control = FakeRegistration(answer)
     assert cli.evict(control, name, as_json=False) == code
     assert capsys.readouterr().out.startswith(text)
     assert control.evictions == [(EVICT, MemberRequest(name=name, incarnation="7"))] * count
 
 
-def test_an_operators_command_does_not_load_a_balancer():
-    """A command that starts slowly comes too late on a busy machine: control gives the change up before."""
+def test_commands_do_not_import_the_balancer():
+    """A command that starts slowly on a busy machine is too late: control has dropped the change before."""
     check = (
         "import sys, orchidgap.__main__, orchidgap.commands, orchidgap.control.cli; "
         "balancer = ('orchidgap.net.node', 'orchidgap.net.config', 'orchidgap.decisions.balancer'); "
--- a/tests/control/test_heartbeat.py
+++ b/tests/control/test_heartbeat.py
@@ -1,4 +1,4 @@
-"""When a balancer's next heartbeat is due."""
+"""The schedule of a balancer's heartbeats."""
 
 from random import Random
 
@@ -18,7 +18,7 @@
 
 
 class Recorder:
-    """A schedule whose heartbeats only note the time."""
+    """A schedule whose heartbeats only record the time."""
 
     def __init__(self, seed=1):
         self.loop = VirtualClockLoop()
@@ -30,15 +30,15 @@
         self.sent_at_us.append(self.loop.now - self.started_at_us)
 
     def next_after_us(self):
-        """How long after now the next heartbeat is sent."""
+        """The delay until the next heartbeat."""
         count, now_us = len(self.sent_at_us), self.loop.now
         self.loop.run_until(now_us + 60_000_000)
         assert len(self.sent_at_us) == count + 1
         return self.sent_at_us[-1] - (now_us - self.started_at_us)
 
 
-def test_only_the_time_set_last_counts():
-    """An answer comes after the back-off was set: there must not be two heartbeats."""
+def test_only_the_last_time_set_applies():
+    """An answer arrives after the backoff was set. There must not be two heartbeats."""
     recorder = Recorder()
     recorder.schedule.send_after_backoff()
     recorder.schedule.send_after_interval(0)
@@ -47,7 +47,7 @@
 
 
 @given(st.integers(0, 100))
-def test_failures_make_heartbeats_rarer_up_to_a_limit(seed):
+def test_failures_increase_the_backoff_up_to_a_limit(seed):
     recorder = Recorder(seed)
     for failure in range(8):
         recorder.schedule.send_after_backoff()
@@ -58,7 +58,7 @@
 
 
 @given(st.integers(0, 100), st.integers(0, 3_000_000))
-def test_an_interval_counts_from_the_heartbeat_before(seed, elapsed_us):
+def test_an_interval_starts_at_the_previous_heartbeat(seed, elapsed_us):
     recorder = Recorder(seed)
     recorder.schedule.interval_us = 1_000_000
     recorder.schedule.send_after_interval(elapsed_us)
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(("failures", "delay_us"), [(0, 100_000), (3, 800_000), (9, 1_600_000)])
-def test_a_heartbeat_that_taught_nothing_is_repeated_soon(failures, delay_us):
+def test_a_heartbeat_without_a_result_is_repeated_soon(failures, delay_us):
     assert FIRST_INTERVAL_US == 100_000
     recorder = Recorder()
     recorder.schedule.failures = failures
--- a/tests/control/test_lease_keeper.py
+++ b/tests/control/test_lease_keeper.py
@@ -1,4 +1,4 @@
-"""A balancer's side of control, on a virtual clock; control processes are stand-ins."""
+"""The lease keeper of a balancer, with a virtual clock and fake control processes."""
 
 import errno
 import os
@@ -37,13 +37,13 @@
 
 
 class FakeControl:
-    """Notes calls, and answers heartbeats with what it is told to: at once, or later by hand."""
+    """Records calls, and answers heartbeats with `answer`, immediately or when the test requests it."""
 
     def __init__(self):
         self.calls = []
         self.answer = None
         self.answers_immediately = True
-        self.waiting = []
+        self.pending = []
 
     @property
     def count(self):
@@ -57,12 +57,12 @@
         if method is LEASE and self.answers_immediately:
             on_answer(self.answer and method.answer_type.from_wire(self.answer))
         else:
-            self.waiting.append(on_answer)
+            self.pending.append(on_answer)
 
     def answer_oldest_call(self, **changes):
-        """Answer the call that waits for longest."""
+        """Answers the oldest unanswered call."""
         wire = NOTHING_DECIDED | {"size": 3} | changes
-        self.waiting.pop(0)(LEASE.answer_type.from_wire(wire))
+        self.pending.pop(0)(LEASE.answer_type.from_wire(wire))
 
     def close(self):
         pass
@@ -87,7 +87,7 @@
     return keeper
 
 
-def test_a_balancer_that_is_not_answered_calls_ever_more_rarely(tmp_path):
+def test_a_balancer_without_answers_calls_less_and_less_often(tmp_path):
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.begin(lambda: None)
@@ -95,9 +95,9 @@
     assert 6 <= keeper.clients[0].count <= 20 and not keeper.may_serve()
 
 
-def test_a_decided_version_is_taken_without_a_moment_without_a_lease(tmp_path):
-    """A balancer holds a lease under version 0. The next answer tells that version 1 is decided. It
-    adopts that and holds a lease under it in the same turn, so no request is denied between."""
+def test_a_decided_version_is_adopted_without_an_interruption_of_the_lease(tmp_path):
+    """A balancer holds a lease under version 0, and the next answer contains the decided version 1. It adopts
+    that version and holds a lease under it in the same turn, so no request is denied in between."""
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.clients[0].answer = NOTHING_DECIDED
@@ -114,18 +114,18 @@
 
 
 @pytest.mark.parametrize("fails", ["open_file", "write_some", "sync", "rename"])
-def test_a_promise_that_cannot_be_written_is_a_refusal(tmp_path, fails, monkeypatch):
-    """A balancer checks a proposal and finds it good, but its disk is full. Control is told why, and
-    no promise is given."""
+def test_a_proposal_that_cannot_be_written_is_refused(tmp_path, fails, monkeypatch):
+    """A balancer finds a proposal valid, but its disk is full. It does not promise the proposal, and reports
+    the reason to control."""
     keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.node = SimpleNamespace(config=SimpleNamespace(settings=None))
-    monkeypatch.setattr(validation, "read", lambda *told: SimpleNamespace(settings=None))
+    monkeypatch.setattr(validation, "read", lambda *arguments: SimpleNamespace(settings=None))
     monkeypatch.setattr(lease_keeper, "check_startup_settings", lambda current, new: None)
 
-    def full(*told):
+    def fail_with_full_disk(*arguments):
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
-    monkeypatch.setattr(keeper.store, fails, full)
+    monkeypatch.setattr(keeper.store, fails, fail_with_full_disk)
     keeper.check_proposal(
         ProposalMessage(change_id="x", document=DOCUMENT, proposal_number=3, version=1)
     )
@@ -133,9 +133,10 @@
     assert "No space left" in keeper.lease.refusal_reason
 
 
-def test_alone_it_stays_only_without_a_promise(tmp_path):
-    """Control goes away while a registered balancer serves. It goes on without a lease, as nothing can
-    be decided without it. Once it has promised a proposal, that may be decided, and it has to stop."""
+def test_a_balancer_serves_without_a_quorum_only_if_it_has_not_promised(tmp_path):
+    """Control becomes unavailable while a registered balancer serves. It continues without a lease, because
+    nothing can be decided without it. Once it has promised a proposal, that may be decided, and the balancer
+    has to stop."""
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop, alone="stay")
     keeper.clients[0].answer = NOTHING_DECIDED | {"stay": {"b": keeper.incarnation}}
@@ -148,9 +149,9 @@
     assert keeper.lease.permission(loop.now) is ServingPermission.DENIED
 
 
-def test_a_promise_that_took_too_long_binds_nobody(tmp_path):
-    """A proposal is on its way to the disk, and is dropped meanwhile. The write ends after that: it is
-    neither a promise nor a refusal."""
+def test_a_dropped_proposal_is_neither_promised_nor_refused_after_its_write(tmp_path):
+    """A proposal is dropped while the balancer writes it to disk. The end of the write is neither a promise nor
+    a refusal."""
     keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.lease.on_chosen_state(0, 3, False, 0)
     keeper.lease.on_write_started(3)
@@ -161,9 +162,9 @@
     assert (keeper.lease.promised_proposal, keeper.lease.refused_proposal) == (0, 0)
 
 
-def test_what_the_process_before_left_is_looked_at(tmp_path):
-    """A balancer starts and finds the policy that it adopted last, or a file that is torn. Neither is
-    used; the torn one is set aside for whoever wants to look at it."""
+def test_the_policy_stored_by_the_previous_process_is_logged(tmp_path):
+    """A balancer starts and finds the policy that it adopted last, or a truncated file. It uses neither; the
+    truncated file is set aside for inspection."""
     events = []
     store = DurableStore(tmp_path)
     store.write("policy", {"n": 4, "id": "x", "doc": DOCUMENT})
@@ -178,8 +179,8 @@
 
 
 def make_keeper_with_pending_heartbeat(folder, loop):
-    """One of three control processes, whose answers come when the test says so; it has sent its first
-    heartbeat."""
+    """A keeper that has sent its first heartbeat to three control processes, which answer when the test
+    requests it."""
     keeper = make_keeper(folder, loop, count=3)
     for client in keeper.clients:
         client.answers_immediately = False
@@ -191,9 +192,9 @@
     return [fields for event, fields in keeper.events if event == name]
 
 
-def test_a_majority_s_grants_make_a_lease_and_the_third_answer_adds_nothing(tmp_path):
-    """Two of three grant a lease under one ballot. The third answer comes after that and tells of another
-    state; it must not count with the two before."""
+def test_grants_of_a_majority_are_a_lease_and_the_third_answer_is_ignored(tmp_path):
+    """Two of three processes grant a lease under the same ballot. The third answer arrives later with another
+    state and must not be combined with the first two."""
     keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     first, second, third = keeper.clients
     first.answer_oldest_call()
@@ -207,38 +208,40 @@
     assert keeper.last_answers_at_us == [1, 1, 77]
 
 
-def test_a_state_that_is_chosen_counts_once_until_a_lease_is_granted(tmp_path):
-    """Two of three agree and only one grants: the state is known, and there is no lease. The third one
-    grants too and makes a majority of grants."""
+def test_a_chosen_state_is_reported_again_only_with_a_lease(tmp_path):
+    """Two of three processes agree but only one grants a lease: the state is known, and there is no lease. The
+    third one grants too, which completes a majority of grants."""
     keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
-    told = []
+    reported = []
     update_lease = keeper.lease.on_chosen_state
-    keeper.lease.on_chosen_state = lambda *fields: (told.append(fields[-1]), update_lease(*fields))[
-        1
-    ]
+    keeper.lease.on_chosen_state = lambda *arguments: (
+        reported.append(arguments[-1]),
+        update_lease(*arguments),
+    )[1]
     first, second, third = keeper.clients
     first.answer_oldest_call()
     second.answer_oldest_call(grants=False)
-    assert told == [False] and not keeper.may_serve()
+    assert reported == [False] and not keeper.may_serve()
     third.answer_oldest_call()
-    assert told == [False, True] and keeper.may_serve()
+    assert reported == [False, True] and keeper.may_serve()
 
 
-def test_a_state_without_a_lease_is_told_once_for_one_heartbeat(tmp_path):
+def test_a_state_without_a_lease_is_reported_once_per_heartbeat(tmp_path):
     keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
-    told = []
+    reported = []
     update_lease = keeper.lease.on_chosen_state
-    keeper.lease.on_chosen_state = lambda *fields: (told.append(fields[-1]), update_lease(*fields))[
-        1
-    ]
+    keeper.lease.on_chosen_state = lambda *arguments: (
+        reported.append(arguments[-1]),
+        update_lease(*arguments),
+    )[1]
     for client in keeper.clients:
         client.answer_oldest_call(grants=False)
-    assert told == [False]
+    assert reported == [False]
 
 
-def test_answers_to_an_earlier_heartbeat_count_for_nothing_but_their_time(tmp_path):
-    """Answers take longer than the wait for the next heartbeat. A lease by them would count from a time
-    that the acceptors do not know any more."""
+def test_only_the_time_of_answers_to_an_earlier_heartbeat_is_used(tmp_path):
+    """Answers take longer than the interval to the next heartbeat. A lease granted by them would start at a
+    time that the acceptors no longer know."""
     loop = VirtualClockLoop()
     keeper = make_keeper_with_pending_heartbeat(tmp_path, loop)
     loop.run_until(loop.now + 700_000)
@@ -251,7 +254,7 @@
     assert keeper.may_serve()
 
 
-def test_the_next_heartbeat_tells_which_answer_was_heard_last(tmp_path):
+def test_a_heartbeat_contains_the_time_of_the_last_received_answer(tmp_path):
     loop = VirtualClockLoop()
     keeper = make_keeper_with_pending_heartbeat(tmp_path, loop)
     keeper.clients[0].answer_oldest_call(at=41)
@@ -261,9 +264,9 @@
     assert last == [41, 42, 0]
 
 
-def test_answers_of_a_cluster_of_another_size_count_for_nothing(tmp_path):
-    """A balancer's file lists three control processes, and those that it calls are five: two answers are
-    no majority."""
+def test_answers_of_a_cluster_with_another_process_count_are_ignored(tmp_path):
+    """A balancer's file lists three control processes, but the cluster has five. Two answers are not a
+    majority of it."""
     keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     for client in keeper.clients:
         client.answer_oldest_call(size=5)
@@ -273,32 +276,36 @@
 
 
 @pytest.mark.parametrize(("answering", "settles"), [(3, 1), (2, 1), (1, 0)])
-def test_where_control_processes_differ_one_is_asked_to_find_out(tmp_path, answering, settles):
-    """Each has accepted the value under another ballot, so no value is certainly chosen. Only a majority
-    can find out."""
+def test_if_control_processes_differ_one_is_called_to_settle_the_state(
+    tmp_path, answering, settles
+):
+    """Each process has accepted the value under a different ballot, so no value is known to be chosen. Only a
+    majority can settle that."""
     keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     for number, client in enumerate(keeper.clients):
         if number < answering:
             client.answer_oldest_call(ballot=[number + 1, "k"])
         else:
-            client.waiting.pop(0)(None)
+            client.pending.pop(0)(None)
     assert sum(len(client.requests(SETTLE)) for client in keeper.clients) == settles
     assert not keeper.may_serve()
 
 
-def test_the_back_off_begins_anew_with_an_answer(tmp_path):
+def test_an_answer_resets_the_backoff(tmp_path):
     loop = VirtualClockLoop()
     keeper = make_keeper_with_pending_heartbeat(tmp_path, loop)
     loop.run_until(loop.now + 5_000_000)
     assert keeper.schedule.failures > 2
     for client in keeper.clients:
-        while client.waiting:
+        while client.pending:
             client.answer_oldest_call()
     assert keeper.schedule.failures == 0
 
 
 @pytest.mark.parametrize(("alone", "registers"), [("leave", False), ("stay", True)])
-def test_who_stays_without_a_quorum_registers_until_control_knows(tmp_path, alone, registers):
+def test_a_balancer_that_serves_without_a_quorum_calls_register_until_it_is_registered(
+    tmp_path, alone, registers
+):
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop, alone=alone)
     client = keeper.clients[0]
@@ -313,9 +320,9 @@
     assert len(client.requests(REGISTER)) == count
 
 
-def test_who_cannot_adopt_the_version_in_force_does_not_register(tmp_path):
-    """A balancer that stays without a quorum starts with a file that the policy does not go with. It does
-    not serve, so no change has to wait for it. The reason stands in the log once."""
+def test_a_balancer_that_cannot_adopt_the_version_in_force_does_not_register(tmp_path):
+    """A balancer configured to serve without a quorum starts with a file that is incompatible with the policy.
+    It does not serve, so no change has to wait for it. The reason is logged once."""
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop, alone="stay")
 
@@ -331,7 +338,7 @@
     assert fields == [{"version": 1, "why": "it does not go with this file"}]
 
 
-def test_a_version_whose_policy_did_not_come_is_not_adopted(tmp_path):
+def test_a_version_without_its_policy_is_not_adopted(tmp_path):
     keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.adopt = pytest.fail
     keeper.clients[0].answer = NOTHING_DECIDED | {"n": 1, "id": "x", "try": 1}
@@ -341,7 +348,7 @@
 
 
 class FakeNode:
-    """Notes what is put into force."""
+    """Records the policies put into force."""
 
     def __init__(self, origin_kind):
         self.config = SimpleNamespace(settings=settings_with(origin_kind))
@@ -358,22 +365,22 @@
 
 @pytest.fixture
 def config_files(monkeypatch):
-    """The balancer's file as it is read under a policy; notes what it has to be able to follow."""
-    followed = []
+    """Replaces the reading of the balancer's file; records the configuration to be replaced."""
+    previous_configs = []
 
     def read(path, before, settings):
-        followed.append(before)
+        previous_configs.append(before)
         return SimpleNamespace(settings=settings_with("new"))
 
     monkeypatch.setattr(validation, "read", read)
-    return followed
+    return previous_configs
 
 
-def test_a_policy_that_changes_startup_settings_can_be_adopted_only_before_the_first(
+def test_a_policy_with_changed_startup_settings_can_be_adopted_only_as_the_first(
     tmp_path, config_files
 ):
-    """A balancer starts, and the policy in force has another kind of origin than its file: nothing depends
-    on that yet. Later such a policy cannot be in force without a restart."""
+    """A balancer starts, and the policy in force has another kind of origin than its file. Nothing depends on
+    that yet. Later such a policy cannot be put into force without a restart."""
     keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.node = FakeNode("old")
     keeper.on_first_lease = lambda: None
@@ -389,7 +396,7 @@
     assert config_files == [None, None, None]
 
 
-def test_a_proposal_that_needs_a_restart_is_refused_and_control_told_at_once(
+def test_a_proposal_that_needs_a_restart_is_refused_and_reported_immediately(
     tmp_path, config_files
 ):
     loop = VirtualClockLoop()
@@ -405,9 +412,7 @@
     assert (sent.refused_proposal, sent.refusal_reason) == (3, keeper.lease.refusal_reason)
 
 
-def test_a_proposal_is_promised_when_it_is_on_the_disk_and_control_told_at_once(
-    tmp_path, config_files
-):
+def test_a_proposal_is_promised_once_it_is_durable_and_reported_immediately(tmp_path, config_files):
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.node = FakeNode("new")
@@ -421,8 +426,8 @@
     assert keeper.clients[0].requests(LEASE)[-1].promised_proposal == 3
 
 
-def test_a_process_that_ends_promises_nothing_more(tmp_path):
-    """Its write ends while it says good-bye: a promise would make control wait for nobody."""
+def test_a_process_that_shuts_down_promises_nothing(tmp_path):
+    """A write ends while the process deregisters. A promise would make control wait for a process that ends."""
     keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.lease.on_chosen_state(0, 3, False, 0)
     keeper.lease.on_write_started(3)
@@ -432,12 +437,12 @@
     assert not keeper.lease.promised_proposal
 
 
-def test_a_process_that_ends_deregisters_and_waits_a_moment_for_answers(tmp_path):
-    """One control process of three is away: the end must not wait for it without a limit."""
+def test_a_process_that_shuts_down_deregisters_and_waits_briefly_for_answers(tmp_path):
+    """One of three control processes is unavailable. The shutdown must not wait for it without a limit."""
     now_us = [0]
 
-    def run_once(longest_us):
-        now_us[0] += longest_us
+    def run_once(max_wait_us):
+        now_us[0] += max_wait_us
 
     keeper = make_keeper(tmp_path, VirtualClockLoop(), count=3)
     keeper.loop = SimpleNamespace(clock=lambda: now_us[0], run_once=run_once)
@@ -449,7 +454,7 @@
     assert not any(client.requests(LEASE) for client in keeper.clients)
 
 
-def test_the_listener_opens_once_and_the_permission_is_logged_where_it_changes(tmp_path):
+def test_the_listener_opens_once_and_changes_of_the_permission_are_logged(tmp_path):
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     opened = []
@@ -465,7 +470,7 @@
     assert changes == [("denied", "lease"), ("lease", "denied")]
 
 
-def test_a_listener_that_cannot_open_ends_the_process(tmp_path):
+def test_a_listener_that_cannot_be_opened_ends_the_process(tmp_path):
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.clients[0].answer = NOTHING_DECIDED
@@ -479,9 +484,9 @@
     assert events_of(keeper, "ends") == [{"why": "cannot listen on 127.0.0.1:1"}]
 
 
-def test_answers_that_come_while_a_process_ends_start_nothing(tmp_path):
-    """It waits for its good-byes to be heard, and answers to the heartbeat before come in: it must not take
-    a lease, register, or begin to promise any more."""
+def test_answers_received_during_shutdown_are_ignored(tmp_path):
+    """A process waits for the answers to its deregistration and receives answers to the last heartbeat. It must
+    not accept a lease, register, or start to promise a proposal."""
     keeper = make_keeper_with_pending_heartbeat(tmp_path, VirtualClockLoop())
     keeper.closing = True
     for client in keeper.clients:
--- a/tests/control/test_lease_service.py
+++ b/tests/control/test_lease_service.py
@@ -1,4 +1,4 @@
-"""Leases as balancers ask for them."""
+"""Leases and registration of balancers."""
 
 from control_cluster import DOCUMENT, LEASE_US
 from msgspec import UNSET
@@ -20,9 +20,9 @@
 )
 
 
-def test_who_hears_no_answer_is_waited_for_no_longer_than_its_lease(cluster):
-    """A balancer is heard, and hears no answers. It goes on asking, and gets no further lease that a change
-    would have to wait for; once it hears again, it gets one."""
+def test_a_balancer_that_receives_no_answers_gets_no_further_lease(cluster):
+    """The heartbeats of a balancer arrive, but it receives no answers. It gets no further lease, for which a
+    change would have to wait, until it receives answers again."""
     cluster.run(2 * LEASE_US)
     assert cluster.ask_lease("k0", "b0").granted
     for _ in range(8):
@@ -34,12 +34,12 @@
     assert cluster.ask_lease("k0", "b0", last_answer_at_us=cluster.loop.now).granted
 
 
-def test_balancers_call_often_while_something_is_proposed(cluster):
-    """A change is proposed. Balancers are told to call more often, yet no more often than one control process
-    can hear them all; and a balancer that has promised is not sent the document again."""
+def test_balancers_call_often_while_there_is_an_open_proposal(cluster):
+    """A change is proposed. Balancers have to call more often, but only as often as one control process can
+    handle, and a balancer that has promised does not receive the document again."""
     cluster.run(2 * LEASE_US)
-    quiet = cluster.ask_lease("k0", "b0")
-    assert quiet.next_call_us == LEASE_US // CALLS_PER_LEASE and quiet.proposal is None
+    idle = cluster.ask_lease("k0", "b0")
+    assert idle.next_call_us == LEASE_US // CALLS_PER_LEASE and idle.proposal is None
     assert cluster.propose("k0", "x").state is ChangeState.PROPOSED
     busy = cluster.ask_lease("k0", "b0")
     assert busy.next_call_us == MIN_CALL_INTERVAL_US
@@ -52,8 +52,8 @@
     assert crowded.next_call_us == 101 * CALL_COST_US
 
 
-def test_the_document_comes_only_to_who_runs_an_earlier_version(cluster):
-    """A version is decided. A balancer that runs the one before is sent it, one that runs it is not."""
+def test_only_balancers_with_an_earlier_version_receive_the_document(cluster):
+    """A version is decided. A balancer with the previous version receives it, one with this version does not."""
     cluster.run(2 * LEASE_US)
     cluster.propose("k0", "x")
     cluster.run(1_000_000)
@@ -61,9 +61,9 @@
     assert cluster.ask_lease("k0", "b1", version=1).document is UNSET
 
 
-def test_a_balancer_that_ends_is_waited_for_no_more(cluster):
-    """A balancer that serves without a quorum holds a change up. It ends and says so: it is registered no
-    more, and the change is decided."""
+def test_no_change_waits_for_a_deregistered_balancer(cluster):
+    """A change waits for a balancer that serves without a quorum. The balancer deregisters at its shutdown, and
+    the change is decided."""
     cluster.run(2 * LEASE_US)
     member = MemberRequest(name="b0", incarnation="1")
     assert cluster.ask("k0", REGISTER, member, 200_000) == EmptyMessage()
@@ -78,8 +78,8 @@
     assert cluster.query_change("k0", "x").state is ChangeState.DECIDED
 
 
-def test_long_texts_are_cut(cluster):
-    """Some caller sends texts beyond bounds. What is kept of them is bounded."""
+def test_long_strings_are_truncated(cluster):
+    """A caller sends strings over the limits. Only a bounded part of them is stored."""
     cluster.ask_lease("k0", "b" * 1_000, refused=1, reason="r" * 1_000)
     (holder,) = cluster.processes["k0"].leases.holders.values()
     assert (len(holder.name), len(holder.refusal_reason)) == (MAX_NAME_CHARS, MAX_REASON_CHARS)
--- a/tests/control/test_messages.py
+++ b/tests/control/test_messages.py
@@ -1,4 +1,4 @@
-"""What stands in the JSON of control: keys, their order, words, and what is borne of other programs."""
+"""The JSON of control's messages: keys, their order, values, and tolerance of other versions."""
 
 import json
 import subprocess
@@ -57,7 +57,7 @@
     '"alone":"leave","runs":1,"promised":0,"refused":0,"why":"","heard":10,"until":900}]}'
 )
 
-# message type and its JSON, as the program wrote it before its modules were renamed
+# message type and its JSON, as written by the version before the modules were renamed
 EXAMPLES = [
     (LeaseRequest, LEASE_REQUEST),
     (LeaseAnswer, LEASE_ANSWER),
@@ -97,20 +97,20 @@
 
 @pytest.mark.parametrize(("message_type", "text"), EXAMPLES)
 def test_a_message_is_written_as_it_was_read(message_type, text):
-    """An old program is at the other end. It gets each key in its place and each word as before."""
+    """The other process has an older version. It receives each key in the same order and each value as before."""
     message = message_type.from_wire(json.loads(text))
     assert orjson.dumps(message.to_wire()).decode() == text
 
 
 @pytest.mark.parametrize(("message_type", "text"), EXAMPLES)
-def test_keys_that_a_newer_program_sends_are_passed_over(message_type, text):
-    """A newer program is at the other end, and says more than this one knows."""
+def test_unknown_keys_of_a_newer_version_are_ignored(message_type, text):
+    """The other process has a newer version, which sends keys unknown to this one."""
     wire = json.loads(text)
     assert message_type.from_wire(wire | {"more": {"n": 1}}) == message_type.from_wire(wire)
 
 
-def test_the_fields_of_a_message_have_their_meaning():
-    """One example of each message that has many fields is read field by field."""
+def test_keys_are_read_into_their_fields():
+    """One example of each message with many fields is checked field by field."""
     request = LeaseRequest.from_wire(json.loads(LEASE_REQUEST))
     assert (request.incarnation, request.on_lost_quorum, request.last_answer_at_us) == (
         "a1",
@@ -128,8 +128,8 @@
     assert answer.state is ChangeState.DROPPED and answer.version is None
 
 
-def test_a_lease_answer_has_the_proposal_whole_or_as_a_notice():
-    """A balancer that has promised a proposal is told of it again, without the document."""
+def test_a_lease_answer_contains_the_proposal_or_a_notice():
+    """A balancer that has promised a proposal receives it again without the document."""
     whole = LeaseAnswer.from_wire(json.loads(LEASE_ANSWER) | {"next": json.loads(PROPOSAL)})
     assert isinstance(whole.proposal, ProposalMessage)
     assert whole.proposal.to_proposal() == propose(INITIAL_STATE, "x", DOCUMENT).proposal
@@ -138,13 +138,13 @@
 
 
 def test_a_missing_key_is_named():
-    """Some caller leaves a key out. The error names it as it would stand in the JSON."""
+    """A caller omits a key. The error names the key as used in JSON."""
     with pytest.raises(KeyError, match="life"):
         MemberRequest.from_wire({"name": "b"})
 
 
-def test_texts_and_numbers_may_stand_for_each_other():
-    """Some caller's JSON has a number as a text, or a text as a number. Both are understood."""
+def test_strings_and_numbers_are_converted():
+    """A caller sends a number as a string, or a string as a number. Both are accepted."""
     wire = json.loads(LEASE_REQUEST) | {"name": 5, "runs": "2", "heard": 7.9}
     request = LeaseRequest.from_wire(wire)
     assert (request.name, request.version, request.last_answer_at_us) == ("5", 2, 7)
@@ -163,8 +163,8 @@
 
 
 @pytest.mark.parametrize("state", STATES)
-def test_a_policy_state_survives_the_wire_and_the_disk(state):
-    """Control processes send the register's value to each other and find it on their disks."""
+def test_a_policy_state_is_unchanged_by_wire_and_disk(state):
+    """Control processes send the register's value to each other and read it from disk."""
     wire = orjson.loads(orjson.dumps(policy_state_to_wire(state)))
     assert list(wire) == ["n", "id", "try", "doc", "next", "tries", "stay", "past"]
     assert policy_state_from_wire(wire) == state
@@ -174,13 +174,13 @@
 
 
 def test_a_policy_state_without_its_keys_is_refused():
-    """A damaged or foreign value must not count as version 0, or a decided version would be undone."""
+    """A damaged or foreign value must not be read as version 0, which would revert a decided version."""
     with pytest.raises(KeyError):
         policy_state_from_wire({})
 
 
 def test_a_balancer_without_control_does_not_load_the_messages():
-    """A balancer that control has no part in starts as fast as it did before."""
+    """A balancer without control must not pay for the import of the messages at startup."""
     check = (
         "import sys, orchidgap.__main__, orchidgap.composition, orchidgap.net.server, orchidgap.http1; "
         "sys.exit(any(name.startswith(('msgspec', 'orchidgap.control')) for name in sys.modules))"
--- a/tests/control/test_process.py
+++ b/tests/control/test_process.py
@@ -1,4 +1,4 @@
-"""Whole control processes: two proposers at once, a lost disk, a minority."""
+"""Control processes in a cluster: concurrent proposers, a lost register, and a minority."""
 
 from control_cluster import DOCUMENT, LEASE_US
 
@@ -11,9 +11,9 @@
     )
 
 
-def test_two_proposers_at_once_make_one_change_and_one_busy(cluster):
-    """Two operators propose different changes through two processes at the same moment. One is proposed and
-    decided; the other is told that it isn't in force, and stays so when its call comes once more."""
+def test_of_two_concurrent_proposals_one_is_open_and_one_gets_busy(cluster):
+    """Two operators propose different changes through two processes at the same time. One is proposed and
+    decided. The other is answered as busy, and it has no effect when its call is repeated."""
     answers = {
         change_id: cluster.call(name, PROPOSE, propose_request(change_id))
         for name, change_id in (("k0", "x"), ("k1", "y"))
@@ -33,8 +33,9 @@
 
 
 def test_a_process_that_lost_its_disk_recovers_under_the_ballot_of_its_own_round(cluster):
-    """A process loses its register, and asks the others for it. While its round ends it hears of a higher
-    ballot. It takes the value up under its round's ballot: under a higher one something else may be chosen."""
+    """A process loses its register and recovers it from the others. At the end of its round it observes a
+    higher ballot. It adopts the value under the ballot of its round, because under a higher one another value
+    may be chosen."""
     answer = cluster.ask("k0", PROPOSE, propose_request("x"))
     assert answer.state is ChangeState.PROPOSED
     cluster.run(3 * LEASE_US)
@@ -50,7 +51,7 @@
     on_round_end = lost.proposer.on_round_end
 
     def observe_higher_ballot(proposer, value, attempts_left):
-        lost.acceptor.highest_ballot_count += 7  # as another proposer's ballot would have it
+        lost.acceptor.highest_ballot_count += 7  # as if another proposer had used a higher ballot
         on_round_end(proposer, value, attempts_left)
 
     lost.proposer.begin_round = begin_recorded_round
@@ -62,9 +63,9 @@
     assert ("k0", "register recovered", {"version": 1}) in cluster.log
 
 
-def test_a_process_that_has_recovered_takes_up_nothing_older(cluster):
-    """Two rounds are under way to get a lost register back. The first one's value is taken up; the second's
-    must not overwrite what the process may have promised since."""
+def test_a_recovered_process_does_not_adopt_an_older_value(cluster):
+    """Two rounds to recover a lost register are in progress. The value of the first is adopted; the second must
+    not overwrite promises that the process may have made since."""
     cluster.ask("k0", PROPOSE, propose_request("x"))
     cluster.run(3 * LEASE_US)
     lost, recovered = cluster.processes["k0"], []
@@ -82,9 +83,9 @@
     assert len(recovered) == 1 and lost.acceptor.policy.version == 1
 
 
-def test_a_minority_decides_nothing_and_what_was_decided_without_it_reaches_it(cluster):
-    """One process is cut off. A change that is proposed there comes to nothing; the other two decide one,
-    and the process knows it when it is back."""
+def test_a_partitioned_process_decides_nothing_and_learns_decisions_afterwards(cluster):
+    """One process is partitioned. A change proposed there has no effect. The other two decide a change, which
+    the process knows after the partition."""
     cluster.partitioned = {"k0"}
     assert cluster.ask("k0", PROPOSE, propose_request("x"), 20_000_000) is None
     answer = cluster.ask("k1", PROPOSE, propose_request("y"))
--- a/tests/control/test_process_config.py
+++ b/tests/control/test_process_config.py
@@ -1,4 +1,4 @@
-"""A control process's configuration: what it may be, and what is told where it can't be meant."""
+"""A control process's configuration: defaults, and the errors for invalid files."""
 
 import json
 
@@ -20,8 +20,8 @@
     return read_process_config(str(path))
 
 
-def test_what_is_left_out_has_its_default(tmp_path):
-    """A file with the least that it may have. Leases last 10 s, and a proposal waits for six of them."""
+def test_missing_settings_have_defaults(tmp_path):
+    """A minimal file: leases last 10 s, and a proposal waits for six of them."""
     config = read(tmp_path, GOOD)
     assert (config.lease_us, config.give_up_us) == (10_000_000, 60_000_000)
     assert config.listen_address == ("127.0.0.1", 7500) and config.folder == "/var/lib/x"
@@ -56,24 +56,24 @@
         ),
     ],
 )
-def test_a_bad_file_is_told_in_one_line(tmp_path, wire, text):
-    """Somebody starts a control process with a file that can't be meant. One line names file and fault."""
+def test_an_invalid_file_is_reported_in_one_line(tmp_path, wire, text):
+    """A control process is started with an invalid file. One line names the file and the error."""
     with pytest.raises(ConfigError) as caught:
         read(tmp_path, wire)
     assert str(caught.value) == f"{tmp_path / 'control.json'}: {text}"
     assert caught.value.location == str(tmp_path / "control.json")
 
 
-def test_a_file_that_is_not_there_is_told(tmp_path):
-    """The file's name is wrong. The line says so in the system's words."""
+def test_a_missing_file_is_reported(tmp_path):
+    """The file name is wrong. The message contains the error text of the system."""
     path = tmp_path / "nowhere.json"
     with pytest.raises(ConfigError) as caught:
         read_process_config(str(path))
     assert str(caught.value) == f"{path}: No such file or directory"
 
 
-def test_other_addresses_than_loopback_s_have_to_be_asked_for(tmp_path):
-    """A fleet's control listens beyond loopback: only where the file says so in so many words."""
+def test_addresses_beyond_loopback_have_to_be_enabled(tmp_path):
+    """Control of a fleet listens beyond loopback only if the file enables that with exactly `true`."""
     wire = GOOD | {"control": {"k0": "10.0.0.1:7500"}, "beyond-loopback": True}
     assert read(tmp_path, wire).listen_address == ("10.0.0.1", 7500)
     with pytest.raises(ConfigError, match="is not a loopback address; set beyond-loopback"):
--- a/tests/control/test_process_group.py
+++ b/tests/control/test_process_group.py
@@ -1,4 +1,4 @@
-"""Calls to all control processes at once, the calling one among them."""
+"""Calls to all control processes, including the calling one."""
 
 from control_cluster import ControlCluster
 
@@ -7,7 +7,7 @@
 
 
 def test_every_process_answers_once_with_its_name(cluster):
-    """All three processes are there. Each answers once, the caller too."""
+    """All three processes are available. Each answers once, including the caller."""
     answers = []
     group = cluster.processes["k1"].group
     group.call_all(PROGRESS, EmptyMessage(), lambda name, answer: answers.append((name, answer)))
@@ -17,9 +17,9 @@
     assert (group.names, group.quorum, group.rank) == (["k0", "k1", "k2"], 2, 1)
 
 
-def test_the_own_process_is_given_no_longer_than_the_others(tmp_path):
-    """A process's own acceptor takes too long to answer. That counts as no answer, like another's, and what
-    comes late isn't told."""
+def test_a_call_to_the_own_process_has_the_same_timeout(tmp_path):
+    """A process's own acceptor takes too long to answer. That counts as no answer, as for another process, and
+    the late answer is ignored."""
     cluster = ControlCluster(tmp_path, 1)
     pending, answers = [], []
     process = cluster.processes["k0"]
@@ -34,8 +34,8 @@
     assert answers == [None]
 
 
-def test_an_own_answer_in_time_is_told_once(tmp_path):
-    """A process's own answer comes in time. The time-out that was set beside it tells nothing more."""
+def test_an_own_answer_in_time_is_reported_once(tmp_path):
+    """A process's own answer arrives in time. The timeout of the call does not report a second result."""
     cluster, answers = ControlCluster(tmp_path, 1), []
     cluster.processes["k0"].group.call_all(
         PROGRESS, EmptyMessage(), lambda name, answer: answers.append(name)
--- a/tests/control/test_proposer.py
+++ b/tests/control/test_proposer.py
@@ -1,4 +1,4 @@
-"""Rounds of compare-and-set, and who shares them."""
+"""Rounds of compare-and-set: batches and retries."""
 
 from control_cluster import DOCUMENT, LEASE_US
 
@@ -15,9 +15,9 @@
 from orchidgap.decisions.policy_rollout import decide
 
 
-def test_hundreds_that_register_at_once_share_rounds(cluster):
-    """200 balancers that serve without a quorum start together. One round registers them all, and a proposal
-    and an eviction that come behind them don't wait for 200 rounds."""
+def test_hundreds_of_registrations_share_a_round(cluster):
+    """200 balancers that serve without a quorum start together. One round registers all of them, so a proposal
+    and an eviction that are queued behind them do not wait for 200 rounds."""
     process, rounds = cluster.processes["k1"], []
     begin_round = process.proposer.begin_round
 
@@ -42,7 +42,7 @@
 
 
 def count_rounds(process):
-    """The list that the process's further rounds are noted in."""
+    """Returns a list in which the attempts left of each further round are recorded."""
     rounds, begin_round = [], process.proposer.begin_round
 
     def begin_recorded_round(attempts_left):
@@ -54,9 +54,9 @@
     return rounds
 
 
-def test_a_decision_that_waits_for_a_balancer_is_not_tried_again(cluster):
-    """A decision comes before a balancer has promised. No acceptor accepts it, and another round would wait
-    for the same balancer: it ends with the first."""
+def test_a_decision_that_waits_for_a_balancer_is_not_retried(cluster):
+    """A decision is proposed before a balancer has promised. No acceptor accepts it, and another round would
+    wait for the same balancer, so the update ends with the first round."""
     cluster.run(2 * LEASE_US)
     cluster.ask_all_leases("b0")
     cluster.propose("k0", "x")
@@ -68,8 +68,8 @@
     assert process.acceptor.policy.version == 0
 
 
-def test_a_round_that_fails_is_tried_again_by_chance_and_not_for_ever(cluster):
-    """A process is cut off. Its update is tried six times, and then its caller is told that nothing is known."""
+def test_a_failed_round_is_retried_a_limited_number_of_times(cluster):
+    """A process is partitioned. Its update is tried six times, then its result is reported as unknown."""
     process, values = cluster.processes["k1"], []
     cluster.run(100_000)
     rounds = count_rounds(process)
--- a/tests/control/test_rollout_driver.py
+++ b/tests/control/test_rollout_driver.py
@@ -1,4 +1,4 @@
-"""How a proposal ends: decided, refused, given up, or driven by another process."""
+"""The end of a proposal: decided, refused, timed out, or driven by another process."""
 
 from control_cluster import LEASE_US
 
@@ -8,7 +8,7 @@
 
 
 def hold_lease_and_propose(cluster):
-    """b0 holds a lease, and k0 proposes x, which b0 has not promised."""
+    """Lets b0 hold a lease and k0 propose x, which b0 has not promised."""
     cluster.run(2 * LEASE_US)
     assert all(answer.granted for answer in cluster.ask_all_leases("b0"))
     answer = cluster.propose("k0", "x")
@@ -21,7 +21,7 @@
 
 
 def test_a_change_is_decided_once_all_have_promised(cluster):
-    """A balancer holds a lease and promises the proposal. The next look decides it."""
+    """A balancer holds a lease and promises the proposal. The next poll decides it."""
     hold_lease_and_propose(cluster)
     cluster.ask_all_leases("b0", promised=1)
     cluster.run(500_000)
@@ -29,8 +29,8 @@
     assert events_of_changes(cluster) == [("change decided", {"change": "x", "version": 1})]
 
 
-def test_a_refusal_drops_the_change_and_says_why(cluster):
-    """A balancer that holds a lease refuses. The change is dropped, and whoever asks is told why."""
+def test_a_refusal_drops_the_change_with_its_reason(cluster):
+    """A balancer that holds a lease refuses. The change is dropped, and its state contains the reason."""
     hold_lease_and_propose(cluster)
     cluster.ask_all_leases("b0", refused=1, reason="disk: full")
     cluster.run(500_000)
@@ -41,8 +41,8 @@
 
 
 def test_a_change_that_waits_too_long_is_dropped(cluster):
-    """A balancer renews its lease and never answers the proposal. After the time that the configuration
-    gives, the change is dropped, with the balancer's name."""
+    """A balancer renews its lease and never answers the proposal. After the configured time the change is
+    dropped, and the reason contains the balancer's name."""
     hold_lease_and_propose(cluster)
     for _ in range(11):
         cluster.run(LEASE_US // 2)
@@ -56,8 +56,8 @@
     assert answer.reason == "no promise in time from b0"
 
 
-def test_another_process_drives_what_a_lost_one_proposed(cluster):
-    """The process that proposed a change is cut off at once. The next one in rank drives it, later."""
+def test_another_process_drives_the_proposal_of_a_partitioned_one(cluster):
+    """The process that proposed a change is partitioned immediately. The next one by rank drives it later."""
     cluster.run(2 * LEASE_US)
     cluster.ask_all_leases("b0")
     assert cluster.propose("k0", "x").state is ChangeState.PROPOSED
@@ -69,9 +69,9 @@
     assert cluster.processes["k1"].acceptor.policy.version == 1
 
 
-def test_whoever_proposed_a_change_drives_it_at_once(cluster):
-    """The first process in rank is away. A change is proposed through the last one, which doesn't wait for its
-    turn."""
+def test_the_process_that_proposed_a_change_drives_it_immediately(cluster):
+    """The first process by rank is partitioned. A change is proposed through the last one, which does not wait
+    for the delay of its rank."""
     cluster.run(2 * LEASE_US)
     cluster.partitioned = {"k0"}
     assert cluster.propose("k2", "x").state is ChangeState.PROPOSED
@@ -79,9 +79,9 @@
     assert {cluster.processes[name].acceptor.policy.version for name in ("k1", "k2")} == {1}
 
 
-def test_a_process_that_hears_no_majority_decides_nothing(cluster):
-    """Two processes know of a balancer that has to promise, the third, which proposed the change, does not. It is
-    cut off from the others, and still begins no decision: it can't know of whom another one does."""
+def test_a_process_without_answers_of_a_majority_decides_nothing(cluster):
+    """Two processes know of a balancer that has to promise. The third, which proposed the change, does not, and
+    is partitioned. It starts no decision, because other processes may know of further balancers."""
     cluster.run(2 * LEASE_US)
     driver = cluster.processes["k0"].driver
     for name in ("k1", "k2"):
@@ -96,7 +96,7 @@
 
 
 def test_answers_about_another_proposal_do_not_count():
-    """One process knows the proposal, one another, one does not answer. Only the first counts."""
+    """One process has the proposal, one has another proposal, one does not answer. Only the first counts."""
     poll = ProgressPoll(7)
     member, refusal = PendingMember("b0", 9), Refusal("b1", "no")
     for number, answers in ((7, (member,)), (8, (PendingMember("b2", 1),))):
--- a/tests/control/test_rpc_backlog.py
+++ b/tests/control/test_rpc_backlog.py
@@ -1,4 +1,4 @@
-"""The accept queue of control's RPC: what does a caller see whose call waits there?"""
+"""The accept queue of control's RPC: calls that are queued there when `accept` fails."""
 
 import errno
 
@@ -19,8 +19,8 @@
     return server, address
 
 
-def test_an_aborted_connection_hides_nobody_behind_it():
-    """`accept` says ECONNABORTED among those that wait. The call behind is answered."""
+def test_an_aborted_connection_does_not_block_the_queue():
+    """`accept` fails with ECONNABORTED for one queued connection. The call behind it is answered."""
     net = NodeHarness()
     failures = iter([OSError(errno.ECONNABORTED, "")])
     _, address = listening(net, lambda: next(failures, None))
@@ -29,17 +29,17 @@
     assert received_text(client.sock).startswith("HTTP/1.1 404")
 
 
-def test_a_shortage_of_descriptors_does_not_spin():
-    """No descriptor is left for a caller's connection. The listener rests in place of being
-    asked in every turn, and the call is answered once there is one.
+def test_a_shortage_of_descriptors_does_not_cause_a_busy_loop():
+    """No file descriptor is available for a caller's connection. The listener pauses instead of calling
+    `accept` in every turn, and the call is answered once there is a descriptor.
     """
     net = NodeHarness()
     short = [True]
     server, address = listening(net, lambda: OSError(errno.EMFILE, "") if short else None)
     client = QueuedClient(address, CALL)
     net.turn(50)
-    asked = server.listener.calls
+    accept_calls = server.listener.calls
     short.clear()
     net.advance(100_000)
     assert received_text(client.sock).startswith("HTTP/1.1 404")
-    assert asked < 5, f"asked {asked} times in 50 turns"
+    assert accept_calls < 5, f"accept called {accept_calls} times in 50 turns"
--- a/tests/control/test_rpc_client.py
+++ b/tests/control/test_rpc_client.py
@@ -1,4 +1,4 @@
-"""The calling side of control's RPC: what is answered, given up, and closed."""
+"""The client of control's RPC: answers, timeouts and closed connections."""
 
 import socket
 
@@ -18,8 +18,8 @@
 from orchidgap.control.rpc_client import RpcClient
 
 
-def test_a_call_is_answered_and_its_connection_used_again(rpc_pair):
-    """Two calls follow each other. Both are answered, on one connection."""
+def test_a_call_is_answered_and_its_connection_is_reused(rpc_pair):
+    """Two consecutive calls are answered on the same connection."""
     request = MemberRequest(name="b", incarnation="1")
     assert rpc_pair.client.call_and_wait(REGISTER, request) == EmptyMessage()
     assert rpc_pair.client.call_and_wait(REGISTER, request) == EmptyMessage()
@@ -27,14 +27,14 @@
 
 
 def test_a_process_that_cannot_answer_gives_no_answer(rpc_pair):
-    """A control process has lost its register, and says that it can't answer now."""
+    """A control process has lost its register and answers that it cannot handle the call."""
     assert rpc_pair.client.call_and_wait(REGISTER, MemberRequest(name="", incarnation="1")) is None
-    assert rpc_pair.client.call_and_wait(SETTLE, EmptyMessage()) is None  # nobody handles it
+    assert rpc_pair.client.call_and_wait(SETTLE, EmptyMessage()) is None  # has no handler
 
 
-def test_an_answer_that_does_not_come_in_time_counts_as_none(rpc_pair):
-    """A process is stopped in the middle of a call. Its caller goes on without it, and is not told a late
-    answer."""
+def test_a_late_answer_counts_as_none(rpc_pair):
+    """A process is stopped during a call. The caller gets no answer at the timeout, and the late answer is
+    ignored."""
     answers, rpc_pair.client.timeout_us = [], 50_000
     rpc_pair.client.call(CHECK, CheckRequest(document={}), answers.append)
     rpc_pair.run_until(lambda: answers and rpc_pair.pending)
@@ -44,16 +44,16 @@
     assert answers == [None]
 
 
-def test_an_address_where_nobody_listens_gives_no_answer(rpc_pair):
-    """The process that is called is down."""
+def test_an_address_without_a_listener_gives_no_answer(rpc_pair):
+    """The called process is not running."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
     client = RpcClient(rpc_pair.loop, address, TIMEOUT_US)
     assert client.call_and_wait(REGISTER, MemberRequest(name="b", incarnation="1")) is None
 
 
-def test_only_so_many_calls_are_under_way_at_once(rpc_pair):
-    """Somebody calls a slow process again and again. What is beyond the bound ends at once."""
+def test_concurrent_calls_are_limited(rpc_pair):
+    """A slow process is called repeatedly. Calls over the limit fail immediately."""
     answers = []
     for _ in range(rpc_client.MAX_CONNECTIONS + 1):
         rpc_pair.client.call(CHECK, CheckRequest(document={}), answers.append)
@@ -65,8 +65,8 @@
     assert answers[1:] == [CheckAnswer(reason="x")] * rpc_client.MAX_CONNECTIONS
 
 
-def test_a_client_that_is_closed_calls_nobody_back(rpc_pair):
-    """A process ends while its calls are under way. Nobody is called any more."""
+def test_a_closed_client_calls_no_callbacks(rpc_pair):
+    """A process shuts down while its calls are in progress. Their callbacks are not called."""
     answers = []
     rpc_pair.client.call(CHECK, CheckRequest(document={}), answers.append)
     rpc_pair.run_until(lambda: rpc_pair.pending)
@@ -79,8 +79,8 @@
     "body",
     [b"{", b"[]", b"7", b"{}", b'{"why":', b"null"],
 )
-def test_an_answer_that_cannot_be_read_counts_as_none(rpc_pair, body):
-    """Something else than control is at the other end, or a damaged answer comes. It counts as none."""
+def test_an_invalid_answer_counts_as_none(rpc_pair, body):
+    """The server is not a control process, or the answer is damaged. It counts as no answer."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client, answers = RpcClient(rpc_pair.loop, listener.getsockname(), TIMEOUT_US), []
         client.call(CHECK, CheckRequest(document={}), answers.append)
@@ -93,8 +93,8 @@
     assert answers == [None]
 
 
-def test_a_probe_tells_whether_the_answer_is_200(rpc_pair):
-    """A fault test asks a balancer whether it is up, which answers 200 without a body, or 503."""
+def test_a_probe_reports_whether_the_status_is_200(rpc_pair):
+    """A fault test probes whether a balancer is up; the answer is 200 without a body, or 503."""
     for status, is_up in ((b"200 OK", True), (b"503 Service Unavailable", False)):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             client, answers = RpcClient(rpc_pair.loop, listener.getsockname(), TIMEOUT_US), []
--- a/tests/control/test_rpc_server.py
+++ b/tests/control/test_rpc_server.py
@@ -1,4 +1,4 @@
-"""The answering side of control's RPC: what is refused, in which order calls go, who is closed."""
+"""The server of control's RPC: rejected calls, order of calls, and closed connections."""
 
 import socket
 
@@ -28,15 +28,15 @@
         (b"nonsense\r\n\r\n", b"400 Bad Request", b"malformed"),
     ],
 )
-def test_a_bad_call_is_refused_with_its_reason(rpc_pair, text, status, reason):
-    """Somebody calls control by hand, and wrongly. The answer says what is wrong."""
+def test_an_invalid_call_is_rejected_with_the_reason(rpc_pair, text, status, reason):
+    """A manual call to control is invalid. The answer contains the reason."""
     answer = rpc_pair.send_and_receive(text)
     assert answer.startswith(b"HTTP/1.1 " + status + b"\r\n")
     assert b'{"why":"' + reason in answer
 
 
 def test_calls_on_one_connection_are_answered_one_after_another(rpc_pair):
-    """A second call comes on a connection before the first is answered. It begins after that."""
+    """A second call arrives on a connection before the first is answered. It starts after that answer."""
     register = request(b"/join", b'{"name":"b","life":"1"}')
     with socket.create_connection(rpc_pair.server.listener.getsockname()) as sock:
         sock.sendall(request(b"/check", b'{"doc":{}}'))
@@ -57,15 +57,15 @@
 
 
 def test_a_connection_that_sends_too_many_calls_at_once_is_closed(rpc_pair):
-    """Somebody sends call upon call without waiting. The connection is closed, and nothing piles up."""
+    """A client sends calls without waiting for answers. The connection is closed, so calls do not accumulate."""
     answer = rpc_pair.send_and_receive(
         request(b"/check", b'{"doc":{}}') * (rpc_server.MAX_PIPELINED + 2)
     )
     assert answer == b"<closed>" and not rpc_pair.server.connections
 
 
-def test_the_connection_that_was_idle_longest_makes_way(rpc_pair, monkeypatch):
-    """More connections come than a control process holds. The one that was idle longest is closed."""
+def test_the_longest_idle_connection_is_evicted(rpc_pair, monkeypatch):
+    """More clients connect than a control process allows. The connection that was idle longest is closed."""
     monkeypatch.setattr(rpc_server, "MAX_CONNECTIONS", 2)
     address = rpc_pair.server.listener.getsockname()
     socks = []
@@ -80,8 +80,9 @@
         sock.close()
 
 
-def test_a_connection_that_asks_nothing_is_closed_after_a_minute(rpc_pair):
-    """A client keeps a connection and asks nothing. It is closed after a minute, as time has it here."""
+def test_an_idle_connection_is_closed_after_a_minute(rpc_pair):
+    """A client keeps a connection without sending calls. It is closed after a minute; the test moves back its
+    last activity instead of waiting."""
     with socket.create_connection(rpc_pair.server.listener.getsockname()) as sock:
         rpc_pair.run_until(lambda: rpc_pair.server.connections)
         (connection,) = rpc_pair.server.connections
@@ -91,8 +92,8 @@
         assert sock.recv(1) == b"" and not rpc_pair.server.connections
 
 
-def test_a_call_that_nobody_handles_is_an_error_for_who_dispatches(rpc_pair):
-    """A process that calls itself is told of an unknown path, like everybody else."""
+def test_dispatch_raises_for_an_unknown_path(rpc_pair):
+    """A process that calls itself with an unknown path gets an error, as other callers do."""
     with pytest.raises(UnknownCallError) as caught:
         rpc_pair.server.dispatch("/nowhere", {}, lambda answer: None)
     assert (caught.value.status, caught.value.path) == (404, "/nowhere")
--- a/tests/control/test_status_report.py
+++ b/tests/control/test_status_report.py
@@ -1,4 +1,4 @@
-"""What operators see of control's status; the texts are those that the command has always printed."""
+"""The status output for operators; its texts have been the same in all versions."""
 
 import json
 
@@ -7,7 +7,7 @@
 from orchidgap.control import cli
 from orchidgap.control.messages import StatusAnswer
 
-LEAVES = {
+LEAVING = {
     "name": "b2",
     "life": "1",
     "alone": "leave",
@@ -18,7 +18,7 @@
     "heard": 100_000,
     "until": 900_000,
 }
-STAYS = LEAVES | {
+STAYING = LEAVING | {
     "name": "b1",
     "life": "7",
     "alone": "stay",
@@ -45,17 +45,17 @@
     "try": 4,
     "late": [["b1", 0]],
     "refused": [],
-    "rows": [LEAVES, STAYS | {"promised": 4, "heard": 2_500_000, "until": -5}],
+    "rows": [LEAVING, STAYING | {"promised": 4, "heard": 2_500_000, "until": -5}],
 }
-# it has the highest ballot, and heard b1 last
+# has the highest ballot and the most recent heartbeat of b1
 OTHER = ONE | {
     "name": "k1",
     "ballot": [6, "k1"],
     "late": [["b2", 450_000]],
     "refused": [["b3", "disk: full"]],
-    "rows": [STAYS, LEAVES | {"heard": 300_000, "until": 990_000}],
+    "rows": [STAYING, LEAVING | {"heard": 300_000, "until": 990_000}],
 }
-# it knows of another proposal, which does not count
+# has another proposal, which is ignored
 WITHOUT_REGISTER = ONE | {
     "name": "k2",
     "lost": True,
@@ -69,7 +69,7 @@
     "late": [["b9", 1]],
     "rows": [],
 }
-LONE = ONE | {"controls": ["k0"], "next": None, "try": 0, "late": [], "rows": []}
+SINGLE_PROCESS = ONE | {"controls": ["k0"], "next": None, "try": 0, "late": [], "rows": []}
 
 TABLE_OF_THREE = """\
 version 2 x counts; control: 2 of 3 answer
@@ -86,7 +86,7 @@
 b1                     2        4   stay    2.5 s     none
 b2                     2           leave    0.1 s    0.9 s
 """
-TABLE_OF_A_LONE_PROCESS = """\
+TABLE_OF_A_SINGLE_PROCESS = """\
 version 2 x counts; control: 1 of 1 answer
 balancer         version promised  alone    heard    lease
 """
@@ -98,7 +98,7 @@
 
 
 class FakeControl:
-    """Control processes with these answers."""
+    """Control processes that return these status answers."""
 
     def __init__(self, answers):
         self.answers = answers
@@ -112,7 +112,7 @@
     [
         ([ONE, OTHER, WITHOUT_REGISTER], TABLE_OF_THREE),
         ([ONE], TABLE_OF_ONE),
-        ([LONE], TABLE_OF_A_LONE_PROCESS),
+        ([SINGLE_PROCESS], TABLE_OF_A_SINGLE_PROCESS),
     ],
 )
 def test_status_and_history_as_text(answers, table, capsys):
@@ -134,14 +134,14 @@
         "refused": {"b3": "disk: full"},
         "control": {"of": 3, "up": 2, "decides": True},
         "lease": 1_000_000,
-        "balancers": [STAYS | {"until": -5}, LEAVES],
+        "balancers": [STAYING | {"until": -5}, LEAVING],
         "stay": {"b1": "7"},
         "past": ONE["past"],
     }
-    # the order of keys counts too
+    # the order of keys must match too
     assert capsys.readouterr().out == json.dumps(expected) + "\n"
 
 
-def test_no_answer_is_not_known(capsys):
+def test_without_answers_the_status_is_unknown(capsys):
     assert cli.status(FakeControl([]), history_only=False, as_json=False) == 3
     assert "control does not answer" in capsys.readouterr().out
--- a/tests/control/test_validation.py
+++ b/tests/control/test_validation.py
@@ -1,4 +1,4 @@
-"""What can be proposed as a policy, as far as that shows without a balancer."""
+"""Validation of policies and of the control part of a balancer's configuration."""
 
 import pytest
 
@@ -21,10 +21,10 @@
         (DOCUMENT | {"needs": 2}, "form 2"),
     ],
 )
-def test_a_policy_that_cannot_be_is_told_in_words(document, reason):
-    with pytest.raises(InvalidPolicyError) as told:
+def test_an_invalid_policy_is_rejected_with_a_reason(document, reason):
+    with pytest.raises(InvalidPolicyError) as caught:
         validate(document)
-    assert reason in str(told.value)
+    assert reason in str(caught.value)
     validate(DOCUMENT)
 
 
@@ -38,21 +38,21 @@
         ({"at": ["127.0.0.1:1"], "dir": "x", "alone": "go"}, "leave or stay"),
     ],
 )
-def test_a_bad_part_control_is_told_in_words(part, reason):
+def test_an_invalid_control_part_is_rejected_with_a_reason(part, reason):
     with pytest.raises((LookupError, ValueError), match=reason):
         config.control_part(part)
 
 
-def test_a_file_is_read_only_under_a_policy_that_can_be(monkeypatch):
-    """Reading the file looks at the settings alone: a policy with a part that this program does not know
-    would seem to be fine."""
+def test_a_file_is_read_only_with_a_valid_policy(monkeypatch):
+    """Reading the file uses only the settings of a policy, so a policy with an unknown key would otherwise
+    appear to be valid."""
     monkeypatch.setattr(validation, "read", lambda path, before, settings: (path, before, settings))
     assert config_with_policy(DOCUMENT, "c.json", None) == ("c.json", None, DOCUMENT["settings"])
     with pytest.raises(InvalidPolicyError, match="more is no part of a version"):
         config_with_policy(DOCUMENT | {"more": 1}, "c.json", None)
 
 
-def test_a_file_that_does_not_go_with_a_policy_makes_it_invalid(monkeypatch):
+def test_a_file_incompatible_with_a_policy_makes_it_invalid(monkeypatch):
     def read(path, before, settings):
         raise config.ConfigError("c.json: pool.key is too short")
 
