--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -1,19 +1,19 @@
 import pytest
 from control_cluster import ControlCluster
-from rpc_ends import Ends
+from rpc_pair import RpcPair
 
 
 @pytest.fixture
 def cluster(tmp_path):
-    """Three control processes that have begun with nothing decided."""
+    """Three started control processes with nothing decided."""
     cluster = ControlCluster(tmp_path, 3)
     cluster.start()
     return cluster
 
 
 @pytest.fixture
-def ends():
-    """A client and a server of control's RPC that listens on loopback."""
-    ends = Ends()
-    yield ends
-    ends.close()
+def rpc_pair():
+    """A client and a server of control's RPC; the server listens on loopback."""
+    rpc_pair = RpcPair()
+    yield rpc_pair
+    rpc_pair.close()
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -1,4 +1,4 @@
-"""Control processes on a virtual clock that call each other through the loop, a millisecond each way."""
+"""Control processes on a virtual clock; calls between them take one millisecond in each direction."""
 
 import json
 from random import Random
@@ -25,12 +25,12 @@
 DOCUMENT = {"settings": {"rule-sets": [{"name": "a", "effect": "retryable", "client-timeout": 9}]}}
 
 
-def over_the_wire(wire):
+def json_round_trip(wire):
     return json.loads(orjson.dumps(wire))
 
 
-class HeldWriter:
-    """A disk whose writes end when the test calls what is in `pending`."""
+class ManualWriter:
+    """A background writer whose writes end when the test calls the callbacks in `pending`."""
 
     def __init__(self):
         self.pending = []
@@ -40,31 +40,31 @@
 
 
 class LocalCaller:
-    """Brings one process's calls to another one, unless one of them is cut off."""
+    """Delivers the calls of one process to another, unless one of them is partitioned."""
 
     def __init__(self, cluster, caller, target):
         self.cluster, self.caller, self.target = cluster, caller, target
 
     def call(self, method, request, on_answer):
         loop = self.cluster.loop
-        if {self.caller, self.target} & self.cluster.cut_off:
+        if {self.caller, self.target} & self.cluster.partitioned:
             loop.call_later(TIMEOUT_US, on_answer, None)
             return
 
         def on_wire_answer(wire):
-            answer = wire and method.answer_type.from_wire(over_the_wire(wire))
+            answer = wire and method.answer_type.from_wire(json_round_trip(wire))
             loop.call_later(DELAY_US, on_answer, answer)
 
         server = self.cluster.processes[self.target].server
-        wire = over_the_wire(request.to_wire())
+        wire = json_round_trip(request.to_wire())
         loop.call_later(DELAY_US, server.dispatch, method.path, wire, on_wire_answer)
 
 
 class ControlCluster:
-    """So many control processes, each with a folder of its own; `cut_off` names those nobody reaches."""
+    """Several control processes, each with its own folder; those in `partitioned` are unreachable."""
 
     def __init__(self, folder, count):
-        self.loop, self.cut_off, self.log = VirtualClockLoop(), set(), []
+        self.loop, self.partitioned, self.log = VirtualClockLoop(), set(), []
         names = [f"k{number}" for number in range(count)]
         self.processes = {}
         for name in names:
@@ -76,7 +76,7 @@
                 ProcessConfig(name, addresses, str(folder), LEASE_US, 6 * LEASE_US, False),
                 others,
                 store,
-                lambda event, name=name, **facts: self.log.append((name, event, facts)),
+                lambda event, name=name, **fields: self.log.append((name, event, fields)),
                 Random(name),
                 lambda: self.loop.now,
             )
@@ -85,26 +85,26 @@
 
     def start(self):
         for process in self.processes.values():
-            process.start(begin_anew=True)
+            process.start(create_if_missing=True)
 
     def run(self, duration_us):
         self.loop.run_until(self.loop.now + duration_us)
 
     def call(self, name, method, request):
-        """Calls one process; the list that its answer comes into."""
+        """Calls one process; returns a list to which its answer is appended."""
         answers = []
 
         def on_wire_answer(wire):
             answers.append(
-                None if wire is None else method.answer_type.from_wire(over_the_wire(wire))
+                None if wire is None else method.answer_type.from_wire(json_round_trip(wire))
             )
 
-        wire = over_the_wire(request.to_wire())
+        wire = json_round_trip(request.to_wire())
         self.processes[name].server.dispatch(method.path, wire, on_wire_answer)
         return answers
 
     def ask(self, name, method, request, within_us=5_000_000):
-        """Calls one process and lets time pass; its answer, None where there was none."""
+        """Calls one process and advances the clock; returns the answer, None if there was none."""
         answers = self.call(name, method, request)
         self.run(within_us)
         return answers[0] if answers else None
@@ -131,10 +131,10 @@
         )
         return self.ask(name, LEASE, request, 0)
 
-    def ask_all_leases(self, balancer, **facts):
-        """Asks every process for a lease, as a balancer that has heard all answers so far."""
+    def ask_all_leases(self, balancer, **fields):
+        """Requests a lease from every process, as a balancer that has received all answers so far."""
         return [
-            self.ask_lease(name, balancer, last_answer_at_us=self.loop.now, **facts)
+            self.ask_lease(name, balancer, last_answer_at_us=self.loop.now, **fields)
             for name in self.processes
         ]
 
@@ -147,5 +147,5 @@
         )
         return self.ask(name, PROPOSE, request, 200_000)
 
-    def state_of(self, name, change_id):
+    def query_change(self, name, change_id):
         return self.ask(name, CHANGE, ChangeRequest(change_id=change_id), 1_000_000)
