--- a/orchidgap/net/handover/__init__.py
+++ b/orchidgap/net/handover/__init__.py
@@ -1,8 +1,8 @@
-"""Two processes of one balancer, while a new version takes the place of an old one.
+"""Handover between two processes of one balancer, while a new version replaces an old one.
 
-The new process calls the serving one on a Unix socket of packets and is told what that one
-knows. From then on each tells the other what it has in flight; once the new one serves and the old
-one leaves, its connections are handed over too. What the two say to each other stands in
-`messages`; `coordinator` brings them together. A process that shares its listener with no other
-loads none of that: it has a `NoHandover`.
+The new process connects to the serving one over a Unix packet socket and receives a snapshot of its
+state. From then on each process sends the other its open requests and its attempts in flight. Once
+the new process serves and the old one shuts down, the old one also hands over its connections.
+`messages` defines the messages between the two, and `coordinator` runs the handover. A process that
+does not share its listener loads none of these modules: it has a `NoHandover`.
 """
--- a/orchidgap/net/handover/absent.py
+++ b/orchidgap/net/handover/absent.py
@@ -1,4 +1,4 @@
-"""What stands in the place of a handover in a process that shares its listener with no other."""
+"""The null object that replaces `Handover` in a process that does not share its listener."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class NoHandover:
-    """There is no other process, and none will come."""
+    """A handover without another process, now or later."""
 
     active = False
     awaiting_snapshot = False
 
     def __init__(self, clients: ClientListener) -> None:
-        """Keep the clients' side."""
+        """Use this listener for clients."""
         self.clients = clients
 
     def is_request_open(self, request_id: bytes) -> bool:
-        """Whether a request of this id is open in another process: never."""
+        """Whether a request with this id is open in another process: always false."""
         return False
 
     def announce_serving(self) -> None:
-        """From now on clients come here."""
+        """Accept clients from now on."""
         self.clients.return_to_listener()
 
     def close(self) -> None:
-        """This process ends."""
+        """Release nothing: no resources are held."""
--- a/orchidgap/net/handover/coordinator.py
+++ b/orchidgap/net/handover/coordinator.py
@@ -1,4 +1,4 @@
-"""This process's side of a handover: who else is there, what they are told, and how they part."""
+"""This process's side of a handover: finding the other processes, updating them, and the end."""
 
 from __future__ import annotations
 
@@ -13,18 +13,31 @@
 from orchidgap.net.loop import Loop
 
 SNAPSHOT_TIMEOUT_US = (
-    1_500_000  # for the predecessor to tell what it knows; then it is done without
+    1_500_000  # for the predecessor to send its snapshot; after that this process serves without
 )
 NOTIFY_INTERVAL_US = 5_000
 
 
 class Handover:
-    """This process among those of its balancer."""
+    """Coordinates this process with the other processes of its balancer.
+
+    Attributes:
+        loop: The event loop.
+        node: The node of this process.
+        shared: Whether this process shares its listener with the other processes.
+        predecessor: The older process, None where there is none.
+        successor: The newer process, None where there is none.
+        active: Whether there is another process.
+        awaiting_snapshot: Whether the predecessor's snapshot is still due.
+        rendezvous: The socket by which newer processes find this one.
+    """
 
     def __init__(
         self, loop: Loop, node: HandoverNode, folder: str | None = None, shared: bool = False
     ) -> None:
-        """`folder` is common to all processes of this balancer; `shared` where they share its
+        """Start without another process.
+
+        `folder` is common to all processes of this balancer; `shared` says whether they share its
         listener.
         """
         self.loop = loop
@@ -32,22 +45,24 @@
         self.shared = shared
         self.predecessor: Predecessor | None = None
         self.successor: Successor | None = None
-        self.active = False  # there is another process
-        self.awaiting_snapshot = False  # of the predecessor
+        self.active = False
+        self.awaiting_snapshot = False
         self.rendezvous = Rendezvous(loop, folder, node.config.name)
 
-    # --- how they find each other
+    # --- discovery of the other process
 
     def find_predecessor(self) -> None:
-        """Look for a process that serves already. Where one could not be seen, each has to do with
-        half of the descriptors.
+        """Look for a process that already serves.
+
+        Without a common folder the processes cannot find each other, so each limits itself to half
+        of the descriptors.
         """
         if not self.shared:
             return
         if not self.rendezvous.has_folder():
             half = self.node.config.descriptors // 2
             self.node.event_log(
-                "handover unavailable", why="no folder that both see", descriptors=half
+                "handover unavailable", why="no folder common to both processes", descriptors=half
             )
             self.node.set_descriptor_limit(half)
             return
@@ -56,7 +71,7 @@
             self.join_predecessor(sock)
 
     def join_predecessor(self, sock: socket.socket) -> None:
-        """There is one: it accepts clients until this process can."""
+        """Connect to a predecessor, which accepts clients until this process is ready."""
         self.predecessor = Predecessor(self.loop, self.node, sock, self)
         self.active = True
         self.awaiting_snapshot = True
@@ -67,7 +82,7 @@
         self.notify_siblings()
 
     def announce_serving(self) -> None:
-        """From now on clients come here, and a newer process finds this one."""
+        """Accept clients from now on, and let newer processes find this one."""
         self.node.clients.return_to_listener()
         if self.predecessor:
             self.predecessor.channel.send(Serving())
@@ -79,89 +94,89 @@
                 self.node.event_log("handover unavailable", why=why)
 
     def accept_successor(self, sock: socket.socket) -> None:
-        """A newer process is there. Should there have been one before, that one has failed."""
+        """Accept a connection from a newer process. An earlier successor counts as failed."""
         if self.successor:
-            self.successor.channel.fail("another came")
+            self.successor.channel.fail("replaced by another successor")
         self.successor = Successor(self.loop, self.node, sock, self)
         self.active = True
 
-    # --- what each keeps telling
+    # --- updates between the processes
 
     def siblings(self) -> list[SiblingProcess]:
-        """The other processes of this balancer, the older first."""
+        """The other processes of this balancer, the older one first."""
         return [sibling for sibling in (self.predecessor, self.successor) if sibling]
 
     def is_request_open(self, request_id: bytes) -> bool:
-        """Whether a request of this id is open in another process."""
+        """Whether a request with this id is open in another process."""
         name = request_id.decode("latin-1")
         return any(name in sibling.open_request_ids for sibling in self.siblings())
 
     def notify_siblings(self) -> None:
-        """Tell the others what is in flight here, again and again while there are others."""
+        """Send the other processes what is in flight here; repeats itself while there are any."""
         if not self.siblings():
             return
-        now = self.take_snapshot()
+        snapshot = self.take_snapshot()
         if self.successor:
             self.successor.limit_own_descriptors()
         if self.predecessor:
-            self.predecessor.notify(now, 0)
+            self.predecessor.notify(snapshot, 0)
         if self.successor:
-            self.successor.notify(now, self.successor.descriptors_left())
+            self.successor.notify(snapshot, self.successor.remaining_descriptors())
         if self.successor and self.node.lifecycle.migrates_connections:
             self.successor.hand_over_connections()
         self.loop.call_later(NOTIFY_INTERVAL_US, self.notify_siblings)
 
     def take_snapshot(self) -> Snapshot:
-        """What this process has in flight."""
+        """The requests and attempts that this process has in flight."""
         request_ids = {request_id.decode("latin-1") for request_id in self.node.open_request_ids}
         hosts = self.node.balancer.hosts.values()
         return Snapshot(request_ids, {host.id: host.in_flight for host in hosts if host.in_flight})
 
     def on_counts_changed(self) -> None:
-        """What other processes have in flight at a host counts there too."""
+        """Pass on to the decisions how many attempts the other processes have at each host."""
         in_flight: dict[str, int] = {}
         for sibling in self.siblings():
             for host, count in sibling.in_flight.items():
                 in_flight[host] = in_flight.get(host, 0) + count
         self.node.call_decisions(self.node.balancer.on_sibling_in_flight, in_flight)
 
-    # --- how they part
+    # --- the end of a handover
 
     def end_snapshot_wait(self) -> None:
-        """The predecessor has told what it knows, or has had its time."""
+        """Stop waiting: the predecessor's snapshot has arrived, or its timeout has expired."""
         if self.awaiting_snapshot:
             self.awaiting_snapshot = False
             self.node.check_ready()
 
-    def on_predecessor_gone(self, why: str) -> None:
-        """It ended: this process goes on by itself."""
+    def on_predecessor_disconnect(self, why: str) -> None:
+        """Go on alone: the predecessor, or the channel to it, has ended."""
         open_requests = len(self.predecessor.open_request_ids) if self.predecessor else 0
         self.node.event_log("predecessor gone", why=why, reqs=open_requests)
         self.predecessor = None
         was_waiting = self.awaiting_snapshot
         self.awaiting_snapshot = False
-        self.on_sibling_gone()
+        self.on_sibling_disconnect()
         self.node.clients.return_to_listener()
         if was_waiting:
             self.node.check_ready()
 
-    def on_successor_gone(self, why: str) -> None:
-        """It failed, or ended before this process: all is as before it came."""
+    def on_successor_disconnect(self, why: str) -> None:
+        """Restore the state before the handover: the successor failed, or ended first."""
         self.node.event_log("successor gone", why=why)
         self.successor = None
         self.node.lifecycle.set_successor_accepts(False)
-        self.on_sibling_gone()
+        self.on_sibling_disconnect()
         self.node.clients.return_to_listener()
 
-    def on_sibling_gone(self) -> None:
-        """One process fewer: the last one has all descriptors."""
+    def on_sibling_disconnect(self) -> None:
+        """Account for one process fewer: the last one may use all descriptors."""
         self.active = bool(self.siblings())
         if not self.active:
             self.node.set_descriptor_limit(self.node.config.descriptors)
         self.on_counts_changed()
 
     def close(self) -> None:
-        """This process ends."""
+        """Close all channels: this process ends."""
         for sibling in self.siblings():
             sibling.channel.close()
         self.rendezvous.close(keep_file=self.successor is not None)
--- a/orchidgap/net/handover/listener_inheritance.py
+++ b/orchidgap/net/handover/listener_inheritance.py
@@ -1,4 +1,4 @@
-"""The listening socket that a process inherits from whoever started it."""
+"""The listening socket that a process inherits from its parent process."""
 
 from __future__ import annotations
 
@@ -7,25 +7,27 @@
 from orchidgap.errors import ConfigError
 from orchidgap.net.receive_timestamps import enable_receive_timestamps
 
-VARIABLE = "GW_PASSED_SOCKET"
+ENVIRONMENT_VARIABLE = "GW_PASSED_SOCKET"
 
 
 def inherited_listener(number: str) -> socket.socket:
-    """The listening socket with this descriptor number, which asks for timestamps from now on.
+    """Return the listening socket with this descriptor number, with receive timestamps enabled.
 
-    Raises ConfigError.
+    Raises ConfigError where the descriptor is not a listening TCP socket.
     """
     try:
         listener = socket.socket(fileno=int(number))
     except (ValueError, OverflowError, OSError) as error:
-        raise ConfigError(f"{VARIABLE} is {number!r}, which is no open socket: {error}") from None
+        raise ConfigError(
+            f"{ENVIRONMENT_VARIABLE} is {number!r}, which is no open socket: {error}"
+        ) from None
     try:
         listens = listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
     except OSError:
         listens = 0
     if not listens or (listener.family, listener.type) != (socket.AF_INET, socket.SOCK_STREAM):
         listener.detach()
-        raise ConfigError(f"{VARIABLE} is {number}, which is no listening TCP socket")
+        raise ConfigError(f"{ENVIRONMENT_VARIABLE} is {number}, which is no listening TCP socket")
     listener.setblocking(False)
     enable_receive_timestamps(listener)
     return listener
--- a/orchidgap/net/handover/messages.py
+++ b/orchidgap/net/handover/messages.py
@@ -1,9 +1,9 @@
-"""Messages between two processes of one balancer, and their words on the wire.
+"""Messages between two processes of one balancer, and their names on the wire.
 
-A packet is a JSON list on one line, whose first entry names the message, and after that line raw
-bytes which only a migrated request has. Versions before and after run side by side: words, order
-and types of the entries stay as they are, and `WIRE_FORMAT` would tell a process that writes them
-otherwise.
+A packet is a JSON list on one line, whose first item is the name of the message. Raw bytes may
+follow that line; only migrated requests have any. Older and newer versions run side by side, so the
+names, the order and the types of the items must not change. A version that writes them differently
+has to use another `WIRE_FORMAT`.
 """
 
 from __future__ import annotations
@@ -17,64 +17,68 @@
 
 
 class Hello(NamedTuple):
-    """The successor's first message: its format, and of which balancer it is a process."""
+    """The successor's first message: its wire format and the name of its balancer."""
 
     wire_format: int
     balancer: str
 
 
 class DescriptorGrant(NamedTuple):
-    """To the successor: how many descriptors it may hold."""
+    """To the successor: how many descriptors it may use."""
 
     descriptors: int
 
 
 class EndpointChunk(NamedTuple):
-    """To the successor: part of the list of hosts."""
+    """To the successor: part of the host list."""
 
     endpoints: Sequence[Sequence[Any]]
 
 
 class HostSnapshots(NamedTuple):
-    """To the successor: what is known of some hosts, by id."""
+    """To the successor: snapshots of some hosts, by host id."""
 
     hosts: Mapping[str, Any]
 
 
 class SnapshotEnd(NamedTuple):
-    """To the successor: list and host snapshots are complete; what is known of tenants comes with
-    it.
+    """To the successor: the host list and the host snapshots are complete.
+
+    Contains the snapshot of the tenants.
     """
 
     tenants: Any
 
 
 class Serving(NamedTuple):
-    """To the predecessor: clients come to the successor from now on."""
+    """To the predecessor: the successor accepts clients from now on."""
 
 
 class Counts(NamedTuple):
-    """Both ways, where something has changed since the last one."""
+    """In both directions: requests opened and closed since the last message, and attempts."""
 
-    opened: list[str]  # ids of requests
-    closed: list[str]
-    in_flight: dict[str, int]  # attempts by host
+    opened: list[str]  # request ids
+    closed: list[str]  # request ids
+    in_flight: dict[str, int]  # attempts by host id
 
 
 class IdleClients(NamedTuple):
-    """To the successor, with the sockets of clients on which no request is."""
+    """To the successor, with the sockets of client connections without a request."""
 
 
 class IdleConnections(NamedTuple):
-    """To the successor, with the sockets of idle connections to hosts, and one tag for each."""
+    """To the successor, with the sockets of idle connections to hosts and one tag per socket."""
 
     tags: Sequence[Any]
 
 
 class MigratedRequest(NamedTuple):
-    """To the successor, with the sockets of a request under way; the protocol knows the words."""
+    """To the successor, with the sockets of a request in progress.
+
+    The client protocol defines the items.
+    """
 
-    words: list[Any]
+    items: list[Any]
 
 
 Message = (
@@ -90,7 +94,7 @@
     | MigratedRequest
 )
 
-WORDS: dict[type[Any], str] = {
+WIRE_NAMES: dict[type[Any], str] = {
     Hello: "hello",
     DescriptorGrant: "room",
     EndpointChunk: "list",
@@ -101,14 +105,14 @@
     IdleClients: "clients",
     IdleConnections: "links",
 }
-TYPES = {word: message_type for message_type, word in WORDS.items()}
-EXACT_TYPES = (Hello, Counts)  # of the others, entries beyond those known are passed over
-MIGRATED_WORDS = frozenset(("begun", "answer", "upload"))
-ENTRY_TYPES = [str, str, int, str, str, str]  # of a host's entry, before its share
+MESSAGE_TYPES = {wire_name: message_type for message_type, wire_name in WIRE_NAMES.items()}
+EXACT_TYPES = (Hello, Counts)  # surplus items of other messages are ignored
+MIGRATED_REQUEST_NAMES = frozenset(("begun", "answer", "upload"))
+ENTRY_TYPES = [str, str, int, str, str, str]  # fields of an `EndpointEntry` before its share
 
 
 def to_wire(message: Message) -> list[Any]:
-    """The list that stands on the packet's line.
+    """Return the JSON list of a packet.
 
     >>> to_wire(Hello(WIRE_FORMAT, "n0")), to_wire(Serving())
     (['hello', 1, 'n0'], ['serving'])
@@ -116,41 +120,44 @@
     ['now', ['r1'], [], {'c0': 2}]
     """
     if isinstance(message, MigratedRequest):
-        return message.words
-    return [WORDS[type(message)], *message]
+        return message.items
+    return [WIRE_NAMES[type(message)], *message]
 
 
-def from_wire(words: list[Any]) -> Message:
-    """The message of a packet's line. Raises ValueError for one that does not exist, TypeError for
-    one whose number of entries is wrong.
+def from_wire(items: list[Any]) -> Message:
+    """Return the message of a packet's JSON list.
+
+    Raises ValueError for an unknown message, TypeError for a wrong number of items.
 
     >>> from_wire(["room", 100]), from_wire(["begun"])
-    (DescriptorGrant(descriptors=100), MigratedRequest(words=['begun']))
+    (DescriptorGrant(descriptors=100), MigratedRequest(items=['begun']))
     >>> from_wire(["what"])
     Traceback (most recent call last):
         ...
     ValueError: unknown message 'what'
     """
-    if words[0] in MIGRATED_WORDS:
-        return MigratedRequest(words)
-    message_type = TYPES.get(words[0])
+    if items[0] in MIGRATED_REQUEST_NAMES:
+        return MigratedRequest(items)
+    message_type = MESSAGE_TYPES.get(items[0])
     if message_type is None:
-        raise ValueError(f"unknown message {words[0]!r}")
+        raise ValueError(f"unknown message {items[0]!r}")
     is_exact = message_type in EXACT_TYPES
-    entries = words[1:] if is_exact else words[1 : 1 + len(message_type._fields)]
-    message: Message = message_type(*entries)
+    values = items[1:] if is_exact else items[1 : 1 + len(message_type._fields)]
+    message: Message = message_type(*values)
     return message
 
 
 def endpoints_of(chunk: EndpointChunk) -> dict[str, tuple[EndpointEntry, Endpoint]]:
-    """The part of the list that a chunk holds, by host id. Raises ValueError, TypeError or
-    LookupError where an entry is none: the decisions rely on their types.
+    """Return the entries and endpoints of a chunk of the host list, by host id.
+
+    Raises ValueError, TypeError or LookupError for an invalid entry: the decisions rely on the
+    types of its fields.
     """
     found: dict[str, tuple[EndpointEntry, Endpoint]] = {}
     for entry, (host_id, state, (host, port)) in chunk.endpoints:
         types = [type(value) for value in entry[: len(ENTRY_TYPES)]]
         if types != ENTRY_TYPES or len(entry) != len(ENTRY_TYPES) + 1:
-            raise ValueError("no entry of a list")
+            raise ValueError("invalid entry of the host list")
         found[host_id] = (
             EndpointEntry._make([*entry[: len(ENTRY_TYPES)], float(entry[-1])]),
             Endpoint(str(host_id), str(state), (str(host), int(port))),
--- a/orchidgap/net/handover/packet_channel.py
+++ b/orchidgap/net/handover/packet_channel.py
@@ -1,4 +1,4 @@
-"""Packets between two processes of one balancer, with the descriptors that go with them."""
+"""Packets and descriptors between two processes of one balancer."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from orchidgap.net.loop import READ, WRITE, Loop
 
 MAX_PACKET_BYTES = 1 << 18
-MAX_DESCRIPTORS = 24  # in a packet
-MAX_QUEUED_PACKETS = 256  # for a process that does not read
-MAX_PACKETS_A_TURN = 24  # before others get theirs
+MAX_DESCRIPTORS_PER_PACKET = 24
+MAX_QUEUED_PACKETS = 256  # beyond this the other process counts as not reading
+MAX_PACKETS_PER_TURN = 24  # so that other sockets are also served in this turn
 MAX_REASON_LENGTH = 120
-# not now, and perhaps not at all; the channel goes on
+# The packet cannot be sent now, and perhaps never; the channel stays open.
 TRANSIENT_ERRNOS = OUT_OF_RESOURCES_ERRNOS | {errno.ETOOMANYREFS, errno.EMSGSIZE}
 
 
 class PacketChannel:
-    """One end of a socket of packets.
+    """One end of a packet socket.
 
-    `on_message` is given a message, the raw bytes behind it and descriptors that are closed after
-    the call. It raises ValueError, TypeError, LookupError or AttributeError for what makes no
-    sense, which ends the channel. `on_end` is told why the channel ended, once, and not after
-    `close`.
+    `on_message` receives a message, the raw bytes that follow it and its descriptors, which are
+    closed after the call. It raises ValueError, TypeError, LookupError or AttributeError for an
+    invalid message, which ends the channel. `on_end` is called once with the reason when the
+    channel ends, but not after `close`.
     """
 
     def __init__(
@@ -40,12 +40,12 @@
         on_message: Callable[[Message, bytes, list[int]], None],
         on_end: Callable[[str], None],
     ) -> None:
-        """Speak on a socket of packets that is connected."""
+        """Use a connected packet socket."""
         self.loop = loop
         self.sock = sock
         self.on_message = on_message
         self.on_end = on_end
-        self.queue: deque[bytes] = deque()  # to be sent, in this order
+        self.queue: deque[bytes] = deque()  # packets to send, in this order
         self.mask = READ
         sock.setblocking(False)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * MAX_PACKET_BYTES)
@@ -53,16 +53,16 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it was neither closed nor ended."""
+        """Whether the channel has neither been closed nor failed."""
         return self.sock.fileno() >= 0
 
     def send(self, message: Message) -> None:
-        """Send a message behind those before it, as soon as the other process reads."""
+        """Queue a message, and send it as soon as the other process has read those before it."""
         self.queue.append(orjson.dumps(to_wire(message)))
         self.flush()
 
     def flush(self) -> None:
-        """Send what the kernel takes now."""
+        """Send as many queued packets as the kernel accepts now."""
         try:
             while self.queue:
                 self.sock.send(self.queue[0])
@@ -72,7 +72,7 @@
         except OSError as error:
             return self.fail(error.strerror or "broken")
         if len(self.queue) > MAX_QUEUED_PACKETS:
-            return self.fail("does not read")
+            return self.fail("send queue full: the other process does not read")
         mask = READ | (WRITE if self.queue else 0)
         if mask != self.mask:
             self.mask = mask
@@ -82,7 +82,7 @@
     def send_with_sockets(
         self, message: Message, sockets: Sequence[socket.socket], raw: bytes = b""
     ) -> bool:
-        """Send a message with descriptors at once, or not at all; returns whether it was sent."""
+        """Send a message with descriptors now or not at all, and return whether it was sent."""
         if self.queue or not self.is_open:
             return False
         packet = [orjson.dumps(to_wire(message)), b"\n", raw]
@@ -97,19 +97,19 @@
         return True
 
     def on_ready(self, mask: int) -> None:
-        """The socket can be read or written."""
+        """Handle a socket that can be read or written."""
         if mask & WRITE:
             self.flush()
-        for _ in range(MAX_PACKETS_A_TURN):
+        for _ in range(MAX_PACKETS_PER_TURN):
             if not self.is_open or not self.receive():
                 return
 
     def receive(self) -> bool:
-        """Read one packet; returns whether there may be more."""
+        """Read one packet, and return whether there may be more."""
         fds: list[int] = []
         try:
             packet, fds, flags, _ = socket.recv_fds(
-                self.sock, MAX_PACKET_BYTES, MAX_DESCRIPTORS, socket.MSG_CMSG_CLOEXEC
+                self.sock, MAX_PACKET_BYTES, MAX_DESCRIPTORS_PER_PACKET, socket.MSG_CMSG_CLOEXEC
             )
         except BlockingIOError:
             return False
@@ -122,7 +122,7 @@
         try:
             self.dispatch(packet, flags, fds)
         except (ValueError, TypeError, LookupError, AttributeError) as error:
-            self.fail(f"odd message: {error}"[:MAX_REASON_LENGTH])
+            self.fail(f"invalid message: {error}"[:MAX_REASON_LENGTH])
             return False
         finally:
             for fd in fds:
@@ -131,24 +131,25 @@
         return True
 
     def dispatch(self, packet: bytes, flags: int, fds: list[int]) -> None:
-        """Decode a packet and pass its message on. Raises ValueError and the like where it is
-        none.
+        """Decode a packet and pass its message on.
+
+        Raises ValueError, TypeError, LookupError or AttributeError for an invalid packet.
         """
         line, _, raw = packet.partition(b"\n")
-        words = orjson.loads(line)
-        is_cut_off = flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC)
-        if is_cut_off or not isinstance(words, list) or not words:
-            raise ValueError("cut off")
-        self.on_message(from_wire(words), raw, fds)
+        items = orjson.loads(line)
+        is_truncated = flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC)
+        if is_truncated or not isinstance(items, list) or not items:
+            raise ValueError("packet truncated or not a non-empty list")
+        self.on_message(from_wire(items), raw, fds)
 
     def fail(self, why: str) -> None:
-        """End the channel and tell the owner why."""
+        """Close the channel, and call `on_end` with the reason."""
         if self.is_open:
             self.close()
             self.on_end(why)
 
     def close(self) -> None:
-        """Close without a word to the owner."""
+        """Close the channel without calling `on_end`."""
         if self.is_open:
             self.loop.unwatch(self.sock)
             self.sock.close()
--- a/orchidgap/net/handover/ports.py
+++ b/orchidgap/net/handover/ports.py
@@ -1,4 +1,4 @@
-"""What a handover needs of the node, and what the protocols hand over."""
+"""The interface of the node that a handover uses, and the requests that protocols hand over."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class MigratingRequest(NamedTuple):
-    """A request under way that goes on in another process."""
+    """A request in progress that another process continues."""
 
-    words: list[Any]  # the message that describes it, as the protocol writes it
-    raw: bytes  # follows the message in its packet
+    items: list[Any]  # the message that describes the request, in the format of its protocol
+    raw: bytes  # bytes that follow the message in its packet
     sockets: list[socket.socket]
-    detach: Callable[[], None]  # called once all of it has been sent
+    detach: Callable[[], None]  # called once the message has been sent
 
 
 class HandoverNode(Protocol):
-    """The node, as far as a handover reads and changes it."""
+    """The parts of a node that a handover reads and changes."""
 
     @property
     def config(self) -> BalancerConfig:
-        """What this balancer was told at start, or read since."""
+        """The configuration, as read at start or reloaded since."""
 
     @property
     def event_log(self) -> EventLog:
-        """Where events are written."""
+        """The log of events."""
 
     @property
     def lifecycle(self) -> Lifecycle:
@@ -43,11 +43,11 @@
 
     @property
     def balancer(self) -> Balancer:
-        """What decides."""
+        """The decisions of this balancer."""
 
     @property
     def clients(self) -> ClientListener:
-        """The clients' side."""
+        """The listener, with the connections of clients."""
 
     @property
     def pools(self) -> ConnectionPools[Any]:
@@ -55,43 +55,44 @@
 
     @property
     def endpoints(self) -> Mapping[str, tuple[EndpointEntry, Endpoint]]:
-        """The list of hosts as it was received, by id."""
+        """The host list as it was received, by host id."""
 
     @property
     def exchanges(self) -> Collection[int]:
-        """Numbers of the requests under way."""
+        """Numbers of the requests in progress."""
 
     @property
     def open_request_ids(self) -> Collection[bytes]:
-        """Ids of the requests whose clients still wait."""
+        """Ids of the requests that have not been answered."""
 
     @property
     def descriptor_limit(self) -> int:
-        """Descriptors that this process may hold."""
+        """How many descriptors this process may use."""
 
     @property
     def has_warm_state(self) -> bool:
-        """Whether what decides here can export and restore a snapshot."""
+        """Whether the decisions can export and restore a snapshot."""
 
     def set_descriptor_limit(self, descriptors: int) -> None:
-        """Hold no more descriptors than these."""
+        """Use at most this many descriptors."""
 
     def descriptors_needed(self) -> int:
-        """Descriptors that it holds, or needs at once."""
+        """How many descriptors the node uses or needs immediately."""
 
     def on_list(self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]) -> None:
-        """Take the list of hosts, or changes to it."""
+        """Apply the host list, or changes to it."""
 
     def check_ready(self) -> None:
-        """Serve, where nothing is waited for any more."""
+        """Begin to serve, unless something is still awaited."""
 
     def call_decisions(self, call: Callable[..., None], *args: Any) -> None:
-        """Make one call of the decisions."""
+        """Call a function of the decisions."""
 
     def migrating_requests(self) -> Iterable[MigratingRequest]:
-        """Requests that can go on in another process, each as it stands."""
+        """The requests that another process can continue, each in its current state."""
 
-    def accept_migrated(self, words: list[Any], raw: bytes, sockets: list[socket.socket]) -> None:
-        """A request that comes from another process. Raises ValueError or the like where it makes
-        no sense.
+    def accept_migrated(self, items: list[Any], raw: bytes, sockets: list[socket.socket]) -> None:
+        """Continue a request from another process.
+
+        Raises ValueError, TypeError, LookupError or AttributeError for an invalid message.
         """
--- a/orchidgap/net/handover/predecessor.py
+++ b/orchidgap/net/handover/predecessor.py
@@ -1,4 +1,4 @@
-"""The process that served before this one: its knowledge and its connections come here."""
+"""The process that served before this one, which hands over its state and its connections."""
 
 from __future__ import annotations
 
@@ -26,37 +26,37 @@
 
 
 class PredecessorOwner(SiblingOwner, Protocol):
-    """Who waits for what the predecessor knows."""
+    """The owner of a `Predecessor`, which waits for its snapshot."""
 
     awaiting_snapshot: bool
 
     def end_snapshot_wait(self) -> None:
-        """The snapshot was restored."""
+        """Handle the end of the snapshot, which has been restored."""
 
-    def on_predecessor_gone(self, why: str) -> None:
-        """It has ended, or the channel to it has."""
+    def on_predecessor_disconnect(self, why: str) -> None:
+        """Handle the end of the predecessor, or of the channel to it."""
 
 
 class Predecessor(SiblingProcess):
-    """The older process, as this one sees it."""
+    """The channel to the older process, and the parts of its snapshot received so far."""
 
     owner: PredecessorOwner
 
     def __init__(
         self, loop: Loop, node: HandoverNode, sock: socket.socket, owner: PredecessorOwner
     ) -> None:
-        """Speak with the older process on a socket of packets."""
+        """Communicate with the older process over a packet socket."""
         self.loop = loop
-        self.endpoints: dict[str, tuple[EndpointEntry, Endpoint]] = {}  # while the list is told
-        self.host_snapshots: dict[str, Any] = {}  # while they are told
+        self.endpoints: dict[str, tuple[EndpointEntry, Endpoint]] = {}  # until the snapshot ends
+        self.host_snapshots: dict[str, Any] = {}  # until the snapshot ends
         super().__init__(loop, node, sock, owner)
 
     def on_message(self, message: Message, raw: bytes, fds: list[int]) -> None:
-        """Whatever the predecessor tells or hands over."""
+        """Handle a message from the predecessor."""
         match message:
             case DescriptorGrant(descriptors):
-                most = self.node.config.descriptors
-                self.node.set_descriptor_limit(max(MIN_DESCRIPTORS, min(int(descriptors), most)))
+                total = self.node.config.descriptors
+                self.node.set_descriptor_limit(max(MIN_DESCRIPTORS, min(int(descriptors), total)))
             case EndpointChunk():
                 self.endpoints.update(endpoints_of(message))
             case HostSnapshots(hosts):
@@ -70,8 +70,9 @@
                 self.accept_connections(message, raw, fds)
 
     def accept_connections(self, message: Message, raw: bytes, fds: list[int]) -> None:
-        """Connections that are handed over. The channel closes its descriptors, so each is
-        duplicated.
+        """Adopt connections that are handed over.
+
+        Each descriptor is duplicated, as the channel closes those that it received.
         """
         match message:
             case IdleClients():
@@ -80,14 +81,15 @@
             case IdleConnections(tags):
                 for fd, tag in zip(fds, tags):
                     self.node.pools.adopt_connection(tag, duplicate(fd))
-            case MigratedRequest(words):
-                self.node.accept_migrated(words, raw, [duplicate(fd) for fd in fds])
+            case MigratedRequest(items):
+                self.node.accept_migrated(items, raw, [duplicate(fd) for fd in fds])
             case _:
-                raise ValueError(f"not from a predecessor: {message!r}")
+                raise ValueError(f"unexpected message from a predecessor: {message!r}")
 
     def restore_snapshot(self, tenants: Any) -> None:
-        """All is told: the list, which is newer than what this process was started with, and the
-        rest.
+        """Restore the complete snapshot.
+
+        Its host list is newer than the one that this process was started with.
         """
         if self.endpoints:
             entries, found = zip(*self.endpoints.values())
@@ -103,10 +105,10 @@
         self.owner.end_snapshot_wait()
 
     def on_end(self, why: str) -> None:
-        """It has ended, or the channel to it has."""
-        self.owner.on_predecessor_gone(why)
+        """Notify the owner that the predecessor, or the channel to it, has ended."""
+        self.owner.on_predecessor_disconnect(why)
 
 
 def duplicate(fd: int) -> socket.socket:
-    """A socket on a descriptor of its own."""
+    """Return a socket on a duplicate of the descriptor."""
     return socket.socket(fileno=os.dup(fd))
--- a/orchidgap/net/handover/rendezvous.py
+++ b/orchidgap/net/handover/rendezvous.py
@@ -1,4 +1,4 @@
-"""How two processes of one balancer find each other: a Unix socket in a folder that both see."""
+"""The Unix socket by which two processes of one balancer find each other in a common folder."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 from orchidgap.net.loop import READ, Loop
 
-MAX_SOCKET_PATH_BYTES = 100  # a Unix socket's address has room for few more
+MAX_SOCKET_PATH_BYTES = 100  # slightly below the limit of a Unix socket address
 BACKLOG = 8
-CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
+PEER_CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
 
 
 class Rendezvous:
-    """The socket by which newer processes of this balancer call the one that serves."""
+    """The socket on which newer processes of this balancer connect to the serving one."""
 
     def __init__(self, loop: Loop, folder: str | None, balancer: str) -> None:
-        """`folder` is common to all processes of the balancer of this name."""
+        """Use a folder that is common to all processes of the balancer with this name."""
         name = f"orchidgap-{crc32(balancer.encode()):08x}"
         self.loop = loop
         self.path = os.path.join(folder, name) if folder else ""
         self.listener: socket.socket | None = None
-        self.on_call: Callable[[socket.socket], None] | None = None
+        self.on_connection: Callable[[socket.socket], None] | None = None
 
     def has_folder(self) -> bool:
-        """Whether there is a folder in which another process could be found."""
+        """Whether the folder in which processes find each other exists."""
         return bool(self.path) and os.path.isdir(os.path.dirname(self.path))
 
     def connect(self) -> socket.socket | None:
-        """A connection to the process that serves; None where none is, or none answers."""
+        """Connect to the serving process; None where there is none, or it does not accept."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             with ShortPath(self.path) as path:
@@ -43,48 +43,48 @@
             return None
         return sock
 
-    def listen(self, on_call: Callable[[socket.socket], None]) -> None:
-        """Have newer processes find this one: `on_call` is given each one's connection. Raises
-        OSError.
+    def listen(self, on_connection: Callable[[socket.socket], None]) -> None:
+        """Let newer processes find this one: `on_connection` receives the connection of each.
 
-        The socket is bound under a name of its own and then renamed, so that there is never a
-        moment in which nobody is found.
+        The socket is bound under a temporary name and then renamed, so that a newer process finds
+        a serving one at any time. Raises OSError.
         """
-        own_path = f"{self.path}.{os.getpid()}"
+        temporary_path = f"{self.path}.{os.getpid()}"
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             listener.setblocking(False)
-            with ShortPath(own_path) as path, suppress(FileNotFoundError):
+            with ShortPath(temporary_path) as path, suppress(FileNotFoundError):
                 os.unlink(path)
-            with ShortPath(own_path) as path:
+            with ShortPath(temporary_path) as path:
                 listener.bind(path)
             listener.listen(BACKLOG)
-            os.replace(own_path, self.path)
+            os.replace(temporary_path, self.path)
         except OSError:
             listener.close()
             raise
         self.listener = listener
-        self.on_call = on_call
+        self.on_connection = on_connection
         self.loop.watch(listener, READ, self.accept)
 
     def accept(self, mask: int = READ) -> None:
-        """Accept calls; another user's process is not spoken with, as it would be handed
-        descriptors.
+        """Accept connections from processes of the same user only.
+
+        A process that connects here receives descriptors.
         """
-        while self.listener and self.on_call:
+        while self.listener and self.on_connection:
             try:
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            peer = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
-            _, user, _ = CREDENTIALS.unpack(peer)
-            if user != os.getuid():
+            peer = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+            _, user_id, _ = PEER_CREDENTIALS.unpack(peer)
+            if user_id != os.getuid():
                 sock.close()
                 continue
-            self.on_call(sock)
+            self.on_connection(sock)
 
     def close(self, keep_file: bool) -> None:
-        """Accept no more calls. The file is kept where it is another process's by now."""
+        """Accept no more connections. Keep the file if it now belongs to another process."""
         if self.listener:
             with suppress(OSError):
                 if not keep_file:
@@ -95,23 +95,24 @@
 
 
 class ShortPath:
-    """A path that fits into a Unix socket's address, by its folder's descriptor where it is too
-    long.
+    """Context manager for a path that fits into a Unix socket address.
+
+    A path that is too long is replaced by one through the descriptor of its folder.
     """
 
     def __init__(self, path: str) -> None:
-        """Keep the path."""
+        """Shorten this path where necessary."""
         self.path = path
         self.folder_fd = -1
 
     def __enter__(self) -> str:
-        """The path to use."""
+        """Return the path to use."""
         if len(self.path.encode()) < MAX_SOCKET_PATH_BYTES:
             return self.path
         self.folder_fd = os.open(os.path.dirname(self.path), os.O_PATH | os.O_DIRECTORY)
         return f"/proc/self/fd/{self.folder_fd}/{os.path.basename(self.path)}"
 
     def __exit__(self, *_: object) -> None:
-        """Close the folder."""
+        """Close the folder's descriptor."""
         if self.folder_fd >= 0:
             os.close(self.folder_fd)
--- a/orchidgap/net/handover/successor.py
+++ b/orchidgap/net/handover/successor.py
@@ -1,4 +1,4 @@
-"""The process that comes after this one: it is told what this one knows, and gets connections."""
+"""The process that replaces this one, and receives its state and its connections."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
     Serving,
     SnapshotEnd,
 )
-from orchidgap.net.handover.packet_channel import MAX_DESCRIPTORS
+from orchidgap.net.handover.packet_channel import MAX_DESCRIPTORS_PER_PACKET
 from orchidgap.net.handover.sibling import MIN_DESCRIPTORS, SiblingOwner, SiblingProcess
 from orchidgap.net.traffic_counts import ConnectionEnd
 
-HOSTS_IN_A_PACKET = 32
-SPARE_DESCRIPTORS = 8  # beyond those held, for this process to go on
+HOSTS_PER_PACKET = 32
+SPARE_DESCRIPTORS = 8  # beyond those in use, so that this process can continue
 
 
 class SuccessorOwner(SiblingOwner, Protocol):
-    """Who is told of the successor."""
+    """The owner of a `Successor`."""
 
     def notify_siblings(self) -> None:
-        """Tell it what this process has in flight, from now on again and again."""
+        """Start to send what this process has in flight, repeatedly."""
 
-    def on_successor_gone(self, why: str) -> None:
-        """It failed, or ended before this process."""
+    def on_successor_disconnect(self, why: str) -> None:
+        """Handle a successor that failed, or ended before this process."""
 
 
 class Successor(SiblingProcess):
-    """The newer process, as this one sees it."""
+    """The channel to the newer process."""
 
     owner: SuccessorOwner
 
     def on_message(self, message: Message, raw: bytes, fds: list[int]) -> None:
-        """What the successor tells."""
+        """Handle a message from the successor."""
         match message:
             case Hello():
                 self.on_hello(message)
@@ -52,26 +52,27 @@
             case Counts():
                 self.apply_counts(message)
             case _:
-                raise ValueError(f"not from a successor: {message!r}")
+                raise ValueError(f"unexpected message from a successor: {message!r}")
 
     def on_hello(self, hello: Hello) -> None:
-        """Tell it everything. Raises ValueError where it is no process of this balancer, or writes
-        otherwise.
+        """Send the successor the state of this process.
+
+        Raises ValueError where it is a process of another balancer, or uses another wire format.
         """
         node = self.node
         if hello != Hello(WIRE_FORMAT, node.config.name):
-            raise ValueError(f"not of this balancer: {hello!r}")
+            raise ValueError(f"other balancer or wire format: {hello!r}")
         node.event_log(
             "successor found", reqs=len(node.exchanges), clients=len(node.clients.open_clients)
         )
         self.limit_own_descriptors()
-        self.channel.send(DescriptorGrant(self.descriptors_left()))
+        self.channel.send(DescriptorGrant(self.remaining_descriptors()))
         self.send_endpoints()
         self.send_snapshot()
         self.owner.notify_siblings()
 
     def on_serving(self) -> None:
-        """Clients are its own from now on."""
+        """Stop accepting clients: the successor accepts them from now on."""
         node = self.node
         node.lifecycle.set_successor_accepts(True)
         node.clients.leave_listener()
@@ -80,29 +81,31 @@
         )
 
     def send_endpoints(self) -> None:
-        """The list of hosts, in parts that fit into packets."""
+        """Send the host list, in parts that fit into packets."""
         endpoints = list(self.node.endpoints.values())
-        for start in range(0, len(endpoints), HOSTS_IN_A_PACKET):
-            part = endpoints[start : start + HOSTS_IN_A_PACKET]
+        for start in range(0, len(endpoints), HOSTS_PER_PACKET):
+            part = endpoints[start : start + HOSTS_PER_PACKET]
             self.channel.send(
-                EndpointChunk([[tuple(entry), tuple(place)] for entry, place in part])
+                EndpointChunk([[tuple(entry), tuple(endpoint)] for entry, endpoint in part])
             )
 
     def send_snapshot(self) -> None:
-        """What the decisions know of hosts and tenants."""
-        known: warm_snapshot.Snapshot = {"hosts": {}, "tenants": {}}
+        """Send the decisions' snapshot of hosts and tenants."""
+        snapshot: warm_snapshot.Snapshot = {"hosts": {}, "tenants": {}}
         if self.node.has_warm_state:
-            known = warm_snapshot.export_snapshot(self.node.balancer)
-        hosts = list(known["hosts"].items())
-        for start in range(0, len(hosts), HOSTS_IN_A_PACKET):
-            self.channel.send(HostSnapshots(dict(hosts[start : start + HOSTS_IN_A_PACKET])))
-        self.channel.send(SnapshotEnd(known["tenants"]))
+            snapshot = warm_snapshot.export_snapshot(self.node.balancer)
+        hosts = list(snapshot["hosts"].items())
+        for start in range(0, len(hosts), HOSTS_PER_PACKET):
+            self.channel.send(HostSnapshots(dict(hosts[start : start + HOSTS_PER_PACKET])))
+        self.channel.send(SnapshotEnd(snapshot["tenants"]))
 
     # --- descriptors
 
     def limit_own_descriptors(self) -> None:
-        """While a successor is there this process keeps what it holds, or half; the successor has
-        the rest.
+        """Limit the descriptors of this process while there is a successor.
+
+        This process may use half of the descriptors, or as many as it needs if that is more. Once
+        it migrates its connections, only the latter counts. The successor may use the rest.
         """
         node = self.node
         total = node.config.descriptors
@@ -110,22 +113,22 @@
         needed = node.descriptors_needed() + SPARE_DESCRIPTORS
         node.set_descriptor_limit(min(total - MIN_DESCRIPTORS, max(half, needed)))
 
-    def descriptors_left(self) -> int:
-        """How many the successor may hold."""
+    def remaining_descriptors(self) -> int:
+        """How many descriptors the successor may use."""
         return self.node.config.descriptors - self.node.descriptor_limit
 
-    # --- connections, once this process leaves
+    # --- connections, once this process shuts down
 
     def hand_over_connections(self) -> None:
-        """Whatever can go now, until the channel takes no more."""
+        """Hand over all connections that can be migrated now, until the channel is full."""
         if self.hand_over_clients() and self.hand_over_idle_connections():
             self.hand_over_requests()
 
     def hand_over_clients(self) -> bool:
-        """Connections of clients on which no request is; returns whether all were sent."""
+        """Send client connections without a request, and return whether all were sent."""
         clients = self.node.clients.transferable()
-        for start in range(0, len(clients), MAX_DESCRIPTORS):
-            group = clients[start : start + MAX_DESCRIPTORS]
+        for start in range(0, len(clients), MAX_DESCRIPTORS_PER_PACKET):
+            group = clients[start : start + MAX_DESCRIPTORS_PER_PACKET]
             sockets = [client.conn.sock for client in group]
             if not self.channel.send_with_sockets(IdleClients(), sockets):
                 return False
@@ -134,10 +137,10 @@
         return True
 
     def hand_over_idle_connections(self) -> bool:
-        """Idle connections to hosts; returns whether all were sent."""
+        """Send idle connections to hosts, and return whether all were sent."""
         connections = self.node.pools.transferable()
-        for start in range(0, len(connections), MAX_DESCRIPTORS):
-            group = connections[start : start + MAX_DESCRIPTORS]
+        for start in range(0, len(connections), MAX_DESCRIPTORS_PER_PACKET):
+            group = connections[start : start + MAX_DESCRIPTORS_PER_PACKET]
             message = IdleConnections([connection.tag for connection in group])
             sockets = [connection.sock for connection in group]
             if not self.channel.send_with_sockets(message, sockets):
@@ -147,13 +150,13 @@
         return True
 
     def hand_over_requests(self) -> None:
-        """Requests under way that can go on elsewhere."""
+        """Send the requests in progress that the successor can continue."""
         for request in self.node.migrating_requests():
-            message = MigratedRequest(request.words)
+            message = MigratedRequest(request.items)
             if not self.channel.send_with_sockets(message, request.sockets, request.raw):
                 return
             request.detach()
 
     def on_end(self, why: str) -> None:
-        """It failed, or ended before this process."""
-        self.owner.on_successor_gone(why)
+        """Notify the owner that the successor failed, or ended before this process."""
+        self.owner.on_successor_disconnect(why)
