--- a/orchidgap/http1/chunked_encoding.py
+++ b/orchidgap/http1/chunked_encoding.py
@@ -1,14 +1,14 @@
 """Position in a body with chunked transfer coding (RFC 9112, section 7.1).
 
-The parser does not say where in the framing it stands. `ChunkTracker` follows the same bytes,
-so that another process can go on with a body from the middle.
+The parser does not expose its position in the framing. `ChunkTracker` follows the same bytes, so
+that another process can continue a body from the middle.
 
 | state | next |
 | --- | --- |
-| SIZE_LINE | DATA, TRAILERS after a size of 0, UNKNOWN where the size is no number |
-| DATA | DATA_END when all bytes of the chunk have passed |
+| SIZE_LINE | DATA; TRAILERS after a size of 0; UNKNOWN where the size is not a number |
+| DATA | DATA_END after the last byte of the chunk |
 | DATA_END | SIZE_LINE |
-| TRAILERS | stays |
+| TRAILERS | no other state |
 | any | UNKNOWN where a line is longer than `MAX_LINE_BYTES` |
 """
 
@@ -16,22 +16,27 @@
 
 from enum import Enum, auto
 
-MAX_LINE_BYTES = 1 << 14  # of a chunk's size line, or of all trailers
-PLACEHOLDER = b"x"  # stands for a byte of the body in `ChunkTracker.resume_text`
+MAX_LINE_BYTES = 1 << 14  # for a chunk's size line, or for all trailers together
+PLACEHOLDER = b"x"  # represents one byte of the body in `ChunkTracker.resume_text`
 
 
 class ChunkState(Enum):
-    """What the next byte of the body belongs to."""
+    """The part of the framing that the next byte of the body belongs to."""
 
     SIZE_LINE = auto()
     DATA = auto()
-    DATA_END = auto()  # the line break behind a chunk's data
+    DATA_END = auto()  # the line break after a chunk's data
     TRAILERS = auto()
     UNKNOWN = auto()
 
 
 class ChunkTracker:
-    r"""Follows a chunked body that a parser has found valid.
+    r"""Tracks the position in a chunked body that a parser has found valid.
+
+    Attributes:
+        state: what the next byte belongs to.
+        bytes_remaining: bytes of the current chunk's data that have not arrived yet.
+        partial_line: the part of the current line, or of the trailers, that has arrived.
 
     >>> tracker = ChunkTracker()
     >>> tracker.feed(b"5;x=y\r\nab"); tracker.resume_text()
@@ -47,13 +52,13 @@
     __slots__ = ("bytes_remaining", "partial_line", "state")
 
     def __init__(self) -> None:
-        """Starts behind the head of a message."""
+        """Starts after the head of a message."""
         self.state = ChunkState.SIZE_LINE
-        self.bytes_remaining = 0  # of the chunk under way
+        self.bytes_remaining = 0
         self.partial_line = b""
 
     def feed(self, received: bytes) -> None:
-        """Follows bytes of the body, framing included."""
+        """Updates the position by received bytes of the body, framing included."""
         position = 0
         while position < len(received) and self.state is not ChunkState.UNKNOWN:
             if self.state is ChunkState.DATA:
@@ -68,7 +73,7 @@
                 self.state = ChunkState.UNKNOWN
 
     def _skip_data(self, available: int) -> int:
-        """Returns how many of so many bytes are data of the chunk."""
+        """Skips data of the chunk, and returns how many of the available bytes that was."""
         size = min(self.bytes_remaining, available)
         self.bytes_remaining -= size
         if not self.bytes_remaining:
@@ -77,7 +82,7 @@
         return size
 
     def _feed_line(self, received: bytes, position: int) -> int:
-        """Takes bytes up to the end of the line and returns the position behind them."""
+        """Reads up to the end of the line, and returns the position after it."""
         line_end = received.find(b"\n", position)
         if line_end < 0:
             self.partial_line += received[position:]
@@ -101,10 +106,10 @@
         self.state = ChunkState.DATA if self.bytes_remaining else ChunkState.TRAILERS
 
     def resume_text(self) -> bytes | None:
-        """Returns what brings a fresh parser to this position; None where that is unknown.
+        """Returns the framing that brings a new parser to this position; None where it is unknown.
 
-        Between a chunk's data and the end of its line the text has `PLACEHOLDER` for one byte of
-        data.
+        Between a chunk's data and the line break after it, the text contains `PLACEHOLDER` as one
+        byte of data.
         """
         if self.state is ChunkState.SIZE_LINE:
             return self.partial_line
@@ -118,5 +123,5 @@
 
     @property
     def has_placeholder(self) -> bool:
-        """Whether `resume_text` holds a byte that is not of the body."""
+        """Whether `resume_text` contains a byte that is not part of the body."""
         return self.state is ChunkState.DATA_END
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 connections to the cache hosts and the origin: a pool for each host."""
+"""Pools of HTTP/1.1 connections to the cache hosts and the origin, one pool for each host."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 SWEEP_INTERVAL_US = 1_000_000
-STREAM_STALL_TIMEOUT_US = 10_000_000  # for a host to send more of a streamed response
+STREAM_STALL_TIMEOUT_US = 10_000_000  # without further data of a streamed response
 
 
 class HostConnectionPool(connection_pools.ConnectionPool[HostConnection]):
     """The connections to one host, one attempt at a time on each.
 
     Attributes:
-        idle: connections without an attempt, the one used last at the end.
-        demand: how many connections were needed at once lately.
-        shortest_latency_us: the shortest time in which the host answered.
-        response_count: how many responses that was learned from.
+        idle: connections without an attempt, the most recently used one last.
+        demand: how many connections were recently needed at the same time.
+        shortest_latency_us: the shortest latency of the host's responses.
+        response_count: how many responses `shortest_latency_us` is based on.
     """
 
     pools: HostConnectionPools
 
     def __init__(self, pools: HostConnectionPools, address: Address) -> None:
-        """Starts without a connection."""
+        """Creates a pool without connections."""
         super().__init__(pools, address)
         self.idle: deque[HostConnection] = deque()
         self.demand = ConnectionDemand(pools.loop.now)
@@ -42,29 +42,29 @@
 
     @property
     def loop(self) -> Loop:
-        """The loop that events come from."""
+        """The event loop."""
         return self.pools.loop
 
     @property
     def connect_timeout_us(self) -> int:
-        """How long a connection may take to come up, in microseconds."""
+        """How long connecting may take, in microseconds."""
         return self.pools.connect_timeout_us
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """Sends an attempt on the connection used last that is fit for it, or on a new one."""
+        """Sends an attempt on the most recently used connection that is usable, or on a new one."""
         in_use = len(self.connections) - len(self.idle) + 1
         self.demand.record(self.pools.loop.now, in_use)
         while self.idle:
             connection = self.idle.pop()
-            if self.nears_idle_timeout(connection) or connection.conn.is_stale():
+            if self.is_near_idle_timeout(connection) or connection.conn.is_stale():
                 connection.close()
                 continue
             connection.start_attempt(attempt)
             return
         self.dial(attempt)
 
-    def nears_idle_timeout(self, connection: HostConnection) -> bool:
-        """Whether the host may close the connection any moment; what is written then is reset."""
+    def is_near_idle_timeout(self, connection: HostConnection) -> bool:
+        """Whether the host may soon close the connection: a request written then would be reset."""
         idle_us = self.pools.loop.now - connection.idle_since_us
         return idle_us > self.pools.idle_timeout_us * 9 // 10
 
@@ -77,7 +77,7 @@
         self.add(HostConnection(self, sock, attempt))
 
     def keep_idle(self, connection: HostConnection) -> None:
-        """The connection may carry another attempt."""
+        """Keeps a connection whose attempt has ended for another attempt."""
         if self.retired:
             connection.close()
             return
@@ -85,7 +85,7 @@
         self.idle.append(connection)
 
     def keep_unused(self, connection: HostConnection) -> None:
-        """The connection may carry another attempt: nothing of the last one was written."""
+        """Keeps a connection for another attempt: nothing of the last one was written."""
         self.idle.append(connection)
 
     def close_all_idle(self) -> None:
@@ -94,35 +94,35 @@
             self.idle[0].close()
 
     def add_streaming(self, connection: HostConnection) -> None:
-        """The connection has begun to stream a response."""
+        """Records that the connection has begun to stream a response."""
         self.pools.streaming_connections[connection] = None
 
     def remove_streaming(self, connection: HostConnection) -> None:
-        """The connection streams no more."""
+        """Records that the connection no longer streams a response."""
         self.pools.streaming_connections.pop(connection, None)
 
     def forget(self, link: HostConnection) -> None:
-        """The connection is closed."""
+        """Removes a closed connection."""
         super().forget(link)
         if link in self.idle:
             self.idle.remove(link)
 
     def close_unneeded(self) -> None:
-        """Closes idle connections beyond the demand.
+        """Closes idle connections that exceed the demand.
 
-        A host holds only so many connections, and other balancers may need them.
+        A host accepts a limited number of connections, and other balancers may need them.
         """
         if not self.idle:
             return
         needed = self.demand.worth_keeping(self.pools.loop.now)
         while self.idle:
             oldest = self.idle[0]
-            if len(self.connections) <= needed and not self.nears_idle_timeout(oldest):
+            if len(self.connections) <= needed and not self.is_near_idle_timeout(oldest):
                 return
             oldest.close()
 
     def retire(self) -> None:
-        """The host drains or has gone: attempts under way may end, nothing else is sent."""
+        """Stops sending, as the host drains or was removed; attempts in progress may finish."""
         self.retired = True
         for connection in list(self.connections):
             if connection.is_unused:
@@ -133,8 +133,8 @@
     """The pools of all hosts.
 
     Attributes:
-        idle_timeout_us: how long a connection may stay idle before its host closes it.
-        streaming_connections: connections that stream a response, in the order they began.
+        idle_timeout_us: how long a connection may be idle before its host closes it.
+        streaming_connections: connections that stream a response, in the order in which they began.
     """
 
     def __init__(
@@ -145,18 +145,18 @@
         idle_timeout_us: int,
         dial: Callable[[Address], socket.socket | AttemptFailure] = dial,
     ) -> None:
-        """Starts without a host; both timeouts are in microseconds."""
+        """Creates pools without hosts; both timeouts are in microseconds."""
         super().__init__(loop, max_connections, connect_timeout_us, SWEEP_INTERVAL_US, dial)
         self.idle_timeout_us = idle_timeout_us
         self.streaming_connections: dict[HostConnection, None] = {}
 
     def set_timeouts(self, connect_timeout_us: int, idle_timeout_us: int) -> None:
-        """New settings: times to connect and to stay idle, in microseconds."""
+        """Applies new settings: the connect timeout and the idle timeout, in microseconds."""
         super().set_timeouts(connect_timeout_us, idle_timeout_us)
         self.idle_timeout_us = idle_timeout_us
 
     def transferable(self) -> list[connection_pools.TransferableConnection]:
-        """Idle connections that can go to another process."""
+        """Returns the idle connections that can be handed over to another process."""
         return [
             connection_pools.TransferableConnection(
                 (host, *pool.address, connection.idle_since_us),
@@ -166,11 +166,11 @@
             for host, pool in self.by_host.items()
             if not pool.retired
             for connection in pool.idle
-            if not pool.nears_idle_timeout(connection) and not connection.conn.write_buffer
+            if not pool.is_near_idle_timeout(connection) and not connection.conn.write_buffer
         ]
 
     def adopt_connection(self, tag: Any, sock: socket.socket) -> None:
-        """Takes an idle connection from another process, with the tag from `transferable`."""
+        """Adopts an idle connection from another process, with its tag from `transferable`."""
         host, address, port, idle_since_us = tag
         pool = self.by_host.get(host)
         is_full = self.connection_count >= self.max_connections
@@ -183,23 +183,23 @@
         pool.idle.append(connection)
 
     def make_pool(self, address: Address) -> HostConnectionPool:
-        """Returns a pool for a host that was added to the list."""
+        """Returns a pool for a host that was added to the host list."""
         return HostConnectionPool(self, address)
 
     def close_idle(self) -> bool:
-        """Closes the connection that has been idle longest; returns whether there was one."""
+        """Closes the connection that has been idle longest, and returns whether there was one."""
         oldest = [pool.idle[0] for pool in self.by_host.values() if pool.idle]
         if oldest:
             min(oldest, key=lambda connection: connection.idle_since_us).close()
         return bool(oldest)
 
     def sweep(self) -> None:
-        """Closes what is not needed, and responses that do not go on; called at intervals."""
+        """Closes unneeded connections and those whose response has stalled; called at intervals."""
         for pool in self.by_host.values():
             pool.close_unneeded()
         now = self.loop.now
         for connection in list(self.streaming_connections):
-            if connection.conn.read_paused:  # the client holds it up, not the host
+            if connection.conn.read_paused:  # the client is slow, not the host
                 connection.received_at_us = now
             elif now - connection.received_at_us > STREAM_STALL_TIMEOUT_US:
-                connection.ended("silence")
+                connection.ended("response stalled")
--- a/orchidgap/http1/discovery.py
+++ b/orchidgap/http1/discovery.py
@@ -1,10 +1,11 @@
-"""Discovery's list of hosts: fetched whole, then watched for changes, on one connection.
-
-A change of the list has to arrive within 6 s, whichever calls fail on the way. A watch that
-has fallen silent is noticed in 4 s at most. Then a lost call costs 1 s, each one behind it 2 s, and
-one that fails 1 s at most. While discovery is down it is silent, and whoever has a call open at its
-return is answered at once: so silence is followed by the next call within `MAX_RETRY_GAP_US`, and
-what fails or is refused by a backoff.
+"""Client of discovery: fetches the whole host list, then watches it for changes.
+
+All calls use one connection. A change of the list has to arrive within 6 s, whichever calls fail on
+the way. A watch without a response is detected within 4 s. After that, a lost call costs 1 s, each
+further lost call 2 s, and a call that fails at most 1 s. While discovery is down it does not
+respond, and it answers the calls that are open when it returns immediately. So a call without
+response is followed by the next one within `MAX_RETRY_GAP_US`, while a call that fails or is
+refused is followed by a backoff.
 """
 
 from __future__ import annotations
@@ -26,35 +27,36 @@
 from orchidgap.net.loop import Loop, Timer
 
 LIST_PATH = "/discovery/hosts"
-WATCH_TIMEOUT_MS = 3_000  # how long a watch may wait for a change
-RESPONSE_GRACE_US = 1_000_000  # after which a response that is due counts as lost
+WATCH_TIMEOUT_MS = 3_000  # how long the agent may wait for a change before it answers a watch
+RESPONSE_GRACE_US = 1_000_000  # a response that is overdue by this much counts as lost
 MAX_RESPONSE_US = WATCH_TIMEOUT_MS * 1000 + 2 * RESPONSE_GRACE_US  # for all pieces of a response
 MIN_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 1_000_000
 MAX_BACKOFF_DOUBLINGS = 6
-MAX_RETRY_GAP_US = 100_000  # between a call that was met with silence and the next
-MIN_WATCH_US = 20_000  # a watch that tells nothing in less time is not repeated at once
-WATCH_PAUSE_US = 100_000  # after such a watch
+MAX_RETRY_GAP_US = 100_000  # between a call without response and the next call
+MIN_WATCH_US = 20_000  # a watch that ends sooner without a change is not repeated immediately
+WATCH_PAUSE_US = 100_000  # after a watch that ended sooner than `MIN_WATCH_US`
 MAX_LIST_BYTES = 1 << 22
 MAX_REASON_LENGTH = 120
-LOGGED_FAILURES = (1, 10, 100)  # of failures in a row, those that are logged
-SILENCE = "silence"
+LOGGED_FAILURES = (1, 10, 100)  # counts of consecutive failures that are logged
+NO_RESPONSE = "no response"
 
 
 class DiscoveryClient:
     """Polls and watches one discovery agent.
 
     Attributes:
-        loop: the loop that events come from.
-        address: where the agent is.
-        rng: for the jitter of repeated calls: balancers must not call together.
-        on_list: called with each list or change: whether it is whole, its entries, its endpoints.
-        log: takes an event and its facts.
+        loop: the event loop.
+        address: the address of the agent.
+        rng: source of the jitter that keeps balancers from repeating calls at the same time.
+        on_list: called with each list or change: whether it is the whole list, its entries and its
+            endpoints.
+        log: writes an event with its fields.
         dialer: opens connections.
-        list_version: the version of the list that is known, None until it was fetched whole.
-        failures: failed calls in a row.
+        list_version: version of the current list, None until the whole list was fetched.
+        failures: number of consecutive failed calls.
         polled_at_us: when the last call began.
-        wait_ms: how long that call may wait for a change, 0 for a call that is answered at once.
+        wait_ms: how long the agent may wait for a change in that call, 0 for an immediate answer.
         call_pending: that call has not ended.
     """
 
@@ -67,7 +69,7 @@
         log: Callable[..., None],
         dial: Callable[[Address], socket.socket | AttemptFailure] = dial,
     ) -> None:
-        """Starts without a list; nothing is called before `fetch`."""
+        """Starts without a list; `fetch` begins the first call."""
         self.loop = loop
         self.address = address
         self.rng = rng
@@ -84,13 +86,13 @@
         self.timer: Timer | None = None
 
     def set_timer(self, delay_us: int, callback: Callable[..., None], *args: Any) -> None:
-        """Replaces the one timer."""
+        """Sets the timer, in place of the previous one."""
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(delay_us, callback, *args)
 
     def fetch(self) -> None:
-        """Begins the next call, unless one is pending: the whole list, or a watch for changes."""
+        """Begins the next call unless one is pending: fetches the list, or watches for changes."""
         if self.call_pending:
             return
         if self.conn is None or not self.conn.is_open:
@@ -99,26 +101,28 @@
                 self.ended(sock.detail)
                 return
             self.reader = ResponseReader(MAX_LIST_BYTES)
-            # what it tells comes before requests that came in the same turn: a process that was
-            # held up would send them to hosts that have been draining for long
+            # Urgent: a change of the list is handled before requests that are read in the same
+            # turn. Otherwise a process that was stalled would send them to hosts that have been
+            # draining for a long time.
             self.conn = Connection(self.loop, sock, self, opening=True, urgent=True)
         self.reader.reset()
         self.call_pending = True
         self.polled_at_us = self.loop.now
-        # After a failure the call must not wait: a watch would take its whole wait to fail again.
+        # After a failure the agent must answer immediately: a watch that fails again would only be
+        # detected after its whole wait.
         is_watch = self.list_version is not None and not self.failures
         self.wait_ms = WATCH_TIMEOUT_MS if is_watch else 0
         target = LIST_PATH
         if self.list_version is not None:
             target = f"{LIST_PATH}?after={self.list_version}&wait_ms={self.wait_ms}"
         grace_us = RESPONSE_GRACE_US if self.failures < 2 else 2 * RESPONSE_GRACE_US
-        self.set_timer(self.wait_ms * 1000 + grace_us, self.ended, SILENCE)
+        self.set_timer(self.wait_ms * 1000 + grace_us, self.ended, NO_RESPONSE)
         self.conn.send(f"GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
     def move(self, address: Address) -> None:
         """Calls another agent from now on.
 
-        The list that is known still applies, but its version means nothing to another agent.
+        The current list still applies, but its version has no meaning for another agent.
         """
         if address == self.address:
             return
@@ -129,35 +133,37 @@
         self.fetch()
 
     def opened(self) -> None:
-        """The connection has come up."""
+        """Does nothing: the call is already queued on the connection."""
 
     def received(self, view: memoryview) -> None:
-        """Takes bytes from the agent."""
+        """Handles bytes from the agent."""
         self.reader.feed(view)
         message = self.reader.message
         if message.error_status or not self.call_pending:
-            self.ended("no proper answer")
+            self.ended("malformed or unexpected response")
         elif message.complete:
             self.call_pending = False
             self.on_response(message)
-        elif self.loop.now < self.polled_at_us + MAX_RESPONSE_US:  # it arrives in pieces
-            self.set_timer(RESPONSE_GRACE_US, self.ended, SILENCE)
+        elif self.loop.now < self.polled_at_us + MAX_RESPONSE_US:  # the rest is still to arrive
+            self.set_timer(RESPONSE_GRACE_US, self.ended, NO_RESPONSE)
 
     def on_response(self, message: Message) -> None:
-        """Takes the list, or a change to it, and begins the next call."""
+        """Applies the list, or a change to it, and schedules the next call."""
         try:
             version, is_whole, entries, endpoints = self.decode_response(message)
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             if message.status == 200:
-                self.list_version = None  # the same changes would be as bad when fetched again
-            self.ended(f"bad answer: {error!r}"[:MAX_REASON_LENGTH])
+                self.list_version = None  # the same changes would be invalid again: fetch the list
+            self.ended(f"invalid response: {error!r}"[:MAX_REASON_LENGTH])
             return
         if self.failures:
             self.log("list back", failures=self.failures)
-        # An agent that counts anew has forgotten what it told before.
-        counts_anew = self.list_version is not None and version < self.list_version and not is_whole
+        # An agent whose versions restarted has lost its history: fetch the whole list.
+        versions_restarted = (
+            self.list_version is not None and version < self.list_version and not is_whole
+        )
         self.failures = 0
-        self.list_version = None if counts_anew else version
+        self.list_version = None if versions_restarted else version
         if not message.keep_alive:
             self.close_connection()
         if is_whole or entries:
@@ -169,23 +175,24 @@
     def decode_response(self, message: Message) -> HostList:
         """Returns the list in a response.
 
-        Raises ValueError, TypeError, KeyError or AttributeError where it has none that can be used.
+        Raises ValueError, TypeError, KeyError or AttributeError where the response has no valid
+        list.
         """
         if message.status != 200:
             raise ValueError(f"status {message.status}")
         host_list = decode_list(orjson.loads(message.body))
         _, is_whole, _, _ = host_list
         if self.list_version is None and not is_whole:
-            raise ValueError("changes to a list that is not held")
+            raise ValueError("changes to a list that was not fetched")
         return host_list
 
     def ended(self, what: str) -> None:
-        """A call has failed. The list that is known still applies, and the next call is set."""
+        """Handles a failed call: keeps the current list, and schedules the next call."""
         self.close_connection()
         self.failures += 1
         if self.failures in LOGGED_FAILURES:
             self.log("list lost", why=what, failures=self.failures)
-        if what == SILENCE:
+        if what == NO_RESPONSE:
             pause_us = self.rng.randrange(MAX_RETRY_GAP_US // 10, MAX_RETRY_GAP_US)
         else:
             doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
@@ -194,7 +201,7 @@
         self.set_timer(pause_us, self.fetch)
 
     def close_connection(self) -> None:
-        """Ends the call, if one is pending."""
+        """Closes the connection, which ends a pending call."""
         self.call_pending = False
         if self.conn:
             self.conn.close()
--- a/orchidgap/http1/host_connection.py
+++ b/orchidgap/http1/host_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a host: connecting, idle, or carrying one attempt."""
+"""One HTTP/1.1 connection to a host, which is connecting, idle, or in use by one attempt."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 from orchidgap.net.loop import Loop, Timer
 from orchidgap.net.upstream_attempt import ResponseSink, UpstreamAttempt
 
-# For so long after a response a host may still send bytes that belong to no request.
+# How long after a response a host may still send bytes that belong to no request.
 EXCESS_DATA_WINDOW_US = 5_000
-MIN_LATENCY_SAMPLES = 20  # responses after which a host's shortest latency is known
-# A connection that breaks after it was idle for less says nothing of those that were idle longer.
+MIN_LATENCY_SAMPLES = 20  # responses after which a host's shortest latency counts as known
+# The failure of a connection that was idle for no longer than this is no evidence that connections
+# that have been idle for longer are broken too.
 SHORT_IDLE_US = 200_000
 MICROSECONDS_PER_SECOND = 1e6
 OUTCOMES_BY_STATUS = {200: AttemptOutcome.DONE, 404: AttemptOutcome.CACHE_MISS}
 
 
 class OwningPool(Protocol):
-    """What a connection needs of the pool that it belongs to.
+    """The interface of the pool that a connection belongs to.
 
     Attributes:
-        shortest_latency_us: the shortest time in which the host answered.
-        response_count: how many responses that was learned from.
+        shortest_latency_us: the shortest latency of the host's responses.
+        response_count: how many responses `shortest_latency_us` is based on.
     """
 
     shortest_latency_us: int
@@ -36,48 +37,49 @@
 
     @property
     def loop(self) -> Loop:
-        """The loop that events come from."""
+        """The event loop."""
 
     @property
     def connect_timeout_us(self) -> int:
-        """How long a connection may take to come up, in microseconds."""
+        """How long connecting may take, in microseconds."""
 
     def keep_idle(self, connection: HostConnection) -> None:
-        """The connection may carry another attempt."""
+        """Keeps a connection whose attempt has ended for another attempt."""
 
     def keep_unused(self, connection: HostConnection) -> None:
-        """The connection may carry another attempt: nothing of the last one was written."""
+        """Keeps a connection for another attempt: nothing of the last one was written."""
 
     def close_all_idle(self) -> None:
         """Closes all idle connections to this host."""
 
     def add_streaming(self, connection: HostConnection) -> None:
-        """The connection has begun to stream a response."""
+        """Records that the connection has begun to stream a response."""
 
     def remove_streaming(self, connection: HostConnection) -> None:
-        """The connection streams no more."""
+        """Records that the connection no longer streams a response."""
 
     def forget(self, connection: HostConnection) -> None:
-        """The connection is closed."""
+        """Removes a closed connection."""
 
 
 class HostConnection:
-    """A connection and the attempt on it.
+    """A connection and the attempt that uses it.
 
     Attributes:
-        pool: the pool of its host.
-        attempt: what it carries, None while it is idle.
-        reader: the responses that arrive on it.
+        pool: the pool of the connection's host.
+        attempt: the attempt that uses the connection, None while it is idle.
+        reader: reads the responses.
         conn: the socket with its buffers.
-        idle_since_us: when it was last done with an attempt, by the loop's clock; 0 before that.
-        idle_before_us: how long it had been idle when its attempt began.
-        bytes_written_at_start: bytes written before its attempt began.
-        written_at_us: when its attempt was written.
-        received_at_us: when the host last sent something, or the attempt began.
-        chunked: the body under way is chunked.
-        response_sink: who takes the response, once it is streamed.
-        start_is_postponed: it has come up, and its attempt waits for the next turn.
-        timer: ends the connecting, or the wait for the rest of a response without a length.
+        idle_since_us: when the last attempt on it ended, by the loop's clock; 0 before that.
+        idle_before_us: how long it had been idle when the current attempt began.
+        bytes_written_at_start: bytes written before the current attempt began.
+        written_at_us: when the current attempt was written.
+        received_at_us: when bytes last arrived from the host, or the current attempt began.
+        chunked: the request body that is being streamed is chunked.
+        response_sink: receives the response while it is streamed.
+        start_is_postponed: the connection is established, and its attempt is postponed to the next
+            turn.
+        timer: limits connecting, or the wait for the rest of a response without a length.
     """
 
     __slots__ = (
@@ -100,7 +102,7 @@
     def __init__(
         self, pool: OwningPool, sock: socket.socket, attempt: UpstreamAttempt | None
     ) -> None:
-        """Takes a socket that is connecting for an attempt, or one that is connected for none."""
+        """Uses a socket: one that is connecting for an attempt, or a connected one for None."""
         self.pool = pool
         self.loop = pool.loop
         self.reader = ResponseReader()
@@ -118,35 +120,35 @@
         if attempt:
             attempt.carrier = self
             timeout_us = pool.connect_timeout_us
-            self.timer = self.loop.call_later(timeout_us, self.ended, "never came up")
+            self.timer = self.loop.call_later(timeout_us, self.ended, "connect timeout")
 
     # --- requests
 
     def opened(self) -> None:
-        """The connection has come up."""
+        """Starts the attempt, as the connection is established."""
         self.cancel_timer()
         if self.attempt and self.loop.is_stalled:
-            # the host may drain by now, and the list that tells it may wait to be read
+            # The host may be draining by now, and the list that says so may not have been read.
             self.start_is_postponed = True
             self.loop.call_next_turn(self.start_postponed)
         elif self.attempt:
             self.start_attempt(self.attempt)
 
     def start_postponed(self) -> None:
-        """The turn after the one in which the connection came up has begun."""
+        """Starts a postponed attempt, one turn after the connection was established."""
         self.start_is_postponed = False
         if self.attempt:
             self.start_attempt(self.attempt)
 
     @property
     def is_unused(self) -> bool:
-        """Whether nothing of an attempt has begun on it, so that it need not be waited for."""
+        """Whether no attempt has started on it, so that it can be closed without waiting."""
         return self.attempt is None or self.conn.connecting or self.start_is_postponed
 
     def start_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Writes an attempt, unless it is no longer wanted.
+        """Writes an attempt, unless it is no longer needed.
 
-        The connection may have come up long after the decision to send.
+        The connection may have been established long after the decision to send.
         """
         if not attempt.owner.may_send(attempt.number):
             self.release_unsent(attempt)
@@ -163,7 +165,7 @@
             self.reader.new_parser(bodiless)
         else:
             self.reader.reset()
-        # by the clock itself: the turn may have been held up
+        # The clock itself is read, as this turn may have been stalled.
         timeout_us = max(1, attempt.time_left_us(self.loop.clock()))
         timeout_s = timeout_us / MICROSECONDS_PER_SECOND
         end_of_head = b"Request-Timeout: %.3f\r\n\r\n" % timeout_s
@@ -174,7 +176,7 @@
             attempt.upload.send_to(self)
 
     def release_unsent(self, attempt: UpstreamAttempt) -> None:
-        """The attempt is not wanted any more, and nothing of it was written."""
+        """Releases an attempt that is no longer needed, and of which nothing was written."""
         self.attempt = None
         attempt.carrier = None
         self.idle_since_us = self.idle_since_us or self.loop.now
@@ -190,7 +192,7 @@
             self.conn.send(*parts)
 
     def send_progress(self) -> SendProgress:
-        """How much of the attempt has been written."""
+        """Returns how much of the attempt has been written."""
         if self.conn.connecting or self.conn.bytes_written == self.bytes_written_at_start:
             return SendProgress.UNSENT
         upload = self.attempt.upload if self.attempt else None
@@ -200,9 +202,9 @@
         return SendProgress.COMPLETE
 
     def drop(self, attempt: UpstreamAttempt) -> SendProgress:
-        """Gives the attempt up and returns how much of it was written.
+        """Abandons the attempt, and returns how much of it was written.
 
-        The connection is closed: the protocol has no other way to tell the host.
+        Closes the connection, as HTTP/1.1 has no other way to cancel a request.
         """
         progress = self.send_progress()
         self.close()
@@ -211,19 +213,19 @@
     # --- responses
 
     def received(self, view: memoryview) -> None:
-        """Takes bytes from the host."""
+        """Handles bytes from the host."""
         if self.attempt is None or self.start_is_postponed:
-            # What this host would answer next could not be trusted.
-            self.ended("spoke unasked")
+            # The next response on this connection could belong to another request.
+            self.ended("data without a request")
             return
         self.received_at_us = self.loop.now
         if not self.reader.started and self.precedes_request():
-            self.ended("said before it can have been asked")
+            self.ended("data too early to answer the request")
             return
         self.reader.feed(view)
         message = self.reader.message
         if message.error_status:
-            self.ended("no proper answer")
+            self.ended("malformed response")
         elif self.response_sink:
             self.response_sink.give(message.take_body())
             if message.complete:
@@ -234,9 +236,9 @@
             self.on_partial_response(self.attempt, message)
 
     def on_partial_response(self, attempt: UpstreamAttempt, message: Message) -> None:
-        """Decides whether the rest of a response is waited for or streamed."""
+        """Decides whether to wait for the rest of a response, or to stream it."""
         if message.status != 200:
-            if message.exceeds_buffer:  # its status counts, the rest of its body does not
+            if message.exceeds_buffer:  # only the status matters: the body is not read to its end
                 self.finish_attempt(outcome_of_response(message))
         elif message.exceeds_buffer:
             self.start_streaming(attempt)
@@ -245,11 +247,11 @@
             self.timer = self.loop.call_later(hold_us, self.start_streaming, attempt)
 
     def precedes_request(self) -> bool:
-        """Whether the bytes that arrive cannot be the answer to the attempt.
+        """Whether the bytes that arrived cannot be the answer to the attempt.
 
-        They come right after the last response, and sooner than this host ever answered: the host
-        said more than its last response, and that crossed the request. Taken for the answer, it
-        would reach the wrong client.
+        This is the case if they arrive directly after the last response, and sooner than this host
+        ever answered: the host sent excess data after its last response, and the request was
+        written before that data arrived. Used as the answer, it would reach the wrong client.
         """
         latency_us = self.received_at_us - self.written_at_us
         pool = self.pool
@@ -267,13 +269,16 @@
         return False
 
     def start_streaming(self, attempt: UpstreamAttempt) -> None:
-        """Streams the response from here on: it is too large to buffer, or too slow to tell."""
+        """Streams the response from here on: it is too large to buffer, or its length is unknown.
+
+        A response without a length is buffered only for the hold time of its attempt.
+        """
         if self.attempt is not attempt or self.response_sink or self.reader.message.complete:
             return
         self.cancel_timer()
         sink = attempt.owner.start_streaming(attempt.number)
         if sink is None:
-            self.ended("not wanted")
+            self.ended("response no longer needed")
             return
         self.response_sink = sink
         self.pool.add_streaming(self)
@@ -282,7 +287,7 @@
             sink.give(self.reader.message.take_body())
 
     def finish_attempt(self, outcome: AttemptOutcome) -> None:
-        """The response has arrived, or all of it that counts."""
+        """Settles the attempt: its response has arrived, or the part of it that matters."""
         attempt = self.attempt
         assert attempt
         message = self.reader.message
@@ -299,7 +304,7 @@
         attempt.settle(outcome, body)
 
     def is_reusable(self, attempt: UpstreamAttempt) -> bool:
-        """Whether another attempt may follow this one: both sides are done with their messages."""
+        """Whether another attempt may follow: request and response are complete."""
         message = self.reader.message
         response_is_over = message.complete and message.keep_alive
         upload_is_over = attempt.upload is None or attempt.upload.complete
@@ -307,7 +312,7 @@
         return response_is_over and upload_is_over and nothing_is_left
 
     def release_attempt(self) -> None:
-        """The connection carries nothing any more."""
+        """Detaches the attempt from the connection."""
         attempt = self.attempt
         self.attempt = None
         if self.response_sink:
@@ -320,22 +325,22 @@
             attempt.upload.detach(self)
 
     def cancel_timer(self) -> None:
-        """Stops the timer, if one runs."""
+        """Cancels the timer, if one is set."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
 
-    # --- the end
+    # --- the end of the connection
 
     def ended(self, what: str) -> None:
-        """The connection has ended; `what` says how, as far as it is known."""
+        """Closes a connection that has failed or was closed by the host; `what` is the reason."""
         attempt = self.attempt
         response_started = self.reader.started
         closed_in_order = what == "closed"
         if attempt and closed_in_order and response_started and self.reader.on_connection_closed():
             self.finish_with_connection()
             return
-        # A connection that the host closed while it was idle says nothing of the host.
+        # A host that closed an idle connection has not failed.
         stale = attempt is not None and self.idle_since_us > 0 and not response_started
         cause = "broken"
         if stale:
@@ -345,14 +350,15 @@
         failure = AttemptFailure(self.send_progress(), cause, what)
         self.close()
         if stale and self.idle_before_us > SHORT_IDLE_US:
-            # Older ones have gone the same way: the next attempt needs a connection that holds.
+            # Connections that have been idle for longer are probably closed as well, and the next
+            # attempt needs a working one.
             self.pool.close_all_idle()
         if attempt:
-            # not at once: this may be within the decision's own call to send
+            # Deferred, as this may run within the decisions' own call to send.
             self.loop.call_soon(attempt.settle, failure.outcome)
 
     def finish_with_connection(self) -> None:
-        """A response without a length is complete now that its connection has ended."""
+        """Finishes a response without a length, which ends with its connection."""
         message = self.reader.message
         if self.response_sink:
             self.response_sink.give(message.take_body())
@@ -361,7 +367,7 @@
             self.finish_attempt(outcome_of_status(message.status, False))
 
     def detach(self) -> None:
-        """The connection goes on in another process: nothing comes of its attempt here."""
+        """Closes the connection here without an outcome: another process continues it."""
         if self.attempt:
             self.attempt.settled = True
             self.attempt.carrier = None
@@ -369,22 +375,22 @@
         self.close()
 
     def close(self) -> None:
-        """Closes the connection; nothing is told."""
+        """Closes the connection without settling its attempt."""
         self.release_attempt()
         self.conn.close()
         self.pool.forget(self)
 
 
 def outcome_of_response(message: Message) -> AttemptOutcome:
-    """The outcome of an attempt by its response."""
+    """Returns the outcome of an attempt by its response."""
     not_started = message.fields.get(b"not-started") == b"1"
     return outcome_of_status(message.status, not_started)
 
 
 def outcome_of_status(status: int, not_started: bool) -> AttemptOutcome:
-    """The outcome of an attempt by the status of its response.
+    """Returns the outcome of an attempt by the status of its response.
 
-    `not_started`: the host promises that the request was never executed (`Not-Started: 1`).
+    `not_started`: the host guarantees that the request was never executed (`Not-Started: 1`).
 
     >>> [outcome_of_status(status, True).value for status in (200, 404, 503, 504, 500)]
     ['done', 'miss', 'full', 'full', 'error']
@@ -393,6 +399,6 @@
     """
     if status in (503, 504) and not_started:
         return AttemptOutcome.QUEUE_FULL
-    if status == 400:  # the request itself is at fault: any other host would say the same
+    if status == 400:  # the request itself is invalid: any other host would reject it too
         return AttemptOutcome.INVALID_REQUEST
     return OUTCOMES_BY_STATUS.get(status, AttemptOutcome.SERVER_ERROR)
--- a/orchidgap/http1/messages.py
+++ b/orchidgap/http1/messages.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 message as far as it has arrived, and the limits on its size."""
+"""An HTTP/1.1 message that may be incomplete, and the limits on its size."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Message:
-    """A request or response as far as it has arrived.
+    """The part of a request or response that has arrived so far.
 
     The defaults are class attributes: most messages never set them, and setting them for each
     message would cost time on the hot path.
@@ -20,19 +20,20 @@
         complete: the last byte of the body has arrived.
         keep_alive: the connection may carry another message after this one.
         status: status code of a response, 0 for a request.
-        error_status: status code that says what is wrong with the message, 0 while nothing is.
+        error_status: status code for the error in the message, 0 while it is valid.
         method: method of a request.
-        target: request target as it was sent.
+        target: request target as received.
         version: HTTP version, such as `1.1`.
-        content_length: bytes of the body as the head tells, None where it does not.
-        received_at_us: when the last byte arrived, in microseconds of the loop's clock; 0 until it
-            is known.
+        content_length: length of the body in bytes by the head, None where the head has none.
+        received_at_us: when the last byte arrived, in microseconds of the loop's clock; 0 while
+            this is unknown.
         body_size: bytes of the body that have arrived.
         wire_size: bytes of the whole message that have arrived, framing included.
-        head_bytes: the head so far, where it arrives in pieces; None where it is not known.
+        head_bytes: the part of the head that has arrived, where the head arrives in pieces; None
+            where it is unknown.
         chunk_tracker: position in the framing of a chunked body, None for other bodies.
         fields: header fields by lower-case name.
-        body_parts: parts of the body that nobody has taken yet.
+        body_parts: parts of the body that `take_body` has not returned yet.
     """
 
     head_complete = False
@@ -51,24 +52,24 @@
     chunk_tracker: ChunkTracker | None = None
 
     def __init__(self) -> None:
-        """Starts with nothing received."""
+        """Creates a message of which nothing has arrived."""
         self.fields: dict[bytes, bytes] = {}
         self.body_parts: list[bytes] = []
 
     def take_body(self) -> list[bytes]:
-        """Returns the parts of the body that arrived since the last call."""
+        """Removes and returns the parts of the body that arrived since the last call."""
         parts = self.body_parts
         self.body_parts = []
         return parts
 
     @property
     def body(self) -> bytes:
-        """The parts of the body that nobody has taken yet, joined."""
+        """The parts of the body that `take_body` has not returned yet, joined."""
         return b"".join(self.body_parts)
 
     @property
     def exceeds_buffer(self) -> bool:
-        """Whether the body is known to be larger than what is buffered whole."""
+        """Whether the body is known to be too large to be buffered whole."""
         if self.body_size > MAX_BUFFERED_BODY_BYTES:
             return True
         return self.content_length is not None and self.content_length > MAX_BUFFERED_BODY_BYTES
--- a/orchidgap/http1/migration_messages.py
+++ b/orchidgap/http1/migration_messages.py
@@ -1,6 +1,6 @@
-"""What goes with a request from one process of a balancer to another, beside its connections.
+"""Messages that describe a request in progress to another process of the balancer.
 
-The words stay as they are: versions of the program run side by side.
+Older and newer versions run side by side, so the names on the wire must not change.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 PARTIAL_REQUEST = "begun"
 STREAMING_RESPONSE = "answer"
 STREAMING_UPLOAD = "upload"
-TEXT_ENCODING = "latin-1"  # every byte is a character
+TEXT_ENCODING = "latin-1"  # maps every byte to one character
 
 
 class StreamingResponse(NamedTuple):
-    """A response that is streamed to its client.
+    """A response that is being streamed to its client.
 
     Attributes:
-        request_id: the request's id.
+        request_id: id of the request.
         version: HTTP version of the request.
-        keep_alive: the request allows another one after it.
-        closes_after_stream: the client's connection ends with the response.
-        chunked: the response is chunked.
-        resume_head: from where a fresh reader goes on with the host's response.
-        host: id of the host, empty where it is not known.
+        keep_alive: the client allows another request after this one.
+        closes_after_stream: the client's connection is closed after the response.
+        chunked: the response to the client is chunked.
+        resume_head: head and framing from which a new reader continues the host's response.
+        host: id of the host, empty where it is unknown.
         address: address of the host.
     """
 
@@ -67,17 +67,17 @@
 
 
 class StreamingUpload(NamedTuple):
-    """A request whose body is streamed to a host.
+    """A request whose body is being streamed to a host.
 
     Attributes:
-        request_id: the request's id.
+        request_id: id of the request.
         time_remaining_us: how long the client waits, counted from the request's last byte.
         body_size: bytes of the body that have arrived.
-        content_length: bytes of the whole body, None where that is not known.
-        chunked: the body goes to the host in chunks.
-        resume_head: from where a fresh reader goes on with the client's request.
-        fallback_status: status of the answer where the attempt fails.
-        host: id of the host, empty where it is not known.
+        content_length: bytes of the whole body, None where this is unknown.
+        chunked: the body is sent to the host in chunks.
+        resume_head: head and framing from which a new reader continues the client's request.
+        fallback_status: status of the answer if the attempt fails.
+        host: id of the host, empty where it is unknown.
         address: address of the host.
     """
 
@@ -123,5 +123,5 @@
 
 
 def address_from_wire(address: Any) -> Address:
-    """Reads an address. Raises TypeError, ValueError or IndexError."""
+    """Decodes an address. Raises TypeError, ValueError or IndexError."""
     return str(address[0]), int(address[1])
--- a/orchidgap/http1/parser_resume.py
+++ b/orchidgap/http1/parser_resume.py
@@ -1,6 +1,6 @@
-"""The text from which a fresh reader goes on in the middle of a message.
+"""Text from which a new reader continues in the middle of a message.
 
-Another process gets such a text together with the connection that the message arrives on.
+Another process receives this text together with the connection on which the message arrives.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class ResumePoint(NamedTuple):
-    """Where a body stands.
+    """A position in a body.
 
     Attributes:
-        text: a head and framing for a fresh reader.
-        placeholder_bytes: bytes of the body that the text adds and nobody sent.
+        text: a head and framing that bring a new reader to this position.
+        placeholder_bytes: bytes of body data in the text that are not part of the real body.
     """
 
     text: bytes
@@ -24,10 +24,9 @@
 
 
 def resume_body(message: Message, start_line: bytes) -> ResumePoint | None:
-    """Returns from where a fresh reader goes on with the body of a message, None where it is
-    unknown.
+    """Returns the position in the body of a message; None where it is unknown.
 
-    `start_line` is the first line of the head that the fresh reader gets, without its line break.
+    `start_line` is the first line of the head for the new reader, without its line break.
     """
     if not message.head_complete or message.complete or message.error_status:
         return None
@@ -48,9 +47,7 @@
 
 
 def resume_request(message: Message) -> bytes | None:
-    """Returns all of a request that has arrived in part, for a fresh reader; None where it is
-    unknown.
-    """
+    """Returns the received part of an incomplete request, for a new reader; None where unknown."""
     if message.error_status or message.complete:
         return None
     if not message.head_complete:
@@ -66,7 +63,7 @@
     framing = tracker.resume_text() if tracker else None
     if framing is None or tracker is None:
         return None
-    if tracker.has_placeholder:  # the last byte of the body so far takes its place
+    if tracker.has_placeholder:  # replaced by the last byte of the body that has arrived
         framing = framing.replace(PLACEHOLDER, body[-1:], 1)
         body = body[:-1]
     received = b"%x\r\n%b\r\n" % (len(body), body) if body else b""
--- a/orchidgap/http1/protocol.py
+++ b/orchidgap/http1/protocol.py
@@ -1,4 +1,4 @@
-"""The parts of a node that speaks HTTP/1.1, joined for `composition`."""
+"""The HTTP/1.1 implementation of a node's parts, for `composition`."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Http1:
-    """The parts of a node that speaks HTTP/1.1 to clients, hosts and discovery."""
+    """Creates the parts of a node that uses HTTP/1.1 for clients, hosts and discovery."""
 
     def make_listener(self, node: Node, max_clients: int) -> ClientListener:
-        """Returns the clients' side, with so many connections at most."""
+        """Returns the listener for clients, with at most `max_clients` connections."""
         return ClientListener(node.loop, node, max_clients, Http1ClientConnection)
 
     def make_pools(self, node: Node, max_connections: int, dial: Dial) -> HostConnectionPools:
-        """Returns the hosts' side, with so many connections at most."""
+        """Returns the connection pools for hosts, with at most `max_connections` connections."""
         return HostConnectionPools(
             node.loop,
             max_connections,
@@ -34,17 +34,17 @@
         )
 
     def migrating_requests(self, node: Node) -> Iterator[MigratingRequest]:
-        """The requests that can go on in another process now."""
+        """Returns the requests that another process can continue now."""
         return request_migration.migrating_requests(node)
 
     def accept_migrated(
-        self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
+        self, node: Node, items: list[Any], raw: bytes, socks: list[socket.socket]
     ) -> None:
-        """Goes on with a request from another process."""
-        request_migration.accept_migrated(node, words, raw, socks)
+        """Continues a request from another process."""
+        request_migration.accept_migrated(node, items, raw, socks)
 
     def make_discovery(self, node: Node, dial: Dial) -> DiscoveryClient:
-        """Returns who tells the node of hosts."""
+        """Returns the client that fetches the host list for the node."""
         return DiscoveryClient(
             node.loop, node.config.discovery, node.balancer.rng, node.on_list, node.event_log, dial
         )
--- a/orchidgap/http1/readers.py
+++ b/orchidgap/http1/readers.py
@@ -1,8 +1,8 @@
-"""Readers of HTTP/1.1: bytes in, `Message` out. Parsing is httptools'; nothing here does I/O.
+"""Readers that turn bytes of HTTP/1.1 into `Message` objects, with the parser of httptools.
 
-A reader is fed views of a buffer that is reused after the call; the parser copies what is kept.
-What is malformed or too large sets `Message.error_status` and nothing else: the caller answers with
-it or closes the connection.
+Nothing here does I/O. A reader is fed views of a buffer that is reused after the call; the parser
+copies what is kept. A malformed or too large message only sets `Message.error_status`: the caller
+answers with that status or closes the connection.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 CONTENT_TOO_LARGE = 413
 HEAD_TOO_LARGE = 431
 MAX_FRAMING_RATIO = 8  # bytes of framing for each byte of a body
-# Two readers of one message could each believe another value of a repeated field (request
-# smuggling).
+# Fields that must not be repeated: two recipients of one message could each use another of the
+# values (request smuggling).
 SINGLE_VALUE_FIELDS = frozenset(
     (
         b"request-id",
@@ -43,17 +43,17 @@
 
     Attributes:
         max_body_bytes: a larger body is rejected with 413.
-        message: the oldest message that is not done with.
-        incoming: the message that arrives now; another one where messages are pipelined.
-        started: bytes of the oldest message have arrived.
-        has_excess_data: more has arrived than the other side may send.
-        head_count: heads that ended since the oldest message began, interim responses included.
+        message: the oldest message that has not been finished with.
+        incoming: the message that is arriving; not `message` where messages are pipelined.
+        started: bytes of `message` have arrived.
+        has_excess_data: more bytes have arrived than the peer may send.
+        head_count: number of heads that ended since `message` began, interim responses included.
     """
 
     parser: httptools.HttpRequestParser | httptools.HttpResponseParser
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
-        """Takes the largest body in bytes."""
+        """Limits bodies to `max_body_bytes`."""
         self.max_body_bytes = max_body_bytes
         self.message = Message()
         self.incoming = self.message
@@ -62,7 +62,7 @@
         self.head_count = 0
 
     def feed(self, view: memoryview) -> None:
-        """Parses what has arrived; the view may be reused after the call."""
+        """Parses bytes that have arrived; the view may be reused after the call."""
         self.started = True
         before = self.incoming
         head_was_complete = before.head_complete
@@ -87,7 +87,7 @@
         self.limit_framing(incoming)
 
     def limit_framing(self, incoming: Message) -> None:
-        """Guards against a head, chunk extensions or trailers without end."""
+        """Rejects an endless head, and endless chunk extensions or trailers."""
         if incoming.wire_size <= MAX_HEAD_BYTES:
             return
         if not incoming.head_complete:
@@ -99,7 +99,7 @@
     def record_head(self, view: memoryview, same_message: bool) -> None:
         """Keeps the bytes of a head that arrives in pieces.
 
-        They are not known where its first piece also held the end of another message.
+        They are unknown where the first piece also contained the end of another message.
         """
         incoming = self.incoming
         incoming.chunk_tracker = None
@@ -109,7 +109,7 @@
             incoming.head_bytes = None
 
     def record_chunks(self, view: memoryview, head_was_complete: bool) -> None:
-        """Follows the position in a chunked body, from the end of the head on."""
+        """Tracks the position in a chunked body, from the end of the head on."""
         incoming = self.incoming
         assert incoming.chunk_tracker
         if head_was_complete:
@@ -126,28 +126,28 @@
         incoming.chunk_tracker.feed(received[body_start:])
 
     def on_excess_data(self) -> None:
-        """Bytes behind a complete message are not a message."""
+        """Handles bytes after a complete message that are not a message."""
         self.has_excess_data = True
 
     def reject(self, status: int) -> None:
-        """Marks the incoming message as bad; the first reason counts."""
+        """Marks the incoming message as invalid; the first status is kept."""
         self.incoming.error_status = self.incoming.error_status or status
 
     # --- called by the parser
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the request target."""
+        """Appends a part of the request target."""
         self.incoming.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes one header field; trailers are ignored."""
+        """Stores a header field; trailers are ignored."""
         if self.incoming.head_complete:
             return
         name = name.lower()
         fields = self.incoming.fields
         if name in fields and name in SINGLE_VALUE_FIELDS:
             self.reject(BAD_REQUEST)
-        fields[name] = value.strip(b" \t")  # the parser leaves the blanks behind a value
+        fields[name] = value.strip(b" \t")  # the parser keeps whitespace after a value
 
     def on_headers_complete(self) -> None:
         """Checks how the body is framed."""
@@ -159,7 +159,7 @@
         if encoding is not None:
             if encoding.lower() == b"chunked" and incoming.version == "1.1":
                 incoming.chunk_tracker = ChunkTracker()
-            else:  # another encoding would be forwarded as if it were the body
+            else:  # a body in another encoding would be forwarded as if it were not encoded
                 self.reject(BAD_REQUEST)
         length = incoming.fields.get(b"content-length")
         if length is None:
@@ -170,7 +170,7 @@
             self.reject(CONTENT_TOO_LARGE)
 
     def on_body(self, part: bytes) -> None:
-        """Takes a part of the body."""
+        """Stores a part of the body."""
         incoming = self.incoming
         incoming.body_size += len(part)
         if incoming.body_size > self.max_body_bytes:
@@ -179,16 +179,17 @@
             incoming.body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """The last byte of the incoming message has arrived."""
+        """Marks the incoming message as complete."""
         incoming = self.incoming
         incoming.complete = True
-        # the parser forgets this with the next message
+        # The parser overwrites this with the next message.
         incoming.keep_alive = self.parser.should_keep_alive()
 
 
 class RequestReader(MessageReader):
-    r"""Reads requests in the order they arrive, pipelined ones too. The caller bounds how many may
-    wait.
+    r"""Reads requests, pipelined ones included, in the order in which they arrive.
+
+    The caller limits the number of pipelined requests.
 
     >>> reader = RequestReader()
     >>> reader.feed(memoryview(b"PUT /a/b?c HTTP/1.1\r\nTenant: x\r\nContent-Length: 2\r\n\r\nh"))
@@ -206,23 +207,23 @@
     parser: httptools.HttpRequestParser
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
-        """Takes the largest body in bytes."""
+        """Limits bodies to `max_body_bytes`."""
         super().__init__(max_body_bytes)
         self.parser = httptools.HttpRequestParser(self)
-        self.pipelined: deque[Message] = deque()  # sent before the oldest was answered
+        self.pipelined: deque[Message] = deque()  # requests sent before `message` was answered
 
     def on_message_begin(self) -> None:
-        """Called by the parser with the first byte of a request."""
+        """Begins a pipelined request where the one before it is complete."""
         if self.incoming.complete:
             self.start_pipelined()
 
     def start_pipelined(self) -> None:
-        """What arrives from now on belongs to a further request."""
+        """Begins a further request, to which all following bytes belong."""
         self.incoming = Message()
         self.pipelined.append(self.incoming)
 
     def on_headers_complete(self) -> None:
-        """A request without framing fields has no body."""
+        """Sets the length of a request without framing fields to 0: it has no body."""
         incoming = self.incoming
         incoming.method = self.parser.get_method()
         super().on_headers_complete()
@@ -230,13 +231,13 @@
             incoming.content_length = 0
 
     def on_excess_data(self) -> None:
-        """Bytes that are no request, behind one that does not close the connection."""
+        """Rejects bytes that are not a request, after one that does not close the connection."""
         if self.incoming.keep_alive:
             self.start_pipelined()
             self.reject(BAD_REQUEST)
 
     def advance(self) -> None:
-        """Goes on to the next request: the oldest is done with."""
+        """Moves on to the next request, as the oldest is finished."""
         self.head_count = 0
         if self.pipelined:
             self.message = self.pipelined.popleft()
@@ -249,7 +250,7 @@
 class ResponseReader(MessageReader):
     r"""Reads one response at a time.
 
-    A response without a length ends with its connection: `on_connection_closed` tells the reader.
+    A response without a length ends with its connection, which `on_connection_closed` reports.
 
     >>> reader = ResponseReader()
     >>> reader.feed(memoryview(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 404 No\r\n"))
@@ -267,20 +268,21 @@
     parser: httptools.HttpResponseParser
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
-        """Takes the largest body in bytes."""
+        """Limits bodies to `max_body_bytes`."""
         super().__init__(max_body_bytes)
         self.new_parser(False)
 
     def new_parser(self, bodiless: bool) -> None:
-        """Starts anew for a response; a bodiless one (to HEAD) has no body, whatever its head
-        says.
+        """Resets the reader with a new parser.
+
+        A bodiless response (to HEAD) has no body, even where its head has a length.
         """
         self.bodiless = bodiless
         self.parser = httptools.HttpResponseParser(self)
         self.reset()
 
     def reset(self) -> None:
-        """Makes room for the next response on the same connection."""
+        """Prepares for the next response on the same connection."""
         self.message = Message()
         self.incoming = self.message
         self.started = False
@@ -288,20 +290,20 @@
         self.head_count = 0
 
     def feed(self, view: memoryview) -> None:
-        """Parses what has arrived; bytes behind a complete response are excess."""
+        """Parses bytes that have arrived; those after a complete response are excess data."""
         if self.incoming.complete:
             self.has_excess_data = True
         else:
             super().feed(view)
 
     def on_message_begin(self) -> None:
-        """Called by the parser with the first byte of a response."""
+        """Treats a message after a complete response as excess data."""
         if self.incoming.complete:
             self.has_excess_data = True
-            self.incoming = Message()  # nobody reads it
+            self.incoming = Message()  # parsed, but not used
 
     def on_headers_complete(self) -> None:
-        """A bodiless response is complete with its head."""
+        """Marks a bodiless response as complete with its head."""
         incoming = self.incoming
         incoming.status = self.parser.get_status_code()
         super().on_headers_complete()
@@ -310,14 +312,14 @@
             incoming.keep_alive = self.parser.should_keep_alive()
 
     def on_body(self, part: bytes) -> None:
-        """Takes a part of the body; a bodiless response may not have one."""
+        """Stores a part of the body; in a bodiless response it is excess data."""
         if self.bodiless:
             self.has_excess_data = True
         else:
             super().on_body(part)
 
     def on_message_complete(self) -> None:
-        """Goes on to the final response after an interim one, in the same place."""
+        """Completes the response; an interim one is replaced in place by the one after it."""
         incoming = self.incoming
         if not incoming.complete:
             super().on_message_complete()
@@ -330,7 +332,7 @@
             incoming.wire_size = wire_size
 
     def on_connection_closed(self) -> bool:
-        """Returns whether the response is complete now that the other side has closed in order."""
+        """Returns whether the response is complete, given that the peer closed without an error."""
         incoming = self.incoming
         ends_with_connection = (
             incoming.content_length is None and b"transfer-encoding" not in incoming.fields
@@ -341,7 +343,7 @@
 
 
 def is_interim(status: int) -> bool:
-    """Whether a final response follows one with this status.
+    """Whether a response with this status is followed by a final response.
 
     >>> is_interim(100), is_interim(200)
     (True, False)
--- a/orchidgap/http1/request_checks.py
+++ b/orchidgap/http1/request_checks.py
@@ -1,4 +1,4 @@
-"""What a request has to say before any host is asked, and how it is answered where it does not."""
+"""Validation of the head of a request, before any attempt is sent to a host."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class RequestFields(NamedTuple):
-    """What the head of a valid request says.
+    """The values in the head of a valid request.
 
     Attributes:
-        request_id: its id, new with every request.
-        request_class: name of its class.
+        request_id: id of the request, unique for every request.
+        request_class: name of its request class.
         timeout_us: how long the client waits, counted from the request's last byte.
-        key: what the request is about, empty where it has no key.
-        tenant: whose request it is, empty where that is not said.
-        is_client_retry: it is marked as its client's retry.
+        key: key of the requested value, empty where the request has none.
+        tenant: tenant that the request belongs to, empty where none is given.
+        is_client_retry: the client has marked it as a retry.
     """
 
     request_id: bytes
@@ -36,23 +36,23 @@
 
 
 class InvalidRequestError(OrchidgapError):
-    """A request that is answered without a look at any host.
+    """A request that is answered without sending it to a host.
 
     Attributes:
         status: the status code of its answer.
     """
 
     def __init__(self, status: int) -> None:
-        """Takes the status code of the answer."""
+        """Sets the status code of the answer."""
         super().__init__(f"answered {status}")
         self.status = status
 
 
 def check_start_line(message: Message) -> tuple[str, bytes]:
-    """Returns the first part of the path and the last of several.
+    """Returns the first segment of the path, and the last one if there are several.
 
     Raises:
-        InvalidRequestError: the target, the version or the method cannot be served.
+        InvalidRequestError: the target, the version or the method is not supported.
     """
     try:
         path_class, key = split_target(message.target)
@@ -68,13 +68,13 @@
 def check_fields(
     message: Message, path_class: str, key: bytes, handler: RequestHandler
 ) -> RequestFields:
-    """Returns what the head says of the request.
+    """Returns the values in the head of the request.
 
     Args:
         message: the request.
-        path_class: its class by the path, which counts where no field names one.
+        path_class: its class by the path, which applies where no field names a class.
         key: its key.
-        handler: who knows the classes and the open requests.
+        handler: provides the request classes and the open requests.
 
     Raises:
         InvalidRequestError: the class is unknown, a field is missing, or the id is in use.
@@ -89,7 +89,7 @@
     if not timeout_us or not request_id:
         raise InvalidRequestError(400)
     if handler.is_request_open(request_id):
-        # One of the two could get the other's answer, and hosts reject the second.
+        # One of the two could receive the other's answer, and hosts reject the second one.
         raise InvalidRequestError(409)
     tenant = fields.get(b"tenant", b"").decode(errors="replace")
     is_client_retry = fields.get(b"client-retry") == b"1"
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -1,7 +1,7 @@
-"""Requests under way that go on in another process of this balancer.
+"""Migration of requests in progress to another process of this balancer.
 
-Such a request goes with its connections, with what the other process has to know of it (see
-`migration_messages`), and with bytes that were not sent yet.
+Such a request is sent with its connections, a message that describes it (see `migration_messages`)
+and the bytes that have not been written yet.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from orchidgap.net.node import Node
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
-MAX_UNWRITTEN_BYTES = 120_000  # with which a request still goes: a packet holds only so many
+MAX_UNWRITTEN_BYTES = 120_000  # of a request that is migrated, as the size of a packet is limited
 
 
-# --- requests that leave
+# --- requests that are sent to another process
 
 
 def migrating_requests(node: Node) -> Iterator[MigratingRequest]:
-    """The requests that can leave now, each as it stands."""
+    """Yields the requests that can be migrated now, each in its current state."""
     for client in list(node.clients.open_clients):
         assert isinstance(client, Http1ClientConnection)
         migrating = export_request(node, client)
@@ -46,7 +46,7 @@
 
 
 def export_request(node: Node, client: Http1ClientConnection) -> MigratingRequest | None:
-    """Returns the request of a client, None where it has none that can leave now."""
+    """Returns the request of a client, None where it has none that can be migrated now."""
     if not client.conn.is_open or client.conn.closing:
         return None
     if client.reader.pipelined or client.reader.has_excess_data:
@@ -55,15 +55,15 @@
         return export_streaming_response(client)
     if client.upload:
         return export_streaming_upload(node, client)
-    was_handed_over = client.pending_request is not None
+    was_dispatched = client.pending_request is not None
     is_awaited = client in node.clients.awaiting_request
-    if client.request_begun and is_awaited and not was_handed_over:
+    if client.request_begun and is_awaited and not was_dispatched:
         return export_partial_request(client)
     return None
 
 
 def export_partial_request(client: Http1ClientConnection) -> MigratingRequest | None:
-    """A request that has arrived in part, and of which nothing has been forwarded."""
+    """Returns a request of which a part has arrived and nothing has been forwarded."""
     received = resume_request(client.reader.message)
     if not received:
         return None
@@ -71,7 +71,7 @@
 
 
 def export_streaming_response(client: Http1ClientConnection) -> MigratingRequest | None:
-    """A response that is streamed to its client."""
+    """Returns a request whose response is being streamed to its client."""
     exchange = client.pending_request
     if not isinstance(exchange, Exchange) or exchange.streaming_attempt is None:
         return None
@@ -105,7 +105,7 @@
 
 
 def export_streaming_upload(node: Node, client: Http1ClientConnection) -> MigratingRequest | None:
-    """A request whose body is streamed to a host, and no longer kept here."""
+    """Returns a request whose body is being streamed to a host, and is not kept here any more."""
     exchange = client.pending_request
     upload = client.upload
     if not isinstance(exchange, Exchange) or exchange.closed:
@@ -135,7 +135,7 @@
     )
     detach = detach_all(exchange, connection, client)
 
-    def let_go() -> None:
+    def detach_and_cancel() -> None:
         detach()
         node.call_decisions(node.balancer.on_client_disconnect, exchange.number)
 
@@ -143,14 +143,14 @@
         [STREAMING_UPLOAD, content.to_wire()],
         bytes(connection.conn.write_buffer),
         [client.conn.sock, connection.conn.sock],
-        let_go,
+        detach_and_cancel,
     )
 
 
 def detach_all(
     exchange: Exchange, connection: HostConnection, client: Http1ClientConnection
 ) -> Callable[[], None]:
-    """Returns what is to be called once the request has gone."""
+    """Returns the function to call once the request has been sent to the other process."""
 
     def detach() -> None:
         exchange.detach()
@@ -161,47 +161,47 @@
 
 
 def host_of(exchange: Exchange, connection: HostConnection) -> str:
-    """The id of the host that an attempt of the request is at, empty where it is not known."""
+    """Returns the id of the host on this connection, empty where it is unknown."""
     hosts = (attempt.host for attempt in exchange.attempts if attempt.carrier is connection)
     return next(hosts, "")
 
 
 def address_of(connection: HostConnection) -> Address:
-    """The address of the host at the other end."""
+    """Returns the address of the host on this connection."""
     return cast(HostConnectionPool, connection.pool).address
 
 
-# --- requests that arrive
+# --- requests that arrive from another process
 
 
-def accept_migrated(node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
-    """Goes on with a request from another process.
+def accept_migrated(node: Node, items: list[Any], raw: bytes, socks: list[socket.socket]) -> None:
+    """Continues a request from another process.
 
     Args:
-        node: the node that it goes on in.
-        words: the message: its kind and its content.
-        raw: the bytes that came with it.
+        node: the node that continues the request.
+        items: the message: its name and its content.
+        raw: the bytes that came with the message.
         socks: the client's connection, and the host's where there is one.
 
     Raises:
-        Exception: the message makes no sense (ValueError and the like); all connections are
-            closed then.
+        Exception: the message is invalid (ValueError, TypeError, LookupError or AttributeError);
+            all of its connections are closed in that case.
     """
-    closers: list[Callable[[], None]] = []  # of the connections that were taken over
+    closers: list[Callable[[], None]] = []  # close the connections that were adopted so far
     try:
         client = add_client(node, socks[0])
         closers.append(client.detach)
-        if words[0] == PARTIAL_REQUEST:
+        if items[0] == PARTIAL_REQUEST:
             node.clients.await_request(client)
             client.received(memoryview(bytearray(raw)))
-        elif words[0] == STREAMING_RESPONSE:
-            response = StreamingResponse.from_wire(words[1])
+        elif items[0] == STREAMING_RESPONSE:
+            response = StreamingResponse.from_wire(items[1])
             connection = add_host_connection(node, response.host, response.address, socks[1])
             closers.append(connection.close)
             resume_response(node, response, raw, client, connection)
             read_if_open(connection)
         else:
-            upload = StreamingUpload.from_wire(words[1])
+            upload = StreamingUpload.from_wire(items[1])
             connection = add_host_connection(node, upload.host, upload.address, socks[1])
             closers.append(connection.close)
             resume_upload(node, upload, raw, client, connection)
@@ -216,7 +216,7 @@
 
 
 def read_if_open(connection: HostConnection) -> None:
-    """Reads what arrived while the connection changed hands."""
+    """Reads what arrived while the connection was handed over."""
     if connection.conn.is_open:
         connection.conn.on_ready(READ)
 
@@ -228,7 +228,7 @@
     client: Http1ClientConnection,
     connection: HostConnection,
 ) -> None:
-    """Goes on with a streamed response; `unsent` was still to be written to the client."""
+    """Continues a streamed response; `unsent` has not been written to the client yet."""
     exchange = Exchange(
         node,
         node.next_request_number(),
@@ -266,7 +266,7 @@
     client: Http1ClientConnection,
     connection: HostConnection,
 ) -> None:
-    """Goes on with a streamed request body; `unsent` was still to be written to the host."""
+    """Continues a streamed request body; `unsent` has not been written to the host yet."""
     client.reader.feed(memoryview(bytearray(content.resume_head)))
     request = client.reader.message
     request.take_body()
@@ -298,7 +298,7 @@
 
 
 def add_client(node: Node, sock: socket.socket) -> Http1ClientConnection:
-    """Takes a client's connection into the node."""
+    """Adds a client's connection to the node."""
     client = node.clients.make_client(node.clients, sock)
     assert isinstance(client, Http1ClientConnection)
     node.clients.open_clients[client] = None
@@ -309,9 +309,9 @@
 def add_host_connection(
     node: Node, host: str, address: Address, sock: socket.socket
 ) -> HostConnection:
-    """Takes a host's connection into the pool of its host.
+    """Adds a host's connection to the pool of its host.
 
-    Where the list has no such host, into a pool that nothing else is sent on.
+    Where the host list does not contain that host, uses a new pool that is already retired.
     """
     pools = node.pools
     assert isinstance(pools, HostConnectionPools)
@@ -320,7 +320,7 @@
         pool = HostConnectionPool(pools, address)
         pool.retired = True
     connection = HostConnection(pool, sock, None)
-    connection.bytes_written_at_start = -1  # the other process has written on it
+    connection.bytes_written_at_start = -1  # so that it counts as written to, by the other process
     connection.received_at_us = node.loop.now
     pool.add(connection)
     return connection
@@ -329,7 +329,7 @@
 def add_attempt(
     exchange: Exchange, host: str, connection: HostConnection, upload: Upload | None
 ) -> UpstreamAttempt:
-    """Returns the attempt that was under way on the connection."""
+    """Returns a new attempt for the one that was in progress on the connection."""
     attempt = UpstreamAttempt(b"", b"", exchange.deadline_us, exchange, 0, host)
     attempt.upload = upload
     attempt.carrier = connection
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -1,7 +1,7 @@
-"""Connections from clients over HTTP/1.1: bytes become requests, each answered once, in order.
+"""Connections from clients over HTTP/1.1: reads requests, and answers each once and in order.
 
-One request of a connection is handled at a time. Pipelined ones wait in the reader; a connection
-with too many of them is read no further.
+One request of a connection is handled at a time. Pipelined requests are queued in the reader;
+reading from a connection is paused while it has too many of them.
 """
 
 from __future__ import annotations
@@ -30,26 +30,26 @@
 from orchidgap.net.request_handler import PendingRequest
 from orchidgap.net.traffic_counts import ConnectionEnd
 
-BODY_PROGRESS_BYTES = 1 << 14  # of a body that has to arrive within the time for one request
-MAX_PIPELINED = 8  # requests that may wait behind one
+MIN_BODY_PROGRESS_BYTES = 1 << 14  # body bytes that have to arrive within the time for one request
+MAX_PIPELINED = 8  # requests that may be queued after the current one
 SERVICE_UNAVAILABLE = 503
-READINESS_TARGET = ("up", b"")  # `GET /up` asks whether this balancer serves
+READINESS_TARGET = ("up", b"")  # `GET /up` is the readiness check
 
 
 class Http1ClientConnection(ClientConnection):
     """One connection from a client.
 
     Attributes:
-        reader: the messages that arrive on it.
-        pending_request: the request that is handled, None between requests.
+        reader: reads the requests.
+        pending_request: the request that is being handled, None between requests.
         upload: the body of that request while it arrives, where it is streamed.
-        body_size_at_progress: bytes of the body that had arrived when the time for the rest began
-            anew.
+        body_size_at_progress: bytes of the body that had arrived when the timeout for the rest was
+            last restarted.
         streaming: a response is being streamed.
-        closes_after_stream: the connection ends with that response.
+        closes_after_stream: the connection is closed after that response.
         chunked: the body of that response is chunked.
-        stream_source: the host's connection that the response comes from.
-        turn_at_us: when the request behind the last answer came to be the oldest.
+        stream_source: the host's connection that the response is read from.
+        turn_at_us: when the request after the last answer became the oldest one.
     """
 
     is_transferable = True
@@ -66,7 +66,7 @@
     )
 
     def __init__(self, clients: ClientListener, sock: socket.socket) -> None:
-        """Takes an accepted socket."""
+        """Uses an accepted socket."""
         self.reader = RequestReader()
         self.pending_request: PendingRequest | None = None
         self.upload: Upload | None = None
@@ -80,9 +80,7 @@
 
     @property
     def received_at_us(self) -> int:
-        """When the last byte of the oldest request arrived, by the loop's clock; 0 until it is
-        known.
-        """
+        """When the last byte of the oldest request arrived, by the loop's clock; 0 if unknown."""
         return self.reader.message.received_at_us
 
     @property
@@ -92,13 +90,13 @@
 
     @property
     def requests_begun(self) -> int:
-        """How many requests were read, in part at least."""
+        """How many requests were read at least in part."""
         return self.requests_read + len(self.reader.pipelined)
 
     # --- requests
 
     def received(self, view: memoryview) -> None:
-        """Takes bytes from the client."""
+        """Handles bytes from the client."""
         reader = self.reader
         if not reader.started and self in self.listener.idle:
             del self.listener.idle[self]
@@ -115,12 +113,12 @@
         self.process_message()
 
     def process_message(self) -> None:
-        """Goes as far as the oldest request has arrived: handles it, or more of its body."""
+        """Processes as much of the oldest request as has arrived."""
         message = self.reader.message
         if self.upload:
             self.feed_upload()
         elif self.pending_request or self.streaming:
-            return  # pipelined requests wait for the answer
+            return  # pipelined requests are processed after the answer
         elif message.error_status:
             self.reject(message.error_status)
         elif message.complete:
@@ -133,35 +131,35 @@
             self.on_body_progress()
 
     def process_next(self) -> None:
-        """Goes on with the request behind the one that was answered."""
+        """Processes the request after the one that was answered."""
         if self.conn.is_open and not self.conn.closing:
             self.process_message()
 
     def send_continue(self, message: Message) -> None:
-        """Sends an interim response to a client that waits for it before it sends a body."""
+        """Sends an interim response to a client that expects one before it sends the body."""
         expects = message.fields.pop(b"expect", b"")
         if expects and message.version == "1.1" and not message.body_size:
             self.conn.send(CONTINUE)
 
     def on_body_progress(self) -> None:
-        """Starts the time for the rest of a request anew as its body arrives.
+        """Restarts the timeout for the rest of a request as its body arrives.
 
-        A large body may take longer than one request's time as long as it goes on.
+        A large body may take longer than the time for one request, as long as it makes progress.
         """
         size = self.reader.message.body_size
         if (
             not self.body_size_at_progress
-            or size - self.body_size_at_progress >= BODY_PROGRESS_BYTES
+            or size - self.body_size_at_progress >= MIN_BODY_PROGRESS_BYTES
         ):
             self.body_size_at_progress = max(1, size)
             self.listener.await_request(self)
 
     def feed_upload(self) -> None:
-        """Passes on what has arrived of a streamed body."""
+        """Forwards the part of a streamed body that has arrived."""
         message = self.reader.message
         upload = self.upload
         assert upload
-        if message.error_status:  # a body that is cut off here never executes at its host
+        if message.error_status:  # a host never executes a request with a truncated body
             self.on_stalled(message.error_status)
             return
         if parts := message.take_body():
@@ -173,13 +171,13 @@
             self.upload = None
             if self.pending_request:
                 self.pending_request.on_body_complete()
-        elif self.conn.read_paused:  # the client waits for the host, not the reverse
+        elif self.conn.read_paused:  # the host is slow, not the client
             self.listener.awaiting_request.pop(self, None)
         else:
             self.on_body_progress()
 
     def on_stalled(self, status: int = 408) -> None:
-        """A request that began does not go on."""
+        """Rejects a request whose remaining bytes do not arrive in time, or are invalid."""
         pending = self.pending_request
         self.pending_request = None
         if pending:
@@ -187,8 +185,8 @@
         self.reject(status)
 
     def accept_request(self) -> None:
-        """Hands the oldest request to the handler, or answers it here where it is not valid."""
-        if self.has_disconnected():  # while it waited for those before it
+        """Passes the oldest request to the handler, or rejects it where it is invalid."""
+        if self.has_disconnected():  # possible while the requests before it were handled
             return
         message = self.reader.message
         try:
@@ -220,7 +218,7 @@
         body: bytes,
         upload: Upload | None,
     ) -> None:
-        """Has the handler answer a valid request."""
+        """Passes a valid request to the handler."""
         head = forwarded_head(message.method, message.target, message.fields, content_length)
         self.listener.handler.handle_request(
             self,
@@ -239,10 +237,9 @@
     # --- responses
 
     def closes_after_answer(self) -> bool:
-        """Whether the connection ends with the answer to the oldest request.
+        """Whether the connection is closed after the answer to the oldest request.
 
-        A request that has arrived whole behind it is answered first: it would be lost with the
-        connection.
+        Not while the next request has arrived completely: it would be lost with the connection.
         """
         if not self.listener.closes_after_response:
             return False
@@ -258,9 +255,9 @@
 
         Args:
             status: the status code.
-            body: its body; not sent to HEAD.
-            pause: value of Retry-After in microseconds, 0 for none.
-            length: Content-Length where it is not that of the body.
+            body: its body, which is not sent in response to HEAD.
+            retry_after_us: value of Retry-After in microseconds, 0 for none.
+            length: Content-Length where it is not the length of `body`.
         """
         message = self.reader.message
         self.pending_request = None
@@ -271,7 +268,7 @@
         self.on_answered(close)
 
     def begin(self, length: int | None, source: Connection) -> None:
-        """Starts a streamed response of this length, where that is known."""
+        """Starts a streamed response; its length is None where it is unknown."""
         message = self.reader.message
         self.streaming = True
         self.stream_source = source
@@ -285,20 +282,21 @@
         self.conn.send(response_head(200, length, self.closes_after_stream, 0, message.version))
 
     def give(self, parts: list[bytes]) -> None:
-        """Sends more of a streamed body; its source is paused while the client does not read."""
+        """Sends parts of a streamed body; pauses the source while the client does not read."""
         if parts and self.conn.is_open:
             self.conn.send(*(encode_chunk(parts) if self.chunked else parts))
             if self.stream_source and self.conn.write_buffer:
                 self.stream_source.pause_reading(True)
 
     def resume_source(self) -> None:
-        """The client has read what was sent."""
+        """Resumes reading from the host, as all data for the client has been written."""
         if self.stream_source and self.stream_source.is_open:
             self.stream_source.pause_reading(False)
 
     def end(self, whole: bool) -> None:
-        """Ends a streamed response; the connection is reset where it is not whole, so that this
-        shows.
+        """Ends a streamed response.
+
+        Resets the connection where the response is incomplete, so that the client can detect this.
         """
         self.streaming = False
         self.stream_source = None
@@ -310,11 +308,11 @@
             return
         if self.chunked:
             self.conn.send(LAST_CHUNK)
-        # a drain may have begun since the head was sent
+        # A drain may have begun since the head was sent.
         self.on_answered(self.closes_after_stream or self.closes_after_answer())
 
     def on_answered(self, close: bool) -> None:
-        """Goes on after the answer to the oldest request."""
+        """Closes the connection, or moves on to the next request, after an answer."""
         reader = self.reader
         self.upload = None
         self.requests_answered += 1
@@ -339,7 +337,7 @@
             self.listener.trim_idle()
 
     def reject(self, status: int) -> None:
-        """Answers what is not a valid request, and ends the connection."""
+        """Answers an invalid request, and closes the connection."""
         self.listener.awaiting_request.pop(self, None)
         self.upload = None
         if self.conn.is_open and not self.conn.closing:
@@ -353,11 +351,11 @@
             self.finish()
 
     def is_idle(self) -> bool:
-        """Whether nothing is owed to this client, and nothing of it waits to be read."""
+        """Whether no request is in progress, and no bytes of the client are unread."""
         return not (self.pending_request or self.streaming) and super().is_idle()
 
     def on_disconnect(self) -> None:
-        """The client has gone: its request is of no use any more."""
+        """Cancels the request in progress, as the client has disconnected."""
         pending = self.pending_request
         self.pending_request = None
         if pending:
@@ -366,7 +364,7 @@
     # --- migration between two processes of one balancer
 
     def detach(self) -> None:
-        """The connection goes on in another process: nothing more is done with it here."""
+        """Closes the connection here, as another process continues it."""
         self.pending_request = None
         self.upload = None
         self.stream_source = None
@@ -376,14 +374,14 @@
     def attach_response(
         self, pending: PendingRequest, source: Connection, chunked: bool, close: bool, unsent: bytes
     ) -> None:
-        """Goes on with a streamed response from another process.
+        """Continues a streamed response from another process.
 
         Args:
             pending: the request.
             source: the host's connection.
             chunked: the body is chunked.
-            close: the connection ends with the response.
-            unsent: bytes that were still to be written there.
+            close: the connection is closed after the response.
+            unsent: bytes that the other process has not written yet.
         """
         self.pending_request = pending
         self.streaming = True
@@ -398,7 +396,7 @@
             source.pause_reading(True)
 
     def attach_upload(self, pending: PendingRequest, upload: Upload) -> None:
-        """Goes on with a streamed request body from another process."""
+        """Continues a streamed request body from another process."""
         self.pending_request = pending
         self.upload = upload
         self.body_size_at_progress = self.reader.message.body_size
--- a/orchidgap/http1/writers.py
+++ b/orchidgap/http1/writers.py
@@ -1,5 +1,6 @@
-"""Writers of HTTP/1.1: heads of requests and responses, chunks, and the values in them. Nothing
-here does I/O.
+"""Encoding of HTTP/1.1 heads and chunks, and parsing of the values in a head.
+
+Nothing here does I/O.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 SECONDS_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]*)?")
 MICROSECONDS_PER_SECOND = 1e6
-MAX_TIMEOUT_US = 3.6e9  # an hour
+MAX_TIMEOUT_US = 3.6e9  # one hour
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 REASONS = {
@@ -27,15 +28,15 @@
     503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
-# Fields of a client's request that its hosts get unchanged, with the name as it is written.
+# Fields of a client's request that are forwarded unchanged, with their name on the wire.
 FORWARDED_FIELDS = ((b"request-id", b"Request-Id"), (b"idempotency-key", b"Idempotency-Key"))
 
 
 def split_target(target: bytes) -> tuple[str, bytes]:
-    """Returns the first part of the path (the request class) and the last part of several (the
-    key).
+    """Returns the first segment of the path, and the last one if there are several.
 
-    Raises httptools.HttpParserInvalidURLError.
+    The first segment is the request class, the last one the key. Raises
+    httptools.HttpParserInvalidURLError.
 
     >>> split_target(b"/read/7f%33?x=/y"), split_target(b"/read")
     (('read', b'7f3'), ('read', b''))
@@ -50,7 +51,7 @@
 
 
 def parse_seconds(text: bytes) -> int | None:
-    """Returns whole microseconds, or None where the text is not a time that could be waited for.
+    """Parses seconds into whole microseconds; None where the text is not a valid timeout.
 
     >>> [parse_seconds(text) for text in (b"0.480", b"2", b"-1", b"nan", b"9" * 99, b"1_0")]
     [480000, 2000000, None, None, None, None]
@@ -73,8 +74,8 @@
     Args:
         status: one of `REASONS`.
         content_length: bytes of the body. None: the body is chunked, or ends with the connection
-            where the client knows no chunks.
-        close: the connection ends after this response.
+            where the client does not support chunks.
+        close: the connection is closed after this response.
         retry_after_us: value of Retry-After in microseconds, 0 for none.
         version: the HTTP version of the request.
 
@@ -104,8 +105,9 @@
 
 
 def encode_chunk(parts: list[bytes]) -> list[bytes]:
-    r"""Returns the parts framed as one chunk, nothing for no bytes: an empty chunk would end the
-    body.
+    r"""Returns the parts framed as one chunk, or an empty list where they contain no bytes.
+
+    An empty chunk would end the body.
 
     >>> encode_chunk([b"ab", b"c"]), encode_chunk([])
     ([b'3\r\n', b'ab', b'c', b'\r\n'], [])
@@ -117,7 +119,7 @@
 def forwarded_head(
     method: bytes, target: bytes, fields: dict[bytes, bytes], content_length: int | None
 ) -> bytes:
-    r"""Returns the head of a request as hosts get it, up to the line that tells its timeout.
+    r"""Returns the head of a request to a host, up to but not including its timeout field.
 
     `content_length` is in bytes; None: the body is chunked.
 
--- a/orchidgap/net/handover/messages.py
+++ b/orchidgap/net/handover/messages.py
@@ -55,7 +55,7 @@
 
 
 class Counts(NamedTuple):
-    """In both directions: requests opened and closed since the last message, and attempts."""
+    """In both directions, on a change: requests opened and closed since the last such message."""
 
     opened: list[str]  # request ids
     closed: list[str]  # request ids
