--- a/tests/http1/test_parser_resume.py
+++ b/tests/http1/test_parser_resume.py
@@ -1,4 +1,4 @@
-"""From where a message stands, a fresh reader goes on as if it had read all of it."""
+"""A new reader continues in the middle of a message as if it had read the whole message."""
 
 from itertools import pairwise
 
@@ -11,7 +11,7 @@
 from orchidgap.http1.readers import RequestReader, ResponseReader
 
 CHUNKED = b'3;ext="a;b"\r\nabc\r\n1\r\nx\r\n0010\r\n0123456789abcdef\r\n0\r\nT: y\r\n\r\n'
-REQS = [
+REQUESTS = [
     b"PUT /a/b?q=1 HTTP/1.1\r\nContent-Length: 9\r\nTenant: x \r\n\r\n123456789",
     b"PUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nRequest-Id: 7\r\n\r\n" + CHUNKED,
     b"\r\n\r\nPUT /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + CHUNKED,
@@ -28,14 +28,14 @@
 ]
 
 
-def feed(reader, text, places):
-    ends = sorted({place % (len(text) + 1) for place in places} | {0, len(text)})
+def feed(reader, text, positions):
+    ends = sorted({position % (len(text) + 1) for position in positions} | {0, len(text)})
     for start, end in pairwise(ends):
         reader.feed(memoryview(bytearray(text[start:end])))
     return reader
 
 
-def told(message):
+def parsed_fields(message):
     return (
         message.method,
         message.target,
@@ -49,35 +49,39 @@
     )
 
 
-PLACES = st.lists(st.integers(0, 300), max_size=12)
+POSITIONS = st.lists(st.integers(0, 300), max_size=12)
 
 
-@given(st.sampled_from(REQS), st.integers(0, 300), PLACES, PLACES)
-def test_a_req_goes_on_in_another_reader(text, place, before, after):
-    place = place % len(text)
-    first = feed(RequestReader(), text[:place], before)
-    so_far = resume_request(first.message)
+@given(st.sampled_from(REQUESTS), st.integers(0, 300), POSITIONS, POSITIONS)
+def test_request_continues_in_another_reader(text, cut_at, positions_before, positions_after):
+    cut_at = cut_at % len(text)
+    first = feed(RequestReader(), text[:cut_at], positions_before)
+    received_part = resume_request(first.message)
     if first.message.complete:
-        assert so_far is None
+        assert received_part is None
         return
-    assert so_far is not None
+    assert received_part is not None
     second = feed(
-        feed(RequestReader(), so_far, ()) if so_far else RequestReader(), text[place:], after
+        feed(RequestReader(), received_part, ()) if received_part else RequestReader(),
+        text[cut_at:],
+        positions_after,
     )
-    assert told(second.message) == told(feed(RequestReader(), text, ()).message)
+    assert parsed_fields(second.message) == parsed_fields(feed(RequestReader(), text, ()).message)
 
 
-@given(st.sampled_from(ANSWERS), st.integers(0, 300), PLACES, PLACES)
-def test_an_answer_goes_on_in_another_reader(text, place, before, after):
-    place = place % len(text)
-    first = feed(ResponseReader(), text[:place], before)
+@given(st.sampled_from(ANSWERS), st.integers(0, 300), POSITIONS, POSITIONS)
+def test_answer_continues_in_another_reader(text, cut_at, positions_before, positions_after):
+    cut_at = cut_at % len(text)
+    first = feed(ResponseReader(), text[:cut_at], positions_before)
     if not first.message.head_complete or first.message.complete:
         assert resume_body(first.message, b"HTTP/1.1 200 OK") is None
         return
-    so_far, padding = resume_body(first.message, b"HTTP/%b 200 OK" % first.message.version.encode())
-    second = feed(ResponseReader(), so_far, ())
-    assert sum(map(len, second.message.take_body())) == padding
-    feed(second, text[place:], after)
+    resume_text, placeholder_bytes = resume_body(
+        first.message, b"HTTP/%b 200 OK" % first.message.version.encode()
+    )
+    second = feed(ResponseReader(), resume_text, ())
+    assert sum(map(len, second.message.take_body())) == placeholder_bytes
+    feed(second, text[cut_at:], positions_after)
     second.on_connection_closed()
     whole = feed(ResponseReader(), text, ())
     whole.on_connection_closed()
@@ -90,13 +94,13 @@
 
 
 @pytest.mark.parametrize("text", [b"zz\r\n", b"\r\n", b"x" * (1 << 14) + b"x"])
-def test_what_is_no_framing_is_lost_count_of(text):
-    chunks = ChunkTracker()
-    chunks.feed(text)
-    assert chunks.state is ChunkState.UNKNOWN and chunks.resume_text() is None
+def test_position_in_invalid_framing_is_unknown(text):
+    tracker = ChunkTracker()
+    tracker.feed(text)
+    assert tracker.state is ChunkState.UNKNOWN and tracker.resume_text() is None
 
 
-def test_a_message_that_shares_its_first_bytes_with_another_is_not_known():
+def test_pipelined_message_in_one_piece_with_another_cannot_be_resumed():
     reader = RequestReader()
     reader.feed(
         memoryview(
--- a/tests/http1/test_readers.py
+++ b/tests/http1/test_readers.py
@@ -1,4 +1,4 @@
-"""Framing: any split of the same bytes reads the same; what is ambiguous is turned down."""
+"""Readers: the same bytes give the same messages however they are split; ambiguous framing fails."""
 
 from itertools import pairwise
 
@@ -9,7 +9,7 @@
 from orchidgap.http1.messages import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES
 from orchidgap.http1.readers import RequestReader, ResponseReader
 
-REQS = [
+REQUESTS = [
     b"GET /a/b HTTP/1.1\r\nRequest-Id: 1\r\n\r\n",
     b"PUT /a/b HTTP/1.1\r\nContent-Length: 5 \t\r\nTenant: x  \r\n\r\nhello",
     b'PUT /a/b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;ext="a;b"\r\nabc\r\n1;x\r\nd\r\n0\r\nTrailer: y\r\n\r\n',
@@ -27,12 +27,12 @@
 ]
 
 
-def cut(text, places):
-    ends = sorted({place % (len(text) + 1) for place in places} | {0, len(text)})
+def split_at(text, positions):
+    ends = sorted({position % (len(text) + 1) for position in positions} | {0, len(text)})
     return [text[start:end] for start, end in pairwise(ends)]
 
 
-def told(message):
+def parsed_fields(message):
     return (
         message.method,
         message.status,
@@ -48,41 +48,41 @@
     )
 
 
-def reqs_of(pieces):
+def read_requests(pieces):
     reader, found = RequestReader(), []
     for piece in pieces:
         reader.feed(memoryview(bytearray(piece)))
         while reader.message.complete and not reader.message.error_status:
-            found.append(told(reader.message))
+            found.append(parsed_fields(reader.message))
             reader.advance()
     return found, reader.message.error_status
 
 
 @given(
-    st.lists(st.sampled_from(REQS), min_size=1, max_size=5),
+    st.lists(st.sampled_from(REQUESTS), min_size=1, max_size=5),
     st.lists(st.integers(0, 1000), max_size=30),
     st.booleans(),
 )
-def test_reqs_read_the_same_however_they_are_cut(texts, places, bytewise):
+def test_requests_are_read_the_same_however_they_are_split(texts, positions, bytewise):
     text = b"".join(texts)
-    pieces = [text[i : i + 1] for i in range(len(text))] if bytewise else cut(text, places)
-    whole = [reqs_of([text])[0][0] for text in texts]
-    assert reqs_of(pieces) == (whole, 0)
+    pieces = [text[i : i + 1] for i in range(len(text))] if bytewise else split_at(text, positions)
+    whole = [read_requests([text])[0][0] for text in texts]
+    assert read_requests(pieces) == (whole, 0)
 
 
 @given(
     st.lists(st.sampled_from(ANSWERS), min_size=1, max_size=5),
     st.lists(st.integers(0, 1000), max_size=30),
 )
-def test_answers_read_the_same_however_they_are_cut(texts, places):
+def test_answers_are_read_the_same_however_they_are_split(texts, positions):
     reader = ResponseReader()
-    for text in texts:  # one is asked for at a time
-        once = ResponseReader()
-        once.feed(memoryview(bytearray(text)))
-        for piece in cut(text, places):
+    for text in texts:  # one response at a time
+        expected = ResponseReader()
+        expected.feed(memoryview(bytearray(text)))
+        for piece in split_at(text, positions):
             reader.feed(memoryview(bytearray(piece)))
         assert (
-            told(reader.message) == told(once.message)
+            parsed_fields(reader.message) == parsed_fields(expected.message)
             and reader.message.complete
             and not reader.has_excess_data
         )
@@ -92,21 +92,27 @@
 @given(
     st.binary(max_size=300),
     st.lists(st.integers(0, 1000), max_size=10),
-    st.sampled_from([*REQS, b""]),
+    st.sampled_from([*REQUESTS, b""]),
 )
-def test_noise_is_never_an_exception_and_reads_the_same_however_it_is_cut(noise, places, first):
+def test_random_bytes_never_raise_and_are_read_the_same_however_they_are_split(
+    noise, positions, first
+):
     text = first + noise
     whole, pieces = RequestReader(), RequestReader()
     whole.feed(memoryview(bytearray(text)))
-    for piece in cut(text, places):
+    for piece in split_at(text, positions):
         pieces.feed(memoryview(bytearray(piece)))
         if pieces.incoming.error_status:
             break
-    said = [
-        [told(message)[:4] for message in (reader.message, *reader.pipelined) if message.complete]
+    results = [
+        [
+            parsed_fields(message)[:4]
+            for message in (reader.message, *reader.pipelined)
+            if message.complete
+        ]
         for reader in (whole, pieces)
     ]
-    assert said[0] == said[1] and bool(whole.incoming.error_status) == bool(
+    assert results[0] == results[1] and bool(whole.incoming.error_status) == bool(
         pieces.incoming.error_status
     )
 
@@ -157,7 +163,7 @@
     ],
 )
 @pytest.mark.parametrize("step", [7, 1 << 16])
-def test_what_two_readers_could_take_in_two_ways_is_turned_down(text, status, step):
+def test_ambiguous_framing_is_rejected(text, status, step):
     reader = RequestReader()
     for i in range(0, len(text), step):
         reader.feed(memoryview(bytearray(text[i : i + step])))
@@ -166,7 +172,7 @@
     assert reader.message.error_status == status
 
 
-def test_a_body_in_chunks_of_a_byte_is_no_attack():
+def test_body_in_chunks_of_one_byte_is_accepted():
     reader = RequestReader()
     reader.feed(
         memoryview(
@@ -180,7 +186,7 @@
     )
 
 
-def test_a_bare_answer_has_no_body_whatever_its_head_says():
+def test_bodiless_answer_has_no_body_even_with_content_length():
     reader = ResponseReader()
     reader.new_parser(True)
     reader.feed(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n"))
@@ -207,7 +213,7 @@
         (b"", False),
     ],
 )
-def test_the_end_of_a_connection_ends_only_what_has_no_other_end(text, whole):
+def test_connection_close_completes_only_an_answer_without_length(text, whole):
     reader = ResponseReader()
     if text:
         reader.feed(memoryview(text))
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -1,4 +1,4 @@
-"""What a client may send, and the plain answer to what it may not."""
+"""Valid requests from clients, and the status that invalid ones are answered with."""
 
 import contextlib
 
@@ -10,36 +10,36 @@
 @pytest.mark.parametrize(
     ("size", "status"), [(65_536, 200), (400_000, 200), (5 << 20, 200), (50 << 20, 503)]
 )
-def test_large_values_come_through_and_endless_ones_do_not(size, status):
-    """Hosts send values of 64 KiB to 50 MB. Those that may be are passed on, and the others
-    are not read without end.
+def test_large_values_are_forwarded_and_oversized_ones_are_rejected(size, status):
+    """Hosts send values of 64 KiB to 50 MB. Those within the limit are forwarded completely, and
+    a larger one is answered with 503 instead of being read to its end.
     """
     net = NodeHarness(1)
     client = net.send_request("k")
-    far, said = net.host_socket(), bytearray()
+    sock, received = net.host_socket(), bytearray()
     rest = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"v" * min(size, 6 << 20)
     for _ in range(1_000):
         with contextlib.suppress(OSError):
-            rest = rest[far.send(rest[:50_000]) :] if rest else rest
+            rest = rest[sock.send(rest[:50_000]) :] if rest else rest
         net.turn(1)
-        said += received_bytes(client)
-    head, _, body = bytes(said).partition(b"\r\n\r\n")
+        received += received_bytes(client)
+    head, _, body = bytes(received).partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 %d" % status) and body == (
         b"v" * size if status == 200 else b""
     )
 
 
-def received_bytes(far):
-    """What has come to this end, as bytes."""
+def received_bytes(sock):
+    """Returns the bytes that have arrived at this socket."""
     try:
-        return far.recv(1 << 17)
+        return sock.recv(1 << 17)
     except OSError:
         return b""
 
 
-def test_an_extra_byte_costs_the_link_and_not_the_answer():
-    """A host sends a byte more than its answer. The answer counts; the connection is closed,
-    as the byte could be taken for the next one.
+def test_excess_bytes_close_the_connection_and_keep_the_answer():
+    """A host sends bytes after its answer. The answer is used, but the connection is closed, as
+    those bytes could be read as the next answer.
     """
     net = NodeHarness(1)
     for number, more in ((0, "HTTP/1.1"), (1, "")):
@@ -91,9 +91,9 @@
         (b"CONNECT h:1 HTTP/1.1\r\n\r\n", 400),
     ],
 )
-def test_a_bad_request_gets_a_plain_answer_and_its_connection_is_closed(text, status):
-    """Clients send requests that are malformed, too large or unknown. Each gets a plain
-    status, and its connection is closed.
+def test_invalid_request_is_answered_and_its_connection_is_closed(text, status):
+    """Clients send requests that are malformed, too large or unknown. Each is answered with a
+    status and no body, and its connection is closed.
     """
     net = NodeHarness()
     client = net.client()
@@ -104,17 +104,19 @@
             break
         net.turn()
     assert received_text(client) == (
-        f"HTTP/1.1 {status} {start_line(status)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+        f"HTTP/1.1 {status} {reason_phrase(status)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
     )
     with contextlib.suppress(OSError):
-        net.send_and_turn(client, REQ + b"\r\n")  # comes too late
-    assert net.node.clients.open_clients, "closed on unread bytes, the answer would be lost"
+        net.send_and_turn(client, REQ + b"\r\n")  # too late
+    assert net.node.clients.open_clients, "closing with unread bytes would lose the answer"
     assert received_text(client) == "" and not net.verdicts and not net.node.exchanges
     net.advance(1_100_000)
-    assert not net.node.clients.open_clients, "it may stay no longer than it takes to read that"
+    assert not net.node.clients.open_clients, (
+        "it stays open only until the answer can have been read"
+    )
 
 
-def start_line(status):
+def reason_phrase(status):
     return {
         505: "HTTP Version Not Supported",
         400: "Bad Request",
@@ -125,9 +127,9 @@
     }[status]
 
 
-def test_trailers_without_end_are_cut():
-    """A client sends trailers without end behind a chunked body. It is cut off, or it would
-    fill the memory.
+def test_endless_trailers_are_rejected():
+    """A client sends endless trailers after a chunked body. It is answered with 413, as the
+    trailers would fill the memory otherwise.
     """
     net = NodeHarness()
     client = net.client(REQ + b"Transfer-Encoding: chunked\r\n\r\n0\r\nX: ")
@@ -140,9 +142,9 @@
     assert received_text(client).startswith("HTTP/1.1 413")
 
 
-def test_a_client_that_waits_to_be_let_send_its_body_is():
-    """A client waits for "100 Continue" before it sends its body. It gets that, or both would
-    wait for ever.
+def test_client_that_expects_100_continue_receives_it():
+    """A client waits for "100 Continue" before it sends its body. Without that response both sides
+    would wait until their timeouts.
     """
     net = NodeHarness()
     client = net.client(
@@ -155,7 +157,7 @@
     assert received_text(client).startswith("HTTP/1.1 200")
 
 
-def test_requests_sent_before_the_answer_are_answered_in_their_order():
+def test_pipelined_requests_are_answered_in_order():
     for split in (False, True):
         net = NodeHarness(1)
         texts = [
@@ -168,9 +170,11 @@
         for text in (*texts[1:], b"not HTTP at all\r\n\r\n") if split else ():
             net.send_and_turn(client, text)
         for i in range(5):
-            assert f"GET /read/k{i}" in received_text(net.host_socket()), "one at a time"
+            assert f"GET /read/k{i}" in received_text(net.host_socket()), (
+                "only one request is forwarded at a time"
+            )
             assert received_text(client) is None
             net.answer_from_host(net.host_socket(), body=f"v{i}")
-            said = received_text(client)
-            assert said.startswith("HTTP/1.1 200") and f"v{i}" in said
-        assert said.split("HTTP/1.1 ")[-1].startswith("400") and received_text(client) == ""
+            received = received_text(client)
+            assert received.startswith("HTTP/1.1 200") and f"v{i}" in received
+        assert received.split("HTTP/1.1 ")[-1].startswith("400") and received_text(client) == ""
