--- a/tests/handover_harness.py
+++ b/tests/handover_harness.py
@@ -1,4 +1,4 @@
-"""An old and a new balancer on one clock, and what the tests say for either."""
+"""An old and a new process of one balancer on one clock, or one of them with the test as peer."""
 
 import socket
 
@@ -6,11 +6,11 @@
 
 from orchidgap.net.handover.coordinator import Handover
 
-UP = b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n"
+READINESS_REQUEST = b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n"
 
 
 def listener():
-    """As `inherited_listener` returns it."""
+    """Returns a listening socket like that of `inherited_listener`."""
     sock = socket.create_server(("127.0.0.1", 0), backlog=64)
     sock.setblocking(False)
     return sock
@@ -21,45 +21,53 @@
         net.turn(6)
 
 
-def inheriting(caches, start=True, **more):
-    """A process with the inherited listener, which may be either of the two."""
-    net = NodeHarness(caches, start=start, **more)
+def inheriting_process(caches, start=True, **settings):
+    """Returns a process with an inherited listener, as the old or the new one of a handover."""
+    net = NodeHarness(caches, start=start, **settings)
     net.node.clients.use_listening_socket(listener())
     net.node.handover = Handover(net.loop, net.node, None, shared=True)
     return net
 
 
-def one_side(caches, start=True):
-    """One of two processes; the test speaks for the other."""
-    return inheriting(caches, start), *socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+def single_process(caches, start=True):
+    """Returns one process of a handover, and two connected sockets.
 
+    The test passes one socket to the process, and uses the other one as its peer.
+    """
+    return inheriting_process(caches, start), *socket.socketpair(
+        socket.AF_UNIX, socket.SOCK_SEQPACKET
+    )
 
-class ProcessPair:
-    """An old and a new balancer on one clock, with a channel between them."""
 
-    def __init__(self, caches=3, serves=True, **more):
-        self.old, self.new = inheriting(caches, **more), inheriting(caches, start=False, **more)
-        self.new.dial = self.old.dial  # hosts are common
+class ProcessPair:
+    """An old and a new process of one balancer on one clock, connected by a channel."""
+
+    def __init__(self, caches=3, serves=True, **settings):
+        self.old, self.new = (
+            inheriting_process(caches, **settings),
+            inheriting_process(caches, start=False, **settings),
+        )
+        self.new.dial = self.old.dial  # both use the same hosts
         self.new.node.pools.dial_address = self.new.node.discovery.dialer = self.old.dial
-        self.known = {host.id: host for host in self.old.node.balancer.hosts.values()}
-        near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        self.initial_hosts = {host.id: host for host in self.old.node.balancer.hosts.values()}
+        old_end, new_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self.prepare()
-        self.old.node.handover.accept_successor(near)
-        self.new.node.handover.join_predecessor(far)
+        self.old.node.handover.accept_successor(old_end)
+        self.new.node.handover.join_predecessor(new_end)
         self.new.node.start()
         if serves:
             self.advance(0)
 
     def prepare(self):
-        """What the old one knows that the new one does not."""
+        """Changes the state of the old process before the handover; overridden by tests."""
 
-    def turn(self, times=3):
-        for _ in range(times):
+    def turn(self, turns=3):
+        for _ in range(turns):
             self.old.turn(2)
             self.new.turn(2)
 
-    def advance(self, micros):
-        for _ in range(0, micros, 5_000):
+    def advance(self, duration_us):
+        for _ in range(0, duration_us, 5_000):
             for net in (self.old, self.new):
                 net.advance(5_000)
         self.turn()
--- a/tests/net/test_handover.py
+++ b/tests/net/test_handover.py
@@ -1,4 +1,4 @@
-"""ProcessPair processes of one balancer that have found each other."""
+"""Handover between an old and a new process of one balancer."""
 
 import os
 import signal
@@ -7,18 +7,18 @@
 import sys
 
 import orjson
-from handover_harness import UP, ProcessPair, listener, one_side
+from handover_harness import READINESS_REQUEST, ProcessPair, listener, single_process
 from node_harness import NodeHarness, received_text
 
 from orchidgap.net.endpoints import decode_list
 
 
-def test_the_new_one_says_yes_only_with_what_the_old_one_knows():
-    """A new process starts beside an old one. It does not say that it serves before it has the
-    list and the old one's snapshot.
+def test_new_process_is_ready_only_after_the_snapshot_of_the_old_one():
+    """A new process starts while an old one serves. It does not become ready before it has
+    received the host list and the old one's snapshot.
     """
 
-    class Knowing(ProcessPair):
+    class PairWithChangedState(ProcessPair):
         def prepare(self):
             self.old.node.on_list(
                 False,
@@ -47,165 +47,168 @@
             )
             self.old.node.balancer.placement.ranges.refresh()
 
-    two = Knowing(serves=False)
-    old, new = two.old.node, two.new.node
+    pair = PairWithChangedState(serves=False)
+    old, new = pair.old.node, pair.new.node
     assert not new.is_ready() and new.endpoints and new.handover.awaiting_snapshot, (
-        "it has a list, and waits for more"
+        "it has a list, and waits for the snapshot"
     )
     assert (
         old.lifecycle.state.value == "serving"
         and not old.clients.accepts_elsewhere
         and new.clients.accepts_elsewhere
     )
-    two.turn()
+    pair.turn()
     assert (
         new.is_ready()
         and not new.handover.awaiting_snapshot
         and old.clients.accepts_elsewhere
         and not new.clients.accepts_elsewhere
     )
-    assert host_states(two.new) == host_states(two.old) and host_states(two.new)["c1"] == "draining"
+    assert (
+        host_states(pair.new) == host_states(pair.old) and host_states(pair.new)["c1"] == "draining"
+    )
     c0 = new.balancer.hosts["c0"]
     assert (
         c0.concurrency_limit,
         c0.smoothed_latency_us,
         c0.retry_budget,
         c0.limit_decreased_at_us,
-    ) == (3.5, 70_000, 9.0, two.old.now - 5)
+    ) == (3.5, 70_000, 9.0, pair.old.now - 5)
     assert new.balancer.placement.ranges.range_ends == old.balancer.placement.ranges.range_ends
-    two.end()
+    pair.end()
 
 
 def host_states(net):
     return {id: host.state for id, host in net.node.balancer.hosts.items()}
 
 
-def test_without_an_answer_from_the_old_one_it_serves_all_the_same():
-    """The old process never answers the new one. After the snapshot's time the new one serves
-    without.
+def test_new_process_serves_without_a_snapshot_after_the_timeout():
+    """The old process never answers the new one. The new one serves without a snapshot after the
+    snapshot timeout.
     """
-    net, near, far = one_side(2, start=False)
-    net.node.handover.join_predecessor(far)
+    net, test_end, node_end = single_process(2, start=False)
+    net.node.handover.join_predecessor(node_end)
     net.node.start()
     net.advance(1_490_000)
     assert not net.node.is_ready()
     net.advance(20_000)
     assert net.node.is_ready() and not net.node.clients.accepts_elsewhere
-    near.close()
+    test_end.close()
     net.turn()
     assert net.node.handover.predecessor is None and net.node.descriptor_limit == 1024
 
 
-def test_connections_go_over_and_no_client_and_no_host_notices():
-    """The old process leaves. Its idle connections of clients and to hosts go on in the new
-    one, and none is closed.
+def test_idle_connections_are_handed_over_without_being_closed():
+    """The old process shuts down. Its idle connections, from clients and to hosts, are handed over
+    to the new one, and none is closed.
     """
-    two = ProcessPair(1)
-    kept = [two.old.send_request(f"k{i}") for i in range(5)]
-    busy, fresh = two.old.send_request("busy"), two.old.client()
-    for client, far in zip(kept, two.old.host_sockets()):
-        two.old.answer_from_host(far)
+    pair = ProcessPair(1)
+    idle_clients = [pair.old.send_request(f"k{i}") for i in range(5)]
+    busy, unused_client = pair.old.send_request("busy"), pair.old.client()
+    for client, host_sock in zip(idle_clients, pair.old.host_sockets()):
+        pair.old.answer_from_host(host_sock)
         assert "close" not in received_text(client)
-    dialled = len(two.old.dialled)
-    two.old.node.begin_shutdown()
-    two.advance(10_000)
+    dialled = len(pair.old.dialled)
+    pair.old.node.begin_shutdown()
+    pair.advance(10_000)
     assert (
-        len(two.new.node.clients.open_clients) == 6 and len(two.old.node.clients.open_clients) == 1
+        len(pair.new.node.clients.open_clients) == 6
+        and len(pair.old.node.clients.open_clients) == 1
     )
     assert (
-        len(two.new.node.pools.by_host["c0"].idle) == 5
-        and not two.old.node.pools.by_host["c0"].idle
+        len(pair.new.node.pools.by_host["c0"].idle) == 5
+        and not pair.old.node.pools.by_host["c0"].idle
     )
-    for i, client in enumerate([*kept, fresh]):
+    for i, client in enumerate([*idle_clients, unused_client]):
         assert received_text(client) is None
         client.sendall(
             f"GET /read/n{i} HTTP/1.1\r\nRequest-Id: n{i}\r\nRequest-Timeout: 1\r\n\r\n".encode()
         )
-    two.turn()
-    assert len(two.new.node.exchanges) == 6 and len(two.old.dialled) == dialled + 1, (
-        "five links came along"
+    pair.turn()
+    assert len(pair.new.node.exchanges) == 6 and len(pair.old.dialled) == dialled + 1, (
+        "five host connections were handed over"
     )
-    two.old.answer_all()
+    pair.old.answer_all()
     assert received_text(busy).startswith("HTTP/1.1 200") and received_text(busy) is None, (
-        "it is not told to go either"
+        "this client's connection is not closed either"
     )
-    two.advance(10_000)
-    assert len(two.new.node.clients.open_clients) == 7 and not two.old.node.clients.open_clients
-    two.turn()
-    assert not two.old.loop.running, "all have gone over"
-    two.new.turn()
-    for client in [*kept, fresh]:
+    pair.advance(10_000)
+    assert len(pair.new.node.clients.open_clients) == 7 and not pair.old.node.clients.open_clients
+    pair.turn()
+    assert not pair.old.loop.running, "all connections were handed over"
+    pair.new.turn()
+    for client in [*idle_clients, unused_client]:
         assert received_text(client).startswith("HTTP/1.1 200")
-    two.end()
+    pair.end()
 
 
-def test_what_both_have_out_counts_at_a_host_and_an_id_is_open_in_both():
-    """Both processes have requests at one host. Each counts the other's there, and refuses ids
-    that are open in the other.
+def test_attempts_and_request_ids_of_both_processes_count():
+    """Both processes have requests at one host. Each counts the other's attempts at that host, and
+    rejects request ids that are open in the other.
     """
-    two = ProcessPair(1)
+    pair = ProcessPair(1)
     for i in range(4):
-        two.old.send_request(f"k{i}")
-    two.advance(10_000)
-    host = two.new.node.balancer.hosts["c0"]
+        pair.old.send_request(f"k{i}")
+    pair.advance(10_000)
+    host = pair.new.node.balancer.hosts["c0"]
     assert (host.in_flight, host.in_flight_elsewhere, host.total_in_flight) == (0, 4, 4)
-    assert received_text(two.new.send_request("k1")).startswith("HTTP/1.1 409"), (
-        "it is open in the other"
+    assert received_text(pair.new.send_request("k1")).startswith("HTTP/1.1 409"), (
+        "the id is open in the other process"
     )
     host.concurrency_limit = 4.0
-    two.new.send_request("k9")
-    assert two.old.dialled[-1][0] == 109, "no room there: it went to the origin"
-    for far in two.old.host_sockets():
-        two.old.answer_from_host(far)
-    two.advance(10_000)
-    assert host.in_flight_elsewhere == 0 and received_text(two.new.send_request("k1")) is None
-    two.end()
+    pair.new.send_request("k9")
+    assert pair.old.dialled[-1][0] == 109, "the cache has no capacity left: sent to the origin"
+    for host_sock in pair.old.host_sockets():
+        pair.old.answer_from_host(host_sock)
+    pair.advance(10_000)
+    assert host.in_flight_elsewhere == 0 and received_text(pair.new.send_request("k1")) is None
+    pair.end()
 
 
-def test_descriptors_are_held_by_the_two_together():
-    """Old and new process share one allowance of descriptors. At no moment may they hold more
-    than that together.
+def test_both_processes_share_one_limit_of_descriptors():
+    """The old and the new process share one limit of descriptors. Their own limits never add up to
+    more than that.
     """
 
-    class Busy(ProcessPair):
+    class PairWithClients(ProcessPair):
         def prepare(self):
             self.clients = [self.old.send_request(f"k{i}") for i in range(90)]
             self.old.answer_all()
 
-    two = Busy(1, sockets=256)
-    two.advance(10_000)
-    old, new = two.old.node, two.new.node
+    pair = PairWithClients(1, sockets=256)
+    pair.advance(10_000)
+    old, new = pair.old.node, pair.new.node
     assert (
         old.descriptor_limit + new.descriptor_limit <= 256
         and old.descriptor_limit >= old.descriptors_needed() >= 90
     )
     for _ in range(4):
-        two.old.answer_all()
-        two.advance(10_000)
+        pair.old.answer_all()
+        pair.advance(10_000)
     old.begin_shutdown()
-    while two.old.loop.running:
+    while pair.old.loop.running:
         assert old.descriptor_limit + new.descriptor_limit <= 256
-        two.advance(5_000)
+        pair.advance(5_000)
     assert (
         len(new.clients.open_clients) > 20
         and not old.clients.open_clients
         and new.descriptor_limit == 256
     )
-    two.end()
+    pair.end()
 
 
-def test_a_new_one_that_dies_leaves_all_as_it_was():
-    """The new process dies while the old one serves. The old one accepts clients again, with
-    all descriptors.
+def test_old_process_serves_again_when_the_new_one_dies():
+    """The new process dies while the old one serves. The old one accepts clients again, and may
+    use all descriptors.
     """
-    two = ProcessPair(1)
-    assert two.old.node.clients.accepts_elsewhere
-    two.new.send_request("k")
-    two.advance(10_000)
-    assert two.old.node.balancer.hosts["c0"].in_flight_elsewhere == 1
-    two.new.node.handover.predecessor.channel.close()
-    two.old.turn()
-    old = two.old.node
+    pair = ProcessPair(1)
+    assert pair.old.node.clients.accepts_elsewhere
+    pair.new.send_request("k")
+    pair.advance(10_000)
+    assert pair.old.node.balancer.hosts["c0"].in_flight_elsewhere == 1
+    pair.new.node.handover.predecessor.channel.close()
+    pair.old.turn()
+    old = pair.old.node
     assert (
         not old.clients.accepts_elsewhere
         and not old.lifecycle.successor_accepts
@@ -215,56 +218,60 @@
     assert old.balancer.hosts["c0"].in_flight_elsewhere == 0 and not old.handover.is_request_open(
         b"r-k"
     )
-    client = two.old.send_request("k2")
-    two.old.answer_all()
+    client = pair.old.send_request("k2")
+    pair.old.answer_all()
     assert received_text(client).startswith("HTTP/1.1 200")
-    two.end()
+    pair.end()
 
 
-def test_a_new_one_that_dies_while_the_old_one_leaves():
-    """The new process dies after the old one was told to end. The old one still answers what
-    is open, and ends.
+def test_new_process_dies_while_the_old_one_shuts_down():
+    """The new process dies after the old one has begun to shut down. The old one answers its open
+    requests, and ends.
     """
-    two = ProcessPair(1)
-    busy = two.old.send_request("busy")
-    two.old.node.begin_shutdown()
-    two.advance(10_000)
-    two.new.node.handover.predecessor.channel.close()
-    two.old.turn()
-    two.old.answer_all()
-    assert "Connection: close" in received_text(busy), "nobody is there to take the connection"
+    pair = ProcessPair(1)
+    busy = pair.old.send_request("busy")
+    pair.old.node.begin_shutdown()
+    pair.advance(10_000)
+    pair.new.node.handover.predecessor.channel.close()
+    pair.old.turn()
+    pair.old.answer_all()
+    assert "Connection: close" in received_text(busy), (
+        "there is no process to hand the connection over to"
+    )
     busy.close()
-    two.old.advance(500_000)
-    assert not two.old.loop.running
-    two.end()
+    pair.old.advance(500_000)
+    assert not pair.old.loop.running
+    pair.end()
 
 
-def test_an_old_one_that_never_goes():
-    """The old process is never told to end. It goes on answering its kept connections beside
-    the new one.
+def test_old_process_is_never_shut_down():
+    """The old process is never shut down. It continues to answer on its open connections while the
+    new one serves.
     """
-    two = ProcessPair(1)
-    client = two.old.send_request("k")
-    two.old.answer_all()
-    two.advance(50_000)
+    pair = ProcessPair(1)
+    client = pair.old.send_request("k")
+    pair.old.answer_all()
+    pair.advance(50_000)
     client.sendall(b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n")
-    two.turn()
-    two.old.answer_all()
-    assert received_text(client).endswith("v") and two.old.loop.running and two.new.node.is_ready()
-    two.end()
+    pair.turn()
+    pair.old.answer_all()
+    assert (
+        received_text(client).endswith("v") and pair.old.loop.running and pair.new.node.is_ready()
+    )
+    pair.end()
 
 
-def test_a_process_takes_the_place_of_another_under_load(tmp_path):
-    """Real processes: a client that keeps its connection never sees it end."""
-    with listener() as passed, socket.create_server(("127.0.0.1", 0)) as away:
+def test_real_process_replaces_another_under_load(tmp_path):
+    """With real processes, the connection of a client stays open throughout a handover."""
+    with listener() as shared_listener, socket.create_server(("127.0.0.1", 0)) as silent_discovery:
         path, processes = tmp_path / "c", []
         path.write_bytes(
             orjson.dumps(
                 {
                     "name": "n",
-                    "listen": f"127.0.0.1:{passed.getsockname()[1]}",
+                    "listen": f"127.0.0.1:{shared_listener.getsockname()[1]}",
                     "seed": "7",
-                    "discovery": f"127.0.0.1:{away.getsockname()[1]}",
+                    "discovery": f"127.0.0.1:{silent_discovery.getsockname()[1]}",
                     "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.host_entry(0)]},
                     "settings": {
                         "rule-sets": [
@@ -281,30 +288,33 @@
                     subprocess.Popen(
                         [sys.executable, "-m", "orchidgap", "serve", f"--config={path}"],
                         stderr=log,
-                        pass_fds=[passed.fileno()],
+                        pass_fds=[shared_listener.fileno()],
                         env=os.environ
-                        | {"GW_PASSED_SOCKET": str(passed.fileno()), "TMPDIR": str(tmp_path)},
+                        | {
+                            "GW_PASSED_SOCKET": str(shared_listener.fileno()),
+                            "TMPDIR": str(tmp_path),
+                        },
                     )
                 )
 
         run()
-        client = socket.create_connection(passed.getsockname(), timeout=20)
+        client = socket.create_connection(shared_listener.getsockname(), timeout=20)
 
-        def up():
-            client.sendall(UP.replace(b"Connection: close\r\n", b""))
+        def readiness_status_line():
+            client.sendall(READINESS_REQUEST.replace(b"Connection: close\r\n", b""))
             return client.recv(99)[:12]
 
         while (
-            up() != b"HTTP/1.1 200"
-        ):  # once discovery, which is silent, has had its time to answer
+            readiness_status_line() != b"HTTP/1.1 200"
+        ):  # ready once the timeout for the list has passed, as discovery does not respond
             assert processes[0].poll() is None
         run()
         while b'"event":"serving"' not in (tmp_path / "log1").read_bytes():
-            assert up() == b"HTTP/1.1 200"
+            assert readiness_status_line() == b"HTTP/1.1 200"
         processes[0].send_signal(signal.SIGTERM)
         while processes[0].poll() is None:
-            assert up() in (b"HTTP/1.1 200", b"HTTP/1.1 503")
-        assert up() == b"HTTP/1.1 200" and processes[0].wait() == 0
+            assert readiness_status_line() in (b"HTTP/1.1 200", b"HTTP/1.1 503")
+        assert readiness_status_line() == b"HTTP/1.1 200" and processes[0].wait() == 0
         client.close()
         processes[1].send_signal(signal.SIGTERM)
         assert processes[1].wait(20) == 0
--- a/tests/net/test_listener_inheritance.py
+++ b/tests/net/test_listener_inheritance.py
@@ -1,4 +1,4 @@
-"""A process that inherits its listener."""
+"""A process that inherits its listening socket."""
 
 import os
 import signal
@@ -8,7 +8,7 @@
 
 import orjson
 import pytest
-from handover_harness import UP, listener, turn
+from handover_harness import READINESS_REQUEST, listener, turn
 from node_harness import NodeHarness, received_text
 
 from orchidgap.net.config import ConfigError
@@ -16,98 +16,102 @@
 from orchidgap.net.receive_timestamps import SO_TIMESTAMPNS
 
 
-def pair_end():
-    near, far = socket.socketpair()
-    far.close()
-    return near
+def connected_socket():
+    sock, peer = socket.socketpair()
+    peer.close()
+    return sock
 
 
 @pytest.mark.parametrize(
-    ("make", "why"),
+    ("make_descriptor", "message"),
     [
         (lambda: "x", "no open socket"),
         (lambda: "-1", "no open socket"),
         (lambda: "99999", "no open socket"),
         (lambda: "9" * 30, "no open socket"),
         (lambda: os.open(os.devnull, os.O_RDONLY), "no open socket"),
-        (lambda: pair_end().detach(), "no listening TCP socket"),
+        (lambda: connected_socket().detach(), "no listening TCP socket"),
         (lambda: socket.socket().detach(), "no listening TCP socket"),
         (lambda: socket.socket(type=socket.SOCK_DGRAM).detach(), "no listening TCP socket"),
     ],
 )
-def test_what_is_passed_must_be_a_listening_socket(make, why):
-    """The descriptor that was passed is closed, no socket or does not listen. The program says
-    so in one line.
+def test_inherited_descriptor_must_be_a_listening_socket(make_descriptor, message):
+    """The inherited descriptor is closed, not a socket or not listening. The program reports this
+    in one line.
     """
-    number = make()
-    with pytest.raises(ConfigError, match=why):
+    number = make_descriptor()
+    with pytest.raises(ConfigError, match=message):
         inherited_listener(str(number))
     if isinstance(number, int):
-        os.close(number)  # it is still open: it is not ours to close
+        os.close(number)  # still open: the program must not close a descriptor that it rejects
 
 
-def test_a_listener_that_was_passed_asks_for_timestamps():
-    # What came before its first client was accepted had no time of arrival.
-    passed = listener()
-    with inherited_listener(str(os.dup(passed.fileno()))) as inherited:
+def test_inherited_listener_has_receive_timestamps_enabled():
+    # Without this, bytes that arrived before the first client was accepted had no arrival time.
+    shared_listener = listener()
+    with inherited_listener(str(os.dup(shared_listener.fileno()))) as inherited:
         assert inherited.getsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS) == 1
-    passed.close()
+    shared_listener.close()
 
 
-def test_one_listener_in_two_nodes_and_the_old_one_ends_without_a_word_to_the_other():
-    """Two processes share a listener and cannot see each other. The old one ends, and the
-    listener stays open in the new one.
+def test_shared_listener_stays_open_when_the_old_process_ends():
+    """Two processes share a listener and have no channel. The old one ends, and the listener stays
+    open in the new one.
     """
-    passed, nets = listener(), [NodeHarness(1), NodeHarness(1)]
+    shared_listener, nets = listener(), [NodeHarness(1), NodeHarness(1)]
     for net in nets:
-        net.node.clients.use_listening_socket(inherited_listener(str(os.dup(passed.fileno()))))
+        net.node.clients.use_listening_socket(
+            inherited_listener(str(os.dup(shared_listener.fileno())))
+        )
     old, new = nets
     new.node.clients.leave_listener()
-    first = ask(passed)
+    first = send_request_to(shared_listener)
     turn(nets)
     assert old.node.clients.open_clients and not new.node.clients.open_clients
     new.node.clients.return_to_listener()
     old.node.clients.leave_listener()
-    second = ask(passed)
+    second = send_request_to(shared_listener)
     turn(nets)
     assert len(old.node.clients.open_clients) == len(new.node.clients.open_clients) == 1
     old.node.begin_shutdown()
     old.advance(450_000)
     assert old.node.clients.listening_socket is None
-    third = ask(passed)
+    third = send_request_to(shared_listener)
     turn(nets)
-    assert len(new.node.clients.open_clients) == 2, "nobody shut the listener down"
+    assert len(new.node.clients.open_clients) == 2, "the listener was not shut down"
     for net in nets:
         net.answer_all()
-    assert [received_text(one)[:15] for one in (first, second, third)] == ["HTTP/1.1 200 OK"] * 3
-    for one in (first, second, third, passed, new.node.clients.listening_socket):
-        one.close()
+    assert [received_text(client)[:15] for client in (first, second, third)] == [
+        "HTTP/1.1 200 OK"
+    ] * 3
+    for client in (first, second, third, shared_listener, new.node.clients.listening_socket):
+        client.close()
 
 
-def ask(passed):
-    one = socket.create_connection(passed.getsockname())
-    one.sendall(
+def send_request_to(shared_listener):
+    client = socket.create_connection(shared_listener.getsockname())
+    client.sendall(
         b"GET /read/k%d HTTP/1.1\r\nRequest-Id: %d\r\nRequest-Timeout: 2\r\n\r\n"
-        % ((one.fileno(),) * 2)
+        % ((client.fileno(),) * 2)
     )
-    one.setblocking(False)
-    return one
+    client.setblocking(False)
+    return client
 
 
-def said_yes(passed):
-    with socket.create_connection(passed.getsockname(), timeout=20) as client:
-        client.sendall(UP)
+def is_ready(shared_listener):
+    with socket.create_connection(shared_listener.getsockname(), timeout=20) as client:
+        client.sendall(READINESS_REQUEST)
         return client.recv(99).startswith(b"HTTP/1.1 200")
 
 
-def test_a_process_serves_on_what_it_inherits(tmp_path):
-    with listener() as passed:
+def test_process_serves_on_an_inherited_listener(tmp_path):
+    with listener() as shared_listener:
         path = tmp_path / "c"
         path.write_bytes(
             orjson.dumps(
                 {
                     "name": "n",
-                    "listen": f"127.0.0.1:{passed.getsockname()[1]}",
+                    "listen": f"127.0.0.1:{shared_listener.getsockname()[1]}",
                     "discovery": "127.0.0.1:1",
                     "seed": "7",
                     "known": {"seq": 1, "whole": True, "hosts": [NodeHarness.host_entry(0)]},
@@ -122,14 +126,14 @@
         process = subprocess.Popen(
             [sys.executable, "-m", "orchidgap", "serve", f"--config={path}"],
             stderr=subprocess.DEVNULL,
-            pass_fds=[passed.fileno()],
-            env=os.environ | {"GW_PASSED_SOCKET": str(passed.fileno())},
+            pass_fds=[shared_listener.fileno()],
+            env=os.environ | {"GW_PASSED_SOCKET": str(shared_listener.fileno())},
         )
-        while not said_yes(
-            passed
-        ):  # once discovery, which is not there, has had its time to answer
+        while not is_ready(
+            shared_listener
+        ):  # ready once the timeout for the list has passed, as there is no discovery
             assert process.poll() is None
         process.send_signal(signal.SIGTERM)
         assert process.wait(20) == 0
-        with socket.create_connection(passed.getsockname(), timeout=20):
-            pass  # it still listens
+        with socket.create_connection(shared_listener.getsockname(), timeout=20):
+            pass  # the socket still listens
--- a/tests/net/test_packet_channel.py
+++ b/tests/net/test_packet_channel.py
@@ -1,9 +1,9 @@
-"""Odd packets between two processes cost the channel and nothing else."""
+"""Invalid packets between two processes end their channel and have no other effect."""
 
 import socket
 
 import pytest
-from handover_harness import one_side
+from handover_harness import single_process
 from node_harness import received_text
 
 
@@ -27,18 +27,18 @@
         b'["clients"]' * 9,
     ],
 )
-def test_whatever_is_said_to_the_old_one_costs_the_channel_and_nothing_else(packet):
-    """A process that calls the serving one says nonsense, or is of another balancer. Only the
-    channel to it ends.
+def test_invalid_packet_to_the_old_process_only_ends_the_channel(packet):
+    """A process connects to the serving one and sends an invalid message, or belongs to another
+    balancer. Only the channel to it is closed.
     """
-    net, near, far = one_side(1)
-    net.node.handover.accept_successor(near)
-    far.send(packet) if packet else far.close()
+    net, node_end, test_end = single_process(1)
+    net.node.handover.accept_successor(node_end)
+    test_end.send(packet) if packet else test_end.close()
     net.turn()
     assert (
         net.node.handover.successor is None
         and not net.node.clients.accepts_elsewhere
-        and near.fileno() < 0
+        and node_end.fileno() < 0
     )
     client = net.send_request("k")
     net.answer_all()
@@ -61,14 +61,14 @@
         b"",
     ],
 )
-def test_whatever_is_said_to_the_new_one_it_serves(packet):
-    """The serving process says nonsense to the new one, or closes. The new one serves without
-    a snapshot.
+def test_new_process_serves_after_an_invalid_packet(packet):
+    """The serving process sends an invalid message to the new one, or closes the channel. The new
+    one serves without a snapshot.
     """
-    net, near, far = one_side(1, start=False)
-    net.node.handover.join_predecessor(far)
+    net, test_end, node_end = single_process(1, start=False)
+    net.node.handover.join_predecessor(node_end)
     net.node.start()
-    near.send(packet) if packet else near.close()
+    test_end.send(packet) if packet else test_end.close()
     net.turn()
     net.advance(1_600_000)
     assert net.node.is_ready() and not net.node.clients.accepts_elsewhere
@@ -78,18 +78,18 @@
     net.node.clients.listening_socket.close()
 
 
-def test_descriptors_that_come_with_an_odd_packet_are_closed():
-    """A packet that makes no sense brings descriptors. They are closed, or each such packet
-    would cost some.
+def test_descriptors_of_an_invalid_packet_are_closed():
+    """An invalid packet contains descriptors. They are closed, as each such packet would leak
+    descriptors otherwise.
     """
-    net, near, far = one_side(1)
-    net.node.handover.accept_successor(near)
+    net, node_end, test_end = single_process(1)
+    net.node.handover.accept_successor(node_end)
     left, right = socket.socketpair()
-    socket.send_fds(far, [b'["clients"]'], [left.fileno()])
+    socket.send_fds(test_end, [b'["clients"]'], [left.fileno()])
     left.close()
     net.turn()
     right.settimeout(5)
-    assert right.recv(1) == b"", "nobody holds the other end"
+    assert right.recv(1) == b"", "the descriptor is closed"
     net.node.clients.listening_socket.close()
 
 
@@ -104,25 +104,25 @@
     ],
 )
 @pytest.mark.parametrize("fds", [0, 1, 2])
-def test_a_request_under_way_that_makes_no_sense_costs_nothing(packet, fds):
-    """A request that is handed over lacks sockets or words. The new process closes what came,
-    and serves on.
+def test_invalid_migrated_request_has_no_effect(packet, fds):
+    """A request that is handed over lacks sockets or values. The new process closes the sockets
+    that it received, and continues to serve.
     """
-    net, near, far = one_side(1, start=False)
-    net.node.handover.join_predecessor(far)
+    net, test_end, node_end = single_process(1, start=False)
+    net.node.handover.join_predecessor(node_end)
     net.node.start()
-    pairs = [socket.socketpair() for _ in range(fds)]
-    socket.send_fds(near, [packet + b"\nGET"], [pair[0].fileno() for pair in pairs])
-    for pair in pairs:
+    socket_pairs = [socket.socketpair() for _ in range(fds)]
+    socket.send_fds(test_end, [packet + b"\nGET"], [pair[0].fileno() for pair in socket_pairs])
+    for pair in socket_pairs:
         pair[0].close()
         pair[1].setblocking(False)
     net.turn()
-    near.close()
+    test_end.close()
     net.turn()
     net.advance(20_000_000)
     assert net.node.is_ready() and not net.node.exchanges and not net.node.pools.connection_count
-    assert all(pair[1].recv(99) == b"" or pair[1].recv(99) == b"" for pair in pairs), (
-        "nobody holds their other ends"
+    assert all(pair[1].recv(99) == b"" or pair[1].recv(99) == b"" for pair in socket_pairs), (
+        "all descriptors are closed"
     )
     client = net.send_request("k")
     net.answer_all()
--- a/tests/net/test_rendezvous.py
+++ b/tests/net/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""How two processes of one balancer find each other, or do without."""
+"""Two processes of one balancer find each other by a folder, or serve without a handover."""
 
 import pytest
 from handover_harness import listener, turn
@@ -7,11 +7,11 @@
 from orchidgap.net.handover.coordinator import Handover
 
 
-def test_processes_find_each_other_by_a_folder_and_a_stale_file_is_nobody(tmp_path):
-    """A process was killed and left its socket file. The next one finds nobody there and
-    serves; those alive find each other, also by a long path.
+def test_processes_find_each_other_by_a_folder_and_ignore_a_stale_file(tmp_path):
+    """A process was killed and left its socket file. The next one finds no process there and
+    serves. Running processes find each other, also by a path that is too long for a Unix socket.
     """
-    deep = tmp_path / ("x" * 60) / ("y" * 60)  # more than a Unix socket's address has room for
+    deep = tmp_path / ("x" * 60) / ("y" * 60)  # too long for a Unix socket address
     deep.mkdir(parents=True)
     for folder in (tmp_path, deep):
         nets = [
@@ -34,7 +34,7 @@
         first.node.stop()
         turn([second])
         assert second.node.handover.predecessor is None and second.node.descriptor_limit == 1024
-        second.node.handover.rendezvous.listener.close()  # as by a kill: the file stays
+        second.node.handover.rendezvous.listener.close()  # like a kill, this leaves the file
         third.node.handover.find_predecessor()
         third.node.start()
         assert third.node.handover.predecessor is None and third.node.is_ready()
@@ -46,9 +46,9 @@
 
 
 @pytest.mark.parametrize("folder", [None, "", "/nonexistent/folder"])
-def test_without_a_common_folder_each_does_with_half(folder):
-    """There is no folder that both processes see. Each takes half of the descriptors, as it
-    cannot know of the other.
+def test_without_a_common_folder_each_uses_half_of_the_descriptors(folder):
+    """There is no folder common to both processes. Each uses half of the descriptors, as it cannot
+    find the other one.
     """
     net = NodeHarness(1, start=False, sockets=400)
     net.node.clients.use_listening_socket(listener())
--- a/tests/net/test_request_migration.py
+++ b/tests/net/test_request_migration.py
@@ -1,4 +1,4 @@
-"""Requests under way that go on in another process."""
+"""Requests in progress that another process continues."""
 
 import contextlib
 import socket
@@ -10,14 +10,14 @@
 BODY = bytes(range(256)) * 1_200
 
 
-def hand_over_all(two):
-    """The old one is told to end, and what can go has gone."""
-    two.old.node.begin_shutdown()
-    two.advance(15_000)
-    two.turn()
+def hand_over_all(pair):
+    """Shuts the old process down, and waits until everything that can be migrated is."""
+    pair.old.node.begin_shutdown()
+    pair.advance(15_000)
+    pair.turn()
 
 
-@pytest.mark.parametrize("place", range(0, 220, 11))
+@pytest.mark.parametrize("cut_at", range(0, 220, 11))
 @pytest.mark.parametrize(
     "framing",
     [
@@ -25,49 +25,49 @@
         b"Transfer-Encoding: chunked\r\n\r\n4;x\r\n1234\r\n5\r\n56789\r\n0\r\nT: y\r\n\r\n",
     ],
 )
-def test_a_request_that_has_come_in_part_goes_on_in_the_new_one(place, framing):
-    """The old process leaves when a request has come in part, cut at each place. The new one
-    reads the rest and answers.
+def test_partial_request_continues_in_the_new_process(cut_at, framing):
+    """The old process shuts down when a part of a request has arrived, of various lengths. The new
+    one reads the rest and answers.
     """
     text = (
         b"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nTenant: small\r\nRequest-Timeout: 1\r\n"
         + framing
     )
-    if place >= len(text):
+    if cut_at >= len(text):
         return
-    two = ProcessPair(1)
-    client = two.old.client()
-    for at in range(0, place, 50):
-        two.old.send_and_turn(client, text[at : min(place, at + 50)])
-    hand_over_all(two)
+    pair = ProcessPair(1)
+    client = pair.old.client()
+    for offset in range(0, cut_at, 50):
+        pair.old.send_and_turn(client, text[offset : min(cut_at, offset + 50)])
+    hand_over_all(pair)
     assert (
-        not two.old.node.clients.open_clients
-        and len(two.new.node.clients.open_clients) == 1
-        and not two.old.loop.running
+        not pair.old.node.clients.open_clients
+        and len(pair.new.node.clients.open_clients) == 1
+        and not pair.old.loop.running
     )
-    client.sendall(text[place:])
-    two.turn()
-    far = two.old.host_socket()
-    assert received_text(far).endswith("\r\n\r\n123456789")
-    two.old.answer_from_host(far)
-    two.turn()
+    client.sendall(text[cut_at:])
+    pair.turn()
+    host = pair.old.host_socket()
+    assert received_text(host).endswith("\r\n\r\n123456789")
+    pair.old.answer_from_host(host)
+    pair.turn()
     assert received_text(client).startswith("HTTP/1.1 200") and received_text(client) is None
-    two.end()
+    pair.end()
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
-@pytest.mark.parametrize("place", [70_000, 90_001, 120_003, 150_002])
+@pytest.mark.parametrize("cut_at", [70_000, 90_001, 120_003, 150_002])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_an_answer_that_flows_goes_on_in_the_new_one(framing, place, version):
-    """The old process leaves in the middle of a large answer. The client gets every byte of it
-    once, by the new one.
+def test_streamed_answer_continues_in_the_new_process(framing, cut_at, version):
+    """The old process shuts down in the middle of a large answer. The new one continues it, and
+    the client receives every byte exactly once.
     """
-    two = ProcessPair(1)
-    client = two.old.client(
+    pair = ProcessPair(1)
+    client = pair.old.client(
         f"GET /read/k HTTP/{version}\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n\r\n".encode()
     )
-    far = two.old.host_socket()
-    received_text(far)
+    host = pair.old.host_socket()
+    received_text(host)
     head = {
         "length": b"Content-Length: %d" % len(BODY),
         "chunks": b"Transfer-Encoding: chunked",
@@ -78,39 +78,39 @@
         if framing != "chunks"
         else b"".join(
             b"%x;e=1\r\n%b\r\n" % (len(part), part)
-            for part in (BODY[at : at + 10_000] for at in range(0, len(BODY), 10_000))
+            for part in (BODY[offset : offset + 10_000] for offset in range(0, len(BODY), 10_000))
         )
         + b"0\r\n\r\n"
     )
     text = b"HTTP/1.1 200 OK\r\n" + head[framing] + b"\r\n\r\n" + text
-    got = b""
-    for one in two.old.node.clients.open_clients:
-        one.conn.sock.setsockopt(
+    received = b""
+    for client_connection in pair.old.node.clients.open_clients:
+        client_connection.conn.sock.setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, 8_192
-        )  # some of it waits to be written
-    rest = text[:place]
+        )  # so that a part of the answer is still unwritten
+    rest = text[:cut_at]
     for _ in range(40):
-        rest = rest[far.send(rest[:9_000]) :] if rest else b""
-        two.turn(1)
-        if len(got) < place - 60_000:
+        rest = rest[host.send(rest[:9_000]) :] if rest else b""
+        pair.turn(1)
+        if len(received) < cut_at - 60_000:
             with contextlib.suppress(BlockingIOError):
-                got += client.recv(9_000)
+                received += client.recv(9_000)
     assert not rest
-    hand_over_all(two)
-    assert two.new.node.is_request_open(b"1") and not two.old.node.clients.open_clients
-    rest = text[place:]
+    hand_over_all(pair)
+    assert pair.new.node.is_request_open(b"1") and not pair.old.node.clients.open_clients
+    rest = text[cut_at:]
     for _ in range(200):
         if rest:
             with contextlib.suppress(BlockingIOError):
-                rest = rest[far.send(rest[:20_000]) :]
-        two.turn(1)
-        got += received_all(client)
+                rest = rest[host.send(rest[:20_000]) :]
+        pair.turn(1)
+        received += received_all(client)
     assert not rest
     if framing == "close":
-        far.close()
-    two.turn()
-    got += received_all(client)
-    head, _, body = got.partition(b"\r\n\r\n")
+        host.close()
+    pair.turn()
+    received += received_all(client)
+    head, _, body = received.partition(b"\r\n\r\n")
     if b"chunked" in head:
         plain = b""
         while body:
@@ -119,59 +119,59 @@
         body = plain
     assert (
         body == BODY
-        and not two.new.node.exchanges
-        and not two.new.node.open_request_ids
-        and not two.new.log.lines.count("fault")
+        and not pair.new.node.exchanges
+        and not pair.new.node.open_request_ids
+        and not pair.new.log.lines.count("fault")
     )
     if version == "1.1":
         client.sendall(b"GET /read/n HTTP/1.1\r\nRequest-Id: 2\r\nRequest-Timeout: 1\r\n\r\n")
-        two.turn()
-        assert (len(two.old.host_sockets()) == 1) == (framing != "close"), (
-            "its link is as good as before"
+        pair.turn()
+        assert (len(pair.old.host_sockets()) == 1) == (framing != "close"), (
+            "the host connection is reused"
         )
-        two.old.answer_from_host(two.old.host_socket())
-        two.turn()
+        pair.old.answer_from_host(pair.old.host_socket())
+        pair.turn()
         assert received_text(client).startswith("HTTP/1.1 200")
-    two.end()
+    pair.end()
 
 
-def received_all(far):
-    got = b""
+def received_all(sock):
+    received = b""
     try:
-        while part := far.recv(1 << 17):
-            got += part
+        while part := sock.recv(1 << 17):
+            received += part
     except OSError:
         pass
-    return got
+    return received
 
 
-def test_an_answer_that_breaks_after_it_went_over_shows_it():
-    """The host closes in the middle of an answer that was handed over. The client sees that it
-    is cut off, and the host is charged for it.
+def test_answer_that_breaks_after_the_handover_is_visibly_truncated():
+    """The host closes in the middle of an answer that was handed over. The client can detect that
+    it is truncated, and the failure counts against the host.
     """
-    two = ProcessPair(1)
-    client = two.old.send_request("k")
-    far = two.old.host_socket()
-    two.old.send_and_turn(far, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
-    before = two.new.node.balancer.hosts["c0"].retry_budget
-    hand_over_all(two)
-    far.close()
-    two.turn()
+    pair = ProcessPair(1)
+    client = pair.old.send_request("k")
+    host = pair.old.host_socket()
+    pair.old.send_and_turn(host, b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
+    before = pair.new.node.balancer.hosts["c0"].retry_budget
+    hand_over_all(pair)
+    host.close()
+    pair.turn()
     assert received_all(client).endswith(b"first") and client.recv(1) == b""
-    assert two.new.node.balancer.hosts["c0"].retry_budget < before or before == 0
-    assert not two.new.node.exchanges and not two.new.node.open_request_ids
-    two.end()
+    assert pair.new.node.balancer.hosts["c0"].retry_budget < before or before == 0
+    assert not pair.new.node.exchanges and not pair.new.node.open_request_ids
+    pair.end()
 
 
 @pytest.mark.parametrize("framing", [f"Content-Length: {len(BODY)}", "Transfer-Encoding: chunked"])
 @pytest.mark.parametrize(
-    ("ends", "status"), [("done", "200"), ("reset", "503"), ("stalls", "408"), ("late", "503")]
+    ("ending", "status"), [("done", "200"), ("reset", "503"), ("stalls", "408"), ("late", "503")]
 )
-def test_a_request_whose_body_flows_goes_on_in_the_new_one(framing, ends, status):
-    """The old process leaves in the middle of a large body. The host gets every byte of it
-    once, by the new one.
+def test_streamed_upload_continues_in_the_new_process(framing, ending, status):
+    """The old process shuts down in the middle of a large request body. The new one continues it,
+    and the host receives every byte exactly once.
     """
-    two = ProcessPair(1)
+    pair = ProcessPair(1)
     head = (
         f"PUT /mark/k1 HTTP/1.1\r\nRequest-Id: r1\r\nIdempotency-Key: m1\r\nRequest-Timeout: 1\r\n{framing}\r\n\r\n"
     ).encode()
@@ -180,25 +180,25 @@
         if "chunked" not in framing
         else b"".join(
             b"%x\r\n%b\r\n" % (len(part), part)
-            for part in (BODY[at : at + 9_000] for at in range(0, len(BODY), 9_000))
+            for part in (BODY[offset : offset + 9_000] for offset in range(0, len(BODY), 9_000))
         )
         + b"0\r\n\r\n"
     )
-    client = two.old.client(head)
-    for at in range(0, 130_000, 26_000):
-        two.old.send_and_turn(client, text[at : at + 26_000])
-    far = two.old.host_socket()
-    got = received_all(far)
-    hand_over_all(two)
-    assert not two.old.node.clients.open_clients and two.new.node.is_request_open(b"r1")
-    if ends == "stalls":
-        two.advance(3_000_000)
+    client = pair.old.client(head)
+    for offset in range(0, 130_000, 26_000):
+        pair.old.send_and_turn(client, text[offset : offset + 26_000])
+    host = pair.old.host_socket()
+    received = received_all(host)
+    hand_over_all(pair)
+    assert not pair.old.node.clients.open_clients and pair.new.node.is_request_open(b"r1")
+    if ending == "stalls":
+        pair.advance(3_000_000)
     else:
-        for at in range(130_000, len(text), 26_000):
-            client.sendall(text[at : at + 26_000])
-            two.turn()
-            got += received_all(far)
-        body = got.partition(b"\r\n\r\n")[2]
+        for offset in range(130_000, len(text), 26_000):
+            client.sendall(text[offset : offset + 26_000])
+            pair.turn()
+            received += received_all(host)
+        body = received.partition(b"\r\n\r\n")[2]
         if "chunked" in framing:
             plain = b""
             while body:
@@ -206,13 +206,13 @@
                 plain, body = plain + body[: int(size, 16)], body[int(size, 16) + 2 :]
             body = plain
         assert body == BODY and received_text(client) is None
-        if ends == "done":
-            two.old.answer_from_host(far)
-        elif ends == "reset":
-            far.close()
+        if ending == "done":
+            pair.old.answer_from_host(host)
+        elif ending == "reset":
+            host.close()
         else:
-            two.advance(1_000_000)
-        two.turn()
+            pair.advance(1_000_000)
+        pair.turn()
     assert received_text(client).startswith(f"HTTP/1.1 {status}")
-    assert not two.new.node.exchanges and not two.new.node.open_request_ids
-    two.end()
+    assert not pair.new.node.exchanges and not pair.new.node.open_request_ids
+    pair.end()
