--- a/orchidgap/http1/host_connection.py
+++ b/orchidgap/http1/host_connection.py
@@ -128,7 +128,7 @@
         """Starts the attempt, as the connection is established."""
         self.cancel_timer()
         if self.attempt and self.loop.is_stalled:
-            # The host may be draining by now, and the list that says so may not have been read.
+            # The host may be draining by now, and the list with that state may not have been read.
             self.start_is_postponed = True
             self.loop.call_next_turn(self.start_postponed)
         elif self.attempt:
--- a/orchidgap/net/handover/coordinator.py
+++ b/orchidgap/net/handover/coordinator.py
@@ -12,9 +12,7 @@
 from orchidgap.net.handover.successor import Successor
 from orchidgap.net.loop import Loop
 
-SNAPSHOT_TIMEOUT_US = (
-    1_500_000  # for the predecessor to send its snapshot; after that this process serves without
-)
+SNAPSHOT_TIMEOUT_US = 1_500_000  # after which this process serves without a snapshot
 NOTIFY_INTERVAL_US = 5_000
 
 
--- a/tests/http1/test_discovery.py
+++ b/tests/http1/test_discovery.py
@@ -18,9 +18,7 @@
 )
 from orchidgap.net.node import FIRST_LIST_TIMEOUT_US
 
-LIST_DEADLINE_US = (
-    6_000_000  # within which a change must arrive once discovery has it and is reachable
-)
+LIST_DEADLINE_US = 6_000_000  # counted from when discovery has a change and is reachable
 SHORTEST_DRAIN_GRACE_US = 250_000  # the shortest drain grace of any deployment
 STEP_US = 10_000
 
@@ -33,21 +31,21 @@
         self.seq, self.changed_us, self.applied_us = 7, None, None
         # `drops_calls`: calls that arrive while it is down are never answered
         self.down = self.drops_calls = False
-        self.calls, self.open = [], []  # calls: time, longest wait for a change, outcome
+        self.calls, self.open_calls = [], []  # calls: time, longest wait for a change, outcome
 
     def process_calls(self):
-        """Reads new calls, and answers the waiting ones for which there is an answer now."""
+        """Reads new calls, and answers the open ones whose answer is due."""
         for sock in [sock for port, sock in self.net.dialled if port == 8500]:
             if sock.fileno() >= 0 and (text := received_text(sock)):
                 self.on_call(sock, text)
-        for call in list(self.open):
+        for call in list(self.open_calls):
             sock, after, until, outcome = call
             if (
                 outcome == "answer"
                 and (after is None or after < self.seq or self.net.now >= until)
                 and not self.down
             ):
-                self.open.remove(call)
+                self.open_calls.remove(call)
                 self.send_list(sock, after)
 
     def on_call(self, sock, text):
@@ -73,7 +71,7 @@
         elif outcome == "incomplete":
             self.send(sock, b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"seq"')
         elif outcome != "silent":
-            self.open.append(
+            self.open_calls.append(
                 (sock, int(query["after"]) if query else None, self.net.now + wait, outcome)
             )
 
@@ -100,8 +98,8 @@
     def change_list(self):
         self.seq, self.changed_us = self.seq + 1, self.net.now
 
-    def run(self, micros):
-        end = self.net.now + micros
+    def run(self, duration_us):
+        end = self.net.now + duration_us
         while self.net.now < end:
             self.net.advance(min(STEP_US, end - self.net.now))
             self.process_calls()
@@ -120,8 +118,8 @@
 
 
 def test_timeouts_add_up_to_less_than_the_list_deadline():
-    silent_watch = WATCH_TIMEOUT_MS * 1000 + RESPONSE_GRACE_US
-    assert silent_watch + MAX_BACKOFF_US // 8 + RESPONSE_GRACE_US < LIST_DEADLINE_US, (
+    unanswered_watch_us = WATCH_TIMEOUT_MS * 1000 + RESPONSE_GRACE_US
+    assert unanswered_watch_us + MAX_BACKOFF_US // 8 + RESPONSE_GRACE_US < LIST_DEADLINE_US, (
         "a watch without response, and one lost call after it"
     )
     assert (
@@ -163,7 +161,7 @@
     agent = DiscoveryAgent(net, ["answer"])
     agent.run(running_us)
     agent.down = agent.drops_calls = True
-    agent.open.clear()  # the waiting calls are not answered either
+    agent.open_calls.clear()  # the waiting calls are not answered either
     agent.run(down_us)
     agent.outcomes = iter(outcomes)  # one more call may fail
     agent.down = False
