--- a/orchidgap/decisions/cas_register.py
+++ b/orchidgap/decisions/cas_register.py
@@ -1,17 +1,19 @@
-"""A compare-and-set register that a majority of control processes keeps (CASPaxos, Rystsov 2018).
+"""A compare-and-set register, replicated to the control processes (CASPaxos, Rystsov 2018).
 
-Every change of the value is one round of two phases under a ballot of its own; an acceptor keeps
-one value and needs no log. States of an acceptor, and what may follow:
+Every change of the value is one round of two phases under its own ballot. An acceptor stores one
+value and needs no log. How an acceptor handles each message:
 
-    | message                | accepted if                        | next state                    |
-    | ---------------------- | ---------------------------------- | ----------------------------- |
-    | prepare(ballot)        | it is higher than the promised one | it is the promised ballot     |
-    | accept(ballot, value)  | it is not lower than that          | it is both ballots; the value |
+    | message               | accepted if the ballot is          | next state                      |
+    | --------------------- | ---------------------------------- | ------------------------------- |
+    | prepare(ballot)       | higher than the promised ballot    | the ballot is promised          |
+    | accept(ballot, value) | not lower than the promised ballot | the ballot is promised and      |
+    |                       |                                    | accepted, the value is stored   |
 
-States of a proposer: collecting promises, until a quorum has given one and `value` is known; then
-collecting acceptances, until a quorum has accepted it.
+A proposer first collects promises, until a quorum has promised and `value` is known. It then
+collects acceptances, until a quorum has accepted the value.
 
-No I/O: what an `Acceptor` returns has to be durable before anybody is told of it.
+No I/O: the state that an `Acceptor` returns has to be durable before any answer based on it is
+sent.
 """
 
 from __future__ import annotations
@@ -20,7 +22,7 @@
 from typing import Generic, NamedTuple, TypeVar
 
 Ballot = tuple[int, str]
-"""A count and the proposer's name; no two proposers use the same ballot."""
+"""A round number and the proposer's name, so that no two proposers use the same ballot."""
 
 NO_BALLOT: Ballot = (0, "")
 
@@ -28,12 +30,12 @@
 
 
 class AcceptorState(NamedTuple, Generic[Value]):
-    """What an acceptor has on its disk.
+    """The durable state of an acceptor.
 
     Attributes:
-        promised_ballot: Nothing under a lower ballot is accepted any more.
-        accepted_ballot: The ballot under which the value was accepted.
-        value: The value that was accepted last; never changed in place.
+        promised_ballot: Messages with a lower ballot are rejected.
+        accepted_ballot: The ballot under which `value` was accepted.
+        value: The value that was accepted last; never modified in place.
     """
 
     promised_ballot: Ballot
@@ -42,7 +44,7 @@
 
 
 def quorum_size(count: int) -> int:
-    """Return how many of `count` acceptors are a majority.
+    """Return the size of a majority of `count` acceptors.
 
     >>> [quorum_size(count) for count in (1, 2, 3, 5)]
     [1, 2, 2, 3]
@@ -51,11 +53,11 @@
 
 
 class Acceptor(Generic[Value]):
-    """One acceptor. It never changes its state by itself.
+    """One acceptor, whose state changes only in `on_durable`.
 
-    What `prepare` and `accept` return has to be written first; `on_durable` then puts it into
-    force, and only then may the answer be sent. Nothing else may be asked meanwhile: a promise made
-    beside a write would be overwritten by that write.
+    The caller writes the state that `prepare` or `accept` returns, then calls `on_durable` to
+    apply it, and only then sends the answer. It must not call `prepare` or `accept` while a write
+    is in progress: a promise made in the meantime would be overwritten by that write.
 
     >>> acceptor = Acceptor(AcceptorState(NO_BALLOT, NO_BALLOT, {}))
     >>> acceptor.on_durable(acceptor.prepare((1, "a"))), acceptor.prepare((1, "a"))
@@ -68,28 +70,28 @@
     """
 
     def __init__(self, state: AcceptorState[Value]) -> None:
-        """Begin with what is on the disk."""
+        """Start from the state that was read from the disk."""
         self.state = state
 
     def prepare(self, ballot: Ballot) -> AcceptorState[Value] | None:
-        """Return the state with the promise given, None if the promise is not given."""
+        """Return the state after promising the ballot, None if the promise is refused."""
         if ballot <= self.state.promised_ballot:
             return None
         return self.state._replace(promised_ballot=ballot)
 
     def accept(self, ballot: Ballot, value: Value) -> AcceptorState[Value] | None:
-        """Return the state with the value accepted, None if a higher ballot was promised."""
+        """Return the state after accepting the value, None if a higher ballot was promised."""
         if ballot < self.state.promised_ballot:
             return None
         return AcceptorState(ballot, ballot, value)
 
     def on_durable(self, state: AcceptorState[Value]) -> None:
-        """Put a state into force that is on the disk now."""
+        """Apply a state that has been written to the disk."""
         self.state = state
 
 
 class Proposer(Generic[Value]):
-    """One round of compare-and-set, as its proposer sees it.
+    """The proposer's side of one round of compare-and-set.
 
     >>> acceptors = {name: Acceptor(AcceptorState(NO_BALLOT, NO_BALLOT, 0)) for name in "xyz"}
     >>> proposer = Proposer((1, "a"), 3, lambda value: value + 1)
@@ -108,15 +110,15 @@
         update: Callable[[Value], Value],
         excluded: str = "",
     ) -> None:
-        """Begin a round.
+        """Start a round.
 
         Args:
             ballot: A ballot that was never used before.
-            acceptor_count: How many acceptors there are.
-            update: Makes the new value of the old one. It may return the old one, which is then
-                known to be chosen.
-            excluded: The name of an acceptor whose answers do not count, since it has lost its disk
-                and with it what it had promised.
+            acceptor_count: The number of acceptors.
+            update: Computes the new value from the current one. It may return the current value,
+                which is known to be chosen once the round succeeds.
+            excluded: The name of an acceptor whose answers are ignored, because it lost its disk
+                and with it the promises that it had made.
         """
         self.ballot = ballot
         self.quorum = quorum_size(acceptor_count)
@@ -124,40 +126,41 @@
         self.excluded = excluded
         self.promises: dict[str, tuple[Ballot, Value]] = {}
         self.accepted_by: set[str] = set()
-        self.value: Value | None = None  # to be accepted; known once a quorum has promised
+        self.value: Value | None = None  # the value to be accepted, set once a quorum has promised
 
     def on_promise(self, acceptor: str, accepted_ballot: Ballot, value: Value) -> bool:
-        """Take in a promise and what its acceptor had accepted before.
+        """Record a promise, with the ballot and value that the acceptor had accepted before.
 
         Returns:
-            Whether the value to be accepted became known by this promise.
+            Whether this promise completed the quorum, so that `value` is now set.
         """
         if self.value is not None or acceptor == self.excluded:
             return False
         self.promises[acceptor] = accepted_ballot, value
         if len(self.promises) < self.quorum:
             return False
-        # The value under the highest ballot may have been chosen; none under a lower one can have
-        # been chosen since.
+        # The value with the highest ballot may have been chosen. No value with a lower ballot can
+        # have been chosen after it.
         _, current = max(self.promises.values(), key=lambda promise: promise[0])
         self.value = self.update(current)
         return True
 
     def on_accepted(self, acceptor: str) -> bool:
-        """Take in an acceptance; return whether the value is chosen."""
+        """Record an acceptance; return whether the value is chosen."""
         if acceptor != self.excluded:
             self.accepted_by.add(acceptor)
         return len(self.accepted_by) >= self.quorum
 
 
 def find_chosen_value(acceptor_count: int, answers: Iterable[tuple[Ballot, Value]]) -> Value | None:
-    """Return the value that is certainly chosen, None if that cannot be told.
+    """Return the value that is certainly chosen, None if the answers do not prove one.
 
-    A value is chosen if a quorum accepted it under one ballot. Equal values under several ballots
-    prove nothing: a value between them may have been chosen, or be chosen yet.
+    A value is chosen if a quorum accepted it under the same ballot. Equal values under different
+    ballots prove nothing: a different value may have been chosen between them, or may still be
+    chosen.
 
     Args:
-        acceptor_count: How many acceptors there are.
+        acceptor_count: The number of acceptors.
         answers: The accepted ballot and value of each acceptor that answered.
 
     >>> find_chosen_value(3, [((1, "a"), "x"), ((2, "b"), "x")])
--- a/orchidgap/decisions/leases.py
+++ b/orchidgap/decisions/leases.py
@@ -1,19 +1,20 @@
-"""The leases that an acceptor grants to balancers, and for whom a decision has to wait.
+"""The leases that an acceptor grants to balancers, and the balancers that a decision waits for.
 
-A balancer that holds grants of a majority may serve (`lease_state`), so whoever serves while a
-majority accepts a decision is known to one acceptor of that majority, and that acceptor waits for
-its promise. Leases are those of Gray and Cheriton (1989). A balancer, as an acceptor knows it:
+A balancer may serve while it holds lease grants of a majority of acceptors (`lease_state`). So when
+a majority accepts a decision, at least one acceptor of it knows each balancer that may serve, and
+that acceptor waits for the balancer's promise. The leases are those of Gray and Cheriton (1989).
+The states of a balancer at an acceptor:
 
     | state    | event                                              | next state                  |
     | -------- | -------------------------------------------------- | --------------------------- |
-    | unknown  | heartbeat, prepared for any pending decision       | holds a lease               |
-    | unknown  | heartbeat, not prepared for one                    | known, without a lease      |
-    | known    | heartbeat, hears answers, is prepared              | holds a lease from now on   |
-    | known    | heartbeat, hears no answers or is not prepared     | the lease it has runs out   |
+    | unknown  | heartbeat, prepared for any pending decision       | known, with a lease         |
+    | unknown  | heartbeat, not prepared for the pending decision   | known, without a lease      |
+    | known    | heartbeat, receives answers and is prepared        | the lease is renewed        |
+    | known    | heartbeat, receives no answers or is not prepared  | the lease is left to expire |
     | known    | `deregister`                                       | unknown                     |
-    | no lease | not heard for `FORGET_AFTER_US`, or the table full | unknown                     |
+    | no lease | no heartbeat for `FORGET_AFTER_US`, or table full  | unknown                     |
 
-Times are whole microseconds on a clock that goes on while the machine sleeps. No I/O.
+Times are whole microseconds of a clock that keeps running while the machine is suspended. No I/O.
 """
 
 from __future__ import annotations
@@ -24,32 +25,32 @@
 
 from orchidgap.decisions.policy_rollout import PolicyState
 
-MAX_CLOCK_DRIFT_RATIO = 0.01  # how much faster or slower than true time a clock may run
+MAX_CLOCK_DRIFT_RATIO = 0.01  # by how much a clock may run faster or slower than true time
 MAX_HOLDERS = 4_096
-FORGET_AFTER_US = 600_000_000  # after this a balancer that left is no longer listed
+FORGET_AFTER_US = 600_000_000  # time without a heartbeat after which a balancer is removed
 UNKNOWN_HOLDERS = "whoever held a lease before control started"
 
 
 class OnLostQuorum(Enum):
-    """What a balancer does without a lease. The values are the words of settings and wire."""
+    """What a balancer does without a lease. The values are used in settings and on the wire."""
 
     DENY = "leave"
     SERVE = "stay"
 
 
 class LeaseHolder(NamedTuple):
-    """One balancer process, as a control process last heard of it.
+    """One balancer process, as its last heartbeat described it to a control process.
 
     Attributes:
         name: The balancer's name.
-        incarnation: Unique to the process.
-        on_lost_quorum: A word of `OnLostQuorum`, as the balancer sent it.
-        version: The version under which it accepts requests, -1 before it knows one.
-        promised_proposal: The proposal number that it holds a promise for, 0 for none.
-        refused_proposal: The proposal number that it refused last, 0 for none.
+        incarnation: Identifies the process.
+        on_lost_quorum: A value of `OnLostQuorum`, as the balancer sent it.
+        version: The version under which it accepts requests, -1 before it has one.
+        promised_proposal: The number of the proposal that it has promised, 0 for none.
+        refused_proposal: The number of the proposal that it refused last, 0 for none.
         refusal_reason: Why it refused.
-        last_heartbeat_us: When it was heard last.
-        lease_expires_at_us: It may hold a lease until then.
+        last_heartbeat_us: When its last heartbeat arrived.
+        lease_expires_at_us: The time until which it may hold a lease.
     """
 
     name: str
@@ -63,7 +64,7 @@
     lease_expires_at_us: int
 
     def is_prepared(self, proposal_number: int, version: int) -> bool:
-        """Return whether it is ready for this proposal to be decided as this version."""
+        """Return whether this proposal may be decided as this version without waiting for it."""
         return self.promised_proposal == proposal_number or self.version >= version
 
 
@@ -72,7 +73,8 @@
 
     Attributes:
         name: The balancer's name.
-        time_remaining_us: How long at most; 0 if only a promise or an eviction ends it.
+        time_remaining_us: The longest time that the decision waits for it; 0 if the wait ends only
+            with a promise or an eviction.
     """
 
     name: str
@@ -80,21 +82,21 @@
 
 
 class Refusal(NamedTuple):
-    """A balancer that refused what is proposed, and why."""
+    """A balancer that refused the pending proposal, and why."""
 
     name: str
     reason: str
 
 
 class LeaseTable:
-    """The leases that one acceptor has granted.
+    """The balancers that one acceptor knows, and the leases that it has granted them.
 
     >>> from orchidgap.decisions.policy_rollout import INITIAL_STATE, propose
     >>> table = LeaseTable(lease_us=1_000_000, now_us=0)
     >>> balancer = LeaseHolder("b", "1", "leave", 0, 0, 0, "", 0, 0)
     >>> table.on_heartbeat(balancer, 2_000_000)
     True
-    >>> table.on_heartbeat(balancer, 2_300_000)  # it did not hear the first answer
+    >>> table.on_heartbeat(balancer, 2_300_000)  # it did not receive the first answer
     False
     >>> state = propose(INITIAL_STATE, "x", {})
     >>> table.pending_members(state, 2_500_000), table.pending_members(state, 3_010_001)
@@ -107,39 +109,39 @@
     """
 
     def __init__(self, lease_us: int, now_us: int) -> None:
-        """Begin without any holder; `lease_us` is how long a lease lasts by the holder's clock."""
+        """Start without holders; `lease_us` is how long a lease lasts by the holder's clock."""
         self.lease_us = lease_us
         self.holders: dict[tuple[str, str], LeaseHolder] = {}
-        # What the process before this one granted is not known; no such lease holds longer.
+        # The leases that the previous process granted are not known; all of them have expired then.
         self.unknown_holders_until_us = now_us + self.max_lease_us
-        # Proposal number and version of a decision that waits here or is being written. Whoever is
-        # not prepared for it gets no lease: another acceptor may have accepted it already, and then
-        # it cannot be dropped any more.
+        # Proposal number and version of a decision that is waiting or is being written. A balancer
+        # that is not prepared for it gets no lease: another acceptor may already have accepted it,
+        # and then it can no longer be dropped.
         self.pending_decision: tuple[int, int] | None = None
 
     @property
     def max_lease_us(self) -> int:
-        """How long a lease may last by this process's clock while the holder's runs slow."""
+        """The longest that a lease may last by this process's clock if the holder's is slow."""
         return round(self.lease_us * (1 + MAX_CLOCK_DRIFT_RATIO))
 
     def on_heartbeat(self, holder: LeaseHolder, now_us: int, last_answer_at_us: int = 0) -> bool:
         """Record a balancer's heartbeat; return whether it is granted a lease.
 
         Args:
-            holder: What the balancer says of itself.
-            now_us: The time now.
-            last_answer_at_us: When this process last answered it, as far as the balancer has heard.
-                One that hears no answers uses no lease, and must not hold up changes because it
-                goes on asking.
+            holder: The balancer's state as sent in the heartbeat.
+            now_us: The current time.
+            last_answer_at_us: The time of the latest answer of this process that the balancer has
+                received. A balancer that receives no answers does not use its lease, and its
+                heartbeats must not delay changes.
         """
         key = holder.name, holder.incarnation
         before = self.holders.pop(key, None)
-        self._make_room(now_us)
+        self._evict_expired(now_us)
         if len(self.holders) >= MAX_HOLDERS:
             return False
-        hears_answers = before is None or 0 <= now_us - last_answer_at_us <= 2 * self.lease_us
+        receives_answers = before is None or 0 <= now_us - last_answer_at_us <= 2 * self.lease_us
         prepared = not self.pending_decision or holder.is_prepared(*self.pending_decision)
-        granted = hears_answers and prepared
+        granted = receives_answers and prepared
         if granted:
             expires_at_us = now_us + self.max_lease_us
         else:
@@ -149,8 +151,8 @@
         )
         return granted
 
-    def _make_room(self, now_us: int) -> None:
-        """While the table is full, forget the one whose lease ran out first."""
+    def _evict_expired(self, now_us: int) -> None:
+        """Remove the holder whose lease expired first, while the table is full."""
         while len(self.holders) >= MAX_HOLDERS:
             key = min(self.holders, key=lambda key: self.holders[key].lease_expires_at_us)
             if self.holders[key].lease_expires_at_us >= now_us:
@@ -158,11 +160,11 @@
             del self.holders[key]
 
     def deregister(self, name: str, incarnation: str) -> None:
-        """Forget a balancer that has ended by itself and serves no more."""
+        """Remove a balancer that shut down and no longer serves."""
         self.holders.pop((name, incarnation), None)
 
     def remove_expired(self, now_us: int) -> None:
-        """Forget balancers that have been away for long."""
+        """Remove balancers without a lease or a heartbeat for `FORGET_AFTER_US`."""
         for key, holder in list(self.holders.items()):
             last_seen_us = max(holder.lease_expires_at_us, holder.last_heartbeat_us)
             if last_seen_us + FORGET_AFTER_US < now_us:
@@ -171,13 +173,13 @@
     def unprepared_members(
         self, proposal_number: int, version: int, registered: Mapping[str, str], now_us: int
     ) -> list[PendingMember]:
-        """Return who may serve without a promise for this proposal and below this version.
+        """Return the balancers that may serve and are not prepared for this proposal.
 
         Args:
             proposal_number: The proposal that is to be decided.
-            version: The version that it makes.
-            registered: Balancers that serve without a quorum, by name, with their incarnations.
-            now_us: The time now.
+            version: The version that it creates; balancers that run it already are prepared.
+            registered: Incarnations, by name, of the balancers that serve without a quorum.
+            now_us: The current time.
         """
         pending = [
             PendingMember(holder.name, holder.lease_expires_at_us - now_us)
@@ -196,7 +198,7 @@
         return sorted(pending)
 
     def pending_members(self, state: PolicyState, now_us: int) -> list[PendingMember]:
-        """Return who has to promise what is proposed before it can be decided."""
+        """Return the balancers that have to promise the pending proposal before it is decided."""
         proposal = state.proposal
         if proposal is None:
             return []
@@ -206,7 +208,7 @@
         )
 
     def refusals(self, state: PolicyState, now_us: int) -> list[Refusal]:
-        """Return who may serve and refused what is proposed."""
+        """Return the balancers that hold a lease and refused the pending proposal."""
         if state.proposal is None:
             return []
         number = state.proposal.proposal_number
@@ -219,10 +221,10 @@
     def begin_decision(
         self, old: PolicyState, new: PolicyState, now_us: int
     ) -> list[PendingMember]:
-        """Return whom an acceptor of `old` has to wait for before it accepts `new`.
+        """Return the balancers that an acceptor of `old` waits for before it accepts `new`.
 
-        From then on, and until `on_accepted` is called for this or another value, whoever is not
-        prepared for it gets no lease here.
+        From this call until `on_accepted` is called for this or another value, a balancer that is
+        not prepared for the decision gets no lease from this acceptor.
         """
         if new.version <= old.version:
             return []
@@ -231,9 +233,10 @@
         return self.unprepared_members(new.proposal_number, new.version, registered, now_us)
 
     def on_accepted(self) -> None:
-        """Grant leases to all again: what was accepted is on the disk.
+        """Grant leases to all balancers again, now that the accepted value is durable.
 
-        Not to be called after a write that failed. What it wrote may be there all the same, for the
-        next process to find; so whoever is not prepared gets no lease until another write succeeds.
+        Must not be called after a failed write. The value may be on the disk all the same, where
+        the next process would read it; so unprepared balancers get no lease until a later write
+        succeeds.
         """
         self.pending_decision = None
--- a/orchidgap/decisions/policy_rollout.py
+++ b/orchidgap/decisions/policy_rollout.py
@@ -1,16 +1,19 @@
-"""The states of a policy change: what is proposed, decided or dropped, and who has registered.
+"""The state machine of a policy change: proposed, then decided or dropped.
 
-The compare-and-set register holds one `PolicyState`. The functions here are the only transitions,
-and `PHASE_AFTER` has the same table:
+The compare-and-set register holds one `PolicyState`, which also lists the balancers that serve
+without a quorum. The functions of this module are the only transitions; `PHASE_AFTER` encodes the
+same table:
 
     | phase    | transition                        | next phase | what changes              |
     | -------- | --------------------------------- | ---------- | ------------------------- |
     | idle     | `propose`                         | proposed   | a new proposal number     |
-    | proposed | `decide`: all hold a promise      | idle       | the version goes up by 1  |
-    | proposed | `drop`: one refused or is silent  | idle       | the reason is in history  |
-    | any      | `register_member`, `evict_member` | the same   | who serves without quorum |
+    | proposed | `decide`: all have promised       | idle       | the version grows by 1    |
+    | proposed | `drop`: one refused, or does not  | idle       | the reason is added to    |
+    |          | answer                            |            | the history               |
+    | any      | `register_member`, `evict_member` | the same   | the list of balancers     |
+    |          |                                   |            | that serve without quorum |
 
-Each takes a state and returns the next one, or the very same object where the transition does not
+Each function takes a state and returns the next one, or the same object if the transition does not
 apply. No I/O.
 """
 
@@ -21,28 +24,28 @@
 from enum import Enum
 from typing import Any
 
-MAX_HISTORY = 64  # records that are kept
+MAX_HISTORY = 64  # how many records of ended changes are kept
 
 Document = Any
 """A proposed policy as parsed from JSON; validated before it is proposed."""
 
 
 class ChangeResult(Enum):
-    """How a change ended. The values are the words on the wire and on disk."""
+    """How a change ended. The values are used on the wire and on disk."""
 
     DECIDED = "decided"
     DROPPED = "nowhere"
 
 
 class Phase(Enum):
-    """Whether something is proposed."""
+    """Whether a proposal is pending."""
 
     IDLE = "idle"
     PROPOSED = "proposed"
 
 
 class Transition(Enum):
-    """What may happen to a state; each is a function of this module."""
+    """A transition between states; each one is a function of this module."""
 
     PROPOSE = "propose"
     DECIDE = "decide"
@@ -64,18 +67,18 @@
         Transition.EVICT_MEMBER: Phase.PROPOSED,
     },
 }
-"""Which transitions a phase allows, and the phase that follows."""
+"""The transitions that each phase allows, and the phase after each."""
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change that is proposed and neither decided nor dropped yet.
+    """A change that is proposed, and not yet decided or dropped.
 
     Attributes:
         change_id: The proposer's name for the change.
-        document: The policy that is proposed.
-        proposal_number: Unique to this proposal; the same change proposed again has another one.
-        version: The version that the policy becomes once it is decided.
+        document: The proposed policy.
+        proposal_number: Unique to this proposal; the same change proposed again gets a new one.
+        version: The version that the policy gets once it is decided.
     """
 
     change_id: str
@@ -89,9 +92,9 @@
     """How a past change ended.
 
     Attributes:
-        version: The version that it became, 0 if it was dropped.
+        version: The version that the change created, 0 if it was dropped.
         change_id: The proposer's name for the change.
-        result: Decided or dropped.
+        result: Whether the change was decided or dropped.
         reason: Why it was dropped, empty if it was decided.
     """
 
@@ -103,18 +106,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyState:
-    """What the register holds.
+    """The value of the register.
 
     Attributes:
         version: The number of the policy in force, 0 before the first decision.
-        change_id: The change that made this version.
-        proposal_number: The proposal by which it was decided.
+        change_id: The change that created this version.
+        proposal_number: The number of the proposal that was decided as this version.
         document: The policy in force, None at version 0.
-        proposal: What is proposed at the moment.
-        proposal_count: The highest proposal number given so far.
-        members_without_quorum: Balancers that go on serving without a lease, by name, each with its
-            incarnation. No change is decided without their promises.
-        history: The last changes that ended, oldest first.
+        proposal: The pending proposal, None if there is none.
+        proposal_count: The highest proposal number assigned so far.
+        members_without_quorum: Incarnations, by balancer name, of the balancers that keep serving
+            without a lease. No change is decided without their promises.
+        history: The latest changes that ended, oldest first.
     """
 
     version: int
@@ -128,11 +131,11 @@
 
     @property
     def phase(self) -> Phase:
-        """Whether something is proposed."""
+        """Whether a proposal is pending."""
         return Phase.IDLE if self.proposal is None else Phase.PROPOSED
 
     def allows(self, transition: Transition) -> bool:
-        """Return whether the transition may follow."""
+        """Return whether the current phase allows the transition."""
         return transition in PHASE_AFTER[self.phase]
 
 
@@ -149,7 +152,7 @@
 
 
 def find_record(state: PolicyState, change_id: str) -> ChangeRecord | None:
-    """Return how a change ended last, None if that is not in the history."""
+    """Return the latest record of a change, None if the history has none."""
     for record in reversed(state.history):
         if record.change_id == change_id:
             return record
@@ -157,7 +160,7 @@
 
 
 def propose(state: PolicyState, change_id: str, document: Document) -> PolicyState:
-    """Propose a change, unless one is proposed already or this one is in force.
+    """Propose a change, unless a proposal is pending or this change is in force.
 
     >>> state = propose(INITIAL_STATE, "x", {"settings": {}})
     >>> state.proposal.version, state.proposal.proposal_number, state.version
@@ -167,7 +170,7 @@
     """
     if not state.allows(Transition.PROPOSE) or state.change_id == change_id:
         return state
-    # A promise holds for one proposal number: a change that is proposed again needs new promises.
+    # A promise is valid for one proposal number: a change that is proposed again needs new ones.
     number = state.proposal_count + 1
     proposal = Proposal(change_id, document, number, state.version + 1)
     return replace(state, proposal_count=number, proposal=proposal)
@@ -176,17 +179,17 @@
 def submit(
     state: PolicyState, change_id: str, document: Document, again: bool, known_proposal_count: int
 ) -> PolicyState:
-    """Handle a proposer's request, which may be late or repeated.
+    """Handle a proposer's request, which may be delayed or duplicated.
 
-    A request counts only as long as nothing else was proposed since its sender last looked: a late
-    copy must not bring back a change that its sender was told is dropped.
+    A request is ignored if anything was proposed since its sender last read the state: a delayed
+    copy must not propose a change again after its sender was notified that it was dropped.
 
     Args:
-        state: The state that the request meets.
+        state: The state when the request is handled.
         change_id: The proposer's name for the change.
         document: The policy to propose.
-        again: Propose it even though it was decided before.
-        known_proposal_count: The proposal count that the sender knew of.
+        again: Whether to propose the change even if it was decided before.
+        known_proposal_count: The proposal count that the sender had last read.
 
     >>> state = submit(INITIAL_STATE, "x", {}, False, 0)
     >>> state.proposal.change_id, submit(state, "y", {}, False, 1).proposal_count
@@ -202,12 +205,13 @@
         return propose(state, change_id, document)
     if state.proposal.change_id == change_id:
         return state
-    # The sender is told that another change is in the way; the count makes that answer final.
+    # The sender gets the answer that another proposal is pending. The higher count makes that
+    # answer final, as a delayed copy of the request is then out of date.
     return replace(state, proposal_count=known_proposal_count + 1)
 
 
 def decide(state: PolicyState, proposal_number: int) -> PolicyState:
-    """Put the proposal of this number into force.
+    """Put the proposal with this number into force.
 
     >>> state = decide(propose(INITIAL_STATE, "x", {"a": 1}), 1)
     >>> state.version, state.document, state.proposal, find_record(state, "x").result
@@ -231,7 +235,7 @@
 
 
 def drop(state: PolicyState, proposal_number: int, reason: str) -> PolicyState:
-    """Give up the proposal of this number; `reason` is for operators.
+    """Drop the proposal with this number; `reason` is shown to operators.
 
     >>> find_record(drop(propose(INITIAL_STATE, "x", {}), 1, "b2: disk full"), "x").reason
     'b2: disk full'
@@ -246,7 +250,7 @@
 def register_member(state: PolicyState, name: str, incarnation: str) -> PolicyState:
     """Register a balancer that serves without a quorum.
 
-    No change is decided without its promise until it is evicted.
+    Until it is evicted, no change is decided without its promise.
     """
     if state.members_without_quorum.get(name) == incarnation:
         return state
@@ -255,17 +259,17 @@
 
 
 def evict_member(state: PolicyState, name: str, incarnation: str) -> PolicyState:
-    """Remove a registered balancer; another incarnation of the same name stays registered."""
+    """Remove a registered balancer, unless the name is registered with another incarnation."""
     if state.members_without_quorum.get(name) != incarnation:
         return state
-    members = {other: its for other, its in state.members_without_quorum.items() if other != name}
+    members = {key: value for key, value in state.members_without_quorum.items() if key != name}
     return replace(state, members_without_quorum=members)
 
 
 def _proposal_of(
     state: PolicyState, proposal_number: int, transition: Transition
 ) -> Proposal | None:
-    """Return the proposal of this number, None if the transition does not apply to it."""
+    """Return the proposal with this number, None if the transition does not apply to it."""
     proposal = state.proposal if state.allows(transition) else None
     if proposal is None or proposal.proposal_number != proposal_number:
         return None
--- a/tests/decisions/test_cas_register.py
+++ b/tests/decisions/test_cas_register.py
@@ -1,4 +1,4 @@
-"""The register: whatever order messages come in, chosen values follow one another."""
+"""Tests of the compare-and-set register: chosen values build on each other in any message order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,10 +16,10 @@
 
 
 @given(st.lists(STEPS, max_size=60))
-def test_of_two_chosen_values_one_is_made_of_the_other(steps):
-    """Three proposers append their name to the value, each under its own ballot. Their messages reach the
-    acceptors in any order, several times or never. Whatever is chosen at some time stays a part of what is
-    chosen later."""
+def test_a_later_chosen_value_builds_on_each_earlier_one(steps):
+    """Three proposers append their number to the value, each under its own ballot. Their messages reach the
+    acceptors in any order, several times or never. A value that is chosen at some time is a prefix of every
+    value that is chosen later."""
     acceptors = {name: Acceptor(AcceptorState(NO_BALLOT, NO_BALLOT, ())) for name in NAMES}
     proposers = [
         Proposer((count + 1, "p"), 3, lambda value, count=count: (*value, count))
@@ -51,11 +51,11 @@
     assert acceptor.prepare((2, "a")) is None and acceptor.prepare((1, "z")) is None
     assert acceptor.accept((1, "z"), "new") is None
     assert acceptor.accept((2, "a"), "new") == AcceptorState((2, "a"), (2, "a"), "new")
-    assert acceptor.state.value == "old"  # until that is durable
+    assert acceptor.state.value == "old"  # until the new state is durable
 
 
-def test_an_acceptor_that_lost_its_disk_counts_for_nothing():
-    """It has forgotten what it had promised. Its own round has to go through with the others alone."""
+def test_answers_of_an_acceptor_that_lost_its_disk_are_ignored():
+    """Its promises are lost with the disk. A round that it proposes needs a quorum of the other acceptors."""
     proposer = Proposer((5, "x"), 3, lambda value: value, excluded="x")
     assert not proposer.on_promise("x", NO_BALLOT, "nothing")
     assert not proposer.on_promise("y", (3, "y"), "value")
@@ -64,7 +64,7 @@
     assert proposer.on_accepted("z")
 
 
-def test_one_acceptor_that_answers_twice_is_no_quorum():
+def test_two_answers_of_one_acceptor_do_not_make_a_quorum():
     proposer = Proposer((1, "a"), 3, lambda value: value + 1)
     assert not proposer.on_promise("x", NO_BALLOT, 0) and not proposer.on_promise("x", NO_BALLOT, 0)
     assert proposer.on_promise("y", NO_BALLOT, 0) and not proposer.on_promise("z", NO_BALLOT, 9)
--- a/tests/decisions/test_lease_state.py
+++ b/tests/decisions/test_lease_state.py
@@ -1,4 +1,4 @@
-"""When a balancer may serve, and what it has promised."""
+"""Tests of when a balancer may serve, and of its promises."""
 
 import pytest
 from hypothesis import given
@@ -13,9 +13,9 @@
 from orchidgap.decisions.leases import OnLostQuorum
 
 
-def test_a_promise_is_given_only_for_what_was_written():
-    """A proposal is checked, refused and dropped. Whoever says afterwards that it is on the disk gives no
-    promise; one that is promised cannot be refused any more."""
+def test_only_the_proposal_being_written_can_be_promised():
+    """A proposal is being written, and is refused. The end of its write makes no promise after that. A promised
+    proposal can no longer be refused."""
     lease = LeaseState(OnLostQuorum.DENY, 1_000_000)
     lease.on_chosen_state(0, 1, False, 0)
     lease.on_write_started(1)
@@ -28,17 +28,17 @@
         lease.refuse(2, "too late")
 
 
-# what a balancer hears: version, proposal number, granted, whether its write ends before the next one
-HEARD = st.tuples(st.integers(0, 3), st.integers(0, 3), st.booleans(), st.booleans())
+# answers to a balancer: version, proposal number, granted, whether its write ends before the next answer
+ANSWERS = st.tuples(st.integers(0, 3), st.integers(0, 3), st.booleans(), st.booleans())
 
 
-@given(st.sampled_from(OnLostQuorum), st.lists(HEARD, max_size=40))
-def test_a_balancer_serves_by_a_lease_or_without_any_promise(on_lost_quorum, heard):
-    """Versions, proposals, grants and ends of writes come in any order. Without a lease a balancer serves
-    only if it is registered and has promised nothing; its version never goes down."""
+@given(st.sampled_from(OnLostQuorum), st.lists(ANSWERS, max_size=40))
+def test_a_balancer_without_a_lease_serves_only_without_a_promise(on_lost_quorum, answers):
+    """Versions, proposals, grants and ends of writes arrive in any order. Without a lease a balancer serves
+    only if it is registered and has promised nothing. Its version never decreases."""
     lease = LeaseState(on_lost_quorum, 1_000_000)
     now_us = 0
-    for version, proposal, granted, written in heard:
+    for version, proposal, granted, written in answers:
         before = lease.version
         now_us += 600_000
         step = lease.on_chosen_state(version, proposal, True, now_us, granted)
@@ -59,8 +59,8 @@
             assert on_lost_quorum is OnLostQuorum.SERVE and not lease.promised_proposal
 
 
-def test_a_lease_is_shorter_at_its_holder_than_at_the_acceptor():
-    """The holder's clock may run 1% slow and the acceptor's 1% fast: the holder stops first."""
+def test_a_lease_expires_at_its_holder_before_it_does_at_the_acceptor():
+    """The holder's clock may run 1% slow and the acceptor's 1% fast. The holder stops serving first."""
     lease = LeaseState(OnLostQuorum.DENY, 1_000_000)
     lease.on_chosen_state(0, 0, False, 50)
     assert lease.expires_at_us == 990_050
@@ -68,9 +68,9 @@
     assert lease.permission(990_050) is ServingPermission.DENIED
 
 
-def test_an_old_answer_changes_nothing():
-    """An answer of version 1 comes late, when version 2 is in force, and an answer to an earlier heartbeat
-    must not shorten the lease."""
+def test_a_delayed_answer_changes_nothing():
+    """An answer with version 1 arrives when version 2 is in force. A delayed answer to an earlier heartbeat must
+    not shorten the lease."""
     lease = LeaseState(OnLostQuorum.SERVE, 1_000_000)
     lease.on_chosen_state(0, 0, True, 0)
     lease.on_version_adopted(2)
@@ -82,8 +82,8 @@
 
 
 def test_a_higher_version_ends_the_lease_until_it_is_adopted():
-    """A balancer cannot adopt the version in force. It has a lease under the one before, and is registered
-    to serve without a quorum: both end at once."""
+    """A balancer has not adopted the version in force. Its lease under the previous version and its registration
+    to serve without a quorum both end at once."""
     lease = LeaseState(OnLostQuorum.SERVE, 1_000_000)
     lease.on_chosen_state(0, 0, True, 0)
     assert lease.on_chosen_state(1, 0, True, 10) is NextStep.ADOPT_VERSION
@@ -100,7 +100,7 @@
     assert lease.on_chosen_state(0, 5, False, 30) is NextStep.CHECK_PROPOSAL
 
 
-def test_who_denies_without_a_quorum_is_not_registered():
+def test_a_balancer_that_denies_without_a_quorum_is_not_registered():
     lease = LeaseState(OnLostQuorum.DENY, 1_000_000)
     lease.on_chosen_state(0, 0, True, 0)
     assert lease.permission(2_000_000) is ServingPermission.DENIED
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases that an acceptor grants, and for whom a decision waits."""
+"""Tests of the leases that an acceptor grants, and of the balancers that a decision waits for."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 )
 
 LEASE_US = 1_000_000
-MAX_LEASE_US = 1_010_000  # by a clock that runs 1% faster than the holder's
+MAX_LEASE_US = 1_010_000  # measured by a clock that runs 1% faster than the holder's
 PROPOSED = propose(INITIAL_STATE, "x", {})
 
 
@@ -28,13 +28,14 @@
 
 
 def make_table():
-    """Of a process that started long ago."""
+    """Returns the table of a process that started two seconds ago: no unknown lease is left."""
     return LeaseTable(LEASE_US, -2_000_000)
 
 
-def test_a_promise_counts_for_its_own_try_only():
-    """A balancer that serves without a quorum has promised a proposal. That is dropped, and the same
-    change is proposed again. It has to be promised again, or the balancer would not know of it."""
+def test_a_promise_is_valid_for_one_proposal_number_only():
+    """A balancer that serves without a quorum has promised a proposal. The proposal is dropped, and the same
+    change is proposed again. It needs a new promise; else it could be decided without the balancer's
+    knowledge."""
     table = LeaseTable(1_000_000, -2_000_000)
     table.on_heartbeat(LeaseHolder("b", "1", "stay", 0, 1, 0, "", 0, 0), 0)
     value = register_member(propose(INITIAL_STATE, "x", {}), "b", "1")
@@ -49,17 +50,17 @@
     ("last_answer_at_us", "granted"),
     [(3_000_000, True), (1_000_000, True), (999_999, False), (3_000_001, False)],
 )
-def test_a_lease_needs_an_answer_that_was_heard(last_answer_at_us, granted):
-    """A balancer asks again at 3 s. It has to have heard an answer within two leases; a time to come is
-    none that this process can have given."""
+def test_a_lease_is_renewed_only_if_the_balancer_receives_answers(last_answer_at_us, granted):
+    """A balancer sends its second heartbeat at 3 s. The latest answer that it received must be at most two
+    lease times old. A time in the future cannot be that of an answer of this process."""
     table = make_table()
     assert table.on_heartbeat(holder(), 0)
     assert table.on_heartbeat(holder(), 3_000_000, last_answer_at_us) is granted
 
 
-def test_a_lease_that_is_not_renewed_runs_out_and_no_sooner():
-    """A decision waits. A balancer that is not prepared for it asks on: it gets no new lease, and the one
-    that it has still counts."""
+def test_a_lease_that_is_not_renewed_is_valid_until_it_expires():
+    """A decision is waiting. A balancer that is not prepared for it sends more heartbeats: its lease is not
+    renewed, but stays valid until it expires."""
     table = make_table()
     assert table.on_heartbeat(holder(), 0)
     decided = decide(PROPOSED, 1)
@@ -73,22 +74,22 @@
     assert table.on_heartbeat(holder("late"), MAX_LEASE_US, MAX_LEASE_US)
 
 
-def test_who_runs_the_version_already_is_prepared_for_it():
+def test_a_balancer_that_runs_the_new_version_is_prepared_for_it():
     table = make_table()
     table.on_heartbeat(holder("behind"), 0)
     table.on_heartbeat(holder("ahead", version=1), 0)
     assert [member.name for member in table.pending_members(PROPOSED, 1)] == ["behind"]
 
 
-def test_a_process_that_starts_waits_for_leases_that_it_does_not_know():
+def test_a_new_process_waits_for_unknown_leases_to_expire():
     table = LeaseTable(LEASE_US, 5_000_000)
     assert table.pending_members(PROPOSED, 5_000_010) == [(UNKNOWN_HOLDERS, MAX_LEASE_US - 10)]
     assert table.pending_members(PROPOSED, 5_000_000 + MAX_LEASE_US) == []
 
 
-def test_a_decision_waits_for_members_of_the_state_before_and_of_the_new_one():
-    """A balancer that serves without a quorum was evicted by the same round that decides, or registered by
-    it: either may serve under the version before."""
+def test_a_decision_waits_for_registered_members_of_the_old_and_the_new_state():
+    """A balancer that serves without a quorum is evicted, or registered, by the same round that decides.
+    In both cases it may serve under the previous version."""
     table = make_table()
     before = register_member(PROPOSED, "b", "1")
     evicted = evict_member(decide(before, 1), "b", "1")
@@ -97,7 +98,7 @@
     assert table.begin_decision(PROPOSED, registered, 0) == [("c", 0)]
 
 
-def test_a_registered_member_with_a_lease_is_waited_for_once():
+def test_a_registered_member_with_a_lease_is_listed_once():
     table = make_table()
     table.on_heartbeat(holder(), 0)
     state = register_member(PROPOSED, "b", "1")
@@ -105,7 +106,7 @@
     assert table.pending_members(state, 2 * MAX_LEASE_US) == [("b", 0)]
 
 
-def test_only_a_refusal_of_one_that_may_serve_counts():
+def test_only_refusals_of_the_pending_proposal_by_lease_holders_count():
     table = make_table()
     table.on_heartbeat(holder("b", refused_proposal=1, refusal_reason="disk full"), 0)
     table.on_heartbeat(holder("c", refused_proposal=7, refusal_reason="an earlier one"), 0)
@@ -114,7 +115,7 @@
     assert table.refusals(PROPOSED, MAX_LEASE_US) == []
 
 
-def test_who_deregisters_is_not_waited_for():
+def test_a_decision_does_not_wait_for_a_deregistered_balancer():
     table = make_table()
     table.on_heartbeat(holder(), 0)
     table.deregister("b", "another process")
@@ -123,7 +124,7 @@
     assert table.pending_members(PROPOSED, 1) == []
 
 
-def test_one_that_left_is_forgotten_after_a_while():
+def test_a_balancer_without_heartbeats_is_removed_after_a_while():
     table = make_table()
     table.on_heartbeat(holder(), 0)
     table.remove_expired(MAX_LEASE_US + FORGET_AFTER_US)
@@ -132,9 +133,9 @@
     assert not table.holders
 
 
-def test_a_full_table_forgets_only_those_whose_lease_has_run_out():
-    """More balancers ask than one control process knows. A lease that was granted must not be forgotten
-    while it may hold: the new one gets none."""
+def test_a_full_table_evicts_only_holders_whose_lease_has_expired():
+    """More balancers send heartbeats than the table can hold. A granted lease must not be removed before it
+    expires, so the new balancer gets no lease."""
     table = make_table()
     for number in range(MAX_HOLDERS):
         assert table.on_heartbeat(holder(f"b{number}"), number)
--- a/tests/decisions/test_policy_rollout.py
+++ b/tests/decisions/test_policy_rollout.py
@@ -1,4 +1,4 @@
-"""Transitions of a policy change."""
+"""Tests of the transitions of a policy change."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 DOC = {"settings": {}}
 
-ACTS = {
+TRANSITIONS = {
     Transition.PROPOSE: lambda state, number: policy_rollout.propose(state, f"c{number}", DOC),
     Transition.DECIDE: lambda state, number: policy_rollout.decide(
         state, state.proposal_count - number
@@ -32,26 +32,26 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(Transition), st.integers(0, 3)), max_size=120))
-def test_versions_only_go_up_and_one_is_proposed_at_a_time(acts):
+def test_versions_never_decrease_and_one_change_is_proposed_at_a_time(steps):
     state = INITIAL_STATE
-    for act, number in acts:
-        last, state = state, ACTS[act](state, number)
+    for transition, number in steps:
+        last, state = state, TRANSITIONS[transition](state, number)
         assert state.version - last.version in (0, 1)
         assert state.proposal_count >= last.proposal_count
         assert (
             state.version == last.version
             or last.proposal
             and state.change_id == last.proposal.change_id
-            and act is Transition.DECIDE
+            and transition is Transition.DECIDE
         )
         assert state.proposal is None or state.proposal.version == state.version + 1
         assert len(state.history) <= MAX_HISTORY
-        assert state is last or state.phase is PHASE_AFTER[last.phase][act]
-        # what is written and read again is the same
+        assert state is last or state.phase is PHASE_AFTER[last.phase][transition]
+        # encoding and decoding a state gives the same state
         assert policy_state_from_wire(policy_state_to_wire(state)) == state
 
 
-def test_the_history_has_the_last_changes():
+def test_the_history_keeps_the_latest_changes():
     state = INITIAL_STATE
     for number in range(MAX_HISTORY + 6):
         state = policy_rollout.propose(state, f"c{number}", DOC)
@@ -60,12 +60,12 @@
     assert names == [f"c{number}" for number in range(6, MAX_HISTORY + 6)]
 
 
-def test_the_last_end_of_a_change_counts():
+def test_find_record_returns_the_latest_record_of_a_change():
     """A change is dropped, proposed again and decided, replaced, and decided once more."""
     state = INITIAL_STATE
-    for change_id, ends in (("x", False), ("x", True), ("y", True), ("x", True)):
+    for change_id, is_decided in (("x", False), ("x", True), ("y", True), ("x", True)):
         state = policy_rollout.propose(state, change_id, DOC)
-        if ends:
+        if is_decided:
             state = policy_rollout.decide(state, state.proposal_count)
         else:
             state = policy_rollout.drop(state, state.proposal_count, "no")
@@ -74,18 +74,18 @@
     assert policy_rollout.propose(state, "x", DOC) is state  # it is in force
 
 
-def test_a_request_that_was_overtaken_proposes_nothing():
-    """Two operators look at the same time. The first one's change is proposed and decided; the second
-    one's request comes after that, and its sender had not known."""
+def test_an_out_of_date_request_proposes_nothing():
+    """Two operators read the state at the same time. The change of the first is proposed and decided. The
+    request of the second arrives after that and still has the old proposal count."""
     state = policy_rollout.submit(INITIAL_STATE, "x", DOC, False, 0)
     state = policy_rollout.decide(state, 1)
     assert policy_rollout.submit(state, "y", DOC, False, 0) is state
     assert policy_rollout.submit(state, "y", DOC, False, 1).proposal.change_id == "y"
 
 
-def test_a_request_beside_another_proposal_is_answered_with_a_no_for_good():
-    """The second operator is told that a change is in the way. That one ends; a late copy of the request
-    must not be proposed then."""
+def test_a_request_rejected_for_a_pending_proposal_is_not_proposed_later():
+    """The second operator gets the answer that another proposal is pending. After that proposal has ended, a
+    delayed copy of the request must not be proposed."""
     state = policy_rollout.submit(INITIAL_STATE, "x", DOC, False, 0)
     state = policy_rollout.submit(state, "y", DOC, False, 1)
     assert state.proposal.change_id == "x" and state.proposal_count == 2
@@ -93,7 +93,7 @@
     assert policy_rollout.submit(state, "y", DOC, False, 1) is state
 
 
-def test_a_decided_change_is_proposed_again_only_where_that_is_asked_for():
+def test_a_decided_change_is_proposed_again_only_on_request():
     state = policy_rollout.decide(policy_rollout.propose(INITIAL_STATE, "x", DOC), 1)
     state = policy_rollout.decide(policy_rollout.propose(state, "y", DOC), 2)
     assert policy_rollout.submit(state, "x", DOC, False, 2) is state
