--- a/orchidgap/decisions/gossip_counts.py
+++ b/orchidgap/decisions/gossip_counts.py
@@ -1,18 +1,21 @@
-"""What balancers count together: one table of hash ranges, and the hot keys of all.
-
-Each balancer sees few requests. Where a deployment allows gossip, it reports its attempts at each
-cache since the ranges were set, its reads, and its hottest keys. A report takes the place of the
-one before from the same process, so nothing is counted twice, and one that is lost or late does no
-harm but for its age. A table of ranges has a version; of two tables one counts for both balancers:
-
-| another's table, beside the own one             | what counts                       |
-| ----------------------------------------------- | --------------------------------- |
-| other caches                                    | the own                           |
-| a lower version                                 | the own                           |
-| a higher version (set later, or by a later name) | the other                         |
-| the same version (losses came in another order) | the one with the higher digest    |
-
-Times are whole microseconds. Free of I/O.
+"""Counts that balancers share by gossip, for a common table of hash ranges and common hot keys.
+
+Each balancer sees only a part of all requests. If a deployment enables gossip, it reports its
+attempts at each cache since the ranges were set, its reads, and its hottest keys. A report replaces
+the previous one of the same process, so nothing is counted twice; if a report is lost or delayed,
+the only effect is that older counts are used. A table of ranges has a version. Two balancers with
+different tables agree on one by these rules:
+
+| received table, compared with the own table      | table to use                   |
+| ------------------------------------------------ | ------------------------------ |
+| for a different set of caches                    | the own                        |
+| a lower version                                  | the own                        |
+| a higher version (higher number, or a greater    | the received                   |
+| balancer name with the same number)              |                                |
+| the same version, but different sizes (caches    | the one with the higher digest |
+| were lost in a different order)                  |                                |
+
+Times are whole microseconds. No I/O.
 """
 
 from __future__ import annotations
@@ -29,16 +32,17 @@
 from orchidgap.decisions.placement import Placement
 from orchidgap.decisions.rebalancing import REBALANCE_MIN_ATTEMPTS
 
-REPORT_LIFETIME_US = 15_000_000  # an older one's balancer is dead, or cannot be heard
-# Each rebalancing moves the ends of all ranges, and the keys there are fetched anew.
+REPORT_LIFETIME_US = 15_000_000  # the balancer of an older report is dead or unreachable
+# Each rebalancing moves the bounds of all ranges, and keys near the bounds are fetched again.
 DEFAULT_REBALANCE_INTERVAL_US = 60_000_000
-HOT_KEY_HALVING_US = 30_000_000  # all together have read enough by then
-MIN_HOT_KEY_COUNT = 0.75  # what was counted less often is forgotten when counts are halved
+HOT_KEY_HALVING_US = 30_000_000  # long enough for all balancers together to count enough reads
+MIN_HOT_KEY_COUNT = 0.75  # keys with a lower count are dropped when counts are halved
 MAX_REPORTS = 512
-MAX_SINGLE_LOOKUPS = 16  # of keys between two ticks; beyond that all keys are summed at once
+MAX_SINGLE_LOOKUPS = 16  # key lookups between two ticks; after that the sums of all keys are built
 MAX_REPORTED_KEYS = 24
-NEVER_US = -1  # no time of a balancer's clock
-# Of those that could rebalance, one in so many does at each tick: two at once would disagree.
+NEVER_US = -1  # differs from every time of a balancer's clock
+# At each tick one in this many of the balancers that could rebalance does so, on average: two that
+# rebalance at the same time would set different tables.
 REBALANCE_CHANCE_DIVISOR = 4
 
 
@@ -46,42 +50,42 @@
     """The version of a table of ranges. Versions are ordered by number, then by name."""
 
     number: int
-    balancer: str  # who set it
+    balancer: str  # name of the balancer that set the table
 
 
 class RangeTable(NamedTuple):
-    """A table of ranges as a balancer tells it to others."""
+    """A table of ranges as a balancer sends it to others."""
 
-    ring_digest: int  # which caches are meant
+    ring_digest: int  # identifies the set of caches
     version: TableVersion
-    range_sizes: Sequence[int]  # of those caches in the order of their ids, in slots
+    range_sizes: Sequence[int]  # sizes in slots, in the order of the caches' ids
 
 
 class CountsReport(NamedTuple):
-    """What one balancer counted."""
+    """The counts of one balancer."""
 
     balancer: str
-    incarnation: int  # when its process started, by its own clock
-    sequence: int  # of the report, within that incarnation
-    as_of_us: int  # when this was counted, by the clock of who keeps the report
-    ring_digest: int  # which caches are meant
-    table_version: TableVersion  # what it counts by
-    attempt_counts: Sequence[int]  # at each of those caches, since that table was set
+    incarnation: int  # start time of its process, by its own clock
+    sequence: int  # number of the report within that incarnation
+    as_of_us: int  # time of the counts, by the clock of the balancer that stores the report
+    ring_digest: int  # identifies the set of caches
+    table_version: TableVersion  # the table in use while the attempts were counted
+    attempt_counts: Sequence[int]  # attempts at each of those caches since that table was set
     read_count: float
-    hot_key_counts: Mapping[int, float]  # reads of its hottest keys, by the keys' digests
+    hot_key_counts: Mapping[int, float]  # read counts of its hottest keys, by key digest
 
 
 class ReportOutcome(Enum):
-    """What was done with a report that came."""
+    """What was done with a received report."""
 
     KEPT = "kept"
-    OWN = "own"  # it is this balancer's own
-    OLD = "old"  # a later one of its balancer is known
-    TOO_MANY = "too many"  # there are `MAX_REPORTS`, all of them younger
+    OWN = "own"  # dropped: the report is this balancer's own
+    OLD = "old"  # dropped: the stored report of its balancer is the same one or a later one
+    TOO_MANY = "too many"  # dropped: `MAX_REPORTS` are stored and none of them has expired
 
 
 def sequence_digest(values: Sequence[object]) -> int:
-    """A digest of values in their order, the same in every process.
+    """Returns an order-dependent digest of the values, the same in every process.
 
     >>> sequence_digest(["c1", "c2"]) == sequence_digest(["c1", "c2"])
     True
@@ -92,10 +96,10 @@
 
 
 class SummedKeyCounts:
-    """Counts of keys over several reports.
+    """Counts of keys, summed over several reports.
 
-    A balancer that is asked little between two ticks needs few keys: single ones are summed as they
-    are asked for, and all of them only where many are.
+    A balancer that gets few requests between two ticks looks up few keys. So the first lookups sum
+    the counts of a single key, and the sums of all keys are built only after many lookups.
 
     >>> counts = SummedKeyCounts([{7: 1.5}, {7: 2.0, 8: 1.0}])
     >>> counts.get(7, 0.0), counts.get(8, 0.0), counts.get(9, 0.0)
@@ -103,13 +107,13 @@
     """
 
     def __init__(self, parts: Sequence[Mapping[int, float]]) -> None:
-        """Sum these counts."""
+        """Stores the counts to sum; nothing is summed yet."""
         self._parts = parts
         self._single_lookups = 0
         self._sums: dict[int, float] | None = None
 
     def get(self, key: int, default: float, /) -> float:
-        """Return the sum for the key, or the default where no part has it."""
+        """Returns the sum for the key, or the default if no part has it."""
         if self._sums is None:
             self._single_lookups += 1
             if self._single_lookups <= MAX_SINGLE_LOOKUPS:
@@ -122,7 +126,7 @@
         if not found:
             return default
         total = 0.0
-        for count in found:  # as `_sum_all` adds them, to the last bit
+        for count in found:  # added in the same order as in `_sum_all`, for the same rounding
             total += count
         return total
 
@@ -135,15 +139,15 @@
 
 
 class GossipCounts:
-    """One balancer's part in gossip.
+    """The gossip state of one balancer.
 
-    Ranges are set by the placement's own formula, but by the counts of all balancers.
+    Ranges are computed by the placement's own formula, from the counts of all balancers.
 
     Attributes:
         name: This balancer's name.
-        placement: Whose ranges and hot keys it cares for.
+        placement: The placement whose ranges and hot keys are updated.
         reports: The last report of each other balancer, by its name.
-        table_version: Of the ranges as they are.
+        table_version: The version of the current ranges.
         rebalance_count: How often this balancer set the table.
     """
 
@@ -156,15 +160,15 @@
         now: int,
         rebalance_interval_us: int = DEFAULT_REBALANCE_INTERVAL_US,
     ) -> None:
-        """Start at `now` with no reports.
+        """Starts at `now` with no reports.
 
         Args:
             name: This balancer's name.
-            incarnation: When its process started, later than that of the process before.
-            placement: Whose ranges and hot keys it cares for.
-            rng: Decides who sets the table, of those that could.
-            now: The time.
-            rebalance_interval_us: At least, between two changes of the table.
+            incarnation: The start time of its process, later than that of the previous process.
+            placement: The placement whose ranges and hot keys are updated.
+            rng: Decides at random whether this balancer sets the table when it is due.
+            now: The current time.
+            rebalance_interval_us: The least time between two changes of the table.
         """
         self.name = name
         self.placement = placement
@@ -183,7 +187,7 @@
         self._live_reports_as_of_us = NEVER_US
 
     def ring_digest(self) -> int:
-        """Names the caches that this balancer has ranges for."""
+        """Returns a digest of the ids of the caches that this balancer has ranges for."""
         ids = [host.id for host in self.placement.ring]
         if ids != self._digested_ids:
             self._digested_ids = ids
@@ -191,15 +195,15 @@
         return self._ring_digest
 
     def range_sizes(self) -> list[int]:
-        """The sizes of all ranges in slots, in the order of the caches' ids."""
+        """Returns the sizes of all ranges in slots, in the order of the caches' ids."""
         return [host.range_size for host in self.placement.ring]
 
     def table(self) -> RangeTable:
-        """This balancer's table."""
+        """Returns this balancer's table."""
         return RangeTable(self.ring_digest(), self.table_version, self.range_sizes())
 
     def make_report(self, now: int) -> CountsReport:
-        """The next report of this balancer."""
+        """Returns the next report of this balancer."""
         self._sequence += 1
         hot_keys = self.placement.hot_keys
         hottest = nlargest(MAX_REPORTED_KEYS, hot_keys.read_counts.items(), key=itemgetter(1))
@@ -216,7 +220,7 @@
         )
 
     def receive_report(self, report: CountsReport) -> ReportOutcome:
-        """Keep a balancer's report in place of its last one, if it is a later one."""
+        """Stores another balancer's report if it is later than the stored one."""
         if report.balancer == self.name:
             return ReportOutcome.OWN
         known = self.reports.get(report.balancer)
@@ -234,9 +238,10 @@
         return ReportOutcome.KEPT
 
     def live_reports(self, now: int) -> Sequence[CountsReport]:
-        """Reports that count; looked for once for each time, unless a report came meanwhile.
+        """Returns the reports that have not expired.
 
-        Older ones stay known, or a datagram that was sent once could be sent again and count.
+        The result is cached until the time changes or a report arrives. Expired reports stay
+        stored, so that a replay of an old datagram is recognised and does not count.
         """
         if now != self._live_reports_as_of_us:
             oldest_us = now - REPORT_LIFETIME_US
@@ -247,19 +252,19 @@
         return self._live_reports
 
     def receive_table(self, table: RangeTable, now: int) -> bool:
-        """Take another balancer's table, if that is the one that counts; whether it was taken.
+        """Adopts another balancer's table if it supersedes the own one; returns whether it did.
 
         Raises:
-            ValueError: The table counts and has not the right sizes.
+            ValueError: The table supersedes the own one, but its sizes are not valid.
         """
-        if not self._counts_before_own(table):
+        if not self._supersedes_own_table(table):
             return False
         placement = self.placement
         ring = placement.ring
         sizes = table.range_sizes
         fills_space = len(sizes) == len(ring) and sum(sizes) == sum(self.range_sizes())
         if not fills_space or min(sizes) < 0:
-            raise ValueError("a table that does not go with its caches")
+            raise ValueError("range sizes do not match the ring of caches")
         for host, size in zip(ring, sizes):
             host.range_size = size
         placement.ranges.refresh()
@@ -272,17 +277,17 @@
         return True
 
     def tick(self, now: int) -> bool:
-        """Share the hot keys of all, and set a new table if it is due; whether one was set.
+        """Updates the shared hot keys and sets a new table if due; returns whether one was set.
 
-        A table is set where all balancers together have counted enough since the last one. A
-        balancer that hears nobody decides as it would without gossip.
+        A table is due once all balancers together have counted enough attempts since the last one.
+        A balancer that has no live reports decides as it would without gossip.
         """
         reports = self.live_reports(now)
         self._share_hot_keys(reports)
         if not reports:
             return False
         self._halve_hot_keys(now)
-        if self._has_rebalanced_alone():
+        if self._has_rebalanced_locally():
             self._publish_table()
             return True
         if now - self._rebalanced_at_us < self._rebalance_interval_us or not self.placement.ring:
@@ -292,13 +297,13 @@
             return False
         is_chosen = self._rng.random() * REBALANCE_CHANCE_DIVISOR * (1 + len(reports)) < 1
         if not is_chosen:
-            return False  # another one is, or this one the next time
+            return False  # another balancer is chosen, or this one at a later tick
         self._rebalance(attempt_counts, now)
         self._publish_table()
         return True
 
-    def _counts_before_own(self, table: RangeTable) -> bool:
-        """Whether another's table counts, by the table at the top of this module."""
+    def _supersedes_own_table(self, table: RangeTable) -> bool:
+        """Returns whether a received table is to be used, by the rules in the module docstring."""
         if table.ring_digest != self.ring_digest() or not self.placement.ring:
             return False
         if table.version != self.table_version:
@@ -323,8 +328,8 @@
             self.placement.hot_keys.halve_counts(MIN_HOT_KEY_COUNT)
             self._halved_at_us = now
 
-    def _has_rebalanced_alone(self) -> bool:
-        """Whether the placement has set the ranges since by the counts of this balancer only."""
+    def _has_rebalanced_locally(self) -> bool:
+        """Returns whether the placement has rebalanced since then by its own counts only."""
         rebalancer = self.placement.rebalancer
         if rebalancer.rebalanced_at_us == self._rebalanced_at_us:
             return False
@@ -332,7 +337,7 @@
         return rebalancer.is_rebalanced
 
     def _attempt_counts_of_all(self, reports: Sequence[CountsReport]) -> list[int]:
-        """Attempts at each cache, by all balancers that count by the same table."""
+        """Returns the attempts at each cache by all balancers that use the same table."""
         ring = self.placement.ring
         own = (self.ring_digest(), self.table_version, len(ring))
         comparable = [
@@ -346,7 +351,7 @@
         ]
 
     def _rebalance(self, attempt_counts: Sequence[int], now: int) -> None:
-        """Set the ranges by these counts, taken as of one time for all caches."""
+        """Sets the ranges by these counts, which share one start time for all caches."""
         placement = self.placement
         for host, count in zip(placement.ring, attempt_counts):
             host.attempt_count = count
@@ -355,7 +360,7 @@
         placement.tick()
 
     def _publish_table(self) -> None:
-        """The ranges are a new version, which others take over."""
+        """Gives the current ranges a new version, which other balancers adopt."""
         self.table_version = TableVersion(self.table_version.number + 1, self.name)
         self._rebalanced_at_us = self.placement.rebalancer.rebalanced_at_us
         self.rebalance_count += 1
--- a/orchidgap/decisions/lifecycle.py
+++ b/orchidgap/decisions/lifecycle.py
@@ -1,6 +1,6 @@
-"""The states of one balancer process, from its start to its end, and what each means. No I/O.
+"""The state machine of one balancer process, from start to exit. No I/O.
 
-What may follow what; an event that has no entry changes nothing:
+The state after each event; an event without an entry changes nothing:
 
 | state | READY | DRAIN | EMPTY | RESUME | SHUT_DOWN |
 | --- | --- | --- | --- | --- | --- |
@@ -10,9 +10,9 @@
 | DRAINED | | | | SERVING | LEAVING |
 | LEAVING | | | | | |
 
-RESUME leads back to STARTING in place of SERVING while no READY has come. `StateRules` says what
-holds in a state; `net/node_lifecycle` carries it out, and `net/server` maps signals to events. All
-times are whole microseconds of one clock that never goes back.
+RESUME leads to STARTING instead of SERVING if READY has not happened yet. `StateRules` defines the
+behaviour in each state; `net/node_lifecycle` implements it, and `net/server` maps signals to
+events. All times are whole microseconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -20,23 +20,24 @@
 from enum import Enum
 from typing import NamedTuple
 
-# Clients learn that a balancer leaves from its health answer. Until they have asked, they still
-# connect.
+# How long new connections are accepted after SHUT_DOWN. Clients learn from the health answer that a
+# balancer is leaving, and keep connecting until their next health check.
 SHUTDOWN_ACCEPT_US = 400_000
-# From the start of a drain until connections without a request are closed.
+# Time from the start of a drain until connections without a request are closed.
 DRAIN_IDLE_US = 1_000_000
-# After SHUT_DOWN, when each open request has its answer at the latest.
+# Time after SHUT_DOWN by which every open request is answered.
 MAX_ANSWER_US = 3_500_000
-# The same, counted from the longest client timeout: a request may have come after SHUT_DOWN.
+# Added to the longest client timeout for the same purpose, as a request may have arrived after
+# SHUT_DOWN; the earlier of the two times applies.
 ANSWER_MARGIN_US = 500_000
-# For those answers to be written; then the process ends.
+# Time for writing those answers, after which the process exits.
 FINAL_WRITE_US = 100_000
-# After SHUT_DOWN, when the process ends though an answer still flows to its client.
+# Time after SHUT_DOWN when the process exits even if an answer is still being streamed to a client.
 MAX_SHUTDOWN_US = 30_000_000
 
 
 class State(Enum):
-    """Where a process is in its life. The values stand in the log and in answers to operators."""
+    """The state of a process. The values appear in the log and in answers to operators."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -46,24 +47,24 @@
 
 
 class LifecycleEvent(Enum):
-    """What can lead to another state."""
+    """An event that can cause a transition."""
 
     READY = "ready"  # the process listens and has a list of hosts
-    DRAIN = "drain"  # an operator asks for a drain
-    EMPTY = "empty"  # in a drain: no client is left
-    RESUME = "resume"  # an operator ends a drain
-    SHUT_DOWN = "shut down"  # a signal asks the process to end
+    DRAIN = "drain"  # an operator requests a drain
+    EMPTY = "empty"  # during a drain, the last client has disconnected
+    RESUME = "resume"  # an operator ends the drain
+    SHUT_DOWN = "shut down"  # a signal tells the process to exit
 
 
 class StateRules(NamedTuple):
-    """What holds in one state."""
+    """How a process behaves in one state."""
 
-    is_ready: bool  # the answer to a health check
-    accepts_for_us: int | None  # how long new connections are accepted; None for the whole state
-    closes_after_answer: bool  # a connection is closed after its next answer
-    # when connections without a request are closed, from the start of the state; None for never
+    is_ready: bool  # what a health check reports
+    accepts_for_us: int | None  # how long new connections are accepted; None for no limit
+    closes_after_answer: bool  # whether a connection is closed after its next answer
+    # time from the start of the state until idle connections are closed; None for never
     closes_idle_after_us: int | None
-    can_resume: bool  # an operator can end the drain
+    can_resume: bool  # whether an operator can end the drain
 
 
 STATE_RULES = {
@@ -119,7 +120,7 @@
 
 
 class Lifecycle:
-    """The state of one process, and the answers that follow from it.
+    """The current state of one process, and the behaviour that follows from it.
 
     >>> lifecycle = Lifecycle(0)
     >>> for event in (LifecycleEvent.DRAIN, LifecycleEvent.RESUME, LifecycleEvent.READY):
@@ -140,14 +141,14 @@
 
     Attributes:
         state: The current state.
-        since_us: When it began.
-        rules: What holds in it.
-        transition_count: How many transitions there were.
-        can_serve: READY has come, whatever operators asked for.
-        successor_accepts: A newer process of this balancer accepts its clients.
-        migrates_connections: Connections go over to that process, in place of being closed.
-        closes_after_answer: A connection is closed after its next answer.
-        answer_within_us: After SHUT_DOWN, when each open request is answered at the latest.
+        since_us: When the current state was entered.
+        rules: The behaviour in the current state.
+        transition_count: The number of transitions so far.
+        can_serve: Whether READY has happened, regardless of drains.
+        successor_accepts: Whether a newer process of this balancer accepts its clients.
+        migrates_connections: Whether connections migrate to that process instead of being closed.
+        closes_after_answer: Whether a connection is closed after its next answer.
+        answer_within_us: Time after SHUT_DOWN by which every open request is answered.
     """
 
     __slots__ = (
@@ -163,7 +164,7 @@
     )
 
     def __init__(self, now: int, longest_client_timeout_us: int = MAX_ANSWER_US) -> None:
-        """Starts at `now`; both times are in microseconds."""
+        """Starts in STARTING at `now`; both times are in microseconds."""
         self.can_serve = False
         self.successor_accepts = False
         self.transition_count = 0
@@ -171,24 +172,24 @@
         self.enter(State.STARTING, now)
 
     def enter(self, state: State, now: int) -> None:
-        """Makes this the current state, whatever the state before."""
+        """Enters a state, regardless of the current one."""
         self.state = state
         self.since_us = now
         self.rules = STATE_RULES[state]
         self.set_successor_accepts(self.successor_accepts)
 
     def set_longest_client_timeout(self, timeout_us: int) -> None:
-        """No client waits for longer than that."""
+        """Sets the time after which every client has stopped waiting for its answer."""
         self.answer_within_us = min(MAX_ANSWER_US, timeout_us + ANSWER_MARGIN_US)
 
     def set_successor_accepts(self, accepts: bool) -> None:
-        """Whether a newer process of this balancer accepts its clients from now on."""
+        """Sets whether a newer process of this balancer accepts its clients from now on."""
         self.successor_accepts = accepts
         self.migrates_connections = accepts and self.state is State.LEAVING
         self.closes_after_answer = self.rules.closes_after_answer and not self.migrates_connections
 
     def handle(self, event: LifecycleEvent, now: int) -> bool:
-        """Enters the state that the event leads to; returns whether it is another one."""
+        """Applies an event; returns whether it caused a transition."""
         if event is LifecycleEvent.READY:
             self.can_serve = True
         next_state = TRANSITIONS.get((self.state, event))
@@ -201,21 +202,21 @@
         return True
 
     def accepts_connections(self, now: int) -> bool:
-        """Whether new connections are accepted."""
+        """Returns whether new connections are accepted."""
         limit_us = self.rules.accepts_for_us
         if limit_us is None:
             return True
         return not self.successor_accepts and now - self.since_us < limit_us
 
     def closes_idle(self, now: int) -> bool:
-        """Whether connections without a request are closed."""
+        """Returns whether connections without a request are closed."""
         limit_us = self.rules.closes_idle_after_us
         if limit_us is None or self.migrates_connections:
             return False
         return now - self.since_us >= limit_us
 
     def must_answer_all(self, now: int) -> bool:
-        """Whether each open request gets an answer now, as the process has no more time.
+        """Returns whether every open request has to be answered now, before the process exits.
 
         >>> lifecycle = Lifecycle(0)
         >>> _ = lifecycle.handle(LifecycleEvent.SHUT_DOWN, 0)
@@ -227,12 +228,12 @@
         return self.state is State.LEAVING and now - self.since_us >= self.answer_within_us
 
     def is_finished(self, now: int, client_count: int, answers_flow: bool) -> bool:
-        """Whether the process ends now.
+        """Returns whether the process exits now.
 
         Args:
-            now: The time.
-            client_count: How many clients are connected.
-            answers_flow: Whether a body is on its way to one of them.
+            now: The current time.
+            client_count: The number of connected clients.
+            answers_flow: Whether an answer's body is being streamed to one of them.
 
         >>> lifecycle = Lifecycle(0)
         >>> _ = lifecycle.handle(LifecycleEvent.SHUT_DOWN, 0)
--- a/tests/decisions/test_gossip_counts.py
+++ b/tests/decisions/test_gossip_counts.py
@@ -1,4 +1,4 @@
-"""Balancers that gossip come to one table of ranges and see what all see, whatever gets lost."""
+"""Tests that gossiping balancers agree on one table of ranges and on hot keys despite losses."""
 
 from random import Random
 
@@ -18,7 +18,7 @@
     TableVersion,
 )
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
-from orchidgap.decisions.rebalancing import REBALANCE_MIN_ATTEMPTS as SENDS
+from orchidgap.decisions.rebalancing import REBALANCE_MIN_ATTEMPTS as MIN_ATTEMPTS
 
 ROUND_US = 500_000
 START = 100_000_000
@@ -29,7 +29,7 @@
 
 
 class Fleet:
-    """Balancers; in each round every one tells some others, and a part of that is lost."""
+    """Balancers that each send to some of the others in every round; a part of it is lost."""
 
     def __init__(self, count, caches=8, seed=1, loss=0.0):
         self.rng, self.loss, self.now = Random(seed), loss, START
@@ -56,12 +56,12 @@
                         other.receive_report(report)
                     other.receive_table(table, self.now)
 
-    def rounds_until(self, seen, most):
-        for rounds in range(most):
-            if seen():
+    def rounds_until(self, condition, max_rounds):
+        for rounds in range(max_rounds):
+            if condition():
                 return rounds
             self.run_round()
-        raise AssertionError(f"not seen in {most} rounds")
+        raise AssertionError(f"condition not met within {max_rounds} rounds")
 
     def tables(self):
         return {
@@ -70,18 +70,21 @@
 
 
 def count(balancer, loads):
-    for host, sends in zip(balancer.placement.ring, loads, strict=True):
-        host.attempt_count += sends
-        balancer.placement.all_caches.attempt_count += sends
+    for host, attempts in zip(balancer.placement.ring, loads, strict=True):
+        host.attempt_count += attempts
+        balancer.placement.all_caches.attempt_count += attempts
 
 
 @given(st.integers(3, 16), st.integers(0, 99), st.sampled_from([0.0, 0.5]))
 @settings(max_examples=25, deadline=None)
-def test_all_come_to_one_table_by_the_counts_of_all(count_of, seed, loss):
-    """Half of the datagrams are lost, and each balancer has counted too little by itself."""
-    fleet = Fleet(count_of, seed=seed, loss=loss)
-    for balancer in fleet.balancers:  # far too few by themselves
-        count(balancer, [2 * SENDS // count_of + 9] + [SENDS // count_of + 9] * 7)
+def test_all_balancers_agree_on_one_table_from_their_common_counts(balancer_count, seed, loss):
+    """Up to half of the datagrams are lost, and no balancer has counted enough attempts to rebalance alone."""
+    fleet = Fleet(balancer_count, seed=seed, loss=loss)
+    for balancer in fleet.balancers:  # far too few attempts for one balancer alone
+        count(
+            balancer,
+            [2 * MIN_ATTEMPTS // balancer_count + 9] + [MIN_ATTEMPTS // balancer_count + 9] * 7,
+        )
     fleet.rounds_until(
         lambda: any(member.rebalance_count for member in fleet.members),
         120 + DEFAULT_REBALANCE_INTERVAL_US // ROUND_US,
@@ -100,8 +103,8 @@
 
 @given(st.integers(0, 99), st.sampled_from([0.0, 0.5]))
 @settings(max_examples=25, deadline=None)
-def test_tables_that_losses_left_unlike_agree_again(seed, loss):
-    """Two caches are lost, and balancers learn of it in another order, so their ranges differ."""
+def test_tables_that_differ_after_losses_of_caches_become_equal_again(seed, loss):
+    """Two caches fail, and balancers are notified in different orders, so their ranges differ."""
     fleet = Fleet(12, seed=seed, loss=loss)
     for i, balancer in enumerate(fleet.balancers):
         for id in ("c2", "c3") if i % 2 else ("c3", "c2"):
@@ -111,8 +114,8 @@
     assert sum(fleet.members[0].range_sizes()) == SLOT_COUNT
 
 
-def test_who_has_another_list_keeps_its_table_until_it_has_the_same():
-    """One balancer's list lacks a cache for a while. A table of other caches would send keys astray."""
+def test_a_balancer_with_another_host_list_keeps_its_own_table():
+    """One balancer's list lacks a cache for a while. A table for other caches would send keys to the wrong ones."""
     fleet = Fleet(3)
     fleet.balancers[0].list_hosts(["c3"], state="gone")
     for _ in range(20):
@@ -122,7 +125,7 @@
     fleet.rounds_until(lambda: len(fleet.tables()) == 1, 40)
 
 
-def test_a_key_that_all_see_a_little_is_hot_for_each():
+def test_a_key_that_is_hot_only_in_total_is_hot_for_each_balancer():
     fleet = Fleet(20, caches=40)
     for i, member in enumerate(fleet.members):
         for key in range(20):
@@ -139,27 +142,27 @@
     )
 
 
-def test_a_dead_balancers_report_counts_no_more_and_is_no_news_later():
-    """A balancer dies, and one of its datagrams comes again later, as somebody has kept it."""
+def test_a_dead_balancers_report_expires_and_a_replay_of_it_is_dropped():
+    """A balancer dies, and one of its datagrams is replayed later."""
     fleet = Fleet(4)
     for _ in range(10):
         fleet.run_round()
-    said = fleet.members[3].make_report(fleet.now)
+    last_report = fleet.members[3].make_report(fleet.now)
     fleet.dead.add("b3")
     member = fleet.members[0]
-    member.receive_report(said)
+    member.receive_report(last_report)
     assert "b3" in names_of(member.live_reports(fleet.now))
     for _ in range(2 * REPORT_LIFETIME_US // ROUND_US):
         fleet.run_round()
     assert "b3" not in names_of(member.live_reports(fleet.now))
-    late = said._replace(as_of_us=fleet.now)
+    late = last_report._replace(as_of_us=fleet.now)
     assert member.receive_report(late) is ReportOutcome.OLD
-    restarted = late._replace(incarnation=said.incarnation + 1, sequence=1)
+    restarted = late._replace(incarnation=last_report.incarnation + 1, sequence=1)
     assert member.receive_report(restarted) is ReportOutcome.KEPT
 
 
-def test_a_balancer_that_hears_nobody_rebalances_as_it_would_without_gossip():
-    """The network between balancers is cut: each goes on by itself."""
+def test_a_balancer_without_reports_rebalances_as_it_would_without_gossip():
+    """The network between balancers is partitioned, and each balancer decides alone."""
     for with_gossip in (False, True):
         balancer = BalancerHarness(4)
         member = GossipCounts("b0", 1, balancer.placement, Random(1), balancer.now)
@@ -173,8 +176,8 @@
         )
 
 
-def test_reports_are_bounded_and_a_table_that_cannot_be_is_refused():
-    """A balancer with a defect makes up names and tables. Memory and ranges stay sound."""
+def test_reports_are_bounded_and_invalid_tables_are_refused():
+    """A defective balancer sends invented names and tables. Memory stays bounded and ranges stay valid."""
     balancer = BalancerHarness(4)
     member = GossipCounts("b0", 1, balancer.placement, Random(1), balancer.now)
     report = CountsReport("b0", 1, 1, balancer.now, 0, TableVersion(0, ""), [], 0.0, {})
@@ -193,8 +196,8 @@
     assert member.table_version == TableVersion(0, "")
 
 
-def test_ranges_go_back_to_even_under_gossip_too_and_agree():
-    """A rolling restart of caches leaves ranges uneven; all balancers even them in the same way."""
+def test_ranges_return_to_even_under_gossip_and_stay_equal():
+    """A rolling restart of caches leaves the ranges uneven. All balancers make them even in the same way."""
     fleet = Fleet(6, caches=9)
     for balancer in fleet.balancers:
         for id in ("c3", "c4", "c5", "c7"):
@@ -211,8 +214,8 @@
     assert not any(member.rebalance_count for member in fleet.members)
 
 
-def test_a_report_counts_at_the_time_at_which_it_came():
-    # What was found to be live before it came, at that very time, must not stand.
+def test_a_report_counts_from_the_time_of_its_arrival():
+    # The live reports cached earlier at the same time must be recomputed when a report arrives.
     fleet = Fleet(2)
     member, other = fleet.members
     assert not member.live_reports(fleet.now)
--- a/tests/decisions/test_lifecycle.py
+++ b/tests/decisions/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""A process serves, drains, resumes and ends as the table of states says, in whatever order events come."""
+"""Tests of a process's state machine: it follows the transition table for any order of events."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -28,7 +28,7 @@
         )
 
 
-def test_each_event_in_each_state_leads_where_the_table_says():
+def test_each_event_in_each_state_follows_the_table():
     table = {  # ready, drain, empty, resume, shut down
         "starting": ("serving", "draining", "starting", "starting", "leaving"),
         "serving": ("serving", "draining", "serving", "serving", "leaving"),
@@ -38,18 +38,18 @@
     }
     assert {key[0].value for key in TRANSITIONS} <= set(table)
     for state in State:
-        for event, to in zip(EVENTS, table[state.value]):
+        for event, next_state in zip(EVENTS, table[state.value]):
             lifecycle = Lifecycle(0)
             lifecycle.enter(state, 0)
             lifecycle.can_serve = state is not State.STARTING
-            assert lifecycle.handle(event, 5) == (to != state.value), (state, event)
-            assert lifecycle.state.value == to and lifecycle.since_us == (
-                5 if to != state.value else 0
+            assert lifecycle.handle(event, 5) == (next_state != state.value), (state, event)
+            assert lifecycle.state.value == next_state and lifecycle.since_us == (
+                5 if next_state != state.value else 0
             )
 
 
 class LifecycleMachine(RuleBasedStateMachine):
-    """Any order of events, with any time between them."""
+    """Applies events in any order, with any time between them."""
 
     def __init__(self):
         super().__init__()
@@ -60,17 +60,19 @@
         self.shut_down_at = None
 
     @rule(micros=st.sampled_from((0, 1, 1000, SHUTDOWN_ACCEPT_US, DRAIN_IDLE_US, 10_000_000)))
-    def time_passes(self, micros):
+    def advance_time(self, micros):
         self.now += micros
 
     @rule(event=st.sampled_from(EVENTS))
-    def something_happens(self, event):
+    def handle_event(self, event):
         lifecycle = self.lifecycle
         state, count, since_us = lifecycle.state, lifecycle.transition_count, lifecycle.since_us
         changed = lifecycle.handle(event, self.now)
         assert changed == (lifecycle.state is not state)
         assert changed == (lifecycle.transition_count != count)
-        assert changed or lifecycle.since_us == since_us, "what changes nothing starts no time anew"
+        assert changed or lifecycle.since_us == since_us, (
+            "an event without a transition must not reset the state's start time"
+        )
         self.ready = self.ready or event is LifecycleEvent.READY
         if event is LifecycleEvent.SHUT_DOWN and self.shut_down_at is None:
             self.shut_down_at = self.now
@@ -79,7 +81,7 @@
 
     @precondition(lambda self: self.shut_down_at is None)
     @rule()
-    def a_resume_brings_all_back(self):
+    def drain_and_resume(self):
         self.lifecycle.handle(LifecycleEvent.DRAIN, self.now)
         self.lifecycle.handle(LifecycleEvent.RESUME, self.now)
         self.draining = False
@@ -89,18 +91,18 @@
         )
 
     @invariant()
-    def ready_only_when_it_serves(self):
+    def is_ready_only_while_serving(self):
         assert self.lifecycle.rules.is_ready == (
             self.ready and not self.draining and self.shut_down_at is None
         )
 
     @invariant()
-    def whose_connections_are_closed_was_told_first_that_it_is_not_ready(self):
+    def reports_not_ready_while_it_closes_connections(self):
         assert not (self.lifecycle.rules.closes_after_answer and self.lifecycle.rules.is_ready)
         assert not self.lifecycle.closes_idle(self.now) or self.lifecycle.rules.closes_after_answer
 
     @invariant()
-    def leaving_has_no_way_back(self):
+    def never_returns_from_leaving(self):
         assert (self.lifecycle.state is State.LEAVING) == (self.shut_down_at is not None)
         if self.shut_down_at is not None:
             assert self.lifecycle.accepts_connections(self.now) == (
