--- a/orchidgap/decisions/gossip_counts.py
+++ b/orchidgap/decisions/gossip_counts.py
@@ -329,7 +329,7 @@
             self._halved_at_us = now
 
     def _has_rebalanced_locally(self) -> bool:
-        """Returns whether the placement has rebalanced since then by its own counts only."""
+        """Returns whether the placement has rebalanced by its own counts since the last check."""
         rebalancer = self.placement.rebalancer
         if rebalancer.rebalanced_at_us == self._rebalanced_at_us:
             return False
--- a/orchidgap/peers/__init__.py
+++ b/orchidgap/peers/__init__.py
@@ -1,5 +1,6 @@
-"""Gossip between balancers: what each counted, told in datagrams.
+"""Gossip between balancers: each one sends its counts to others in datagrams.
 
-Off unless the configuration has a part `pool`. `gossip_codec` has the datagrams' form,
-`gossip_transport` the sockets and timers, `decisions.gossip_counts` what is made of the counts.
+Disabled unless the configuration has a section `pool`. `gossip_codec` defines the format of the
+datagrams, `gossip_transport` has the sockets and timers, and `decisions.gossip_counts` evaluates
+the counts.
 """
--- a/orchidgap/peers/gossip_codec.py
+++ b/orchidgap/peers/gossip_codec.py
@@ -1,8 +1,8 @@
-"""Gossip datagrams: a keyed digest, then JSON.
+"""The format of gossip datagrams: a keyed digest, followed by JSON.
 
-The digest keeps out whoever does not have the deployment's key; bounds on each value keep a
-balancer with a defect from harming the others. A datagram says who sends it, the sender's table of
-hash ranges, and reports, its own first. Free of I/O; times are whole microseconds.
+The digest rejects datagrams of senders without the deployment's key. Bounds on each value protect
+balancers from a defective sender that has the key. A datagram contains the sender's name, its table
+of hash ranges, and reports, the sender's own first. No I/O; times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -21,32 +21,32 @@
     TableVersion,
 )
 
-MAX_DATAGRAM_BYTES = 1_400  # fits one packet of any usual network
+MAX_DATAGRAM_BYTES = 1_400  # fits into one packet on common networks
 SIGNATURE_BYTES = 16
 KEY_BYTES = 32
-MAX_FORWARDED_REPORTS = 3  # of other balancers in a datagram, as far as there is room
+MAX_FORWARDED_REPORTS = 3  # reports of other balancers in a datagram, if they fit
 MAX_CACHES = 200
 MAX_NAME_LENGTH = 64
 MAX_COUNT = 1e9
 MAX_INTEGER = (1 << 63) - 1
 MAX_KEY_DIGEST = 1 << 32
-END_OF_REPORTS = b"]]"  # and of the datagram
+END_OF_REPORTS = b"]]"  # ends the list of reports and the datagram
 
 
 class GossipError(ValueError):
-    """A datagram that is not used."""
+    """A datagram was rejected."""
 
 
 class BadSignatureError(GossipError):
-    """It is too long, or not signed with this key."""
+    """A datagram is too long, or is not signed with this key."""
 
 
 class MalformedDatagramError(GossipError):
-    """It is signed with this key, and has another form than a datagram."""
+    """A datagram is signed with this key, but its content is not valid."""
 
 
 class Datagram(NamedTuple):
-    """What one datagram says."""
+    """The content of one datagram."""
 
     sender: str
     table: RangeTable
@@ -54,7 +54,7 @@
 
 
 class GossipCodec:
-    """Writes and reads the datagrams of balancers that share a key.
+    """Encodes and decodes the datagrams of balancers that share a key.
 
     >>> table = RangeTable(9, TableVersion(1, "b2"), [4, 5])
     >>> report = CountsReport("b1", 7, 3, 500, 9, table.version, [1, 0], 30.0, {24881: 2.5})
@@ -65,18 +65,19 @@
     """
 
     def __init__(self, key: str) -> None:
-        """All balancers of a deployment have the same key."""
+        """Creates a codec for a key, which all balancers of a deployment share."""
         self._key = blake2b(key.encode(), digest_size=KEY_BYTES).digest()
 
     def sign(self, text: bytes) -> bytes:
-        """The keyed digest that stands before the text (BLAKE2b, RFC 7693)."""
+        """Returns the keyed digest that precedes the text (BLAKE2b, RFC 7693)."""
         return blake2b(text, key=self._key, digest_size=SIGNATURE_BYTES).digest()
 
     def encode(self, datagram: Datagram, now: int) -> bytes:
-        """The datagram, without what there is no room for.
+        """Returns the encoded datagram, shortened to `MAX_DATAGRAM_BYTES`.
 
-        First the last of the forwarded reports are left out, then half after half of the sender's
-        hottest keys. Where not even the table has room the datagram is empty.
+        If the sender's own report does not fit, its list of hottest keys is halved until it does.
+        Forwarded reports are then added in order until one does not fit. If not even the table and
+        a report without keys fit, the datagram is empty.
         """
         own_report, *forwarded = datagram.reports
         while True:
@@ -97,17 +98,17 @@
         return self.sign(text) + text
 
     def decode(self, data: bytes, now: int) -> Datagram:
-        """Reads a datagram; the ages of its reports are counted back from `now`.
+        """Decodes a datagram; the ages of its reports are subtracted from `now`.
 
         Raises:
-            BadSignatureError: It is too long, or not signed with this key.
-            MalformedDatagramError: It has another form, or a value out of bounds.
+            BadSignatureError: The datagram is too long, or not signed with this key.
+            MalformedDatagramError: Its content has an invalid form, or a value out of bounds.
         """
         signature = data[:SIGNATURE_BYTES]
         text = data[SIGNATURE_BYTES:]
         is_signed = compare_digest(signature, self.sign(text))
         if len(data) > MAX_DATAGRAM_BYTES or not is_signed:
-            raise BadSignatureError("not signed with this key")
+            raise BadSignatureError("datagram is too long or not signed with this key")
         try:
             return _from_json(orjson.loads(text), now)
         except (ValueError, TypeError, IndexError) as error:
@@ -115,7 +116,7 @@
 
 
 def _table_text(datagram: Datagram, own_report: CountsReport, now: int) -> bytes:
-    """The text of a datagram with the sender's own report only."""
+    """Returns the text of a datagram with only the sender's own report."""
     table = datagram.table
     head = [datagram.sender, table.ring_digest, [*table.version], table.range_sizes]
     return orjson.dumps([*head, [_report_to_json(own_report, now)]])
@@ -142,18 +143,18 @@
 def _from_json(message: Any, now: int) -> Datagram:
     sender, ring_digest, (number, author), range_sizes, reports = message
     decoded = [_report_from_json(report, now) for report in reports[: MAX_FORWARDED_REPORTS + 1]]
-    has_integers = set(map(type, (ring_digest, number, *range_sizes))) == {int}  # no bool
+    has_integers = set(map(type, (ring_digest, number, *range_sizes))) == {int}  # excludes bool
     if not has_integers or not isinstance(author, str):
-        raise ValueError("not a table")
+        raise ValueError("invalid table of ranges")
     table = RangeTable(ring_digest, TableVersion(number, author), range_sizes)
     return Datagram(sender, table, decoded)
 
 
 def _report_from_json(message: Any, now: int) -> CountsReport:
-    """A report as it stands in a datagram.
+    """Decodes one report of a datagram.
 
     Raises:
-        ValueError, TypeError or IndexError: It has another form, or a value out of bounds.
+        ValueError, TypeError or IndexError: It has an invalid form, or a value out of bounds.
 
     >>> report = ["b1", 7, 3, 500, 9, [1, "b2"], [4, 5], 30, [[24881, 2.5]]]
     >>> _report_from_json(report, 10_000).hot_key_counts
@@ -161,17 +162,17 @@
     >>> _report_from_json(["b1", 7, 3, 500, 9, [1, "b2"], [4, -5], 30, []], 10_000)
     Traceback (most recent call last):
         ...
-    ValueError: not a count
+    ValueError: count is out of bounds
     """
     name, incarnation, sequence, age_us, ring_digest, version, attempts, reads, keys = message
     number, author = version
     if not _is_name(name) or not name or not _is_name(author):
-        raise ValueError("not a name")
+        raise ValueError("invalid balancer name")
     if len(attempts) > MAX_CACHES or len(keys) > MAX_REPORTED_KEYS:
-        raise ValueError("too many")
+        raise ValueError("too many caches or keys")
     for value in (incarnation, sequence, age_us, ring_digest, number):
         if type(value) is not int or not 0 <= value <= MAX_INTEGER:
-            raise ValueError("not a whole number")
+            raise ValueError("value is not an integer or is out of bounds")
     return CountsReport(
         balancer=name,
         incarnation=incarnation,
@@ -186,24 +187,24 @@
 
 
 def _whole_counts(values: Any) -> list[int]:
-    """Return a list of counts as whole numbers. Raises ValueError where one is no count."""
+    """Returns a list of counts as integers. Raises ValueError if a count is not valid."""
     _check_bounds(values, MAX_COUNT)
     return list(map(int, values))
 
 
 def _key_counts(pairs: Any) -> dict[int, float]:
-    """Return counts by key digest. Raises ValueError where one is no count, or no digest."""
+    """Returns counts by key digest. Raises ValueError if a count or a digest is not valid."""
     _check_bounds([key for key, _ in pairs], MAX_KEY_DIGEST)
     _check_bounds([count for _, count in pairs], MAX_COUNT)
     return {int(key): float(count) for key, count in pairs}
 
 
 def _check_bounds(values: Any, highest: float) -> None:
-    """Raise ValueError where one of the values is no number from 0 to the highest."""
-    if not set(map(type, values)) <= {int, float}:  # not a bool
-        raise ValueError("not a count")
+    """Raises ValueError unless all values are numbers from 0 to `highest`."""
+    if not set(map(type, values)) <= {int, float}:  # excludes bool
+        raise ValueError("count is not a number")
     if values and not 0 <= min(values) <= max(values) <= highest:
-        raise ValueError("not a count")
+        raise ValueError("count is out of bounds")
 
 
 def _is_name(value: Any) -> bool:
@@ -211,7 +212,7 @@
 
 
 def _bounded(value: Any, highest: float = MAX_COUNT) -> float:
-    is_number = type(value) in (int, float)  # not a bool
+    is_number = type(value) in (int, float)  # excludes bool
     if not is_number or not 0 <= value <= highest:
-        raise ValueError("not a count")
+        raise ValueError("count is not a number or is out of bounds")
     return float(value)
--- a/orchidgap/peers/gossip_transport.py
+++ b/orchidgap/peers/gossip_transport.py
@@ -1,7 +1,7 @@
-"""Sends and receives gossip datagrams: twice a second, each balancer tells two others its counts.
+"""Sends and receives gossip: twice a second, each balancer sends its counts to two others.
 
-What is not signed, malformed or outdated is dropped and counted. A bounded number of datagrams is
-read in a second, so a flood costs clients nothing; the system drops the rest.
+Datagrams that are unsigned, malformed or outdated are dropped and counted. The number of datagrams
+read in a second is bounded, so that a flood does not delay clients; the kernel drops the rest.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
     MalformedDatagramError,
 )
 
-ROUND_INTERVAL_US = 500_000  # half as much more or less by chance
+ROUND_INTERVAL_US = 500_000  # mean interval; each one differs by up to half of it at random
 PEERS_PER_ROUND = 2
 MAX_READS_PER_SECOND = 200
-MAX_READS_PER_TURN = 32  # of the loop
+MAX_READS_PER_TURN = 32  # datagrams read in one turn of the event loop
 SECOND_US = 1_000_000
 DROPS_LOG_INTERVAL_US = 60_000_000
-SEED_SALT = 0x706F6F6C  # other users of a balancer's seed draw other numbers
+SEED_SALT = 0x706F6F6C  # gives other random numbers than other uses of the balancer's seed
 
-# What datagrams are counted by. All but the first two are drops, and stand in the log.
+# Keys of the datagram counters. All but the first two are drops, and are written to the log.
 SENT = "sent"
 RECEIVED = "received"
 SEND_FAILED = "send_failed"
@@ -51,14 +51,14 @@
 
 
 class GossipTransport:
-    """One balancer's datagrams.
+    """Sends and receives the gossip datagrams of one balancer.
 
     Attributes:
-        gossip_counts: What is told and heard.
-        codec: The datagrams' form and signature.
-        datagram_counts: Datagrams by what became of them.
+        gossip_counts: The counts that are sent and received.
+        codec: Encodes, signs and decodes datagrams.
+        datagram_counts: The number of datagrams by outcome.
         sock: The open socket, if any.
-        reads_in_second: Datagrams read in the second under way.
+        reads_in_second: The number of datagrams read in the current second.
     """
 
     def __init__(
@@ -71,16 +71,16 @@
         seed: int,
         send: Send | None = None,
     ) -> None:
-        """Start the rounds; nothing is received before `listen`, or by `receive`.
+        """Starts the rounds; the socket is opened later, by `listen`.
 
         Args:
-            loop: Whose clock and timers count.
-            node: The balancer whose decisions the counts are of.
-            log: Where changes and drops are written.
+            loop: The event loop, which has the clock and timers.
+            node: The node whose balancer's decisions are counted.
+            log: The log for changes and drops.
             name: The balancer's name.
-            config: Who the peers are, and what they share.
-            seed: Of the random numbers.
-            send: What sends a datagram, in place of the own socket.
+            config: The peers and the settings of gossip.
+            seed: The seed of the random numbers.
+            send: Sends a datagram, instead of the own socket.
         """
         self.loop = loop
         self.node = node
@@ -100,22 +100,22 @@
         self.datagram_counts: Counter[str] = Counter()
         self.sock: socket.socket | None = None
         self.reads_in_second = 0
-        self._second = 0
-        self._hears_nobody = True
+        self._current_second = 0
+        self._is_isolated = True
         self._logged_counts: Counter[str] = Counter()
         self._drops_logged_at_us = loop.now
         self._send = send or self._send_by_socket
         loop.call_later(self.rng.randrange(ROUND_INTERVAL_US), self._run_round)
 
     def listen(self, address: Address, shared: bool = False) -> None:
-        """Open the socket.
+        """Opens the socket.
 
         Args:
-            address: The balancer's own.
-            shared: Whether a predecessor process of this balancer still listens there.
+            address: The balancer's own address for gossip.
+            shared: Whether a predecessor process of this balancer may still listen on it.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address cannot be bound.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         try:
@@ -129,14 +129,14 @@
         self.loop.watch(sock, READ, self._on_readable)
 
     def close(self) -> None:
-        """Close the socket; rounds go on and send nothing."""
+        """Closes the socket; rounds continue, but send nothing."""
         if self.sock:
             self.loop.unwatch(self.sock)
             self.sock.close()
             self.sock = None
 
     def next_datagram(self, now: int) -> bytes:
-        """What the peers are told in a round: the own report, and some of others."""
+        """Returns the datagram for one round: the own report, and some reports of others."""
         counts = self.gossip_counts
         own_report = counts.make_report(now)
         others = counts.live_reports(now)
@@ -145,7 +145,7 @@
         return self.codec.encode(datagram, now)
 
     def receive(self, data: bytes) -> None:
-        """Use a datagram that came, or drop and count it."""
+        """Handles a received datagram: uses it, or drops and counts it."""
         now = self.loop.now
         try:
             datagram = self.codec.decode(data, now)
@@ -166,9 +166,9 @@
             self.datagram_counts[MALFORMED] += 1
 
     def _receive_reports(self, datagram: Datagram) -> bool:
-        """Keep its reports; whether its sender's own was news.
+        """Stores the datagram's reports; returns whether its sender's own report was a new one.
 
-        Where it was not, the datagram may be long past, and so its table.
+        If it was not, the datagram may be an old one, and its table must not be used.
         """
         outcomes = [self.gossip_counts.receive_report(report) for report in datagram.reports]
         if not outcomes or datagram.reports[0].balancer != datagram.sender:
@@ -190,10 +190,10 @@
     def _tick(self, now: int) -> None:
         counts = self.gossip_counts
         report_count = len(counts.live_reports(now))
-        hears_nobody = report_count == 0
-        if hears_nobody != self._hears_nobody:
-            self._hears_nobody = hears_nobody
-            event = "gossip alone" if hears_nobody else "gossip"
+        is_isolated = report_count == 0
+        if is_isolated != self._is_isolated:
+            self._is_isolated = is_isolated
+            event = "gossip alone" if is_isolated else "gossip"
             self.log(event, reports=report_count, of=len(self.peers))
         if counts.tick(now):
             self.log(
@@ -207,7 +207,7 @@
             self._log_drops()
 
     def _log_drops(self) -> None:
-        """Write how many datagrams were dropped since the last time, and why, if any were."""
+        """Logs the number of dropped datagrams since the last call by reason, if there are any."""
         drops = self.datagram_counts - self._logged_counts
         del drops[SENT], drops[RECEIVED]
         if drops:
@@ -219,7 +219,9 @@
             return
         try:
             self.sock.sendto(data, address)
-        except OSError as error:  # the peer is down, or the system short of room: no matter
+        except (
+            OSError
+        ) as error:  # the peer is down, or kernel buffers are full; a later round sends again
             is_refused = error.errno == errno.ECONNREFUSED
             self.datagram_counts[SEND_REFUSED if is_refused else SEND_FAILED] += 1
 
@@ -235,22 +237,22 @@
                 data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # what a datagram sent earlier met
+            except OSError:  # the error of a datagram that was sent earlier
                 continue
             self.reads_in_second += 1
             self.receive(data)
 
     def _count_second(self) -> None:
         second = self.loop.now // SECOND_US
-        if second != self._second:
-            self._second = second
+        if second != self._current_second:
+            self._current_second = second
             self.reads_in_second = 0
 
     def _pause_reading(self) -> None:
-        """Guard against floods: nothing more is read until the next second."""
+        """Reads nothing more until the next second, to limit the cost of a flood."""
         assert self.sock
         self.loop.unwatch(self.sock)
-        self.loop.call_at((self._second + 1) * SECOND_US, self._resume_reading)
+        self.loop.call_at((self._current_second + 1) * SECOND_US, self._resume_reading)
         self.datagram_counts[RATE_LIMITED] += 1
 
     def _resume_reading(self) -> None:
@@ -259,10 +261,10 @@
 
 
 def create_gossip(loop: Loop, node: Node, log: EventLog, config: BalancerConfig) -> GossipTransport:
-    """Starts gossip as the configuration says; it must have a part for it.
+    """Starts gossip with the settings of the configuration's section for it, which must be present.
 
     Raises:
-        ConfigError: The address cannot be had.
+        ConfigError: The address cannot be bound.
     """
     assert config.gossip
     address = config.gossip.listen
@@ -270,5 +272,5 @@
     try:
         gossip.listen(address, "GW_PASSED_SOCKET" in os.environ)
     except OSError as error:
-        raise ConfigError(f"cannot hear at {format_address(address)}: {error.strerror}") from None
+        raise ConfigError(f"cannot listen at {format_address(address)}: {error.strerror}") from None
     return gossip
--- a/orchidgap/state/__init__.py
+++ b/orchidgap/state/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: what outlives a process, on its disk."""
+"""Durable state: files that survive a restart of the process."""
--- a/orchidgap/state/background_writer.py
+++ b/orchidgap/state/background_writer.py
@@ -1,6 +1,6 @@
-"""Durable writes that don't hold up the loop: a child process does each.
+"""Durable writes that do not block the event loop: each one is done by a child process.
 
-A disk may take seconds over a write.
+A single write may take seconds on a slow disk.
 """
 
 from __future__ import annotations
@@ -16,61 +16,61 @@
 from orchidgap.state.durable_store import UNLOCKED, DurableStore
 
 OnWritten = Callable[[str], None]
-"""Is told why a write failed, in words for an operator; an empty text where it is durable."""
+"""Called with the reason why a write failed, for operators; empty if the file is durable."""
 
-WRITER_ENDED = "whoever wrote it has ended"
-WRITTEN = b"done"  # what the child says
+WRITER_EXITED = "the writing process exited before it was done"
+WRITTEN = b"done"  # the child's report of success
 MAX_REPORT_BYTES = 256
 
 
 class BackgroundWriter:
     """Writes one file at a time.
 
-    Of the writes of one name that wait, only the latest is done: writes must not pile up behind a
-    disk that stands still.
+    A queued write replaces an earlier queued one of the same name, so that the queue does not grow
+    while the disk is stalled.
 
     Attributes:
-        loop: The loop that calls back.
-        store: Where the files are.
-        busy: Whether a write is under way or waits, or its child has yet to end.
+        loop: The event loop that runs the callbacks.
+        store: The store that holds the files.
+        busy: Whether a write is in progress or queued, or a child process has not exited yet.
     """
 
     def __init__(self, loop: Loop, store: DurableStore) -> None:
-        """Make a writer that has nothing to do."""
+        """Create an idle writer."""
         self.loop = loop
         self.store = store
         self.busy = False
-        self._waiting: dict[str, tuple[object, OnWritten]] = {}
+        self._queued: dict[str, tuple[object, OnWritten]] = {}
 
     def write(self, name: str, content: object, on_written: OnWritten) -> None:
         """Write a file in the background.
 
         Args:
             name: The file's name.
-            content: What JSON can hold.
-            on_written: Called once, later; never where another write of this name comes before this
-                one begins.
+            content: A value that JSON can represent.
+            on_written: Called once, in a later turn of the loop. Never called if another write of
+                this name replaces this one before it starts.
         """
-        self._waiting.pop(name, None)
-        self._waiting[name] = content, on_written
+        self._queued.pop(name, None)
+        self._queued[name] = content, on_written
         if not self.busy:
             self.busy = True
-            self.loop.call_soon(self._begin_next)
+            self.loop.call_soon(self._start_next)
 
-    def _begin_next(self) -> None:
-        if not self._waiting:
+    def _start_next(self) -> None:
+        if not self._queued:
             self.busy = False
             return
-        name = next(iter(self._waiting))
-        content, on_written = self._waiting.pop(name)
+        name = next(iter(self._queued))
+        content, on_written = self._queued.pop(name)
         parent_end, child_end = socket.socketpair()
         try:
             child = os.fork()
         except OSError as error:
             parent_end.close()
             child_end.close()
-            self.loop.call_soon(self._begin_next)
-            on_written(error.strerror or WRITER_ENDED)
+            self.loop.call_soon(self._start_next)
+            on_written(error.strerror or WRITER_EXITED)
             return
         if child == 0:
             self._run_child(child_end.fileno(), name, content)
@@ -80,7 +80,7 @@
         )
 
     def _run_child(self, report_fd: int, name: str, content: object) -> NoReturn:
-        """Do the write and end, in the child process."""
+        """Write the file and exit, in the child process."""
         exit_code = 1
         try:
             _reset_signals()
@@ -89,16 +89,16 @@
                 self.store.write(name, content)
                 os.write(report_fd, WRITTEN)
             except OSError as error:
-                os.write(report_fd, (error.strerror or "it fails").encode())
+                os.write(report_fd, (error.strerror or "the write failed").encode())
             exit_code = 0
         finally:
             os._exit(exit_code)
 
     def _close_descriptors(self, report_fd: int) -> None:
-        """Close all but the report's end and the folder's lock.
+        """Close all descriptors except the report socket and the folder's lock.
 
-        Whoever is at the other end of one of the parent's connections would otherwise wait for as
-        long as the disk takes.
+        A connection that the parent closes would otherwise stay open for its peer until the child
+        exits, which may take as long as the disk does.
         """
         kept = sorted({report_fd, self.store.lock_fd} - {UNLOCKED})
         for low, high in pairwise([-1, *kept, os.sysconf("SC_OPEN_MAX")]):
@@ -108,23 +108,26 @@
         report = parent_end.recv(MAX_REPORT_BYTES)
         self.loop.unwatch(parent_end)
         parent_end.close()
-        self._await_end(child)
+        self._await_exit(child)
         if report == WRITTEN:
             on_written("")
         else:
-            on_written(report.decode() or WRITER_ENDED)
+            on_written(report.decode() or WRITER_EXITED)
 
-    def _await_end(self, child: int) -> None:
-        """Go on once a child has ended. Nothing waits for it: on a busy machine that takes long."""
+    def _await_exit(self, child: int) -> None:
+        """Start the next write once a child has exited, without blocking the loop.
+
+        On a busy machine the exit can take long.
+        """
         process_fd = os.pidfd_open(child)
 
-        def on_end(mask: int) -> None:
+        def on_exit(mask: int) -> None:
             self.loop.unwatch(process_fd)
             os.close(process_fd)
-            os.waitpid(child, 0)  # it has ended
-            self._begin_next()
+            os.waitpid(child, 0)  # returns at once, as the child has exited
+            self._start_next()
 
-        self.loop.watch(process_fd, READ, on_end)
+        self.loop.watch(process_fd, READ, on_exit)
 
 
 def _reset_signals() -> None:
--- a/orchidgap/state/durable_store.py
+++ b/orchidgap/state/durable_store.py
@@ -1,8 +1,8 @@
-"""The only layer through which the program writes what it has to find again: whole, or not at all.
+"""Atomic and durable files; the program stores all its persistent state through this module.
 
-A file is written beside the old one, forced to the disk, renamed over it, and the folder is forced
-too. It begins with a digest of its content, so that a torn, cut or changed file is told apart from
-one that was never written.
+A file is written under a temporary name, synced to the disk and renamed over the old file; then the
+folder is synced. A file starts with a digest of its content, so that a torn, truncated or modified
+file is distinguished from one that was never written.
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 
 from orchidgap.errors import CorruptFileError as CorruptFileError
 
-FILE_MARK = b"orchidgap 1 "  # the form of the file; a space and the digest in hexadecimal follow
+# Program name and format version. The digest in hexadecimal follows, and ends the header line.
+HEADER_PREFIX = b"orchidgap 1 "
 DIGEST_BYTES = 16
 MAX_FILE_BYTES = 1 << 22
 LOCK_FILE = "lock"
@@ -25,27 +26,28 @@
 
 
 class DurableStore:
-    """One process's folder, with files of JSON by name.
+    """The folder of one process, which holds JSON files by name.
 
-    Every method raises OSError where the disk fails. Each step of a write is a method, so that a
-    fault test can make it fail.
+    Every method raises OSError if the disk fails. Each step of a write is a method, so that a fault
+    test can make it fail.
 
     Attributes:
-        folder: The folder.
-        lock_fd: The descriptor of the folder's lock, `UNLOCKED` where this process doesn't hold it.
+        folder: The path of the folder.
+        lock_fd: The descriptor of the folder's lock, `UNLOCKED` if this process does not hold it.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Open a folder, which is made where it isn't there."""
+        """Open a folder, creating it if it does not exist."""
         self.folder = folder
         self.lock_fd = UNLOCKED
         folder.mkdir(parents=True, exist_ok=True)
 
     def lock(self) -> bool:
-        """Try to lock the folder; return whether that worked.
+        """Try to lock the folder; return whether that succeeded.
 
-        The lock holds until this process and all its children that write have ended. A child of an
-        earlier process, which a slow disk holds up, would put back what stood there before.
+        The lock is held until this process and all its writing children have exited. Without it, a
+        child of an earlier process that is delayed by a slow disk could overwrite newer content
+        with older content.
         """
         fd = os.open(self.folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -61,15 +63,15 @@
 
         Args:
             name: The file's name.
-            content: What JSON can hold.
+            content: A value that JSON can represent.
 
         Raises:
-            OSError: The disk failed, or the file would be too large; the old content stands.
+            OSError: The disk failed, or the file would be too large; the old content is unchanged.
         """
         data = _encode(content)
         path = self.folder / name
-        path_beside = self.folder / f"{name}.new"
-        fd = self.open_file(path_beside)
+        temporary_path = self.folder / f"{name}.new"
+        fd = self.open_file(temporary_path)
         try:
             remaining = memoryview(data)
             while remaining:
@@ -78,14 +80,14 @@
             self.sync(fd)
         finally:
             os.close(fd)
-        self.rename(path_beside, path)
+        self.rename(temporary_path, path)
         self._sync_folder()
 
     def read(self, name: str) -> object | None:
-        """Return what was written last, None where nothing was.
+        """Return the content that was written last, None if the file does not exist.
 
         Raises:
-            CorruptFileError: The file isn't what was written.
+            CorruptFileError: The content does not match its digest.
         """
         path = self.folder / name
         try:
@@ -99,7 +101,7 @@
         return content
 
     def set_aside(self, name: str) -> None:
-        """Rename a file out of the way, for whoever wants to look at it."""
+        """Rename a damaged file, so that it is no longer read but can be inspected."""
         os.replace(self.folder / name, self.folder / f"{name}.damaged")
 
     def _sync_folder(self) -> None:
@@ -116,24 +118,24 @@
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
 
     def write_some(self, fd: int, data: memoryview) -> int:
-        """Write as much as the disk takes at once; return how many bytes that is."""
+        """Write as many bytes as one system call accepts; return their number."""
         return os.write(fd, data)
 
     def sync(self, fd: int) -> None:
-        """Force a file or folder to the disk."""
+        """Sync a file or folder to the disk."""
         os.fsync(fd)
 
     def rename(self, old: Path, new: Path) -> None:
-        """Put a file in the place of another."""
+        """Rename a file, replacing any file with the new name."""
         os.replace(old, new)
 
 
 def _header(body: bytes) -> bytes:
-    return FILE_MARK + blake2b(body, digest_size=DIGEST_BYTES).hexdigest().encode()
+    return HEADER_PREFIX + blake2b(body, digest_size=DIGEST_BYTES).hexdigest().encode()
 
 
 def _encode(content: object) -> bytes:
-    # orjson, as msgspec writes large floats in other bytes (1e22 for 1e+22)
+    # orjson, because msgspec encodes large floats differently (1e22 instead of 1e+22)
     body = orjson.dumps(content)
     data = _header(body) + b"\n" + body
     if len(data) > MAX_FILE_BYTES:
--- a/tests/peers/test_gossip_codec.py
+++ b/tests/peers/test_gossip_codec.py
@@ -1,4 +1,4 @@
-"""What one balancer writes another reads, and whatever else comes is refused without harm."""
+"""Tests of the gossip format: datagrams are decoded as encoded, and invalid ones are rejected."""
 
 import orjson
 import pytest
@@ -40,9 +40,9 @@
 )
 
 
-@settings(deadline=None)  # how long an example takes on a busy machine is no part of the check
+@settings(deadline=None)  # on a busy machine an example may exceed the default deadline
 @given(DATAGRAM)
-def test_a_datagram_is_read_as_it_was_written_as_far_as_there_was_room(datagram):
+def test_a_datagram_is_decoded_as_it_was_encoded_except_for_reports_that_did_not_fit(datagram):
     data = CODEC.encode(datagram, NOW)
     assert len(data) <= MAX_DATAGRAM_BYTES
     decoded = CODEC.decode(data, NOW)
@@ -52,8 +52,8 @@
 
 @settings(deadline=None)  # as above
 @given(st.binary(max_size=100), JSON)
-def test_whatever_comes_is_refused_or_says_nothing(noise, message):
-    """Somebody sends noise, or a balancer with a defect signs a message of another form."""
+def test_random_messages_are_rejected_or_contain_no_reports(noise, message):
+    """A datagram contains random bytes, or a defective balancer signs a message of another form."""
     with pytest.raises(BadSignatureError):
         CODEC.decode(noise, NOW)
     text = orjson.dumps(message)
@@ -61,11 +61,11 @@
         datagram = CODEC.decode(CODEC.sign(text) + text, NOW)
     except MalformedDatagramError:
         return
-    assert not datagram.reports, "only the form without reports is short enough to be drawn"
+    assert not datagram.reports, "only a message without reports is small enough to be generated"
 
 
-def test_more_caches_than_a_datagram_holds_are_told_to_nobody():
-    """A fleet outgrows gossip. Its balancers go on, each by itself."""
+def test_counts_of_too_many_caches_for_a_datagram_are_not_sent():
+    """A fleet has more caches than a datagram can hold. Its balancers then decide without gossip."""
     counts = [10**6] * 2 * MAX_CACHES
     version = TableVersion(0, "")
     report = CountsReport("b1", 1, 1, NOW, 0, version, counts, 0.0, {})
@@ -74,8 +74,9 @@
         CODEC.decode(data, NOW)
 
 
-def test_a_datagram_has_the_longest_row_of_forwarded_reports_that_has_room():
-    # A report that is left out though there is room spreads late; one beyond it spoils the datagram.
+def test_a_datagram_contains_as_many_forwarded_reports_as_fit():
+    # A report that is left out although it fits would spread late. One too many would make the datagram too
+    # long, so that it is rejected.
     version = TableVersion(3, "b2")
     reports = [
         CountsReport(f"b{number}", 1, 1, NOW - 5, 9, version, [1.0] * 100, 2.04, {7: 1.25})
--- a/tests/peers/test_gossip_transport.py
+++ b/tests/peers/test_gossip_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams that are signed are used, all else is dropped and counted, and a flood is not read."""
+"""Tests of the gossip transport: only signed datagrams are used, others are counted, floods are limited."""
 
 import socket
 
@@ -25,7 +25,7 @@
 
 
 class Node:
-    """A balancer's decisions, as a node has them."""
+    """A stand-in for a node, with a balancer's decisions."""
 
     def __init__(self, caches):
         self.balancer = BalancerHarness(caches)
@@ -35,27 +35,27 @@
 
 
 class Network:
-    """Balancers under one clock, whose datagrams come at once and are kept."""
+    """Balancers with one clock. Their datagrams are delivered at once and recorded."""
 
     def __init__(self, count, caches=4, key=KEY):
         self.now = 10**12
         self.loop = Loop(clock=lambda: self.now)
         self.sent, self.events = [], []
-        at = [("127.0.0.1", 7400 + i) for i in range(count)]
+        addresses = [("127.0.0.1", 7400 + i) for i in range(count)]
         self.transports = [
             GossipTransport(
                 self.loop,
                 Node(caches),
-                lambda *what, **more: self.events.append(what[0]),
+                lambda *event, **fields: self.events.append(event[0]),
                 f"b{i}",
-                GossipConfig(at[i], at, key, DEFAULT_REBALANCE_INTERVAL_US),
+                GossipConfig(addresses[i], addresses, key, DEFAULT_REBALANCE_INTERVAL_US),
                 i,
-                self.keep,
+                self.deliver,
             )
             for i in range(count)
         ]
 
-    def keep(self, address, data):
+    def deliver(self, address, data):
         assert len(data) <= MAX_DATAGRAM_BYTES
         self.sent.append(data)
         self.transports[address[1] - 7400].receive(data)
@@ -66,7 +66,7 @@
             self.loop.run_once(0)
 
 
-def test_each_balancer_hears_all_others_and_logs_that_once():
+def test_each_balancer_receives_reports_of_all_others_and_logs_that_once():
     network = Network(5)
     network.run(6)
     for transport in network.transports:
@@ -79,8 +79,8 @@
     assert network.events == ["gossip"] * 5
 
 
-def test_what_is_not_signed_is_dropped_and_what_came_before_is_no_news():
-    """Somebody without the key sends datagrams, or sends again what they overheard."""
+def test_unsigned_and_replayed_datagrams_are_dropped():
+    """A sender without the key sends datagrams of its own, or replays captured ones."""
     network = Network(2)
     network.run(3)
     transport = network.transports[0]
@@ -119,7 +119,7 @@
     ],
 )
 def test_a_malformed_datagram_with_a_good_signature_changes_nothing(message):
-    """A balancer of another version, or with a defect, has the key and says something else."""
+    """A balancer of another version, or a defective one, has the key and sends other content."""
     transport = Network(2).transports[0]
     text = orjson.dumps(message)
     before = transport.gossip_counts.range_sizes()
@@ -129,7 +129,7 @@
     assert not transport.gossip_counts.reports
 
 
-def test_a_datagram_holds_what_there_is_room_for():
+def test_a_datagram_is_shortened_to_what_fits():
     for caches, keys in ((4, 0), (200, 400), (400, 0)):
         network = Network(2, caches)
         hot_keys = network.transports[0].gossip_counts.placement.hot_keys
@@ -141,15 +141,15 @@
         assert bool(network.transports[1].gossip_counts.reports) == (caches < 400)
 
 
-def test_a_flood_is_not_read_beyond_its_bound_and_ends():
-    """Noise comes faster than it can be read. It must not cost the clients' time."""
+def test_reading_is_limited_during_a_flood_and_resumes_after_it():
+    """Random datagrams arrive faster than the limit allows. They must not delay clients."""
     network = Network(1)
     transport = network.transports[0]
     transport.listen(("127.0.0.1", 0))
-    near = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     for _ in range(2 * MAX_READS_PER_SECOND // MAX_READS_PER_TURN):
         for _ in range(MAX_READS_PER_TURN):
-            near.sendto(b"noise", transport.sock.getsockname())
+            sender.sendto(b"noise", transport.sock.getsockname())
         network.loop.run_once(0)
     assert transport.reads_in_second == MAX_READS_PER_SECOND
     assert transport.datagram_counts[BAD_SIGNATURE] == MAX_READS_PER_SECOND
@@ -159,11 +159,11 @@
     network.loop.run_once(0)
     assert transport.datagram_counts[BAD_SIGNATURE] > MAX_READS_PER_SECOND
     transport.close()
-    near.close()
+    sender.close()
 
 
 @pytest.mark.parametrize(
-    ("part", "said"),
+    ("part", "message"),
     [
         (7, "pool must be an object with listen, peers and key"),
         (
@@ -185,22 +185,22 @@
         ),
     ],
 )
-def test_a_bad_part_is_one_plain_line(part, said):
-    """Somebody mistypes the configuration's part for gossip."""
-    told = {
+def test_an_invalid_gossip_section_is_reported_on_one_line(part, message):
+    """The configuration's section for gossip has a mistake."""
+    config = {
         "name": "n",
         "listen": "127.0.0.1:7070",
         "discovery": "127.0.0.1:8500",
         "pool": part,
         "settings": {"rule-sets": [{"name": "read", "effect": "retryable", "client-timeout": 9}]},
     }
-    with pytest.raises(ConfigError, match="the file: ") as trouble:
-        parse(orjson.dumps(told), "the file")
-    assert said in str(trouble.value) and "\n" not in str(trouble.value)
+    with pytest.raises(ConfigError, match="the file: ") as caught:
+        parse(orjson.dumps(config), "the file")
+    assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_two_processes_of_one_balancer_hear_at_one_address_while_one_takes_the_others_place():
-    """A new version starts beside the old one and needs the same address."""
+def test_two_processes_of_one_balancer_share_an_address_during_a_handover():
+    """The successor process starts while its predecessor is running, and needs the same address."""
     first, second = Network(1).transports[0], Network(1).transports[0]
     first.listen(("127.0.0.1", 0), shared=True)
     with pytest.raises(OSError):
--- a/tests/state/test_durable_store.py
+++ b/tests/state/test_durable_store.py
@@ -1,4 +1,4 @@
-"""Files that are whole or not there, and a folder that one process has to itself."""
+"""Tests of atomic, durable files and of the lock on a process's folder."""
 
 import errno
 import os
@@ -15,8 +15,8 @@
 
 
 @pytest.mark.parametrize("failing_step", WRITE_STEPS)
-def test_a_write_that_fails_leaves_what_stood(tmp_path, failing_step, monkeypatch):
-    """The disk fails in the middle of a write. The old content stands, and a later write works."""
+def test_a_failed_write_leaves_the_old_content(tmp_path, failing_step, monkeypatch):
+    """The disk fails during a write. The old content is unchanged, and a later write succeeds."""
     store = DurableStore(tmp_path)
     store.write("x", {"n": 1})
 
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         lambda text: text[:-1],
         lambda text: text[:9],
@@ -42,19 +42,19 @@
         lambda text: text.replace(b"1}", b"2}"),
     ],
 )
-def test_a_file_that_is_not_what_was_written_is_told_apart(tmp_path, spoil):
-    """A file is cut, torn, empty or changed. It isn't read, and isn't taken for one never written."""
+def test_a_corrupt_file_is_detected(tmp_path, corrupt):
+    """A file is truncated, torn, empty or modified. Reading it raises, and does not report a missing file."""
     store = DurableStore(tmp_path)
     store.write("x", {"n": 1})
     path = tmp_path / "x"
-    path.write_bytes(spoil(path.read_bytes()))
+    path.write_bytes(corrupt(path.read_bytes()))
     with pytest.raises(CorruptFileError) as caught:
         store.read("x")
     assert caught.value.path == path
 
 
-def test_a_real_full_disk_is_told(tmp_path):
-    """The system itself says that there is no room. The old content stands."""
+def test_a_full_disk_raises_the_systems_error(tmp_path):
+    """The operating system reports that the disk is full. The old content is unchanged."""
     store = DurableStore(tmp_path)
     store.write("x", 1)
     (tmp_path / "x.new").symlink_to("/dev/full")
@@ -63,8 +63,8 @@
     assert caught.value.errno == errno.ENOSPC and store.read("x") == 1
 
 
-def test_a_file_that_grows_too_large_is_refused(tmp_path):
-    """Somebody proposes a policy beyond all bounds. It isn't written, and the old content stands."""
+def test_a_file_that_is_too_large_is_refused(tmp_path):
+    """A policy is proposed that exceeds the size limit. It is not written, and the old content is unchanged."""
     store = DurableStore(tmp_path)
     store.write("x", 1)
     with pytest.raises(OSError) as caught:
@@ -72,28 +72,28 @@
     assert caught.value.errno == errno.EFBIG and store.read("x") == 1
 
 
-def test_a_file_that_was_set_aside_is_kept_for_whoever_looks(tmp_path):
-    """A damaged file is put out of the way. Its bytes are still there, under another name."""
+def test_a_file_that_was_set_aside_is_kept_for_inspection(tmp_path):
+    """A damaged file is renamed. Its bytes are kept under the new name."""
     store = DurableStore(tmp_path)
     (tmp_path / "x").write_bytes(b"torn")
     store.set_aside("x")
     assert store.read("x") is None and (tmp_path / "x.damaged").read_bytes() == b"torn"
 
 
-def test_a_write_is_forced_to_the_disk_with_its_folder(tmp_path, monkeypatch):
-    """The machine loses power right after a write. File and name are found again, as both were forced."""
-    store, forced = DurableStore(tmp_path), []
+def test_a_write_syncs_the_file_and_its_folder(tmp_path, monkeypatch):
+    """The machine loses power right after a write. The file and its name survive, as both were synced."""
+    store, synced = DurableStore(tmp_path), []
 
-    def note(fd):
-        forced.append(Path(os.readlink(f"/proc/self/fd/{fd}")))
+    def record_sync(fd):
+        synced.append(Path(os.readlink(f"/proc/self/fd/{fd}")))
 
-    monkeypatch.setattr(store, "sync", note)
+    monkeypatch.setattr(store, "sync", record_sync)
     store.write("x", 1)
-    assert forced == [tmp_path / "x.new", tmp_path]
+    assert synced == [tmp_path / "x.new", tmp_path]
 
 
 def open_once_read(path):
-    """Opens a pipe to write, once somebody has it open to read."""
+    """Opens a named pipe for writing, once another process has opened it for reading."""
     until = time.monotonic() + 10
     while True:
         try:
@@ -103,19 +103,21 @@
             time.sleep(0.005)
 
 
-def test_a_folder_is_one_process_s_and_its_children_s(tmp_path):
-    """A process is killed while its child writes. The next process gets the folder only when that child has
-    ended, as the child would put an older file back."""
+def test_a_folder_stays_locked_until_the_process_and_its_children_have_exited(tmp_path):
+    """A process is killed while its child writes. The next process gets the lock only after that child has
+    exited, as the child could overwrite a newer file with an older one."""
     first, second = DurableStore(tmp_path), DurableStore(tmp_path)
     assert first.lock() and not second.lock()
     writer = BackgroundWriter(Loop(), first)
     gates = [tmp_path / "gate"]
     os.mkfifo(gates[0])
-    first.sync = lambda fd: gates and gates.pop().read_bytes()  # the child's disk takes its time
+    first.sync = lambda fd: (
+        gates and gates.pop().read_bytes()
+    )  # blocks the child's sync until the pipe closes
     writer.write("x", 1, lambda error: None)
     writer.loop.run_once(0)
-    gate = open_once_read(gates[0])  # the child has closed what it doesn't need
-    os.close(first.lock_fd)  # its process is gone
+    gate = open_once_read(gates[0])  # by now the child has closed the other descriptors
+    os.close(first.lock_fd)  # as if the first process had exited
     assert not second.lock()
     os.close(gate)
     while writer.busy:
