--- a/orchidgap/__init__.py
+++ b/orchidgap/__init__.py
@@ -1,8 +1,8 @@
-"""A balancer that spreads keys over cache hosts before one slow origin.
+"""A balancer that spreads keys over cache hosts in front of one slow origin.
 
-`decisions` is pure and has every rule; `net`, with the protocols in `http1` and `resp`,
-moves bytes; `control` decides settings for all balancers at once. docs/architecture.md has the
-whole.
+`decisions` has all rules, as code without I/O. `net` does the network I/O, with the protocols in
+`http1` and `resp`. `control` decides settings for all balancers together. See docs/architecture.md
+for an overview.
 """
 
 VERSION = "0.2.0"
--- a/orchidgap/__main__.py
+++ b/orchidgap/__main__.py
@@ -1,4 +1,4 @@
-"""orchidgap, a balancer that spreads keys over cache hosts before one slow origin."""
+"""orchidgap, a balancer that spreads keys over cache hosts in front of one slow origin."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command given on the command line."""
     if sys.argv[1:2] == [SERVE]:
-        # held until `server.serve` handles it: its default would end the process
+        # Blocked until `server.serve` has set a handler, as the default action ends the process.
         signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
     from orchidgap import commands
     from orchidgap.arguments import parse
--- a/orchidgap/arguments.py
+++ b/orchidgap/arguments.py
@@ -1,4 +1,4 @@
-"""The command line: what can be asked for, and with which options."""
+"""Parses the command line; `USAGE` defines its commands and options."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from docopt import docopt
 
 USAGE = """\
-orchidgap, a balancer that spreads keys over cache hosts before one slow origin.
+orchidgap, a balancer that spreads keys over cache hosts in front of one slow origin.
 
 Usage:
   orchidgap serve [--config=FILE]
@@ -28,61 +28,65 @@
   orchidgap (-h | --help)
 
 Commands:
-  serve     Serve until told to stop (SIGTERM or SIGINT); SIGHUP has the configuration read anew.
-  check     Read the configuration as serve would, say what it holds, and end.
-  admin     Ask a running balancer whether it serves, to drain, to serve again, or what the settings that it
-            watches would have decided otherwise, or how connections and requests came and ended; exit code 1 on
-            FAILURE.
-  control   Serve as a control process, which keeps the version of policy that counts; --new begins with none.
-  change    Have a new version of policy checked, proposed and decided; see who runs what and who is waited
-            for; strike off by name a balancer that will not come back.
-            propose: exit code 0 decided, 2 nowhere, 3 not known yet (the same call again tells).
-  drill     Start real processes, put faults between them, and judge what clients saw; the last line is the
-            verdict.
+  serve     Run a balancer until SIGTERM or SIGINT; SIGHUP reloads the configuration.
+  check     Read the configuration as serve does, print a summary, and exit.
+  admin     Send a call to a running balancer: health, quiesce (drain), resume, watch (decisions that the watched
+            settings would have taken differently) or counts (how connections and requests started and ended).
+            Exit code 1 on FAILURE.
+  control   Run a control process, which stores the version of policy in force; --new starts without one.
+  change    Check or propose a new version of policy; show which version each balancer runs and which balancers a
+            decision waits for; strike: remove a balancer by name that will not return.
+            propose: exit code 0 decided, 2 nowhere (dropped), 3 not known yet (repeat the call to find out).
+  drill     Start real processes, inject faults between them, and check what clients observed; the last line is
+            the verdict.
   version   Print the version.
-  try       Play ten seconds of a small fleet of stand-ins, in which one cache dies, and draw a report.
-  trial     Play a plan and judge it; the last line is the verdict as JSON, exit code 1 where a rule broke.
-  compare   Play a plan with this decider, the textbook ones and one that sees all.
-  hunt      Play many plans drawn from this one; shrink what breaks a rule, or loses most, to a plan file.
-  saturate  Measure reqs a second and CPU a req of one balancer beside a bare relay, on real sockets.
-  report    Draw a trial that was kept in DIR as one HTML file.
+  try       Simulate a small fleet for ten seconds, in which one cache fails, and write a report.
+  trial     Run a plan and check the invariants; the last line is the verdict as JSON, exit code 1 if one was
+            violated.
+  compare   Run a plan with each policy: this balancer's, textbook ones, and an oracle that knows the whole state.
+  hunt      Run many random variants of a plan; shrink one that violates an invariant, or loses most, to a plan
+            file.
+  saturate  Measure requests per second and CPU time per request of one balancer and of a plain relay, on real
+            sockets.
+  report    Write a report of the trial that was stored in DIR as one HTML file.
 
 Options:
   --config=FILE  The configuration; without it, the file named by GW_CONFIG.
-  --addr=ADDR    The operators' address; without it GW_ADMIN_ADDR, or what the configuration says.
-  --new          Begin with no version decided: once, when control is set up.
-  --at=ADDRS     Control's addresses, with commas between [default: 127.0.0.1:7500].
+  --addr=ADDR    The admin address; without it, GW_ADMIN_ADDR or the address in the configuration.
+  --new          Start without a decided version; only once, when control is set up.
+  --at=ADDRS     Addresses of the control processes, separated by commas [default: 127.0.0.1:7500].
   --id=ID        The change's name; without it, a digest of the file.
-  --again        Decide anew what was decided before and replaced since.
-  --wait=N       Seconds to wait for the end [default: 60].
+  --again        Propose a change again that was decided before and replaced since.
+  --wait=N       Seconds to wait for the decision [default: 60].
   --json         Print JSON.
-  --disk=DIR     Where the processes' disks are; without it in memory, which takes no time.
-  --defect=NAME  Balancers with a planted defect, to see that it is caught.
-  --seed=N       Another seed than the plan's.
-  --real         Balancers as processes on loopback, in real time; else all in one process on a virtual clock.
-  --balancers=N  Another number of balancers than the plan's.
-  --policy=NAME  Who decides: orchidgap, random, ring, bounded-ring, least-out or oracle [default: orchidgap].
-  --out=DIR      Where what was played or found is kept.
-  --runs=N       How many runs [default: 100].
-  --first=N      The first run's number [default: 0].
-  --jobs=N       Runs at once; 0 for one a core [default: 0].
-  --whole        Keep what is found as it was drawn, without shrinking it.
-  --seconds=N    How long each measurement takes [default: 5].
-"""  # noqa: E501 - printed as it stands
+  --disk=DIR     Where the processes store their files; without it, in memory, where writes take no time.
+  --defect=NAME  Run balancers with a planted defect, to verify that it is detected.
+  --seed=N       Use this seed instead of the plan's.
+  --real         Run balancers as processes on loopback, in real time; without it, in one process on a virtual
+                 clock.
+  --balancers=N  Use this number of balancers instead of the plan's.
+  --policy=NAME  The policy: orchidgap, random, ring, bounded-ring, least-out or oracle [default: orchidgap].
+  --out=DIR      Where results are stored.
+  --runs=N       The number of runs [default: 100].
+  --first=N      The number of the first run [default: 0].
+  --jobs=N       The number of concurrent runs; 0 for one per core [default: 0].
+  --whole        Keep a plan that was found as it was generated, without shrinking it.
+  --seconds=N    Seconds per measurement [default: 5].
+"""  # noqa: E501 - printed as it is
 
 OPERATOR_CALLS = ("health", "quiesce", "resume", "watch", "counts")
 CHANGE_COMMANDS = ("check", "propose", "status", "history", "strike")
 SIMULATION_COMMANDS = ("try", "trial", "compare", "hunt", "saturate", "report")
 
-Arguments = dict[str, Any]  # as docopt has them: commands, options and operands by name
+Arguments = dict[str, Any]  # as returned by docopt: commands, options and operands by name
 
 
 def parse() -> Arguments:
-    """The arguments of this process; ends it where they fit no usage."""
+    """Return the arguments of this process; exits with a message if they match no usage."""
     arguments: Arguments = docopt(USAGE)
     return arguments
 
 
-def chosen(arguments: Arguments, names: tuple[str, ...]) -> str:
-    """The first of these commands that was asked for; empty for none."""
+def selected_name(arguments: Arguments, names: tuple[str, ...]) -> str:
+    """Return the first of these command names that was given; empty if none was."""
     return next((name for name in names if arguments[name]), "")
--- a/orchidgap/commands.py
+++ b/orchidgap/commands.py
@@ -1,7 +1,7 @@
-"""What each command does. A command imports what it needs, and only that.
+"""Implements the commands of the command line. Each one imports only the modules that it needs.
 
-Each returns what the process exits with: nothing for success, a number, or a text for standard
-error.
+A command returns the exit status for `sys.exit`: None for success, a number, or a text that is
+printed to standard error.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
     OPERATOR_CALLS,
     SIMULATION_COMMANDS,
     Arguments,
-    chosen,
+    selected_name,
 )
 from orchidgap.errors import ConfigError
 
@@ -22,11 +22,11 @@
 
 
 def run(arguments: Arguments) -> ExitStatus:
-    """Run the command that was asked for."""
+    """Run the command that the arguments select."""
     if arguments["version"]:
         print(f"orchidgap {VERSION}")
         return None
-    if chosen(arguments, SIMULATION_COMMANDS):
+    if selected_name(arguments, SIMULATION_COMMANDS):
         return simulate(arguments)
     if arguments["drill"]:
         from orchidgap.fault_tests import commands as fault_tests
@@ -35,9 +35,9 @@
     if arguments["change"]:
         from orchidgap.control import cli
 
-        return cli.main(chosen(arguments, CHANGE_COMMANDS), arguments)
+        return cli.main(selected_name(arguments, CHANGE_COMMANDS), arguments)
     if arguments["admin"]:
-        call = chosen(arguments, OPERATOR_CALLS)
+        call = selected_name(arguments, OPERATOR_CALLS)
         return call_balancer(call, arguments["--addr"], arguments["--config"])
     try:
         return run_process(arguments)
@@ -46,7 +46,7 @@
 
 
 def simulate(arguments: Arguments) -> ExitStatus:
-    """Play a simulation, or show one."""
+    """Run a simulation command, or report that its dependencies are missing."""
     try:
         from orchidgap.simulation import commands as command
     except ModuleNotFoundError as error:
@@ -55,10 +55,10 @@
 
 
 def run_process(arguments: Arguments) -> ExitStatus:
-    """Be a control process or a balancer, or check that a balancer could start.
+    """Run a control process or a balancer, or check a balancer's configuration.
 
     Raises:
-        ConfigError: It could not.
+        ConfigError: The process cannot start with its configuration.
     """
     path = arguments["--config"] or os.environ.get("GW_CONFIG")
     if arguments["control"]:
@@ -81,25 +81,25 @@
 
 
 def check(path: str | None) -> ExitStatus:
-    """Say what the configuration holds. Raises ConfigError where it cannot be used."""
+    """Print a summary of the configuration. Raises ConfigError if it is not valid."""
     from orchidgap.composition import protocol_for
     from orchidgap.net import config
     from orchidgap.net.addresses import format_address
 
-    found = config.read(path)
-    protocol_for(found)
-    _, _, entries, _ = found.initial_endpoints
+    balancer_config = config.read(path)
+    protocol_for(balancer_config)
+    _, _, entries, _ = balancer_config.initial_endpoints
     print(
-        f"balancer {found.name} on {format_address(found.listen)}, list from "
-        f"{format_address(found.discovery)}, {len(entries)} hosts known, "
-        f"rule sets {', '.join(found.settings.request_classes)}, "
-        f"{found.descriptors} descriptors, {found.memory_mb} MB"
+        f"balancer {balancer_config.name} on {format_address(balancer_config.listen)}, list from "
+        f"{format_address(balancer_config.discovery)}, {len(entries)} hosts known, "
+        f"rule sets {', '.join(balancer_config.settings.request_classes)}, "
+        f"{balancer_config.descriptors} descriptors, {balancer_config.memory_mb} MB"
     )
     return None
 
 
 def call_balancer(call: str, address: str | None, path: str | None) -> ExitStatus:
-    """Make an operator's call and print the answer."""
+    """Send an operator's call to a running balancer and print its answer."""
     from orchidgap.admin import client
     from orchidgap.net import config
     from orchidgap.net.addresses import parse_address
@@ -109,13 +109,13 @@
         if text:
             target = parse_address(text)
         else:
-            found = config.read(path or os.environ.get("GW_CONFIG")).admin
-            if found is None:
+            admin_address = config.read(path or os.environ.get("GW_CONFIG")).admin
+            if admin_address is None:
                 return (
                     "orchidgap: no operators' address: "
                     "give --addr, or admin_addr in the configuration"
                 )
-            target = found
+            target = admin_address
         answer = client.call(target, call)
     except (OSError, ValueError, ConfigError) as error:
         return f"orchidgap: {error}"
--- a/orchidgap/composition.py
+++ b/orchidgap/composition.py
@@ -1,6 +1,6 @@
-"""Which parts a configuration asks for: the protocol, a node guarded by control's leases, gossip.
+"""Creates the parts that a configuration enables: the protocol, a leased node, gossip.
 
-What a configuration does not ask for is not imported.
+Modules of parts that are not enabled are not imported.
 """
 
 from __future__ import annotations
@@ -17,8 +17,10 @@
 
 
 def protocol_for(config: BalancerConfig) -> ProtocolParts:
-    """What is spoken: RESP where the configuration has a part for it, else HTTP. Raises
-    ConfigError.
+    """Create the client protocol: RESP if the configuration has a section for it, otherwise HTTP.
+
+    Raises:
+        ConfigError: The configuration of RESP is not valid.
     """
     if config.resp is None:
         return Http1()
@@ -31,16 +33,14 @@
 
 
 def make_guarded_node(*arguments: Any, **options: Any) -> tuple[Node, LeaseHolder]:
-    """A node whose settings come from control, and what holds its lease; see
-    `create_guarded_node`.
-    """
+    """Create a node with settings from control, and its lease holder; see `create_guarded_node`."""
     from orchidgap.control.lease_keeper import create_guarded_node
 
     return create_guarded_node(*arguments, **options)
 
 
 def make_gossip(loop: Loop, node: Node, log: EventLog, config: BalancerConfig) -> Gossip:
-    """What tells other balancers this one's counts."""
+    """Create the gossip transport, which sends this balancer's counts to other balancers."""
     from orchidgap.peers.gossip_transport import create_gossip
 
     return create_gossip(loop, node, log, config)
--- a/orchidgap/decisions/config_compatibility.py
+++ b/orchidgap/decisions/config_compatibility.py
@@ -1,16 +1,16 @@
-"""Whether one configuration may follow another while a process runs.
+"""Checks whether a running process may replace its configuration by another one.
 
-A configuration may follow if it has every key of the one before, with the same kind of value. A key
-that is missing, or holds another kind, is more often a slip than an intention:
+A new configuration is compatible if it has every key of the old one, with the same kind of value.
+A key that is missing, or has a value of another kind, is more often a mistake than intended:
 
-    | key before | key in the new one      | may follow                                |
-    | ---------- | ----------------------- | ----------------------------------------- |
-    | present    | present, the same kind  | yes                                       |
-    | present    | present, another kind   | no                                        |
-    | present    | missing                 | only below a list that has become empty   |
-    | missing    | anything                | yes                                       |
+    | key in the old one | key in the new one      | compatible                              |
+    | ------------------ | ----------------------- | --------------------------------------- |
+    | present            | present, the same kind  | yes                                     |
+    | present            | present, another kind   | no                                      |
+    | present            | missing                 | only below a list that has become empty |
+    | missing            | present or missing      | yes                                     |
 
-`find_incompatibility` decides that, by the two shapes. No I/O.
+`find_incompatibility` compares the shapes of the two configurations. No I/O.
 """
 
 from __future__ import annotations
@@ -19,36 +19,38 @@
 from typing import Any
 
 Shape = Mapping[str, str]
-"""The path of every key, such as `a.b` or `list.*.name`, with the kind of its value."""
+"""Maps the path of every key, such as `a.b` or `list.*.name`, to the kind of its value."""
 
 OPTIONAL_KEYS = frozenset(("known", "seed", "watch"))
-"""Keys at the top that describe a moment, and may be left out."""
+"""Top-level keys that may be left out, because their values are specific to one point in time."""
 
 KINDS = {str: "a text", type(None): "nothing", list: "a list"}
 NUMBER_KIND = "a number"
-FLAG_KIND = "a yes or no"
+BOOLEAN_KIND = "a yes or no"
 OBJECT_KIND = "an object"
 
 
 def kind_of(value: Any) -> str:
-    """Return the kind of a JSON value, as operators read it.
+    """Return the kind of a JSON value, as named in messages to operators.
 
     >>> [kind_of(value) for value in (True, 1, 1.5, "x", None, [], {})]
     ['a yes or no', 'a number', 'a number', 'a text', 'nothing', 'a list', 'an object']
     """
     if isinstance(value, bool):
-        return FLAG_KIND
+        return BOOLEAN_KIND
     if isinstance(value, int | float):
         return NUMBER_KIND
     return KINDS.get(type(value), OBJECT_KIND)
 
 
 def shape_of(tree: Mapping[str, Any], path: str = "") -> dict[str, str]:
-    """Return every key with the kind of its value; of a list of objects, the keys that all have.
+    """Return the path of every key with the kind of its value.
+
+    For a list of objects, only the keys that all of its items have are included.
 
     Args:
         tree: A configuration, or a part of one.
-        path: Where the part is, with a dot at its end; empty for the whole.
+        path: The path of the part, with a dot at its end; empty for a whole configuration.
 
     >>> shape_of({"a": {"b": 1}, "c": [{"d": "x", "e": 2}, {"d": "y"}], "known": {"seq": 1}})
     {'a': 'an object', 'a.b': 'a number', 'c': 'a list', 'c.*.d': 'a text'}
@@ -73,19 +75,19 @@
 
 
 def _common_shape(items: Iterable[Mapping[str, Any]], path: str) -> dict[str, str]:
-    """Return the keys that all items have, with the kinds of the first one's values."""
+    """Return the keys that all items have, with the kinds of the first item's values."""
     first, *others = (shape_of(item, path) for item in items)
     return {key: kind for key, kind in first.items() if all(key in other for other in others)}
 
 
 def find_incompatibility(old: Shape, new: Shape, emptied_lists: Iterable[str] = ()) -> str:
-    """Return why a configuration may not follow, in plain words; empty if it may.
+    """Return why the new configuration is not compatible, for operators; empty if it is.
 
     Args:
-        old: The shape of the configuration before.
-        new: The shape of the one that is to follow.
-        emptied_lists: Paths of lists that are empty in the new one, whose items' keys are not
-            missed.
+        old: The shape of the old configuration.
+        new: The shape of the new configuration.
+        emptied_lists: Paths of lists that are empty in the new configuration. The keys of their
+            items may be missing.
 
     >>> old = shape_of({"a": {"b": 1}, "c": [{"d": "x"}]})
     >>> find_incompatibility(old, shape_of({"a": {"b": 2}, "c": [{"d": "z", "more": 1}], "f": 1}))
@@ -111,7 +113,7 @@
 
 
 def empty_lists(tree: Mapping[str, Any], path: str = "") -> list[str]:
-    """Return the paths of all lists that hold nothing.
+    """Return the paths of all empty lists.
 
     >>> empty_lists({"a": {"b": []}, "c": [1], "d": []})
     ['a.b', 'd']
--- a/orchidgap/decisions/connection_demand.py
+++ b/orchidgap/decisions/connection_demand.py
@@ -1,7 +1,7 @@
-"""How many connections to a host are worth keeping open.
+"""Estimates how many connections to a host should be kept open.
 
-A host accepts a bounded number of connections from all balancers together, so each keeps only what
-it needed lately. Free of I/O; times are whole microseconds.
+A host accepts a limited number of connections from all balancers together, so each balancer keeps
+only as many as it needed recently. No I/O; times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class ConnectionDemand:
-    """The most connections to one host that were in use at once, in the last two windows.
+    """The highest number of connections to one host in use at once, over the last two windows.
 
     >>> demand = ConnectionDemand(0)
     >>> for now, in_use in ((10, 1), (20, 3), (30, 2)):
@@ -22,28 +22,28 @@
     __slots__ = ("_current_peak", "_previous_peak", "_window_start_us")
 
     def __init__(self, now: int) -> None:
-        """Start the first window at `now`, with nothing in use."""
+        """Start the first window at `now`, with no connections in use."""
         self._window_start_us = now
         self._current_peak = 0
         self._previous_peak = 0
 
     def record(self, now: int, in_use: int) -> None:
-        """So many connections are in use at once."""
+        """Record how many connections are in use now."""
         if now - self._window_start_us >= WINDOW_US:
             self._start_window(now)
         if in_use > self._current_peak:
             self._current_peak = in_use
 
     def worth_keeping(self, now: int) -> int:
-        """How many connections are worth keeping, idle ones and those in use: one at the least.
+        """Return how many connections to keep, idle and in use together: at least one.
 
-        What the host was needed for in the window under way and the one before is kept.
+        This is the highest number that was in use in the current and the previous window.
         """
         self._start_window(now)
         return max(1, self._current_peak, self._previous_peak)
 
     def _start_window(self, now: int) -> None:
-        """Go on to the window that `now` is in, if it is another one."""
+        """Start the window that contains `now`, unless it is the current one."""
         windows_passed = (now - self._window_start_us) // WINDOW_US
         if windows_passed <= 0:
             return
--- a/orchidgap/decisions/load_skew.py
+++ b/orchidgap/decisions/load_skew.py
@@ -1,7 +1,7 @@
-"""How even a load is, and what chance alone would make of it. Nothing is decided here.
+"""Measures of how evenly load is spread, compared with what random arrivals would give.
 
-Times are whole microseconds. A cache's load ratio is what it got over what it would have had by its
-size.
+These are statistics only; no decision depends on them. Times are whole microseconds. The load ratio
+of a cache is its load divided by its fair share, which is proportional to its size.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from typing import NamedTuple
 
 HERD_WINDOW_US = 100_000
-NEIGHBOUR_WINDOWS = 20  # on each side of a window, by which a cache's mean at that time is judged
-SEARCH_PRECISION_RATIO = 1e-6  # of the mean load
+NEIGHBOUR_WINDOWS = 20  # windows on each side of a window that give the cache's mean at that time
+SEARCH_PRECISION_RATIO = 1e-6  # precision of the bisection, relative to the mean load
 
 
 class CacheRead(NamedTuple):
-    """One read that a cache was sent."""
+    """One read that was sent to a cache."""
 
     at_us: int
     cache: str
@@ -27,7 +27,7 @@
 
 
 def load_ratios(counts: Mapping[str, float], sizes: Mapping[str, float]) -> dict[str, float]:
-    """What each cache of `sizes` got, over its part of the whole by its size.
+    """Returns the load ratio of each cache in `sizes`; counts of other caches are ignored.
 
     >>> load_ratios({"a": 30, "b": 10}, {"a": 1.0, "b": 1.0, "c": 2.0})
     {'a': 3.0, 'b': 1.0, 'c': 0.0}
@@ -43,9 +43,9 @@
 
 @lru_cache(maxsize=4_096)
 def expected_maximum(mean: float, window_count: int) -> int:
-    """What the fullest of so many windows holds where arrivals are independent (Poisson).
+    """Returns the expected highest count among the windows if arrivals are independent (Poisson).
 
-    That is the count which one of the windows exceeds on average.
+    This is the count that, on average, at most one of the windows exceeds.
 
     >>> expected_maximum(3.3, 150), expected_maximum(0.0, 10), expected_maximum(1.0, 1)
     (9, 0, 1)
@@ -56,23 +56,25 @@
     count = 0
     while True:
         exceeding_probability -= exp(count * log(mean) - mean - lgamma(count + 1))
-        is_far_out = count > 10 * mean + 100  # rounding errors could keep the sum from falling
-        if exceeding_probability * window_count <= 1.0 or is_far_out:
+        # Rounding errors could keep the probability from falling far enough.
+        is_past_tail = count > 10 * mean + 100
+        if exceeding_probability * window_count <= 1.0 or is_past_tail:
             return max(1, count)
         count += 1
 
 
 def herd_ratio(arrivals: Collection[Iterable[int]], since: int, until: int) -> float:
-    """The fullest window of any cache over what independent arrivals give: near 1 without herds.
+    """Returns the highest ratio of a window's count to the maximum expected without herds.
 
-    The mean for that is the cache's, or the cache's in the windows around, or that of all caches,
-    whichever is most: a cache that was away for a part of the time, or had the requests of others
-    for a part of it, is no herd.
+    The result is near 1 if there are no herds. The expected maximum is computed from the highest of
+    three means: that of the cache over the whole time, that of the cache in the neighbouring
+    windows, and that of all caches. So a cache that was down for some of the time, or that served
+    the requests of other caches for some of it, is not taken for a herd.
 
     Args:
-        arrivals: For each cache, when its requests arrived, in any order.
-        since: The first microsecond that counts.
-        until: The first that counts no more.
+        arrivals: For each cache, the arrival times of its requests, in any order.
+        since: The start of the measured time, inclusive.
+        until: The end of the measured time, exclusive.
 
     >>> herd_ratio([range(0, 10_000_000, 50_000), range(0, 10_000_000, 20_000)], 0, 10_000_000) < 1
     True
@@ -97,7 +99,7 @@
 
 
 def longest_idle_us(arrivals: Iterable[int], since: int, until: int) -> int:
-    """The longest time in which nothing arrived.
+    """Returns the longest time between `since` and `until` without an arrival.
 
     >>> longest_idle_us([2, 5, 6], 0, 9), longest_idle_us([], 3, 9), longest_idle_us([1, 20], 3, 9)
     (3, 6, 6)
@@ -109,7 +111,7 @@
 
 
 def moved_read_ratio(reads: Iterable[CacheRead]) -> float:
-    """Of the repeated reads of a key, the part that came to another cache than the one before.
+    """Returns the fraction of repeated reads that went to another cache than the key's last read.
 
     >>> reads = [CacheRead(1, "a", 7), CacheRead(3, "b", 7), CacheRead(2, "a", 7)]
     >>> moved_read_ratio([*reads, CacheRead(4, "a", 8)])
@@ -127,11 +129,11 @@
 
 
 def mean_replica_count(kept: Iterable[Iterable[int]], wanted: Iterable[int]) -> float:
-    """How many caches keep a key of those wanted, on average over the keys that any cache keeps.
+    """Returns how many caches hold a wanted key, on average over the keys that any cache holds.
 
     Args:
-        kept: For each cache, the keys that it keeps.
-        wanted: The keys that count.
+        kept: For each cache, the keys that it holds.
+        wanted: The keys to consider.
 
     >>> mean_replica_count([[1, 2], [2, 3], [2]], [2, 3, 9])
     2.0
@@ -142,14 +144,14 @@
 
 
 def best_peak_ratio(loads: Sequence[float], range_count: int) -> float:
-    """The least that the fullest of so many contiguous ranges can hold over the mean.
+    """Returns the lowest possible ratio of the fullest range's load to the mean load of a range.
 
-    No table of ranges does better, as a slot is in one range. Found by bisection of what a range
-    may hold.
+    This is a lower bound for every table of contiguous ranges, as a slot belongs to exactly one
+    range. It is found by bisection on the capacity of a range.
 
     Args:
-        loads: The load of each slot, in any unit; at least one is over 0.
-        range_count: How many ranges there are.
+        loads: The load of each slot, in any unit; at least one is greater than 0.
+        range_count: The number of ranges.
 
     >>> [best_peak_ratio(loads, 2) for loads in ([1, 1, 1, 1], [1, 6, 1], [5, 1, 1, 1])]
     [1.0, 1.75, 1.25]
@@ -175,14 +177,17 @@
 
 
 def _neighbours_mean(sums: Sequence[int], window: int, count: int) -> float:
-    """The mean of the windows around one; `sums` are running totals, `count` is its own."""
+    """Returns the mean count of the windows next to `window`, without its own `count`.
+
+    The `sums` are running totals of the counts, starting with 0.
+    """
     first = max(0, window - NEIGHBOUR_WINDOWS)
     end = min(len(sums) - 1, window + NEIGHBOUR_WINDOWS + 1)
     return (sums[end] - sums[first] - count) / max(1, end - first - 1)
 
 
 def _ranges_needed(loads: Sequence[float], capacity: float) -> int:
-    """How many contiguous ranges hold the loads, each filled up to `capacity`."""
+    """Returns the number of contiguous ranges that hold the loads, each filled up to `capacity`."""
     count = 1
     filled = 0.0
     for load in loads:
--- a/orchidgap/decisions/shadow.py
+++ b/orchidgap/decisions/shadow.py
@@ -1,8 +1,8 @@
-"""Shadow evaluation: counts where other settings would have decided otherwise.
+"""Shadow evaluation: counts the decisions that other settings would have taken differently.
 
-Decisions are those of a `Balancer` of its own settings, and nothing is sent by the other ones.
-Each decision is looked at by itself, from what is known when it is taken: what would have
-followed from another one is not played on.
+The balancer decides by its own settings; the other settings have no effect on requests. Each
+decision is compared on its own, in the state at the time when it is taken. Later effects of a
+different decision are not simulated.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 from orchidgap.decisions.retry_policy import RetryPolicy, allows_attempt_after
 from orchidgap.decisions.settings import RequestClass, ServiceSettings
 
-LOG_INTERVAL_US = 60_000_000  # between two lines that tell the counts
+LOG_INTERVAL_US = 60_000_000  # least time between two log lines with the counts
 
 
 class Difference(StrEnum):
-    """A kind of decision that is compared, by the name that logs and operators know it by."""
+    """A kind of decision that is compared. The values are the names in logs and for operators."""
 
-    OWNER = "owner"  # another cache owns the slot
-    HEDGE = "copy"  # a second attempt beside one in flight
-    RETRY = "repeat"
-    CANCELLATION = "call-off"  # of a late attempt
-    ANSWER = "answer"  # denied or aborted
-    RETRY_AFTER = "pause"  # how long a denied client is told to stay away
-    LIMIT = "limit"  # a host's limit is cut by what it reported
+    OWNER = "owner"  # which cache owns the slot
+    HEDGE = "copy"  # whether a second attempt is sent while another one is in flight
+    RETRY = "repeat"  # whether an attempt follows one that has ended
+    CANCELLATION = "call-off"  # whether an overdue attempt is cancelled
+    ANSWER = "answer"  # whether a request is denied or aborted
+    RETRY_AFTER = "pause"  # the Retry-After time that a denied client gets
+    LIMIT = "limit"  # whether a host's limit is decreased because of its load report
 
 
 class ShadowPort:
-    """Passes on what is decided, after a look at it."""
+    """A port that compares each decision and then passes it on to the real port."""
 
     def __init__(self, balancer: ShadowBalancer, port: Port) -> None:
-        """Stand between this balancer and its port."""
+        """Wrap the port of this balancer."""
         self.balancer = balancer
         self.port = port
         self.cancel = port.cancel
@@ -64,14 +64,14 @@
 
 
 class ShadowDispatch(Dispatch):
-    """Looks at late attempts on the way."""
+    """A dispatch that also compares the cancellation of overdue attempts."""
 
     context: ShadowBalancer
 
     def on_attempt_overdue(self, attempt: Attempt) -> None:
         """See `Dispatch.on_attempt_overdue`."""
-        is_judged = not (attempt.outcome or attempt.host.is_origin or self.is_lost(attempt))
-        if is_judged:
+        is_compared = not (attempt.outcome or attempt.host.is_origin or self.is_lost(attempt))
+        if is_compared:
             cancels = self.should_cancel(attempt, self.context.settings)
             other_cancels = self.should_cancel(attempt, self.context.other_settings)
             self.context.count_if(Difference.CANCELLATION, cancels != other_cancels)
@@ -79,12 +79,12 @@
 
 
 class ShadowBalancer(Balancer):
-    """Decides as a `Balancer` of its own settings does.
+    """A balancer that decides by its own settings and compares each decision with other settings.
 
     Attributes:
-        other_settings: Those that are evaluated beside.
-        differences: How many decisions they would have taken otherwise, by kind.
-        attempts_compared: How many attempts were looked at.
+        other_settings: The settings to compare with.
+        differences: The number of decisions that they would have taken differently, by kind.
+        attempts_compared: The number of attempts that were compared.
     """
 
     dispatch_type = ShadowDispatch
@@ -97,36 +97,39 @@
         seed: int,
         now: int,
     ) -> None:
-        """Start as a `Balancer`; `other_settings` are evaluated beside."""
+        """Start as a `Balancer` with `settings`; decisions are compared with `other_settings`."""
         self.other_settings = other_settings
         self.other_retry_policy = RetryPolicy.from_settings(other_settings)
         self.differences = dict.fromkeys(Difference, 0)
         self.attempts_compared = 0
         self._logged_at_us = now
         self._logged_summary = ""
-        self._even_ends: list[int] = []  # of ranges, by the settings that count
-        self._other_even_ends: list[int] = []
-        self._reported_in_flight: dict[str, float] = {}  # by host, over its weight
+        # The ends of even ranges, by the own and by the other settings' weights.
+        self._even_range_ends: list[int] = []
+        self._other_even_range_ends: list[int] = []
+        self._reported_in_flight: dict[str, float] = {}  # by host id, divided by the host's weight
         super().__init__(settings, ShadowPort(self, port), seed, now)
 
     def summary(self) -> str:
-        """What was counted, in one line."""
+        """Return all counts in one line."""
         counts = (f"{kind} {count}" for kind, count in self.differences.items())
         return ", ".join([f"{self.attempts_compared} dispatches", *counts])
 
     def count_if(self, kind: Difference, differs: bool) -> None:
-        """Count a decision that the other settings take otherwise."""
+        """Count a decision of this kind if the other settings would take it differently."""
         self.differences[kind] += differs
 
     def compare_attempt(self, request: Request) -> None:
-        """Look at the last attempt of a request, which is about to be sent."""
+        """Compare the last attempt of a request, which is about to be sent."""
         attempt = request.attempts[-1]
         earlier = request.attempts[:-1]
         self.attempts_compared += 1
-        goes_by_ranges = self._even_ends and not self.slot_map and not attempt.host.is_origin
-        if not earlier and goes_by_ranges:
-            owner = bisect_right(self._even_ends, request.slot)
-            other_owner = bisect_right(self._other_even_ends, request.slot)
+        uses_hash_ranges = (
+            self._even_range_ends and not self.slot_map and not attempt.host.is_origin
+        )
+        if not earlier and uses_hash_ranges:
+            owner = bisect_right(self._even_range_ends, request.slot)
+            other_owner = bisect_right(self._other_even_range_ends, request.slot)
             self.count_if(Difference.OWNER, owner != other_owner)
         is_hedge = any(not other.outcome for other in earlier)
         if is_hedge:
@@ -142,7 +145,12 @@
             self.count_if(Difference.RETRY, not allowed)
 
     def compare_rejection(self, request: Request, retry_after_us: int | None) -> None:
-        """Look at a final answer that is about to go out: denied, or aborted (None)."""
+        """Compare a final answer that is about to be sent.
+
+        Args:
+            request: The request that is denied or aborted.
+            retry_after_us: The time in the denial; None if the request is aborted.
+        """
         other_retry_after_us = self.other_retry_policy.retry_after_us(
             request, request.request_class, self.now
         )
@@ -160,8 +168,10 @@
             if host_id in self.hosts
         }
         ranges = self.placement.ranges
-        self._even_ends = ranges.even_range_ends(self.settings.uses_listed_weights)
-        self._other_even_ends = ranges.even_range_ends(self.other_settings.uses_listed_weights)
+        self._even_range_ends = ranges.even_range_ends(self.settings.uses_listed_weights)
+        self._other_even_range_ends = ranges.even_range_ends(
+            self.other_settings.uses_listed_weights
+        )
 
     def on_load_report(
         self, host_id: str, request_rate: float | None, in_flight: float | None = None
@@ -171,9 +181,9 @@
         if in_flight is not None and host and not host.is_origin:
             self._reported_in_flight[host_id] = in_flight / host.weight
             fair = host.weight * fair_in_flight(sorted(self._reported_in_flight.values()))
-            judged = are_judged(self.settings)
-            other_judged = are_judged(self.other_settings)
-            self.count_if(Difference.LIMIT, in_flight > fair and judged != other_judged)
+            uses_reports = are_judged(self.settings)
+            other_uses_reports = are_judged(self.other_settings)
+            self.count_if(Difference.LIMIT, in_flight > fair and uses_reports != other_uses_reports)
         super().on_load_report(host_id, request_rate, in_flight)
 
     def _tick(self) -> None:
@@ -186,7 +196,10 @@
                 self.port.log(f"watched so far: {summary}")
 
     def _other_request_class(self, request: Request) -> RequestClass:
-        """The other settings' class of that name; its own where it came under earlier settings."""
+        """Return the class with the same name in the other settings.
+
+        A request that arrived under earlier settings keeps its own class.
+        """
         for name, request_class in self.settings.request_classes.items():
             if request_class is request.request_class:
                 return self.other_settings.request_classes.get(name, request_class)
--- a/orchidgap/decisions/warm_snapshot.py
+++ b/orchidgap/decisions/warm_snapshot.py
@@ -1,9 +1,9 @@
-"""The warm-restart snapshot: what a process knows of hosts, ranges and tenants, for its successor.
+"""The warm-restart snapshot: a process's state of hosts, ranges and tenants, for its successor.
 
-The successor would else begin with empty limits and latencies and even ranges. A snapshot is plain
-JSON values; its names stay as they are, since versions before and after run side by side. Nothing
-in it is trusted: a value of another type or out of bounds is left aside, and the rest is used. Free
-of I/O.
+Without it the successor would start with initial limits and latencies and with even ranges. A
+snapshot consists of plain JSON values. Its names must not change, because processes of older and
+newer versions exchange it. Its content is not trusted: a value of the wrong type or out of bounds
+is ignored, and the rest is used. No I/O.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.decisions.records import HostState
 
-CLOCK_SLACK_US = 50_000  # by which the clocks of two processes may differ
+CLOCK_SLACK_US = 50_000  # by how much the clocks of two processes may differ
 MAX_EJECTION_US = 1_000_000
 MAX_SLOW_START_US = 60_000_000
-MAX_ADMITTED = 1e9
-MAX_SHED = 0.9
+MAX_ADMITTED_COUNT = 1e9
+MAX_SHED_RATIO = 0.9
 
-# Names in the snapshot that are not in `HOST_FIELDS`.
+# Names of a host's values in the snapshot, in addition to those of `HOST_FIELDS`.
 STARTED_AT = "since"
 RANGE_SIZE = "size"
 
 
 class Snapshot(TypedDict):
-    """A whole snapshot, as it goes to the successor.
+    """A whole snapshot, as sent to the successor.
 
     Attributes:
-        hosts: By host id, the values of `HOST_FIELDS` with the host's start and range size. Times
-            are microseconds of the clock that all processes of a machine share.
-        tenants: By tenant, the count of lately admitted requests, and the part of them that is
-            shed.
+        hosts: By host id, the values of `HOST_FIELDS` and the host's start time and range size.
+            Times are microseconds of a clock that all processes of a machine share.
+        tenants: By tenant, the number of recently admitted requests and the ratio of requests that
+            is shed.
     """
 
     hosts: dict[str, dict[str, float]]
@@ -42,17 +42,17 @@
 
 
 class HostField(NamedTuple):
-    """One value of a host, with the bounds that a restored one must keep."""
+    """One value of a host, with the bounds for a restored value."""
 
-    name: str  # in the snapshot
-    attribute: str  # of `HostState`
+    name: str  # name in the snapshot
+    attribute: str  # name of the attribute of `HostState`
     lowest: float
-    highest: float  # of a time: counted from now
+    highest: float  # for a time, relative to the current time
 
     is_time: bool = False
 
     def accepts(self, value: object, now: int) -> TypeGuard[float]:
-        """Whether the value can be used at the time `now`."""
+        """Returns whether the value can be used at the time `now`."""
         latest = now + CLOCK_SLACK_US + self.highest if self.is_time else self.highest
         return is_number_between(value, self.lowest, latest)
 
@@ -72,7 +72,7 @@
 
 
 def export_snapshot(balancer: Balancer) -> Snapshot:
-    """Everything that a successor can use of what this balancer knows."""
+    """Returns the state of this balancer that a successor can use."""
     admission = balancer.admission
     return {
         "hosts": {host.id: _export_host(host) for host in balancer.hosts.values()},
@@ -83,17 +83,17 @@
 
 
 def restore_snapshot(balancer: Balancer, snapshot: object) -> int:
-    """Takes over what another process exported, as far as it can be used.
+    """Restores the usable values of a snapshot that another process exported.
 
-    A host that has started since is left as it is: what was known of it was of its process before.
-    Ranges are taken only as a whole, where they are of the same caches.
+    A host that has restarted since the export is skipped, as its values describe its previous
+    process. Ranges are restored only as a whole, if they are for the same caches.
 
     Args:
-        balancer: Whose records are filled. Its `now` must be set.
-        snapshot: A `Snapshot` as it was decoded, of any form.
+        balancer: The balancer to restore. Its `now` must be set.
+        snapshot: A decoded `Snapshot`; it may have any form.
 
     Returns:
-        Of how many hosts anything was taken.
+        The number of hosts that matched the snapshot.
     """
     if not isinstance(snapshot, Mapping):
         return 0
@@ -111,14 +111,14 @@
         if is_number_between(range_size, 0, SLOT_COUNT):
             range_sizes[host.id] = int(range_size)
         restored_count += 1
-    balancer.placement.slow_start.on_ring_changed()  # it may be told other ends of warm-ups
+    balancer.placement.slow_start.on_ring_changed()  # ends of warm-ups may have changed
     _restore_ranges(balancer, range_sizes)
     _restore_tenants(balancer, snapshot.get("tenants"))
     return restored_count
 
 
 def is_number_between(value: object, lowest: float, highest: float) -> TypeGuard[float]:
-    """Whether the value is a finite number within bounds, both included.
+    """Returns whether the value is a finite number within bounds, both inclusive.
 
     >>> [is_number_between(value, 0, 2) for value in (1, 3, True, "1", float("nan"))]
     [True, False, False, False, False]
@@ -162,8 +162,8 @@
         if name not in admission.shed_ratios or not isinstance(values, list) or len(values) != 2:
             continue
         admitted, shed = values
-        if is_number_between(admitted, 0.0, MAX_ADMITTED) and is_number_between(
-            shed, 0.0, MAX_SHED
+        if is_number_between(admitted, 0.0, MAX_ADMITTED_COUNT) and is_number_between(
+            shed, 0.0, MAX_SHED_RATIO
         ):
             admission.admitted[name] = float(admitted)
             admission.shed_ratios[name] = float(shed)
--- a/orchidgap/errors.py
+++ b/orchidgap/errors.py
@@ -1,7 +1,7 @@
-"""The errors that the program raises for its callers, all below `OrchidgapError`.
+"""The exceptions that the program raises for its callers, all derived from `OrchidgapError`.
 
-Each one's text is a whole line for an operator; its fields say the same to code. This module
-imports nothing, so that every package may use it.
+The message of each is one complete line for operators; its attributes have the same information for
+code. This module imports no other module of the program, so every package may use it.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
     """
 
     def __init__(self, message: str) -> None:
-        """Keep the message."""
+        """Store the message."""
         super().__init__(message)
         self.message = message
 
 
 class ConfigError(OrchidgapError):
-    """A process can't start, or can't take a configuration, because of what it was given.
+    """A process cannot start, or cannot apply a configuration, because of invalid input.
 
     Args:
         message: The line that is printed.
-        location: The file, folder or address that can't be used, where it is one.
-        key: The key of the configuration that is wrong or missing, where it is one.
-        expected: What would have been right, where that can be said.
+        location: The file, folder or address that cannot be used, empty if not applicable.
+        key: The key of the configuration that is invalid or missing, empty if not applicable.
+        expected: A description of a valid value, empty if there is none.
     """
 
     def __init__(
@@ -43,19 +43,19 @@
 
 
 class SettingError(OrchidgapError, LookupError):
-    """A setting is missing or can't have the value that it has.
+    """A setting is missing or has an invalid value.
 
     Args:
         message: The line that is printed.
         setting: The setting's path, such as `rule-sets.0.client-timeout`.
-        value: What it is; None where it is missing.
-        expected: What would have been right, where that can be said.
+        value: The invalid value; None if the setting is missing.
+        expected: A description of a valid value, empty if there is none.
     """
 
     def __init__(
         self, message: str, *, setting: str = "", value: object = None, expected: str = ""
     ) -> None:
-        """Keep what failed, what it is, and what was expected."""
+        """Store the message, the setting, its value and what was expected."""
         super().__init__(message)
         self.setting = setting
         self.value = value
@@ -63,7 +63,7 @@
 
     @classmethod
     def missing(cls, setting: str) -> SettingError:
-        """The error for a setting that has to be given and is not.
+        """Create the error for a required setting that is missing.
 
         >>> SettingError.missing("rule-sets.count")
         SettingError('setting rule-sets.count is missing')
@@ -73,7 +73,7 @@
 
     @classmethod
     def unusable(cls, setting: str, value: str, expected: str) -> SettingError:
-        """The error for a setting whose value cannot be used.
+        """Create the error for a setting with an invalid value.
 
         >>> SettingError.unusable("instances", "-1", "must not be under 0")
         SettingError('setting instances is -1, and must not be under 0')
@@ -83,30 +83,30 @@
 
 
 class CorruptFileError(OrchidgapError):
-    """A stored file is there, and its content isn't what was written.
+    """A stored file exists, but its content is not what was written.
 
     Args:
-        path: The file.
-        expected: What a sound file has.
+        path: The path of the file.
+        expected: A description of a valid file.
     """
 
     def __init__(
         self, path: PathLike[str], expected: str = "content that matches the digest before it"
     ) -> None:
-        """Keep the file and what was expected."""
-        super().__init__(f"{path} is damaged or cut off")
+        """Store the path and what was expected."""
+        super().__init__(f"{path} is corrupt or truncated")
         self.path = path
         self.expected = expected
 
 
 class ScenarioError(OrchidgapError):
-    """A simulation's or fault test's plan can't be played.
+    """The plan of a simulation or fault test cannot be run.
 
     Args:
         message: The line that is printed.
-        location: The plan's file, where it is known.
-        key: The key or step of the plan that is wrong, where it is one.
-        expected: What would have been right, where that can be said.
+        location: The plan's file, empty if not known.
+        key: The key or step of the plan that is invalid, empty if not applicable.
+        expected: A description of a valid value, empty if there is none.
     """
 
     def __init__(
--- a/tests/decisions/test_config_compatibility.py
+++ b/tests/decisions/test_config_compatibility.py
@@ -1,4 +1,4 @@
-"""Which configuration may follow which."""
+"""Tests of which configuration may replace another one in a running process."""
 
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
@@ -29,36 +29,36 @@
 
 @settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(TREES)
-def test_a_configuration_may_follow_itself(tree):
+def test_a_configuration_is_compatible_with_itself(tree):
     assert find_incompatibility(shape_of(tree), shape_of(tree), empty_lists(tree)) == ""
 
 
 @settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(TREES, LEAVES)
-def test_a_key_may_be_added_and_then_not_be_left_out(tree, value):
-    """Somebody adds a key that nothing had before; the file after that lacks it again."""
+def test_a_key_may_be_added_and_must_then_be_kept(tree, value):
+    """A configuration adds a new key, and the configuration after it lacks that key again."""
     with_key = tree | {"new": value}
     assert find_incompatibility(shape_of(tree), shape_of(with_key), empty_lists(with_key)) == ""
-    told = find_incompatibility(shape_of(with_key), shape_of(tree), empty_lists(tree))
-    assert told == "new is missing"
+    reason = find_incompatibility(shape_of(with_key), shape_of(tree), empty_lists(tree))
+    assert reason == "new is missing"
 
 
 @settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(TREES, st.integers(), st.text())
-def test_a_value_stays_of_its_kind(tree, number, text):
-    """A number becomes a text, as by a pair of quotes too many."""
-    told = find_incompatibility(shape_of({"new": number}), shape_of(tree | {"new": text}))
-    assert told == "new is a text, where a number was"
+def test_a_value_must_keep_its_kind(tree, number, text):
+    """A number becomes a string, for example by mistaken quotes."""
+    reason = find_incompatibility(shape_of({"new": number}), shape_of(tree | {"new": text}))
+    assert reason == "new is a text, where a number was"
 
 
 @settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(TREES, st.sampled_from(sorted(OPTIONAL_KEYS)))
-def test_what_describes_a_moment_may_be_left_out(tree, name):
+def test_optional_keys_may_be_left_out(tree, name):
     without = {key: value for key, value in tree.items() if key != name}
     assert find_incompatibility(shape_of(tree), shape_of(without), empty_lists(without)) == ""
 
 
-def test_a_list_that_becomes_empty_is_no_lack_of_its_items_keys():
+def test_keys_of_items_may_be_missing_if_their_list_becomes_empty():
     old = shape_of({"hosts": [{"name": "x"}]})
     emptied = {"hosts": []}
     assert find_incompatibility(old, shape_of(emptied)) == "hosts.*.name is missing"
--- a/tests/decisions/test_connection_demand.py
+++ b/tests/decisions/test_connection_demand.py
@@ -1,4 +1,4 @@
-"""Connections are kept for what was needed lately, and given back to the host after that."""
+"""Tests that as many connections are kept as were needed recently, and no more than that."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,13 +10,13 @@
     st.lists(st.tuples(st.integers(0, 3 * WINDOW_US), st.integers(1, 50)), max_size=30),
     st.integers(0, 5 * WINDOW_US),
 )
-def test_what_was_needed_in_the_last_window_is_kept_and_nothing_from_before_two(uses, after):
-    demand, now, seen = ConnectionDemand(0), 0, []
+def test_demand_of_the_last_window_is_kept_and_demand_before_the_last_two_is_not(uses, after):
+    demand, now, recorded = ConnectionDemand(0), 0, []
     for wait, in_use in uses:
         now += wait
         demand.record(now, in_use)
-        seen.append((now, in_use))
+        recorded.append((now, in_use))
     now += after
-    recent = [in_use for at, in_use in seen if now - at < WINDOW_US]
-    possible = [in_use for at, in_use in seen if now - at < 2 * WINDOW_US]
+    recent = [in_use for at, in_use in recorded if now - at < WINDOW_US]
+    possible = [in_use for at, in_use in recorded if now - at < 2 * WINDOW_US]
     assert max([1, *recent]) <= demand.worth_keeping(now) <= max([1, *possible])
--- a/tests/decisions/test_load_skew.py
+++ b/tests/decisions/test_load_skew.py
@@ -1,4 +1,4 @@
-"""The measures of evenness against plain counts, and against what independent arrivals are."""
+"""Tests of the evenness measures against simple counts and against independent arrivals."""
 
 from random import Random
 
@@ -16,7 +16,7 @@
 
 
 @given(st.lists(st.floats(0, 9), min_size=1, max_size=40), st.integers(1, 12))
-def test_no_ranges_do_better_than_the_best_peak_ratio(loads, parts):
+def test_best_peak_ratio_is_a_lower_bound_for_any_ranges(loads, parts):
     loads = [load + 0.01 for load in loads]
     best = best_peak_ratio(loads, parts)
     even = [loads[i * len(loads) // parts : (i + 1) * len(loads) // parts] for i in range(parts)]
@@ -25,10 +25,10 @@
     assert best >= max(loads) * parts / sum(loads) - 1e-3
 
 
-@settings(deadline=None)  # how long an example takes on a busy machine is no part of the check
+@settings(deadline=None)  # on a busy machine an example may exceed the default deadline
 @given(st.integers(0, 99))
-def test_independent_arrivals_are_no_herd_and_a_few_at_once_are(seed):
-    """Chance alone must not be blamed on the balancers, and a real herd must be seen."""
+def test_herd_ratio_detects_simultaneous_but_not_independent_arrivals(seed):
+    """Peaks that are due to chance must not be reported as a herd, and a real herd must be detected."""
     rng = Random(seed)
     rows = [[rng.randrange(30_000_000) for _ in range(1_000)] for _ in range(12)]
     assert herd_ratio(rows, 0, 30_000_000) < 1.5
@@ -36,12 +36,12 @@
     assert herd_ratio(rows, 0, 30_000_000) > 2.0
 
 
-def test_load_ratios_are_by_size_and_only_of_those_asked_about():
+def test_load_ratios_are_relative_to_size_and_cover_only_the_caches_given():
     ratios = load_ratios({"a": 10, "b": 20, "gone": 70}, {"a": 1.0, "b": 2.0})
     assert ratios == {"a": 1.0, "b": 1.0}
 
 
-def test_keys_kept_twice_and_reads_that_went_elsewhere():
+def test_mean_replica_count_and_moved_read_ratio():
     assert mean_replica_count([[1], [1, 2], [9]], [1, 2]) == 1.5
     assert mean_replica_count([], [1]) == 0.0
     assert moved_read_ratio([]) == 0.0
--- a/tests/decisions/test_shadow.py
+++ b/tests/decisions/test_shadow.py
@@ -1,3 +1,5 @@
+"""Tests of shadow evaluation: decisions stay those of the own settings, and differences are counted."""
+
 import pytest
 from balancer_harness import SETTINGS, BalancerHarness, RecordingPort
 
@@ -5,8 +7,8 @@
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.decisions.shadow import ShadowBalancer
 
-NOW = {"ceilings.may-duplicate": "true"}
-NEW = {
+OWN_SETTINGS = {"ceilings.may-duplicate": "true"}
+OTHER_SETTINGS = {
     "ceilings.may-duplicate": "false",
     "weights": "rough",
     "report.how": "inline",
@@ -15,12 +17,12 @@
 
 
 class ShadowHarness(BalancerHarness, ShadowBalancer):
-    """A harness that goes by NOW and evaluates other settings beside."""
+    """A harness that decides by OWN_SETTINGS and compares with other settings."""
 
     def __init__(self, caches=4, **other):
         self.port = None
-        settings = ServiceSettings.from_pairs(SETTINGS | NOW)
-        other_settings = ServiceSettings.from_pairs(SETTINGS | NOW | other)
+        settings = ServiceSettings.from_pairs(SETTINGS | OWN_SETTINGS)
+        other_settings = ServiceSettings.from_pairs(SETTINGS | OWN_SETTINGS | other)
         ShadowBalancer.__init__(self, other_settings, settings, RecordingPort(), 7, 100_000_000)
         self.recorded = self.port.port
         self.last_request_id = 0
@@ -34,13 +36,13 @@
         ]
 
 
-def found(balancer):
-    return {kind: many for kind, many in balancer.differences.items() if many}
+def counted_differences(balancer):
+    return {kind: count for kind, count in balancer.differences.items() if count}
 
 
-def busy(balancer):
-    """The same things happen to any balancer: late, lost, failed and done attempts, reports, a drain."""
-    late(balancer)
+def run_workload(balancer):
+    """Runs the same events on any balancer: attempts with all kinds of results, load reports, a drain."""
+    overdue_attempt(balancer)
     for key in range(30):
         request = balancer.send_request(
             key, ("read", "read", "mark", "once")[key % 4], tenant=("big", "small")[key % 2]
@@ -55,114 +57,118 @@
     balancer.advance(3_000_000)
 
 
-def test_it_decides_as_the_settings_it_goes_by_and_not_otherwise():
-    plain = BalancerHarness(**NOW)
-    watching = ShadowHarness(**NEW)
-    busy(plain)
-    busy(watching)
-    assert watching.recorded.actions == plain.port.actions
-    assert found(watching) and watching.attempts_compared == len(plain.actions("dispatch"))
+def test_decisions_are_those_of_the_own_settings():
+    plain = BalancerHarness(**OWN_SETTINGS)
+    shadow = ShadowHarness(**OTHER_SETTINGS)
+    run_workload(plain)
+    run_workload(shadow)
+    assert shadow.recorded.actions == plain.port.actions
+    assert counted_differences(shadow) and shadow.attempts_compared == len(
+        plain.actions("dispatch")
+    )
 
 
-def test_the_same_settings_decide_nothing_otherwise():
+def test_equal_settings_give_no_differences():
     balancer = ShadowHarness()
-    busy(balancer)
-    assert not found(balancer) and balancer.attempts_compared > 20
+    run_workload(balancer)
+    assert not counted_differences(balancer) and balancer.attempts_compared > 20
 
 
-def silent(balancer):
+def silent_host(balancer):
     balancer.send_request()
     balancer.advance(500_000)
 
 
-def late(balancer):
+def overdue_attempt(balancer):
     host = balancer.hosts[balancer.attempted_hosts(balancer.send_request())[0]]
     host.last_response_at_us, host.smoothed_latency_us = (
         balancer.now + 1,
         100_000,
-    )  # it answers others meanwhile, and is crowded
+    )  # the host keeps answering other requests, slowly
     balancer.advance(500_000)
 
 
-def lost(balancer):
+def hedged_attempt(balancer):
     request = balancer.send_request()
     balancer.hosts[balancer.attempted_hosts(request)[0]].last_response_at_us = balancer.now + 1
     balancer.advance(500_000)
     assert len(balancer.attempted_hosts(request)) == 2
 
 
-def failed(balancer):
+def failed_attempt(balancer):
     balancer.finish_attempt(balancer.send_request(), "error")
 
 
-def refused(balancer):
+def denied_request(balancer):
     for host in balancer.hosts.values():
         host.ejected_until_us = balancer.now + 10_000_000
     balancer.send_request()
     assert balancer.actions("deny")
 
 
-def reported(balancer):
-    for id, held in (("c0", 1.0), ("c1", 1.0), ("c2", 1.0), ("c3", 50.0), ("o", 900.0)):
-        balancer.on_load_report(id, None, held)
+def load_reports(balancer):
+    for id, in_flight in (("c0", 1.0), ("c1", 1.0), ("c2", 1.0), ("c3", 50.0), ("o", 900.0)):
+        balancer.on_load_report(id, None, in_flight)
 
 
-def sized(balancer):
+def listed_weight(balancer):
     balancer.on_hosts("changes", [("c0", "up", 0, "z", "cache", "1", 9.0)])
     for key in range(20):
         balancer.owner_of_key(key)
 
 
 @pytest.mark.parametrize(
-    ("act", "other", "kinds"),
+    ("run_event", "other", "kinds"),
     [
-        (late, {"ceilings.may-duplicate": "false"}, {"call-off": 1}),
-        (late, {"ceilings.may-duplicate": "false", "ceilings.may-cancel": "false"}, {}),
-        (silent, {"ceilings.may-duplicate": "false"}, {}),  # it is called off either way
-        (silent, {"ceilings.may-cancel": "false"}, {"call-off": 1}),
-        (lost, {"ceilings.may-duplicate": "false"}, {"copy": 1}),
-        (failed, {"ceilings.most-dispatches": "1"}, {"repeat": 1}),
-        (failed, {"ceilings.most-dispatches": "2"}, {}),
-        (failed, {"rule-sets.0.effect": "fragile"}, {"repeat": 1}),
-        (refused, {"ceilings.retry-after": "false"}, {"pause": 1}),
-        (refused, {"rule-sets.0.effect": "fragile"}, {}),  # it has not run
-        (reported, {"report.how": "inline", "report.fields": "concurrent,tps"}, {"limit": 1}),
-        (reported, {"report.how": "on_probe", "report.fields": "concurrent"}, {}),
-        (sized, {"weights": "live"}, {}),
+        (overdue_attempt, {"ceilings.may-duplicate": "false"}, {"call-off": 1}),
+        (overdue_attempt, {"ceilings.may-duplicate": "false", "ceilings.may-cancel": "false"}, {}),
+        (silent_host, {"ceilings.may-duplicate": "false"}, {}),  # cancelled either way
+        (silent_host, {"ceilings.may-cancel": "false"}, {"call-off": 1}),
+        (hedged_attempt, {"ceilings.may-duplicate": "false"}, {"copy": 1}),
+        (failed_attempt, {"ceilings.most-dispatches": "1"}, {"repeat": 1}),
+        (failed_attempt, {"ceilings.most-dispatches": "2"}, {}),
+        (failed_attempt, {"rule-sets.0.effect": "fragile"}, {"repeat": 1}),
+        (denied_request, {"ceilings.retry-after": "false"}, {"pause": 1}),
+        (denied_request, {"rule-sets.0.effect": "fragile"}, {}),  # not executed yet
+        (load_reports, {"report.how": "inline", "report.fields": "concurrent,tps"}, {"limit": 1}),
+        (load_reports, {"report.how": "on_probe", "report.fields": "concurrent"}, {}),
+        (listed_weight, {"weights": "live"}, {}),
     ],
 )
-def test_each_kind_is_counted_where_it_differs(act, other, kinds):
+def test_each_kind_of_difference_is_counted(run_event, other, kinds):
     balancer = ShadowHarness(**other)
-    act(balancer)
-    assert found(balancer) == kinds
+    run_event(balancer)
+    assert counted_differences(balancer) == kinds
 
 
-def test_other_sizes_make_other_owners():
+def test_other_weights_give_other_owners():
     balancer = ShadowHarness(weights="rough")
-    sized(balancer)
-    assert 0 < found(balancer)["owner"] < 20
+    listed_weight(balancer)
+    assert 0 < counted_differences(balancer)["owner"] < 20
     assert balancer.summary().startswith("20 dispatches, owner ")
 
 
-def test_after_new_settings_open_requests_are_looked_at_by_their_own():
+def test_open_requests_keep_their_class_after_new_settings():
     balancer = ShadowHarness(**{"rule-sets.0.effect": "fragile"})
     request = balancer.send_request()
     balancer.on_settings(
-        ServiceSettings.from_pairs(SETTINGS | NOW | {"rule-sets.0.response-target": "700000"})
+        ServiceSettings.from_pairs(
+            SETTINGS | OWN_SETTINGS | {"rule-sets.0.response-target": "700000"}
+        )
     )
     balancer.finish_attempt(request, "error")
-    assert not found(balancer) and isinstance(balancer, Balancer)
+    assert not counted_differences(balancer) and isinstance(balancer, Balancer)
 
 
-def test_it_says_once_a_minute_what_it_counted_and_only_news():
-    balancer = ShadowHarness(**NEW)
-    late(balancer)
+def test_counts_are_logged_once_a_minute_if_they_changed():
+    balancer = ShadowHarness(**OTHER_SETTINGS)
+    overdue_attempt(balancer)
     balancer.advance(61_000_000)
-    said = [
+    lines = [
         line
         for (line,) in balancer.actions("log")
         if line.startswith("watched so far: 1 dispatches")
     ]
-    assert len(said) == 1 and "call-off 1" in said[0]
+    assert len(lines) == 1 and "call-off 1" in lines[0]
     balancer.advance(200_000_000)
     assert len([line for (line,) in balancer.actions("log") if line.startswith("watched")]) == 1
--- a/tests/decisions/test_warm_snapshot.py
+++ b/tests/decisions/test_warm_snapshot.py
@@ -1,4 +1,4 @@
-"""A successor begins with what its predecessor knew, and nothing in a snapshot can break what is decided."""
+"""Tests of the warm-restart snapshot: a successor restores it, and no content can break its decisions."""
 
 import copy
 
@@ -34,8 +34,8 @@
     return balancer
 
 
-def test_a_snapshot_is_restored_whole_by_way_of_json():
-    """A restart must not empty limits and latencies: hosts would be flooded until they are learnt anew."""
+def test_a_snapshot_is_fully_restored_from_json():
+    """A restart must not reset limits and latencies: hosts would be overloaded until they are learnt again."""
     old, new = balancer_with_history(), BalancerHarness(3)
     assert restore_snapshot(new, orjson.loads(orjson.dumps(export_snapshot(old)))) == 4
     assert (
@@ -48,8 +48,9 @@
     )
 
 
-def test_a_host_that_started_since_is_left_as_it_is_and_ranges_of_other_caches_are_not_taken():
-    """A cache restarts, or joins, while the balancer is replaced: what was known is of another one."""
+def test_values_of_a_restarted_host_and_ranges_of_other_caches_are_not_restored():
+    """A cache restarts, or joins, while the balancer is replaced. The exported values are those of another
+    process, or the ranges those of another set of caches."""
     old, new = balancer_with_history(), BalancerHarness(3)
     new.list_hosts(["c1"], since=77)
     before = new.placement.ranges.range_ends[:]
@@ -81,8 +82,8 @@
         {"hosts": {}, "tenants": {"big": 7, "small": [1], "none": [1.0, 1.0]}},
     ],
 )
-def test_what_makes_no_sense_changes_nothing(snapshot):
-    """A predecessor of another version says something else. The successor keeps what it has."""
+def test_an_invalid_snapshot_changes_nothing(snapshot):
+    """A predecessor of another version sends other content. The successor keeps its own state."""
     balancer = balancer_with_history()
     before = copy.deepcopy(export_snapshot(balancer))
     assert restore_snapshot(balancer, snapshot) == 0 and export_snapshot(balancer) == before
@@ -101,7 +102,7 @@
 
 @settings(
     deadline=None, suppress_health_check=[HealthCheck.too_slow]
-)  # a busy machine is no verdict
+)  # examples may be slow on a busy machine
 @given(
     st.dictionaries(
         st.sampled_from(["c0", "c1", "c2", "o", "x"]),
@@ -112,8 +113,8 @@
         st.sampled_from(["big", "small", "x"]), st.lists(VALUE, max_size=3), max_size=3
     ),
 )
-def test_no_value_can_break_what_is_decided(hosts, tenants):
-    """A predecessor with a defect says anything. No request may hang or fail for that."""
+def test_no_restored_value_can_break_decisions(hosts, tenants):
+    """A defective predecessor sends arbitrary values. No request may hang or fail because of them."""
     balancer = BalancerHarness(3)
     for fields in hosts.values():
         if fields.get("since", 0) in (None, 0):
--- a/tests/peers/test_gossip_transport.py
+++ b/tests/peers/test_gossip_transport.py
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "message"),
+    ("part", "error_text"),
     [
         (7, "pool must be an object with listen, peers and key"),
         (
@@ -185,7 +185,7 @@
         ),
     ],
 )
-def test_an_invalid_gossip_section_is_reported_on_one_line(part, message):
+def test_an_invalid_gossip_section_is_reported_on_one_line(part, error_text):
     """The configuration's section for gossip has a mistake."""
     config = {
         "name": "n",
@@ -196,7 +196,7 @@
     }
     with pytest.raises(ConfigError, match="the file: ") as caught:
         parse(orjson.dumps(config), "the file")
-    assert message in str(caught.value) and "\n" not in str(caught.value)
+    assert error_text in str(caught.value) and "\n" not in str(caught.value)
 
 
 def test_two_processes_of_one_balancer_share_an_address_during_a_handover():
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""What is raised for a caller says what failed, where and what was expected, and prints as one line."""
+"""Tests that exceptions have attributes for what failed and what was expected, and print as one line."""
 
 from pathlib import Path
 
@@ -20,12 +20,12 @@
     assert error.expected == "a name"
 
 
-def test_a_bad_setting_can_be_caught_like_a_key_that_is_not_there():
+def test_a_setting_error_can_be_caught_as_a_lookup_error():
     with pytest.raises(LookupError) as caught:
         raise SettingError("setting a is 0", setting="a", value=0, expected="over 0")
     assert (caught.value.setting, caught.value.value) == ("a", 0)
 
 
-def test_a_corrupt_file_is_named():
+def test_a_corrupt_file_error_names_the_file():
     error = CorruptFileError(Path("/x/register"))
-    assert str(error) == "/x/register is damaged or cut off" and error.path == Path("/x/register")
+    assert str(error) == "/x/register is corrupt or truncated" and error.path == Path("/x/register")
