--- a/orchidgap/arguments.py
+++ b/orchidgap/arguments.py
@@ -34,8 +34,9 @@
             settings would have taken differently) or counts (how connections and requests started and ended).
             Exit code 1 on FAILURE.
   control   Run a control process, which stores the version of policy in force; --new starts without one.
-  change    Check or propose a new version of policy; show which version each balancer runs and which balancers a
-            decision waits for; strike: remove a balancer by name that will not return.
+  change    Check a new version of policy, or propose it and wait for the decision; show which version each
+            balancer runs and which balancers a decision waits for; strike: remove a balancer by name that will
+            not return.
             propose: exit code 0 decided, 2 nowhere (dropped), 3 not known yet (repeat the call to find out).
   drill     Start real processes, inject faults between them, and check what clients observed; the last line is
             the verdict.
--- a/orchidgap/commands.py
+++ b/orchidgap/commands.py
@@ -112,8 +112,7 @@
             admin_address = config.read(path or os.environ.get("GW_CONFIG")).admin
             if admin_address is None:
                 return (
-                    "orchidgap: no operators' address: "
-                    "give --addr, or admin_addr in the configuration"
+                    "orchidgap: no admin address: give --addr, or admin_addr in the configuration"
                 )
             target = admin_address
         answer = client.call(target, call)
--- a/orchidgap/decisions/gossip_counts.py
+++ b/orchidgap/decisions/gossip_counts.py
@@ -41,8 +41,8 @@
 MAX_SINGLE_LOOKUPS = 16  # key lookups between two ticks; after that the sums of all keys are built
 MAX_REPORTED_KEYS = 24
 NEVER_US = -1  # differs from every time of a balancer's clock
-# At each tick one in this many of the balancers that could rebalance does so, on average: two that
-# rebalance at the same time would set different tables.
+# At each tick, a balancer that could rebalance does so with probability 1 / (this * number of
+# balancers): two that rebalance at the same time would set different tables.
 REBALANCE_CHANCE_DIVISOR = 4
 
 
--- a/orchidgap/decisions/lease_state.py
+++ b/orchidgap/decisions/lease_state.py
@@ -6,9 +6,9 @@
 
     | phase    | event                               | next phase | effect                         |
     | -------- | ----------------------------------- | ---------- | ------------------------------ |
-    | none     | a proposal is chosen and is valid   | writing    | the balancer keeps serving     |
+    | none     | a proposal is chosen and checked    | writing    | the balancer keeps serving     |
     | writing  | the proposal is durable             | promised   | control is notified            |
-    | writing  | it is not valid, or a write failed  | none       | control is sent the reason     |
+    | writing  | it is invalid, or its write failed  | none       | control is sent the reason     |
     | any      | it is no longer proposed            | none       | the stored one has no effect   |
     | any      | a higher version is adopted         | none       | a lease under that version     |
 
--- a/orchidgap/decisions/leases.py
+++ b/orchidgap/decisions/leases.py
@@ -9,7 +9,7 @@
     | -------- | -------------------------------------------------- | --------------------------- |
     | unknown  | heartbeat, prepared for any pending decision       | known, with a lease         |
     | unknown  | heartbeat, not prepared for the pending decision   | known, without a lease      |
-    | known    | heartbeat, receives answers and is prepared        | the lease is renewed        |
+    | known    | heartbeat, receives answers and is prepared        | known, with a new lease     |
     | known    | heartbeat, receives no answers or is not prepared  | the lease is left to expire |
     | known    | `deregister`                                       | unknown                     |
     | no lease | no heartbeat for `FORGET_AFTER_US`, or table full  | unknown                     |
@@ -64,7 +64,10 @@
     lease_expires_at_us: int
 
     def is_prepared(self, proposal_number: int, version: int) -> bool:
-        """Return whether this proposal may be decided as this version without waiting for it."""
+        """Return whether a decision of this proposal as this version need not wait for it.
+
+        It has promised the proposal, or runs this version or a higher one already.
+        """
         return self.promised_proposal == proposal_number or self.version >= version
 
 
--- a/orchidgap/decisions/lifecycle.py
+++ b/orchidgap/decisions/lifecycle.py
@@ -53,7 +53,7 @@
     DRAIN = "drain"  # an operator requests a drain
     EMPTY = "empty"  # during a drain, the last client has disconnected
     RESUME = "resume"  # an operator ends the drain
-    SHUT_DOWN = "shut down"  # a signal tells the process to exit
+    SHUT_DOWN = "shut down"  # a signal requests the process to exit
 
 
 class StateRules(NamedTuple):
--- a/orchidgap/errors.py
+++ b/orchidgap/errors.py
@@ -69,7 +69,7 @@
         SettingError('setting rule-sets.count is missing')
         """
         message = f"setting {setting} is missing"
-        return cls(message, setting=setting, expected="must be given")
+        return cls(message, setting=setting, expected="is required")
 
     @classmethod
     def unusable(cls, setting: str, value: str, expected: str) -> SettingError:
--- a/orchidgap/peers/gossip_codec.py
+++ b/orchidgap/peers/gossip_codec.py
@@ -166,7 +166,7 @@
     """
     name, incarnation, sequence, age_us, ring_digest, version, attempts, reads, keys = message
     number, author = version
-    if not _is_name(name) or not name or not _is_name(author):
+    if not _is_name_or_empty(name) or not name or not _is_name_or_empty(author):
         raise ValueError("invalid balancer name")
     if len(attempts) > MAX_CACHES or len(keys) > MAX_REPORTED_KEYS:
         raise ValueError("too many caches or keys")
@@ -180,13 +180,13 @@
         as_of_us=now - age_us,
         ring_digest=ring_digest,
         table_version=TableVersion(number, author),
-        attempt_counts=_whole_counts(attempts),
-        read_count=_bounded(reads),
+        attempt_counts=_integer_counts(attempts),
+        read_count=_bounded_count(reads),
         hot_key_counts=_key_counts(keys),
     )
 
 
-def _whole_counts(values: Any) -> list[int]:
+def _integer_counts(values: Any) -> list[int]:
     """Returns a list of counts as integers. Raises ValueError if a count is not valid."""
     _check_bounds(values, MAX_COUNT)
     return list(map(int, values))
@@ -207,11 +207,11 @@
         raise ValueError("count is out of bounds")
 
 
-def _is_name(value: Any) -> bool:
+def _is_name_or_empty(value: Any) -> bool:
     return isinstance(value, str) and len(value) <= MAX_NAME_LENGTH
 
 
-def _bounded(value: Any, highest: float = MAX_COUNT) -> float:
+def _bounded_count(value: Any, highest: float = MAX_COUNT) -> float:
     is_number = type(value) in (int, float)  # excludes bool
     if not is_number or not 0 <= value <= highest:
         raise ValueError("count is not a number or is out of bounds")
--- a/tests/decisions/test_gossip_counts.py
+++ b/tests/decisions/test_gossip_counts.py
@@ -69,7 +69,7 @@
         }
 
 
-def count(balancer, loads):
+def add_attempts(balancer, loads):
     for host, attempts in zip(balancer.placement.ring, loads, strict=True):
         host.attempt_count += attempts
         balancer.placement.all_caches.attempt_count += attempts
@@ -81,7 +81,7 @@
     """Up to half of the datagrams are lost, and no balancer has counted enough attempts to rebalance alone."""
     fleet = Fleet(balancer_count, seed=seed, loss=loss)
     for balancer in fleet.balancers:  # far too few attempts for one balancer alone
-        count(
+        add_attempts(
             balancer,
             [2 * MIN_ATTEMPTS // balancer_count + 9] + [MIN_ATTEMPTS // balancer_count + 9] * 7,
         )
@@ -166,7 +166,7 @@
     for with_gossip in (False, True):
         balancer = BalancerHarness(4)
         member = GossipCounts("b0", 1, balancer.placement, Random(1), balancer.now)
-        count(balancer, [200, 100, 50, 50])
+        add_attempts(balancer, [200, 100, 50, 50])
         for _ in range(12):
             balancer.advance(ROUND_US)
             if with_gossip:
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -34,8 +34,8 @@
 
 def test_a_promise_is_valid_for_one_proposal_number_only():
     """A balancer that serves without a quorum has promised a proposal. The proposal is dropped, and the same
-    change is proposed again. It needs a new promise; else it could be decided without the balancer's
-    knowledge."""
+    change is proposed again. It needs a new promise: without one it could be decided without the
+    balancer's knowledge."""
     table = LeaseTable(1_000_000, -2_000_000)
     table.on_heartbeat(LeaseHolder("b", "1", "stay", 0, 1, 0, "", 0, 0), 0)
     value = register_member(propose(INITIAL_STATE, "x", {}), "b", "1")
--- a/tests/state/test_durable_store.py
+++ b/tests/state/test_durable_store.py
@@ -92,7 +92,7 @@
     assert synced == [tmp_path / "x.new", tmp_path]
 
 
-def open_once_read(path):
+def open_when_read(path):
     """Opens a named pipe for writing, once another process has opened it for reading."""
     until = time.monotonic() + 10
     while True:
@@ -109,17 +109,17 @@
     first, second = DurableStore(tmp_path), DurableStore(tmp_path)
     assert first.lock() and not second.lock()
     writer = BackgroundWriter(Loop(), first)
-    gates = [tmp_path / "gate"]
-    os.mkfifo(gates[0])
+    pipes = [tmp_path / "pipe"]
+    os.mkfifo(pipes[0])
     first.sync = lambda fd: (
-        gates and gates.pop().read_bytes()
+        pipes and pipes.pop().read_bytes()
     )  # blocks the child's sync until the pipe closes
     writer.write("x", 1, lambda error: None)
     writer.loop.run_once(0)
-    gate = open_once_read(gates[0])  # by now the child has closed the other descriptors
+    pipe = open_when_read(pipes[0])  # by now the child has closed the other descriptors
     os.close(first.lock_fd)  # as if the first process had exited
     assert not second.lock()
-    os.close(gate)
+    os.close(pipe)
     while writer.busy:
         writer.loop.run_once(10_000)
     assert second.lock()
