--- a/orchidgap/errors.py
+++ b/orchidgap/errors.py
@@ -10,7 +10,7 @@
 
 
 class OrchidgapError(Exception):
-    """Base of all errors that the program raises on purpose.
+    """Base of all exceptions that the program raises on purpose.
 
     Args:
         message: The line that is printed.
@@ -35,7 +35,7 @@
     def __init__(
         self, message: str, *, location: str = "", key: str = "", expected: str = ""
     ) -> None:
-        """Keep what failed, where, and what was expected."""
+        """Store the message, the location, the key and what was expected."""
         super().__init__(message)
         self.location = location
         self.key = key
@@ -112,7 +112,7 @@
     def __init__(
         self, message: str, *, location: str = "", key: str = "", expected: str = ""
     ) -> None:
-        """Keep what failed, where, and what was expected."""
+        """Store the message, the location, the key and what was expected."""
         super().__init__(message)
         self.location = location
         self.key = key
--- a/orchidgap/state/background_writer.py
+++ b/orchidgap/state/background_writer.py
@@ -24,7 +24,7 @@
 
 
 class BackgroundWriter:
-    """Writes one file at a time.
+    """Writes files in child processes, one at a time.
 
     A queued write replaces an earlier queued one of the same name, so that the queue does not grow
     while the disk is stalled.
--- a/orchidgap/state/durable_store.py
+++ b/orchidgap/state/durable_store.py
@@ -111,7 +111,7 @@
         finally:
             os.close(fd)
 
-    # The steps of a write.
+    # The steps of a write, one method each, so that fault tests can make a single one fail.
 
     def open_file(self, path: Path) -> int:
         """Open an empty file; return its descriptor."""
--- a/tests/peers/test_gossip_codec.py
+++ b/tests/peers/test_gossip_codec.py
@@ -50,7 +50,7 @@
     assert [*decoded.reports] == datagram.reports[: len(decoded.reports)]
 
 
-@settings(deadline=None)  # as above
+@settings(deadline=None)  # see above
 @given(st.binary(max_size=100), JSON)
 def test_random_messages_are_rejected_or_contain_no_reports(noise, message):
     """A datagram contains random bytes, or a defective balancer signs a message of another form."""
