--- a/orchidgap/decisions/balancer.py
+++ b/orchidgap/decisions/balancer.py
@@ -1,9 +1,9 @@
-"""The entry points of the decisions: what the host program calls, and what all stages share.
+"""The entry points of the decisions, called by the host program, and the state shared by stages.
 
-A host program makes one `Balancer`, sets `now` (whole microseconds) before each call, and calls
-the `on_` methods as things happen. The balancer acts through its `Port`. A request runs down the
-pipeline Admission, Coalescing, Placement, Origin, Dispatch; the outcomes of its attempts run up
-it. The rules stand in those modules and the ones that they use.
+A host program creates one `Balancer`, sets `now` (whole microseconds) before each call, and calls
+the `on_` methods when events occur. The balancer acts through its `Port`. A request passes down
+the pipeline Admission, Coalescing, Placement, Origin, Dispatch; the outcomes of its attempts pass
+up it. The rules are in those modules and the modules that they use.
 """
 
 from __future__ import annotations
@@ -35,37 +35,37 @@
 from orchidgap.decisions.slot_map import SlotMap
 
 TICK_INTERVAL_US = 500_000
-EARLY_EXPIRY_US = 20_000  # a queued request is rejected this long before its client leaves
+EARLY_EXPIRY_US = 20_000  # a queued request is rejected this long before its client's deadline
 
 
 class Balancer(RequestTable):
-    """Decides what becomes of each request; it is the `PipelineContext` of its stages.
+    """Decides how each request is handled; it is the `PipelineContext` of its stages.
 
     Attributes:
         latency_objective_us: The shortest latency objective of all request classes.
-        rng: The one source of randomness.
+        rng: The only source of randomness.
         limiter: The concurrency limits of all hosts.
-        slot_map: The owners of slots, where servers own them; the host program sets it.
-        dispatch_type: The last stage's class.
+        slot_map: The owners of slots, set by the host program if servers own their slots.
+        dispatch_type: The class of the last stage.
     """
 
     dispatch_type: type[Dispatch] = Dispatch
 
     def __init__(self, settings: ServiceSettings, port: Port, seed: int, now: int) -> None:
-        """Start without any host.
+        """Start without hosts.
 
         Args:
-            settings: What the service is set to.
+            settings: The service's settings.
             port: The host program.
-            seed: Of the random generator.
-            now: The time in microseconds.
+            seed: The seed of the random generator.
+            now: The current time in microseconds.
         """
         super().__init__(settings, port, now)
         self.rng = Random(seed)
         self.latency_objective_us = settings.latency_objective_us
         self.limiter = ConcurrencyLimiter(self)
         self.slot_map: SlotMap | None = None
-        self._subscribe_failures = 0  # in a row
+        self._subscribe_failures = 0  # consecutive ones
         self.origin = Origin(self)
         self.placement = Placement(self, self.origin)
         self.admission = Admission(self, self.placement, self.origin)
@@ -77,7 +77,7 @@
         if settings.subscribes:
             self._subscribe_within(settings.subscribe_within_us // 10)
 
-    # What the host program tells.
+    # Events that the host program reports.
 
     def on_request(
         self,
@@ -92,20 +92,20 @@
         waited_us: int = 0,
         is_client_retry: bool = False,
     ) -> None:
-        """A request has come.
+        """Handle a new request.
 
         Args:
-            request_id: A number of its own.
-            time_remaining_us: Until its client gives up.
+            request_id: A number that no other request has.
+            time_remaining_us: Time until its client stops waiting.
             is_write: Whether it is a write.
             request_class: The name of its class in the settings.
-            key: What it is for; None where it has none, and a slot is drawn.
-            tenant: Whose it is.
-            slot: The key's slot where the protocol says so; negative to hash the key.
-            body_streaming: Whether its body has yet to come whole.
-            waited_us: How long ago its last byte came: a process that was held up hears of it late,
-                and its objective runs from then.
-            is_client_retry: Whether its client has marked it as asked again.
+            key: The requested key; None if it has none, and a slot is chosen at random.
+            tenant: The name of the tenant that sent it.
+            slot: The key's slot if the protocol defines one; negative to hash the key.
+            body_streaming: Whether part of its body has yet to arrive.
+            waited_us: Time since its last byte arrived. A process that was stalled handles it
+                late, but its latency objective counts from its arrival.
+            is_client_retry: Whether its client marked it as a retry.
         """
         if slot < 0:
             slot = self.rng.randrange(SLOT_COUNT) if key is None else slot_of_key(key)
@@ -127,7 +127,7 @@
         self.admission.forward(request)
 
     def on_body_complete(self, request_id: int, time_remaining_us: int, waited_us: int = 0) -> None:
-        """The last byte of a streaming body came so long ago: the request's time runs from then."""
+        """Start the request's time: the last byte of its body arrived `waited_us` ago."""
         request = self.requests.get(request_id)
         if request is None:
             return
@@ -140,7 +140,7 @@
                 self.dispatch.start(attempt)
 
     def on_redirected(self, request_id: int, number: int, target_id: str) -> None:
-        """An attempt was redirected to another host, and has not run."""
+        """Handle a redirection to another host; the attempt was not executed."""
         request = self.requests.get(request_id)
         if request is not None:
             request.redirects += 1
@@ -148,7 +148,7 @@
             self.on_outcome(request_id, number, AttemptOutcome.REDIRECTED, False)
 
     def on_response_truncated(self, host_id: str) -> None:
-        """An answer that had begun to reach its client broke off."""
+        """Handle an answer that broke off after a part of it was sent to the client."""
         host = self.hosts.get(host_id)
         if host is not None:
             forfeit_retry_budget(host)
@@ -156,7 +156,7 @@
     def on_load_report(
         self, host_id: str, request_rate: float | None, in_flight: float | None = None
     ) -> None:
-        """A host told of its requests a second and of attempts that it holds, or of one of them."""
+        """Record a load report: requests per second, attempts in flight at the host, or both."""
         host = self.hosts.get(host_id)
         if host is None:
             return
@@ -166,9 +166,9 @@
             self.placement.load_reports.record(host, in_flight)
 
     def on_settings(self, settings: ServiceSettings) -> None:
-        """Follow new settings at once; open requests keep their class and number of attempts.
+        """Apply new settings at once; open requests keep their class and maximum of attempts.
 
-        Hedging, cancelling and the time to come back follow the new settings for open requests too.
+        Hedging, cancellation and Retry-After times follow the new settings for open requests too.
         """
         super().on_settings(settings)
         self.latency_objective_us = settings.latency_objective_us
@@ -177,11 +177,11 @@
         self.drain_queues()
 
     def on_hosts(self, scope: ListScope, entries: Iterable[HostEntry]) -> None:
-        """The list of hosts has come, or calling for it failed.
+        """Apply a host list from discovery, or retry after a failed subscription.
 
         Args:
-            scope: What the list covers.
-            entries: The hosts.
+            scope: Which hosts the list covers, or that the subscription failed.
+            entries: The listed hosts.
         """
         if scope == ListScope.FAILED:
             self._subscribe_failures += 1
@@ -201,24 +201,25 @@
         self.placement.update_ring([host for host in ready if not host.is_origin])
         self.drain_queues()
 
-    # What the stages share.
+    # Operations shared by the stages.
 
     def slot_owner(self, request: Request) -> HostState | None:
-        """Whom the last redirection named, else the slot's owner as the servers told it."""
+        """Return the host that the last redirection named, else the owner in the slot map."""
         if request.redirect_target:
             return request.redirect_target
         owner_id = self.slot_map.owner(request.slot) if self.slot_map else None
         return self.hosts.get(owner_id) if owner_id else None
 
     def drain_queues(self) -> None:
-        """Send on what waits for a cache or an origin, as far as hosts have room for it."""
+        """Forward requests queued for caches and origins, as far as hosts have capacity."""
         self.placement.drain_queue()
         self.origin.drain_queue()
 
     def start_queue_timer(self, request: Request, reason: RejectionReason) -> None:
-        """The request waits; with nothing in flight it is rejected once its objective is over.
+        """Mark the request as queued, and reject it when its latency objective expires.
 
-        Or `EARLY_EXPIRY_US` before its client gives up, if that is earlier.
+        It is rejected `EARLY_EXPIRY_US` before its client's deadline if that is earlier, and in
+        either case only if none of its attempts is in flight then.
         """
         request.queued = True
         request.queue_timeout = reason
@@ -230,7 +231,7 @@
         self.reject_if_idle(request, request.queue_timeout)
 
     def close_request(self, request: Request) -> None:
-        """The request has its final answer: cancel what is in flight, and end its fetch."""
+        """Close an answered request: cancel its attempts in flight, and end its fetch."""
         if request.answered:
             return
         super().close_request(request)
@@ -247,11 +248,11 @@
         self.call_later(TICK_INTERVAL_US, self._tick)
 
     def _subscribe_within(self, delay_us: int) -> None:
-        """Ask for the list at a random time: those that start together must not ask together."""
+        """Subscribe after a random delay: balancers that start together must not do so at once."""
         self.call_later(self.rng.randrange(delay_us + 1), self.port.subscribe)
 
     def _on_host_started(self, host: HostState, started_at_us: int) -> None:
-        """A process that has just started owes nothing to the one before it."""
+        """Reset the host's state: nothing known of its previous process applies to the new one."""
         host.started_at_us = started_at_us
         self.limiter.reset(host)
         host.attempt_count = 0
--- a/orchidgap/decisions/pipeline.py
+++ b/orchidgap/decisions/pipeline.py
@@ -1,4 +1,4 @@
-"""The pipeline that a request runs down, and what its stages share. Nothing is decided here."""
+"""The interface of pipeline stages and the context that they share; it holds no rules."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class PipelineContext(RuleContext, Protocol):
-    """What the stages share, beside the time, settings and randomness.
+    """The context shared by all stages, in addition to the time, settings and randomness.
 
     Attributes:
         port: The host program.
         limiter: The concurrency limits of all hosts.
-        slot_map: The owners of slots, where servers own them; else None.
+        slot_map: The owners of slots if servers own their slots, else None.
     """
 
     port: Port
@@ -28,36 +28,36 @@
     slot_map: SlotMap | None
 
     def call_later(self, delay_us: int, action: Callable[..., None], *arguments: object) -> None:
-        """Call the action with these arguments once the delay is over."""
+        """Call the action with these arguments after the delay."""
 
     def start_queue_timer(self, request: Request, reason: RejectionReason) -> None:
-        """Mark the request as waiting, and have it given up in time, for this reason."""
+        """Mark the request as queued, and reject it for this reason when its time expires."""
 
     def drain_queues(self) -> None:
-        """Send on what waits, as far as hosts have room for it."""
+        """Forward queued requests, as far as hosts have capacity."""
 
     def slot_owner(self, request: Request) -> HostState | None:
-        """Whom the servers name as the owner of the request's slot."""
+        """Return the owner of the request's slot according to the servers."""
 
     def may_retry(self, request: Request, host: HostState) -> bool:
-        """Whether the request may have one more attempt, at this host (`retry_policy`)."""
+        """Return whether the request may have one more attempt, at this host (`retry_policy`)."""
 
     def reject(self, request: Request, reason: RejectionReason) -> None:
-        """Give the request up, with its final answer (`request_table` has the reasons)."""
+        """Reject the request with its final answer (`request_table` lists the reasons)."""
 
     def reject_if_idle(self, request: Request, reason: RejectionReason) -> None:
-        """Give the request up, unless it is answered or an attempt of it is in flight."""
+        """Reject the request, unless it is answered or one of its attempts is in flight."""
 
 
 class Stage:
     """One step of the pipeline: passes requests down and outcomes of attempts up.
 
     Attributes:
-        context: What all stages share.
-        queue: Requests that wait here for a host, the next one first.
-        queue_timeout: Why those are given up that wait here until their time is over.
-        next_stage: Where requests go on.
-        previous_stage: Where outcomes go on.
+        context: The context shared by all stages.
+        queue: Requests that wait in this stage for a host, the next one first.
+        queue_timeout: The reason recorded for requests that time out in this queue.
+        next_stage: The stage below, which receives requests.
+        previous_stage: The stage above, which receives outcomes.
     """
 
     next_stage: Stage
@@ -65,24 +65,24 @@
     queue_timeout = RejectionReason.CACHE_QUEUE_TIMEOUT
 
     def __init__(self, context: PipelineContext) -> None:
-        """Start with nothing queued."""
+        """Start with an empty queue."""
         self.context = context
         self.queue: deque[Request] = deque()
 
     def forward(self, request: Request, host: HostState | None = None) -> None:
-        """Act on a request from above, which may be meant for this host, and pass it down."""
+        """Handle a request from above, with the host chosen for it, if any; pass it down."""
         self.next_stage.forward(request, host)
 
     def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
-        """Act on the outcome of an attempt from below, and pass it up."""
+        """Handle the outcome of an attempt from below, and pass it up."""
         self.previous_stage.on_attempt_done(request, attempt)
 
     def choose_host(self, request: Request) -> HostState | None:
-        """The host that the request should go to now; None where it has to wait."""
+        """Return the host to send the request to now; None if it has to wait."""
         raise NotImplementedError
 
     def enqueue(self, request: Request, first: bool = False) -> None:
-        """Have the request wait here for a host, at the end of the queue or before all others."""
+        """Queue the request until a host has capacity, at the end or before all others."""
         if first:
             self.queue.appendleft(request)
         else:
@@ -90,7 +90,7 @@
         self.context.start_queue_timer(request, self.queue_timeout)
 
     def drain_queue(self) -> None:
-        """Send on what waits, the oldest first, as long as `choose_host` finds a host."""
+        """Forward queued requests, the oldest first, while `choose_host` finds a host."""
         while self.queue:
             request = self.queue[0]
             if request.answered:
@@ -103,8 +103,9 @@
             self.next_stage.forward(request, host)
 
     def oldest_wait_us(self) -> int:
-        """How long ago the decisions heard of the first request in the queue without an answer; 0
-        where there is none. What it waited before says nothing of hosts.
+        """Return the time since the first unanswered request in the queue was handled, else 0.
+
+        Time that it waited before the decisions received it does not depend on hosts.
         """
         for request in self.queue:
             if not request.answered:
@@ -113,7 +114,7 @@
 
 
 def connect_stages(*stages: Stage) -> None:
-    """Join the stages to one pipeline, the first one above."""
+    """Connect the stages to one pipeline, from the first stage to the last."""
     for above, below in pairwise(stages):
         above.next_stage = below
         below.previous_stage = above
--- a/orchidgap/decisions/ports.py
+++ b/orchidgap/decisions/ports.py
@@ -1,7 +1,6 @@
-"""The interfaces between the decisions and the program around them.
+"""The interfaces between the decisions and the host program, which may use any protocol.
 
-The program may speak any protocol. Times are whole microseconds. Ids of requests and hosts are
-passed back exactly as they were given.
+Times are whole microseconds. The ids of requests and hosts are passed back unchanged.
 """
 
 from __future__ import annotations
@@ -13,16 +12,16 @@
 
 
 class Port(Protocol):
-    """What the decisions ask the host program to do."""
+    """The operations that the decisions request of the host program."""
 
     def dispatch(self, request: int, host: str) -> None:
-        """Send the request to a host; its attempts are numbered from 0 in this order."""
+        """Send the request to a host; its attempts are numbered from 0 in the order of calls."""
 
     def deny(self, request: int, retry_after_us: int) -> None:
-        """Final answer: the client's own retry is harmless, best after this time (0: no advice)."""
+        """Give the final answer that a retry is harmless, best after this time (0: no advice)."""
 
     def abort(self, request: int) -> None:
-        """Final answer: it failed and may have run, so that a retry could run it twice."""
+        """Give the final answer that it failed and was possibly executed: a retry may repeat it."""
 
     def cancel(self, request: int, number: int) -> None:
         """Stop waiting for one attempt of the request."""
@@ -31,18 +30,18 @@
         """Call `on_wake` with the token after the delay."""
 
     def subscribe(self) -> None:
-        """Ask for the host list and all later changes to it."""
+        """Subscribe to the host list and all later changes to it."""
 
     def log(self, line: str) -> None:
         """Write one line for the operators."""
 
 
 class RuleContext(Protocol):
-    """What every rule reads: the time, the settings and the one source of randomness.
+    """The context of every rule: the time, the settings and the only source of randomness.
 
     Attributes:
-        now: The time in microseconds.
-        settings: What the service is set to.
+        now: The current time in microseconds.
+        settings: The service's settings.
         latency_objective_us: The shortest latency objective of all request classes.
         rng: The random generator. The order of draws is part of the simulator's trace.
     """
--- a/orchidgap/decisions/records.py
+++ b/orchidgap/decisions/records.py
@@ -1,6 +1,6 @@
-"""What the decisions keep of hosts, requests and attempts. Nothing is decided here.
+"""The state that the decisions keep of hosts, requests and attempts; it holds no rules.
 
-Times are whole microseconds of the clock that the host program sets as `now`.
+Times are whole microseconds on the clock that the host program sets as `now`.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 
 
 class AttemptOutcome(StrEnum):
-    """What became of one attempt.
+    """The result of one attempt.
 
-    Members equal and hash like their strings, which stand in logs and in the simulator's traces.
+    Members equal and hash like their strings, which appear in logs and in the simulator's traces.
     """
 
     DONE = "done"  # an answer that goes to the client
     CACHE_MISS = "miss"  # the cache lacks the key
-    REDIRECTED = "moved"  # the server named another one, and did not run it
-    QUEUE_FULL = "full"  # turned away by the host before it ran
+    REDIRECTED = "moved"  # the server named another one and did not execute the request
+    QUEUE_FULL = "full"  # rejected by the host before it was executed
     SERVER_ERROR = "error"
     CONNECTION_RESET = "reset"  # the connection broke after the request was sent, at least in part
-    STALE_CONNECTION = "stale"  # a kept connection broke with no byte of an answer
-    UNCONNECTED = "unconnected"  # no connection came up
-    CONNECTION_REFUSED = "refused"  # nobody listens there
+    STALE_CONNECTION = "stale"  # a reused connection broke before any byte of an answer
+    UNCONNECTED = "unconnected"  # no connection could be opened
+    CONNECTION_REFUSED = "refused"  # no process listens at the host's address
     TIMED_OUT = "timeout"
-    CANCELLED = "cancelled"  # called off after it was sent
-    NEVER_SENT = "moot"  # called off, or out of time, before it was sent
-    INVALID_REQUEST = "unfit"  # the host found fault with the request itself
+    CANCELLED = "cancelled"  # cancelled after it was sent
+    NEVER_SENT = "moot"  # cancelled, or past its deadline, before it was sent
+    INVALID_REQUEST = "unfit"  # the host rejected the request itself as invalid
 
 
 class HostStatus(StrEnum):
-    """What discovery tells of a host; members equal and hash like their strings."""
+    """The status of a host in discovery's list; members equal and hash like their strings."""
 
     READY = "up"
-    DRAINING = "draining"  # it finishes what it has, and takes nothing new
+    DRAINING = "draining"  # it finishes its requests and accepts no new ones
     GONE = "gone"
 
 
-# Proof that the attempt never ran.
+# Outcomes that prove that the host never executed the attempt.
 NEVER_EXECUTED = frozenset(
     (
         AttemptOutcome.QUEUE_FULL,
@@ -57,55 +57,57 @@
 
 @dataclass(slots=True, eq=False)
 class HostState:
-    """All that is known of one cache host, or of one origin."""
+    """The state of one cache host or one origin, as known to this process."""
 
     id: str
     is_origin: bool
-    state: HostStatus = HostStatus.GONE  # as listed
-    started_at_us: int = -1  # its last start, as listed; 0 for long ago
+    state: HostStatus = HostStatus.GONE  # from discovery's list
+    started_at_us: int = -1  # last start of its process, from discovery's list; 0: long ago
     zone: str = ""
     cell: str = ""
-    weight: float = 1.0  # its size as listed
-    range_size: int = 0  # of its hash range, in slots
+    weight: float = 1.0  # relative capacity, from discovery's list
+    range_size: int = 0  # size of its hash range, in slots
 
     # The adaptive concurrency limit.
-    in_flight: int = 0  # attempts of this process
-    in_flight_elsewhere: int = 0  # attempts of another process of this balancer
-    concurrency_limit: float = 0.0  # attempts; below 1 the probability that a lone one goes
-    limit_floor: float = 1.0  # below which the limit does not fall
-    limit_decreased_at_us: int = 0  # 0 where it never was
-    capacity_checks: int = 0  # how often it was wanted since its limit, being below 1, was set
-    smoothed_latency_us: int = 0  # of its answers
-    latency_recorded_at_us: int = 0
-    least_latency_us: int = 0  # of its answers in this and the last stretch of time; 0 for none
-    least_latency_before_us: int = 0  # in the last stretch alone
-    least_latency_since_us: int = 0  # when this stretch began
-    last_response_at_us: int = 0  # when it last answered at all
-
-    # The loads that ranges are drawn by.
-    attempt_count: int = 0  # since the last rebalance; a refusal for being full counts twice
-    counted_since_us: int = 0
-    reported_request_rate: float = -1.0  # requests a second by its last report; negative: unheard
-    reported_in_flight: float = 0.0  # attempts of all balancers, by its last report
-    reported_at_us: int = -1 << 60
+    in_flight: int = 0  # attempts sent by this process
+    in_flight_elsewhere: int = 0  # attempts sent by another process of this balancer
+    # In attempts; below 1 it is the probability that one is sent while none is in flight.
+    concurrency_limit: float = 0.0
+    limit_floor: float = 1.0  # minimum of the limit, in attempts
+    limit_decreased_at_us: int = 0  # last decrease of the limit; 0: never decreased
+    capacity_checks: int = 0  # capacity checks since a limit below 1 was last set
+    smoothed_latency_us: int = 0  # moving average of the latencies recorded for it
+    latency_recorded_at_us: int = 0  # when the average was last updated
+    least_latency_us: int = 0  # of answers in the current and the previous window; 0: none
+    least_latency_before_us: int = 0  # of answers in the previous window alone
+    least_latency_since_us: int = 0  # start of the current window
+    last_response_at_us: int = 0  # time of its last answer, misses and redirections included
+
+    # Load measurements by which hash ranges are resized and overloaded caches found.
+    # Attempts since the last rebalance; one rejected because its queue was full counts twice.
+    attempt_count: int = 0
+    counted_since_us: int = 0  # start of the count above
+    reported_request_rate: float = -1.0  # requests per second, last reported; negative: no report
+    reported_in_flight: float = 0.0  # attempts of all balancers, in its last load report
+    reported_at_us: int = -1 << 60  # when its last load report arrived
 
     # Outlier ejection and retries.
-    ejected_until_us: int = 0
-    retry_budget: float = 0.0  # earned by answers, spent by further attempts
+    ejected_until_us: int = 0  # it gets no attempts before this time
+    retry_budget: float = 0.0  # in attempts; earned by answers, spent by further attempts
 
     # Slow start.
-    warm_at_us: int = 0  # cold until then
-    placements_at_last_draw: int = 0  # requests placed when it last had its chance, while cold
+    warm_at_us: int = 0  # its cache counts as cold before this time
+    placements_at_last_draw: int = 0  # `SlowStart.placements` at its last random draw while cold
 
     @property
     def total_in_flight(self) -> int:
-        """Attempts in flight from all processes of this balancer."""
+        """Attempts in flight there from all processes of this balancer."""
         return self.in_flight + self.in_flight_elsewhere
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a request at one host: the first one, a retry or a hedged request."""
+    """One attempt of a request at one host: the first one, a retry or a hedged request."""
 
     request: Request
     host: HostState
@@ -115,38 +117,39 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request from its arrival until its final answer and the end of its last attempt."""
+    """A request, kept from its arrival until it is answered and its last attempt has ended."""
 
     id: int
     request_class: RequestClass
     tenant: str
     key: int | None
-    slot: int  # of the hash space
+    slot: int  # the slot of its key in the hash space
     is_write: bool
-    received_at_us: int  # when its last byte came
-    deadline_us: int  # when its client gives up
+    received_at_us: int  # when its last byte arrived
+    deadline_us: int  # when its client stops waiting
     max_attempts: int
-    handled_at_us: int = 0  # when the decisions were told of it
-    is_client_retry: bool = False  # its client has marked it as asked again
+    handled_at_us: int = 0  # when the host program passed it to the decisions
+    is_client_retry: bool = False  # its client marked it as a retry
     attempts: list[Attempt] = field(default_factory=list)
-    in_flight: int = 0  # attempts
-    answered: bool = False  # it has its final answer
-    cache_missed: bool = False  # a cache lacked the key, so it needs a fetch
-    body_streaming: bool = False  # until its body has come whole; its host does not count it
-    queued: bool = False  # it waits in a stage
-    queue_timeout: RejectionReason = RejectionReason.CACHE_QUEUE_TIMEOUT  # if it is up while queued
-    retry_refusal: RejectionReason | None = None  # why no cache got its last failed attempt again
-    attempt_cancelled: bool = False  # an attempt of it was cancelled for being late
-    redirects: int = 0  # redirections followed
-    redirect_target: HostState | None = None  # where the last of them sent it
-    owner_offset: int = 0  # from the owner of its slot to its cache, in the ring; for a hot key
+    in_flight: int = 0  # attempts in flight
+    answered: bool = False  # its final answer was given, or its client disconnected
+    cache_missed: bool = False  # a cache lacked the key, so the origin has to serve it
+    body_streaming: bool = False  # its body is incomplete: not yet counted in its host's in_flight
+    queued: bool = False  # it waits in the queue of a stage
+    # Why it is rejected when its queue time expires.
+    queue_timeout: RejectionReason = RejectionReason.CACHE_QUEUE_TIMEOUT
+    retry_refusal: RejectionReason | None = None  # why its last failure was not retried at a cache
+    attempt_cancelled: bool = False  # one of its attempts was cancelled because it was overdue
+    redirects: int = 0  # redirections received
+    redirect_target: HostState | None = None  # the host that the last redirection named
+    owner_offset: int = 0  # ring positions from its slot's owner to its cache, for a hot key
 
     @property
     def attempts_used(self) -> int:
-        """Attempts that count against `max_attempts`: those that were redirected have not run."""
+        """Attempts that count against `max_attempts`; redirected ones were not executed."""
         return len(self.attempts) - self.redirects
 
 
 def possibly_executed(attempts: Sequence[Attempt]) -> list[Attempt]:
-    """Attempts that may have run or may yet run."""
+    """Return the attempts that were possibly executed or may still be."""
     return [attempt for attempt in attempts if attempt.outcome not in NEVER_EXECUTED]
--- a/orchidgap/decisions/request_table.py
+++ b/orchidgap/decisions/request_table.py
@@ -1,25 +1,25 @@
-"""All open requests and known hosts by id: outcomes are booked once, final answers given once.
+"""All open requests and known hosts by id; each outcome and final answer is recorded only once.
 
-Whatever stage rejects a request calls `RequestTable.reject`. Reasons, and where each is decided:
+A stage that rejects a request calls `RequestTable.reject`. Reasons, and where each is decided:
 
 | reason                                                        | decided by                    |
 | ------------------------------------------------------------- | ----------------------------- |
-| its tenant is over its share under overload                   | `Admission.forward`           |
-| the oldest request that waits for a cache has waited too long | `Admission.forward`           |
-| no cache accepts it, and no attempt in flight will make room  | `Placement.forward`           |
-| the same of the server that owns its slot                     | `forward_to_slot_owner`       |
-| no origin may take it, or waiting for one would be too long   | `Origin.forward`              |
-| no origin may take it any more after it has waited            | `Origin.drain_queue`          |
+| its tenant exceeds its share under overload                   | `Admission.forward`           |
+| the oldest request queued for a cache has waited too long     | `Admission.forward`           |
+| no cache accepts it, and no attempt there will free capacity  | `Placement.forward`           |
+| the same for the server that owns its slot                    | `forward_to_slot_owner`       |
+| no origin may execute it, or the wait would be too long       | `Origin.forward`              |
+| no origin may execute it any more after it was queued         | `Origin.drain_queue`          |
 | it has used up its attempts                                   | `Dispatch.forward`            |
-| its last attempt failed, and no stage has another one for it  | `Admission.on_attempt_done`   |
-| it waited in a stage until its objective or its client's time | `Balancer.start_queue_timer`  |
+| its last attempt failed, and no stage starts another one      | `Admission.on_attempt_done`   |
+| it was queued until its objective or its deadline expired     | `Balancer.start_queue_timer`  |
 
-Each is counted by its `RejectionReason`, which tells more: what closed the cache, the origin or the
-next attempt.
+Each is counted under its `RejectionReason`, which is more specific: it names the condition that
+ruled out the cache, the origin or the next attempt.
 
-The client is denied where its own retry is harmless, else its request is aborted (`ports.Port`);
-`RetryPolicy.retry_after_us` decides which. What a request is answered before it comes here, or
-without the decisions, is listed in `docs/architecture.md`.
+The request is denied if a retry by its client is harmless, else it is aborted (`ports.Port`);
+`RetryPolicy.retry_after_us` decides which. Answers that a client gets before its request is passed
+to the decisions, or without them, are listed in `docs/architecture.md`.
 """
 
 from __future__ import annotations
@@ -37,30 +37,30 @@
 
 
 class AttemptListener(Protocol):
-    """Who decides what follows from an outcome."""
+    """Decides what follows the outcome of an attempt."""
 
     def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
-        """An attempt of the request has its outcome."""
+        """Handle the outcome of an attempt."""
 
 
 class RequestTable(TimerQueue):
-    """Takes ids from the host program.
+    """Maps the ids that the host program uses to requests and hosts.
 
-    A request stays here until it is answered and none of its attempts is in flight.
+    A request is kept until it is answered and none of its attempts is in flight.
 
     Attributes:
-        settings: What the service is set to.
-        retry_policy: When a request may have another attempt.
-        requests: By id.
-        hosts: By id, in the order of their ids.
-        attempt_listener: Hears of each outcome once.
-        rejections: Requests given up since the start, by reason.
+        settings: The service's settings.
+        retry_policy: The rules on further attempts of a request.
+        requests: Open requests by id.
+        hosts: Known hosts by id, in the order of their ids.
+        attempt_listener: It is notified of each outcome once.
+        rejections: How many requests were rejected since the start, by reason.
     """
 
     attempt_listener: AttemptListener
 
     def __init__(self, settings: ServiceSettings, port: Port, now: int) -> None:
-        """Start empty at the time `now`, in microseconds."""
+        """Start empty; `now` is the current time in microseconds."""
         super().__init__(port, now)
         self.settings = settings
         self.retry_policy = RetryPolicy.from_settings(settings)
@@ -69,21 +69,21 @@
         self.rejections: Counter[RejectionReason] = Counter()
 
     def on_settings(self, settings: ServiceSettings) -> None:
-        """Follow new settings at once; open requests keep their class and number of attempts."""
+        """Apply new settings at once; open requests keep their class and maximum of attempts."""
         self.settings = settings
         self.retry_policy = RetryPolicy.from_settings(settings)
 
     def may_retry(self, request: Request, host: HostState) -> bool:
-        """Whether the request may have one more attempt, at this host."""
+        """Return whether the request may have one more attempt, at this host."""
         return self.retry_policy.allows(request, host, self.now)
 
     def reject_if_idle(self, request: Request, reason: RejectionReason) -> None:
-        """Give the request up, unless it is answered or an attempt of it is in flight."""
+        """Reject the request, unless it is answered or one of its attempts is in flight."""
         if not request.answered and not request.in_flight:
             self.reject(request, reason)
 
     def reject(self, request: Request, reason: RejectionReason) -> None:
-        """Give the request up: denied where a retry is harmless, aborted otherwise."""
+        """Reject the request: deny it if a retry is harmless, abort it otherwise."""
         self.rejections[reason] += 1
         retry_after_us = self.retry_policy.retry_after_us(request, request.request_class, self.now)
         if retry_after_us is None:
@@ -93,26 +93,26 @@
         self.close_request(request)
 
     def close_request(self, request: Request) -> None:
-        """The request has its final answer, or nobody waits for one."""
+        """Mark the request as answered, or as abandoned by its client."""
         request.answered = True
         if not request.in_flight:
             self.requests.pop(request.id, None)
 
     def latest_start_us(self, request_id: int, number: int) -> int:
-        """Until when the attempt may be written to its host; 0 for an unknown request."""
+        """Return the latest time to write the attempt to its host; 0 for an unknown request."""
         request = self.requests.get(request_id)
         return 0 if request is None else retry_policy.latest_start_us(request, number)
 
     def on_outcome(
         self, request_id: int, number: int, outcome: AttemptOutcome, answered: bool
     ) -> None:
-        """An attempt has its outcome; an unknown attempt or a second outcome changes nothing.
+        """Record the outcome of an attempt; unknown attempts and second outcomes are ignored.
 
         Args:
-            request_id: The request.
-            number: Which of its attempts.
-            outcome: What became of it.
-            answered: Whether the client has its final answer by it.
+            request_id: The id of the request.
+            number: The index of the attempt among its attempts, from 0.
+            outcome: The result of the attempt.
+            answered: Whether the attempt gave the client its final answer.
         """
         request = self.requests.get(request_id)
         if request is None or number >= len(request.attempts) or request.attempts[number].outcome:
@@ -129,18 +129,18 @@
             self.requests.pop(request_id, None)
 
     def on_client_disconnect(self, request_id: int) -> None:
-        """Nobody waits for an answer any more."""
+        """Close the request: its client does not wait for an answer any more."""
         request = self.requests.get(request_id)
         if request is not None:
             self.close_request(request)
 
     def on_body_discarded(self, request_id: int) -> None:
-        """The request's body is not kept: no further attempt can carry it."""
+        """Rule out further attempts: the body was discarded, so none could send it."""
         request = self.requests.get(request_id)
         if request is not None:
             request.max_attempts = request.attempts_used
 
     def on_sibling_in_flight(self, attempts: dict[str, int]) -> None:
-        """Another process of this balancer has so many attempts in flight, by host id."""
+        """Record how many attempts the sibling process has in flight, by host id."""
         for host_id, host in self.hosts.items():
             host.in_flight_elsewhere = attempts.get(host_id, 0)
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -1,8 +1,8 @@
 """The service's settings, decoded once into typed records.
 
-The operators' names of settings, and the words that may stand there, are in this module only (those
-that sockets alone need are in `net/config/`). They come as a flat map from path to text,
-`rule-sets.0.name` to `read`. Settings that are not named here are left aside.
+Operators' names of settings, and their permitted words, are defined in this module only (those
+that only the network layer needs are in `net/config/`). The input is a flat map from path to text,
+such as `rule-sets.0.name` to `read`. Settings that are not named here are ignored.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 REPORT_MODE = "report.how"
 REPORT_FIELDS = "report.fields"
 
-# Words that may stand at a setting.
+# Permitted words of settings that take one of several.
 IDEMPOTENT_EFFECT = "retryable"
 KEYED_EFFECT = "dedup"
 EFFECTS = (IDEMPOTENT_EFFECT, KEYED_EFFECT, "fragile")
@@ -53,44 +53,44 @@
 TRUE_WORDS = ("true", "1")
 FALSE_WORDS = ("false", "0")
 BOOLEANS = (*TRUE_WORDS, *FALSE_WORDS)
-STEADY_WEIGHTS = ("nominal", "rough")  # "live" ones change too fast to place keys by
+STEADY_WEIGHTS = ("nominal", "rough")  # "live" weights change too fast for the placement of keys
 WEIGHT_MODES = ("off", *STEADY_WEIGHTS, "live")
 INLINE_REPORTS = "inline"
 REPORT_MODES = ("off", "on_probe", INLINE_REPORTS)
 CACHE_ASIDE_MODE = "aside"
 SUBSCRIBE_MODE = "subscribe"
 
-# What counts where a setting is missing.
+# Defaults of settings that are missing.
 DEFAULT_SUBSCRIBE_WITHIN_US = 10_000_000
 DEFAULT_MAX_ATTEMPTS = 3
 DEFAULT_SLOW_START_FRACTION = 0.1
 DEFAULT_SLOW_START_US = 30_000_000
 DEFAULT_TENANT_SHARE = 1.0
 
-# The records of hosts are built on these, so a running balancer keeps the values that it started
+# Host records depend on these settings, so a running balancer keeps the values that it started
 # with.
 STARTUP_SETTINGS = ("origin_kind", "subscribes")
 
 
 class RequestClass(NamedTuple):
-    """What requests of one class have in common."""
+    """The properties shared by all requests of one class."""
 
     latency_objective_us: int
     idempotent: bool
     idempotency_keyed: bool
-    deduplication_scope: str  # which hosts drop repeats together: all, or those of a zone or cell
+    deduplication_scope: str  # hosts that deduplicate together: all, or those of one zone or cell
     deduplication_window_us: int
-    client_timeout_us: int  # of the clients that wait longest
+    client_timeout_us: int  # of the clients with the longest timeout
 
 
 class Tenant(NamedTuple):
-    """Whose requests they are."""
+    """A customer of the service, whose requests are limited to a share under overload."""
 
-    quota_ratio: float  # the tenant's quota, as a part of all requests
+    quota_ratio: float  # the tenant's quota, as a fraction of all requests
 
 
 class ServiceSettings(NamedTuple):
-    """All settings that decisions stand on. Never changed: new settings are a new value.
+    """All settings that the decisions use. Immutable: a change of settings makes a new value.
 
     >>> pairs = {"rule-sets.count": "1", "rule-sets.0.name": "a", "rule-sets.0.effect": "dedup",
     ...          "rule-sets.0.client-timeout": "900", "something.new": "7"}
@@ -112,22 +112,20 @@
     request_classes: dict[str, RequestClass]  # by name
     tenants: dict[str, Tenant]  # by name
     balancer_count: int
-    origin_kind: (
-        str  # hosts of this kind are the origin; empty where the caches fetch by themselves
-    )
-    subscribes: bool  # discovery sends changes of the endpoint list, in place of being polled
+    origin_kind: str  # hosts of this kind are origins; empty if the caches fetch by themselves
+    subscribes: bool  # discovery sends changes of the endpoint list instead of being polled
     subscribe_within_us: int
-    max_attempts: int  # per request
-    may_cancel: bool
+    max_attempts: int  # for each request
+    may_cancel: bool  # attempts in flight may be cancelled
     may_hedge: bool  # two attempts of one request may be in flight
-    max_retry_after_us: int  # 0 where clients are sent no Retry-After
-    slow_start_fraction: float  # of its usual load, that a host gets right after it started
-    slow_start_us: int
-    uses_listed_weights: bool  # the endpoint list says how large a host is
-    reported_fields: tuple[str, ...]  # of the load report that hosts add to each answer
+    max_retry_after_us: int  # 0: clients are sent no Retry-After
+    slow_start_fraction: float  # of its usual load that a host gets right after its start
+    slow_start_us: int  # time from a host's start until it is warm
+    uses_listed_weights: bool  # the endpoint list contains the relative capacity of hosts
+    reported_fields: tuple[str, ...]  # fields of the load report that hosts add to each answer
 
     def keeping_startup_settings(self, current: ServiceSettings) -> ServiceSettings:
-        """These settings, but with the current values of those that only a restart can change."""
+        """Return these settings with the current values of those that only a restart changes."""
         return self._replace(**{name: getattr(current, name) for name in STARTUP_SETTINGS})
 
     @property
@@ -137,15 +135,15 @@
 
     @property
     def longest_client_timeout_us(self) -> int:
-        """The longest that any client waits for an answer."""
+        """The longest time that any client waits for an answer."""
         return max(each.client_timeout_us for each in self.request_classes.values())
 
     @classmethod
     def from_pairs(cls, pairs: Mapping[str, str]) -> ServiceSettings:
-        """Decodes settings from their paths and texts; times stand there in microseconds.
+        """Decode settings from their paths and texts; times are given in microseconds.
 
         Raises:
-            SettingError: The first setting that is missing or cannot be used.
+            SettingError: The first setting that is missing or invalid.
         """
         values = _SettingValues(pairs)
         return cls(
@@ -171,7 +169,7 @@
 
 
 class _SettingValues:
-    """Reads single settings, each with the check that its kind of value needs."""
+    """Reads single settings and checks each by its type of value."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self.pairs = pairs
@@ -196,7 +194,7 @@
 
     def non_negative(self, path: str, default: float) -> float:
         value = self._number(path, default)
-        if not 0 <= value < inf:  # not a number, too
+        if not 0 <= value < inf:  # also rejects NaN
             raise SettingError.unusable(path, f"{value:g}", "must not be under 0")
         return value
 
@@ -208,7 +206,7 @@
 
     def positive_integer(self, path: str, default: int) -> int:
         value = int(self.positive(path, default))
-        if value == 0:  # a part of one was given
+        if value == 0:  # the text was a fraction below 1
             raise SettingError.unusable(path, self.pairs[path], "must be 1 or more")
         return value
 
