--- a/orchidgap/decisions/admission.py
+++ b/orchidgap/decisions/admission.py
@@ -1,13 +1,14 @@
-"""The first stage: whether a request is let in, and the answer to what no other stage served.
+"""The first stage: admits or rejects requests, and rejects those that no other stage can serve.
 
-This is one of several places that reject: `request_table` has the table of all reasons.
+Other stages reject requests too: `request_table` has the table of all reasons.
 
-Two rules turn requests away early, while a quick answer still helps their clients:
+Two rules reject requests early, while a quick answer still helps their clients:
 
-- All are, while the oldest request that waits for a cache has waited over half of the latency
-  objective. Where servers own their slots, all for the server that it waits for.
-- Under overload a tenant over its share of what is let in is shed, by chance, until it keeps to
-  it. Only where there is one balancer: one of several may serve one tenant alone.
+- While the oldest request queued for a cache has waited over half of the latency objective, all
+  requests are rejected; if servers own their slots, only those for the server that it waits for.
+- Under overload, a random part of the requests of a tenant that exceeds its share of admitted
+  requests is shed until the tenant keeps to its share. This applies only to a single balancer: one
+  of several may happen to serve one tenant alone.
 """
 
 from __future__ import annotations
@@ -18,27 +19,27 @@
 from orchidgap.decisions.records import Attempt, AttemptOutcome, HostState, Request
 from orchidgap.decisions.rejections import RejectionReason
 
-OVERLOAD_SLOWNESS_RATIO = 1.5  # of a host's latency over what counts as slow there
-MAX_SHARE_RATIO = 1.15  # of a tenant's part of what is let in over its share
-MAX_WAIT_DIVISOR = 2  # of the latency objective: a longer wait for a cache turns all away
-OVERLOAD_WAIT_DIVISOR = 4  # of the latency objective: a longer wait means overload
+OVERLOAD_SLOWNESS_RATIO = 1.5  # of a host's latency to its slow threshold: more means overload
+MAX_SHARE_RATIO = 1.15  # of a tenant's part of admitted requests to its quota: more is shed
+MAX_WAIT_DIVISOR = 2  # of the latency objective: a longer wait for a cache rejects all requests
+OVERLOAD_WAIT_DIVISOR = 4  # of the latency objective: a longer wait for any host means overload
 MAX_SHED_RATIO = 0.9
-SHED_GAIN_RATIO = 1 / 4  # of what a tenant is over its share, added at each tick
-SHED_DECAY_RATIO = 0.02  # taken off at each tick without overload
-ADMITTED_DECAY_RATIO = 0.8  # of the counts, kept at each tick
+SHED_GAIN_RATIO = 1 / 4  # of the excess over `MAX_SHARE_RATIO`, added to the shed ratio each tick
+SHED_DECAY_RATIO = 0.02  # subtracted from shed ratios at each tick without overload
+ADMITTED_DECAY_RATIO = 0.8  # part of the counts kept at each tick
 
 
 class Admission(Stage):
-    """Sheds load.
+    """Sheds load at the entrance of the pipeline.
 
     Attributes:
-        admitted: Requests let in by tenant, fading.
-        shed_ratios: The part of each tenant's requests that is turned away.
+        admitted: Admitted requests by tenant, decaying at each tick.
+        shed_ratios: The fraction of each tenant's requests that is rejected.
         overloaded: Whether shares are enforced.
     """
 
     def __init__(self, context: PipelineContext, placement: Placement, origin: Origin) -> None:
-        """Judge load by what waits in these two stages."""
+        """Measure the load by the queues and hosts of these two stages."""
         super().__init__(context)
         self.placement = placement
         self.origin = origin
@@ -49,7 +50,7 @@
         self.update_tenants()
 
     def update_tenants(self) -> None:
-        """Follow the settings' tenants; what is known of those that stay is kept."""
+        """Apply the tenants of new settings, and keep the counts of those that remain."""
         tenants = self.context.settings.tenants
         self.admitted = {name: self.admitted.get(name, 0.0) for name in tenants}
         self.shed_ratios = {name: self.shed_ratios.get(name, 0.0) for name in tenants}
@@ -64,20 +65,20 @@
                 return
             if context.settings.balancer_count == 1:
                 self.admitted[request.tenant] += 1
-        # Requests that wait for the origin say nothing of the caches, which still have most keys.
+        # A wait for the origin is no reason to reject: the caches can still serve most keys.
         cache_wait_us = self.placement.oldest_wait_us()
         self._worst_wait_us = max(self._worst_wait_us, cache_wait_us, self.origin.oldest_wait_us())
         max_wait_us = context.latency_objective_us // MAX_WAIT_DIVISOR
-        if cache_wait_us > max_wait_us and self._meets_long_wait(request, max_wait_us):
+        if cache_wait_us > max_wait_us and self._would_wait_too_long(request, max_wait_us):
             context.reject(request, RejectionReason.LONG_QUEUE)
             return
         self.next_stage.forward(request)
 
-    def _meets_long_wait(self, request: Request, max_wait_us: int) -> bool:
-        """Whether the request would wait behind one that has waited too long.
+    def _would_wait_too_long(self, request: Request, max_wait_us: int) -> bool:
+        """Return whether the request would queue behind one that has waited too long.
 
-        Where servers own their slots that is one for its own server, and a wait for one answer of
-        that is none too long: there is no quicker one.
+        If servers own their slots, only requests for its own server count, and a wait of one
+        answer's latency there is not too long, as no other server can answer sooner.
         """
         if self.context.slot_map is None:
             return True
@@ -87,13 +88,13 @@
         return wait_us > max(max_wait_us, answer_us)
 
     def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
-        """No stage has another attempt for the request: that was its last chance."""
-        if not request.queued:  # else it waits already, while another of its attempts failed
-            reason = request.retry_refusal or _reason_of_outcome(attempt)
+        """Reject the request, as no stage started another attempt, unless it is queued."""
+        if not request.queued:  # else another of its attempts failed while it was queued
+            reason = request.retry_refusal or _outcome_reason(attempt)
             self.context.reject_if_idle(request, reason)
 
     def tick(self) -> None:
-        """Judge the load since the last tick, and adjust what is shed."""
+        """Detect overload since the last tick, and adjust the shed ratios."""
         worst_wait_us = self._worst_wait_us
         self._worst_wait_us = 0
         slow_hosts = [
@@ -134,8 +135,8 @@
         )
 
 
-def _reason_of_outcome(attempt: Attempt) -> RejectionReason:
-    """Why a request is given up whose last attempt ended so, where no stage retries that."""
+def _outcome_reason(attempt: Attempt) -> RejectionReason:
+    """Return the reason to reject a request after this last attempt, which no stage retries."""
     if attempt.outcome == AttemptOutcome.TIMED_OUT:
         return RejectionReason.ATTEMPT_TIMED_OUT
     return RejectionReason.ATTEMPT_FAILED
--- a/orchidgap/decisions/balancer.py
+++ b/orchidgap/decisions/balancer.py
@@ -22,7 +22,7 @@
     max_retry_delay_us,
     merge_host_list,
 )
-from orchidgap.decisions.load_reports import are_judged
+from orchidgap.decisions.load_reports import reports_in_flight
 from orchidgap.decisions.origin import Origin
 from orchidgap.decisions.pipeline import connect_stages
 from orchidgap.decisions.placement import Placement
@@ -162,7 +162,7 @@
             return
         if request_rate is not None:
             host.reported_request_rate = request_rate
-        if in_flight is not None and are_judged(self.settings) and not host.is_origin:
+        if in_flight is not None and reports_in_flight(self.settings) and not host.is_origin:
             self.placement.load_reports.record(host, in_flight)
 
     def on_settings(self, settings: ServiceSettings) -> None:
--- a/orchidgap/decisions/coalescing.py
+++ b/orchidgap/decisions/coalescing.py
@@ -1,7 +1,7 @@
-"""The second stage: one fetch of a key at a time.
+"""The second stage: at most one fetch of a key from the origin at a time.
 
-After a flush everybody asks for the same few keys. The first request that misses a key fetches
-it (the leader); later requests for the key wait for that and then ask the cache.
+After a flush many clients request the same few keys. The first request that misses a key fetches
+it (the leader); later requests for the key (its followers) wait for that and then go to the cache.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 class Coalescing(Stage):
-    """Shares fetches.
+    """Shares fetches between requests for the same key.
 
     Attributes:
-        fetches: For each key that is fetched the leader, then its followers.
+        fetches: For each key that is being fetched, the leader and then its followers.
     """
 
     def __init__(self, context: PipelineContext) -> None:
@@ -24,7 +24,7 @@
         self.fetches: dict[int | None, list[Request]] = {}
 
     def forward(self, request: Request, host: HostState | None = None) -> None:
-        """Have a read of a key that is fetched wait; a miss of any other key becomes a leader."""
+        """Queue a read of a key that is being fetched; a miss of any other key leads a fetch."""
         if not request.is_write and request.key is not None:
             if request.key in self.fetches:
                 self.fetches[request.key].append(request)
@@ -35,7 +35,7 @@
         self.next_stage.forward(request)
 
     def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
-        """A cache's first miss of a read needs a fetch."""
+        """Start a fetch, or join one, after the first cache miss of a read."""
         is_cache_miss = attempt.outcome == AttemptOutcome.CACHE_MISS and not attempt.host.is_origin
         needs_fetch = not (request.answered or request.is_write or request.cache_missed)
         if is_cache_miss and needs_fetch:
@@ -45,10 +45,10 @@
         self.previous_stage.on_attempt_done(request, attempt)
 
     def on_request_closed(self, request: Request, filled: bool) -> None:
-        """Where a leader is over, its followers ask the cache, or one of them fetches in its place.
+        """Forward the followers of a closed leader to the cache, or one as the new leader.
 
         Args:
-            request: One that has its final answer.
+            request: The closed request.
             filled: Whether the cache has the key now.
         """
         fetch = self.fetches.get(request.key)
--- a/orchidgap/decisions/dispatch.py
+++ b/orchidgap/decisions/dispatch.py
@@ -1,12 +1,12 @@
-"""The last stage: sends attempts, watches late ones, and keeps hosts' records by outcomes."""
+"""The last stage: sends attempts, handles overdue ones, and records outcomes by host."""
 
 from __future__ import annotations
 
 from orchidgap.decisions.origin import Origin
 from orchidgap.decisions.outlier_ejection import (
     EJECTION_DECREASE_RATIO,
+    FAILED_ANSWER_OUTCOMES,
     HOST_FAILURES,
-    SPOILT_OUTCOMES,
     ejection_time_us,
     should_eject,
 )
@@ -22,28 +22,31 @@
 )
 from orchidgap.decisions.settings import ServiceSettings
 
-# An attempt is late after this part of the latency objective, at a server that owns its slots after
-# the whole; there and at an origin after so many of its latencies at least.
-LATE_TENTHS = 6
-ORIGIN_LATE_LATENCIES = 4
-LOST_LATENCIES = 6  # of a host that answers others: who is out that long was lost on the way
-SILENT_DECREASE_RATIO = 0.2  # what is left of a late host's limit where requests are not hedged
-
-# The host served its part of the request.
+# An attempt is overdue after this many tenths of the latency objective, at a server that owns its
+# slots after the whole objective. There and at an origin it is overdue no earlier than after this
+# many times the host's smoothed latency.
+OVERDUE_TENTHS = 6
+MIN_OVERDUE_LATENCIES = 4
+# An attempt in flight for this many times the latency of a host that answers others was lost in
+# transit.
+LOST_ATTEMPT_LATENCIES = 6
+OVERDUE_DECREASE_RATIO = 0.2  # left of a limit after an overdue attempt if hedging is off
+
+# The host answered the attempt as intended.
 ANSWERS = frozenset((AttemptOutcome.DONE, AttemptOutcome.CACHE_MISS, AttemptOutcome.REDIRECTED))
 
 
 class Dispatch(Stage):
-    """Sends requests to the hosts that the stages above have chosen."""
+    """Sends requests to the hosts that the stages above have selected."""
 
     def __init__(self, context: PipelineContext, placement: Placement, origin: Origin) -> None:
-        """Decide on late attempts by what the two stages know of other hosts."""
+        """Use the state of these two stages to decide on overdue attempts."""
         super().__init__(context)
         self.placement = placement
         self.origin = origin
 
     def forward(self, request: Request, host: HostState | None = None) -> None:
-        """Send an attempt to the host; rejects the request where it has used up its attempts."""
+        """Send an attempt to the host, or reject a request that has used up its attempts."""
         if host is None or request.attempts_used >= request.max_attempts:
             self.context.reject_if_idle(request, RejectionReason.NOT_REPEATABLE)
             return
@@ -61,26 +64,29 @@
         self.context.port.dispatch(request.id, host.id)
 
     def start(self, attempt: Attempt) -> None:
-        """From now on the attempt counts at its host, and its time runs.
+        """Count the attempt as in flight at its host, and start its timer.
 
-        Not while a slow client still sends the body: it would look like a slow host, and use up
-        its limit.
+        This is delayed while a slow client still sends the body: the host would seem slow, and the
+        attempt would take up its concurrency limit.
         """
         context = self.context
         host = attempt.host
         attempt.started_at_us = context.now
         host.in_flight += 1
-        late_after_us = context.latency_objective_us * LATE_TENTHS // 10
+        overdue_after_us = context.latency_objective_us * OVERDUE_TENTHS // 10
         if context.limiter.hosts_are_owners:
-            late_after_us = context.latency_objective_us
+            overdue_after_us = context.latency_objective_us
         if host.is_origin or context.limiter.hosts_are_owners:
-            late_after_us = max(late_after_us, ORIGIN_LATE_LATENCIES * host.smoothed_latency_us)
-        context.call_later(late_after_us, self.on_attempt_overdue, attempt)
+            overdue_after_us = max(
+                overdue_after_us, MIN_OVERDUE_LATENCIES * host.smoothed_latency_us
+            )
+        context.call_later(overdue_after_us, self.on_attempt_overdue, attempt)
 
     def on_attempt_overdue(self, attempt: Attempt) -> None:
-        """Hedge an attempt that is still in flight, or count it as slow and maybe cancel it.
+        """Hedge an overdue attempt that was lost, or record it as slow and perhaps cancel it.
 
-        The host's time-out would tell a second too late. An origin is waited for.
+        The timeout of the attempt would be noticed a second too late. An attempt at an origin is
+        not cancelled: its answer is awaited.
         """
         if attempt.outcome:
             return
@@ -90,46 +96,47 @@
         elif not host.is_origin:
             self._record_latency(host, self.context.now - attempt.started_at_us, False)
             if not self.context.settings.may_hedge:
-                # Few of its answers come here, and none while it is silent.
-                self.context.limiter.decrease_limit(host, SILENT_DECREASE_RATIO)
+                # This balancer gets few of its answers, and none while the host is silent.
+                self.context.limiter.decrease_limit(host, OVERDUE_DECREASE_RATIO)
             if self.should_cancel(attempt, self.context.settings):
                 self._cancel(attempt)
 
     def is_lost(self, attempt: Attempt) -> bool:
-        """Whether silence says nothing of the host: it is quick, and has answered others since."""
+        """Return whether an attempt was lost: the host is quick and answered others since."""
         host = attempt.host
         time_in_flight_us = self.context.now - attempt.started_at_us
         return (
             host.last_response_at_us > attempt.started_at_us
-            and LOST_LATENCIES * host.smoothed_latency_us < time_in_flight_us
+            and LOST_ATTEMPT_LATENCIES * host.smoothed_latency_us < time_in_flight_us
         )
 
     def should_cancel(self, attempt: Attempt, settings: ServiceSettings) -> bool:
-        """Whether a late read is given up at its cache, for an origin with time.
+        """Return whether to cancel an overdue read at its cache, for an origin with capacity.
 
-        At a host that has been silent since; where no second attempt may be in flight, at any. A
-        neighbour lacks the key, and crowds in its turn. All caches together must have earned it.
+        The host must have been silent since the attempt, unless hedging is off. The read goes to
+        the origin because a neighbour lacks the key and would be overloaded in turn. It is paid for
+        by the retry budget of all caches together.
 
         Args:
-            attempt: A late one at a cache.
-            settings: Say what is allowed: those that count, or others that shadow evaluation
-                asks about.
+            attempt: An overdue attempt at a cache.
+            settings: They determine what is allowed: those in force, or others for shadow
+                evaluation.
         """
         request = attempt.request
         host_is_silent = attempt.host.last_response_at_us <= attempt.started_at_us
         may_cancel = settings.may_cancel and (host_is_silent or not settings.may_hedge)
         has_attempts_left = request.attempts_used < request.max_attempts
-        may_go_on = not request.answered and has_attempts_left
+        may_continue = not request.answered and has_attempts_left
         return (
             may_cancel
             and request.request_class.idempotent
-            and may_go_on
+            and may_continue
             and has_retry_budget(self.placement.all_caches)
             and self.origin.has_spare_capacity()
         )
 
     def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
-        """Keep the host's record, and pass the outcome up."""
+        """Update the host's state, and pass the outcome up."""
         host = attempt.host
         outcome = attempt.outcome
         now = self.context.now
@@ -140,11 +147,11 @@
             earn_retry_budget(self.placement.all_caches)
         if outcome == AttemptOutcome.DONE and not host.is_origin:
             self.placement.slow_start.answers += 1
-        # A miss is told at once: it says nothing of how long an answer takes.
-        tells_latency = outcome == AttemptOutcome.DONE or (
+        # A miss is answered at once: its time is no measure of the latency of answers.
+        has_latency = outcome == AttemptOutcome.DONE or (
             outcome == AttemptOutcome.TIMED_OUT and not self.is_lost(attempt)
         )
-        if tells_latency:
+        if has_latency:
             is_answer = outcome == AttemptOutcome.DONE
             self._record_latency(host, now - attempt.started_at_us, is_answer)
         elif outcome in HOST_FAILURES:
@@ -152,7 +159,7 @@
         self.previous_stage.on_attempt_done(request, attempt)
 
     def _hedge(self, attempt: Attempt) -> None:
-        """Send a lost attempt once more to the same host: a neighbour would lack the key."""
+        """Repeat a lost attempt at the same host: a neighbour would lack the key."""
         request = attempt.request
         host = attempt.host
         is_listed = host in self.placement.ring or host in self.origin.hosts
@@ -179,15 +186,16 @@
 
     def _on_host_failure(self, host: HostState, outcome: AttemptOutcome) -> None:
         context = self.context
-        if outcome in SPOILT_OUTCOMES:
+        if outcome in FAILED_ANSWER_OUTCOMES:
             forfeit_retry_budget(host)
         if outcome == AttemptOutcome.QUEUE_FULL:
-            host.attempt_count += 1  # twice, for the rebalance
+            host.attempt_count += 1  # the attempt counts twice for the rebalance
         servers_own_slots = context.slot_map is not None
         if outcome == AttemptOutcome.CONNECTION_REFUSED and not (
             host.is_origin or servers_own_slots
         ):
-            # Nobody listens: the next process will be cold, and may be there before the list tells.
+            # No process listens there: the next one will be cold, and may start before the list
+            # contains its start.
             self.placement.slow_start.begin(host, context.now)
         if should_eject(host, outcome):
             context.limiter.decrease_limit(host, EJECTION_DECREASE_RATIO)
--- a/orchidgap/decisions/load_reports.py
+++ b/orchidgap/decisions/load_reports.py
@@ -1,6 +1,7 @@
-"""What hosts report of their load, and the lower limit of a cache that holds far more than others.
+"""Evaluates load reports of hosts, and reduces the limit of caches with far more load than others.
 
-What a host holds comes from all balancers: a few answers of one's own say less of it.
+The reported attempts in flight are those of all balancers, so they show the load of a host better
+than the few answers that one balancer receives.
 """
 
 from __future__ import annotations
@@ -13,25 +14,25 @@
 from orchidgap.decisions.records import HostState
 from orchidgap.decisions.settings import ServiceSettings
 
-REPORT_LIFETIME_US = 10_000_000  # after which a report says nothing
-FAIR_RATIO = 3  # times the median, and
-FAIR_MARGIN_ATTEMPTS = 2  # so that chance is no reason
-MIN_DECREASE_RATIO = 0.1  # what a cut leaves of a limit at least
+REPORT_LIFETIME_US = 10_000_000  # older reports are ignored
+FAIR_RATIO = 3  # a fair load is at most this many times the median, plus the margin below
+FAIR_MARGIN_ATTEMPTS = 2  # so that random variation does not exceed a fair load
+MIN_DECREASE_RATIO = 0.1  # what one decrease leaves of a limit at least
 
 
-def are_judged(settings: ServiceSettings) -> bool:
-    """Whether hosts tell what they hold, so that they can be judged by it."""
+def reports_in_flight(settings: ServiceSettings) -> bool:
+    """Return whether hosts report their attempts in flight, so that limits may depend on it."""
     return "concurrent" in settings.reported_fields
 
 
 def fair_in_flight(reports: Sequence[float]) -> float:
-    """How many attempts a cache of weight 1 may hold beside others: well over what the median does.
+    """Return how many attempts a cache of weight 1 may have in flight: well above the median.
 
     Args:
-        reports: What caches hold over their weights, in ascending order.
+        reports: The attempts in flight of caches over their weights, in ascending order.
 
     Returns:
-        Attempts in flight from all balancers; infinity where nothing was reported.
+        Attempts in flight from all balancers; infinity if nothing was reported.
     """
     if not reports:
         return inf
@@ -39,20 +40,20 @@
 
 
 class LoadReports:
-    """Judges each report by what is fair beside the others.
+    """Compares each report with a fair load, which is derived from all reports.
 
     Attributes:
-        fair_in_flight: Attempts that a cache of weight 1 may hold.
+        fair_in_flight: Attempts that a cache of weight 1 may have in flight.
     """
 
     def __init__(self, context: RuleContext, limiter: ConcurrencyLimiter) -> None:
-        """Take the time from the context; cut limits of the limiter."""
+        """Use the time of the context, and the limiter to decrease limits."""
         self.context = context
         self.limiter = limiter
         self.fair_in_flight = inf
 
     def refresh(self, caches: Iterable[HostState]) -> None:
-        """Set what is fair by the recent reports of these caches."""
+        """Recompute the fair load from the recent reports of these caches."""
         oldest_us = self.context.now - REPORT_LIFETIME_US
         self.fair_in_flight = fair_in_flight(
             sorted(
@@ -63,7 +64,7 @@
         )
 
     def record(self, cache: HostState, in_flight: float) -> None:
-        """A cache told how many attempts it holds; one that holds too many is cut in proportion."""
+        """Record a cache's attempts in flight; decrease its limit in proportion if too many."""
         cache.reported_in_flight = in_flight
         cache.reported_at_us = self.context.now
         fair = self.fair_in_flight * cache.weight
--- a/orchidgap/decisions/origin.py
+++ b/orchidgap/decisions/origin.py
@@ -1,8 +1,9 @@
-"""The fourth stage: writes and misses go to an origin, within a limit that follows how it answers.
+"""The fourth stage: sends writes and misses to an origin, within its adaptive concurrency limit.
 
-The origin serves far less than all reads. What finds it at its limit waits, writes before reads,
-where that is likely to end in time; a quick denial is better than one after a wait. Misses of
-caches that are all cold do not wait: they come all at once.
+The origin has capacity for a small part of all reads only. A request that finds it at its limit is
+queued, writes before reads, if it is likely to be served in time; otherwise it is denied at once,
+which is better than a denial after a wait. While all caches are cold, misses are not queued: too
+many occur at the same time.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from orchidgap.decisions.rejections import RejectionReason
 from orchidgap.decisions.retry_policy import RETRYABLE_OUTCOMES
 
-SPARE_SLOWNESS_RATIO = 0.45  # up to which an origin takes reads off the caches
+SPARE_SLOWNESS_RATIO = 0.45  # up to which an origin serves reads in place of caches
 
 
 class Origin(Stage):
-    """Sends to the origin with the fewest attempts in flight.
+    """Selects the origin with the fewest attempts in flight.
 
     Attributes:
         hosts: The ready origins.
@@ -25,24 +26,24 @@
     queue_timeout = RejectionReason.ORIGIN_QUEUE_TIMEOUT
 
     def __init__(self, context: PipelineContext) -> None:
-        """Start without an origin."""
+        """Start without origins."""
         super().__init__(context)
         self.hosts: list[HostState] = []
 
     def forward(self, request: Request, host: HostState | None = None) -> None:
-        """Pass the request down with its cache, or an origin with room; else queue or reject it."""
+        """Pass the request down with its cache or an available origin; else queue or reject it."""
         chosen = host or self.choose_host(request)
         if chosen:
             self.next_stage.forward(request, chosen)
-        elif self._is_hopeless(request):
-            self.context.reject_if_idle(request, self._reason_of_hopelessness())
+        elif self._is_unsendable(request):
+            self.context.reject_if_idle(request, self._unsendable_reason())
         elif self._is_served_in_time(request):
             self.enqueue(request, first=request.is_write)
         else:
-            self.context.reject(request, self._reason_of_refusal())
+            self.context.reject(request, self._refusal_reason())
 
     def choose_host(self, request: Request) -> HostState | None:
-        """The origin with the fewest attempts in flight, of those that may take the request."""
+        """Return the least loaded origin of those that may execute the request, if any."""
         context = self.context
         ready = [
             host
@@ -54,7 +55,7 @@
         return min(ready, key=lambda host: host.total_in_flight) if ready else None
 
     def has_spare_capacity(self) -> bool:
-        """Whether an origin could take a read off the caches, and keep half of its room."""
+        """Return whether an origin can serve a read for caches and keep half of its capacity."""
         if self.queue:
             return False
         context = self.context
@@ -66,9 +67,9 @@
         )
 
     def is_idle(self) -> bool:
-        """Whether this balancer has nothing waiting or in flight there, and an origin has room.
+        """Return whether no request is queued or in flight there, and an origin has capacity.
 
-        Its latency is that of the last answers, however old: one request tells it anew.
+        The smoothed latency is ignored, as it may be outdated: one request measures it again.
         """
         if self.queue or any(host.total_in_flight for host in self.hosts):
             return False
@@ -78,24 +79,25 @@
         )
 
     def forward_if_spare(self, request: Request) -> None:
-        """Pass a miss down if an origin has time for it, else reject it at once.
+        """Pass a miss down if an origin has spare capacity, else reject it at once.
 
-        For caches that have all just started, and lack nearly all keys: their misses, queued up to
-        the limit, would crowd the origin until it serves nobody in time.
+        This is for a time when all caches have just started and lack nearly all keys: their
+        misses, if queued up to the limit, would overload the origin until it answers none in time.
         """
         has_time = self.has_spare_capacity() or self.is_idle() or self._may_probe()
         chosen = self.choose_host(request) if has_time else None
         if chosen:
             self.next_stage.forward(request, chosen)
-        elif self._is_hopeless(request):
-            self.context.reject_if_idle(request, self._reason_of_hopelessness())
+        elif self._is_unsendable(request):
+            self.context.reject_if_idle(request, self._unsendable_reason())
         else:
-            self.context.reject(request, self._reason_of_refusal())
+            self.context.reject(request, self._refusal_reason())
 
     def _may_probe(self) -> bool:
-        """Whether a limit of at most 1 may let a miss go: its chance alone crowds an origin.
+        """Return whether a miss may be sent as a probe under limits of at most 1 in total.
 
-        The last answers were quick, or so old that they tell nothing.
+        The last answers must have been quick or be outdated: the probability that such a limit
+        admits a request would not be enough to prevent overload of an origin.
         """
         now = self.context.now
         oldest_us = now - self.context.latency_objective_us
@@ -106,35 +108,36 @@
         )
 
     def drain_queue(self) -> None:
-        """Send on what waits; what waited until no origin may take it any more is rejected."""
+        """Forward queued requests; reject those that no origin may execute any more."""
         while self.queue and self.hosts:
             request = self.queue[0]
-            if request.answered or not self._is_hopeless(request):
+            if request.answered or not self._is_unsendable(request):
                 break
-            self.context.reject_if_idle(self.queue.popleft(), self._reason_of_hopelessness())
+            self.context.reject_if_idle(self.queue.popleft(), self._unsendable_reason())
         super().drain_queue()
 
     def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
-        """Retry what failed at an origin."""
+        """Retry a failure of an origin; pass other outcomes up."""
         self.drain_queue()
         failed_here = attempt.outcome in RETRYABLE_OUTCOMES and attempt.host.is_origin
-        if failed_here and not (request.answered or self._is_hopeless(request)):
+        if failed_here and not (request.answered or self._is_unsendable(request)):
             self.forward(request)
             return
         self.previous_stage.on_attempt_done(request, attempt)
 
-    def _is_hopeless(self, request: Request) -> bool:
-        """Whether no origin may take the request, however long it waits.
+    def _is_unsendable(self, request: Request) -> bool:
+        """Return whether no origin may execute the request, however long it waits.
 
-        It may have run at one that drops no repeats, or that does so no longer.
+        That is so if it was possibly executed at one that does not deduplicate it, or does not
+        any more.
         """
         return not any(self.context.may_retry(request, host) for host in self.hosts)
 
-    def _reason_of_hopelessness(self) -> RejectionReason:
+    def _unsendable_reason(self) -> RejectionReason:
         return RejectionReason.NOT_REPEATABLE if self.hosts else RejectionReason.NO_ORIGIN
 
-    def _reason_of_refusal(self) -> RejectionReason:
-        """Why no origin takes a request, and waiting for one would be too long."""
+    def _refusal_reason(self) -> RejectionReason:
+        """Return why no origin accepts a request, where the wait for one would be too long."""
         if all(self.context.now < host.ejected_until_us for host in self.hosts):
             return RejectionReason.ORIGIN_EJECTED
         if self._limit() < 1.0:
@@ -145,9 +148,9 @@
         return sum(host.concurrency_limit for host in self.hosts)
 
     def _is_served_in_time(self, request: Request) -> bool:
-        """Whether waiting is likely to end before the client gives up and the objective is over.
+        """Return whether the request is likely to be served before its deadline and objective.
 
-        A write waits for one answer, a read for all that wait before it as well.
+        A write waits for one answer, a read also for all requests queued before it.
         """
         limit = self._limit()
         if limit < 1.0:
--- a/orchidgap/decisions/outlier_ejection.py
+++ b/orchidgap/decisions/outlier_ejection.py
@@ -1,8 +1,8 @@
-"""When a host is ejected: it gets nothing for a while, as its last attempts failed.
+"""Decides when a host is ejected: it gets no requests for a while, as its last attempts failed.
 
-The list of hosts is seconds late and knows only whether a process runs; a failed attempt tells
-at once. One spoilt answer among many says nothing of the host: those use up its retry budget
-first.
+The host list is seconds late and contains only whether a process runs; a failed attempt shows a
+failure at once. One failed answer among many is no sign of a failed host: such outcomes use up its
+retry budget first.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from orchidgap.decisions.retry_policy import RETRYABLE_OUTCOMES, has_retry_budget
 
 EJECTION_US = 500_000
-SHORT_EJECTION_US = 50_000  # of a host that is merely full, and of an origin, which has no stand-in
-EJECTION_DECREASE_RATIO = 0.7  # what is left of its concurrency limit
+SHORT_EJECTION_US = 50_000  # if only its queue is full, and for origins, which have no substitute
+EJECTION_DECREASE_RATIO = 0.7  # left of the concurrency limit of an ejected host
 
-# The host did answer, or began to: what failed may have been this answer alone.
-SPOILT_OUTCOMES = frozenset((AttemptOutcome.SERVER_ERROR, AttemptOutcome.CONNECTION_RESET))
-# The host itself failed. A kept connection that broke says nothing of it.
+# The host answered or began to answer, so only this answer may have failed.
+FAILED_ANSWER_OUTCOMES = frozenset((AttemptOutcome.SERVER_ERROR, AttemptOutcome.CONNECTION_RESET))
+# Outcomes that count as failures of the host. A reused connection that broke does not.
 HOST_FAILURES = RETRYABLE_OUTCOMES - {AttemptOutcome.STALE_CONNECTION}
 
 
 def should_eject(host: HostState, outcome: AttemptOutcome) -> bool:
-    """Whether a host is ejected after this outcome, one of `HOST_FAILURES`.
+    """Return whether to eject a host after this outcome, one of `HOST_FAILURES`.
 
-    Its retry budget has paid for the outcome already.
+    A failed answer must already be deducted from the host's retry budget.
     """
-    return outcome not in SPOILT_OUTCOMES or not has_retry_budget(host)
+    return outcome not in FAILED_ANSWER_OUTCOMES or not has_retry_budget(host)
 
 
 def ejection_time_us(host: HostState, outcome: AttemptOutcome) -> int:
-    """How long it is ejected, in microseconds."""
+    """Return how long a host is ejected after this outcome, in microseconds."""
     is_short = outcome == AttemptOutcome.QUEUE_FULL or host.is_origin
     return SHORT_EJECTION_US if is_short else EJECTION_US
--- a/orchidgap/decisions/rebalancing.py
+++ b/orchidgap/decisions/rebalancing.py
@@ -1,14 +1,14 @@
-"""When the hash ranges are resized, and by which loads.
+"""Decides when the hash ranges are resized, and by which loads.
 
-| state      | what moves the ranges                                               | next       |
-| ---------- | ------------------------------------------------------------------- | ---------- |
-| even       | a change of the list                                                | moved      |
-| moved      | a quiet list: half way back to even, `EVEN_OUT_STEPS` times          | even       |
-| any        | enough attempts counted: half way to the paper's formula, by loads  | rebalanced |
-| rebalanced | a change of the list: as `HashRanges.set_ring` describes            | rebalanced |
+| state      | event that resizes the ranges                                          | next       |
+| ---------- | ---------------------------------------------------------------------- | ---------- |
+| even       | the host list changes                                                  | moved      |
+| moved      | the list is unchanged: half way back to even, `EVEN_OUT_STEPS` times   | even       |
+| any        | enough attempts were counted: half way to the paper's formula, by load | rebalanced |
+| rebalanced | the host list changes: as in `HashRanges.set_ring`                     | rebalanced |
 
-Few counts draw no table: each balancer would draw another one by chance, and keys would be kept
-twice. Even shares are the same for all.
+Ranges are not computed from few counts: by chance each balancer would compute other ranges, and
+keys would be cached twice. Even shares are the same at all balancers.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from orchidgap.decisions.ports import RuleContext
 from orchidgap.decisions.records import HostState
 
-REBALANCE_INTERVAL_US = 5_000_000  # at least, between two
-REBALANCE_MIN_ATTEMPTS = 100  # for each cache, counted since the last one
-QUIET_LIST_US = 2 * REBALANCE_INTERVAL_US  # without a change, until ranges go back to even
-EVEN_OUT_STEPS = 3  # half way each, after the last change of the list
+REBALANCE_INTERVAL_US = 5_000_000  # minimum time between two rebalances
+REBALANCE_MIN_ATTEMPTS = 100  # per cache, counted since the last rebalance
+UNCHANGED_LIST_US = 2 * REBALANCE_INTERVAL_US  # without changes before ranges return to even
+EVEN_OUT_STEPS = 3  # each half way to even, after the last change of the list
 
 
 class Rebalancer:
-    """Resizes ranges in time.
+    """Resizes the hash ranges at intervals.
 
     Attributes:
-        ranges: What it resizes.
-        all_caches: Counts the attempts at all caches together.
+        ranges: The ranges to resize.
+        all_caches: The record with the count of attempts at all caches together.
         rebalanced_at_us: When ranges were last resized.
-        is_rebalanced: Whether loads have ever set the ranges: they are not evened beside that.
+        is_rebalanced: Whether ranges were ever set by loads; they are not evened out after that.
     """
 
     def __init__(self, context: RuleContext, ranges: HashRanges, all_caches: HostState) -> None:
-        """Start with even ranges at the context's time."""
+        """Start with even ranges at the current time of the context."""
         self.context = context
         self.ranges = ranges
         self.all_caches = all_caches
@@ -44,25 +44,25 @@
         self._even_out_steps_left = 0
 
     def on_list_changed(self) -> None:
-        """Caches have joined or left."""
+        """Restart evening out after caches have joined or left."""
         if not self.is_rebalanced:
             self._even_out_steps_left = EVEN_OUT_STEPS
             self._list_changed_at_us = self.context.now
 
     def mark_rebalanced(self) -> None:
-        """Loads have set the ranges."""
+        """Record that the ranges were set by loads."""
         self.is_rebalanced = True
         self.rebalanced_at_us = self.context.now
 
     def restart_counts(self) -> None:
-        """Attempts at caches are counted from now on."""
+        """Reset the counts of attempts at caches."""
         for host in self.ranges.ring:
             host.attempt_count = 0
             host.counted_since_us = self.context.now
         self.all_caches.attempt_count = 0
 
     def tick(self) -> None:
-        """Resize all ranges where that is due."""
+        """Resize all ranges if that is due."""
         ring = self.ranges.ring
         since_last_us = self.context.now - self.rebalanced_at_us
         if not ring or since_last_us < REBALANCE_INTERVAL_US:
@@ -77,27 +77,32 @@
         self.mark_rebalanced()
 
     def _move_towards_even(self) -> None:
-        list_quiet_us = self.context.now - self._list_changed_at_us
-        if self.is_rebalanced or not self._even_out_steps_left or list_quiet_us < QUIET_LIST_US:
+        list_unchanged_us = self.context.now - self._list_changed_at_us
+        if (
+            self.is_rebalanced
+            or not self._even_out_steps_left
+            or list_unchanged_us < UNCHANGED_LIST_US
+        ):
             return
         self._even_out_steps_left -= 1
         self.rebalanced_at_us = self.context.now
         self.ranges.move_towards_even()
 
     def _loads(self) -> list[float]:
-        """What each cache of the ring is asked for.
+        """Return the load of each cache of the ring.
 
-        Its reported requests a second where more than half of all caches are warm and were
-        heard, else this balancer's own attempts there over the time that they were counted, as a
-        joiner had less. Caches that are cold or unheard count as the mean.
+        If more than half of all caches are warm and have reported, a cache's load is its reported
+        requests per second. Else it is this balancer's attempts there over the time that they were
+        counted, which is shorter for a cache that joined later. Caches that are cold or have not
+        reported get the mean load.
         """
         now = self.context.now
         ring = self.ranges.ring
         warm = [host for host in ring if now >= host.warm_at_us]
-        heard = [host for host in warm if host.reported_request_rate >= 0]
+        reporting = [host for host in warm if host.reported_request_rate >= 0]
         known: dict[HostState, float]
-        if len(heard) * 2 > len(ring):
-            known = {host: host.reported_request_rate for host in heard}
+        if len(reporting) * 2 > len(ring):
+            known = {host: host.reported_request_rate for host in reporting}
         else:
             known = {host: host.attempt_count / (now - host.counted_since_us) for host in warm}
         even_share = self.ranges.even_share
--- a/orchidgap/decisions/records.py
+++ b/orchidgap/decisions/records.py
@@ -78,9 +78,9 @@
     capacity_checks: int = 0  # capacity checks since a limit below 1 was last set
     smoothed_latency_us: int = 0  # moving average of the latencies recorded for it
     latency_recorded_at_us: int = 0  # when the average was last updated
-    least_latency_us: int = 0  # of answers in the current and the previous window; 0: none
-    least_latency_before_us: int = 0  # of answers in the previous window alone
-    least_latency_since_us: int = 0  # start of the current window
+    min_latency_us: int = 0  # of answers in the current and the previous window; 0: none
+    previous_min_latency_us: int = 0  # of answers in the previous window alone
+    min_latency_window_start_us: int = 0  # start of the current window
     last_response_at_us: int = 0  # time of its last answer, misses and redirections included
 
     # Load measurements by which hash ranges are resized and overloaded caches found.
--- a/orchidgap/decisions/retry_policy.py
+++ b/orchidgap/decisions/retry_policy.py
@@ -115,7 +115,7 @@
             now_us: The time in microseconds.
         """
         retry_after_us = self.unexecuted_retry_after_us
-        executed = _attempts_to_protect(request.attempts, request_class)
+        executed = _unrepeatable_attempts(request.attempts, request_class)
         if not executed:
             return retry_after_us
         every_host_deduplicates = (
@@ -145,7 +145,7 @@
     """
     if len(attempts) >= max_attempts:
         return False
-    executed = _attempts_to_protect(attempts, request_class)
+    executed = _unrepeatable_attempts(attempts, request_class)
     if not executed:
         return True
     key_is_remembered = (
@@ -189,7 +189,7 @@
     host.retry_budget = max(0.0, host.retry_budget - RETRY_COST)
 
 
-def _attempts_to_protect(
+def _unrepeatable_attempts(
     attempts: Sequence[Attempt], request_class: RequestClass
 ) -> Sequence[Attempt]:
     """Those that a further attempt could execute a second time, where that does harm."""
--- a/orchidgap/decisions/shadow.py
+++ b/orchidgap/decisions/shadow.py
@@ -14,7 +14,7 @@
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.dispatch import Dispatch
 from orchidgap.decisions.host_list import HostEntry, ListScope
-from orchidgap.decisions.load_reports import are_judged, fair_in_flight
+from orchidgap.decisions.load_reports import fair_in_flight, reports_in_flight
 from orchidgap.decisions.ports import Port
 from orchidgap.decisions.records import Attempt, Request
 from orchidgap.decisions.retry_policy import RetryPolicy, allows_attempt_after
@@ -171,8 +171,8 @@
         if in_flight is not None and host and not host.is_origin:
             self._reported_in_flight[host_id] = in_flight / host.weight
             fair = host.weight * fair_in_flight(sorted(self._reported_in_flight.values()))
-            judged = are_judged(self.settings)
-            other_judged = are_judged(self.other_settings)
+            judged = reports_in_flight(self.settings)
+            other_judged = reports_in_flight(self.other_settings)
             self.count_if(Difference.LIMIT, in_flight > fair and judged != other_judged)
         super().on_load_report(host_id, request_rate, in_flight)
 
