--- a/orchidgap/decisions/host_list.py
+++ b/orchidgap/decisions/host_list.py
@@ -1,4 +1,4 @@
-"""How the list of hosts that discovery returns is merged into what is known."""
+"""Merges the host list that discovery returns into the known hosts."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from orchidgap.decisions.records import HostState, HostStatus
 
-# As listed: id, status (the string of a `HostStatus`), start of its process in microseconds
-# (0: long ago), zone, kind, cell, and weight.
+# An entry of the list: id, status (the string of a `HostStatus`), start of its process in
+# microseconds (0: long ago), zone, kind, cell, and weight.
 HostEntry = tuple[str, str, int, str, str, str, float]
 
 
 class ListScope(StrEnum):
-    """What a list of hosts covers; members equal and hash like their strings."""
+    """Which hosts a list covers; members equal and hash like their strings."""
 
-    WHOLE = "whole"  # all hosts: others are gone
-    RECALLED = "recalled"  # all hosts, as they were known before this process started
-    CHANGES = "changes"  # other hosts are as they were
-    FAILED = "failed"  # nothing: calling for the list failed
+    WHOLE = "whole"  # all hosts: unlisted ones are gone
+    RECALLED = "recalled"  # all hosts, as known before this process started
+    CHANGES = "changes"  # changed hosts only: others are unchanged
+    FAILED = "failed"  # no hosts: the subscription failed
 
 
-MIN_WEIGHT = 1e-6  # of a host that the list says weighs nothing
+MIN_WEIGHT = 1e-6  # used instead of a listed weight that is 0 or negative
 FIRST_RETRY_US = 1_000_000
 MAX_RETRY_DOUBLINGS = 3
 
@@ -37,12 +37,12 @@
     """Return all hosts by id, in the order of their ids.
 
     Args:
-        known: Those known so far.
-        entries: Those that were told, in the order they were.
-        is_whole: Whether hosts that were not told are gone.
-        origin_kind: The kind whose hosts are origins.
-        on_started: Called with a host that is new or has started again, and with the start of
-            its process.
+        known: The hosts known so far, by id.
+        entries: The listed hosts, in the order of the list.
+        is_whole: Whether hosts that are not listed are gone.
+        origin_kind: The kind of hosts that are origins.
+        on_started: Called with a host that is new or has restarted, and with the start of its
+            process.
     """
     hosts = dict(known)
     gone = set(known) if is_whole else set()
@@ -65,6 +65,6 @@
 
 
 def max_retry_delay_us(failures: int, subscribe_within_us: int) -> int:
-    """Within how many microseconds to ask for the list again after so many failures in a row."""
+    """Return the maximum delay to subscribe again after so many consecutive failures."""
     backoff_us = FIRST_RETRY_US << min(failures, MAX_RETRY_DOUBLINGS)
     return min(subscribe_within_us // 4, backoff_us)
--- a/orchidgap/decisions/retry_policy.py
+++ b/orchidgap/decisions/retry_policy.py
@@ -1,16 +1,16 @@
-"""When a request may have another attempt, and when its client may retry if it gets none.
+"""Decides when a request may have another attempt, and when its client may retry a denied one.
 
-An attempt may have run unless its outcome proves that it did not (`records.NEVER_EXECUTED`).
-What the request's class says of running twice decides then:
+An attempt was possibly executed unless its outcome proves that it was not
+(`records.NEVER_EXECUTED`). Then the request's class determines where it may be repeated:
 
-| class             | after an attempt that may have run, the next one may go to            |
+| class             | after a possibly executed attempt, the next one may go to             |
 | ----------------- | --------------------------------------------------------------------- |
 | idempotent        | any host                                                              |
-| idempotency_keyed | hosts that drop repeats of the key, as long as they remember it       |
+| idempotency_keyed | hosts that deduplicate its key, while they remember it                |
 | neither           | none                                                                  |
 
-A host's retry budget keeps retries a share of what it gets done: retries spend it and answers
-earn it. All conditions of a further attempt, with those that the stages check:
+A host's retry budget limits retries to a fraction of its answers: retries spend it and answers
+earn it. All conditions of a further attempt, including those that the stages check:
 
 | condition                                                    | checked by                       |
 | ------------------------------------------------------------ | -------------------------------- |
@@ -18,11 +18,11 @@
 | attempts are left, and one more is safe (the table above)    | `allows_attempt_after`           |
 | a retry: after one of `RETRYABLE_OUTCOMES`, or a cancel      | `on_attempt_done` of the stages  |
 | a retry at a cache: the next cache has retry budget          | `Placement._retry`               |
-| a hedged request: the attempt is late, its host answers      | `Dispatch.is_lost`               |
+| a hedged request: the attempt is overdue, its host answers   | `Dispatch.is_lost`               |
 | a hedged request: the host accepts it and has retry budget   | `Dispatch._hedge`                |
 
-After a miss or a redirection the next attempt is no retry, and spends no budget. Nor does a retry
-at an origin, or one after a kept connection broke.
+The attempt that follows a miss or a redirection is not a retry and spends no budget. A retry at an
+origin, or after a reused connection broke, spends none either.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 )
 from orchidgap.decisions.settings import RequestClass, ServiceSettings
 
-# Outcomes after which another attempt can do better.
+# Outcomes after which another attempt may succeed.
 RETRYABLE_OUTCOMES = frozenset(
     (
         AttemptOutcome.QUEUE_FULL,
@@ -50,7 +50,7 @@
         AttemptOutcome.STALE_CONNECTION,
     )
 )
-# Of a host's retry budget, which is counted in attempts.
+# A host's retry budget, counted in attempts.
 INITIAL_RETRY_BUDGET = 2.0
 MAX_RETRY_BUDGET = 10.0
 RETRY_BUDGET_PER_ANSWER = 0.2
@@ -62,9 +62,9 @@
     """The rules on further attempts of a request: retries after a failure and hedged requests.
 
     Args:
-        may_hedge: Whether two attempts of one request may be in flight at a time.
-        max_retry_after_us: The longest time in microseconds that clients respect when they are
-            told to stay away; 0 where they are told none.
+        may_hedge: Whether two attempts of one request may be in flight at the same time.
+        max_retry_after_us: The longest Retry-After in microseconds that clients respect; 0 if
+            they are sent none.
     """
 
     may_hedge: bool
@@ -77,17 +77,17 @@
 
     @property
     def unexecuted_retry_after_us(self) -> int:
-        """How long a client should stay away whose request was never executed.
+        """The Retry-After in microseconds of a request that was never executed.
 
-        Half of the longest time that clients respect, so that they come back spread out while it
-        matters.
+        It is half of the longest time that clients respect, so that they retry spread over time
+        while their requests still matter.
         """
         return self.max_retry_after_us // 2
 
     def allows(self, request: Request, host: HostState, now_us: int) -> bool:
-        """Whether the request may have one more attempt, at this host, now.
+        """Return whether the request may have one more attempt, at this host, now.
 
-        The host's retry budget is not looked at: what waits for an origin spends none.
+        The host's retry budget is not checked: requests queued for an origin spend none.
         """
         if request.answered:
             return False
@@ -104,15 +104,15 @@
     def retry_after_us(
         self, request: Request, request_class: RequestClass, now_us: int
     ) -> int | None:
-        """How long a client that is denied should stay away; None where its retry may do harm.
+        """Return the Retry-After of a denied request; None if a retry may do harm.
 
-        A retry of what may have run must come while its idempotency key is remembered, as it would
-        run again later.
+        A retry of a possibly executed request must arrive while its idempotency key is remembered:
+        later it would be executed again.
 
         Args:
-            request: The request that is given up.
-            request_class: Its class, or the one that shadow evaluation asks about.
-            now_us: The time in microseconds.
+            request: The request to reject.
+            request_class: Its class, or another one for shadow evaluation.
+            now_us: The current time in microseconds.
         """
         retry_after_us = self.unexecuted_retry_after_us
         executed = _unrepeatable_attempts(request.attempts, request_class)
@@ -134,14 +134,14 @@
     max_attempts: int,
     now_us: int,
 ) -> bool:
-    """Whether one more attempt, at this host, is safe after these.
+    """Return whether one more attempt, at this host, is safe after the given ones.
 
     Args:
         attempts: The earlier attempts of the request, in their order.
-        host: Where the next one would go.
-        request_class: Says what a second execution would do.
-        max_attempts: How many the request may have, with those that were redirected.
-        now_us: The time in microseconds.
+        host: The host of the next attempt.
+        request_class: The class, which determines whether a second execution does harm.
+        max_attempts: How many attempts the request may have, including redirected ones.
+        now_us: The current time in microseconds.
     """
     if len(attempts) >= max_attempts:
         return False
@@ -159,10 +159,10 @@
 
 
 def latest_start_us(request: Request, number: int) -> int:
-    """Until when the attempt of this number may be written to its host, in microseconds.
+    """Return the latest time to write the attempt of this number to its host, in microseconds.
 
-    A repeat of what may have run has to be at its host before the idempotency key is forgotten
-    there, and the connection for it can come up late.
+    A repeat of a possibly executed attempt must reach its host before the idempotency key expires
+    there, and the connection for it may be opened late.
     """
     request_class = request.request_class
     if not request_class.idempotency_keyed:
@@ -170,34 +170,34 @@
     executed = possibly_executed(request.attempts[:number])
     if not executed:
         return request.deadline_us
-    forgotten_at_us = executed[0].started_at_us + request_class.deduplication_window_us
-    return min(request.deadline_us, forgotten_at_us)
+    key_expires_at_us = executed[0].started_at_us + request_class.deduplication_window_us
+    return min(request.deadline_us, key_expires_at_us)
 
 
 def has_retry_budget(host: HostState) -> bool:
-    """Whether the host's answers have paid for another attempt."""
+    """Return whether the host's retry budget is enough for another attempt."""
     return host.retry_budget >= RETRY_COST
 
 
 def earn_retry_budget(host: HostState) -> None:
-    """An answer came from the host."""
+    """Add to the retry budget of a host that has answered."""
     host.retry_budget = min(MAX_RETRY_BUDGET, host.retry_budget + RETRY_BUDGET_PER_ANSWER)
 
 
 def forfeit_retry_budget(host: HostState) -> None:
-    """An answer of the host was spoilt: it pays as for a retry, as far as it can."""
+    """Deduct the cost of a retry for a failed answer of the host, down to 0 at most."""
     host.retry_budget = max(0.0, host.retry_budget - RETRY_COST)
 
 
 def _unrepeatable_attempts(
     attempts: Sequence[Attempt], request_class: RequestClass
 ) -> Sequence[Attempt]:
-    """Those that a further attempt could execute a second time, where that does harm."""
+    """Return the possibly executed attempts, if a second execution does harm, else none."""
     return () if request_class.idempotent else possibly_executed(attempts)
 
 
 def _deduplicate_together(first: HostState, second: HostState, scope: str) -> bool:
-    """Whether both hosts drop repeats of the same idempotency keys; scope: all, zone or cell."""
+    """Return whether the hosts share deduplication records; scope is all, zone or cell."""
     if scope == "zone":
         return first.zone == second.zone
     if scope == "cell":
--- a/orchidgap/decisions/slot_map.py
+++ b/orchidgap/decisions/slot_map.py
@@ -1,17 +1,17 @@
-"""Who owns a slot, what follows a redirection, and when the slot map is asked for again.
+"""The owners of slots, the action after a redirection, and the times to refresh the slot map.
 
-In a RESP cluster servers own their slots, and what they say of the owner binds (Redis Cluster
-Specification: hash tags, `CLUSTER SLOTS`, `MOVED` and `ASK`). `SlotMap` keeps what they said:
+In a RESP cluster servers own their slots, and the owner that they report is authoritative (Redis
+Cluster Specification: hash tags, `CLUSTER SLOTS`, `MOVED` and `ASK`). `SlotMap` stores it:
 
-| state of a slot | MOVED to x | ASK to x | a whole map |
+| state of a slot | MOVED to x | ASK to x | a complete map |
 | --- | --- | --- | --- |
 | unknown: it has no owner, or two | owned by x | unknown | owned or unknown |
 | owned by one server | owned by x | owned as before | owned or unknown |
 
-MOVED says that the map is out of date, so a whole one is asked for soon; ASK is for one request. A
-redirection proves that its command has not run, so it may be followed whatever the request class,
-but at most `MAX_REDIRECTS` times for a request: two servers that point at each other must not keep
-it going. Free of I/O; times are whole microseconds.
+MOVED means that the map is out of date, so a complete one is requested soon; ASK applies to one
+request. A redirection proves that its command was not executed, so it may be followed for any
+request class, but at most `MAX_REDIRECTS` times for a request: two servers that redirect to each
+other must not cause an endless loop. This module does no I/O; times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -25,30 +25,30 @@
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 
 MAX_REDIRECTS = 5
-MIN_REFRESH_INTERVAL_US = 1_000_000  # however many redirections come
-REFRESH_INTERVAL_US = 15_000_000  # where none comes
+MIN_REFRESH_INTERVAL_US = 1_000_000  # however many redirections arrive
+REFRESH_INTERVAL_US = 15_000_000  # without redirections
 MAX_BACKOFF_DOUBLINGS = 4
-JITTER_RATIO = 0.5  # of an interval, added by chance: balancers must not all ask at one moment
+JITTER_RATIO = 0.5  # random part of an interval added to it: balancers must not refresh all at once
 UNKNOWN_OWNER = -1
 
 
 class RedirectAction(Enum):
-    """What is done with a request after a redirection."""
+    """The action for a request after a redirection."""
 
-    FOLLOW = "follow"  # send it to the server named
-    RETRY_LATER = "retry later"  # that server is not known: ask for the map first
-    GIVE_UP = "give up"  # it was redirected often enough, or that server drains
+    FOLLOW = "follow"  # send it to the server that was named
+    RETRY_LATER = "retry later"  # that server is unknown: refresh the map first
+    GIVE_UP = "give up"  # too many redirections, or that server drains
 
 
 def redirect_action(
     redirect_count: int, target_is_known: bool, target_drains: bool
 ) -> RedirectAction:
-    """What follows a redirection.
+    """Return the action after a redirection.
 
     Args:
-        redirect_count: How often the request was redirected before.
-        target_is_known: Whether discovery lists the server that it names.
-        target_drains: Whether that server drains: nothing new goes there, redirected or not.
+        redirect_count: How many times the request was redirected before.
+        target_is_known: Whether discovery lists the server that the redirection names.
+        target_drains: Whether that server drains: it gets no new requests, redirected or not.
 
     >>> [redirect_action(*case).value for case in ((0, True, False), (4, True, False),
     ...     (5, True, False), (1, False, False), (0, True, True))]
@@ -60,15 +60,15 @@
 
 
 class SlotRange(NamedTuple):
-    """Slots of one owner."""
+    """A range of slots with one owner."""
 
     first: int
-    last: int  # included
+    last: int  # inclusive
     owner: str
 
 
 class SlotMap:
-    """The owners of all slots, as the servers said, and the time of the next refresh.
+    """The owners of all slots as reported by servers, and the time of the next refresh.
 
     >>> slots = SlotMap(Random(1), 0)
     >>> slots.replace([SlotRange(0, 9, "a"), SlotRange(8, 20, "b")], 5)
@@ -79,37 +79,37 @@
     ('c', 16365, 2)
 
     Attributes:
-        refresh_due_us: When the map is asked for next.
-        refresh_failures: How many refreshes in a row have failed.
-        conflicting_slot_count: Slots that the last whole map gave to two owners.
+        refresh_due_us: When to request the map next.
+        refresh_failures: How many consecutive refreshes have failed.
+        conflicting_slot_count: Slots with two owners in the last complete map.
     """
 
     def __init__(self, rng: Random, now: int) -> None:
-        """Start with no slot known, and a refresh due at once."""
+        """Start with all owners unknown, and a refresh due at once."""
         self.refresh_due_us = now
         self.refresh_failures = 0
         self.conflicting_slot_count = 0
         self._rng = rng
         self._refresh_started_us = now - MIN_REFRESH_INTERVAL_US
-        # Owners are kept by number: a name for each of all slots would take more memory.
+        # Owners are stored by number: a name for each slot would take more memory.
         self._owner_names: list[str] = []
         self._owner_numbers: dict[str, int] = {}
         self._slot_owners = array("h", [UNKNOWN_OWNER]) * SLOT_COUNT
 
     def owner(self, slot: int) -> str | None:
-        """Who owns the slot; None where that is unknown."""
+        """Return the owner of the slot; None if it is unknown."""
         number = self._slot_owners[slot]
         return None if number == UNKNOWN_OWNER else self._owner_names[number]
 
     def unknown_slot_count(self) -> int:
-        """How many slots have no known owner."""
+        """Return how many slots have no known owner."""
         return self._slot_owners.count(UNKNOWN_OWNER)
 
     def replace(self, ranges: Iterable[SlotRange], now: int) -> None:
-        """Take a whole map.
+        """Replace all owners by those of a complete map.
 
-        A slot in no range, or in two of different owners, is unknown: neither owner may be asked
-        by guess. Ranges out of bounds are left aside.
+        The owner of a slot in no range, or in ranges of different owners, is unknown: no request
+        may be sent to one of them by guess. Ranges out of bounds are ignored.
         """
         self._owner_names = []
         self._owner_numbers = {}
@@ -132,17 +132,17 @@
         self.refresh_due_us = now + self._with_jitter(REFRESH_INTERVAL_US)
 
     def set_owner(self, slot: int, owner: str, now: int) -> None:
-        """A server says that the slot is another's, which is asked until a whole map comes."""
+        """Set the owner that a redirection named, until the next complete map; request one."""
         self._slot_owners[slot] = self._owner_number(owner)
         self.request_refresh(now)
 
     def request_refresh(self, now: int) -> None:
-        """Something does not fit the map: ask for it soon, but not more often than allowed."""
+        """Schedule a refresh of an outdated map, as soon as the minimum interval permits."""
         earliest_us = self._refresh_started_us + self._with_jitter(MIN_REFRESH_INTERVAL_US)
         self.refresh_due_us = min(self.refresh_due_us, max(now, earliest_us))
 
     def start_refresh_if_due(self, now: int) -> bool:
-        """Whether the map is to be asked for now; if so, the refresh counts as started."""
+        """Return whether to request the map now; if so, the refresh counts as started."""
         if now < self.refresh_due_us:
             return False
         self._refresh_started_us = now
@@ -150,7 +150,7 @@
         return True
 
     def on_refresh_failed(self, now: int) -> None:
-        """Nobody answered with a map: try again, later each time."""
+        """Schedule the next refresh after a failed one, with exponential backoff."""
         self.refresh_failures += 1
         doublings = min(self.refresh_failures - 1, MAX_BACKOFF_DOUBLINGS)
         delay_us = min(REFRESH_INTERVAL_US, MIN_REFRESH_INTERVAL_US << doublings)
@@ -167,7 +167,7 @@
 
 
 def hash_tag(key: bytes) -> bytes:
-    """The part of a key that is hashed: what stands in the first braces, unless that is empty.
+    """Return the part of a key that is hashed: the text in its first braces, unless empty.
 
     >>> [hash_tag(key) for key in (b"{user1}.a", b"a{}b", b"a{b", b"foo{{bar}}x", b"{a}{b}", b"")]
     [b'user1', b'a{}b', b'a{b', b'{bar', b'a', b'']
