--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,4 +1,4 @@
-"""A balancer on a port that records what it was asked to do, under a clock of its own."""
+"""A balancer with a port that records its calls, and a clock that tests advance."""
 
 from orchidgap.decisions.balancer import Balancer
 from orchidgap.decisions.settings import ServiceSettings
@@ -32,7 +32,7 @@
 
 
 class RecordingPort:
-    """Records each call as its name and arguments."""
+    """Records each call as a tuple of its name and arguments."""
 
     def __init__(self):
         self.actions = []
@@ -42,7 +42,7 @@
 
 
 class BalancerHarness(Balancer):
-    """Caches c0, c1 ... and the origin `o`; requests are numbered from 1."""
+    """A balancer with caches c0, c1 ... and the origin `o`; requests are numbered from 1."""
 
     def __init__(self, caches=4, now=100_000_000, **pairs):
         settings = ServiceSettings.from_pairs(
@@ -52,33 +52,45 @@
         self.last_request_id = 0
         self.list_hosts([f"c{i}" for i in range(caches)] + ["o"], "recalled")
 
-    def list_hosts(self, ids, scope="changes", state="up", since=0):
+    def list_hosts(self, ids, scope="changes", state="up", started_at_us=0):
         self.on_hosts(
             scope,
-            [(id, state, since, "z", "origin" if id == "o" else "cache", "1", 1.0) for id in ids],
+            [
+                (id, state, started_at_us, "z", "origin" if id == "o" else "cache", "1", 1.0)
+                for id in ids
+            ],
         )
 
-    def send_request(self, key=1, request_class="read", left=2_000_000, tenant="small"):
+    def send_request(
+        self, key=1, request_class="read", time_remaining_us=2_000_000, tenant="small"
+    ):
         self.last_request_id += 1
         self.on_request(
-            self.last_request_id, left, request_class != "read", request_class, key, tenant
+            self.last_request_id,
+            time_remaining_us,
+            request_class != "read",
+            request_class,
+            key,
+            tenant,
         )
         return self.last_request_id
 
-    def advance(self, micros):
-        """Time passes; what is due on the way happens."""
-        end = self.now + micros
+    def advance(self, duration_us):
+        """Advance the clock, and run the timers that are due until then."""
+        end = self.now + duration_us
         while self.entries and self.entries[0][0] <= end:
             self.now = max(self.now, self.entries[0][0])
             self.on_wake(self.wake_at_us)
         self.now = end
 
-    def finish_attempt(self, request, outcome, number=0, over=None):
-        """The request's attempt of this number has its outcome, which may end the request."""
-        self.on_outcome(request, number, outcome, outcome == "done" if over is None else over)
+    def finish_attempt(self, request, outcome, number=0, answered=None):
+        """Report the outcome of an attempt; "done" answers the request unless set otherwise."""
+        self.on_outcome(
+            request, number, outcome, outcome == "done" if answered is None else answered
+        )
 
     def actions(self, name, request=None):
-        """What the port was asked under this name, in order; all, or of one request."""
+        """Return the arguments of the port's calls of this name, in order; optionally of one request."""
         return [
             action[1:]
             for action in self.port.actions
@@ -89,7 +101,7 @@
         return [host for _, host in self.actions("dispatch", request)]
 
     def owner_of_key(self, key):
-        """The cache that a lone request for the key goes to."""
+        """Return the cache that gets a request for the key while no other is in flight."""
         request = self.send_request(key)
         host = self.attempted_hosts(request)[0]
         self.finish_attempt(request, "done")
@@ -101,7 +113,7 @@
 
 
 def weighted_balancer(weights, setting="rough", **pairs):
-    """A balancer with caches of these listed weights."""
+    """Return a balancer with caches of these listed weights."""
     balancer = BalancerHarness(0, weights=setting, **pairs)
     balancer.on_hosts(
         "changes",
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Who is turned away under overload."""
+"""Which requests are rejected under overload."""
 
 from balancer_harness import BalancerHarness
 
@@ -20,17 +20,17 @@
     assert "overload on" in balancer.actions("log")[0][0]
 
 
-def test_a_balancer_that_knows_only_itself_sheds_nobody():
+def test_one_of_several_balancers_sheds_no_tenant():
     balancer = BalancerHarness(instances="100")
     for key in range(200):
-        balancer.owner_of_key(key)  # one tenant alone comes here
+        balancer.owner_of_key(key)  # this balancer serves one tenant alone
     balancer.admission.overloaded = True
     balancer.hosts["o"].smoothed_latency_us = 10 * balancer.latency_objective_us
     balancer.admission.tick()
     assert not any(balancer.admission.shed_ratios.values())
 
 
-def test_all_are_turned_away_while_the_oldest_has_waited_long():
+def test_all_requests_are_rejected_while_the_oldest_has_waited_too_long():
     balancer = BalancerHarness(1)
     balancer.hosts["o"].concurrency_limit = 1.0
     for key in range(9):
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -1,4 +1,4 @@
-"""The entry points: one final answer whatever comes."""
+"""The entry points: exactly one final answer after any events."""
 
 from balancer_harness import BalancerHarness
 
@@ -20,8 +20,8 @@
             balancer.advance(1_500_000)
             for number in range(
                 len(balancer.attempted_hosts(request))
-            ):  # the client timeout ends what is out
-                balancer.finish_attempt(request, "timeout", number, over=False)
+            ):  # the client timeout ends the attempts in flight
+                balancer.finish_attempt(request, "timeout", number, answered=False)
             balancer.on_client_disconnect(request)
             assert (
                 len(balancer.actions("deny", request) + balancer.actions("abort", request)) == 1
@@ -29,7 +29,7 @@
             assert not balancer.requests and not balancer.coalescing.fetches
 
 
-def test_a_failed_subscription_is_asked_for_again_at_random():
+def test_a_failed_subscription_is_retried_after_a_random_delay():
     balancer = BalancerHarness(**{"registry-mode": "subscribe"})
     balancer.advance(1_100_000)
     assert len(balancer.actions("subscribe")) == 1
@@ -37,10 +37,10 @@
         balancer.on_hosts("failed", [])
         balancer.advance(3_000_000)
         assert len(balancer.actions("subscribe")) == calls
-    assert len(balancer.placement.ring) == 4, "the old list still holds"
+    assert len(balancer.placement.ring) == 4, "the old list stays in use"
 
 
-def test_odd_but_legal_events():
+def test_unusual_but_legal_events():
     balancer = BalancerHarness(0)
     request = balancer.send_request()
     assert balancer.attempted_hosts(request) == ["o"]
@@ -54,8 +54,8 @@
     balancer.list_hosts(["c0"], state="gone")
 
 
-def test_the_objective_of_a_request_that_was_heard_of_late_runs_from_its_arrival():
-    # Requests that waited in a process that was held up were denied that much too late.
+def test_the_objective_of_a_request_that_was_handled_late_counts_from_its_arrival():
+    # A request that waited in a stalled process was denied later by the time of the stall.
     balancer = BalancerHarness(caches=0)
     origin = balancer.hosts["o"]
     origin.concurrency_limit = 1.0
@@ -69,7 +69,7 @@
     assert len(balancer.actions("deny", 2)) == 1
 
 
-def test_the_objective_of_a_streamed_body_runs_from_its_last_byte():
+def test_the_objective_of_a_streamed_body_counts_from_its_last_byte():
     balancer = BalancerHarness()
     balancer.on_request(1, 3_600_000_000, True, "mark", 1, "small", -1, True)
     balancer.on_body_complete(1, 1_900_000, 100_000)
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Late attempts: hedged, cancelled for the origin, or counted as slow."""
+"""Overdue attempts: hedged, cancelled for the origin, or counted as slow."""
 
 import pytest
 from balancer_harness import BalancerHarness
@@ -14,7 +14,7 @@
         ("once", "true", True, False),
     ],
 )
-def test_an_attempt_that_a_quick_host_has_lost_is_sent_again_and_says_nothing_of_the_host(
+def test_an_attempt_that_a_quick_host_has_lost_is_hedged_and_does_not_count_as_slow(
     request_class, allowed, answers, again
 ):
     balancer = BalancerHarness(**{"ceilings.may-duplicate": allowed})
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("state", ["gone", "draining"])
-def test_a_lost_attempt_is_not_sent_again_to_a_host_that_has_left(state):
+def test_a_lost_attempt_is_not_hedged_at_a_host_that_has_left(state):
     balancer = BalancerHarness(**{"ceilings.may-duplicate": "true"})
     lost = balancer.send_request(1)
     [host] = balancer.attempted_hosts(lost)
@@ -49,7 +49,7 @@
     assert balancer.attempted_hosts(lost) == [host]
 
 
-def test_an_attempt_that_is_still_out_counts_as_slow():
+def test_an_overdue_attempt_counts_as_slow():
     balancer = BalancerHarness(instances="400")
     host = balancer.hosts[balancer.attempted_hosts(balancer.send_request(1))[0]]
     balancer.advance(490_000)
@@ -62,14 +62,14 @@
 @pytest.mark.parametrize(
     ("pairs", "request_class", "sent", "why"),
     [
-        (NO_HEDGING, "read", 2, "to the origin"),
+        (NO_HEDGING, "read", 2, "it goes to the origin"),
         ({"ceilings__may-duplicate": "true"}, "read", 2, "its host is silent"),
         (NO_HEDGING | {"ceilings__may-cancel": "false"}, "read", 1, "nothing can be cancelled"),
-        (NO_HEDGING | {"ceilings__most-dispatches": "1"}, "read", 1, "there is no further attempt"),
-        (NO_HEDGING | {"family-info__mode": "through"}, "once", 1, "it may have run"),
+        (NO_HEDGING | {"ceilings__most-dispatches": "1"}, "read", 1, "no attempt is left"),
+        (NO_HEDGING | {"family-info__mode": "through"}, "once", 1, "it was possibly executed"),
     ],
 )
-def test_a_late_read_is_cancelled_for_the_origin(pairs, request_class, sent, why):
+def test_an_overdue_read_is_cancelled_for_the_origin(pairs, request_class, sent, why):
     balancer = BalancerHarness(4, **pairs)
     request = balancer.send_request(request_class=request_class)
     balancer.advance(500_000)
@@ -81,7 +81,7 @@
     assert not balancer.actions("deny", request) and not balancer.actions("abort", request)
 
 
-def test_where_copies_are_allowed_none_is_cancelled_at_a_host_that_answers_late():
+def test_with_hedging_no_attempt_is_cancelled_at_a_host_that_has_answered_since():
     balancer = BalancerHarness(4, **{"ceilings__may-duplicate": "true"})
     request = balancer.send_request()
     host = balancer.hosts[balancer.attempted_hosts(request)[0]]
@@ -91,18 +91,18 @@
 
 
 def test_no_read_is_cancelled_for_a_slow_origin_or_without_retry_budget():
-    for spoil in (
+    for prevent in (
         lambda balancer: setattr(balancer.hosts["o"], "smoothed_latency_us", 300_000),
         lambda balancer: setattr(balancer.placement.all_caches, "retry_budget", 0.9),
     ):
         balancer = BalancerHarness(4, **NO_HEDGING)
-        spoil(balancer)
+        prevent(balancer)
         request = balancer.send_request()
         balancer.advance(500_000)
         assert not balancer.actions("cancel", request)
 
 
-def test_a_read_cancelled_finds_the_origin_busy_after_all():
+def test_a_cancelled_read_goes_to_another_cache_if_the_origin_was_ejected():
     balancer = BalancerHarness(4, **NO_HEDGING)
     request = balancer.send_request()
     balancer.advance(500_000)
--- a/tests/decisions/test_hash_ranges.py
+++ b/tests/decisions/test_hash_ranges.py
@@ -1,4 +1,4 @@
-"""The ranges: whole whatever comes, and moved by joiners and leavers as little as can be."""
+"""Hash ranges cover all slots after any change, and change as little as possible."""
 
 from random import Random
 
@@ -11,23 +11,23 @@
 from orchidgap.decisions.records import HostState
 
 
-def test_ranges_stay_whole_whatever_comes():
-    chance, balancer, here = Random(3), BalancerHarness(6), {f"c{i}" for i in range(6)}
+def test_ranges_cover_all_slots_after_any_change():
+    rng, balancer, present = Random(3), BalancerHarness(6), {f"c{i}" for i in range(6)}
     for step in range(300):
-        id = f"c{chance.randrange(30)}"
-        if id in here and len(here) > 1:
-            balancer.list_hosts([id], state=chance.choice(("gone", "draining")))
-            here.discard(id)
+        id = f"c{rng.randrange(30)}"
+        if id in present and len(present) > 1:
+            balancer.list_hosts([id], state=rng.choice(("gone", "draining")))
+            present.discard(id)
         else:
             balancer.list_hosts([id])
-            here.add(id)
+            present.add(id)
         if step % 7 == 0:
             for host in balancer.placement.ring:
-                host.attempt_count = 100 + chance.randrange(300)
-            balancer.placement.all_caches.attempt_count = 100 * len(here)
+                host.attempt_count = 100 + rng.randrange(300)
+            balancer.placement.all_caches.attempt_count = 100 * len(present)
             balancer.advance(5_500_000)
         ring = balancer.placement.ring
-        assert [host.id for host in ring] == sorted(here)
+        assert [host.id for host in ring] == sorted(present)
         assert (
             balancer.placement.ranges.range_ends[-1]
             == SLOT_COUNT
@@ -36,7 +36,7 @@
         assert all(host.range_size >= 0 for host in ring)
 
 
-def test_a_change_moves_neighbours_only():
+def test_a_change_of_the_ring_resizes_neighbours_only():
     for ids, state, after in (
         (["c2"], "gone", {"c0": 4096, "c1": 6144, "c3": 6144}),
         (["c0"], "draining", {"c1": 8192, "c2": 4096, "c3": 4096}),
@@ -49,8 +49,11 @@
         assert range_sizes(balancer) == after
 
 
-def test_a_cache_that_leaves_and_comes_back_has_its_range_again_at_every_balancer():
-    """Half of the busier neighbour's range was three quarters of its own, and another half at each balancer."""
+def test_a_cache_that_leaves_and_rejoins_gets_the_same_range_at_every_balancer():
+    """Guards against a joiner that takes half of the busier neighbour's range.
+
+    That was three quarters of its own range, and each balancer chose another neighbour.
+    """
     for id in ("c0", "c2", "c6"):
         balancer = BalancerHarness(7)
         before = range_sizes(balancer)
@@ -67,18 +70,19 @@
 
 
 @pytest.mark.parametrize(
-    ("ratings", "weights", "after"),
+    ("listed_weights", "weights", "after"),
     [
         ([1.0, 1.0, 1.0, 1.0], "rough", [4096, 4096, 4096, 4096]),
         ([1.0, 1.0, 2.0, 4.0], "rough", [2048, 2048, 4096, 8192]),
         ([1.0, 1.0, 2.0, 4.0], "nominal", [2048, 2048, 4096, 8192]),
-        ([1.0, 1.0, 2.0, 4.0], "live", [4096, 4096, 4096, 4096]),  # cuts would swing with them
+        # Ranges would oscillate with live weights.
+        ([1.0, 1.0, 2.0, 4.0], "live", [4096, 4096, 4096, 4096]),
         ([1.0, 1.0, 2.0, 4.0], "off", [4096, 4096, 4096, 4096]),
         ([0.0, 0.0, 0.0, 0.0], "rough", [4096, 4096, 4096, 4096]),
     ],
-)  # a list that tells nonsense
-def test_even_shares_are_by_size(ratings, weights, after):
-    assert list(range_sizes(weighted_balancer(ratings, weights)).values()) == pytest.approx(
+)  # the last case is a list with invalid weights
+def test_even_shares_follow_the_weights(listed_weights, weights, after):
+    assert list(range_sizes(weighted_balancer(listed_weights, weights)).values()) == pytest.approx(
         after, abs=1
     )
 
@@ -95,7 +99,7 @@
 
 
 @given(weights, st.data())
-def test_every_slot_has_the_owner_in_whose_range_it_is(weights, data):
+def test_every_slot_belongs_to_the_cache_whose_range_contains_it(weights, data):
     ranges = ranges_of(weights)
     start = 0
     for index, host in enumerate(ranges.ring):
@@ -109,7 +113,7 @@
 
 
 @given(weights, st.data())
-def test_a_rebalance_fills_the_space_and_leaves_each_cache_a_quarter_of_its_share(weights, data):
+def test_a_rebalance_covers_all_slots_and_keeps_a_quarter_of_each_even_share(weights, data):
     ranges = ranges_of(weights)
     count = len(weights)
     loads = data.draw(st.lists(st.floats(0.01, 1e6), min_size=count, max_size=count))
@@ -120,7 +124,7 @@
             assert host.range_size >= ranges.even_share(host) * MIN_SIZE_RATIO - 1
 
 
-def test_loads_that_go_by_even_shares_leave_even_shares():
+def test_loads_proportional_to_even_shares_keep_even_shares():
     ranges = ranges_of([1.0, 3.0])
     ranges.rebalance([100.0, 300.0])
     assert [host.range_size for host in ranges.ring] == [4096, 12288]
@@ -128,7 +132,7 @@
     assert ranges.even_range_ends(False) == [8192, 16384]
 
 
-def test_ranges_go_back_to_even_shares_by_halves():
+def test_ranges_return_to_even_shares_in_half_steps():
     ranges = ranges_of([1.0] * 4)
     ranges.set_ring(ranges.ring[1:])
     assert [host.range_size for host in ranges.ring] == [8192, 4096, 4096]
--- a/tests/decisions/test_host_list.py
+++ b/tests/decisions/test_host_list.py
@@ -1,4 +1,4 @@
-"""What is known of hosts after each list."""
+"""The known hosts after each list."""
 
 from orchidgap.decisions.host_list import max_retry_delay_us, merge_host_list
 from orchidgap.decisions.records import HostState
@@ -32,31 +32,31 @@
     assert list(whole) == ["a", "c"] and whole["a"] is known["a"]
 
 
-def test_a_host_that_is_gone_and_back_in_one_list_stays_known():
+def test_a_host_that_is_gone_and_listed_again_in_one_list_keeps_its_record():
     known, _ = merged({}, entry("a"))
     hosts, started = merged(known, entry("a", "gone"), entry("a", "draining"))
     assert hosts["a"] is known["a"] and hosts["a"].state == "draining" and not started
 
 
-def test_a_start_is_told_once():
+def test_a_start_is_reported_once():
     known, started = merged({}, entry("a"))
-    assert started == [("a", 0)], "also of a host that was started long ago, as it is new"
+    assert started == [("a", 0)], "also for a host that started long ago, as it is new"
     _, started = merged(known, entry("a", started=7), entry("a", started=7))
     assert started == [("a", 7)]
 
 
-def test_no_host_weighs_nothing():
+def test_every_host_has_a_positive_weight():
     hosts, _ = merged({}, entry("a", weight=0.0), entry("b", weight=-3.0))
     assert hosts["a"].weight > 0 and hosts["b"].weight > 0
 
 
-def test_the_list_that_is_known_is_not_changed():
+def test_the_mapping_of_known_hosts_is_not_modified():
     known = {"a": HostState("a", False)}
     merged(known, entry("b"), entry("a", "gone"))
     assert list(known) == ["a"]
 
 
-def test_failures_in_a_row_wait_longer_up_to_a_quarter_of_the_time_allowed():
+def test_consecutive_failures_increase_the_delay_up_to_a_quarter_of_the_time_allowed():
     assert [max_retry_delay_us(failures, 20_000_000) for failures in (1, 2, 3, 9)] == [
         2_000_000,
         4_000_000,
--- a/tests/decisions/test_hot_keys.py
+++ b/tests/decisions/test_hot_keys.py
@@ -1,4 +1,4 @@
-"""Hot keys are found by few reads, spread over neighbours and given up again; usual ones are left alone."""
+"""Hot keys are detected by few reads and spread over neighbours until they cool; other keys are not."""
 
 from binascii import crc_hqx
 from collections import Counter
@@ -26,8 +26,8 @@
         (0.04, 12, 2 * READS_PER_CACHE_BEFORE_HALVING * 12, 2, 3),
         (0.005, 12, 2 * READS_PER_CACHE_BEFORE_HALVING * 12, 1, 1),
     ],
-)  # 0.06 of a cache
-def test_a_key_is_spread_by_what_it_takes_of_a_cache(part, caches, reads, least, most):
+)  # in the last case the key causes 0.06 of a cache's load
+def test_a_key_is_spread_by_its_part_of_the_load_of_a_cache(part, caches, reads, least, most):
     found = []
     for seed in range(20):
         detector, rng = HotKeyDetector(), Random(seed)
@@ -38,7 +38,7 @@
 
 
 @given(st.lists(st.integers(0, 30), max_size=3_000), st.integers(1, 20))
-def test_what_is_counted_is_bounded_and_no_key_is_spread_wider_than_there_are_caches(keys, caches):
+def test_counts_are_bounded_and_no_key_is_spread_over_more_caches_than_exist(keys, caches):
     detector = HotKeyDetector()
     for key in keys:
         assert 1 <= detector.replica_count(key, caches) <= caches
@@ -48,8 +48,8 @@
         )
 
 
-def test_a_key_that_is_hot_no_more_is_forgotten():
-    """A key is hot for an hour. Its copies must not fill caches for the rest of the day."""
+def test_the_count_of_a_key_that_is_no_longer_hot_is_removed():
+    """Guards against copies of a key that stay in caches for a day after it was hot for an hour."""
     detector, rng = HotKeyDetector(), Random(1)
     for _ in range(200):
         detector.replica_count(0 if rng.random() < 0.4 else rng.randrange(1, 999), 12)
@@ -60,7 +60,7 @@
 
 
 def caches_read(balancer, key, count):
-    """How many reads of the key each cache got, one after another."""
+    """Send reads of the key one after another, and return how many each cache got."""
     reads = Counter()
     for _ in range(count):
         request = balancer.send_request(key)
@@ -69,7 +69,7 @@
     return reads
 
 
-def test_reads_of_a_hot_key_go_to_two_neighbours_on_each_side_and_writes_and_others_to_owners():
+def test_reads_of_a_hot_key_go_to_two_neighbours_on_each_side_and_other_keys_to_owners():
     balancer = BalancerHarness(9)
     owner = int(balancer.owner_of_key(1)[1:])
     reads = caches_read(balancer, 1, 300)
@@ -78,8 +78,8 @@
     assert len(caches_read(balancer, 2, 2)) == 1
 
 
-def test_a_hot_key_goes_past_a_neighbour_that_is_ejected():
-    """A neighbour of a hot key's owner fails. The key's reads go to the others meanwhile."""
+def test_reads_of_a_hot_key_skip_an_ejected_neighbour():
+    """A neighbour of a hot key's owner fails; until it returns, the others get the key's reads."""
     balancer = BalancerHarness(9)
     owner = int(balancer.owner_of_key(1)[1:])
     caches_read(balancer, 1, 50)
@@ -88,8 +88,8 @@
     assert f"c{(owner + 1) % 9}" not in reads and sum(reads.values()) == 200
 
 
-def test_who_takes_over_for_a_cache_is_on_the_side_of_the_keys_half_of_its_range():
-    """Not the left one for all: hundreds of balancers that lose a cache at once would all turn to it."""
+def test_the_substitute_for_a_cache_is_on_the_side_of_the_keys_half_of_its_range():
+    """Guards against overload of the left neighbour: hundreds of balancers lose a cache at once."""
     balancer = BalancerHarness(5)
     sides = Counter()
     c2 = balancer.hosts["c2"]
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,11 +1,11 @@
-"""Which cache gets a key, and when the origin gets it in place of all."""
+"""Which cache serves a key, and when the origin serves it instead."""
 
 import pytest
 from balancer_harness import BalancerHarness
 
 
 @pytest.mark.parametrize("outcome", ["stale", "reset", "refused", "full", "error"])
-def test_the_last_attempt_of_a_read_goes_where_no_miss_can_come_of_it(outcome):
+def test_the_last_attempt_of_a_read_goes_to_an_origin_with_capacity(outcome):
     balancer = BalancerHarness()
     balancer.settings = balancer.settings._replace(max_attempts=2)
     request = balancer.send_request(5)
@@ -20,10 +20,10 @@
         len(balancer.attempted_hosts(request)) == 2
         and balancer.attempted_hosts(request)[1] != "o"
         and balancer.attempted_hosts(busy) == ["o"]
-    ), "the origin has no time"
+    ), "the origin has no spare capacity"
 
 
-def test_where_one_attempt_is_all_the_origin_is_asked_while_it_has_time():
+def test_a_read_with_a_single_attempt_goes_to_an_origin_with_capacity():
     balancer = BalancerHarness()
     balancer.settings = balancer.settings._replace(max_attempts=1)
     first = balancer.send_request(5)
@@ -32,8 +32,8 @@
     assert balancer.attempted_hosts(balancer.send_request(6)) != ["o"]
 
 
-def test_a_read_that_no_cache_takes_goes_to_an_origin_that_has_time():
-    """Found by a hunt: with the caches silent, all reads were denied before an idle origin."""
+def test_a_read_that_no_cache_accepts_goes_to_an_origin_with_capacity():
+    """Found by a search over faults: with silent caches all reads were denied at an idle origin."""
     balancer = BalancerHarness(2)
     for host in balancer.placement.ring:
         host.ejected_until_us = balancer.now + 10_000_000
@@ -47,7 +47,7 @@
         balancer.attempted_hosts(other) == ["o"]
         and not balancer.attempted_hosts(more)
         and balancer.actions("deny", more)
-    ), "half its room is for misses"
+    ), "half of its capacity is reserved for misses"
     balancer.finish_attempt(first, "done")
     assert balancer.attempted_hosts(second) == ["o"]
 
@@ -58,7 +58,7 @@
     assert balancer.attempted_hosts(request)[0].startswith("c")
 
 
-def test_nothing_new_to_a_draining_or_gone_host():
+def test_a_draining_or_gone_host_gets_no_new_requests():
     for scope, state, ids in (
         ("changes", "draining", ["c0", "c1"]),
         ("changes", "gone", ["c0", "c1"]),
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""What may be tried again, where, and until when."""
+"""Which requests may be retried, at which hosts, and until when."""
 
 import pytest
 from balancer_harness import BalancerHarness
@@ -33,7 +33,7 @@
         ("once", "unconnected", True, None),
     ],
 )
-def test_effects(request_class, outcome, again, final):
+def test_retries_and_final_answers_by_effect(request_class, outcome, again, final):
     balancer = BalancerHarness()
     request = balancer.send_request(3, request_class)
     assert balancer.attempted_hosts(request) == ["o"]
@@ -46,7 +46,9 @@
 @pytest.mark.parametrize(
     ("request_class", "again"), [("read", True), ("mark", True), ("once", False)]
 )
-def test_a_connection_that_was_kept_too_long_costs_its_host_nothing(request_class, again):
+def test_a_stale_connection_changes_neither_the_retry_budget_nor_the_limit_of_its_host(
+    request_class, again
+):
     balancer = BalancerHarness()
     for _ in range(12):
         request = balancer.send_request(1, request_class)
@@ -67,18 +69,18 @@
     assert balancer.attempted_hosts(request) == ["o"] and balancer.actions("deny", request)
 
 
-def test_a_request_that_came_too_late_is_not_tried_again():
+def test_a_request_past_its_deadline_is_not_retried():
     balancer = BalancerHarness()
-    request = balancer.send_request(9, left=0)
+    request = balancer.send_request(9, time_remaining_us=0)
     balancer.finish_attempt(request, "moot")
     assert len(balancer.attempted_hosts(request)) == 1 and balancer.actions("deny", request)
 
 
-def test_a_further_attempt_goes_only_where_there_is_retry_budget():
-    for credit, dispatches in ((1.0, 2), (0.9, 1)):
+def test_a_retry_goes_only_to_a_cache_with_retry_budget():
+    for retry_budget, dispatches in ((1.0, 2), (0.9, 1)):
         balancer = BalancerHarness(2)
         for host in balancer.placement.ring:
-            host.retry_budget = credit
+            host.retry_budget = retry_budget
         request = balancer.send_request(1)
         balancer.finish_attempt(request, "error")
         assert len(balancer.attempted_hosts(request)) == dispatches and bool(
@@ -86,28 +88,28 @@
         ) == (dispatches == 1)
 
 
-def test_a_repeat_leaves_neither_its_group_nor_its_window():
-    """Found by a trial: with two origins, a repeat went to the other one, which does not know its mark."""
-    for group, goes in (("cell", False), ("all", True)):
-        balancer = BalancerHarness(**{"rule-sets.1.group": group})
+def test_a_repeat_stays_within_its_deduplication_scope_and_window():
+    """Found by a trial with two origins: a repeat went to the one that does not know its key."""
+    for scope, is_repeated in (("cell", False), ("all", True)):
+        balancer = BalancerHarness(**{"rule-sets.1.group": scope})
         balancer.on_hosts("changes", [("o2", "up", 0, "z", "origin", "2", 1.0)])
         request = balancer.send_request(request_class="mark")
         [first] = balancer.attempted_hosts(request)
         balancer.hosts[first].ejected_until_us = balancer.now + 10_000_000
         balancer.finish_attempt(request, "reset")
-        assert (len(balancer.attempted_hosts(request)) == 2) is goes
+        assert (len(balancer.attempted_hosts(request)) == 2) is is_repeated
         balancer.advance(900_000)
-        assert balancer.actions("abort", request) or goes, (
-            "it may have run, and a retry may meet the other origin"
+        assert balancer.actions("abort", request) or is_repeated, (
+            "it was possibly executed, and a retry may go to the other origin"
         )
 
 
-def test_a_repeat_that_waited_past_its_window_is_given_up_and_holds_up_nobody():
+def test_a_repeat_queued_past_its_window_is_rejected_and_blocks_no_other_request():
     balancer = BalancerHarness(**{"rule-sets.1.repeat-window": "100000"})
     request = balancer.send_request(request_class="mark")
     balancer.hosts["o"].ejected_until_us = balancer.now + 400_000
     balancer.finish_attempt(request, "reset")
-    assert not balancer.actions("deny", request), "it waits for the origin"
+    assert not balancer.actions("deny", request), "it is queued for the origin"
     other = balancer.send_request(2, request_class="once")
     balancer.advance(500_000)
     balancer.drain_queues()
@@ -150,28 +152,28 @@
     st.integers(0, 2_000),
     st.sampled_from(["1", "2"]),
 )
-def test_nothing_runs_twice_where_that_does_harm(effect, scope, seen, may_hedge, now, cell):
+def test_nothing_is_executed_twice_where_that_does_harm(effect, scope, seen, may_hedge, now, cell):
     request = with_attempts(request_of(effect, scope), *seen)
     host = HostState("b", True, zone="z", cell=cell)
     for attempt in request.attempts:
         attempt.host = HostState("a", True, zone="z", cell="1")
     policy = RetryPolicy(may_hedge, 900)
-    may_have_run = any(outcome not in NEVER_EXECUTED for outcome in seen)
+    possibly_executed = any(outcome not in NEVER_EXECUTED for outcome in seen)
     remembered = effect == "dedup" and now < 1_000 and (scope != "cell" or cell == "1")
     assert policy.allows(request, host, now) == (
         len(seen) < 3
         and (may_hedge or None not in seen)
-        and (effect == "retryable" or not may_have_run or remembered)
+        and (effect == "retryable" or not possibly_executed or remembered)
     )
     retry_after_us = policy.retry_after_us(request, request.request_class, now)
     retry_is_harmless = (
-        effect == "retryable" or not may_have_run or (effect == "dedup" and scope == "all")
+        effect == "retryable" or not possibly_executed or (effect == "dedup" and scope == "all")
     )
     assert (retry_after_us is not None) == retry_is_harmless
     if retry_after_us is not None:
         assert 0 <= retry_after_us <= 450
-        if may_have_run and effect == "dedup":
-            assert now + retry_after_us <= max(now, 1_000), "its key would be forgotten"
+        if possibly_executed and effect == "dedup":
+            assert now + retry_after_us <= max(now, 1_000), "its key would have expired"
 
 
 def test_an_answered_request_gets_no_further_attempt():
@@ -188,9 +190,9 @@
     assert RetryPolicy(False, 0).allows(request, HostState("a", True), 0)
 
 
-def test_a_repeat_has_to_start_before_the_key_is_forgotten():
+def test_a_repeat_has_to_start_before_its_key_expires():
     request = with_attempts(request_of("dedup"), AttemptOutcome.SERVER_ERROR, None, started_at_us=7)
-    assert latest_start_us(request, 0) == 5_000, "nothing ran before it"
+    assert latest_start_us(request, 0) == 5_000, "nothing was executed before it"
     assert latest_start_us(request, 1) == 1_007
     request = with_attempts(request_of("dedup"), AttemptOutcome.QUEUE_FULL, None, started_at_us=7)
     assert latest_start_us(request, 1) == 5_000
--- a/tests/decisions/test_settings.py
+++ b/tests/decisions/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot be used end in an error that carries what is wrong, for programs and for people."""
+"""An invalid setting raises an error with the setting, its value and the expected value."""
 
 import pytest
 
@@ -26,10 +26,10 @@
         ("ceilings.may-cancel", "yes", "'yes'", "must be one of true, 1, false, 0"),
     ],
 )
-def test_an_error_says_which_setting_what_stood_there_and_what_was_expected(
+def test_an_error_contains_the_setting_its_value_and_the_expected_value(
     setting, text, found, expected
 ):
-    """Somebody mistypes a setting, and has to find it among hundreds."""
+    """An operator has to find a mistyped setting among hundreds."""
     with pytest.raises(SettingError) as raised:
         ServiceSettings.from_pairs(SETTINGS | {setting: text})
     error = raised.value
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("setting", SETTINGS)
 def test_a_required_setting_that_is_missing_is_named(setting):
-    """A setting that must be given was left out."""
+    """A required setting was omitted."""
     pairs = {path: text for path, text in SETTINGS.items() if path != setting}
     with pytest.raises(SettingError) as raised:
         ServiceSettings.from_pairs(pairs)
--- a/tests/decisions/test_slot_map.py
+++ b/tests/decisions/test_slot_map.py
@@ -1,4 +1,4 @@
-"""What servers say of their slots is believed as far as it is of one mind, and asked for again in time."""
+"""Owners of slots are known only where servers agree, and the slot map is refreshed in time."""
 
 from itertools import pairwise
 from random import Random
@@ -23,8 +23,8 @@
 
 
 @given(RANGES)
-def test_a_slot_has_an_owner_where_all_ranges_that_hold_it_name_the_same(ranges):
-    """If two servers claim a slot, a request sent to either by guess could run at the wrong one."""
+def test_a_slot_has_an_owner_if_all_ranges_that_contain_it_agree(ranges):
+    """If two servers claim a slot, a request sent to one by guess could reach the wrong server."""
     slots = SlotMap(Random(1), 0)
     slots.replace(ranges, 0)
     claims = [
@@ -37,8 +37,8 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3_000_000), st.sampled_from(["redirect", "fail", "map"]))))
-def test_a_refresh_is_neither_asked_for_too_often_nor_forgotten(steps):
-    """If each redirection asked for the map, a resharding would load the servers with maps alone."""
+def test_refreshes_are_neither_too_frequent_nor_omitted(steps):
+    """If each redirection caused a refresh, a resharding would load servers with map requests."""
     slots, now, started = SlotMap(Random(1), 0), 0, []
     for wait, step in steps:
         now += wait
@@ -54,8 +54,8 @@
     assert all(after - before >= MIN_REFRESH_INTERVAL_US for before, after in pairwise(started))
 
 
-def test_redirections_end_and_a_draining_server_gets_nothing():
-    """Two servers that point at each other would else keep a request going for ever."""
+def test_redirections_are_limited_and_a_draining_server_gets_no_requests():
+    """Two servers that redirect to each other would otherwise cause an endless loop."""
     for count in range(MAX_REDIRECTS + 3):
         expected = RedirectAction.FOLLOW if count < MAX_REDIRECTS else RedirectAction.GIVE_UP
         assert redirect_action(count, True, False) is expected
--- a/tests/decisions/test_timer_queue.py
+++ b/tests/decisions/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""Timers run in order, on one wake-up at a time."""
+"""Timers run in order, with one pending wake-up at a time."""
 
 from balancer_harness import RecordingPort
 from hypothesis import given
@@ -7,8 +7,8 @@
 from orchidgap.decisions.timer_queue import WAKE_TOLERANCE_US, TimerQueue
 
 
-def play(queue, until):
-    """Each wake-up comes when it was asked for."""
+def run_wake_ups(queue, until):
+    """Deliver each wake-up at the time it was requested for, until this time."""
     while queue.wake_at_us and queue.wake_at_us <= until:
         queue.now = queue.wake_at_us
         queue.on_wake(queue.wake_at_us)
@@ -16,11 +16,11 @@
 
 
 @given(st.lists(st.integers(0, 200_000), max_size=30))
-def test_calls_are_made_in_order_once_and_hardly_late(delays):
+def test_calls_are_made_once_in_order_and_within_the_tolerance(delays):
     queue, made = TimerQueue(RecordingPort(), 1_000), []
     for number, delay in enumerate(delays):
         queue.call_later(delay, lambda *call: made.append((queue.now, *call)), delay, number)
-    play(queue, 1_000_000)
+    run_wake_ups(queue, 1_000_000)
     assert [(delay, number) for _, delay, number in made] == sorted(
         (delay, number) for number, delay in enumerate(delays)
     )
@@ -28,7 +28,7 @@
     assert not queue.entries and not queue.wake_at_us
 
 
-def test_an_earlier_timer_asks_for_an_earlier_wake_up_and_a_later_one_does_not():
+def test_only_an_earlier_timer_requests_an_earlier_wake_up():
     queue = TimerQueue(RecordingPort(), 0)
     queue.call_later(500_000, print)
     queue.call_later(500_000, print)
@@ -38,7 +38,7 @@
     assert queue.port.actions[1:] == [("wake", 110_000, 110_000)]
 
 
-def test_a_token_that_was_replaced_makes_what_is_due_and_keeps_the_wake_up():
+def test_a_wake_up_with_a_replaced_token_makes_due_calls_and_keeps_the_pending_one():
     queue, made = TimerQueue(RecordingPort(), 0), []
     queue.call_later(500_000, made.append, "late")
     queue.call_later(100_000, made.append, "soon")
--- a/tests/decisions/test_warm_snapshot.py
+++ b/tests/decisions/test_warm_snapshot.py
@@ -51,7 +51,7 @@
 def test_a_host_that_started_since_is_left_as_it_is_and_ranges_of_other_caches_are_not_taken():
     """A cache restarts, or joins, while the balancer is replaced: what was known is of another one."""
     old, new = balancer_with_history(), BalancerHarness(3)
-    new.list_hosts(["c1"], since=77)
+    new.list_hosts(["c1"], started_at_us=77)
     before = new.placement.ranges.range_ends[:]
     assert restore_snapshot(new, export_snapshot(old)) == 3
     assert (
