--- a/orchidgap/decisions/coalescing.py
+++ b/orchidgap/decisions/coalescing.py
@@ -45,7 +45,7 @@
         self.previous_stage.on_attempt_done(request, attempt)
 
     def on_request_closed(self, request: Request, filled: bool) -> None:
-        """Forward the followers of a closed leader to the cache, or one as the new leader.
+        """Forward a closed leader's followers: to the cache if it has the key, else to a new fetch.
 
         Args:
             request: The closed request.
--- a/orchidgap/decisions/concurrency_limit.py
+++ b/orchidgap/decisions/concurrency_limit.py
@@ -22,7 +22,7 @@
 CACHE_MIN_DECREASE_RATIO = 0.5  # the least that one decrease leaves of a limit
 ORIGIN_MIN_DECREASE_RATIO = 0.2
 MAX_DECREASE_RATIO = 0.9  # the most that one decrease leaves of a limit
-LATENCY_MEMORY_US = 5_000_000  # an older smoothed latency is ignored
+LATENCY_LIFETIME_US = 5_000_000  # an older smoothed latency is ignored
 # Of a server's minimum latency, above which its answers are slow: the rest is due to load.
 OWNER_SLOW_RATIO = 1.5
 MIN_LATENCY_WINDOW_US = 10_000_000  # a minimum latency is used for one to two windows
@@ -120,7 +120,7 @@
             is_answer: Whether it is the latency of an answer.
         """
         now = self.context.now
-        is_recent = now - host.latency_recorded_at_us < LATENCY_MEMORY_US
+        is_recent = now - host.latency_recorded_at_us < LATENCY_LIFETIME_US
         previous_us = (is_recent and host.smoothed_latency_us) or latency_us
         host.smoothed_latency_us = previous_us + (latency_us - previous_us) // SMOOTHING_DIVISOR
         host.latency_recorded_at_us = now
--- a/orchidgap/decisions/origin.py
+++ b/orchidgap/decisions/origin.py
@@ -78,14 +78,14 @@
             now >= host.ejected_until_us and host.concurrency_limit > 1.0 for host in self.hosts
         )
 
-    def forward_if_spare(self, request: Request) -> None:
+    def forward_if_spare_capacity(self, request: Request) -> None:
         """Pass a miss down if an origin has spare capacity, else reject it at once.
 
         This is for a time when all caches have just started and lack nearly all keys: their
         misses, if queued up to the limit, would overload the origin until it answers none in time.
         """
-        has_time = self.has_spare_capacity() or self.is_idle() or self._may_probe()
-        chosen = self.choose_host(request) if has_time else None
+        may_send = self.has_spare_capacity() or self.is_idle() or self._may_probe()
+        chosen = self.choose_host(request) if may_send else None
         if chosen:
             self.next_stage.forward(request, chosen)
         elif self._is_unsendable(request):
--- a/orchidgap/decisions/placement.py
+++ b/orchidgap/decisions/placement.py
@@ -91,7 +91,7 @@
         is_for_origin = request.is_write and self.context.settings.origin_kind
         if is_for_origin or request.cache_missed:
             if not request.is_write and self.slow_start.all_are_cold():
-                self.origin.forward_if_spare(request)
+                self.origin.forward_if_spare_capacity(request)
             else:
                 self.next_stage.forward(request)
             return
@@ -142,13 +142,13 @@
             return None
         owner_index = self.preferred_index(request)
         owner = ring[owner_index]
-        tried = [
+        excluded_hosts = [
             attempt.host
             for attempt in request.attempts
             if attempt.outcome not in NON_FAILURE_OUTCOMES
         ]
         for _ in range(OWNER_CHECKS):
-            if self.accepts(owner) and owner not in tried:
+            if self.accepts(owner) and owner not in excluded_hosts:
                 return owner
             if not self.context.limiter.has_capacity(owner):
                 owner.attempt_count += REFUSED_REQUEST_ATTEMPTS
@@ -157,7 +157,7 @@
         for distance in range(1, min(MAX_NEIGHBOURS, len(ring) // 2) + 1):
             for offset in (side * distance, -side * distance):
                 neighbour = ring[(owner_index + offset) % len(ring)]
-                if self.accepts(neighbour) and neighbour not in tried:
+                if self.accepts(neighbour) and neighbour not in excluded_hosts:
                     return neighbour
         return None
 
@@ -222,13 +222,13 @@
     def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
         """Follow a redirection, or retry a failure of a cache; pass other outcomes up."""
         self.drain_queue()
-        if self._follows_redirect(request, attempt):
+        if self._should_follow_redirect(request, attempt):
             self.forward(request)
             return
         was_cancelled_here = request.attempt_cancelled and attempt.outcome in CANCELLED_OUTCOMES
-        failed = attempt.outcome in RETRYABLE_OUTCOMES or was_cancelled_here
-        is_of_cache = not (request.cache_missed or attempt.host.is_origin)
-        if failed and is_of_cache and not request.answered:
+        has_failed = attempt.outcome in RETRYABLE_OUTCOMES or was_cancelled_here
+        is_cache_attempt = not (request.cache_missed or attempt.host.is_origin)
+        if has_failed and is_cache_attempt and not request.answered:
             if not self.context.slot_map and self.should_skip_caches(request):
                 self.forward(request)
                 return
@@ -240,29 +240,29 @@
         """Count a new read, and choose one of several caches at random if its key is hot."""
         if request.is_write or request.attempts or request.key is None:
             return
-        copies = self.hot_keys.replica_count(request.key, len(self.ring))
-        if copies > 1:
-            request.owner_offset = self.context.rng.choice(HOT_KEY_OFFSETS[:copies])
+        replicas = self.hot_keys.replica_count(request.key, len(self.ring))
+        if replicas > 1:
+            request.owner_offset = self.context.rng.choice(HOT_KEY_OFFSETS[:replicas])
         else:
             request.owner_offset = 0
 
     def _retry(self, request: Request, attempt: Attempt) -> bool:
-        """Retry a failed request at a cache, and return whether one was found.
+        """Retry a failed request at a cache if possible, and return whether it was sent.
 
         A reused connection that broke is no failure of its host, so that retry costs no budget.
         """
         host = self.choose_host(request)
-        is_free = attempt.outcome == AttemptOutcome.STALE_CONNECTION
+        costs_no_budget = attempt.outcome == AttemptOutcome.STALE_CONNECTION
         if host is None:
             request.retry_refusal = RejectionReason.NO_RETRY_CACHE
             return False
-        if not (is_free or has_retry_budget(host)):
+        if not (costs_no_budget or has_retry_budget(host)):
             request.retry_refusal = RejectionReason.RETRY_BUDGET
             return False
         if not self.context.may_retry(request, host):
             request.retry_refusal = RejectionReason.NOT_REPEATABLE
             return False
-        if not is_free:
+        if not costs_no_budget:
             host.retry_budget -= RETRY_COST
         self.next_stage.forward(request, host)
         return True
@@ -279,7 +279,7 @@
             return RejectionReason.NO_OWNER
         return _refusal_reason(owner, self.context.now)
 
-    def _follows_redirect(self, request: Request, attempt: Attempt) -> bool:
+    def _should_follow_redirect(self, request: Request, attempt: Attempt) -> bool:
         """Return whether to follow a redirection; it is safe for any class, as nothing executed."""
         if attempt.outcome != AttemptOutcome.REDIRECTED or request.answered:
             return False
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -50,9 +50,9 @@
 EFFECTS = (IDEMPOTENT_EFFECT, KEYED_EFFECT, "fragile")
 DEDUPLICATION_SCOPES = ("all", "zone", "cell")
 DEFAULT_DEDUPLICATION_SCOPE = "cell"
-TRUE_WORDS = ("true", "1")
-FALSE_WORDS = ("false", "0")
-BOOLEANS = (*TRUE_WORDS, *FALSE_WORDS)
+TRUE_VALUES = ("true", "1")
+FALSE_VALUES = ("false", "0")
+BOOLEANS = (*TRUE_VALUES, *FALSE_VALUES)
 STEADY_WEIGHTS = ("nominal", "rough")  # "live" weights change too fast for the placement of keys
 WEIGHT_MODES = ("off", *STEADY_WEIGHTS, "live")
 INLINE_REPORTS = "inline"
@@ -163,7 +163,8 @@
                 SLOW_START_FRACTION, DEFAULT_SLOW_START_FRACTION
             ),
             slow_start_us=int(values.non_negative(SLOW_START_DURATION, DEFAULT_SLOW_START_US)),
-            uses_listed_weights=values.word(LISTED_WEIGHTS, "off", WEIGHT_MODES) in STEADY_WEIGHTS,
+            uses_listed_weights=values.choice(LISTED_WEIGHTS, "off", WEIGHT_MODES)
+            in STEADY_WEIGHTS,
             reported_fields=_reported_fields(values),
         )
 
@@ -182,7 +183,7 @@
             raise SettingError.missing(path)
         return self.pairs[path]
 
-    def word(self, path: str, default: str, allowed: tuple[str, ...]) -> str:
+    def choice(self, path: str, default: str, allowed: tuple[str, ...]) -> str:
         value = self.pairs.get(path, default)
         if value not in allowed:
             expected = f"must be one of {', '.join(allowed)}"
@@ -190,7 +191,7 @@
         return value
 
     def boolean(self, path: str) -> bool:
-        return self.word(path, "false", BOOLEANS) in TRUE_WORDS
+        return self.choice(path, "false", BOOLEANS) in TRUE_VALUES
 
     def non_negative(self, path: str, default: float) -> float:
         value = self._number(path, default)
@@ -230,7 +231,7 @@
         prefix = REQUEST_CLASS_PREFIX.format(index)
         client_timeout_us = values.required_positive_integer(prefix + CLASS_CLIENT_TIMEOUT)
         values.required_text(prefix + CLASS_EFFECT)
-        effect = values.word(prefix + CLASS_EFFECT, "", EFFECTS)
+        effect = values.choice(prefix + CLASS_EFFECT, "", EFFECTS)
         name = values.required_text(prefix + CLASS_NAME)
         if not name or name in classes:
             expected = "must be a name of its own"
@@ -241,7 +242,7 @@
             ),
             idempotent=effect == IDEMPOTENT_EFFECT,
             idempotency_keyed=effect == KEYED_EFFECT,
-            deduplication_scope=values.word(
+            deduplication_scope=values.choice(
                 prefix + CLASS_DEDUPLICATION_SCOPE,
                 DEFAULT_DEDUPLICATION_SCOPE,
                 DEDUPLICATION_SCOPES,
@@ -278,6 +279,6 @@
 
 
 def _reported_fields(values: _SettingValues) -> tuple[str, ...]:
-    if values.word(REPORT_MODE, "off", REPORT_MODES) != INLINE_REPORTS:
+    if values.choice(REPORT_MODE, "off", REPORT_MODES) != INLINE_REPORTS:
         return ()
     return tuple(field for field in values.text(REPORT_FIELDS).split(",") if field)
--- a/orchidgap/decisions/slow_start.py
+++ b/orchidgap/decisions/slow_start.py
@@ -93,7 +93,7 @@
         The probability is its share, by weight, of the placements since its last draw, times its
         present fraction of capacity. While another cache is warm, denied requests do not count,
         and unused probability is never accumulated: both would overload a cold cache. While all
-        caches are cold, the share is that of the largest total weight known, as the first caches
+        caches are cold, the share is a part of the largest total weight known, as the first caches
         to return must not get the share of the others.
 
         Args:
