--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -33,7 +33,7 @@
 
 
 def test_a_read_that_no_cache_accepts_goes_to_an_origin_with_capacity():
-    """Found by a search over faults: with silent caches all reads were denied at an idle origin."""
+    """Found by `orchidgap hunt`: with silent caches all reads were denied at an idle origin."""
     balancer = BalancerHarness(2)
     for host in balancer.placement.ring:
         host.ejected_until_us = balancer.now + 10_000_000
