--- a/tests/decisions/test_warm_snapshot.py
+++ b/tests/decisions/test_warm_snapshot.py
@@ -52,7 +52,7 @@
     """A cache restarts, or joins, while the balancer is replaced. The exported values are those of another
     process, or the ranges those of another set of caches."""
     old, new = balancer_with_history(), BalancerHarness(3)
-    new.list_hosts(["c1"], since=77)
+    new.list_hosts(["c1"], started_at_us=77)
     before = new.placement.ranges.range_ends[:]
     assert restore_snapshot(new, export_snapshot(old)) == 3
     assert (
