--- a/orchidgap/admin/__init__.py
+++ b/orchidgap/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running balancer: one command a connection, one line in answer."""
+"""Operators' commands for a running balancer: one command per connection, one line in answer."""
--- a/orchidgap/admin/client.py
+++ b/orchidgap/admin/client.py
@@ -1,4 +1,4 @@
-"""Asks a running balancer for one command, and waits for its answer."""
+"""Sends one command to a running balancer, and waits for its answer."""
 
 from __future__ import annotations
 
@@ -13,17 +13,21 @@
 
 
 class Answer(NamedTuple):
-    """What a balancer answered."""
+    """The answer of a balancer."""
 
     succeeded: bool
     line: str
 
 
 def call(address: Address, command: str) -> Answer:
-    """Asks the balancer whose operators' address this is for a command.
+    """Sends a command to a balancer, and returns its answer.
+
+    Args:
+        address: The balancer's address for operators' commands.
+        command: The command.
 
     Raises:
-        OSError: Nobody listens there, or no answer came in time.
+        OSError: The connection failed, or no answer arrived in time.
     """
     with socket.create_connection(address, ANSWER_TIMEOUT_S) as connection:
         connection.settimeout(ANSWER_TIMEOUT_S)
--- a/orchidgap/admin/server.py
+++ b/orchidgap/admin/server.py
@@ -1,8 +1,8 @@
 """The listener for operators' commands.
 
-Its descriptors are set aside, so that operators get in when clients have taken all others. A new
-connection pushes out the one that has been silent longest: nobody can keep operators out by opening
-connections and saying nothing.
+Its descriptors are reserved, so that operators can connect when clients use all others. At the
+limit, a new connection replaces the one that has been silent longest, so silent connections cannot
+block operators.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from orchidgap.admin.protocol import (
     LINE_END,
     MAX_COMMAND_BYTES,
-    OPERATORS_WORDS,
+    OPERATOR_COMMANDS,
     CommandResult,
     decode_command,
     encode_result,
@@ -26,14 +26,14 @@
 from orchidgap.net.loop import READ, Loop
 
 MAX_CONNECTIONS = 12
-COMMAND_TIMEOUT_US = 10_000_000  # for a whole command to come, unless others push it out
+COMMAND_TIMEOUT_US = 10_000_000  # for a command to arrive completely
 LISTEN_BACKLOG = 512
 
-Command = Callable[[], tuple[bool, str]]  # whether it succeeded, and one plain word on it
+Command = Callable[[], tuple[bool, str]]  # returns whether it succeeded, and a short message
 
 
 class AdminConnection:
-    """One connection, with one command on it.
+    """One connection, which carries one command.
 
     Attributes:
         connection: The socket with its buffers.
@@ -48,10 +48,10 @@
         self.connection = Connection(server.loop, sock, self)
 
     def opened(self) -> None:
-        """A connection that was dialled has come up; these never are."""
+        """Do nothing: accepted connections are established already."""
 
     def received(self, view: memoryview) -> None:
-        """Bytes came: run the command once it is whole."""
+        """Collect received bytes, and run the command once it is complete."""
         self._received += bytes(view[: MAX_COMMAND_BYTES + 1])
         line, line_end, _ = self._received.partition(LINE_END)
         if line_end and len(line) <= MAX_COMMAND_BYTES:
@@ -60,13 +60,13 @@
             self.answer(CommandResult(False, "the call is too long"))
 
     def answer(self, result: CommandResult) -> None:
-        """Send the result, and close once it is sent."""
+        """Send the result, and close the connection after it."""
         self._server.waiting.pop(self, None)
         self.connection.send(encode_result(result))
         self.connection.close_gracefully()
 
     def ended(self, what: str) -> None:
-        """The connection has ended."""
+        """Forget the connection, as it has ended."""
         self._server.waiting.pop(self, None)
         self._server.connections.pop(self, None)
 
@@ -77,16 +77,16 @@
 
 
 class AdminServer:
-    """Runs commands by their words.
+    """Runs commands by name.
 
     Attributes:
-        loop: Whose clock and timers count.
-        connections: All that are open, the oldest first.
-        waiting: Those of them that have yet to bring a whole command, the longest silent first.
+        loop: The event loop.
+        connections: All open connections, the oldest first.
+        waiting: The connections whose command has not arrived completely, the oldest first.
     """
 
     def __init__(self, loop: Loop, commands: Mapping[str, Command]) -> None:
-        """Serve these commands, by the words that operators have for them."""
+        """Create a server for these commands, by name; it does not listen yet."""
         self.loop = loop
         self.connections: dict[AdminConnection, None] = {}
         self.waiting: dict[AdminConnection, None] = {}
@@ -95,20 +95,20 @@
 
     @property
     def listener(self) -> socket.socket | None:
-        """Its socket, None while it does not listen."""
+        """The listening socket; None while the server does not listen."""
         return self._listener_watch.listener if self._listener_watch else None
 
     def listen(self, address: Address) -> None:
         """Open the listener.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address is not available.
         """
         listener = open_listener(address, LISTEN_BACKLOG)
-        self._listener_watch = ListenerWatch(self.loop, listener, self._accept_all, first=True)
+        self._listener_watch = ListenerWatch(self.loop, listener, self._accept_all, priority=True)
 
     def close(self) -> None:
-        """Answer whose command waits in the backlog, and listen no more."""
+        """Answer the commands that wait in the backlog, and stop listening."""
         if self._listener_watch is None:
             return
         self._accept_all()
@@ -116,21 +116,21 @@
         self._listener_watch = None
 
     def accept(self, sock: socket.socket) -> None:
-        """Serve a connection that came in."""
+        """Serve an accepted connection."""
         if len(self.connections) >= MAX_CONNECTIONS:
             self._close_oldest()
         connection = AdminConnection(self, sock)
         self.connections[connection] = None
         self.waiting[connection] = None
         self.loop.call_later(COMMAND_TIMEOUT_US, self._expire, connection)
-        connection.connection.on_ready(READ)  # the command has mostly come with it
+        connection.connection.on_ready(READ)  # the command has usually arrived already
 
     def run_command(self, line: bytes) -> CommandResult:
-        """Run the command that a line asks for; the line comes without its end."""
-        word = decode_command(line)
-        command = self._commands.get(word)
+        """Run the command that a line requests; the line is given without its line end."""
+        name = decode_command(line)
+        command = self._commands.get(name)
         if command is None:
-            return unknown_command(word, OPERATORS_WORDS)
+            return unknown_command(name, OPERATOR_COMMANDS)
         return CommandResult(*command())
 
     def _accept_all(self, mask: int = READ) -> None:
@@ -139,17 +139,21 @@
                 sock, _ = watch.listener.accept()
             except BlockingIOError:
                 return
-            except ConnectionAbortedError:  # gone before it was let in
+            except ConnectionAbortedError:  # closed before it was accepted
                 continue
             except OSError:  # no descriptor is left
                 if not self._close_oldest():
-                    watch.rest()
+                    watch.pause_watching()
                     return
                 continue
             self.accept(sock)
 
     def _close_oldest(self) -> bool:
-        """Close who has been silent longest, else who reads its answer; whether there was one."""
+        """Close the connection that has awaited its command longest, or else the oldest one.
+
+        Returns:
+            Whether there was a connection to close.
+        """
         oldest = next(iter(self.waiting), None) or next(iter(self.connections), None)
         if oldest is None:
             return False
--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -204,7 +204,7 @@
             except ConnectionAbortedError:  # gone before it was let in
                 continue
             except OSError:  # no descriptor is left
-                watch.rest()
+                watch.pause_watching()
                 return
             if len(self.connections) >= MAX_CONNECTIONS:
                 self.drop(min(self.connections, key=lambda oldest: oldest.last_active_us))
--- a/orchidgap/net/__init__.py
+++ b/orchidgap/net/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on sockets, whatever is spoken on them; `node` joins both sides to the decisions."""
+"""The balancer's network side for any protocol; `node` connects it to the decisions."""
--- a/orchidgap/net/addresses.py
+++ b/orchidgap/net/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of hosts, of this balancer's listeners, and of whatever else is dialled."""
+"""Addresses of hosts, of this balancer's listeners, and of other processes that are dialled."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 
 
 def parse_address(text: str) -> Address:
-    """The address that a text states. Raises ValueError; a name is no address, as looking it up
-    would block the loop.
+    """Parse an address. Raises ValueError.
+
+    Host names are rejected, as resolving them would block the loop.
 
     >>> parse_address("127.0.0.1:80")
     ('127.0.0.1', 80)
@@ -30,7 +31,7 @@
 
 
 def format_address(address: Address) -> str:
-    """The text that `parse_address` reads.
+    """Format an address as the text that `parse_address` reads.
 
     >>> format_address(("127.0.0.1", 80))
     '127.0.0.1:80'
--- a/orchidgap/net/attempt_failure.py
+++ b/orchidgap/net/attempt_failure.py
@@ -1,4 +1,4 @@
-"""Why an attempt has no answer, as a value: how far it was sent, and what ended it."""
+"""Why an attempt has no answer: how much of it was sent, and what ended it."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 class AttemptFailure(NamedTuple):
-    """The end of an attempt that brought no answer. Only one whose last byte was written can have
-    been executed.
+    """The end of an attempt that has no answer.
 
-    `cause` is one of: broken, refused, stale (a kept connection broke), overdue, cancelled, short
-    (of descriptors).
+    Only an attempt whose last byte was written can have been executed. `cause` is one of: broken,
+    refused, stale (an idle connection that was reused had broken), overdue, cancelled, short
+    (no descriptors left).
 
     >>> for cause in ("broken", "refused", "stale", "overdue", "cancelled", "short"):
     ...     print([AttemptFailure(progress, cause).outcome.value for progress in SendProgress])
@@ -45,23 +45,24 @@
 
     progress: SendProgress
     cause: str
-    detail: str = ""  # what the system said
+    detail: str = ""  # the system's error text
 
     @property
     def outcome(self) -> AttemptOutcome:
-        """What the decisions are told."""
+        """The outcome that is passed to the decisions."""
         if self.progress is SendProgress.COMPLETE:
             return OUTCOMES_WHEN_SENT.get(self.cause, AttemptOutcome.CONNECTION_RESET)
         if self.cause == "refused" and self.progress is SendProgress.UNSENT:
             return AttemptOutcome.CONNECTION_REFUSED
-        # what this balancer itself lacks or gave up says nothing against the host
-        is_of_host = self.cause in HOST_CAUSES
-        return AttemptOutcome.UNCONNECTED if is_of_host else AttemptOutcome.NEVER_SENT
+        # a lack of resources or a cancel in this balancer is not a failure of the host
+        is_host_failure = self.cause in HOST_CAUSES
+        return AttemptOutcome.UNCONNECTED if is_host_failure else AttemptOutcome.NEVER_SENT
 
 
 def connect_failure_cause(detail: str) -> str:
-    """The cause, by what the system says of a connection that did not come up: refused means that
-    no process listens there.
+    """Return the cause for the system's error text of a connection that was not established.
+
+    It is "refused" if no process listens at the address, otherwise "broken".
 
     >>> connect_failure_cause(os.strerror(errno.ECONNREFUSED))
     'refused'
--- a/orchidgap/net/body_stream.py
+++ b/orchidgap/net/body_stream.py
@@ -1,4 +1,4 @@
-"""Bodies too large to be buffered: they pass from connection to connection, with back-pressure."""
+"""Bodies too large to be buffered: they are streamed between connections with back-pressure."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 class UploadSink(Protocol):
-    """A connection to a host, as far as a body flows to it."""
+    """A connection to a host to which a body is streamed."""
 
     conn: Connection
 
     def put(self, parts: list[bytes], last: bool) -> None:
-        """Write these parts of the body, framed as its head said."""
+        """Write these parts of the body, with the framing that its head declared."""
 
 
 class Upload:
-    """A request's body on its way to a host.
+    """A request's body that is being streamed to a host.
 
-    What came first is kept until it goes on, so another attempt can follow one that never got that
-    far.
+    The first part of the body is kept until more than `kept_bytes` have been sent on, so that a new
+    attempt can replace one that failed before that.
 
     Attributes:
-        length: What the head says; None where it does not.
-        received_bytes: That have come.
-        sent_parts: Of the parts kept, those that the sink has been given.
-        complete: All of it has come.
-        discarded: Part of it is kept no more, so that no other attempt can have it.
-        on_discarded: Called once when that becomes so.
+        length: The length that the head declares; None if it declares none.
+        received_bytes: The number of bytes received.
+        sent_parts: The number of kept parts that were passed to the sink.
+        complete: Whether the whole body has arrived.
+        discarded: Whether part of it was discarded, so that no other attempt can send it.
+        on_discarded: Called once when `discarded` becomes true.
     """
 
     __slots__ = (
@@ -46,7 +46,7 @@
     )
 
     def __init__(self, source: Connection, length: int | None, kept_bytes: int) -> None:
-        """Take a body from a connection; of that, keep so many bytes for another attempt."""
+        """Receive a body from a connection, and keep up to `kept_bytes` for another attempt."""
         self.source = source
         self.length = length
         self.kept_bytes = kept_bytes
@@ -59,26 +59,26 @@
         self.sink: UploadSink | None = None
 
     def add(self, parts: list[bytes], whole: bool) -> None:
-        """More of it has come; whether that was the last."""
+        """Add received parts of the body; `whole` is whether they are the last."""
         self.parts += parts
         self.received_bytes += sum(map(len, parts))
         self.complete = whole
         self.push()
 
     def send_to(self, sink: UploadSink) -> None:
-        """Send it from its first byte on; only while none of it is discarded."""
+        """Send the body from its first byte to the sink; only valid while `discarded` is false."""
         self.sink = sink
         self.sent_parts = 0
         self.push()
 
     def detach(self, sink: UploadSink) -> None:
-        """This sink takes no more of it."""
+        """Stop sending to this sink."""
         if self.sink is sink:
             self.sink = None
             self.update_backpressure()
 
     def push(self) -> None:
-        """Give the sink what it has not been given."""
+        """Pass the parts that were not sent yet to the sink."""
         sink = self.sink
         if sink and (self.sent_parts < len(self.parts) or self.complete):
             parts = self.parts[self.sent_parts :]
@@ -94,7 +94,10 @@
         self.update_backpressure()
 
     def update_backpressure(self) -> None:
-        """Read on only where what was read has gone on."""
+        """Pause reading from the client until the bytes that were read have been sent on.
+
+        Without a sink, reading pauses once `kept_bytes` have been received.
+        """
         if not self.source.is_open:
             return
         if self.sink:
--- a/orchidgap/net/client_connection.py
+++ b/orchidgap/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection, whatever it speaks: how it is rejected, let go and counted."""
+"""A client's connection of any protocol: how it is rejected, closed and counted."""
 
 from __future__ import annotations
 
@@ -14,58 +14,60 @@
 
 
 class ClientConnection:
-    """A connection from a client, as far as all protocols have the same need of it."""
+    """The part of a client's connection that all protocols share."""
 
     __slots__ = ("conn", "listener", "requests_answered", "requests_read", "since_us")
-    is_transferable = False  # whether all that is known of it, while it asks nothing, is its socket
+    is_transferable = False  # whether an idle connection has no state besides its socket
 
     def __init__(self, listener: ClientListener, sock: socket.socket) -> None:
-        """Begin to read from a socket that was accepted."""
+        """Start reading from a socket that was accepted."""
         self.listener = listener
-        # it came, or began with a request, or was rejected; the turn may have begun long before
+        # When the connection was accepted, began a request or was rejected, whichever came last.
+        # By the clock, as the turn may have begun long before.
         self.since_us = listener.loop.clock()
-        self.requests_read = 0  # that were begun to be read, but for those that wait behind one
+        self.requests_read = 0  # requests read at least in part, without those queued behind one
         self.requests_answered = 0
-        self.conn = Connection(listener.loop, sock, self, stamped=True)
+        self.conn = Connection(listener.loop, sock, self, with_timestamps=True)
 
-    # --- what each protocol does in its own way
+    # --- implemented by each protocol
 
     @property
     def request_begun(self) -> bool:
-        """Whether part of a request has come."""
+        """Whether part of a request has arrived."""
         raise NotImplementedError
 
     @property
     def requests_begun(self) -> int:
-        """How many requests were read, in part at least."""
+        """The number of requests that were read at least in part."""
         raise NotImplementedError
 
     def received(self, view: memoryview) -> None:
-        """Bytes came; the view is gone after the call."""
+        """Handle bytes that were read; the view is valid during the call only."""
         raise NotImplementedError
 
     def reject(self, status: int) -> None:
-        """Say why nothing more is taken from it: 408 for silence, 503 for no room."""
+        """Answer with a status and close: 408 after a timeout, 503 for lack of capacity."""
         raise NotImplementedError
 
     def on_disconnect(self) -> None:
-        """It has gone: what it asked for is of no use any more."""
+        """Handle that the client has disconnected, so that its requests need no answer."""
         raise NotImplementedError
 
-    # --- what is the same for all
+    # --- the same for all protocols
 
     def opened(self) -> None:
-        """Nothing: it was open when it was accepted."""
+        """Do nothing: an accepted connection is established already."""
 
     def on_stalled(self) -> None:
-        """A request began, and does not go on."""
+        """Reject the client, as its request has not arrived completely in time."""
         self.reject(408)
 
     def has_disconnected(self) -> bool:
-        """Whether it has gone; asked where something would begin for it.
+        """Whether the client has closed the connection; checked before work is started for it.
 
-        Its end is read as all that it sends is, and so not while reading is paused, nor before what
-        it sent ahead of that. It is let go after the call under way, which may be a decision's own.
+        The end of the stream is otherwise noticed by reading, and so neither while reading is
+        paused nor before the bytes ahead of it are read. The connection is closed after the current
+        callback, which may be a call of the decisions.
         """
         if not self.conn.peer_has_closed():
             return False
@@ -73,34 +75,34 @@
         return True
 
     def finish(self, read_up_to_us: int = 0) -> None:
-        """Let it read its last answer, but keep no other client out by that.
+        """Let the client read its last answer, without occupying the place of another client.
 
-        What it sends from now on is dropped: its connection has ended on this side, so it asks
-        elsewhere.
+        Bytes that it sends from now on are discarded: it sees the end of the connection, and is
+        expected to send its next request elsewhere.
 
         Args:
-            read_up_to_us: Before which time all that had come was read, 0 where that is not known.
+            read_up_to_us: All bytes that arrived before this time have been read; 0 if not known.
         """
         if self.conn.is_open and not self.conn.closing:
-            self._tell_closing(ConnectionEnd.FINISHED, read_up_to_us)
+            self._notify_closing(ConnectionEnd.FINISHED, read_up_to_us)
             self.since_us = self.listener.loop.clock()
             self.listener.idle.pop(self, None)
             self.listener.awaiting_request.pop(self, None)
             self.listener.closing[self] = None
             self.conn.close_gracefully()
-            self._tell_shut()
+            self._notify_half_closed_unread()
 
     def reject_at_once(self) -> None:
-        """Answer what it asks, or is about to, with 503, and read what it has sent."""
+        """Answer its current or next request with 503, and read and discard what it has sent."""
         self.reject(503)
         self.conn.discard_received()
 
     def is_idle(self) -> bool:
-        """Whether it has nothing to read, and nothing of it is to be read here."""
+        """Whether no bytes are waiting to be sent or read, and the client has not closed."""
         return not self.conn.write_buffer and not self.conn.is_stale()
 
     def ended(self, what: str) -> None:
-        """It has gone."""
+        """Handle the end of the connection: count it and release its requests."""
         if self.conn.closing:
             end = ConnectionEnd.FINISHED
         else:
@@ -108,10 +110,10 @@
         self.close(end)
         self.on_disconnect()
 
-    def let_go(self, end: ConnectionEnd) -> bool:
-        """Close it, as it asks nothing, unless it does by now; return whether it was closed.
+    def close_unless_unread(self, end: ConnectionEnd) -> bool:
+        """Close the connection unless unread bytes have arrived; return whether it was closed.
 
-        What it sent is read in place of the close, which would reset it unread.
+        Unread bytes are read instead, as closing would reset the connection.
         """
         read_up_to_us = self.listener.loop.clock()
         if self.conn.has_unread_bytes():
@@ -121,15 +123,15 @@
         return True
 
     def close(self, end: ConnectionEnd, read_up_to_us: int = 0) -> None:
-        """Close it without a word.
+        """Close the connection without an answer.
 
         Args:
-            end: Why.
-            read_up_to_us: Before which time all that had come was read, 0 where that is not known.
+            end: How the connection ended, for the counts.
+            read_up_to_us: All bytes that arrived before this time have been read; 0 if not known.
         """
         if self in self.listener.open_clients:
             if self.conn.is_open and not self.conn.closing:
-                self._tell_closing(end, read_up_to_us)
+                self._notify_closing(end, read_up_to_us)
             counts = self.listener.counts
             counts.on_connection_end(end)
             if end in CLOSED_HERE and self.conn.has_unread_bytes():
@@ -137,12 +139,12 @@
         self.conn.close()
         self.listener.forget(self)
 
-    def _tell_closing(self, end: ConnectionEnd, read_up_to_us: int = 0) -> None:
+    def _notify_closing(self, end: ConnectionEnd, read_up_to_us: int = 0) -> None:
         if self.listener.on_closing:
             self.listener.on_closing(self, end, read_up_to_us)
 
-    def _tell_shut(self) -> None:
-        """Tell of a request that came before the shutdown and is not going to be read."""
-        is_shut = self.conn.is_open and not self.conn.write_buffer
-        if is_shut and self.listener.on_shut_unread and self.conn.has_unread_bytes():
-            self.listener.on_shut_unread(self)
+    def _notify_half_closed_unread(self) -> None:
+        """Report bytes that arrived before the sending side was shut down and are not processed."""
+        is_half_closed = self.conn.is_open and not self.conn.write_buffer
+        if is_half_closed and self.listener.on_half_closed_unread and self.conn.has_unread_bytes():
+            self.listener.on_half_closed_unread(self)
--- a/orchidgap/net/client_listener.py
+++ b/orchidgap/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients, whatever they speak: who is let in, and how it is closed."""
+"""The listener for clients of any protocol: which are accepted, and how it is closed."""
 
 from __future__ import annotations
 
@@ -23,22 +23,24 @@
 from orchidgap.net.traffic_counts import ConnectionEnd
 
 BACKLOG = 512
-CLOSING_BACKLOG = 4_096  # more wait while it ends, as it lets them in more slowly
-MAX_ACCEPTS_A_TURN = 64  # before others get their turn
-CLOSING_ADMISSIONS = 512  # of those who wait as the listener is to close, so many are served
-MAX_CLOSING_CLIENTS = 16  # beyond the most, that may still read their last answer
-LAST_LOOKS = 64  # as the process ends; a shortage of descriptors ends a look
-HANDSHAKE_US = 2_000  # for those under way to end, before the listener closes
+CLOSING_BACKLOG = 4_096  # while shutting down, when connections are accepted more slowly
+MAX_ACCEPTS_PER_TURN = 64  # more are left to the next turn, so that other sockets are not delayed
+CLOSING_ADMISSIONS = 512  # most connections of the backlog that are served as the listener closes
+MAX_CLOSING_CLIENTS = 16  # connections above `max_clients` that may still read their last answer
+# Rounds of accepting as the process ends; a round ends early when descriptors run out.
+FINAL_ACCEPT_ROUNDS = 64
+HANDSHAKE_US = 2_000  # time for handshakes in progress to finish before the listener closes
 
 
 class ClientListener(ClientTable):
-    """The listener, and the clients that it has let in.
+    """The listener, and the clients that it has accepted.
 
     Attributes:
-        on_closing: Told of each connection before it is closed here, or shut for sending, why, and
-            before which time all that had come was read, 0 where that is not known.
-        on_shut_unread: Told of each connection that has been shut for sending over bytes that are
-            not read yet, and will be dropped.
+        on_closing: Called before this process closes a connection or shuts down its sending side,
+            with the connection, the reason, and the time before which all bytes that had arrived
+            were read (0 if not known).
+        on_half_closed_unread: Called with each connection whose sending side was shut down while
+            received bytes were still unread; these are discarded.
     """
 
     def __init__(
@@ -48,33 +50,40 @@
         max_clients: int,
         make_client: Callable[[ClientListener, socket.socket], ClientConnection],
     ) -> None:
-        """Let nobody in yet; `make_client` speaks the protocol on a socket that was accepted."""
+        """Create a listener that accepts nothing yet.
+
+        Args:
+            loop: The event loop.
+            handler: Handles the requests of the clients.
+            max_clients: The most clients that are served at a time.
+            make_client: Creates the protocol's connection on an accepted socket.
+        """
         super().__init__(loop, handler, max_clients)
         self.make_client = make_client
         self.listening_socket: socket.socket | None = None
         self.accept_pause: Timer | None = None
-        self.owns_listener = False  # no other process holds it
-        self.accepts_elsewhere = False  # another process lets clients in
-        self.is_leaving = False  # the process was told to end
+        self.owns_listener = False  # whether no other process holds the listening socket
+        self.accepts_elsewhere = False  # whether another process accepts the clients
+        self.is_leaving = False  # whether the process is shutting down
         self.on_closing: Callable[[ClientConnection, ConnectionEnd, int], None] | None = None
-        self.on_shut_unread: Callable[[ClientConnection], None] | None = None
-        # when the system was told to begin no more handshakes
+        self.on_half_closed_unread: Callable[[ClientConnection], None] | None = None
+        # when the kernel was configured to begin no more handshakes
         self.handshakes_stopped_at_us: int | None = None
-        # while the listener closes: how many of those who wait may still be served
+        # while the listener closes: how many connections of the backlog may still be served
         self.admissions_left: int | None = None
 
     # --- the listening socket
 
     @property
     def is_listening(self) -> bool:
-        """Whether this process holds a listener."""
+        """Whether this process holds a listening socket."""
         return self.listening_socket is not None
 
     def listen(self, address: Address) -> None:
         """Listen at the address. Raises OSError.
 
-        The listener asks for timestamps, so that what comes before a first client was accepted, or
-        after the last one has gone, has them as well.
+        Timestamps are enabled on the listener, so that bytes that arrive before the first client is
+        accepted, or while no client is connected, are timestamped too.
         """
         self.owns_listener = True
         listener = open_listener(address, BACKLOG)
@@ -82,43 +91,43 @@
         self.use_listening_socket(listener)
 
     def use_listening_socket(self, listener: socket.socket) -> None:
-        """Accept from a socket that listens already; another process may hold it too."""
+        """Accept from a socket that is listening already; another process may hold it too."""
         self.listening_socket = listener
         self.loop.watch(listener, READ, self.accept)
 
     def leave_listener(self) -> None:
-        """Leave the listener to another process, for as long as that goes on."""
+        """Stop accepting while another process accepts from the shared listener."""
         if self.listening_socket and not self.accepts_elsewhere:
             self.accepts_elsewhere = True
             if not self.accept_pause:
                 self.loop.unwatch(self.listening_socket)
 
     def return_to_listener(self) -> None:
-        """Accept again, as no other process does."""
+        """Accept again, as no other process does any more."""
         if self.listening_socket and self.accepts_elsewhere:
             self.accepts_elsewhere = False
             if not self.accept_pause:
                 self.loop.watch(self.listening_socket, READ, self.accept)
 
     def pause_accepting(self) -> None:
-        """Accept nobody for a moment, in which somebody may go."""
+        """Accept nothing for `ACCEPT_PAUSE_US`, in which a connection may close."""
         if self.listening_socket and not self.accept_pause and not self.accepts_elsewhere:
             self.loop.unwatch(self.listening_socket)
             self.accept_pause = self.loop.call_later(ACCEPT_PAUSE_US, self.resume_accepting)
 
     def resume_accepting(self) -> None:
-        """The pause is over."""
+        """Accept again at the end of a pause."""
         self.accept_pause = None
         if self.listening_socket and not self.accepts_elsewhere:
             self.loop.watch(self.listening_socket, READ, self.accept)
             self.accept()
 
     def begin_leaving(self) -> None:
-        """The process is told to end: who waits and finds no room is rejected from now on.
+        """Begin the shutdown: waiting connections are rejected from now on if there is no capacity.
 
-        The system holds more who wait: where the backlog is full, it drops the last step of a
-        handshake that the client takes for done, and what that wrote would be reset as the listener
-        closes.
+        The backlog is enlarged: when it is full, the kernel drops the last segment of a handshake
+        that the client considers complete, and the client's request would be reset when the
+        listener closes.
         """
         self.is_leaving = True
         if self.listening_socket and self.owns_listener:
@@ -126,11 +135,12 @@
                 self.listening_socket.listen(CLOSING_BACKLOG)
 
     def close_listener(self) -> None:
-        """Let nobody in any more, once nobody waits in the backlog.
+        """Close the listener once its backlog is empty; to be called repeatedly until it is closed.
 
-        A close over connections that wait there would reset them, and what was asked on them. Until
-        the backlog is seen empty the listener stays open, and whoever calls asks again. Those who
-        waited at the first call are served where there is room; all others are rejected.
+        Closing with connections in the backlog would reset them and their requests, so the listener
+        stays open until the backlog has been seen empty. The connections that were waiting at the
+        first call (`CLOSING_ADMISSIONS` at most) are served if there is capacity; all others are
+        rejected.
         """
         if not self.listening_socket:
             return
@@ -141,33 +151,36 @@
             self.admissions_left = CLOSING_ADMISSIONS
         if not self.accept_waiting() or not self.listening_socket:
             return
-        # a listener that another process holds too is left as it is: its close resets nobody
+        # a listener that another process holds too needs no preparation: closing it resets nothing
         if self.owns_listener and self.handshakes_stopped_at_us is None:
             self.stop_new_handshakes(self.listening_socket)
-        elif self.handshakes_are_over:
+        elif self.handshakes_finished:
             self.drop_listener()
 
     def stop_new_handshakes(self, listener: socket.socket) -> None:
-        """Have the system begin no more handshakes, and close once those under way are over."""
+        """Stop new handshakes, and close the listener after those in progress have finished."""
         stop_handshakes(listener)
         self.handshakes_stopped_at_us = self.loop.clock()  # the turn may have begun long before
         self.loop.call_at(self.handshakes_stopped_at_us + HANDSHAKE_US, self.close_listener)
 
     @property
-    def handshakes_are_over(self) -> bool:
-        """Whether nobody can come up any more, as far as this process has a say in it."""
+    def handshakes_finished(self) -> bool:
+        """Whether no more connections can be established, as far as this process controls that."""
         if self.handshakes_stopped_at_us is None:
             return not self.owns_listener
         return self.loop.now - self.handshakes_stopped_at_us >= HANDSHAKE_US
 
     def abandon_listener(self) -> None:
-        """Close it as the process ends: reject who waits, and count whom that cannot reach."""
+        """Close the listener as the process ends.
+
+        Waiting connections are rejected; those that cannot be accepted for that are counted.
+        """
         if self.listening_socket and not self.accepts_elsewhere:
             self.is_leaving = True
             self.admissions_left = 0
             if self.owns_listener:
                 stop_handshakes(self.listening_socket)
-            if not any(self.accept_waiting(CLOSING_BACKLOG) for _ in range(LAST_LOOKS)):
+            if not any(self.accept_waiting(CLOSING_BACKLOG) for _ in range(FINAL_ACCEPT_ROUNDS)):
                 self.counts.closed_over_backlog += backlog_length(self.listening_socket)
         self.drop_listener()
         for client in [*self.idle, *self.awaiting_request]:
@@ -187,15 +200,19 @@
         self.listening_socket = None
         listening_socket.close()
 
-    # --- who is let in
+    # --- accepting
 
     def accept(self, mask: int = READ) -> None:
-        """Let in who waits."""
+        """Accept the connections that are waiting; called by the loop."""
         self.accept_waiting()
 
-    def accept_waiting(self, most: int = MAX_ACCEPTS_A_TURN) -> bool:
-        """Let in who waits, so many at most; return whether the backlog was seen empty."""
-        for _ in range(most):
+    def accept_waiting(self, max_accepts: int = MAX_ACCEPTS_PER_TURN) -> bool:
+        """Accept waiting connections, `max_accepts` of them at most.
+
+        Returns:
+            Whether the backlog was seen empty.
+        """
+        for _ in range(max_accepts):
             if not self.listening_socket:
                 return True
             if not self.is_leaving and not self.has_descriptor_for_client():
@@ -206,9 +223,9 @@
             except BlockingIOError:
                 return True
             except OSError as error:
-                if error.errno == errno.ECONNABORTED:  # gone before it was let in
+                if error.errno == errno.ECONNABORTED:  # closed before it was accepted
                     continue
-                self.make_room_after(error)
+                self.recover_from_accept_error(error)
                 return False
             if self.is_leaving:
                 self.admit_while_leaving(sock)
@@ -217,21 +234,24 @@
         return False
 
     def has_descriptor_for_client(self) -> bool:
-        """Whether one more client may be open, if only to be told that there is no room."""
+        """Whether one more client may be open, even if only to be rejected.
+
+        At the limit, the oldest closing connection is closed for it.
+        """
         has_descriptor = len(self.open_clients) < self.max_clients + MAX_CLOSING_CLIENTS
         return has_descriptor or self.close_oldest_closing()
 
-    def make_room_after(self, error: OSError) -> None:
-        """Have somebody make way where the system has no descriptor left.
+    def recover_from_accept_error(self, error: OSError) -> None:
+        """Free a descriptor if the system has none left, otherwise pause accepting.
 
-        To try again at once would spin: the connection still waits.
+        The connection is still waiting, so retrying at once would be a busy loop.
         """
         is_short = error.errno in OUT_OF_RESOURCES_ERRNOS
         if not (is_short and self.free_descriptor()):
             self.pause_accepting()
 
     def free_descriptor(self) -> bool:
-        """Close a connection that can be spared; whether there was one."""
+        """Close a connection that is not in use; return whether there was one."""
         return (
             self.close_unneeded()
             or self.handler.close_idle_connection()
@@ -239,8 +259,10 @@
         )
 
     def admit(self, sock: socket.socket) -> None:
-        """Let a client in. One for whom there is no room is told so: left in the backlog, what it
-        asks would count as accepted and never be answered.
+        """Serve a client, or reject it with 503 if there is no capacity.
+
+        If it were left in the backlog instead, the kernel would accept its request and nothing
+        would answer it.
         """
         if self.has_capacity():
             self.serve(sock)
@@ -248,9 +270,9 @@
             self.open(sock).reject(503)
 
     def admit_while_leaving(self, sock: socket.socket) -> None:
-        """Let a client in as the process ends, or reject it at once.
+        """Serve a client during shutdown, or reject it at once.
 
-        One that is rejected holds no descriptor beyond the most.
+        A rejected client does not keep a descriptor above the limit.
         """
         has_descriptor = self.has_descriptor_for_client()
         if self.admissions_left != 0 and has_descriptor and self.has_capacity():
@@ -264,20 +286,20 @@
             client.close(ConnectionEnd.FINISHED)
 
     def open(self, sock: socket.socket) -> ClientConnection:
-        """Count a connection that was accepted among the clients."""
+        """Add an accepted connection to the open clients, and count it."""
         client = self.make_client(self, sock)
         self.open_clients[client] = None
         self.counts.connections_accepted += 1
         return client
 
     def serve(self, sock: socket.socket) -> None:
-        """Wait for what a new client asks."""
+        """Serve a new client, and read its first request."""
         client = self.open(sock)
         self.await_request(client)
-        client.conn.on_ready(READ)  # what it asks has mostly come with it
+        client.conn.on_ready(READ)  # the request has usually arrived already
 
     def adopt_connection(self, sock: socket.socket) -> None:
-        """Take over a connection on which nothing is under way from another process."""
+        """Adopt a connection without a request in progress from another process."""
         has_capacity = self.has_capacity()
         read_up_to_us = self.loop.clock()
         client = self.make_client(self, sock)
--- a/orchidgap/net/client_table.py
+++ b/orchidgap/net/client_table.py
@@ -1,4 +1,4 @@
-"""The clients that are connected, whatever they speak: what each is about, and who makes way."""
+"""The connected clients of any protocol: the state of each, and which are evicted."""
 
 from __future__ import annotations
 
@@ -8,26 +8,29 @@
 from orchidgap.net.request_handler import RequestHandler
 from orchidgap.net.traffic_counts import ConnectionEnd
 
-# for a request to come whole, since its connection or its first byte came
+# time for a request to arrive completely, counted from its connection or its first byte
 REQUEST_TIMEOUT_US = 2_500_000
-UNUSED_AFTER_US = 500_000  # who has asked nothing for so long is the first to make way
+UNUSED_AFTER_US = 500_000  # a connection without a request for this long is evicted first
 SWEEP_INTERVAL_US = 250_000
-NEWCOMER_US = 250_000  # whoever came so lately is about to ask
-IDLE_SHARE = 8  # an eighth of the most may always be idle
+RECENT_CONNECTION_US = (
+    250_000  # a connection younger than this is expected to send its first request
+)
+IDLE_RESERVE_DIVISOR = 8  # an eighth of `max_clients` may always be idle
 
 
 class ClientTable:
-    """All clients that were let in, `max_clients` at a time.
+    """All accepted clients, `max_clients` at a time.
 
     Attributes:
-        open_clients: All of them.
-        idle: Those that were served and ask nothing, the longest idle first.
-        awaiting_request: Those that have yet to bring a whole request, the longest waiting first.
-        closing: Those that were sent their last answer, the longest closing first.
+        open_clients: All open clients.
+        idle: Clients that were served and have no request in progress, the longest idle first.
+        awaiting_request: Clients whose request has not arrived completely, the longest waiting
+            first.
+        closing: Clients that were sent their last answer, the longest closing first.
     """
 
     def __init__(self, loop: Loop, handler: RequestHandler, max_clients: int) -> None:
-        """Start with nobody."""
+        """Create an empty table, and start its periodic sweep."""
         self.loop = loop
         self.handler = handler
         self.counts = handler.traffic_counts
@@ -39,38 +42,39 @@
         loop.call_later(SWEEP_INTERVAL_US, self.close_stalled)
 
     def is_full(self) -> bool:
-        """Whether so many clients are open that somebody has to make way for another."""
+        """Whether a client has to be evicted before another one can be served."""
         return len(self.open_clients) - len(self.closing) >= self.max_clients
 
     def has_capacity(self) -> bool:
-        """Whether another client can be served; one that nobody needs makes way for it."""
+        """Whether another client can be served; evicts an unneeded one if necessary."""
         return not self.is_full() or self.close_unneeded()
 
     def await_request(self, client: ClientConnection) -> None:
-        """Begin, or begin anew, the time in which it has to bring a whole request."""
+        """Start or restart the time in which the client's request has to arrive completely."""
         client.since_us = self.loop.clock()  # the turn may have begun long before
-        if client in self.awaiting_request:  # they stand in the order of their times
+        if client in self.awaiting_request:  # reinserted, as the order is that of `since_us`
             del self.awaiting_request[client]
         self.awaiting_request[client] = None
 
-    # --- who makes way
+    # --- eviction
 
     def forget(self, client: ClientConnection) -> None:
-        """It has gone."""
+        """Remove a client that was closed."""
         self.idle.pop(client, None)
         self.awaiting_request.pop(client, None)
         self.closing.pop(client, None)
         self.open_clients.pop(client, None)
 
     def close_unneeded(self) -> bool:
-        """Close a connection that nobody needs; whether there was one.
+        """Close a connection that is not needed; return whether there was one.
 
-        The first is who has brought no request for long: silence must not keep others out. Then
-        comes the longest idle, then whoever waits to bring one, unless it has just come: what it
-        asks is on its way.
+        The first choice is a connection that has sent no request for `UNUSED_AFTER_US`, as silent
+        connections must not block other clients. The second is the longest idle one. The third is
+        one that awaits its request and is older than `RECENT_CONNECTION_US`, as the request of a
+        younger one is probably on its way.
         """
         while unneeded := self._find_unneeded():
-            if unneeded.let_go(ConnectionEnd.EVICTED):
+            if unneeded.close_unless_unread(ConnectionEnd.EVICTED):
                 return True
         return False
 
@@ -80,30 +84,32 @@
         if waited_us >= UNUSED_AFTER_US:
             return waiting
         idle = next((client for client in self.idle if client.is_idle()), None)
-        return idle or (waiting if waited_us >= NEWCOMER_US else None)
+        return idle or (waiting if waited_us >= RECENT_CONNECTION_US else None)
 
     def trim_idle(self) -> None:
-        """Where more than half of the most are open, let the longest idle go, but for an eighth.
+        """Close the longest idle clients while more than half of `max_clients` are open.
 
-        Clients too hold only so many connections: those that ask once and stay would leave none
-        long before there is no room here. A successor takes them as they are.
+        An eighth may always be idle (`IDLE_RESERVE_DIVISOR`). Clients' systems limit the number of
+        connections too: if each connection stayed open after its last request, they would run out
+        long before this process does. Nothing is closed while a successor accepts, as it adopts the
+        connections in their current state.
         """
         while (
             not self.handler.lifecycle.successor_accepts
-            and len(self.idle) > self.max_clients // IDLE_SHARE
+            and len(self.idle) > self.max_clients // IDLE_RESERVE_DIVISOR
             and len(self.open_clients) - len(self.closing) > self.max_clients // 2
         ):
             client = next(iter(self.idle))
             read_up_to_us = self.loop.clock()
             if not client.is_idle():
                 return
-            client.finish(read_up_to_us)  # see release_idle
+            client.finish(read_up_to_us)  # not closed at once, see `release_idle`
 
     def close_oldest_closing(self) -> bool:
-        """Close the connection that has had its last answer for longest; whether there was one.
+        """Close the connection that was sent its last answer first; return whether there was one.
 
-        Who has not been sent the whole of it stays. What it sent meanwhile is read: left unread, it
-        would have the close reset the answer away.
+        A connection with unsent bytes is kept. Bytes that the client sent since are read first: if
+        they were left unread, the close would reset the connection and the answer could be lost.
         """
         for client in self.closing:
             if self.loop.now - client.since_us < ACCEPT_PAUSE_US:
@@ -115,9 +121,9 @@
         return False
 
     def close_stalled(self) -> None:
-        """Let go who does not bring a request whole in time: nobody may begin and never end.
+        """Reject clients whose request has not arrived completely within the time limit.
 
-        One that said nothing at all is closed without a word.
+        A client that has sent nothing at all is closed without an answer.
         """
         while client := next(iter(self.awaiting_request), None):
             if self.loop.now - client.since_us < REQUEST_TIMEOUT_US:
@@ -126,9 +132,9 @@
         self.loop.call_later(SWEEP_INTERVAL_US, self.close_stalled)
 
     def _end_stalled(self, client: ClientConnection) -> None:
-        """Let go who has not brought its request whole, unless the rest has come by now.
+        """Reject or close a client whose request is overdue, unless the rest has arrived by now.
 
-        A turn that was held up behind its look at the sockets has not seen what came meanwhile.
+        A turn that was stalled after its poll has not seen the bytes that arrived since.
         """
         since_us = client.since_us
         client.conn.on_ready(READ)
@@ -137,30 +143,31 @@
         if client.request_begun:
             client.on_stalled()
         else:
-            client.let_go(ConnectionEnd.SILENT)
+            client.close_unless_unread(ConnectionEnd.SILENT)
 
     def release_idle(self) -> None:
-        """Let those go who ask nothing; who has just come is about to."""
-        newcomer_since_us = self.loop.now - NEWCOMER_US
+        """Close clients without a request, except those that connected only recently."""
+        recent_since_us = self.loop.now - RECENT_CONNECTION_US
         for client in [*self.idle, *self.awaiting_request]:
             read_up_to_us = self.loop.clock()
             if client.conn.has_unread_bytes():
-                read_up_to_us = 0  # one read may not take all of them
-            client.conn.on_ready(READ)  # a request that has come is still answered
+                read_up_to_us = 0  # one read may not read all of them
+            client.conn.on_ready(READ)  # a request that has arrived is still answered
             if client in self.idle:
-                # a close would reset it, and the answer with it, if its next request came just now
+                # if the next request arrives just now, closing at once would reset the connection,
+                # and with it the last answer
                 client.finish(read_up_to_us)
             elif (
                 client in self.awaiting_request
                 and not client.request_begun
-                and client.since_us <= newcomer_since_us
+                and client.since_us <= recent_since_us
             ):
-                client.let_go(ConnectionEnd.SHUTDOWN)
+                client.close_unless_unread(ConnectionEnd.SHUTDOWN)
 
-    # --- what is asked of it
+    # --- queries
 
     def transferable(self) -> list[ClientConnection]:
-        """Those that can go to another process as they are."""
+        """Return the clients whose sockets can be transferred to another process."""
         return [
             client
             for client in (*self.idle, *self.awaiting_request)
@@ -170,5 +177,5 @@
 
     @property
     def closes_after_response(self) -> bool:
-        """Whether an answer is the last on its connection."""
+        """Whether each answer is the last one on its connection."""
         return self.handler.lifecycle.closes_after_answer
--- a/orchidgap/net/config/__init__.py
+++ b/orchidgap/net/config/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration: one JSON file, named by GW_CONFIG, read at start and at SIGHUP."""
+"""The configuration: one JSON file, named by GW_CONFIG, read at start and on SIGHUP."""
 
 from orchidgap.errors import ConfigError
 from orchidgap.net.config.model import BalancerConfig, keep_until_restart
--- a/orchidgap/net/config/model.py
+++ b/orchidgap/net/config/model.py
@@ -1,4 +1,4 @@
-"""The configuration as the program uses it."""
+"""The configuration as the process uses it."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class BalancerConfig(NamedTuple):
-    """Where this balancer stands and what it may use."""
+    """The addresses, limits and settings of this balancer."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    descriptors: int  # that all processes of this balancer may hold together
+    descriptors: int  # the limit for all processes of this balancer together
     memory_mb: int
     initial_endpoints: HostList
     settings: ServiceSettings
     connect_timeout_us: int
     idle_timeout_us: int
-    resp: Mapping[str, Any] | None = None  # the file's part for RESP, where that is spoken
-    admin: Address | None = None  # where operators call, if they may
-    shadow_settings: ServiceSettings | None = None  # that are evaluated and not followed
-    key_shapes: Mapping[str, str] = {}  # which keys the file had, with the kinds of their values
-    control: ControlConfig | None = None  # where control is, if the settings come from there
-    gossip: GossipConfig | None = None  # how balancers tell each other counts, if they do
+    resp: Mapping[str, Any] | None = None  # the file's part for RESP; None for HTTP
+    admin: Address | None = None  # the address for operators' commands, if enabled
+    shadow_settings: ServiceSettings | None = None  # settings that are evaluated but not applied
+    key_shapes: Mapping[str, str] = {}  # the keys of the file, with the kinds of their values
+    control: ControlConfig | None = None  # set if control decides the settings
+    gossip: GossipConfig | None = None  # set if balancers exchange counts
 
 
-# what a running process cannot change: the field, and the word that the log says
+# Fields that a running process cannot change, with their names in the log.
 RESTART_ONLY_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -49,12 +49,14 @@
 def keep_until_restart(
     running: BalancerConfig, new: BalancerConfig
 ) -> tuple[BalancerConfig, list[str]]:
-    """The new configuration as far as a running process can take it, and names of what waits for
-    the next start.
+    """Merge a new configuration into the running one as far as a running process can change.
+
+    Returns:
+        The merged configuration, and the names of the changes that need a restart.
     """
     waiting = [
-        word
-        for field, word in RESTART_ONLY_FIELDS.items()
+        log_name
+        for field, log_name in RESTART_ONLY_FIELDS.items()
         if getattr(new, field) != getattr(running, field)
     ]
     settings = new.settings.keeping_startup_settings(running.settings)
--- a/orchidgap/net/config/optional_parts.py
+++ b/orchidgap/net/config/optional_parts.py
@@ -1,8 +1,7 @@
-"""Parts of the configuration that a file may leave out: control, gossip, settings for shadow
-evaluation.
+"""Optional parts of the configuration: control, gossip, and settings for shadow evaluation.
 
-Each function gives None where the file has no such part, and raises SettingError where the part is
-invalid.
+The function for each part returns None if the file has no such part, and raises SettingError if the
+part is invalid.
 """
 
 from __future__ import annotations
@@ -18,15 +17,15 @@
 
 MIN_KEY_LENGTH = 16
 MAX_PEERS = 512
-MIN_REBALANCE_INTERVAL_MS = 5_000  # ranges are drawn anew no more often
-CONTROL_SIZES = (1, 3, 5)  # of processes, as a majority is needed
+MIN_REBALANCE_INTERVAL_MS = 5_000  # the shortest time between two assignments of ranges
+CONTROL_PROCESS_COUNTS = (1, 3, 5)  # numbers of control processes; odd, as a majority is needed
 ON_LOST_QUORUM = ("leave", "stay")
 
 
 def shadow_settings(
     part: Any, pairs: Mapping[str, str], settings: ServiceSettings
 ) -> ServiceSettings | None:
-    """The settings as they are, with those laid over them that are evaluated and not followed."""
+    """Return the settings with the shadow part laid over them; they are evaluated, not applied."""
     if part is None:
         return None
     if not isinstance(part, Mapping) or not isinstance(part.get("settings"), Mapping):
@@ -42,12 +41,12 @@
 
 
 class ControlConfig(NamedTuple):
-    """Where control is, and how this balancer follows it.
+    """The control processes, and how this balancer depends on them.
 
     Attributes:
-        addresses: Of all control processes.
-        folder: This balancer's own.
-        on_lost_quorum: What it does without a lease, one of `ON_LOST_QUORUM`.
+        addresses: The addresses of all control processes.
+        folder: This balancer's own state folder.
+        on_lost_quorum: What this balancer does without a lease, one of `ON_LOST_QUORUM`.
     """
 
     addresses: list[Address]
@@ -56,7 +55,7 @@
 
 
 def control_part(part: Any) -> ControlConfig | None:
-    """Where control is, this balancer's own folder, and what it does when it has lost the quorum.
+    """Read the part for control: its addresses, the state folder and the reaction to a lost quorum.
 
     >>> control_part({"at": ["127.0.0.1:7500"], "dir": "/var/lib/orchidgap"}).on_lost_quorum
     'leave'
@@ -66,7 +65,7 @@
     if not isinstance(part, Mapping) or not isinstance(part.get("dir"), str):
         raise SettingError("control must be an object with at and dir")
     addresses = part.get("at")
-    if not isinstance(addresses, list) or len(addresses) not in CONTROL_SIZES:
+    if not isinstance(addresses, list) or len(addresses) not in CONTROL_PROCESS_COUNTS:
         raise SettingError("control.at must list 1, 3 or 5 addresses")
     on_lost_quorum = part.get("alone", "leave")
     if on_lost_quorum not in ON_LOST_QUORUM:
@@ -79,13 +78,13 @@
 
 
 class GossipConfig(NamedTuple):
-    """How balancers tell each other their counts.
+    """How balancers exchange their counts.
 
     Attributes:
-        listen: Where this balancer hears others.
-        peers: Where the others hear.
-        key: What all of them share; whoever has it is believed.
-        rebalance_interval_us: The time between two drawings of ranges.
+        listen: The address at which this balancer receives gossip.
+        peers: The addresses at which the other balancers receive gossip.
+        key: The secret that all balancers share; anyone who has it is trusted.
+        rebalance_interval_us: The time between two assignments of ranges.
     """
 
     listen: Address
@@ -95,7 +94,7 @@
 
 
 def gossip_part(part: Any) -> GossipConfig | None:
-    """Where this balancer hears others, where they are, and the key that they share.
+    """Read the part for gossip: this balancer's address, its peers, and the shared key.
 
     >>> part = {"listen": "127.0.0.1:7400", "peers": ["127.0.0.1:7401"], "key": "k" * 16}
     >>> gossip_part(part).peers, gossip_part(part).rebalance_interval_us
@@ -111,7 +110,8 @@
         raise SettingError(f"pool.peers lists {len(part['peers'])}; {MAX_PEERS} can be")
     listen = parse_address(str(part.get("listen")))
     peers = [parse_address(str(peer)) for peer in part["peers"]]
-    # whoever has the key is believed, so others' reach is asked for in so many words
+    # Anyone who has the key is trusted, so an address that other machines can reach requires an
+    # explicit setting.
     if not IPv4Address(listen[0]).is_loopback and part.get("beyond-loopback") is not True:
         raise SettingError(
             f"pool.listen is {part['listen']}: set pool.beyond-loopback to true for that, as "
@@ -122,8 +122,8 @@
 
 
 def rebalance_interval_ms(part: Mapping[str, Any]) -> int:
-    """The time between two drawings of ranges."""
-    # imported here, as nothing of it is loaded where gossip is off
+    """Read the time between two assignments of ranges, in milliseconds."""
+    # imported here, so that it is not loaded if gossip is off
     from orchidgap.decisions.gossip_counts import DEFAULT_REBALANCE_INTERVAL_US
 
     interval_ms = part.get("draw-ms", DEFAULT_REBALANCE_INTERVAL_US // 1000)
--- a/orchidgap/net/config/reading.py
+++ b/orchidgap/net/config/reading.py
@@ -1,5 +1,6 @@
-"""Reads the configuration's file into a `BalancerConfig`. The words of the file stand here and
-nowhere else.
+"""Reads the configuration file into a `BalancerConfig`.
+
+Only this module, `optional_parts` and the settings know the names of the file's keys.
 """
 
 from __future__ import annotations
@@ -32,15 +33,15 @@
     before: BalancerConfig | None = None,
     settings: Mapping[str, Any] | None = None,
 ) -> BalancerConfig:
-    """The configuration in a file.
+    """Read the configuration from a file.
 
     Args:
-        path: The file's.
-        before: What runs, if anything; a file that cannot follow it is refused.
-        settings: They count in place of the file's own.
+        path: The path of the file.
+        before: The running configuration, if any; a file that is incompatible with it is rejected.
+        settings: Settings that replace those of the file.
 
     Raises:
-        ConfigError: It cannot be used.
+        ConfigError: The file cannot be read or is invalid.
     """
     if not path:
         raise ConfigError("GW_CONFIG names no file")
@@ -58,7 +59,7 @@
     before: BalancerConfig | None = None,
     settings: Mapping[str, Any] | None = None,
 ) -> BalancerConfig:
-    """The configuration that a text holds; the path only says whose it is. Raises ConfigError."""
+    """Parse a configuration. Raises ConfigError; `path` is used in its message only."""
     try:
         document = orjson.loads(text)
         if settings is not None and isinstance(document, dict):
@@ -76,8 +77,9 @@
 
 
 def config_from_document(document: Any, before: BalancerConfig | None = None) -> BalancerConfig:
-    """The configuration that a JSON document holds. Raises SettingError, KeyError, ValueError,
-    TypeError or AttributeError.
+    """Build the configuration from a JSON document.
+
+    Raises SettingError, KeyError, ValueError, TypeError or AttributeError if it is invalid.
     """
     if not isinstance(document, Mapping):
         raise TypeError("an object was expected")
@@ -94,8 +96,10 @@
         seed=int(str(document.get("seed") or 0), 16),
         memory_mb=int(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
         settings=settings,
-        connect_timeout_us=positive(pairs, "ceilings.connect-timeout", DEFAULT_CONNECT_TIMEOUT_US),
-        idle_timeout_us=positive(pairs, "ceilings.conn-idle", DEFAULT_IDLE_TIMEOUT_US),
+        connect_timeout_us=positive_setting(
+            pairs, "ceilings.connect-timeout", DEFAULT_CONNECT_TIMEOUT_US
+        ),
+        idle_timeout_us=positive_setting(pairs, "ceilings.conn-idle", DEFAULT_IDLE_TIMEOUT_US),
         resp=document.get("resp"),
         admin=admin_address(document),
         shadow_settings=shadow_settings(document.get("watch"), pairs, settings),
@@ -108,20 +112,24 @@
 def checked_key_shapes(
     document: Mapping[str, Any], before: BalancerConfig | None
 ) -> Mapping[str, str]:
-    """Which keys the file has, with the kinds of their values. Raises SettingError where it lacks
-    what the one before had: a file that was written in part must not be taken for a whole one.
+    """Return the keys of the file, with the kinds of their values.
+
+    Raises SettingError if keys of the running configuration are missing: a partly written file must
+    not be taken for a complete one.
     """
     shapes = config_compatibility.shape_of(document)
     if before:
         empty_lists = config_compatibility.empty_lists(document)
-        lack = config_compatibility.find_incompatibility(before.key_shapes, shapes, empty_lists)
-        if lack:
-            raise SettingError(lack)
+        incompatibility = config_compatibility.find_incompatibility(
+            before.key_shapes, shapes, empty_lists
+        )
+        if incompatibility:
+            raise SettingError(incompatibility)
     return shapes
 
 
 def descriptor_limit(limits: Mapping[str, Any]) -> int:
-    """What the file allows, as far as the system does. Raises ValueError where that is too few."""
+    """Return the lower of the file's and the system's limit. Raises ValueError if it is too low."""
     system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     descriptors = min(int(limits.get("sockets") or system_limit), system_limit)
     if descriptors < MIN_DESCRIPTORS:
@@ -130,20 +138,20 @@
 
 
 def discovery_address(document: Mapping[str, Any]) -> Address:
-    """Where the list of hosts is told; RESP can do without."""
+    """Return the address of discovery, which is optional for RESP."""
     if document.get("discovery") or not document.get("resp"):
         return parse_address(document["discovery"])
     return "", 0
 
 
 def admin_address(document: Mapping[str, Any]) -> Address | None:
-    """Where operators call: the file's word comes before the environment's."""
+    """Return the address for operators' commands: the file's, or else that of GW_ADMIN_ADDR."""
     text = document.get("admin_addr") or os.environ.get("GW_ADMIN_ADDR")
     return parse_address(text) if text else None
 
 
-def positive(pairs: Mapping[str, str], path: str, default: int) -> int:
-    """A setting that has to be over 0. Raises SettingError."""
+def positive_setting(pairs: Mapping[str, str], path: str, default: int) -> int:
+    """Return a setting that must be above 0. Raises SettingError."""
     value = int(pairs.get(path, default))
     if value <= 0:
         raise SettingError(f"setting {path} is {value}, and must be over 0")
--- a/orchidgap/net/config/settings_tree.py
+++ b/orchidgap/net/config/settings_tree.py
@@ -1,4 +1,4 @@
-"""Settings as a flat table of texts, which is how the decisions read them."""
+"""Settings as a flat table of texts, the form in which the decisions read them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def flatten(tree: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """The leaves of a JSON tree as pairs of a dotted path and a text.
+    """Yield the leaves of a JSON tree as pairs of a dotted path and a text.
 
     >>> tree = {"a": {"b": 1, "c": True}, "d": [{"e": "x y"}], "f": ["u", "v,w"], "g": None}
     >>> dict(flatten({**tree, "h": []}))
@@ -23,7 +23,7 @@
 
 
 def flatten_list(branches: list[Any], path: str) -> Iterator[tuple[str, str]]:
-    """A list of objects is counted and numbered; any other becomes one text with commas."""
+    """Yield the leaves of a list: a list with objects is numbered, others are joined by commas."""
     if any(isinstance(branch, Mapping) for branch in branches):
         yield f"{path}.count", str(len(branches))
         for i, branch in enumerate(branches):
--- a/orchidgap/net/connection.py
+++ b/orchidgap/net/connection.py
@@ -18,30 +18,35 @@
     receive_age_us,
 )
 
-LINGER_US = 1_000_000  # for the other side to close once it has our last bytes
-MAX_LINGER_US = 8_000_000  # and at most, while it still sends what nobody reads
-MAX_DISCARDED_BYTES = 1 << 26  # of that
-UNREAD_TIMEOUT_US = 10_000_000  # for the other side to read on in what is written
-MAX_WRITE_BUFFER_BYTES = 1 << 21  # the largest answer, and what is said behind it
-MAX_URGENT_READS = 64  # more in one turn, before others: as much as the longest list
+LINGER_US = 1_000_000  # idle time that the peer has to close after our half-close
+MAX_LINGER_US = 8_000_000  # total time for that while the peer still sends (bytes are discarded)
+MAX_DISCARDED_BYTES = 1 << 26  # most bytes discarded while closing
+UNREAD_TIMEOUT_US = 10_000_000  # time in which the peer has to read some of what is buffered
+MAX_WRITE_BUFFER_BYTES = 1 << 21  # the largest answer, and what is written after it
+# Additional reads of an urgent connection in one turn, before other connections: enough for the
+# longest host list.
+MAX_URGENT_READS = 64
 LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class ConnectionOwner(Protocol):
-    """Who is told what happens on a connection."""
+    """Receives the events of a connection."""
 
     def opened(self) -> None:
-        """A connection that was dialled has come up."""
+        """Called when a connection that was dialled is established."""
 
     def received(self, view: memoryview) -> None:
-        """Bytes came; the view is gone after the call."""
+        """Called with bytes that were read; the view is valid during the call only."""
 
     def ended(self, what: str) -> None:
-        """It has ended, by `what` the system says of it. Told once, and not after `close`."""
+        """Called when the connection has ended, with the system's reason as `what`.
+
+        Called at most once, and never after `Connection.close`.
+        """
 
 
 class Connection:
-    """One connection. Its owner is told what happens on it, and closes it."""
+    """One connection. Its owner receives its events and closes it."""
 
     __slots__ = (
         "bytes_written",
@@ -69,48 +74,54 @@
         sock: socket.socket,
         owner: ConnectionOwner,
         opening: bool = False,
-        stamped: bool = False,
+        with_timestamps: bool = False,
         urgent: bool = False,
     ) -> None:
-        """`opening` is true for one that was dialled and is not up yet; `stamped` asks the kernel
-        when bytes came in; `urgent` has it read before others that are ready in the same turn.
+        """Watch the socket.
+
+        Args:
+            loop: The event loop that calls back.
+            sock: The socket; it is made non-blocking.
+            owner: Receives the connection's events.
+            opening: Whether the connection was dialled and is not established yet.
+            with_timestamps: Whether to have the kernel timestamp received bytes.
+            urgent: Whether to read it before other connections that are ready in the same turn.
         """
         self.loop = loop
         self.sock = sock
         self.owner = owner
         self.connecting = opening
         self.write_buffer = bytearray()
-        self.bytes_written = 0  # that the kernel has taken
-        # called when all that was to be written has been taken
+        self.bytes_written = 0  # bytes that the kernel has accepted
+        # called when the kernel has accepted the whole write buffer
         self.on_drained: Callable[[], None] | None = None
-        self.discarded_bytes = 0  # that came while it was closing
-        self.closing = False  # nothing more is sent, what still comes is discarded
-        self.read_paused = False  # there is no room for what would come of it
-        self.idle_timer: Timer | None = None  # ends it unless the other side reads, or closes
-        self.last_progress_us = 0  # when the other side last did
-        self.close_by_us = 0  # when it ends whatever the other side does; 0 for never
+        self.discarded_bytes = 0  # bytes received while closing
+        self.closing = False  # nothing more is sent, and received bytes are discarded
+        self.read_paused = False  # there is no buffer space for more input
+        # closes the connection unless the peer makes progress: reads, sends or closes
+        self.idle_timer: Timer | None = None
+        self.last_progress_us = 0  # when the peer last made progress
+        self.close_by_us = 0  # when the connection is closed regardless of progress; 0 for never
         self.timestamps_enabled = False
         self.urgent = urgent
-        self.received_at_us = 0  # when what was read last came in, as far as that is known
+        self.received_at_us = 0  # when the bytes read last arrived, as far as that is known
         sock.setblocking(False)
         if sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            if stamped:
+            if with_timestamps:
                 self.timestamps_enabled = enable_receive_timestamps(sock)
         self.mask = WRITE if opening else READ
         loop.watch(sock, self.mask, self.on_ready, urgent)
 
     @property
     def is_open(self) -> bool:
-        """Whether it was neither closed nor ended."""
+        """Whether the connection has neither been closed nor ended."""
         return self.sock.fileno() >= 0
 
-    # --- what the loop tells
+    # --- events of the loop
 
     def on_ready(self, mask: int) -> None:
-        """The socket can be read or written. Whatever goes wrong in here ends this connection and
-        no other.
-        """
+        """Read from or write to the ready socket; an exception ends this connection only."""
         try:
             if self.connecting and self.is_open:
                 error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -124,15 +135,15 @@
             if mask & READ and self.is_open:
                 self.read()
                 if self.urgent:
-                    self.read_on()
-        except Exception as error:  # noqa: BLE001  # it must not reach other connections
+                    self.read_remaining()
+        except Exception as error:  # noqa: BLE001  # must not affect other connections
             if self.loop.on_error:
                 self.loop.on_error(error)
             self.fail(f"fault: {type(error).__name__}")
         return None
 
     def read(self) -> None:
-        """Read once and pass the bytes on, or discard them where nobody wants them any more."""
+        """Read once and pass the bytes to the owner, or discard them while closing."""
         try:
             count = self.receive()
         except BlockingIOError:
@@ -150,15 +161,15 @@
             if self.discarded_bytes > MAX_DISCARDED_BYTES:
                 self.fail("not read")
 
-    def read_on(self) -> None:
-        """Read what one read could not hold: the rest comes before others too."""
+    def read_remaining(self) -> None:
+        """Read what exceeds one read, so that the rest is handled before other connections too."""
         for _ in range(MAX_URGENT_READS):
             if not self.is_open or self.read_paused or not self.has_unread_bytes():
                 return
             self.read()
 
     def discard_received(self) -> None:
-        """Read and drop what is there on a connection that closes, up to the end of the bytes."""
+        """Read and discard all bytes that have arrived on a closing connection."""
         while self.is_open and self.closing:
             before = self.discarded_bytes
             self.read()
@@ -166,16 +177,19 @@
                 return
 
     def receive(self) -> int:
-        """Read into the loop's buffer. Without a timestamp, what is there now may have come at any
-        time since the loop last looked.
+        """Read into the loop's buffer, set `received_at_us` and return the number of bytes.
+
+        Without a kernel timestamp the bytes may have arrived at any time since the loop's previous
+        poll, so the earliest such time is assumed.
         """
         self.received_at_us = self.loop.ready_since_us
         if not self.timestamps_enabled:
             return self.sock.recv_into(self.loop.buffer)
-        count, notes, _, _ = self.sock.recvmsg_into([self.loop.buffer], ANCILLARY_BYTES)
-        # the loop's clock first: what passes between the two makes it earlier, never later
+        count, ancillary_data, _, _ = self.sock.recvmsg_into([self.loop.buffer], ANCILLARY_BYTES)
+        # the loop's clock is read first: a delay before the second clock is read makes the
+        # arrival time earlier, never later
         read_at_us = self.loop.clock()
-        age_us = receive_age_us(notes, time.time_ns())
+        age_us = receive_age_us(ancillary_data, time.time_ns())
         if age_us is not None:
             self.received_at_us = read_at_us - age_us
         return count
@@ -183,7 +197,7 @@
     # --- writing
 
     def send(self, *parts: bytes) -> None:
-        """Write what the kernel takes now and keep the rest."""
+        """Write what the kernel accepts now and buffer the rest."""
         count = 0
         if not self.write_buffer and not self.connecting:
             try:
@@ -202,12 +216,12 @@
             self.update_watch()
         elif count:
             self.last_progress_us = self.loop.now
-        # the other side asks on and reads nothing: what it asked for would be kept without bound
+        # a peer that sends requests without reading the answers would grow the buffer without bound
         if len(self.write_buffer) > MAX_WRITE_BUFFER_BYTES:
             self.fail("not read")
 
     def flush(self) -> None:
-        """Write what was kept, as far as the kernel takes it."""
+        """Write as much of the write buffer as the kernel accepts."""
         try:
             while self.write_buffer:
                 count = self.sock.send(self.write_buffer)
@@ -229,15 +243,18 @@
 
     # --- the idle timer
 
-    def start_idle_timer(self, timeout_us: int, most_us: int = 0) -> None:
-        """End it unless the other side goes on, and after `most_us` whatever that does."""
+    def start_idle_timer(self, timeout_us: int, max_us: int = 0) -> None:
+        """Close the connection after `timeout_us` without progress of the peer.
+
+        With `max_us` above 0, close it after that time regardless of progress.
+        """
         self.stop_idle_timer()
         self.last_progress_us = self.loop.now
-        self.close_by_us = self.last_progress_us + most_us if most_us else 0
+        self.close_by_us = self.last_progress_us + max_us if max_us else 0
         self.idle_timer = self.loop.call_later(timeout_us, self.on_idle_timer, timeout_us)
 
     def on_idle_timer(self, timeout_us: int) -> None:
-        """See whether the other side has gone on meanwhile."""
+        """Close the connection, or start the timer again if the peer has made progress since."""
         remaining_us = self.last_progress_us + timeout_us - self.loop.now
         is_overdue = self.close_by_us > 0 and self.loop.now >= self.close_by_us
         if remaining_us <= 0 or is_overdue:
@@ -248,15 +265,15 @@
         self.idle_timer = self.loop.call_later(remaining_us, self.on_idle_timer, timeout_us)
 
     def stop_idle_timer(self) -> None:
-        """Let it be idle."""
+        """Cancel the idle timer, so that the connection may be idle without a limit."""
         if self.idle_timer:
             self.idle_timer.cancel()
             self.idle_timer = None
 
-    # --- what the loop watches
+    # --- watching in the loop
 
     def update_watch(self) -> None:
-        """Have the loop watch for what there is to do."""
+        """Watch for reading unless that is paused, and for writing while bytes are buffered."""
         mask = (0 if self.read_paused else READ) | (WRITE if self.write_buffer else 0)
         if not self.is_open or mask == self.mask:
             return
@@ -270,16 +287,16 @@
             self.loop.rewatch(self.sock, mask, self.on_ready)
 
     def pause_reading(self, on: bool) -> None:
-        """Read nothing more, or go on: the other side is held up by its own buffers."""
+        """Pause or resume reading; while paused, the peer is blocked once its buffers are full."""
         if on != self.read_paused:
             self.read_paused = on
             if not self.connecting:
                 self.update_watch()
 
-    # --- what the other side has done
+    # --- the state of the peer
 
     def peer_has_closed(self) -> bool:
-        """Whether the other side has closed, also where what it sent before is not read yet."""
+        """Whether the peer has closed, even if bytes that it sent before are still unread."""
         if not self.is_open:
             return True
         poll = select.poll()
@@ -287,8 +304,9 @@
         return bool(poll.poll(0))
 
     def is_stale(self) -> bool:
-        """Whether an idle connection was closed, or spoken on, since the last look: what comes
-        next on it would be taken for the answer to the next request.
+        """Whether an idle connection was closed by the peer or has unexpected bytes to read.
+
+        Such bytes would be taken for the answer to the next request.
         """
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -299,7 +317,7 @@
         return True
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes are there that were not read; a close now resets the connection."""
+        """Whether received bytes have not been read yet; closing now would reset the connection."""
         if not self.is_open:
             return False
         try:
@@ -310,8 +328,9 @@
     # --- its end
 
     def close_gracefully(self) -> None:
-        """Close once all is written and read: closing on unread bytes would reset our last bytes
-        away.
+        """Close once everything is written and the peer has closed.
+
+        Closing with unread bytes would send a reset, and the peer could lose our last bytes.
         """
         if self.is_open and not self.closing:
             self.closing = True
@@ -319,7 +338,7 @@
                 self.half_close()
 
     def half_close(self) -> None:
-        """Send nothing more, and give the other side a bounded time to close."""
+        """Shut down sending, and close if the peer does not do so within a bounded time."""
         self.start_idle_timer(LINGER_US, MAX_LINGER_US)
         try:
             self.sock.shutdown(socket.SHUT_WR)
@@ -327,20 +346,20 @@
             self.fail(error.strerror or "broken")
 
     def fail(self, what: str) -> None:
-        """Close, and tell the owner why."""
+        """Close, and notify the owner of the reason."""
         if self.is_open:
             self.close()
             self.owner.ended(what)
 
     def reset(self) -> None:
-        """Close so that the other side can tell that what it got is not all."""
+        """Close with a reset, so that the peer can detect that the answer is truncated."""
         if self.is_open:
             with suppress(OSError):
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             self.close()
 
     def close(self) -> None:
-        """Close without a word to the owner."""
+        """Close without notifying the owner."""
         if self.is_open:
             self.stop_idle_timer()
             if self.mask:
--- a/orchidgap/net/connection_pools.py
+++ b/orchidgap/net/connection_pools.py
@@ -1,6 +1,4 @@
-"""The connections to all hosts, whatever is spoken on them: which hosts there are, how many may
-be.
-"""
+"""The connections to all hosts, over any protocol: one pool for each host, and a common limit."""
 
 from __future__ import annotations
 
@@ -23,9 +21,9 @@
 
 
 class TransferableConnection(NamedTuple):
-    """An idle connection that can go to another process."""
+    """An idle connection that can be transferred to another process."""
 
-    tag: Any  # what is known of it, as the protocol writes it
+    tag: Any  # the connection's state, in the protocol's own form
     sock: socket.socket
     close: Callable[[], None]  # called once it has been sent
 
@@ -34,34 +32,35 @@
     """The connections to one host."""
 
     def __init__(self, pools: ConnectionPools[Any], address: Address) -> None:
-        """Begin with no connection."""
+        """Create a pool without connections."""
         self.pools = pools
         self.address = address
         self.connections: dict[ConnectionT, None] = {}
-        self.retired = False  # draining or gone: what is under way may end, nothing else begins
+        # whether the host drains or is gone: open attempts may finish, and no new ones are sent
+        self.retired = False
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """Send an attempt on a connection that is idle, or on a new one."""
+        """Send an attempt on an idle connection, or on a new one."""
         raise NotImplementedError
 
     def retire(self) -> None:
-        """Write nothing new: an attempt whose connection is still coming up ends unsent."""
+        """Send no new attempts; an attempt whose connection is not established yet ends unsent."""
         raise NotImplementedError
 
     def add(self, connection: ConnectionT) -> None:
-        """Count a connection that was dialled."""
+        """Add a connection that was dialled, and count it."""
         self.connections[connection] = None
         self.pools.connection_count += 1
 
     def forget(self, connection: ConnectionT) -> None:
-        """It was closed."""
+        """Remove a connection that was closed."""
         if connection in self.connections:
             del self.connections[connection]
             self.pools.connection_count -= 1
 
 
 class ConnectionPools(Generic[PoolT]):
-    """All pools, by the id of their host; `max_connections` together."""
+    """All pools, by the id of their host, with at most `max_connections` in total."""
 
     def __init__(
         self,
@@ -71,7 +70,7 @@
         sweep_interval_us: int,
         dial: Dial = dial,
     ) -> None:
-        """Begin with no host."""
+        """Create the pools of no hosts, and start the periodic sweep."""
         self.loop = loop
         self.max_connections = max_connections
         self.connect_timeout_us = connect_timeout_us
@@ -81,41 +80,41 @@
         self.connection_count = 0
         loop.call_later(sweep_interval_us, self.run_sweep)
 
-    # --- what each protocol does in its own way
+    # --- implemented by each protocol
 
     def make_pool(self, address: Address) -> PoolT:
-        """A pool for a host at this address."""
+        """Create a pool for a host at this address."""
         raise NotImplementedError
 
     def close_idle(self) -> bool:
-        """Close the connection that has been idle longest; whether there was one."""
+        """Close the connection that has been idle longest; return whether there was one."""
         raise NotImplementedError
 
     def sweep(self) -> None:
-        """Close what is of no use any more; called again and again."""
+        """Close connections that are no longer usable; called periodically."""
         raise NotImplementedError
 
     def transferable(self) -> list[TransferableConnection]:
-        """Idle connections that can go to another process."""
+        """Return the idle connections that can be transferred to another process."""
         return []
 
     def adopt_connection(self, tag: Any, sock: socket.socket) -> None:
-        """Take over an idle connection from another process, with what is known of it."""
+        """Adopt an idle connection from another process; `tag` is its state."""
         sock.close()
 
     def set_timeouts(self, connect_timeout_us: int, idle_timeout_us: int) -> None:
-        """Set the times for connections to come up, and to stay idle."""
+        """Set the connect timeout, and how long connections may be idle."""
         self.connect_timeout_us = connect_timeout_us
 
-    # --- what is the same for all
+    # --- the same for all protocols
 
     def run_sweep(self) -> None:
-        """Sweep, and do so again later."""
+        """Sweep, and schedule the next sweep."""
         self.sweep()
         self.loop.call_later(self.sweep_interval_us, self.run_sweep)
 
     def apply_endpoints(self, whole: bool, found: Iterable[Endpoint]) -> None:
-        """Follow the list, or a change to it."""
+        """Apply the host list, or changes to it if `whole` is false."""
         absent = set(self.by_host) if whole else set()
         for host, state, address in found:
             absent.discard(host)
@@ -135,9 +134,10 @@
             self.by_host.pop(host).retire()
 
     def send(self, host: str, attempt: UpstreamAttempt) -> None:
-        """Send an attempt to a host, in the next turn if this one was held up.
+        """Send an attempt to a host; in the next turn if this one is stalled.
 
-        The host may drain by now, and discovery may have told so while this process stood still.
+        The host may be draining by now, and a list that says so may have arrived while the process
+        was stalled.
         """
         if self.loop.is_stalled:
             PostponedSend(self.loop, attempt, partial(self.send_now, host))
@@ -145,7 +145,7 @@
             self.send_now(host, attempt)
 
     def send_now(self, host: str, attempt: UpstreamAttempt) -> None:
-        """Send an attempt to a host; one that is not listed, or drains, is sent nothing."""
+        """Send an attempt to a host, unless the host is not listed or drains."""
         pool = self.by_host.get(host)
         if pool is None or pool.retired:
             failure = AttemptFailure(SendProgress.UNSENT, "broken", "not listed")
@@ -154,7 +154,7 @@
             pool.send(attempt)
 
     def dial(self, address: Address) -> socket.socket | AttemptFailure:
-        """A socket on its way to a host. Idle connections make way where descriptors run short."""
+        """Start a connection to a host, closing idle connections if descriptors run short."""
         while self.connection_count >= self.max_connections:
             if not self.close_idle():
                 return AttemptFailure(SendProgress.UNSENT, "short", "all connections in use")
--- a/orchidgap/net/decisions_port.py
+++ b/orchidgap/net/decisions_port.py
@@ -1,4 +1,4 @@
-"""What the decisions ask for, done on the network: the `ports.Port` of a node."""
+"""The actions of the decisions, carried out on the network: the `ports.Port` of a node."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     def call_decisions(
         self, call: Callable[..., None], *args: Any, exchange: Exchange | None = None
     ) -> None:
-        """One call of the decisions."""
+        """Make one call of the decisions."""
         raise NotImplementedError
 
     def dispatch(self, request: int, host: str) -> None:
         """Send an attempt of a request to a host."""
         exchange = self.exchanges[request]
-        # of a body that flows the last byte is still to come; no host is to wait for longer than
-        # the client
+        # The last byte of a streamed body has not arrived yet, so the deadline of the exchange is
+        # only a placeholder; no host should wait for longer than the client does.
         deadline_us = min(exchange.deadline_us, self.loop.now + exchange.time_remaining_us)
         attempts = exchange.attempts
         attempt = UpstreamAttempt(
@@ -59,35 +59,35 @@
             self.pools.send(host, attempt)
 
     def deny(self, request: int, retry_after_us: int) -> None:
-        """Answer that the client may come back after so many microseconds."""
+        """Answer with 503, and have the client retry after `retry_after_us`."""
         if request in self.exchanges:
             self.exchanges[request].answer(503, retry_after_us=retry_after_us)
         self.rejection_log.on_rejected(self.loop.now)
 
     def abort(self, request: int) -> None:
-        """Answer that the request has failed."""
+        """Answer with 500, as the request has failed."""
         if request in self.exchanges:
             self.exchanges[request].answer(500)
         self.rejection_log.on_rejected(self.loop.now)
 
     def cancel(self, request: int, number: int) -> None:
-        """End an attempt in flight."""
+        """Cancel an attempt in flight."""
         if request in self.exchanges:
             exchange = self.exchanges[request]
             exchange.cancel_attempt(exchange.attempts[number])
 
     def wake(self, delay_us: int, token: int) -> None:
-        """Call the decisions after so many microseconds."""
+        """Call the decisions after a delay in microseconds."""
         self.loop.call_later(delay_us, self.on_timer, token)
 
     def on_timer(self, token: int) -> None:
-        """The time that the decisions asked for has come."""
+        """Call the decisions at the time that `wake` set."""
         self.call_decisions(self.balancer.on_wake, token)
 
     def subscribe(self) -> None:
-        """Ask for the list of hosts."""
+        """Request the list of hosts."""
         self.discovery.fetch()
 
     def log(self, line: str) -> None:
-        """Log what the decisions tell."""
+        """Log a line of the decisions."""
         self.event_log("mode", what=line)
--- a/orchidgap/net/descriptor_budget.py
+++ b/orchidgap/net/descriptor_budget.py
@@ -1,40 +1,41 @@
-"""How the descriptors of this process are divided between clients and connections to hosts."""
+"""Divides the descriptors of this process between clients and connections to hosts."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 RESERVED_DESCRIPTORS = (
-    48  # for all but clients and hosts, and for clients that are told to come back
+    48  # for everything except clients and hosts, and for clients that are being rejected
 )
-RESERVED_MEMORY_MB = 16  # the program itself
+RESERVED_MEMORY_MB = 16  # for the program itself
 CLIENT_MEMORY_KB = (
-    128  # for a client's request and its answer; few are as large, and few answers larger
+    128  # for a client's request and its answer; most are smaller, and few answers are larger
 )
 MIN_CONNECTIONS = 8
 MIN_SHARED_DESCRIPTORS = 16
 
 
 class DescriptorBudget(NamedTuple):
-    """The most connections of either side."""
+    """The most connections of each side."""
 
     clients: int
     upstream: int
 
 
-def divide(
+def divide_descriptors(
     descriptors: int, memory_mb: int, open_clients: int, upstream_connections: int
 ) -> DescriptorBudget:
-    """Divide the descriptors that this process may hold; `memory_mb` is what it may use.
+    """Divide the descriptors that this process may open.
 
-    Clients get half, or what memory allows. Whoever is connected already is not thrown out for it.
+    Clients get half of them, or fewer if `memory_mb` does not suffice. Clients that are connected
+    already are not closed for it.
 
-    >>> divide(1024, 1024, 0, 0), divide(1024, 32, 0, 0)
+    >>> divide_descriptors(1024, 1024, 0, 0), divide_descriptors(1024, 32, 0, 0)
     (DescriptorBudget(clients=488, upstream=488), DescriptorBudget(clients=128, upstream=848))
     """
     shared = max(MIN_SHARED_DESCRIPTORS, descriptors - RESERVED_DESCRIPTORS)
-    fit_into_memory = (memory_mb - RESERVED_MEMORY_MB) * 1024 // CLIENT_MEMORY_KB
-    wanted = min(shared // 2, fit_into_memory)
-    already_used = min(open_clients + MIN_CONNECTIONS, shared - upstream_connections)
-    clients = max(MIN_CONNECTIONS, wanted, already_used)
+    memory_limit = (memory_mb - RESERVED_MEMORY_MB) * 1024 // CLIENT_MEMORY_KB
+    target = min(shared // 2, memory_limit)
+    required_now = min(open_clients + MIN_CONNECTIONS, shared - upstream_connections)
+    clients = max(MIN_CONNECTIONS, target, required_now)
     return DescriptorBudget(clients, max(MIN_CONNECTIONS, shared - clients))
--- a/orchidgap/net/dialing.py
+++ b/orchidgap/net/dialing.py
@@ -1,4 +1,4 @@
-"""Opens sockets: connections to an address, and listeners."""
+"""Functions that open sockets: connections to an address, and listeners."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
 from orchidgap.net.attempt_failure import AttemptFailure, SendProgress, connect_failure_cause
 
 CONNECTING_ERRNOS = frozenset((0, errno.EINPROGRESS, errno.EINTR))
-# Linux: of a listener's TCP_INFO, how many connections wait to be accepted
+# Linux: the field of a listener's TCP_INFO that holds the number of connections in its backlog
 TCP_INFO_WAITING = struct.Struct("24xI")
 OUT_OF_RESOURCES_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-# Linux: a classic BPF program that a listener runs on each segment: code, jumps if true, if false,
-# operand. It drops what begins a handshake (SYN without ACK) and lets all else pass.
+# Linux: a classic BPF program that the kernel runs on each segment for a listener. The fields of an
+# instruction are the code, the jumps if true and if false, and the operand. The program drops
+# segments that begin a handshake (SYN without ACK) and passes all others.
 SO_ATTACH_FILTER = 26
 FILTER_INSTRUCTION = struct.Struct("HBBI")
-FILTER_PROGRAM = struct.Struct("HP")  # how many instructions, and where they are
+FILTER_PROGRAM = struct.Struct("HP")  # the number of instructions and their address
 TCP_FLAGS_OFFSET = 13
 SYN = 0x02
 ACK = 0x10
 DROP_HANDSHAKES = (
-    (0x30, 0, 0, TCP_FLAGS_OFFSET),  # load the byte
-    (0x54, 0, 0, SYN | ACK),  # and
-    (0x15, 0, 1, SYN),  # if it is that go on, else pass over one
+    (0x30, 0, 0, TCP_FLAGS_OFFSET),  # load the byte of flags
+    (0x54, 0, 0, SYN | ACK),  # mask it with SYN and ACK
+    (0x15, 0, 1, SYN),  # if only SYN is set continue, otherwise skip one instruction
     (0x06, 0, 0, 0),  # return: drop
     (0x06, 0, 0, 0xFFFFFFFF),  # return: pass
 )
 
 
 def dial(address: Address) -> socket.socket | AttemptFailure:
-    """A socket on its way to the address, or why there is none."""
+    """Start a connection to the address; return its socket, or why it could not be started."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     except OSError as error:
@@ -42,7 +43,7 @@
         return AttemptFailure(SendProgress.UNSENT, cause, error.strerror or "no socket")
     try:
         number = sock.connect_ex(address)
-    except OSError:  # the address is no address
+    except OSError:  # the address is malformed
         number = errno.EINVAL
     if number in CONNECTING_ERRNOS:
         return sock
@@ -52,7 +53,7 @@
 
 
 def open_listener(address: Address, backlog: int) -> socket.socket:
-    """A socket that listens at the address. Raises OSError."""
+    """Open a socket that listens at the address. Raises OSError."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -65,10 +66,10 @@
 
 
 def stop_handshakes(listener: socket.socket) -> None:
-    """Have the system begin no more handshakes at a listener, as far as it can.
+    """Have the kernel begin no more handshakes at a listener, if the kernel supports that.
 
-    Whoever waits there, or is in a handshake, still comes up. A client that dials from now on hears
-    nothing until the listener is closed, and is refused then.
+    Connections in the backlog or in a handshake are still established. A client that dials from now
+    on receives no reply until the listener is closed, and is refused then.
 
     >>> with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as client:
     ...     stop_handshakes(listener)
@@ -85,7 +86,7 @@
 
 
 def backlog_length(listener: socket.socket) -> int:
-    """How many connections wait to be accepted, as far as the system tells.
+    """Return the number of connections that wait to be accepted; 0 if the system does not know.
 
     >>> with socket.create_server(("127.0.0.1", 0)) as listener:
     ...     with socket.create_connection(listener.getsockname()):
--- a/orchidgap/net/discovery.py
+++ b/orchidgap/net/discovery.py
@@ -1,4 +1,4 @@
-"""The interface of discovery: what gives the node its list of hosts."""
+"""The interface of discovery, which provides the node's list of hosts."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class HostDiscovery(Protocol):
-    """A source of the list of hosts, which calls `Node.on_list`."""
+    """A source of the host list; it calls `Node.on_list`."""
 
     def fetch(self) -> None:
-        """Fetch the list, unless that is under way."""
+        """Fetch the list, unless a fetch is in progress."""
 
     def move(self, address: Address) -> None:
-        """Ask at another address from now on."""
+        """Use another address from now on."""
--- a/orchidgap/net/endpoints.py
+++ b/orchidgap/net/endpoints.py
@@ -1,4 +1,4 @@
-"""The form of discovery's list: which hosts there are, and where."""
+"""The format of discovery's host list: the hosts, their states and addresses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """What the decisions are told of a host; the state is up, draining or gone."""
+    """A host as the decisions receive it; its state is up, draining or gone."""
 
     host: str
     state: str
@@ -23,7 +23,7 @@
 
 
 class Endpoint(NamedTuple):
-    """Where connections find a host; the state as in its entry."""
+    """The address of a host for connections; the state is that of its entry."""
 
     host: str
     state: str
@@ -31,7 +31,7 @@
 
 
 class HostList(NamedTuple):
-    """The list, or changes to it; entries and endpoints stand in the same order."""
+    """The list, or changes to it; entries and endpoints are in the same order."""
 
     version: int
     whole: bool
@@ -40,11 +40,11 @@
 
 
 def decode_list(document: Any) -> HostList:
-    """The version, whether the list is whole, its entries, and where each host is found.
+    """Decode a list, or changes to one, from a JSON document.
 
-    One odd entry must not keep the balancer on an old list: a host in a state that has no name
-    here, or at no address, is sent nothing new. Raises KeyError, ValueError, TypeError or
-    AttributeError where it is no list.
+    A single malformed entry must not make the balancer keep an outdated list: a host whose state is
+    unknown or whose address is invalid is treated as draining, so nothing new is sent to it. Raises
+    KeyError, ValueError, TypeError or AttributeError if the document is not a list.
 
     >>> host = {"host": "s", "dial": "127.0.0.2:7", "site": "a", "class": "m", "block": 3,
     ...     "health": "Ready", "share": 1, "born_ms": 5}
@@ -65,7 +65,7 @@
 
 
 def decode_endpoint(host: Any) -> Endpoint:
-    """Where a host is, and in which state."""
+    """Decode the address and the state of a host."""
     host_id = str(host["host"])
     state = STATES.get(host["health"], "draining")
     if state == "gone":
@@ -77,7 +77,7 @@
 
 
 def decode_entry(host: Any, endpoint: Endpoint) -> EndpointEntry:
-    """What the decisions are told of a host."""
+    """Decode the entry of a host for the decisions."""
     share = host.get("share")
     born_us = int(host.get("born_ms") or 0) * 1000
     return EndpointEntry(
--- a/orchidgap/net/event_log.py
+++ b/orchidgap/net/event_log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard error."""
+"""The event log: one line of JSON for each event, on standard error."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 from orchidgap.net.loop import LateTurn
 
-MAX_LINE_BYTES = 4_000  # what a pipe that is ready takes without blocking
+MAX_LINE_BYTES = 4_000  # a pipe that is ready for writing accepts this much without blocking
 MAX_ERROR_LENGTH = 200
 TRACEBACK_FRAMES = 4
 STDERR = 2
 
 
 class EventLog:
-    """Writes events; a reader that does not keep up loses lines and never holds up the loop."""
+    """Writes events; lines are dropped, and the loop never blocks, if the reader is too slow."""
 
     def __init__(self, name: str = "", fd: int = STDERR) -> None:
-        """Log for the balancer of this name."""
+        """Write lines with this balancer name to the descriptor."""
         self.name = name
         self.fd = fd
-        self.dropped = 0  # lines that were lost since the last one that was written
+        self.dropped = 0  # lines dropped since the last one that was written
         self.poll = select.poll()
         self.poll.register(fd, select.POLLOUT)
 
@@ -49,7 +49,7 @@
             self.dropped += 1
 
     def late_turn(self, turn: LateTurn) -> None:
-        """Write that the loop was late for a timer, and what tells why."""
+        """Write that the loop was late for a timer, with the figures that show the cause."""
         self(
             "turn late",
             late_ms=turn.late_us // 1000,
@@ -62,7 +62,7 @@
         )
 
     def exception(self, error: Exception) -> None:
-        """Write an error in the program itself, and where it is."""
+        """Write an unexpected exception, with the end of its traceback."""
         frames = traceback.extract_tb(error.__traceback__)[-TRACEBACK_FRAMES:]
         self(
             "fault",
--- a/orchidgap/net/exchange.py
+++ b/orchidgap/net/exchange.py
@@ -1,6 +1,4 @@
-"""One request on the network: from its last byte to its answer and the end of the last of its
-attempts.
-"""
+"""One request on the network, from its arrival to its answer and the end of its last attempt."""
 
 from __future__ import annotations
 
@@ -18,50 +16,49 @@
 if TYPE_CHECKING:
     from orchidgap.decisions.balancer import Balancer
 
-ANSWER_MARGIN_US = (
-    20_000  # the answer is out this long before the client timeout: timers can be late
-)
-# the time of a request whose body still comes; until its end it goes by what comes, see the
-# protocol's server
+# The answer is sent this long before the client's timeout, as timers can be late.
+ANSWER_MARGIN_US = 20_000
+# Placeholder deadline of a request whose body is still arriving. Until the body is complete, the
+# protocol's server bounds the time by the progress of the upload.
 UPLOAD_TIME_US = 3_600_000_000
 
 
 class ExchangeNode(Protocol):
-    """The node, as far as its exchanges use it."""
+    """The part of the node that its exchanges use."""
 
     open_request_ids: set[bytes]
     traffic_counts: TrafficCounts
 
     @property
     def loop(self) -> Loop:
-        """What calls back."""
+        """The event loop."""
 
     @property
     def balancer(self) -> Balancer:
-        """What decides."""
+        """The decisions."""
 
     @property
     def event_log(self) -> EventLog:
-        """Where events are written."""
+        """The log to which events are written."""
 
     @property
     def exchanges(self) -> MutableMapping[int, Exchange]:
-        """The requests under way, by number."""
+        """The open exchanges, by request number."""
 
     def call_decisions(
         self, call: Callable[..., None], *args: Any, exchange: Exchange | None = None
     ) -> None:
-        """Make one call of the decisions; where it fails, the exchange is answered."""
+        """Make one call of the decisions; if it raises, the exchange is answered."""
 
     def on_load_report(self, attempt: UpstreamAttempt) -> None:
-        """A host told of its load with an answer."""
+        """Handle the load report that a host sent with an answer."""
 
     def release_if_done(self, exchange: Exchange) -> None:
         """Forget an exchange that is closed and has no attempt in flight."""
 
 
 class Exchange:
-    """One request on the network. It is closed once it has its answer, or nobody waits for one."""
+    """One request on the network; closed once it is answered or its client has disconnected."""
 
     __slots__ = (
         "attempts",
@@ -92,8 +89,18 @@
         upload: Upload | None,
         timed: bool = True,
     ) -> None:
-        """`number` is the node's own, `request_id` the client's; `upload` is the body, while that
-        still comes. `timed` is false for an exchange that only ends an answer that flows already.
+        """Register the request id, and start the deadline if the body is complete.
+
+        Args:
+            node: The node that the request was sent to.
+            number: The node's own number of the request.
+            request_id: The client's id of the request.
+            client: Receives the answer.
+            head: The head that is sent to hosts.
+            body: The body, empty if it is streamed.
+            time_remaining_us: The client's timeout, counted from the request's last byte.
+            upload: The body while it is still arriving.
+            timed: False for an exchange that only finishes an answer which is already streaming.
         """
         self.node = node
         self.number = number
@@ -101,13 +108,15 @@
         self.client = client
         self.head = head
         self.body = body
-        self.time_remaining_us = time_remaining_us  # when the last byte came
+        self.time_remaining_us = time_remaining_us  # counted from the arrival of the last byte
         self.upload = upload
         self.closed = False
-        self.streaming_attempt: UpstreamAttempt | None = None  # whose answer flows to the client
+        # the attempt whose answer is being streamed to the client
+        self.streaming_attempt: UpstreamAttempt | None = None
         self.attempts: list[UpstreamAttempt] = []
         self.deadline_timer: Timer | None = None
-        self.fallback_status = 0  # the answer to a failed attempt that the decisions do not know of
+        # the status to answer with if an attempt fails that the decisions do not know of
+        self.fallback_status = 0
         node.open_request_ids.add(request_id)
         if not upload and timed:
             self.start_deadline()
@@ -117,8 +126,9 @@
             upload.on_discarded = self.on_body_discarded
 
     def start_deadline(self) -> None:
-        """The time runs from the last byte. The client counts from its send, and a loop that was
-        held up learns of that late.
+        """Start the deadline, counted from the arrival of the last byte.
+
+        The client counts from its send, and a stalled loop reads that byte late.
         """
         margin_us = min(ANSWER_MARGIN_US, self.time_remaining_us // 4)
         self.deadline_us = self.client.received_at_us + self.time_remaining_us - margin_us
@@ -126,14 +136,15 @@
             self.deadline_timer = self.node.loop.call_at(self.deadline_us, self.on_deadline)
 
     def remaining_us(self, now_us: int) -> int:
-        """How long it may take from then on."""
+        """The time from `now_us` to the deadline."""
         return max(0, self.deadline_us - now_us)
 
     def waited_us(self, now_us: int) -> int:
-        """How long before then it could have been handled; 0 while its last byte is to come.
+        """How long the request has been ready to be handled; 0 until its last byte has arrived.
 
-        What waited behind others of its client has its latency objective from its turn; its
-        deadline runs from its arrival all the same.
+        For a request that was queued behind others of its client, the latency objective is counted
+        from the moment when it became the next to be handled; its deadline is still counted from
+        its arrival.
         """
         if self.upload and not self.upload.complete:
             return 0
@@ -142,11 +153,11 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether it is answered or an attempt of it was sent; else it waits for a host."""
+        """Whether it was answered or an attempt was sent; otherwise it is queued for a host."""
         return self.closed or bool(self.attempts)
 
     def on_body_complete(self) -> None:
-        """The last byte of a body that flows is there."""
+        """Start the deadline once the last byte of a streamed body has arrived."""
         self.start_deadline()
         if self.closed:
             return
@@ -155,14 +166,14 @@
         self.node.call_decisions(self.decide_body_complete, exchange=self)
 
     def decide_body_complete(self) -> None:
-        """Tell the decisions that its body is whole, with its times as of their own clock."""
+        """Notify the decisions that the body is complete, with times relative to their clock."""
         balancer = self.node.balancer
         balancer.on_body_complete(
             self.number, self.remaining_us(balancer.now), self.waited_us(balancer.now)
         )
 
     def on_body_discarded(self) -> None:
-        """The body cannot be sent another time."""
+        """Notify the decisions that the body can no longer be sent again."""
         self.node.call_decisions(self.node.balancer.on_body_discarded, self.number, exchange=self)
 
     # --- its answer
@@ -170,15 +181,20 @@
     def answer(
         self, status: int, body: bytes = b"", retry_after_us: int = 0, length: int | None = None
     ) -> None:
-        """Answer the client, unless it has its answer; `retry_after_us` is for the client."""
+        """Answer the client unless the exchange is closed.
+
+        `retry_after_us` is the delay after which the client should retry.
+        """
         if not self.closed:
             self.close()
             self.node.traffic_counts.on_answered(status)
             self.client.answer(status, body, retry_after_us, length)
 
     def close(self) -> None:
-        """It has its answer, or nobody waits for one. Its deadline timer runs on for the attempts
-        in flight: they cannot be cancelled everywhere, and would be waited for without end.
+        """Mark the request as answered, or as one whose client no longer waits.
+
+        The deadline timer keeps running for the attempts in flight: not every host supports
+        cancelling, so without the timer they might never settle.
         """
         self.closed = True
         for attempt in self.attempts:
@@ -186,15 +202,19 @@
             if upload and not (
                 upload.complete or attempt.settled or attempt is self.streaming_attempt
             ):
-                # what never comes whole is never executed, so this cancels nothing; its host would
-                # wait for ever
+                # A host never executes a request whose body stays incomplete, so no execution is
+                # cancelled here; without the cancel the host would wait for the rest for ever.
                 self.cancel_attempt(attempt)
         if not self.streaming_attempt:
             self.node.open_request_ids.discard(self.request_id)
             self.node.release_if_done(self)
 
     def start_streaming(self, number: int) -> ResponseSink | None:
-        """This attempt's answer is the final one, and its body flows: who takes it, or None."""
+        """Make this attempt's answer the final one, and stream its body.
+
+        Returns:
+            The receiver of the body, or None if the exchange is already closed.
+        """
         if self.closed:
             return None
         self.streaming_attempt = self.attempts[number]
@@ -205,10 +225,10 @@
         )
         return cast(
             ResponseSink, self.client
-        )  # only protocols whose clients take bodies that flow ask
+        )  # called only by protocols whose clients accept streamed bodies
 
     def finish_streaming(self, whole: bool) -> None:
-        """All that there is of the body has been passed on; whether that is the whole."""
+        """End the streamed answer; `whole` is whether its body was passed on completely."""
         attempt = self.streaming_attempt
         self.streaming_attempt = None
         self.node.open_request_ids.discard(self.request_id)
@@ -216,15 +236,15 @@
         if not whole and attempt:
             self.node.call_decisions(self.node.balancer.on_response_truncated, attempt.host)
 
-    # --- what ends it early
+    # --- early ends
 
     def cancel_attempt(self, attempt: UpstreamAttempt) -> None:
-        """End an attempt; its owner is told after the call under way."""
+        """Cancel an attempt; its owner is notified after the current callback."""
         failure = attempt.abandon("cancelled")
         self.node.loop.call_soon(attempt.settle, failure.outcome)
 
     def on_client_disconnect(self) -> None:
-        """Nobody waits for the answer any more."""
+        """Handle that the client has disconnected and no longer waits for the answer."""
         if self.streaming_attempt:
             attempt = self.streaming_attempt
             self.streaming_attempt = None
@@ -235,14 +255,12 @@
         self.close()
         self.node.traffic_counts.on_request_end(RequestEnd.CLIENT_DISCONNECTED)
         self.node.call_decisions(self.node.balancer.on_client_disconnect, self.number)
-        if self.fallback_status:  # the decisions do not know of its attempts
+        if self.fallback_status:  # the decisions do not know its attempts
             for attempt in self.attempts:
                 self.cancel_attempt(attempt)
 
     def on_deadline(self) -> None:
-        """Its time is up: attempts in flight have timed out, and the answer goes out now whatever
-        comes of that.
-        """
+        """Time out the attempts in flight, and answer with 500 if that has not led to an answer."""
         for attempt in self.attempts:
             if not attempt.settled and attempt is not self.streaming_attempt:
                 attempt.settle(attempt.abandon("overdue").outcome)
@@ -251,11 +269,12 @@
             self.node.call_decisions(self.node.balancer.on_client_disconnect, self.number)
             self.answer(500)
 
-    # --- what its attempts ask and tell
+    # --- calls of its attempts
 
     def may_send(self, number: int) -> bool:
-        """Whether this attempt may still begin; asked in the moment before its first byte is
-        written, which a turn that was held up brings late.
+        """Whether this attempt may still be sent.
+
+        Called immediately before its first byte is written, which is late in a stalled turn.
         """
         if self.closed:
             return False
@@ -265,7 +284,7 @@
         return not self.client.has_disconnected()
 
     def on_settled(self, number: int, outcome: AttemptOutcome, body: bytes) -> None:
-        """What came of an attempt: answer what has its final answer, then tell the decisions."""
+        """Handle an attempt's outcome: answer if it is final, then notify the decisions."""
         attempt = self.attempts[number]
         if outcome == AttemptOutcome.REDIRECTED:
             self.node.call_decisions(
@@ -281,7 +300,7 @@
             if outcome == AttemptOutcome.DONE:
                 self.answer(200, body, length=attempt.length)
             elif outcome == AttemptOutcome.INVALID_REQUEST:
-                # any other host would say the same
+                # every other host would reject the request as well
                 self.answer(400, body, length=attempt.length)
             self.node.call_decisions(
                 self.node.balancer.on_outcome,
@@ -300,7 +319,7 @@
     # --- between two processes of this balancer
 
     def detach(self) -> None:
-        """It goes on in another process."""
+        """Release the request, as it continues in another process."""
         if not self.closed:
             self.node.traffic_counts.on_request_end(RequestEnd.MIGRATED)
         self.closed = True
@@ -311,9 +330,7 @@
         self.node.exchanges.pop(self.number, None)
 
     def attach(self, attempt: UpstreamAttempt, is_streaming: bool) -> None:
-        """It comes from another process with its attempt, whose answer flows already or is
-        awaited.
-        """
+        """Adopt an attempt from another process; its answer is either streaming or awaited."""
         self.attempts = [attempt]
         self.closed = is_streaming
         self.streaming_attempt = attempt if is_streaming else None
--- a/orchidgap/net/loop.py
+++ b/orchidgap/net/loop.py
@@ -1,4 +1,4 @@
-"""The event loop: sockets that are ready, timers that are due, and calls that come next."""
+"""The event loop: callbacks for ready sockets, due timers and queued calls."""
 
 from __future__ import annotations
 
@@ -16,42 +16,44 @@
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
 MAX_WAIT_US = 1_000_000
-IMMEDIATE_WAIT_US = 1_000  # a wait shorter than this found something that was there before
+IMMEDIATE_WAIT_US = 1_000  # a shorter wait found sockets that were ready before it began
 READ_BUFFER_BYTES = 1 << 16
-LATE_TURN_US = 100_000  # a timer that is called so long after it was due is told of
+LATE_TURN_US = 100_000  # a timer called later than this after its due time is reported
 CPU_SAMPLE_INTERVAL_US = 100_000
-MAX_POSTPONED_TURNS = 3  # for which calls wait on end, as each of them was held up
-STALLED_TURN_US = 50_000  # what is ready may tell otherwise than what a turn knew so long ago
+MAX_POSTPONED_TURNS = 3  # consecutive stalled turns for which postponed calls may be deferred
+# A turn is stalled when the selector was polled longer ago than this: sockets that have become
+# ready since may change what the turn is based on.
+STALLED_TURN_US = 50_000
 
 
 def system_clock() -> Callable[[], int]:
-    """Unix time in microseconds as at the start, carried on by the clock that never jumps."""
+    """Return a clock that reads Unix time in microseconds once and then advances monotonically."""
     offset_ns = time.time_ns() - time.monotonic_ns()
     return lambda: (time.monotonic_ns() + offset_ns) // 1000
 
 
 def thread_cpu_us() -> int:
-    """Processor time that this thread has used, in microseconds."""
+    """Return the processor time that this thread has used, in microseconds."""
     return time.thread_time_ns() // 1000
 
 
 def boot_clock() -> int:
-    """Microseconds that go on while the machine sleeps, and never jump."""
+    """Return a monotonic time in microseconds that includes the time the machine was suspended."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 class Timer:
-    """A call that is made at its time unless it is cancelled."""
+    """A callback that is called at its due time unless it is cancelled."""
 
     __slots__ = ("args", "callback")
 
     def __init__(self, callback: Callable[..., None] | None, args: tuple[Any, ...]) -> None:
-        """The call, with its arguments."""
+        """Store the callback with its arguments."""
         self.callback = callback
         self.args = args
 
     def cancel(self) -> None:
-        """Call nothing, and hold on to nothing."""
+        """Prevent the call, and drop the references to the callback and its arguments."""
         self.callback = None
         self.args = ()
 
@@ -60,18 +62,19 @@
 class LateTurn:
     """A turn that called a timer long after it was due.
 
-    A turn that began late, with little processor time used in the window, belongs to a process that
-    got no core, if its run delay is as long; else it was stopped or waited for a disk. One whose
-    own calls took long was busy.
+    If the turn began late and little processor time was used in the window, the process did not
+    run: with a run delay of about the same length it was not scheduled, otherwise it was stopped or
+    waited for a disk. If the turn's own calls took long, the process was busy.
 
     Attributes:
-        late_us: How long after it was due the timer was called.
-        began_late_us: How much of that had passed when the turn began.
-        calls_us: How long the turn's calls for sockets took before the timer's.
-        window_us: How long ago the processor time was looked at last.
-        cpu_us: Processor time that the loop's thread has used since.
-        run_delay_us: How long it was ready since and did not run, by the kernel's count.
-        callback: The name of what was due.
+        late_us: Time from the timer's due time to its call.
+        began_late_us: The part of `late_us` that had passed when the turn began.
+        calls_us: Time that the turn's socket callbacks took before the timer was called.
+        window_us: Time since the processor time was last sampled.
+        cpu_us: Processor time that the loop's thread used in the window.
+        run_delay_us: Time in the window in which the thread was runnable and did not run, as
+            counted by the kernel.
+        callback: The name of the timer's callback.
     """
 
     late_us: int
@@ -87,11 +90,13 @@
     """Calls back for sockets that are ready and for timers that are due.
 
     Attributes:
-        now: The time of the turn under way, in microseconds of the loop's clock.
-        ready_since_us: Nothing that is ready in this turn was ready before.
-        buffer: What a connection reads stands here until the next read.
-        longest_turn_us: The longest turn, without its wait.
-        on_late_turn: Told of a turn that was late for a timer.
+        now: The time of the current turn, in microseconds of the loop's clock.
+        ready_since_us: The earliest time at which a socket that is ready in this turn can have
+            become ready.
+        buffer: The read buffer that all connections share; its content is valid until the next
+            read.
+        longest_turn_us: The duration of the longest turn, without its wait.
+        on_late_turn: Called with a `LateTurn` when a turn is late for a timer.
 
     >>> loop = Loop(clock=iter(range(0, 10_000, 100)).__next__)
     >>> _ = loop.call_later(150, print, "due")
@@ -107,15 +112,21 @@
         clock: Callable[[], int] | None = None,
         on_error: Callable[[Exception], None] | None = None,
     ) -> None:
-        """`on_error` is told of what escapes a call; without it the loop ends then."""
+        """Create a loop with nothing to watch.
+
+        Args:
+            clock: Returns the time in microseconds; `system_clock()` by default.
+            on_error: Called with an exception that a callback raised; without it the exception
+                ends the loop.
+        """
         self.clock = clock or system_clock()
         self.on_error = on_error
         self.selector = selectors.DefaultSelector()
-        self.priority_callbacks: set[Callable[[int], None]] = set()  # whose turn comes first
+        self.priority_callbacks: set[Callable[[int], None]] = set()  # called before all others
         self.timers: list[tuple[int, int, Timer]] = []
         self.ready_callbacks: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
-        self.postponed: list[Callable[[], None]] = []  # to the next turn
-        self._postponed_turns = 0  # for how many on end what was postponed has waited on
+        self.postponed: list[Callable[[], None]] = []  # calls for the next turn
+        self._postponed_turns = 0  # consecutive turns that deferred the postponed calls
         self.timer_count = 0
         self.running = True
         self.longest_turn_us = 0
@@ -133,64 +144,66 @@
         sock: socket.socket | int,
         mask: int,
         callback: Callable[[int], None],
-        first: bool = False,
+        priority: bool = False,
     ) -> None:
-        """Call back when the socket, or a descriptor, is ready; with `first`, before others."""
+        """Call back when the socket or descriptor is ready; with `priority`, before all others."""
         self.selector.register(sock, mask, callback)
-        if first:
+        if priority:
             self.priority_callbacks.add(callback)
 
     def rewatch(self, sock: socket.socket, mask: int, callback: Callable[[int], None]) -> None:
-        """Watch the socket for something else."""
+        """Change the events or the callback of a watched socket."""
         self.selector.modify(sock, mask, callback)
 
     def unwatch(self, sock: socket.socket | int) -> None:
-        """Watch the socket no more."""
+        """Stop watching the socket."""
         key = self.selector.unregister(sock)
         self.priority_callbacks.discard(key.data)
 
     def call_later(self, delay_us: int, callback: Callable[..., None], *args: Any) -> Timer:
-        """Call after so many microseconds."""
+        """Call after a delay in microseconds, counted from the start of the turn."""
         return self.call_at(self.now + delay_us, callback, *args)
 
     def call_at(self, when_us: int, callback: Callable[..., None], *args: Any) -> Timer:
-        """Call at a time of the loop's clock; those of the same time in the order they came."""
+        """Call at a time of the loop's clock; timers of equal time run in the order of creation."""
         timer = Timer(callback, args)
         self.timer_count += 1
         heappush(self.timers, (when_us, self.timer_count, timer))
         return timer
 
     def call_soon(self, callback: Callable[..., None], *args: Any) -> None:
-        """Call after the call under way: what comes of an attempt must not run into the decision to
-        send it.
+        """Call after the current callback has returned.
+
+        The outcome of an attempt, for example, must not be handled while the decision to send that
+        attempt is still being made.
         """
         self.ready_callbacks.append((callback, args))
 
     def call_next_turn(self, callback: Callable[[], None]) -> None:
-        """Call in the next turn, once sockets whose turn comes first have been served; later where
-        that turn is held up before.
-        """
+        """Call in the next turn, after the priority sockets; later if that turn is stalled too."""
         self.postponed.append(callback)
 
     @property
     def is_stalled(self) -> bool:
-        """Whether the selector was asked so long ago that what is ready now may tell otherwise."""
+        """Whether the selector was polled so long ago that its result may be out of date."""
         return self.clock() - self.last_poll_us > STALLED_TURN_US
 
     @property
     def current_us(self) -> int:
-        """The time of the turn under way; of the clock, where that turn has been held up."""
+        """The time of the current turn, or the clock's time if the turn is stalled."""
         time_us = self.clock()
         return time_us if time_us - self.last_poll_us > STALLED_TURN_US else self.now
 
     def run(self) -> None:
-        """Turn until told to stop."""
+        """Run turns until `running` is false."""
         while self.running:
             self.run_once()
 
     def run_once(self, max_wait_us: int = MAX_WAIT_US) -> None:
-        """One turn. What is ready comes before what is due: an answer that is there beats its
-        time-out.
+        """Run one turn.
+
+        Ready sockets are handled before due timers, so that an answer that has arrived takes
+        precedence over its timeout.
         """
         entered_us = self.clock()
         wait_us = 0 if self.ready_callbacks or self.postponed else max_wait_us
@@ -201,7 +214,7 @@
         was_ready_before = now - entered_us < IMMEDIATE_WAIT_US
         self.ready_since_us = self.last_poll_us if was_ready_before else now
         if now - entered_us > STALLED_TURN_US:
-            # it may have been held up since the selector answered, not while it waited
+            # the process may have been stalled after `select` returned, not while it waited
             events = self.selector.select(0)
             now = self.clock()
         self.last_poll_us = now
@@ -209,7 +222,7 @@
         self._run_ready_sockets(events)
         self.now = self.clock()
         if self.on_late_turn:
-            self._watch_lateness(self.on_late_turn)
+            self._report_late_timer(self.on_late_turn)
         self._run_due_timers()
         for _ in range(len(self.ready_callbacks)):
             callback, args = self.ready_callbacks.popleft()
@@ -219,7 +232,7 @@
             self.longest_turn_us = turn_us
 
     def _run_ready_sockets(self, events: list[tuple[selectors.SelectorKey, int]]) -> None:
-        """Call for those whose turn comes first, then what was postponed, then for all others."""
+        """Run the priority callbacks, then the postponed calls, then all other callbacks."""
         if self.priority_callbacks and len(events) > 1:
             events.sort(key=lambda event: event[0].data not in self.priority_callbacks)
         postponed, self.postponed = self.postponed, []
@@ -231,8 +244,10 @@
         self._run_postponed(postponed)
 
     def _run_due_timers(self) -> None:
-        """Call what is due. In a turn that was held up only what was due as the selector was asked:
-        what is ready by now comes first.
+        """Call the timers that are due.
+
+        In a stalled turn, only the timers that were due when the selector was polled: sockets that
+        have become ready since are handled before later timers.
         """
         was_stalled = self.now - self.last_poll_us > STALLED_TURN_US
         due_by_us = self.last_poll_us if was_stalled else self.now
@@ -242,14 +257,15 @@
                 self.run_callback(timer.callback, *timer.args)
 
     def _run_postponed(self, callbacks: list[Callable[[], None]]) -> None:
-        """Make the calls that the turn before has left, or leave them to the next one.
+        """Make the calls that were postponed to this turn, or defer them to the next one.
 
-        What is ready by now may be what they wait for where this turn was held up too. A loop whose
-        turns all take that long still makes them.
+        They are deferred if this turn is stalled too, as the input that they wait for may have
+        become readable since the poll. `MAX_POSTPONED_TURNS` bounds this, so that a loop whose
+        turns are all that long still makes the calls.
         """
-        may_wait_on = self._postponed_turns < MAX_POSTPONED_TURNS
+        may_defer = self._postponed_turns < MAX_POSTPONED_TURNS
         for index, callback in enumerate(callbacks):
-            if may_wait_on and self.is_stalled:
+            if may_defer and self.is_stalled:
                 self._postponed_turns += 1
                 self.postponed[:0] = callbacks[index:]
                 return
@@ -257,8 +273,8 @@
         if callbacks:
             self._postponed_turns = 0
 
-    def _watch_lateness(self, on_late_turn: Callable[[LateTurn], None]) -> None:
-        """Tell of a timer that is called long after it was due."""
+    def _report_late_timer(self, on_late_turn: Callable[[LateTurn], None]) -> None:
+        """Report the first due timer to `on_late_turn` if it is called long after it was due."""
         while self.timers and self.timers[0][2].callback is None:
             heappop(self.timers)
         if self.timers and self.now - self.timers[0][0] > LATE_TURN_US:
@@ -279,10 +295,10 @@
             self._run_delay_sample_us = run_delay_us()
 
     def run_callback(self, callback: Callable[..., None], *args: Any) -> None:
-        """Make one call; where it fails, all others are still made."""
+        """Make one call; an exception in it does not prevent other calls."""
         try:
             callback(*args)
-        except Exception as error:  # whatever it is, only this call ends
+        except Exception as error:  # whatever the exception, only this call is aborted
             if self.on_error is None:
                 raise
             self.on_error(error)
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -1,8 +1,7 @@
-"""Joins the network to the decisions: clients and hosts on one side, the balancer's rules on the
-other.
+"""Connects the network (clients and hosts) to the decisions (the balancer's rules).
 
-Nothing is decided here. A node is the clients' `RequestHandler` and, by `DecisionsPort`, the
-decisions' port.
+A node decides nothing itself. It is the `RequestHandler` of the clients' side and, through
+`DecisionsPort`, the port of the decisions.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 from orchidgap.net.config import BalancerConfig, keep_until_restart
 from orchidgap.net.connection_pools import ConnectionPools
 from orchidgap.net.decisions_port import DecisionsPort
-from orchidgap.net.descriptor_budget import RESERVED_DESCRIPTORS, divide
+from orchidgap.net.descriptor_budget import RESERVED_DESCRIPTORS, divide_descriptors
 from orchidgap.net.dialing import dial
 from orchidgap.net.discovery import Dial, HostDiscovery
 from orchidgap.net.endpoints import Endpoint, EndpointEntry
@@ -44,37 +43,39 @@
 if TYPE_CHECKING:
     from orchidgap.net.handover.coordinator import Handover
 
-FIRST_LIST_TIMEOUT_US = 1_000_000  # for discovery to tell its list before a new process serves
-INITIAL_CONNECTIONS = 8  # until the descriptors are divided
+FIRST_LIST_TIMEOUT_US = 1_000_000  # how long a new process waits for discovery's first list
+INITIAL_CONNECTIONS = 8  # the limit until the descriptors are divided
 
 
 class ProtocolParts(Protocol):
-    """One protocol, as far as the node needs it."""
+    """The parts of a protocol that the node needs."""
 
     def make_listener(self, node: Node, max_clients: int) -> ClientListener:
-        """The clients' side, of at most `max_clients` at a time."""
+        """Create the clients' side, with at most `max_clients` open at a time."""
 
     def make_pools(self, node: Node, max_connections: int, dial: Dial) -> ConnectionPools[Any]:
-        """The hosts' side, of at most `max_connections`."""
+        """Create the hosts' side, with at most `max_connections` open at a time."""
 
     def make_discovery(self, node: Node, dial: Dial) -> HostDiscovery:
-        """Who tells of hosts."""
+        """Create the source of the host list."""
 
     def migrating_requests(self, node: Node) -> Iterable[MigratingRequest]:
-        """Requests that can go on in another process of this balancer, each as it stands."""
+        """Return the requests that can continue in another process, each in its current state."""
 
     def accept_migrated(
         self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
     ) -> None:
-        """One that comes from another process. Raises ValueError or the like where it makes no
-        sense.
+        """Accept a request from another process.
+
+        Raises:
+            ValueError: Its description is malformed; other exceptions are possible.
         """
 
 
 class Node(NodeLifecycle, DecisionsPort):
     """One balancer on the network."""
 
-    settings: Mapping[str, Any] | None = None  # that count in place of the file's
+    settings: Mapping[str, Any] | None = None  # used in place of the file's settings
 
     def __init__(
         self,
@@ -85,58 +86,70 @@
         dial: Dial = dial,
         make_balancer: Callable[..., Any] = Balancer,
     ) -> None:
-        """`make_balancer` makes the decisions; its result has the methods of a `Balancer`."""
+        """Create the clients' side, the hosts' side and the decisions.
+
+        Args:
+            loop: The event loop.
+            config: The configuration.
+            event_log: The log to which events are written.
+            protocol: The protocol of clients and hosts.
+            dial: Opens connections.
+            make_balancer: Creates the decisions; its result has the methods of a `Balancer`.
+        """
         self.loop = loop
         self.event_log = event_log
         self.config = config
         self.protocol = protocol
         self.exchanges: dict[int, Exchange] = {}
-        self.open_request_ids: set[bytes] = set()  # of requests that are owed an answer
+        self.open_request_ids: set[bytes] = set()  # ids of requests not fully answered yet
         self.last_request_number = 0
         self.traffic_counts = TrafficCounts()
         self.lifecycle = Lifecycle(loop.now, config.settings.longest_client_timeout_us)
         self.descriptor_limit = config.descriptors
-        self.endpoints: dict[str, tuple[EndpointEntry, Endpoint]] = {}  # the list as it was told
-        self.list_received = False  # or discovery did not answer in time
+        # the host list as received, by host
+        self.endpoints: dict[str, tuple[EndpointEntry, Endpoint]] = {}
+        self.list_received = False  # also true once the wait for discovery has timed out
         self.clients = protocol.make_listener(self, INITIAL_CONNECTIONS)
         self.handover: Handover | NoHandover = NoHandover(self.clients)
         self.pools = protocol.make_pools(self, INITIAL_CONNECTIONS, dial)
         self.set_descriptor_limit(config.descriptors)
         self.set_response_hold()
         self.balancer: Balancer = make_balancer(config.settings, self, config.seed, loop.now)
-        is_table = isinstance(self.balancer, RequestTable)
-        rejections = self.balancer.rejections if is_table else Counter()
+        has_request_table = isinstance(self.balancer, RequestTable)
+        rejections = self.balancer.rejections if has_request_table else Counter()
         self.rejection_log = RejectionLog(event_log, rejections)
         self.discovery = protocol.make_discovery(self, dial)
 
     def start(self) -> None:
-        """Begin with the list that the configuration holds, and ask for a newer one."""
+        """Start with the host list of the configuration, and request a newer one."""
         _, _, entries, found = self.config.initial_endpoints
         self.apply_endpoints(True, entries, found)
         self.call_decisions(self.balancer.on_hosts, ListScope.RECALLED, entries)
         self.check_ready()
-        # the configuration's list may be old, and what discovery has counts as told from the first
-        # moment
+        # The configuration's list may be outdated, and the process is expected to follow
+        # discovery's list from the start.
         self.loop.call_later(FIRST_LIST_TIMEOUT_US, self.end_list_wait)
         self.discovery.fetch()
 
     # --- descriptors
 
     def set_descriptor_limit(self, descriptors: int) -> None:
-        """So many for all that this process holds, with its share of the memory."""
+        """Divide this many descriptors, and the same share of the memory, between both sides."""
         self.descriptor_limit = descriptors
         memory_mb = self.config.memory_mb * descriptors // self.config.descriptors
         open_clients = len(self.clients.open_clients)
-        budget = divide(descriptors, memory_mb, open_clients, self.pools.connection_count)
+        budget = divide_descriptors(
+            descriptors, memory_mb, open_clients, self.pools.connection_count
+        )
         self.clients.max_clients = budget.clients
         self.pools.max_connections = budget.upstream
 
     def descriptors_needed(self) -> int:
-        """Descriptors that this process holds, or needs at once."""
+        """Return the number of descriptors that this process holds or must keep available."""
         connections = len(self.clients.open_clients) + self.pools.connection_count
         return connections + RESERVED_DESCRIPTORS
 
-    # --- what the clients' side asks
+    # --- calls of the clients' side
 
     def knows_request_class(self, name: str) -> bool:
         """Whether there is a request class of this name."""
@@ -149,20 +162,20 @@
         return self.handover.active and self.handover.is_request_open(request_id)
 
     def slot_owner(self, slot: int) -> str:
-        """The id of the server that owns the slot; empty where that is not known."""
+        """Return the id of the server that owns the slot, or an empty text if it is not known."""
         slot_map = self.balancer.slot_map
         return (slot_map and slot_map.owner(slot)) or ""
 
     def rejection_retry_after_us(self) -> int:
-        """How long a client for whom there is no room should stay away; 0 to tell it nothing."""
+        """Return the Retry-After of clients rejected for lack of capacity; 0 to send none."""
         return RetryPolicy.from_settings(self.config.settings).unexecuted_retry_after_us
 
     def close_idle_connection(self) -> bool:
-        """Close an idle connection to a host; whether there was one."""
+        """Close an idle connection to a host; return whether there was one."""
         return self.pools.close_idle()
 
     def next_request_number(self) -> int:
-        """A number for the next request."""
+        """Return the number for the next request."""
         self.last_request_number += 1
         return self.last_request_number
 
@@ -181,7 +194,7 @@
         upload: Upload | None = None,
         is_client_retry: bool = False,
     ) -> None:
-        """Take a request; see `RequestHandler`."""
+        """Handle a new request; see `RequestHandler`."""
         self.last_request_number += 1
         self.traffic_counts.requests_arrived += 1
         number = self.last_request_number
@@ -211,7 +224,7 @@
         slot: int,
         is_client_retry: bool,
     ) -> None:
-        """Tell the decisions of a request, with its times as of their own clock."""
+        """Pass a request to the decisions, with its times relative to their clock."""
         now_us = self.balancer.now
         self.balancer.on_request(
             exchange.number,
@@ -226,24 +239,26 @@
             is_client_retry,
         )
 
-    # --- what discovery tells
+    # --- calls of discovery
 
     def on_list(self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]) -> None:
-        """The list of hosts, or changes to it."""
+        """Apply the list of hosts, or changes to it."""
         self.apply_endpoints(whole, entries, found)
         scope = ListScope.WHOLE if whole else ListScope.CHANGES
         self.call_decisions(self.balancer.on_hosts, scope, entries)
         self.end_list_wait()
 
     def end_list_wait(self) -> None:
-        """Discovery has told its list, or is silent: then the configuration's list has to do."""
+        """Stop waiting for discovery's list: it has arrived or, after the timeout, the
+        configuration's list is used.
+        """
         self.list_received = True
         self.check_ready()
 
     def apply_endpoints(
         self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]
     ) -> None:
-        """Keep the list for a successor, and have connections follow it."""
+        """Store the list for a successor process, and apply it to the connection pools."""
         self.pools.apply_endpoints(whole, found)
         if whole:
             self.endpoints.clear()
@@ -254,14 +269,14 @@
                 del self.endpoints[host]
 
     def check_ready(self) -> None:
-        """It can serve once it has a list, and what another process of this balancer knows."""
+        """Become ready once a host list and the state of a predecessor, if any, have arrived."""
         if self.endpoints and self.list_received and not self.handover.awaiting_snapshot:
             self.transition(LifecycleEvent.READY)
 
-    # --- what exchanges tell
+    # --- calls of exchanges
 
     def on_load_report(self, attempt: UpstreamAttempt) -> None:
-        """A host told of its load with an answer."""
+        """Pass the load report that a host sent with an answer to the decisions."""
         fields = parse_load_report(attempt.load_report)
         request_rate = fields.get("tps")
         in_flight = fields.get("concurrent")
@@ -281,13 +296,11 @@
     def call_decisions(
         self, call: Callable[..., None], *args: Any, exchange: Exchange | None = None
     ) -> None:
-        """One call of the decisions. Where it fails, the request that it was about is still
-        answered.
-        """
+        """Make one call of the decisions; if it raises, the request concerned is still answered."""
         self.balancer.now = self.loop.current_us
         try:
             call(*args)
-        except Exception as error:  # noqa: BLE001  # it must not end the program
+        except Exception as error:  # noqa: BLE001  # must not end the process
             self.event_log.exception(error)
             if exchange:
                 exchange.answer(500)
@@ -295,8 +308,9 @@
     # --- handover to another process of this balancer
 
     def fallback_status(self, number: int) -> int:
-        """The answer to a request whose one attempt may have been executed and failed: 503 where a
-        retry does no harm, else 500.
+        """Return the answer to a request whose only attempt failed and may have been executed.
+
+        It is 503 if a retry is harmless, otherwise 500.
         """
         request = self.balancer.requests.get(number)
         request_class = request.request_class if request else None
@@ -309,37 +323,37 @@
 
     @property
     def has_warm_state(self) -> bool:
-        """Whether what decides here can export and restore a snapshot."""
+        """Whether the decisions of this node can export and restore a snapshot."""
         return isinstance(self.balancer, Balancer)
 
     def migrating_requests(self) -> Iterable[MigratingRequest]:
-        """Requests that can go on in another process."""
+        """Return the requests that can continue in another process."""
         return self.protocol.migrating_requests(self)
 
     def accept_migrated(self, words: list[Any], raw: bytes, sockets: list[socket.socket]) -> None:
-        """A request that comes from another process."""
+        """Accept a request from another process."""
         self.protocol.accept_migrated(self, words, raw, sockets)
 
-    # --- what operators ask for
+    # --- commands of operators
 
     def count_report(self) -> tuple[bool, str]:
-        """How connections and requests came and ended since the start, as one line of JSON.
+        """Return the counts of connections and requests since the start, as one line of JSON.
 
-        With the reasons for which the decisions gave requests up.
+        The counts include the reasons for which the decisions rejected requests.
         """
         return True, orjson.dumps(self.traffic_facts()).decode()
 
     def shadow_report(self) -> tuple[bool, str]:
-        """What the settings that are watched would have decided otherwise, by kind."""
+        """Return how many decisions would differ with the shadow settings, by kind."""
         if not isinstance(self.balancer, ShadowBalancer):
             return False, "nothing is watched"
         return True, self.balancer.summary()
 
     def apply_config(self, config: BalancerConfig) -> None:
-        """Follow a new configuration; open requests keep their class and number of attempts.
+        """Apply a new configuration; open requests keep their class and number of attempts.
 
-        What cannot change while it runs (`RESTART_ONLY_FIELDS` and `STARTUP_SETTINGS`) is logged,
-        and waits for the next start.
+        Changes that need a restart (`RESTART_ONLY_FIELDS` and `STARTUP_SETTINGS`) are logged and
+        take effect at the next start.
         """
         old = self.config
         self.config, waiting = keep_until_restart(old, config)
@@ -359,5 +373,5 @@
         self.discovery.move(config.discovery)
 
     def set_response_hold(self) -> None:
-        """How long an answer of unknown length may be held: a quarter of the objective."""
+        """Set how long an answer of unknown length may be held: a quarter of the objective."""
         self.response_hold_us = self.config.settings.latency_objective_us // 4
--- a/orchidgap/net/node_lifecycle.py
+++ b/orchidgap/net/node_lifecycle.py
@@ -1,7 +1,7 @@
-"""A node's drain and shutdown, as operators or signals ask: how its clients are let go.
+"""A node's drain and shutdown on commands or signals, and how its clients are closed.
 
-The states and their times are those of `decisions/lifecycle`. SIGTERM and SIGINT come here by
-`net/server.handle_signals`.
+`decisions/lifecycle` defines the states and their times. `net/server.handle_signals` passes SIGTERM
+and SIGINT to this module.
 """
 
 from __future__ import annotations
@@ -39,17 +39,17 @@
     handover: Handover | NoHandover
 
     def is_ready(self) -> bool:
-        """Whether the balancer says that it serves."""
+        """Whether the balancer reports that it is ready."""
         return self.lifecycle.rules.is_ready
 
-    # --- what operators ask for: each returns whether it could be done, and a word on it
+    # --- commands of operators: each returns whether it succeeded, and a one-word message
 
     def health(self) -> tuple[bool, str]:
-        """Whether it serves."""
+        """Report whether the balancer is ready."""
         return self.is_ready(), self.lifecycle.state.value
 
     def drain(self) -> tuple[bool, str]:
-        """Have all clients go elsewhere, none of them unanswered."""
+        """Begin a drain: clients are moved to other balancers, and all requests are answered."""
         self.transition(LifecycleEvent.DRAIN)
         return True, self.lifecycle.state.value
 
@@ -59,24 +59,24 @@
         self.transition(LifecycleEvent.RESUME)
         return may_resume, self.lifecycle.state.value
 
-    # --- from state to state
+    # --- transitions
 
     def begin_shutdown(self) -> None:
-        """SIGTERM or SIGINT: answer what is open, let clients go, and end.
+        """Begin the shutdown on SIGTERM or SIGINT: answer open requests, close clients, and end.
 
-        Health checks fail from now on, and each answer is the last of its connection, unless a
-        newer process takes the connections over. `drain_step` follows the times of `Lifecycle`; a
-        second signal changes nothing.
+        Health checks fail from now on, and each answer is the last one on its connection, unless a
+        successor adopts the connections. `drain_step` follows the times of `Lifecycle`; a second
+        signal has no effect.
         """
         self.transition(LifecycleEvent.SHUT_DOWN)
 
     def transition(self, event: LifecycleEvent) -> None:
-        """Go to the next state, where the event leads to one."""
+        """Change to the next state, if the event leads to one."""
         elapsed_us = self.loop.now - self.lifecycle.since_us
         if not self.lifecycle.handle(event, self.loop.now):
             return
         if self.lifecycle.state is State.SERVING:
-            # before it is logged: who reads of it may tell the older process to end
+            # before the log line: a reader of that line may shut the predecessor down at once
             self.handover.announce_serving()
         self.event_log(
             self.lifecycle.state.value,
@@ -90,8 +90,9 @@
             self.drain_step(self.lifecycle.transition_count)
 
     def drain_step(self, change: int) -> None:
-        """Look who is left, again and again while clients are let go, until the state is another
-        one.
+        """Close the listener and clients when their times are due; repeat until the state changes.
+
+        `change` is the number of the state's transition.
         """
         lifecycle = self.lifecycle
         now = self.loop.now
@@ -106,9 +107,9 @@
         if lifecycle.must_answer_all(now):
             for exchange in [each for each in self.exchanges.values() if not each.closed]:
                 exchange.on_deadline()
-        # a client is open while a request of it is, or an answer that it has to read
+        # a client stays open while one of its requests is open or it has to read an answer
         is_streaming = any(exchange.streaming_attempt for exchange in self.exchanges.values())
-        # who waits at a listener that is still open is a client too
+        # an open listener counts as a client, as connections may be waiting in its backlog
         client_count = len(self.clients.open_clients) + self.clients.is_listening
         if lifecycle.is_finished(now, client_count, is_streaming):
             self.stop()
@@ -116,11 +117,11 @@
             self.loop.call_later(DRAIN_STEP_US, self.drain_step, change)
 
     def traffic_facts(self) -> dict[str, dict[str, int]]:
-        """How connections and requests came and ended since the start, for a log line."""
+        """Return the counts of connections and requests since the start, for a log line."""
         return self.traffic_counts.facts() | self.rejection_log.facts()
 
     def stop(self) -> None:
-        """End the program's loop."""
+        """Close the listener, log the final counts, and end the loop."""
         self.clients.abandon_listener()
         self.event_log(
             "stopped",
--- a/orchidgap/net/postponed_send.py
+++ b/orchidgap/net/postponed_send.py
@@ -1,4 +1,4 @@
-"""An attempt that waits for the next turn, as the turn that decided on it was held up."""
+"""An attempt that is sent in the next turn, as the turn that decided on it was stalled."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class PostponedSend:
-    """Carries an attempt until the list of hosts that may be there to be read has been read."""
+    """Carries an attempt until a host list that may have arrived during the stall has been read."""
 
     def __init__(
         self, loop: Loop, attempt: UpstreamAttempt, send: Callable[[UpstreamAttempt], None]
     ) -> None:
-        """Call `send` with the attempt in the next turn, unless it is given up before."""
+        """Call `send` with the attempt in the next turn, unless the attempt is dropped before."""
         self.attempt: UpstreamAttempt | None = attempt
         self.send = send
         attempt.carrier = self
         loop.call_next_turn(self.send_now)
 
     def send_now(self) -> None:
-        """The next turn has come."""
+        """Send the attempt, unless it was dropped."""
         attempt = self.attempt
         if attempt is None:
             return
@@ -31,6 +31,6 @@
         self.send(attempt)
 
     def drop(self, attempt: UpstreamAttempt) -> SendProgress:
-        """Give the attempt up; nothing of it was written."""
+        """Drop the attempt; no byte of it was written."""
         self.attempt = None
         return SendProgress.UNSENT
--- a/orchidgap/net/receive_timestamps.py
+++ b/orchidgap/net/receive_timestamps.py
@@ -1,4 +1,4 @@
-"""When the kernel took in what is read from a socket (Linux, SO_TIMESTAMPNS)."""
+"""Kernel timestamps of the bytes that are read from a socket (Linux, SO_TIMESTAMPNS)."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 SO_TIMESTAMPNS = 35
 TIMESTAMP = struct.Struct("qq")  # seconds, nanoseconds
-ANCILLARY_BYTES = socket.CMSG_SPACE(TIMESTAMP.size)  # that a read has to leave room for
-MAX_TIMESTAMP_AGE_US = 60_000_000  # an older one tells of a clock that was set
+ANCILLARY_BYTES = socket.CMSG_SPACE(TIMESTAMP.size)  # the buffer size that a timestamp needs
+MAX_TIMESTAMP_AGE_US = 60_000_000  # a higher age means that the system clock was set
 
 
 def enable_receive_timestamps(sock: socket.socket) -> bool:
-    """Have the kernel tell when bytes came in; whether it will.
+    """Have the kernel timestamp received bytes; return whether that was accepted.
 
-    The machine takes no timestamps while no open socket asks for them, and begins a moment after
-    the first one does: what came in before has none. A connection that is accepted asks as its
-    listener does.
+    The kernel takes timestamps only while some open socket on the machine has them enabled, and
+    starts shortly after the first one has: bytes that arrived before have no timestamp. An accepted
+    connection inherits the option from its listener.
 
     >>> with socket.create_server(("127.0.0.1", 0)) as listener:
     ...     enabled = enable_receive_timestamps(listener)
@@ -34,11 +34,11 @@
     return True
 
 
-def receive_age_us(notes: Iterable[tuple[int, int, bytes]], now_ns: int) -> int | None:
-    """How long ago the kernel took in what was read, if it says so.
+def receive_age_us(ancillary_data: Iterable[tuple[int, int, bytes]], now_ns: int) -> int | None:
+    """Return how long ago the kernel received the bytes that were read, or None if not known.
 
     Args:
-        notes: What came with the bytes, as `recvmsg` gives it: level, type and data.
+        ancillary_data: What `recvmsg` returned with the bytes: level, type and data of each item.
         now_ns: The time of the system's clock.
 
     >>> note = (socket.SOL_SOCKET, SO_TIMESTAMPNS, TIMESTAMP.pack(7, 1000))
@@ -48,7 +48,7 @@
     >>> receive_age_us([], 7), receive_age_us(late, 6_999_999_999)
     (None, None)
     """
-    for level, kind, data in notes:
+    for level, kind, data in ancillary_data:
         if (level, kind, len(data)) == (socket.SOL_SOCKET, SO_TIMESTAMPNS, TIMESTAMP.size):
             seconds, nanoseconds = TIMESTAMP.unpack(data)
             age_us: int = (now_ns - seconds * 1_000_000_000 - nanoseconds) // 1000
--- a/orchidgap/net/request_handler.py
+++ b/orchidgap/net/request_handler.py
@@ -1,4 +1,4 @@
-"""What the clients' side of a protocol and the node ask of each other, one request at a time."""
+"""The interfaces between the clients' side of a protocol and the node, for single requests."""
 
 from __future__ import annotations
 
@@ -10,56 +10,59 @@
 
 
 class PendingRequest(Protocol):
-    """A request that was handed to the node and has no answer yet."""
+    """A request that was passed to the node and is not answered yet."""
 
     @property
     def has_begun(self) -> bool:
-        """Whether it is answered or an attempt of it was sent; else it waits for a host."""
+        """Whether it was answered or an attempt was sent; otherwise it is queued for a host."""
 
     def on_client_disconnect(self) -> None:
-        """Its client has gone away."""
+        """Handle that the client has disconnected."""
 
     def on_body_complete(self) -> None:
-        """The last byte of a body that flows is there; the responder's `received_at_us` says since
-        when.
-        """
+        """Handle the last byte of a streamed body, which arrived at `Responder.received_at_us`."""
 
 
 class Responder(Protocol):
-    """Whoever is owed the answer to one request."""
+    """Receives the answer to one request."""
 
     pending_request: PendingRequest | None
 
     @property
     def received_at_us(self) -> int:
-        """When the request's last byte came, on the loop's clock."""
+        """When the request's last byte arrived, by the loop's clock."""
 
     @property
     def turn_at_us(self) -> int:
-        """When what its client had sent before let it go, on the loop's clock; 0 for at once."""
+        """When earlier requests of its client stopped blocking it, by the loop's clock.
+
+        It is 0 if the request was not blocked.
+        """
 
     def has_disconnected(self) -> bool:
-        """Whether its client has closed; it is let go then, though not within this call."""
+        """Whether its client has closed; the connection is then closed, after this call."""
 
     def answer(
         self, status: int, body: bytes = b"", retry_after_us: int = 0, length: int | None = None
     ) -> None:
-        """Send the whole answer.
+        """Send the complete answer.
 
-        The status is 200, 400, 500 or 503, whatever is spoken; `retry_after_us`
-        is how long the client is asked to wait before it comes back, in microseconds; `length` is
-        what the head tells where it has no body.
+        Args:
+            status: 200, 400, 500 or 503, for any protocol.
+            body: The body.
+            retry_after_us: The delay in microseconds after which the client should retry.
+            length: The length that the head declares if there is no body.
         """
 
 
 class RequestHandler(Protocol):
-    """The node, as the clients' side of a protocol sees it."""
+    """The part of the node that the clients' side of a protocol uses."""
 
     lifecycle: Lifecycle
     traffic_counts: TrafficCounts
 
     def is_ready(self) -> bool:
-        """Whether the balancer says that it serves."""
+        """Whether the balancer reports that it is ready."""
 
     def knows_request_class(self, name: str) -> bool:
         """Whether there is a request class of this name."""
@@ -68,13 +71,13 @@
         """Whether a request of this id is open."""
 
     def slot_owner(self, slot: int) -> str:
-        """The id of the server that owns the slot; empty where that is not known."""
+        """Return the id of the server that owns the slot, or an empty text if it is not known."""
 
     def rejection_retry_after_us(self) -> int:
-        """How long a client for whom there is no room should stay away; 0 to tell it nothing."""
+        """Return the Retry-After of clients rejected for lack of capacity; 0 to send none."""
 
     def close_idle_connection(self) -> bool:
-        """Close an idle connection to a host; whether there was one."""
+        """Close an idle connection to a host; return whether there was one."""
 
     def handle_request(
         self,
@@ -91,8 +94,10 @@
         upload: Upload | None = None,
         is_client_retry: bool = False,
     ) -> None:
-        """Take a request. Sets `responder.pending_request`; `responder.answer` is called once.
+        """Handle a new request.
+
+        Sets `responder.pending_request`; `responder.answer` is called once.
 
-        `time_remaining_us` is how long the client waits; a slot below 0 is taken from the key. A
-        body that flows is not in `body`; `pending_request.on_body_complete` is called at its end.
+        `time_remaining_us` is how long the client waits; a slot below 0 is derived from the key. A
+        streamed body is not in `body`; `pending_request.on_body_complete` is called at its end.
         """
--- a/orchidgap/net/request_key.py
+++ b/orchidgap/net/request_key.py
@@ -1,17 +1,17 @@
-"""The number by which the decisions know a request's key."""
+"""The number that represents a request's key in the decisions."""
 
 from __future__ import annotations
 
 from hashlib import blake2b
 
 MAX_KEY_BYTES = (
-    32  # longer keys are hashed: the decisions write the number out, and Python limits its digits
+    32  # longer keys are hashed: the decisions format the number, and Python limits its digits
 )
 DIGEST_BYTES = 16
 
 
 def key_number(key: bytes) -> int | None:
-    """The number of a key; None for an empty one.
+    """Return the number of a key, or None for an empty key.
 
     >>> key_number(b""), key_number(b"a1"), key_number(b"x" * 33) < 1 << 128
     (None, 24881, True)
--- a/orchidgap/net/run_delay.py
+++ b/orchidgap/net/run_delay.py
@@ -1,7 +1,7 @@
-"""How long a thread was ready to run and did not, as the kernel counts it.
+"""Run delay: how long a thread was runnable and did not run, as counted by the kernel.
 
-A process that got no core and one that was stopped, or waited for a disk, look alike by their
-processor time. The kernel's scheduler tells them apart: only the first was ready.
+Processor time does not distinguish a process that was not scheduled from one that was stopped or
+waited for a disk. The scheduler's count does: only the first was runnable.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 
 OWN_THREAD = Path("/proc/thread-self/schedstat")
 STAT = Path("/proc/stat")
-STEAL_FIELD = 8  # of the first line of /proc/stat
+STEAL_FIELD = 8  # the index of the steal time in the first line of /proc/stat
 MAX_BYTES = 128
 
 
 def schedstat_of(process_id: int) -> Path:
-    """Return the file with the figures of a process's main thread."""
+    """Return the schedstat file of a process's main thread."""
     return Path(f"/proc/{process_id}/task/{process_id}/schedstat")
 
 
 def run_delay_us(path: Path = OWN_THREAD) -> int:
-    """Return how long a thread was ready and not run since it began, in microseconds.
+    """Return how long a thread was runnable without running since its start, in microseconds.
 
     Args:
         path: The thread's schedstat file.
 
     Returns:
-        The time, 0 where the system does not tell.
+        The time, or 0 if the system does not provide it.
     """
     try:
         descriptor = os.open(path, os.O_RDONLY)
@@ -42,9 +42,9 @@
 
 
 def steal_us() -> int:
-    """Return how long the machine's processors were taken from it, in microseconds.
+    """Return the steal time of the machine's processors, in microseconds.
 
-    That is time in which all of its processes stood still, and counts as nobody's run delay.
+    In that time none of the machine's processes run. It is not included in any run delay.
     """
     try:
         fields = STAT.read_text().partition("\n")[0].split()
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -1,6 +1,4 @@
-"""The running program: the loop, the node, and the signals that end it or have its file read
-again.
-"""
+"""The running process: the loop, the node, and the signals for shutdown and reload."""
 
 from __future__ import annotations
 
@@ -21,31 +19,31 @@
 from orchidgap.net import config
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.config import BalancerConfig
-from orchidgap.net.connection_log import log_connections_if_asked
+from orchidgap.net.connection_log import log_connections_if_enabled
 from orchidgap.net.event_log import EventLog
 from orchidgap.net.loop import Loop
 from orchidgap.net.node import Node, ProtocolParts
 from orchidgap.net.signals import watch_signals
 
-BIND_TIMEOUT_S = 10.0  # a process before this one that was killed may still hold the address
+BIND_TIMEOUT_S = 10.0  # a previous process that was killed may still hold the address
 BIND_RETRY_S = 0.05
 
 
 class LeaseHolder(Protocol):
-    """What says when a balancer may let clients in."""
+    """Obtains the permission to serve clients."""
 
     def begin(self, opens: Callable[[], None]) -> None:
-        """Call back once it may."""
+        """Call back once the permission is granted."""
 
     def close(self) -> None:
-        """The process ends."""
+        """Release the resources at the end of the process."""
 
 
 class Gossip(Protocol):
-    """What talks to other balancers."""
+    """Exchanges counts with other balancers."""
 
     def close(self) -> None:
-        """The process ends."""
+        """Release the resources at the end of the process."""
 
 
 GuardedNodeFactory = Callable[..., tuple[Node, LeaseHolder]]
@@ -59,19 +57,20 @@
     make_guarded_node: GuardedNodeFactory | None = None,
     make_gossip: GossipFactory | None = None,
 ) -> None:
-    """Run a balancer until it is told to end.
+    """Run a balancer until it is shut down.
 
     Args:
-        path: The configuration's file.
-        protocol_for: What is spoken.
-        make_balancer: Makes the decisions; what it returns has the methods of a `Balancer`.
-        make_guarded_node: Makes a node that serves by control's leases, where that is asked for.
-        make_gossip: Makes what talks to other balancers, where that is asked for.
+        path: The configuration file.
+        protocol_for: Returns the protocol for a configuration.
+        make_balancer: Creates the decisions; the result has the methods of a `Balancer`.
+        make_guarded_node: Creates a node that serves under leases of control, if configured.
+        make_gossip: Creates the exchange of counts with other balancers, if configured.
 
     Raises:
-        ConfigError: It cannot start.
+        ConfigError: The balancer cannot start.
     """
-    # until it is heeded: its default would end the process, and the file may change meanwhile
+    # SIGHUP is blocked until its handler is installed: its default action ends the process, and the
+    # file may be changed and reloaded in the meantime.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
     balancer_config = config.read(path)
     log = EventLog(balancer_config.name)
@@ -80,9 +79,9 @@
     if balancer_config.shadow_settings:
         make_balancer = partial(ShadowBalancer, balancer_config.shadow_settings)
     protocol = protocol_for(balancer_config)
-    holder: LeaseHolder | None = None
+    lease_holder: LeaseHolder | None = None
     if balancer_config.control and make_guarded_node:
-        node, holder = make_guarded_node(
+        node, lease_holder = make_guarded_node(
             path, loop, balancer_config, log, protocol, make_balancer=make_balancer
         )
     else:
@@ -95,21 +94,21 @@
     gossip: Gossip | None = None
     if balancer_config.gossip and make_gossip:
         gossip = make_gossip(loop, node, log, balancer_config)
-    if holder:
-        holder.begin(partial(open_to_clients, loop, node, balancer_config, log))
+    if lease_holder:
+        lease_holder.begin(partial(open_to_clients, loop, node, balancer_config, log))
     else:
         open_to_clients(loop, node, balancer_config, log)
     loop.run()
     admin_server.close()
-    if holder:
-        holder.close()
+    if lease_holder:
+        lease_holder.close()
     if gossip:
         gossip.close()
     wakeup.close()
 
 
 def make_admin_server(loop: Loop, node: Node) -> AdminServer:
-    """Where operators call, with the commands that they have."""
+    """Create the server for operators' commands."""
     return AdminServer(
         loop,
         {
@@ -123,11 +122,11 @@
 
 
 def open_to_clients(loop: Loop, node: Node, balancer_config: BalancerConfig, log: EventLog) -> None:
-    """Listen, or take the listener that was inherited, and begin. Raises ConfigError."""
-    log_connections_if_asked(node.clients, log)
+    """Listen, or use the inherited listener, and start the node. Raises ConfigError."""
+    log_connections_if_enabled(node.clients, log)
     passed = os.environ.get("GW_PASSED_SOCKET")
     if passed:
-        # loaded only where a listener is shared
+        # imported only if a listener is shared
         from orchidgap.net.handover.coordinator import Handover
         from orchidgap.net.handover.listener_inheritance import inherited_listener
 
@@ -153,7 +152,7 @@
     """Listen at an address that another process may still hold.
 
     Raises:
-        ConfigError: The address cannot be had in time.
+        ConfigError: The address did not become available in time.
     """
     give_up_at_s = time.monotonic() + BIND_TIMEOUT_S
     while True:
@@ -170,7 +169,10 @@
 
 
 def handle_signals(loop: Loop, node: Node, path: str | None) -> socket.socket:
-    """SIGHUP reloads the file, SIGTERM and SIGINT shut down, while the socket returned is kept."""
+    """Reload the file on SIGHUP, and shut down on SIGTERM and SIGINT.
+
+    The handlers work as long as the returned socket is kept open.
+    """
 
     def on_signals(numbers: bytes) -> None:
         if signal.SIGHUP in numbers:
@@ -182,10 +184,10 @@
 
 
 def reload_config(node: Node, path: str | None) -> None:
-    """Read the file again. One that cannot be used, or is only half there, changes nothing.
+    """Read the file again; an invalid or partly written one changes nothing.
 
-    `Node.apply_config` says what takes hold when. Where control decides the policy, that counts in
-    place of the file's settings, and only the rest of the file is followed.
+    `Node.apply_config` describes which changes take effect at once. If control decides the policy,
+    that policy is used in place of the file's settings, and only the rest of the file is applied.
     """
     try:
         node.apply_config(config.read(path, node.config, node.settings))
--- a/orchidgap/net/signals.py
+++ b/orchidgap/net/signals.py
@@ -1,4 +1,4 @@
-"""Delivers signals to a loop. What each of them does stands in `net/server.handle_signals`."""
+"""Delivers signals to a loop. `net/server.handle_signals` defines the effect of each of them."""
 
 from __future__ import annotations
 
@@ -8,26 +8,28 @@
 
 from orchidgap.net.loop import READ, Loop
 
-MAX_SIGNALS_A_READ = 64
+MAX_SIGNALS_PER_READ = 64
 
 
 def watch_signals(
     loop: Loop, numbers: Iterable[signal.Signals], on_signals: Callable[[bytes], None]
 ) -> socket.socket:
-    """Call back on signals, from the loop.
+    """Call back from the loop when signals arrive.
 
     Args:
-        loop: The loop that is woken.
+        loop: The loop that makes the calls.
         numbers: The signals.
-        on_signals: Given the number of each signal, in the order they came.
+        on_signals: Called with the numbers of the signals, in the order of their arrival.
 
     Returns:
-        A socket; signals are heard as long as it is kept.
+        A socket; signals are delivered as long as it is kept open.
     """
-    wakeup, wakened = socket.socketpair()
-    for end in (wakeup, wakened):
+    wakeup, wakeup_receiver = socket.socketpair()
+    for end in (wakeup, wakeup_receiver):
         end.setblocking(False)
-    loop.watch(wakened, READ, lambda mask: on_signals(wakened.recv(MAX_SIGNALS_A_READ)))
+    loop.watch(
+        wakeup_receiver, READ, lambda mask: on_signals(wakeup_receiver.recv(MAX_SIGNALS_PER_READ))
+    )
     signal.set_wakeup_fd(wakeup.fileno(), warn_on_full_buffer=False)
     for number in numbers:
         signal.signal(number, lambda *_: None)
--- a/orchidgap/net/traffic_counts.py
+++ b/orchidgap/net/traffic_counts.py
@@ -1,7 +1,8 @@
-"""How clients' connections and requests came and how each of them ended, counted.
+"""Counts of clients' connections and requests: how they arrived and how each of them ended.
 
-What came and what ended must add up: `connections_open` and `requests_open` are what is left, and
-have to be what is open. A request that a client sent and that stands in no count never came here.
+The counts must add up: `connections_open` and `requests_open` are the differences between what
+arrived and what ended, and must equal what is open. A request that a client sent and that is in no
+count never reached this process.
 """
 
 from __future__ import annotations
@@ -16,25 +17,25 @@
     CLIENT_CLOSED = "client_closed"
     BROKEN = "broken"  # reset, not read for too long, or a fault
     FINISHED = "finished"  # after its last answer
-    EVICTED = "made_way"  # for another client
-    SILENT = "silent"  # it brought no request in time
-    SHUTDOWN = "shutdown"  # it had asked nothing when the process ended
-    TRUNCATED = "truncated"  # reset, as its answer could not be given whole
-    MIGRATED = "migrated"  # to another process of this balancer
+    EVICTED = "made_way"  # closed in favour of another client
+    SILENT = "silent"  # no request arrived in time
+    SHUTDOWN = "shutdown"  # no request in progress when the process shut down
+    TRUNCATED = "truncated"  # reset, as its answer could not be sent completely
+    MIGRATED = "migrated"  # transferred to another process of this balancer
 
 
 CLOSED_HERE = frozenset((ConnectionEnd.EVICTED, ConnectionEnd.SILENT, ConnectionEnd.SHUTDOWN))
 
 
 class RequestEnd(Enum):
-    """How a request that came whole, or whose body is streamed, ended."""
+    """How a request that arrived completely, or whose body is streamed, ended."""
 
     SERVED = "served"
-    STREAMED = "streamed"  # its answer began to be streamed
+    STREAMED = "streamed"  # streaming of its answer began
     DENIED = "denied"
     FAILED = "failed"
-    INVALID = "invalid"  # its host found fault with it
-    NOT_PERMITTED = "not_permitted"  # control gave no permission to serve
+    INVALID = "invalid"  # its host rejected it as invalid
+    NOT_PERMITTED = "not_permitted"  # control had granted no permission to serve
     CLIENT_DISCONNECTED = "client_gone"
     MIGRATED = "migrated"
 
@@ -50,18 +51,18 @@
     """Counts since the process started.
 
     Attributes:
-        connections_accepted: From the listener.
-        connections_adopted: From another process of this balancer.
-        connection_ends: By how they ended.
-        closed_with_unread_bytes: Connections that were closed here while bytes of the client had
-            not been read, which resets them.
-        closed_over_backlog: Connections that waited to be accepted as the listener was closed over
-            them, which resets them.
-        requests_arrived: Handed to the node.
-        requests_adopted: From another process, with an attempt in flight.
-        request_ends: By how they ended.
-        rejections: Of what was never handed to the node, by status code.
-        readiness_checks: Answered.
+        connections_accepted: Connections accepted from the listener.
+        connections_adopted: Connections adopted from another process of this balancer.
+        connection_ends: Connections that ended, by how they ended.
+        closed_with_unread_bytes: Connections that this process closed while bytes of the client
+            were unread, which resets them.
+        closed_over_backlog: Connections that were waiting to be accepted when the listener was
+            closed, which resets them.
+        requests_arrived: Requests passed to the node.
+        requests_adopted: Requests adopted from another process, with an attempt in flight.
+        request_ends: Requests that ended, by how they ended.
+        rejections: Rejections of requests that were never passed to the node, by status code.
+        readiness_checks: Readiness checks that were answered.
 
     >>> counts = TrafficCounts()
     >>> counts.connections_accepted += 2
@@ -71,7 +72,7 @@
     """
 
     def __init__(self) -> None:
-        """Begin with nothing."""
+        """Set all counts to 0."""
         self.connections_accepted = 0
         self.connections_adopted = 0
         self.connection_ends: Counter[ConnectionEnd] = Counter()
@@ -88,27 +89,27 @@
         self.connection_ends[end] += 1
 
     def on_answered(self, status: int) -> None:
-        """Count a request that was answered whole."""
+        """Count a request that was answered completely."""
         self.request_ends[END_BY_STATUS.get(status, RequestEnd.FAILED)] += 1
 
     def on_request_end(self, end: RequestEnd) -> None:
-        """Count a request that ended otherwise."""
+        """Count a request that ended without a complete answer."""
         self.request_ends[end] += 1
 
     @property
     def connections_open(self) -> int:
-        """Connections that came and have not ended."""
-        came = self.connections_accepted + self.connections_adopted
-        return came - self.connection_ends.total()
+        """The number of connections that have not ended."""
+        opened_count = self.connections_accepted + self.connections_adopted
+        return opened_count - self.connection_ends.total()
 
     @property
     def requests_open(self) -> int:
-        """Requests that came and have not ended."""
+        """The number of requests that have not ended."""
         return self.requests_arrived + self.requests_adopted - self.request_ends.total()
 
     def connection_facts(self) -> dict[str, int]:
-        """The counts of connections that are not 0, for a log line."""
-        return _above_zero(
+        """Return the counts of connections that are not 0, for a log line."""
+        return _without_zeros(
             {
                 "accepted": self.connections_accepted,
                 "adopted": self.connections_adopted,
@@ -120,8 +121,8 @@
         )
 
     def request_facts(self) -> dict[str, int]:
-        """The counts of requests that are not 0, for a log line."""
-        return _above_zero(
+        """Return the counts of requests that are not 0, for a log line."""
+        return _without_zeros(
             {
                 "arrived": self.requests_arrived,
                 "adopted": self.requests_adopted,
@@ -131,7 +132,7 @@
         )
 
     def facts(self) -> dict[str, dict[str, int]]:
-        """All counts, for a log line."""
+        """Return all counts, for a log line."""
         rejected = {str(status): count for status, count in sorted(self.rejections.items())}
         return {
             "connections": self.connection_facts(),
@@ -140,5 +141,5 @@
         }
 
 
-def _above_zero(facts: dict[str, int]) -> dict[str, int]:
+def _without_zeros(facts: dict[str, int]) -> dict[str, int]:
     return {name: count for name, count in facts.items() if count}
--- a/orchidgap/net/upstream_attempt.py
+++ b/orchidgap/net/upstream_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt on the network: one try of a request at one host, whatever carries it."""
+"""An attempt on the network: one send of a request to one host, over any protocol."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from orchidgap.net.body_stream import Upload
 from orchidgap.net.connection import Connection
 
-MAX_LOAD_REPORT_BYTES = 256  # that are looked at
-MAX_LOAD_VALUE = 1e9  # a figure beyond that is none
+MAX_LOAD_REPORT_BYTES = 256  # longer reports are truncated
+MAX_LOAD_VALUE = 1e9  # values from here on are ignored
 
 
 def parse_load_report(text: bytes) -> dict[str, float]:
-    """The figures of a load report; what is no number that could be meant is left out.
+    """Parse the figures of a load report; values that are not plausible numbers are left out.
 
     >>> parse_load_report(b"concurrent=3, mean_ms=12.5")
     {'concurrent': 3.0, 'mean_ms': 12.5}
@@ -37,52 +37,53 @@
     """A connection to a host that carries attempts."""
 
     def drop(self, attempt: UpstreamAttempt) -> SendProgress:
-        """Carry it no further; how much of it was sent."""
+        """Stop carrying the attempt, and return how much of it was sent."""
 
 
 class ResponseSink(Protocol):
-    """Who takes an answer that flows."""
+    """Receives a streamed answer."""
 
     def begin(self, length: int | None, source: Connection) -> None:
-        """The answer is 200, and its body follows, of this length where that is known."""
+        """Begin the answer: its status is 200, and `length` is that of its body, if known."""
 
     def give(self, parts: list[bytes]) -> None:
-        """More of the body. Reading from the source is paused while this has not gone on."""
+        """Receive more of the body; reading from the source is paused until it has been sent on."""
 
     def end(self, whole: bool) -> None:
-        """There is no more; if what was given is not all of it, that must show."""
+        """End the answer; if `whole` is false, the client must be able to detect the truncation."""
 
 
 class AttemptOwner(Protocol):
-    """Whose attempt it is; an attempt is named by its number among the owner's."""
+    """The owner of attempts, which identifies each by its number among its own."""
 
     def may_send(self, number: int) -> bool:
-        """Whether the attempt may still begin; asked in the moment before its first byte.
+        """Whether the attempt may still be sent; called immediately before its first byte is sent.
 
-        A connection can have come up long after the decision to send.
+        The connection may have been established long after the decision to send.
         """
 
     def on_settled(self, number: int, outcome: AttemptOutcome, body: bytes) -> None:
-        """What came of the attempt."""
+        """Handle the outcome of the attempt."""
 
     def start_streaming(self, number: int) -> ResponseSink | None:
-        """Who takes its answer, which flows; None: nobody wants it any more."""
+        """Return the receiver of the streamed answer, or None if it is no longer needed."""
 
 
 class UpstreamAttempt:
-    """One attempt on the network. Exactly one thing comes of it.
+    """One attempt on the network. It has exactly one outcome.
 
     Attributes:
-        deadline_us: When its client gives up, by the loop's clock; a guess while its body comes.
-        client_timeout_us: What its client gives it, from its last byte on.
-        upload: The body, where that is not kept whole.
+        deadline_us: When its client gives up, by the loop's clock; an estimate while the body is
+            still arriving.
+        client_timeout_us: The client's timeout, counted from the request's last byte.
+        upload: The body, if it is streamed.
         response_hold_us: How long an answer of unknown length may be held.
-        load_report: What the host told of itself with the answer.
-        length: Of the body that an answer without one tells of.
-        carrier: The connection that it is on.
-        asking: It goes where another host's ASK sent it (RESP).
-        redirect_host: Where its host sent it on to (RESP).
-        redirect_once: Whether that is only for this one time.
+        load_report: The load report that the host sent with the answer.
+        length: The body length that an answer without a body declares.
+        carrier: The connection that carries the attempt.
+        asking: Whether an ASK reply of another host redirected it to this host (RESP).
+        redirect_host: The host that its own host redirected it to (RESP).
+        redirect_once: Whether that redirection is valid for this request only.
     """
 
     __slots__ = (
@@ -113,7 +114,7 @@
         number: int = 0,
         host: str = "",
     ) -> None:
-        """An attempt at the host of this id, which is nowhere yet."""
+        """Create an attempt for the host of this id, which is not on a connection yet."""
         self.head = head
         self.body = body
         self.deadline_us = deadline_us
@@ -132,20 +133,20 @@
         self.redirect_once = False
 
     def time_left_us(self, now_us: int) -> int:
-        """How long its client waits from then on: all its time while the body is still to come."""
+        """The time its client waits from `now_us`: its whole timeout until the body is complete."""
         if self.upload and not self.upload.complete:
             return self.client_timeout_us
         return self.deadline_us - now_us
 
     def settle(self, outcome: AttemptOutcome, body: bytes = b"") -> None:
-        """Tell the owner what came of it; of all calls only the first counts."""
+        """Report the outcome to the owner; only the first call has an effect."""
         if not self.settled:
             self.settled = True
             self.carrier = None
             self.owner.on_settled(self.number, outcome, body)
 
     def abandon(self, cause: str) -> AttemptFailure:
-        """Carry it no further, for this cause; what that comes to."""
+        """Stop the attempt for this cause, and return the resulting failure."""
         carrier = self.carrier
         self.carrier = None
         progress = SendProgress.UNSENT if carrier is None else carrier.drop(self)
--- a/orchidgap/simulation/balancer_connection.py
+++ b/orchidgap/simulation/balancer_connection.py
@@ -143,7 +143,7 @@
         self.write_began_us = 0
         self.was_up_at_dial = is_up(sock)
         self.overdue_timer: Timer | None = None
-        self.conn = TimedConnection(clients.loop, sock, self, opening=opening, stamped=True)
+        self.conn = TimedConnection(clients.loop, sock, self, opening=opening, with_timestamps=True)
         clients.connections[balancer][self] = None
 
     # --- writing a request
--- a/orchidgap/simulation/balancer_loop.py
+++ b/orchidgap/simulation/balancer_loop.py
@@ -116,7 +116,7 @@
         self.call_soon(callback)
 
     def watch(
-        self, sock: Any, mask: int, callback: Callable[[int], None], first: bool = False
+        self, sock: Any, mask: int, callback: Callable[[int], None], priority: bool = False
     ) -> None:
         """Watch a socket or a listening queue; one that is being dialled, once it is up."""
         self.watched[sock] = (mask, callback)
--- a/orchidgap/simulation/server_connection.py
+++ b/orchidgap/simulation/server_connection.py
@@ -87,7 +87,7 @@
         self.unsent_body = b""
         self.body_form = ""
         self.is_beyond_limit = False
-        self.conn = TimedConnection(store.loop, sock, self, stamped=True)
+        self.conn = TimedConnection(store.loop, sock, self, with_timestamps=True)
 
     # --- requests
 
--- a/tests/admin/test_admin_backlog.py
+++ b/tests/admin/test_admin_backlog.py
@@ -1,4 +1,4 @@
-"""The admin listener's accept queue: what do operators see whose call waits there?"""
+"""Tests what happens to operators' commands that wait in the admin listener's accept queue."""
 
 import errno
 import signal
@@ -13,24 +13,24 @@
 from orchidgap.admin.server import AdminServer
 from orchidgap.net.addresses import format_address
 
-# a balancer that says when its last word is about to be said, and waits until it is told to go on
+# A balancer that prints a line before `Node.stop`, and then waits for a line on standard input.
 PROGRAM = """
 import sys
 from orchidgap.__main__ import main
 from orchidgap.net.node import Node
 stop = Node.stop
-def stop_when_told(node):
+def stop_after_input(node):
     print("about to stop", flush=True)
     sys.stdin.readline()
     stop(node)
-Node.stop = stop_when_told
+Node.stop = stop_after_input
 sys.argv = ["orchidgap", "serve", f"--config={sys.argv[1]}"]
 main()
 """
 
 
-def listening(net, failure=lambda: None):
-    """An admin server on a loopback port, and its address."""
+def start_admin_server(net, failure=lambda: None):
+    """Return an admin server that listens on a loopback port, and its address."""
     server = AdminServer(net.loop, {"health": net.node.health})
     server.listen(("127.0.0.1", 0))
     address = server.listener.getsockname()
@@ -39,8 +39,9 @@
 
 
 def test_a_command_that_waits_as_the_process_ends_is_answered(tmp_path):
-    """An operator's command is in the accept queue as the process says its last word. It is
-    answered, and not reset.
+    """A command in the accept queue when the process stops must be answered.
+
+    Closing the listener without accepting it would reset its connection.
     """
     admin = free_address()
     path = write_config(tmp_path, free_address(), admin_addr=format_address(admin))
@@ -62,13 +63,14 @@
     assert client.text == "FAILURE leaving\n", client.saw()
 
 
-def test_an_aborted_connection_pushes_nobody_out():
-    """`accept` says ECONNABORTED while an operator's command has come in part. The command is
-    not cut off, and goes on.
+def test_an_aborted_connection_closes_no_other():
+    """`accept` fails with ECONNABORTED while another command has arrived only in part.
+
+    That is no lack of descriptors, so the other connection must not be closed for it.
     """
     net = NodeHarness()
     failures = iter([None, None, OSError(errno.ECONNABORTED, "")])
-    server, address = listening(net, lambda: next(failures, None))
+    server, address = start_admin_server(net, lambda: next(failures, None))
     slow = QueuedClient(address, b"heal")
     net.turn()
     second = QueuedClient(address, encode_command("health"))
@@ -82,16 +84,18 @@
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE])
 def test_a_shortage_of_descriptors_does_not_spin(number):
-    """No descriptor is left for an operator's connection. The listener rests in place of being
-    asked in every turn, and the command is answered once there is one.
+    """No descriptor is left for a waiting connection, so the listener stays ready.
+
+    The server must pause accepting instead of retrying in every turn, and answer the command once a
+    descriptor is available.
     """
     net = NodeHarness()
     short = [True]
-    server, address = listening(net, lambda: OSError(number, "") if short else None)
+    server, address = start_admin_server(net, lambda: OSError(number, "") if short else None)
     client = QueuedClient(address, encode_command("health"))
     net.turn(50)
-    asked = server.listener.calls
+    accept_calls = server.listener.calls
     short.clear()
     net.advance(100_000)
     assert received_text(client.sock) == "SUCCESS serving\n"
-    assert asked < 5, f"asked {asked} times in 50 turns"
+    assert accept_calls < 5, f"{accept_calls} calls of accept in 50 turns"
--- a/tests/admin/test_admin_client.py
+++ b/tests/admin/test_admin_client.py
@@ -1,4 +1,4 @@
-"""The command prints the balancer's line, and exits with 1 where that is a failure."""
+"""Tests that the admin command prints the balancer's line, and exits with 1 on a failure."""
 
 import socket
 import subprocess
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize("answer", [b"SUCCESS serving\n", b"FAILURE draining\n", b""])
 def test_the_command_prints_what_the_balancer_answered(answer):
-    """A script goes by the exit code, also where the balancer closes without an answer."""
+    """Scripts depend on the exit code, including when the balancer closes without an answer."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
 
         def serve():
@@ -42,8 +42,8 @@
     assert done.stdout.encode() == answer and (done.stderr == "") == bool(answer)
 
 
-def test_nobody_there_is_an_error():
-    """The balancer is down when an operator asks."""
+def test_a_refused_connection_is_an_error():
+    """The balancer is down when an operator sends a command."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = listener.getsockname()
     with pytest.raises(OSError):
