--- a/tests/net/test_connection_log.py
+++ b/tests/net/test_connection_log.py
@@ -13,12 +13,12 @@
 )
 
 from orchidgap.http1.server import Http1ClientConnection
-from orchidgap.net.client_table import NEWCOMER_US, REQUEST_TIMEOUT_US
+from orchidgap.net.client_table import RECENT_CONNECTION_US, REQUEST_TIMEOUT_US
 from orchidgap.net.connection_log import (
     CONNECTION_CLOSED,
     CONNECTION_LOG_VARIABLE,
     ConnectionLog,
-    log_connections_if_asked,
+    log_connections_if_enabled,
     monotonic_us,
 )
 from orchidgap.net.traffic_counts import ConnectionEnd
@@ -46,7 +46,7 @@
     harness.lines = Lines()
     connection_log = ConnectionLog(harness.lines)
     harness.node.clients.on_closing = connection_log.on_closing
-    harness.node.clients.on_shut_unread = connection_log.on_shut_unread
+    harness.node.clients.on_half_closed_unread = connection_log.on_half_closed_unread
     return harness
 
 
@@ -120,16 +120,16 @@
     if asked:
         monkeypatch.setenv(CONNECTION_LOG_VARIABLE, "1")
     listener = LoopbackHarness(1).node.clients
-    log_connections_if_asked(listener, Lines())
+    log_connections_if_enabled(listener, Lines())
     assert (listener.on_closing is not None) is asked
-    assert (listener.on_shut_unread is not None) is asked
+    assert (listener.on_half_closed_unread is not None) is asked
 
 
 def test_a_request_that_comes_as_its_connection_is_to_make_way_is_answered(net, monkeypatch):
     # it came behind the look that found the connection quiet, and was reset unread
     far = net.connect_client()
     net.turn()
-    only_client(net).since_us -= NEWCOMER_US  # who came since makes no way
+    only_client(net).since_us -= RECENT_CONNECTION_US  # who came since makes no way
     is_idle = Http1ClientConnection.is_idle
 
     def ask_behind_look(client):
@@ -160,7 +160,7 @@
     net.connect_client()
     net.turn()
     before_us = monotonic_us()
-    assert only_client(net).let_go(ConnectionEnd.SHUTDOWN)
+    assert only_client(net).close_unless_unread(ConnectionEnd.SHUTDOWN)
     facts = last_line(net)
     assert facts["end"] == "shutdown"
     assert not facts["unread"]
@@ -262,7 +262,7 @@
 
 def test_a_request_that_comes_between_the_last_look_and_the_close_crosses_the_end(crossing):
     crossing.ask_before(crossing.net.node.clients, "on_closing")
-    assert only_client(crossing.net).let_go(ConnectionEnd.EVICTED)
+    assert only_client(crossing.net).close_unless_unread(ConnectionEnd.EVICTED)
     assert crossing.end() == (RESET, RequestEnd.RACED_CLOSE)
 
 
@@ -270,7 +270,7 @@
     # its write had begun 8 us before the look, its bytes came behind that: it was called lost
     began_us = monotonic_us()
     crossing.ask_before(crossing.net.node.clients, "on_closing")
-    assert only_client(crossing.net).let_go(ConnectionEnd.EVICTED)
+    assert only_client(crossing.net).close_unless_unread(ConnectionEnd.EVICTED)
     crossing.wrote_us = began_us
     assert crossing.end() == (RESET, RequestEnd.RACED_CLOSE)
 
--- a/tests/net/test_leaving.py
+++ b/tests/net/test_leaving.py
@@ -22,7 +22,7 @@
     State,
 )
 from orchidgap.net.client_listener import HANDSHAKE_US
-from orchidgap.net.client_table import NEWCOMER_US
+from orchidgap.net.client_table import RECENT_CONNECTION_US
 from orchidgap.net.connection import LINGER_US
 from orchidgap.net.loop import READ
 
@@ -119,16 +119,16 @@
 
     def stand_still(mask):
         net.loop.unwatch(near)
-        net.now += NEWCOMER_US
+        net.now += RECENT_CONNECTION_US
 
     with near, far:
-        net.loop.watch(near, READ, stand_still, first=True)
+        net.loop.watch(near, READ, stand_still, priority=True)
         far.send(b"!")
         net.turn()
     assert len(net.node.clients.awaiting_request) == 1
     net.node.clients.release_idle()
     assert received_or_reset(client) is None
-    net.now += NEWCOMER_US
+    net.now += RECENT_CONNECTION_US
     net.turn()
     net.node.clients.release_idle()
     assert received_or_reset(client) == ""
--- a/tests/net/test_loop.py
+++ b/tests/net/test_loop.py
@@ -126,7 +126,7 @@
     def work(mask):
         clock.now_us += 2 * STALLED_TURN_US
 
-    loop.watch(reader, READ, work, first=True)
+    loop.watch(reader, READ, work, priority=True)
     os.write(writer, b"x")
     calls = []
     for name in ("one", "two"):
--- a/tests/stalled_turn.py
+++ b/tests/stalled_turn.py
@@ -78,7 +78,7 @@
         near.close()
         stands_still()
 
-    net.loop.watch(near, READ, on_ready, first=True)
+    net.loop.watch(near, READ, on_ready, priority=True)
 
 
 def put_before(owner, name, call):
