--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -204,7 +204,7 @@
             except ConnectionAbortedError:  # closed by the client before it was accepted
                 continue
             except OSError:  # no file descriptor is available
-                watch.rest()
+                watch.pause_watching()
                 return
             if len(self.connections) >= MAX_CONNECTIONS:
                 self.drop(min(self.connections, key=lambda oldest: oldest.last_active_us))
