--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -1,8 +1,8 @@
-"""The cluster dialect of RESP, on both sides of the balancer.
+"""The cluster dialect of RESP, towards clients and towards slot servers.
 
-`framing`, `reader`, `values` and `writers` are free of I/O. `server`, with `commands`,
-`local_commands`, `replies` and `session`, has the connections of clients; `client`, with
-`slot_server_connection` and `redirects`, those to servers; `slot_discovery` the map of slots.
+`framing`, `reader`, `values` and `writers` do no I/O. `server`, with `commands`, `local_commands`,
+`replies` and `session`, handles client connections. `client`, with `slot_server_connection` and
+`redirects`, handles connections to slot servers. `slot_discovery` keeps the slot map up to date.
 """
 
 from __future__ import annotations
@@ -28,19 +28,19 @@
     """The parts of a node that speaks RESP to clients and hosts.
 
     Attributes:
-        config: the configuration's part.
-        connection_count: client connections so far, which number them.
-        slot_discovery: who tells of slots, once the node has asked for it.
+        config: the RESP part of the configuration.
+        connection_count: client connections accepted so far; numbers the next connection.
+        slot_discovery: the source of hosts and slot owners; None before `make_discovery`.
     """
 
     def __init__(self, part: Mapping[str, Any], name: str, listen: Address) -> None:
-        """Reads the configuration's part, see `RespConfig.read`, which tells what is raised."""
+        """Reads the RESP part of the configuration; raises what `RespConfig.read` raises."""
         self.config = RespConfig.read(part, name, listen)
         self.connection_count = 0
         self.slot_discovery: SlotDiscovery | None = None
 
     def make_listener(self, node: Node, max_clients: int) -> ClientListener:
-        """Returns the clients' side, with so many connections at most."""
+        """Returns the listener for clients, with at most `max_clients` connections."""
 
         def make(listener: ClientListener, sock: socket.socket) -> RespClientConnection:
             self.connection_count += 1
@@ -49,7 +49,7 @@
         return ClientListener(node.loop, node, max_clients, make)
 
     def make_pools(self, node: Node, max_connections: int, dial: Dial) -> SlotServerConnectionPools:
-        """Returns the hosts' side, with so many connections at most."""
+        """Returns the connection pools for hosts, with at most `max_connections` in total."""
         return SlotServerConnectionPools(
             node.loop,
             max_connections,
@@ -57,21 +57,21 @@
             self.config.secret,
             dial,
             self.on_redirect,
-            self.on_doubt,
+            self.on_map_mismatch,
         )
 
     def migrating_requests(self, node: Node) -> list[MigratingRequest]:
-        """No request migrates: where pipelined connections stand cannot be told in a few words."""
+        """Returns an empty list: the state of a pipelined connection is too large to migrate."""
         return []
 
     def accept_migrated(
         self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
     ) -> None:
-        """Raises ValueError: nothing migrates."""
-        raise ValueError("nothing comes over here")
+        """Raises ValueError, as RESP requests do not migrate."""
+        raise ValueError("RESP connections do not support migration")
 
     def make_discovery(self, node: Node, dial: Dial) -> SlotDiscovery:
-        """Returns who tells the node of hosts."""
+        """Returns the discovery that notifies the node of hosts, and sets up the slot map."""
         slots = SlotMap(node.balancer.rng, node.loop.now)
         node.balancer.slot_map = slots
         node.balancer.limiter.hosts_are_owners = True
@@ -81,11 +81,11 @@
         return self.slot_discovery
 
     def on_redirect(self, redirect: Redirect) -> None:
-        """A server named another one for a slot."""
+        """Passes a redirection to slot discovery."""
         if self.slot_discovery:
             self.slot_discovery.on_redirect(redirect)
 
-    def on_doubt(self) -> None:
-        """Something does not fit the map of slots."""
+    def on_map_mismatch(self) -> None:
+        """Notifies slot discovery that the slot map may be out of date."""
         if self.slot_discovery:
-            self.slot_discovery.on_doubt()
+            self.slot_discovery.on_map_mismatch()
--- a/orchidgap/resp/client.py
+++ b/orchidgap/resp/client.py
@@ -1,4 +1,4 @@
-"""Connections to slot servers: a few pipelined ones to each."""
+"""Pools of pipelined connections to slot servers, with a few connections for each server."""
 
 from __future__ import annotations
 
@@ -14,42 +14,45 @@
 from orchidgap.resp.slot_server_connection import SlotServerConnection
 
 MAX_CONNECTIONS_PER_SERVER = 2
-ANSWER_TIMEOUT_US = 1_500_000  # in which a connection has to answer something while it is expected
+ANSWER_TIMEOUT_US = 1_500_000  # longest time without bytes while an answer is outstanding
 SWEEP_INTERVAL_US = 500_000
 
 
 class SlotServerConnectionPool(connection_pools.ConnectionPool[SlotServerConnection]):
-    """The connections to one server, many commands on each."""
+    """The connections to one server; each carries many commands at once."""
 
     pools: SlotServerConnectionPools
 
     @property
     def loop(self) -> Loop:
-        """The loop that events come from."""
+        """The event loop of the pool."""
         return self.pools.loop
 
     @property
     def connect_timeout_us(self) -> int:
-        """How long a connection may take to come up, in microseconds."""
+        """The limit for establishing a connection, in microseconds."""
         return self.pools.connect_timeout_us
 
     @property
     def secret(self) -> tuple[bytes, ...]:
-        """Words for AUTH, none where the servers ask for none."""
+        """Arguments of AUTH; empty if the servers require no authentication."""
         return self.pools.secret
 
     @property
     def on_redirect(self) -> Callable[[Redirect], None]:
-        """Called with each redirection."""
+        """The callback for each redirection."""
         return self.pools.on_redirect
 
     @property
-    def on_doubt(self) -> Callable[[], None]:
-        """Called where something does not fit the map of slots."""
-        return self.pools.on_doubt
+    def on_map_mismatch(self) -> Callable[[], None]:
+        """The callback for signs that the slot map is out of date."""
+        return self.pools.on_map_mismatch
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """Sends an attempt on the connection that waits for fewest answers, or on a new one."""
+        """Sends an attempt on the connection with the lowest load, or on a new connection.
+
+        A new connection is opened while all connections are busy and the server's limit allows it.
+        """
         connection = min(self.connections, key=lambda link: link.load, default=None)
         is_busy = connection is not None and connection.load > 0
         may_dial = len(self.connections) < MAX_CONNECTIONS_PER_SERVER
@@ -64,11 +67,11 @@
         connection.start_attempt(attempt)
 
     def retire(self) -> None:
-        """The server drains or has gone: commands under way may end, nothing else is sent."""
+        """Stops sending, as the server is draining or gone; commands in flight may finish."""
         self.retired = True
         for connection in list(self.connections):
             if not connection.load or not connection.is_up:
-                connection.ended("host drains")
+                connection.ended("host is draining")
 
 
 class SlotServerConnectionPools(connection_pools.ConnectionPools[SlotServerConnectionPool]):
@@ -82,30 +85,30 @@
         secret: tuple[bytes, ...],
         dial: Callable[[Address], socket.socket | AttemptFailure],
         on_redirect: Callable[[Redirect], None],
-        on_doubt: Callable[[], None],
+        on_map_mismatch: Callable[[], None],
     ) -> None:
-        """Starts without a server.
+        """Starts with an empty list of servers.
 
         Args:
-            loop: the loop that events come from.
-            max_connections: to all servers together.
-            connect_timeout_us: how long a connection may take to come up.
-            secret: words for AUTH, none where the servers ask for none.
+            loop: the event loop.
+            max_connections: limit on connections to all servers together.
+            connect_timeout_us: limit for establishing a connection, in microseconds.
+            secret: arguments of AUTH; empty if the servers require no authentication.
             dial: opens connections.
             on_redirect: called with each redirection.
-            on_doubt: called where something does not fit the map of slots.
+            on_map_mismatch: called when the slot map seems to be out of date.
         """
         super().__init__(loop, max_connections, connect_timeout_us, SWEEP_INTERVAL_US, dial)
         self.secret = secret
         self.on_redirect = on_redirect
-        self.on_doubt = on_doubt
+        self.on_map_mismatch = on_map_mismatch
 
     def make_pool(self, address: Address) -> SlotServerConnectionPool:
-        """Returns a pool for a server that was added to the list."""
+        """Returns a pool for a server that was added to the host list."""
         return SlotServerConnectionPool(self, address)
 
     def close_idle(self) -> bool:
-        """Closes the connection that has been idle longest; returns whether there was one."""
+        """Closes the connection that has been idle longest and returns whether one was idle."""
         idle = [
             connection
             for pool in self.by_host.values()
@@ -117,10 +120,10 @@
         return bool(idle)
 
     def sweep(self) -> None:
-        """Ends connections that do not answer; called at intervals."""
+        """Closes connections whose answers are overdue; called at intervals."""
         for pool in list(self.by_host.values()):
             for connection in list(pool.connections):
                 silent_us = self.loop.now - connection.received_at_us
                 is_up = not connection.conn.connecting
                 if connection.expected and is_up and silent_us > ANSWER_TIMEOUT_US:
-                    connection.ended("silence")
+                    connection.ended("answer timeout")
--- a/orchidgap/resp/commands.py
+++ b/orchidgap/resp/commands.py
@@ -1,8 +1,8 @@
-"""Commands: where their keys stand, and whether they may run twice.
+"""Command table: the positions of a command's keys, and whether it is a write.
 
-From the public command tables. A read is idempotent. Every write counts as not idempotent: one that
-may have executed is never sent again, also where the same write twice would do no harm by itself,
-since what came between the two would be lost.
+The data is from the public command tables. Reads are idempotent. Every write counts as not
+idempotent, and one that may have executed is never resent. This includes writes such as SET, whose
+repetition would overwrite any write that another client made between the two executions.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 
 class Command(NamedTuple):
-    """What is known of a command.
+    """The properties of one command.
 
     Attributes:
-        name: its name in capitals.
-        min_words: words that it has at least, the name included.
-        first_key: number of the word that is its first key.
-        last_key: number of the word that is its last key, `LAST_WORD` for the last one.
-        key_step: words from one key to the next.
-        is_write: it changes something.
-        join: how the answers of parts are joined where its keys are in several slots: `list`,
-            `sum`, or empty where it cannot be split.
+        name: the name in upper case.
+        min_words: the minimum number of words, including the name.
+        first_key: index of the word that is the first key.
+        last_key: index of the word that is the last key, or `LAST_WORD`.
+        key_step: distance in words between two keys.
+        is_write: whether the command modifies data.
+        join: how the answers of the parts are combined if the keys are in several slots: `list`
+            or `sum`; empty if the command cannot be split.
     """
 
     name: bytes
@@ -35,7 +35,7 @@
     join: str = ""
 
 
-# Commands with one key, each with its least number of words.
+# Commands with one key, each with its minimum number of words.
 READS = """GET 2|STRLEN 2|TYPE 2|TTL 2|PTTL 2|EXPIRETIME 2|PEXPIRETIME 2|GETRANGE 4|GETBIT 3|
 BITCOUNT 2|BITPOS 3|HGET 3|HMGET 3|HGETALL 2|HLEN 2|HKEYS 2|HVALS 2|HEXISTS 3|HSTRLEN 3|HSCAN 3|
 LLEN 2|LRANGE 4|LINDEX 3|SCARD 2|SISMEMBER 3|SMISMEMBER 3|SMEMBERS 2|SSCAN 3|ZCARD 2|ZSCORE 3|
@@ -55,7 +55,7 @@
     Command(b"MSET", 3, 1, LAST_WORD, 2, True),
     Command(b"MSETNX", 3, 1, LAST_WORD, 2, True),
 )
-# Known commands that are not served, so that the error can say so.
+# Known commands that the balancer does not support; they get an error of their own.
 UNSUPPORTED = frozenset(
     b"""MULTI EXEC DISCARD WATCH UNWATCH SUBSCRIBE PSUBSCRIBE SSUBSCRIBE UNSUBSCRIBE PUNSUBSCRIBE
 PUBLISH SPUBLISH MONITOR BLPOP BRPOP BLMOVE BLMPOP BZPOPMIN BZPOPMAX BZMPOP BRPOPLPUSH XREAD
@@ -65,7 +65,7 @@
 
 
 def command_table() -> dict[bytes, Command]:
-    """Returns all commands that are served, by name.
+    """Returns all supported commands that are forwarded to servers, by name.
 
     >>> COMMANDS[b"GET"].is_write, COMMANDS[b"INCR"].is_write, COMMANDS[b"MSET"].key_step
     (False, True, 2)
@@ -97,7 +97,7 @@
 
 
 def has_valid_length(command: Command, words: list[bytes]) -> bool:
-    """Whether the number of words is one that the command can have."""
+    """Returns whether the number of words is valid for the command."""
     if len(words) < command.min_words:
         return False
     return (len(words) - command.first_key) % command.key_step == 0
--- a/orchidgap/resp/config.py
+++ b/orchidgap/resp/config.py
@@ -1,4 +1,4 @@
-"""The configuration's part for RESP. Its words stand in this module only."""
+"""The RESP part of the configuration. Only this module uses its field names."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 DEFAULT_USER = b"default"
 DEFAULT_TIMEOUT_MS = 1_000
-DIGEST_LETTERS = 64
-HEX_LETTERS = frozenset("0123456789abcdef")
+DIGEST_LENGTH = 64
+HEX_DIGITS = frozenset("0123456789abcdef")
 
 
 class InvalidUsersError(OrchidgapError, ValueError):
-    """The file of users has a line that cannot be read."""
+    """The users file has a malformed line."""
 
 
 class User(NamedTuple):
-    """One who may log in.
+    """A user that may log in.
 
     Attributes:
-        secret_digest: SHA-256 of the secret in hex, empty where no secret is asked for.
-        tenant: whose requests this user's are.
+        secret_digest: SHA-256 of the secret in hex; empty for the default user of an open balancer.
+        tenant: the tenant that the user's requests count for.
     """
 
     secret_digest: str
@@ -36,15 +36,15 @@
     """How a balancer speaks RESP.
 
     Attributes:
-        seeds: addresses of slot servers to begin with.
-        secret: words for AUTH at the servers, none where they ask for none.
-        read_class: request class of commands that read.
-        write_class: request class of commands that write.
-        timeout_us: how long a client waits for an answer.
-        users: those who may log in, by name.
-        is_open: nobody has to log in.
-        advertised_address: where clients are told that the balancer is.
-        node_id: the id that clients are told.
+        seeds: addresses of the slot servers that are contacted first.
+        secret: arguments of AUTH at the servers; empty if they require no authentication.
+        read_class: request class of read commands.
+        write_class: request class of write commands.
+        timeout_us: how long a client waits for an answer, in microseconds.
+        users: users that may log in, by name.
+        is_open: clients need no login.
+        advertised_address: the balancer's address in answers to CLUSTER commands.
+        node_id: the balancer's node id in answers to CLUSTER commands.
     """
 
     seeds: list[Address]
@@ -59,19 +59,19 @@
 
     @classmethod
     def read(cls, part: Mapping[str, Any], name: str, listen: Address) -> RespConfig:
-        """Reads the part of the configuration.
+        """Reads the RESP part of the configuration.
 
         Args:
-            part: `seeds`, `secret`, `read`, `write`, `timeout-ms`, `users` (a file), `tenant`
-                (whose requests they are where there are no users) and `shown` (the advertised
-                address).
+            part: the fields `seeds`, `secret`, `read`, `write`, `timeout-ms`, `users` (a file),
+                `tenant` (the tenant of all requests if there are no users) and `shown` (the
+                advertised address).
             name: the balancer's name.
-            listen: where it listens.
+            listen: the address that the balancer listens on.
 
         Raises:
-            ValueError: A value cannot be used.
-            TypeError: A value is of another kind.
-            OSError: The file of users cannot be read.
+            ValueError: A value is invalid.
+            TypeError: A value has the wrong type.
+            OSError: The users file cannot be read.
         """
         users: dict[bytes, User] = {}
         if part.get("users"):
@@ -93,10 +93,10 @@
 
 
 def parse_users(text: str) -> dict[bytes, User]:
-    r"""Reads lines of `user sha256-of-secret tenant`.
+    r"""Parses lines of the form `user sha256-of-secret tenant`.
 
     Raises:
-        InvalidUsersError: A line has another form.
+        InvalidUsersError: A line is malformed.
 
     >>> parse_users("# who\nmia " + "0" * 64 + " north\n")[b"mia"].tenant
     'north'
@@ -104,7 +104,7 @@
     ...     parse_users("mia plain north")
     ... except InvalidUsersError as error:
     ...     print(error)
-    line 1: wanted are a user, the SHA-256 of the secret in hex, and a tenant
+    line 1: expected a user, the SHA-256 of the secret in hex, and a tenant
     """
     users = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -112,13 +112,13 @@
         if not words or words[0].startswith("#"):
             continue
         if len(words) != 3 or not is_digest(words[1]):
-            wanted = "wanted are a user, the SHA-256 of the secret in hex, and a tenant"
-            raise InvalidUsersError(f"line {number}: {wanted}")
+            form = "expected a user, the SHA-256 of the secret in hex, and a tenant"
+            raise InvalidUsersError(f"line {number}: {form}")
         name, digest, tenant = words
         users[name.encode()] = User(digest, tenant)
     return users
 
 
 def is_digest(text: str) -> bool:
-    """Whether the text is a SHA-256 in hex."""
-    return len(text) == DIGEST_LETTERS and set(text) <= HEX_LETTERS
+    """Returns whether the text is a SHA-256 digest in lower-case hex."""
+    return len(text) == DIGEST_LENGTH and set(text) <= HEX_DIGITS
--- a/orchidgap/resp/framing.py
+++ b/orchidgap/resp/framing.py
@@ -1,7 +1,8 @@
-"""Where an item of RESP ends in a buffer, and bounds on what one may hold.
+"""Finds the end of a RESP item in a buffer, and limits the size of items.
 
-RESP 2 and 3 by their public specification. An item is looked at without recursion, so that depth is
-bounded and so is the work for each byte; bounds guard against items that would fill the memory.
+Follows the public specification of RESP 2 and 3. Items are scanned without recursion, so that both
+the depth and the work for each byte are bounded. The limits guard against items that would exhaust
+memory.
 """
 
 from __future__ import annotations
@@ -10,34 +11,34 @@
 
 CRLF = b"\r\n"
 MAX_LINE_BYTES = 1 << 16
-MAX_ITEM_BYTES = 1 << 20  # as a response over HTTP
+MAX_ITEM_BYTES = 1 << 20  # the same as the limit for an HTTP response
 MAX_DEPTH = 8
-MIN_BYTES_PER_ENTRY = 8  # an item has no more entries than its bytes over this
+MIN_BYTES_PER_ENTRY = 8  # an item may have at most (its maximum bytes / this) entries
 MAX_INTEGER_DIGITS = 19
 
-LINE_TYPES = frozenset(b"+-:_#,(")  # the item is a line
-BULK_TYPES = frozenset(b"$!=")  # a length, then so many bytes
-# Entries for each count; `|` are attributes, which stand before the item they belong to.
+LINE_TYPES = frozenset(b"+-:_#,(")  # the whole item is one line
+BULK_TYPES = frozenset(b"$!=")  # a length, then that many bytes
+# Entries per unit of the count. `|` starts attributes, which precede the item they belong to.
 ENTRIES_PER_COUNT = {ord("*"): 1, ord("~"): 1, ord(">"): 1, ord("%"): 2, ord("|"): 2}
 BULK_STRING = ord("$")
 ATTRIBUTES = ord("|")
 
 
 class ProtocolViolation(NamedTuple):
-    """The bytes are not RESP, or go beyond a bound.
+    """The bytes are not RESP, or exceed a limit.
 
     Attributes:
-        what: the reason, in the words that a client is told.
+        what: the reason, as sent to the client in the error reply.
     """
 
     what: str
 
 
 class Incomplete(NamedTuple):
-    """The item has not arrived whole.
+    """The item has not arrived in full.
 
     Attributes:
-        bytes_needed: bytes that it has at least, as far as is known.
+        bytes_needed: a lower bound on the size of the item, from the bytes scanned so far.
     """
 
     bytes_needed: int
@@ -47,7 +48,7 @@
 
 
 def parse_integer(line: bytes | bytearray | memoryview) -> int | None:
-    """Returns a length or integer as RESP writes it, or None.
+    """Returns the value of a RESP length or integer, or None if it is malformed.
 
     >>> [parse_integer(text) for text in (b"12", b"-1", b"+7", b"", b"1_0", b" 1", b"9" * 30)]
     [12, -1, 7, None, None, None, None]
@@ -59,7 +60,7 @@
 
 
 def line_end(data: bytearray, start: int) -> ItemEnd:
-    """Returns where the line at `start` ends, before its line break."""
+    """Returns the end of the line at `start`, excluding its line break."""
     end = data.find(CRLF, start, start + MAX_LINE_BYTES)
     if end >= 0:
         return end
@@ -69,7 +70,7 @@
 
 
 def item_end(data: bytearray, start: int, max_bytes: int) -> ItemEnd:
-    """Returns where the item at `start` ends; it may have `max_bytes`."""
+    """Returns the end of the item at `start`, which may be at most `max_bytes` long."""
     position = start
     open_aggregates = OpenAggregates(max_bytes // MIN_BYTES_PER_ENTRY)
     while open_aggregates.entries_left:
@@ -81,7 +82,7 @@
             return end
         head = data[position + 1 : end]
         position = end + len(CRLF)
-        violation = open_aggregates.take_entry(kind, head)
+        violation = open_aggregates.add_entry(kind, head)
         if violation:
             return violation
         if kind in BULK_TYPES:
@@ -96,24 +97,25 @@
 
 
 class OpenAggregates:
-    """The aggregates that an item is in, and how many entries each still has to come.
+    """The stack of incomplete aggregates while an item is scanned.
 
     Attributes:
-        max_entries: entries of all aggregates together.
-        entries_left: of each open aggregate; the first one is the item itself.
-        entry_count: entries so far.
+        max_entries: limit on the entries of all aggregates together.
+        entries_left: missing entries of each incomplete aggregate, outermost first; the first
+            element counts the item itself.
+        entry_count: entries declared by all aggregates so far.
     """
 
     __slots__ = ("entries_left", "entry_count", "max_entries")
 
     def __init__(self, max_entries: int) -> None:
-        """Starts before the item."""
+        """Starts before the first byte of the item."""
         self.max_entries = max_entries
         self.entries_left = [1]
         self.entry_count = 0
 
-    def take_entry(self, kind: int, head: bytearray) -> ProtocolViolation | None:
-        """Takes an entry of this type, and opens it where it is an aggregate."""
+    def add_entry(self, kind: int, head: bytearray) -> ProtocolViolation | None:
+        """Counts an entry of this type, and pushes it on the stack if it is an aggregate."""
         self.entries_left[-1] -= 1
         if kind in LINE_TYPES or kind in BULK_TYPES:
             return None
@@ -126,7 +128,7 @@
         self.entry_count += entries
         if self.entry_count > self.max_entries:
             return ProtocolViolation(f"more than {self.max_entries} entries")
-        if kind == ATTRIBUTES:  # the item that they belong to is still to come
+        if kind == ATTRIBUTES:  # attributes do not count as an entry: their item follows
             self.entries_left[-1] += 1
         if entries:
             if len(self.entries_left) >= MAX_DEPTH:
@@ -135,7 +137,7 @@
         return None
 
     def close_complete(self) -> None:
-        """Closes the aggregates of which all entries have come."""
+        """Removes the aggregates that have all their entries from the stack."""
         while self.entries_left and self.entries_left[-1] == 0:
             self.entries_left.pop()
 
@@ -143,14 +145,14 @@
 def end_of_bulk(
     data: bytearray, head: bytearray, position: int, start: int, max_bytes: int
 ) -> ItemEnd:
-    """Returns where a bulk string ends.
+    """Returns the end of a bulk string.
 
     Args:
         data: the buffer.
-        head: the length as it was sent.
-        position: where the string begins.
-        start: where the whole item began.
-        max_bytes: what the whole item may have.
+        head: the length field as received.
+        position: offset of the string's first byte.
+        start: offset of the outermost item.
+        max_bytes: maximum size of the outermost item.
     """
     size = parse_integer(head)
     if size is None or size < -1:
@@ -168,7 +170,7 @@
 
 
 def split_array(text: bytes) -> list[bytes]:
-    r"""Returns the entries of a whole array as they were sent.
+    r"""Returns the encoded entries of a complete array.
 
     >>> split_array(b"*2\r\n$1\r\na\r\n$-1\r\n")
     [b'$1\r\na\r\n', b'$-1\r\n']
@@ -186,7 +188,7 @@
 
 
 def command_words(data: bytearray, start: int) -> list[bytes] | None:
-    """Returns the words of a whole array of bulk strings, None where it holds something else."""
+    """Returns the words of a complete array of bulk strings, or None if it has other entries."""
     end = data.index(CRLF, start)
     count = parse_integer(data[start + 1 : end])
     position = end + len(CRLF)
--- a/orchidgap/resp/local_commands.py
+++ b/orchidgap/resp/local_commands.py
@@ -1,7 +1,7 @@
-"""Commands that need no host, as a cluster node answers them.
+"""Commands that the balancer answers itself, in the way a cluster node does.
 
-To its clients the balancer is one server that owns all slots. Each function takes the client's
-session and the command's words, and returns the encoded reply.
+To clients the balancer is a single server that owns all slots. The functions in `LOCAL_COMMANDS`
+take the client's session and the command's words, and return the encoded reply.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 OK = b"+OK\r\n"
 SERVER_NAME = b"orchidgap"
 COMPATIBLE_VERSION = b"7.0.0"
-CLUSTER_BUS_OFFSET = 10_000  # from a server's port to that of the cluster's bus
+CLUSTER_BUS_OFFSET = 10_000  # offset from a server's port to its cluster bus port
 WRONG_PASSWORD = "WRONGPASS invalid username-password pair or user is disabled."
 LAST_SLOT = encode_integer(SLOT_COUNT - 1)
 FIRST_SLOT = encode_integer(0)
-# Categories, tips, key specifications and subcommands of COMMAND INFO: clients count on them.
+# Categories, tips, key specifications and subcommands of COMMAND INFO: clients require the fields.
 EMPTY_COMMAND_FIELDS = (encode_array([]),) * 4
 
 
 def slot_of_key(key: bytes) -> int:
-    """The slot of a key by the public specification: CRC16 (XMODEM) of its hash tag.
+    """Returns the slot of a key by the public specification: CRC16 (XMODEM) of its hash tag.
 
     >>> slot_of_key(b"123456789")
     12739
@@ -44,17 +44,17 @@
 
 
 def subcommand(words: list[bytes]) -> bytes:
-    """The second word in capitals, empty where there is none."""
+    """Returns the second word in upper case, or empty bytes if there is none."""
     return words[1].upper() if len(words) > 1 else b""
 
 
 def unknown_subcommand(name: str) -> bytes:
-    """The error for a subcommand that is not served."""
+    """Returns the error reply for an unsupported subcommand."""
     return encode_error(f"ERR unknown subcommand or wrong number of arguments for '{name}'")
 
 
 def hello(session: Session, words: list[bytes]) -> bytes:
-    """HELLO [protover [AUTH user secret] [SETNAME name]]."""
+    """Handles HELLO [protover [AUTH user secret] [SETNAME name]]."""
     options = [word.upper() for word in words[2:]]
     if len(words) > 1 and words[1] not in (b"2", b"3"):
         return encode_error("NOPROTO unsupported protocol version")
@@ -83,7 +83,7 @@
 
 
 def auth(session: Session, words: list[bytes]) -> bytes:
-    """AUTH [user] secret."""
+    """Handles AUTH [user] secret."""
     if len(words) not in (2, 3):
         return encode_error("ERR wrong number of arguments for 'auth' command")
     user = words[1] if len(words) == 3 else DEFAULT_USER
@@ -91,49 +91,49 @@
 
 
 def ping(session: Session, words: list[bytes]) -> bytes:
-    """PING [text]."""
+    """Handles PING [text]."""
     return encode_bulk(words[1]) if len(words) > 1 else b"+PONG\r\n"
 
 
 def echo(session: Session, words: list[bytes]) -> bytes:
-    """ECHO text."""
+    """Handles ECHO text."""
     if len(words) == 2:
         return encode_bulk(words[1])
     return encode_error("ERR wrong number of arguments for 'echo' command")
 
 
 def select(session: Session, words: list[bytes]) -> bytes:
-    """SELECT 0."""
+    """Handles SELECT, which allows only database 0."""
     if words[1:] == [b"0"]:
         return OK
     return encode_error("ERR SELECT is not allowed in cluster mode")
 
 
 def client(session: Session, words: list[bytes]) -> bytes:
-    """CLIENT ID, SETNAME, GETNAME; what else clients send is taken and left aside."""
-    what = subcommand(words)
-    if what == b"ID":
+    """Handles CLIENT ID, SETNAME and GETNAME; ignores SETINFO, NO-EVICT and NO-TOUCH."""
+    requested = subcommand(words)
+    if requested == b"ID":
         return encode_integer(session.number)
-    if what == b"SETNAME" and len(words) == 3:
+    if requested == b"SETNAME" and len(words) == 3:
         session.client_name = words[2]
         return OK
-    if what == b"GETNAME":
+    if requested == b"GETNAME":
         return encode_bulk(session.client_name or None, session.uses_resp3)
-    if what in (b"SETINFO", b"NO-EVICT", b"NO-TOUCH"):
+    if requested in (b"SETINFO", b"NO-EVICT", b"NO-TOUCH"):
         return OK
     return unknown_subcommand("CLIENT")
 
 
 def command(session: Session, words: list[bytes]) -> bytes:
-    """COMMAND, COMMAND COUNT, DOCS, GETKEYS and INFO."""
-    what = subcommand(words)
-    if what == b"COUNT":
+    """Handles COMMAND, and COMMAND COUNT, DOCS, GETKEYS and INFO."""
+    requested = subcommand(words)
+    if requested == b"COUNT":
         return encode_integer(len(COMMANDS))
-    if what == b"DOCS":
+    if requested == b"DOCS":
         return encode_map([], session.uses_resp3)
-    if what == b"GETKEYS" and len(words) > 2:
+    if requested == b"GETKEYS" and len(words) > 2:
         return command_keys(words[2:])
-    if what in (b"", b"INFO"):
+    if requested in (b"", b"INFO"):
         names = [word.upper() for word in words[2:]] or list(COMMANDS)
         null = b"*-1\r\n"
         return encode_array(
@@ -143,43 +143,43 @@
 
 
 def command_keys(words: list[bytes]) -> bytes:
-    """The keys of a command."""
-    known = COMMANDS.get(words[0].upper())
-    if known is None or not has_valid_length(known, words):
+    """Returns the reply to COMMAND GETKEYS."""
+    spec = COMMANDS.get(words[0].upper())
+    if spec is None or not has_valid_length(spec, words):
         return encode_error("ERR Invalid command specified")
-    return encode_array([encode_bulk(key) for key in keys_of(known, words)])
+    return encode_array([encode_bulk(key) for key in keys_of(spec, words)])
 
 
-def command_info(known: Command) -> bytes:
-    """The entry of a command in COMMAND INFO."""
-    flag = b"+write\r\n" if known.is_write else b"+readonly\r\n"
+def command_info(spec: Command) -> bytes:
+    """Returns the entry of a command in the reply to COMMAND INFO."""
+    flag = b"+write\r\n" if spec.is_write else b"+readonly\r\n"
     return encode_array(
         [
-            encode_bulk(known.name.lower()),
-            encode_integer(-known.min_words),
+            encode_bulk(spec.name.lower()),
+            encode_integer(-spec.min_words),
             encode_array([flag]),
-            encode_integer(known.first_key),
-            encode_integer(known.last_key),
-            encode_integer(known.key_step),
+            encode_integer(spec.first_key),
+            encode_integer(spec.last_key),
+            encode_integer(spec.key_step),
             *EMPTY_COMMAND_FIELDS,
         ]
     )
 
 
 def cluster(session: Session, words: list[bytes]) -> bytes:
-    """CLUSTER SLOTS, SHARDS, NODES, MYID, KEYSLOT and INFO."""
-    what = subcommand(words)
-    if what == b"SLOTS":
+    """Handles CLUSTER SLOTS, SHARDS, NODES, MYID, KEYSLOT and INFO."""
+    requested = subcommand(words)
+    if requested == b"SLOTS":
         return cluster_slots(session)
-    if what == b"SHARDS":
+    if requested == b"SHARDS":
         return cluster_shards(session)
-    if what == b"NODES":
+    if requested == b"NODES":
         return cluster_nodes(session)
-    if what == b"MYID":
+    if requested == b"MYID":
         return encode_bulk(session.config.node_id)
-    if what == b"KEYSLOT" and len(words) == 3:
+    if requested == b"KEYSLOT" and len(words) == 3:
         return encode_integer(slot_of_key(words[2]))
-    if what == b"INFO":
+    if requested == b"INFO":
         return encode_bulk(
             b"cluster_state:ok\r\ncluster_slots_assigned:%d\r\ncluster_known_nodes:1\r\n"
             b"cluster_size:1\r\n" % SLOT_COUNT
@@ -188,7 +188,7 @@
 
 
 def cluster_slots(session: Session) -> bytes:
-    """One range, of all slots."""
+    """Returns the reply to CLUSTER SLOTS: one range with all slots."""
     host, port = session.config.advertised_address
     node = encode_array(
         [
@@ -202,7 +202,7 @@
 
 
 def cluster_shards(session: Session) -> bytes:
-    """One shard, of all slots."""
+    """Returns the reply to CLUSTER SHARDS: one shard with all slots."""
     host, port = session.config.advertised_address
     address = encode_bulk(host.encode())
     node = encode_map(
@@ -228,7 +228,7 @@
 
 
 def cluster_nodes(session: Session) -> bytes:
-    """One line, of this server."""
+    """Returns the reply to CLUSTER NODES: one line for this balancer."""
     host, port = session.config.advertised_address
     return encode_bulk(
         b"%b %b:%d@%d myself,master - 0 0 1 connected 0-%d\n"
@@ -243,12 +243,12 @@
 
 
 def acknowledge(session: Session, words: list[bytes]) -> bytes:
-    """READONLY, READWRITE and ASKING mean nothing where one server owns all slots."""
+    """Handles READONLY, READWRITE and ASKING, which have no effect as one server owns all slots."""
     return OK
 
 
 def reset(session: Session, words: list[bytes]) -> bytes:
-    """RESET."""
+    """Handles RESET."""
     session.reset()
     return b"+RESET\r\n"
 
--- a/orchidgap/resp/reader.py
+++ b/orchidgap/resp/reader.py
@@ -1,10 +1,11 @@
-"""A reader of RESP: bytes in, whole items or commands out. Nothing here does I/O.
+"""A reader of RESP that turns bytes into complete items or commands. It does no I/O.
 
-Views that are fed do not last; what is not whole yet is kept, copied once. What breaks the protocol
-is told once, in `RespReader.error`; the connection is of no use after that.
+The views passed to `feed` are valid only during the call, so their bytes are copied once into a
+buffer. The first protocol violation is stored in `RespReader.error`; nothing more can be read from
+the connection after that.
 
-hiredis is not used: its reader makes objects of each answer, which is what a client wants. A
-balancer passes an answer on as it arrived, and only has to know where it ends.
+hiredis is not used because its reader builds an object for each answer, as a client needs it. A
+balancer forwards answers unchanged and only has to know where each one ends.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
 
     Attributes:
         max_item_bytes: the largest item that is read.
-        error: what broke the protocol, empty while nothing has.
-        buffer: what has arrived and may not be read yet.
-        position: up to where the buffer has been read.
-        bytes_needed: bytes behind `position` without which looking again is of no use.
+        error: the protocol violation, empty if there was none.
+        buffer: the bytes that have arrived, including some that were already read.
+        position: offset of the first unread byte in the buffer.
+        bytes_needed: unread bytes required before scanning for the next item again.
 
     >>> reader = RespReader(); reader.feed(memoryview(b"+OK\r\n$5\r\nhel"))
     >>> reader.read_item(), reader.read_item()
@@ -50,14 +51,14 @@
         self.error = ""
 
     def feed(self, view: memoryview | bytes) -> None:
-        """Takes what has arrived; the view may be reused after the call."""
+        """Appends received bytes; the view may be reused after the call."""
         if self.position and self.position * 2 > len(self.buffer):
             del self.buffer[: self.position]
             self.position = 0
         self.buffer += view
 
     def find_item_end(self) -> int:
-        """Returns where the next item ends, 0 where it is not whole or nothing more can be read."""
+        """Returns the end of the next item, or 0 if it is incomplete or there was an error."""
         if self.error or self.unread_bytes() < max(1, self.bytes_needed):
             return 0
         end = item_end(self.buffer, self.position, self.max_item_bytes)
@@ -70,7 +71,7 @@
         return end
 
     def read_item(self) -> bytes | None:
-        """Returns the next item as it was sent, None where there is no whole one."""
+        """Returns the next item as encoded bytes, or None if it is incomplete."""
         end = self.find_item_end()
         if not end:
             return None
@@ -79,9 +80,10 @@
         return item
 
     def read_command(self) -> list[bytes] | None:
-        """Returns the next command's words, None where there is no whole one.
+        """Returns the next command's words, or None if it is incomplete.
 
-        A command is an array of bulk strings, or a line of words (inline), which may be empty.
+        A command is an array of bulk strings or an inline command, which is a line of words and may
+        be empty.
         """
         is_inline = self.unread_bytes() > 0 and self.buffer[self.position] != ARRAY
         if is_inline and not self.error:
@@ -97,7 +99,7 @@
         return words
 
     def read_inline_command(self) -> list[bytes] | None:
-        """Returns the words of the next line, None where it is not whole."""
+        """Returns the words of the next line, or None if it is incomplete."""
         end = self.buffer.find(b"\n", self.position, self.position + MAX_LINE_BYTES)
         if end < 0:
             if self.unread_bytes() >= MAX_LINE_BYTES:
@@ -108,10 +110,10 @@
         return line.split()
 
     def advance(self, end: int) -> None:
-        """The buffer has been read up to here."""
+        """Marks the buffer as read up to `end`."""
         self.position = end
         self.bytes_needed = 0
 
     def unread_bytes(self) -> int:
-        """Bytes that have arrived and were not read."""
+        """Returns the number of bytes that have arrived and were not read."""
         return len(self.buffer) - self.position
--- a/orchidgap/resp/redirects.py
+++ b/orchidgap/resp/redirects.py
@@ -1,4 +1,4 @@
-"""What a slot server says of a slot that it does not serve, by the public specification."""
+"""Redirections (MOVED and ASK) from slot servers, by the public specification."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Redirect(NamedTuple):
-    """Another server that a command is to be sent to.
+    """A redirection of a command to another server.
 
     Attributes:
-        slot: the slot of its key.
-        address: the server.
-        once: for this command alone (ASK), not from now on (MOVED).
+        slot: the slot of the command's key.
+        address: the address of the other server.
+        once: applies to this command only (ASK) instead of all later ones too (MOVED).
     """
 
     slot: int
@@ -27,7 +27,7 @@
 
 
 def parse_redirect(text: bytes) -> Redirect | None:
-    r"""Returns the redirection in an answer, None for any other answer.
+    r"""Returns the redirection in an answer, or None for any other answer.
 
     >>> parse_redirect(b"-MOVED 3999 127.0.0.1:6381\r\n")
     Redirect(slot=3999, address=('127.0.0.1', 6381), once=False)
--- a/orchidgap/resp/replies.py
+++ b/orchidgap/resp/replies.py
@@ -1,4 +1,4 @@
-"""Replies to commands: each has its place in the order of one connection's answers."""
+"""Replies to commands, which are written in the order of the connection's commands."""
 
 from __future__ import annotations
 
@@ -15,50 +15,50 @@
 
 
 class ReplyQueue(Protocol):
-    """The connection that a reply is for."""
+    """The client connection that a reply belongs to."""
 
     @property
     def uses_resp3(self) -> bool:
-        """Whether its client speaks RESP 3."""
+        """Whether the client uses RESP 3."""
 
     @property
     def received_at_us(self) -> int:
-        """When its last bytes arrived, by the loop's clock."""
+        """When the last bytes arrived, by the loop's clock."""
 
     @property
-    def room_at_us(self) -> int:
-        """When an answer last made room for further commands."""
+    def capacity_freed_at_us(self) -> int:
+        """When written replies last freed capacity for further commands."""
 
     def has_disconnected(self) -> bool:
-        """Whether its client has closed."""
+        """Returns whether the client has closed its connection."""
 
     def on_reply(self, reply: Reply) -> None:
-        """A reply of its own has its bytes."""
+        """Called when a command's own reply, not a part of a joined one, is encoded."""
 
     def on_forwarded_reply(self, reply: Reply) -> None:
-        """The command was forwarded, and is answered."""
+        """Called when a forwarded command, or a part of one, is answered."""
 
 
 class Reply:
-    """The place of one command; the node answers here.
+    """The reply to one command in the connection's queue; receives the node's answer.
 
     Attributes:
-        queue: the connection.
-        joined: the reply that this one is a part of, None for a command's own.
-        pending_request: the request while it is handled.
+        queue: the client connection.
+        joined: the joined reply that this one is a part of; None for a command's own reply.
+        pending_request: the request while the node handles it.
         received_at_us: when the command arrived.
-        is_held: it waits for one before it, which waits for the same server.
-        turn_at_us: when the commands before it let it go.
-        encoded: the answer, None while there is none.
-        slot: slot of the key, -1 where the command needs no host.
-        is_write: it changes something.
-        forward: forwards the command; None once that was done.
+        is_delayed: the command is delayed while an earlier one waits for the same server.
+        turn_at_us: when earlier commands last stopped blocking this one.
+        encoded: the encoded answer; None until the command is answered.
+        slot: slot of the key; -1 if the command needs no host.
+        is_write: whether the command modifies data.
+        forward: forwards the command; None once it was forwarded.
     """
 
     __slots__ = (
         "encoded",
         "forward",
-        "is_held",
+        "is_delayed",
         "is_write",
         "joined",
         "pending_request",
@@ -69,28 +69,28 @@
     )
 
     def __init__(self, queue: ReplyQueue, joined: JoinedReply | None = None) -> None:
-        """Takes the place behind what was asked for before."""
+        """Starts without an answer, at the end of the queue."""
         self.queue = queue
         self.joined = joined
         self.pending_request: PendingRequest | None = None
         self.encoded: bytes | None = None
         self.received_at_us = queue.received_at_us
-        self.turn_at_us = queue.room_at_us
+        self.turn_at_us = queue.capacity_freed_at_us
         self.slot = -1
         self.is_write = False
-        self.is_held = False
+        self.is_delayed = False
         self.forward: Callable[[], None] | None = None
 
     @property
     def awaits_host(self) -> bool:
-        """Whether the command was forwarded, and waits for a host that has room for it."""
+        """Whether the command was forwarded and waits for a host with capacity for it."""
         pending = self.pending_request
         return pending is not None and not pending.has_begun
 
     def answer(
         self, status: int, body: bytes = b"", retry_after_us: int = 0, length: int | None = None
     ) -> None:
-        """Takes the answer of the node, whose status codes all protocols share."""
+        """Encodes the node's answer, whose status codes are the same for all protocols."""
         self.pending_request = None
         if status == 503:
             when = f"; come back in {retry_after_us // 1000} ms" if retry_after_us else ""
@@ -104,16 +104,16 @@
         self.set_encoded(body)
 
     def on_client_disconnect(self) -> None:
-        """Its client has closed."""
+        """Notifies the pending request that the client has closed its connection."""
         if self.pending_request:
             self.pending_request.on_client_disconnect()
 
     def has_disconnected(self) -> bool:
-        """Whether its client has closed."""
+        """Returns whether the client has closed its connection."""
         return self.queue.has_disconnected()
 
     def set_encoded(self, encoded: bytes) -> None:
-        """The answer is there."""
+        """Stores the encoded answer and notifies the connection or the joined reply."""
         self.encoded = encoded
         if self.slot >= 0:
             self.queue.on_forwarded_reply(self)
@@ -126,26 +126,26 @@
 class JoinedReply(Reply):
     """The reply to a command that was split by slots.
 
-    It is answered when all parts are. Where one fails its error is the answer, and the client is
-    told that others may have run.
+    It is answered once all parts are. If a part fails, its error is the answer, with a note that
+    other parts may have run.
 
     Attributes:
-        join: how the answers are joined, see `Command.join`.
+        join: how the answers are combined, see `Command.join`.
         parts: the replies to the parts.
-        positions: of each part's keys, their places among all keys.
+        positions: for each part, the positions of its keys among all keys of the command.
     """
 
     __slots__ = ("join", "parts", "positions")
 
     def __init__(self, queue: ReplyQueue, join: str) -> None:
-        """Starts without parts."""
+        """Starts with no parts."""
         super().__init__(queue)
         self.join = join
         self.parts: list[Reply] = []
         self.positions: list[list[int]] = []
 
     def join_parts(self) -> None:
-        """Answers, if all parts are answered."""
+        """Combines the answers once all parts are answered."""
         if any(part.encoded is None for part in self.parts):
             return
         answers = [part.encoded or b"" for part in self.parts]
@@ -165,13 +165,13 @@
         self.set_encoded(encode_array(items))
 
     def on_client_disconnect(self) -> None:
-        """Its client has closed."""
+        """Notifies the pending requests of all parts that the client has closed."""
         for part in self.parts:
             part.on_client_disconnect()
 
 
 def to_resp3(text: bytes) -> bytes:
-    r"""Returns an answer in RESP 2 as one in RESP 3, where a null has one form.
+    r"""Converts an answer from RESP 2 to RESP 3, which has a single form of null.
 
     >>> to_resp3(b"$-1\r\n"), to_resp3(b"*2\r\n$-1\r\n$5\r\n$-1\r\n\r\n")
     (b'_\r\n', b'*2\r\n_\r\n$5\r\n$-1\r\n\r\n')
--- a/orchidgap/resp/server.py
+++ b/orchidgap/resp/server.py
@@ -1,8 +1,8 @@
-"""Connections from clients that speak RESP: commands in, replies out in the order of the commands.
+"""Connections from RESP clients, which get their replies in the order of their commands.
 
-Commands of one connection may be pipelined. Those for different slots are in flight together; those
-for one slot keep their order, and only reads among them are in flight together. While one of them
-waits for a server that has no room, those behind it for the same server wait here.
+Commands of one connection may be pipelined. Commands for different slots are in flight at the same
+time. Commands for one slot keep their order, and only reads may be in flight together. While a
+command waits for a server without capacity, later ones for the same server are delayed.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from orchidgap.resp.session import Session
 from orchidgap.resp.writers import encode_bulk, encode_command, encode_error
 
-MAX_QUEUED_REPLIES = 1_024  # commands of one connection that wait for their reply
-MAX_QUEUED_BYTES = 1 << 20  # of replies that one connection may have coming
-# Bytes of a reply until its size is known: few commands are let out before that.
+MAX_QUEUED_REPLIES = 1_024  # commands of one connection without a written reply
+MAX_QUEUED_BYTES = 1 << 20  # expected size of one connection's outstanding replies
+# Initial estimate of a reply's size: few commands are accepted until replies have been measured.
 FIRST_REPLY_BYTES = MAX_QUEUED_BYTES // 16
 REPLY_SIZE_SMOOTHING = 8
-WRITE_CHECK_INTERVAL_US = 20_000  # while a client does not read
+WRITE_CHECK_INTERVAL_US = 20_000  # while a client does not read its replies
 MAX_SHOWN_BYTES = 60  # of a command's name in an error
 COMMANDS_BEFORE_LOGIN = (b"AUTH", b"HELLO", b"QUIT", b"RESET")
 REJECTIONS = {
@@ -39,27 +39,28 @@
     """One connection from a client.
 
     Attributes:
-        config: how the balancer speaks RESP.
-        session: what the client told about itself.
-        reader: what arrives from it.
-        replies: places of the commands that are not answered, in order.
-        in_flight_by_slot: replies of forwarded commands that are not answered, by slot, in order.
-        held_by_owner: replies of commands that are not forwarded yet, as one before them waits for
-            the same server.
-        room_at_us: when an answer last made room for further commands.
-        smoothed_reply_bytes: how large its replies are.
-        waiting_by_owner: the reply of the last forwarded command that waited, by server.
-        command_count: commands that were forwarded.
+        config: the RESP configuration.
+        session: user, client name and protocol version.
+        reader: the parser of received bytes.
+        replies: replies that are not written yet, in the order of their commands.
+        in_flight_by_slot: replies of unanswered commands for servers, by slot, in order; includes
+            commands that are not forwarded yet.
+        delayed_by_owner: replies of commands that are delayed while an earlier one waits for the
+            same server, by server.
+        capacity_freed_at_us: when written replies last freed capacity for further commands.
+        smoothed_reply_bytes: moving average of the reply size.
+        waiting_by_owner: the reply of the last forwarded command that had to wait, by server.
+        command_count: commands for servers so far, counting each part of a split command.
     """
 
     __slots__ = (
+        "capacity_freed_at_us",
         "command_count",
         "config",
-        "held_by_owner",
+        "delayed_by_owner",
         "in_flight_by_slot",
         "reader",
         "replies",
-        "room_at_us",
         "session",
         "smoothed_reply_bytes",
         "waiting_by_owner",
@@ -68,33 +69,33 @@
     def __init__(
         self, listener: ClientListener, sock: socket.socket, config: RespConfig, number: int
     ) -> None:
-        """Takes an accepted socket; `number` is the connection's own."""
+        """Starts on an accepted socket; `number` identifies the connection."""
         self.config = config
         self.session = Session(config, number)
         self.reader = RespReader()
         self.replies: deque[Reply] = deque()
         self.in_flight_by_slot: dict[int, list[Reply]] = {}
-        self.held_by_owner: dict[str, deque[Reply]] = {}
+        self.delayed_by_owner: dict[str, deque[Reply]] = {}
         self.waiting_by_owner: dict[str, Reply] = {}
-        self.room_at_us = 0
+        self.capacity_freed_at_us = 0
         self.smoothed_reply_bytes = FIRST_REPLY_BYTES
         self.command_count = 0
         super().__init__(listener, sock)
 
-    # --- what the listener asks
+    # --- called by the listener
 
     @property
     def request_begun(self) -> bool:
-        """Whether part of a command has arrived, or one is not answered."""
+        """Whether part of a command has arrived, or a command is not answered."""
         return self.reader.unread_bytes() > 0 or bool(self.replies)
 
     @property
     def requests_begun(self) -> int:
-        """How many commands were read, in part at least."""
+        """The number of commands that were read, including a partly received one."""
         return self.requests_read + (self.reader.unread_bytes() > 0)
 
     def reject(self, status: int) -> None:
-        """Tells the client why nothing more is taken from it, and ends the connection."""
+        """Sends an error reply with the reason and closes the connection."""
         self.listener.awaiting_request.pop(self, None)
         if self.conn.is_open and not self.conn.closing:
             self.listener.counts.rejections[status] += 1
@@ -102,48 +103,48 @@
             self.finish()
 
     def on_disconnect(self) -> None:
-        """The client has gone: its commands are of no use any more."""
+        """Discards the client's commands after it has disconnected."""
         replies = list(self.replies)
         self.replies = deque()
         self.in_flight_by_slot = {}
-        self.held_by_owner = {}
+        self.delayed_by_owner = {}
         for reply in replies:
             reply.on_client_disconnect()
 
     def is_idle(self) -> bool:
-        """Whether nothing is owed to this client, and nothing of it waits to be read."""
+        """Returns whether no reply is outstanding and no received bytes are unread."""
         return not self.replies and super().is_idle()
 
-    # --- what replies ask
+    # --- called by replies
 
     @property
     def uses_resp3(self) -> bool:
-        """Whether the client speaks RESP 3."""
+        """Whether the client uses RESP 3."""
         return self.session.uses_resp3
 
     @property
     def received_at_us(self) -> int:
-        """When its last bytes arrived, by the loop's clock."""
+        """When the last bytes arrived, by the loop's clock."""
         return self.conn.received_at_us
 
     def on_reply(self, reply: Reply) -> None:
-        """Writes what is answered: a reply waits for all that were asked for before it."""
+        """Writes the encoded replies up to the first unanswered command."""
         ready = []
         while self.replies and self.replies[0].encoded is not None:
             encoded = self.replies.popleft().encoded or b""
             ready.append(encoded)
             difference = len(encoded) - self.smoothed_reply_bytes
             self.smoothed_reply_bytes += difference // REPLY_SIZE_SMOOTHING
-        self.room_at_us = self.listener.loop.now
+        self.capacity_freed_at_us = self.listener.loop.now
         self.requests_answered += len(ready)
         if ready and self.conn.is_open:
             self.conn.send(b"".join(ready))
-        may_go_on = self.conn.read_paused or not self.replies
-        if self.conn.is_open and not self.conn.closing and may_go_on:
+        may_resume = self.conn.read_paused or not self.replies
+        if self.conn.is_open and not self.conn.closing and may_resume:
             self.listener.loop.call_soon(self.process_input)
 
     def on_forwarded_reply(self, reply: Reply) -> None:
-        """Lets the next commands for its slot go, once this call is over."""
+        """Schedules the forwarding of commands that the answered one has blocked."""
         in_flight = self.in_flight_by_slot.get(reply.slot, [])
         if reply in in_flight:
             in_flight.remove(reply)
@@ -151,22 +152,22 @@
             self.listener.loop.call_soon(self.forward_next, reply.slot)
         else:
             self.in_flight_by_slot.pop(reply.slot, None)
-        if self.held_by_owner:
-            self.listener.loop.call_soon(self.release_held)
+        if self.delayed_by_owner:
+            self.listener.loop.call_soon(self.forward_delayed)
 
     # --- commands
 
     def received(self, view: memoryview) -> None:
-        """Takes bytes from the client."""
+        """Parses the client's bytes and handles the commands in them."""
         self.listener.idle.pop(self, None)
         self.reader.feed(view)
         self.process_input()
 
     def process_input(self) -> None:
-        """Handles what has arrived, as far as there is room for the replies."""
+        """Handles received commands until the limits on outstanding replies are reached."""
         while self.conn.is_open and not self.conn.closing:
             if len(self.conn.write_buffer) > MAX_QUEUED_BYTES:
-                # Nobody tells when the client reads on.
+                # No event reports that the client reads again, so the buffer is polled.
                 self.conn.pause_reading(True)
                 self.listener.loop.call_later(WRITE_CHECK_INTERVAL_US, self.check_write_buffer)
                 return
@@ -185,12 +186,15 @@
             self.after_input()
 
     def has_full_queue(self) -> bool:
-        """Whether no further command may wait for its reply."""
+        """Returns whether the limits on outstanding replies are reached."""
         expected_bytes = len(self.replies) * self.smoothed_reply_bytes
         return len(self.replies) >= MAX_QUEUED_REPLIES or expected_bytes > MAX_QUEUED_BYTES
 
     def after_input(self) -> None:
-        """All whole commands are handled: ends the connection, waits for the rest, or rests."""
+        """Closes the connection, waits for the rest of a command, or marks the connection as idle.
+
+        Called when all complete commands have been handled.
+        """
         if self.reader.error:
             reply = Reply(self)
             self.replies.append(reply)
@@ -209,24 +213,24 @@
             self.listener.trim_idle()
 
     def has_input(self) -> bool:
-        """Whether a part of a command is here, or bytes are to be read."""
+        """Returns whether a partial command is buffered or the socket has unread bytes."""
         return bool(self.reader.unread_bytes()) or self.conn.has_unread_bytes()
 
     def check_write_buffer(self) -> None:
-        """Goes on if the client has read what was written."""
+        """Resumes processing if the client has read enough of the written replies."""
         if self.conn.is_open and self.conn.read_paused:
             self.process_input()
 
     def handle_command(self, words: list[bytes]) -> None:
-        """Answers a command here, or forwards it."""
+        """Answers a command locally, or forwards it."""
         name = words[0].upper()
         reply = Reply(self)
         self.replies.append(reply)
         if self.session.user is None and name not in COMMANDS_BEFORE_LOGIN:
             reply.set_encoded(encode_error("NOAUTH Authentication required."))
             return
-        if local := self.run_local(name, words):
-            reply.set_encoded(local)
+        if local_reply := self.run_local(name, words):
+            reply.set_encoded(local_reply)
             return
         command = COMMANDS.get(name)
         if command is None:
@@ -242,7 +246,7 @@
             self.forward_by_slots(reply, command, words)
 
     def run_local(self, name: bytes, words: list[bytes]) -> bytes | None:
-        """Returns the reply to a command that needs no host, None for another one."""
+        """Returns the reply to a command that needs no host, or None for any other command."""
         if name == b"QUIT":
             self.listener.loop.call_soon(self.finish)
             return OK
@@ -252,11 +256,11 @@
                 b"# Clients\r\nconnected_clients:%d\r\n# Cluster\r\ncluster_enabled:1\r\n"
                 % len(self.listener.open_clients)
             )
-        local = LOCAL_COMMANDS.get(name)
-        return local(self.session, words) if local else None
+        handler = LOCAL_COMMANDS.get(name)
+        return handler(self.session, words) if handler else None
 
     def forward_by_slots(self, reply: Reply, command: Command, words: list[bytes]) -> None:
-        """Forwards a command, in parts where its keys are in several slots."""
+        """Forwards a command, split into parts if its keys are in several slots."""
         keys = keys_of(command, words)
         positions_by_slot: dict[int, list[int]] = {}
         for position, key in enumerate(keys):
@@ -278,7 +282,7 @@
     def forward(
         self, reply: Reply, command: Command, words: list[bytes], key: bytes, slot: int
     ) -> None:
-        """Forwards a command for one slot, when those before it allow."""
+        """Forwards a command for one slot as soon as earlier commands permit it."""
         self.command_count += 1
         request_id = b"%d-%d" % (self.session.number, self.command_count)
         request_class = self.config.write_class if command.is_write else self.config.read_class
@@ -302,19 +306,19 @@
         self.forward_if_allowed(in_flight, reply)
 
     def forward_if_allowed(self, in_flight: list[Reply], reply: Reply) -> None:
-        """Forwards a command, unless one before it for the same slot has to be answered first."""
+        """Forwards a command, unless an earlier one for its slot has to be answered first."""
         earlier = in_flight[: in_flight.index(reply)]
         all_are_reads = not reply.is_write and not any(other.is_write for other in earlier)
-        if reply.forward and not reply.is_held and (not earlier or all_are_reads):
-            self.forward_or_hold(reply)
+        if reply.forward and not reply.is_delayed and (not earlier or all_are_reads):
+            self.forward_or_delay(reply)
 
-    def forward_or_hold(self, reply: Reply) -> None:
-        """Forwards a command unless one before it waits for the same server."""
+    def forward_or_delay(self, reply: Reply) -> None:
+        """Forwards a command, or delays it if an earlier one waits for the same server."""
         owner = self.listener.handler.slot_owner(reply.slot)
-        held = self.held_by_owner.get(owner)
-        if held or self.has_waiting(owner):
-            reply.is_held = True
-            self.held_by_owner.setdefault(owner, deque()).append(reply)
+        delayed = self.delayed_by_owner.get(owner)
+        if delayed or self.has_waiting(owner):
+            reply.is_delayed = True
+            self.delayed_by_owner.setdefault(owner, deque()).append(reply)
             return
         forward = reply.forward
         reply.forward = None
@@ -324,26 +328,26 @@
             self.waiting_by_owner[owner] = reply
 
     def has_waiting(self, owner: str) -> bool:
-        """Whether a command that was forwarded waits for this server to have room."""
+        """Returns whether a forwarded command waits for capacity at this server."""
         reply = self.waiting_by_owner.get(owner)
         return reply is not None and reply.awaits_host
 
-    def release_held(self) -> None:
-        """Forwards the commands that nothing waits before any more."""
-        for owner in list(self.held_by_owner):
+    def forward_delayed(self) -> None:
+        """Forwards delayed commands for servers that no earlier command waits for any more."""
+        for owner in list(self.delayed_by_owner):
             while self.conn.is_open and not self.has_waiting(owner):
-                held = self.held_by_owner.pop(owner, None)
-                if not held:
+                delayed = self.delayed_by_owner.pop(owner, None)
+                if not delayed:
                     break
-                reply = held.popleft()
-                reply.is_held = False
+                reply = delayed.popleft()
+                reply.is_delayed = False
                 reply.turn_at_us = self.listener.loop.now
-                self.forward_or_hold(reply)
-                if held:
-                    self.held_by_owner.setdefault(owner, deque()).extend(held)
+                self.forward_or_delay(reply)
+                if delayed:
+                    self.delayed_by_owner.setdefault(owner, deque()).extend(delayed)
 
     def forward_next(self, slot: int) -> None:
-        """Forwards what waits for a slot and may go now."""
+        """Forwards the commands for a slot that no earlier command blocks any more."""
         now_us = self.listener.loop.now
         for reply in self.in_flight_by_slot.get(slot, ()):
             if reply.forward:
--- a/orchidgap/resp/session.py
+++ b/orchidgap/resp/session.py
@@ -1,4 +1,4 @@
-"""What one client has told about itself: who it is, its name, its version of RESP."""
+"""The session state of one client connection: user, client name and version of RESP."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class Session:
-    """The state of one connection that commands without a host read and change.
+    """The state of one connection that local commands read and change.
 
     Attributes:
-        config: how the balancer speaks RESP.
+        config: the RESP configuration.
         number: the connection's number.
-        uses_resp3: the client speaks RESP 3.
-        client_name: the name it gave itself.
-        user: who logged in, None for nobody.
-        tenant: whose requests its are.
+        uses_resp3: whether the client uses RESP 3.
+        client_name: the name that the client set with CLIENT SETNAME or HELLO.
+        user: the user that is logged in; None if there is none.
+        tenant: the tenant that the client's requests count for.
     """
 
     def __init__(self, config: RespConfig, number: int) -> None:
-        """Starts as a new connection does: in RESP 2, without a name."""
+        """Starts in RESP 2 without a client name."""
         self.config = config
         self.number = number
         self.uses_resp3 = False
@@ -33,21 +33,22 @@
         self.tenant = config.users[DEFAULT_USER].tenant if config.is_open else ""
 
     def log_in(self, user: bytes, secret: bytes) -> bool:
-        """Returns whether the pair is known.
+        """Logs a user in and returns whether the user and secret were valid.
 
-        It takes the same time whichever of the two is wrong: an attacker must not learn names.
+        A wrong user and a wrong secret take the same time, so that an attacker cannot find out
+        which users exist.
         """
-        known = self.config.users.get(user, UNKNOWN_USER)
-        expected = known.secret_digest or NO_SECRET_DIGEST
+        entry = self.config.users.get(user, UNKNOWN_USER)
+        expected = entry.secret_digest or NO_SECRET_DIGEST
         matches = hmac.compare_digest(sha256(secret).hexdigest(), expected)
-        succeeded = matches and bool(known.secret_digest)
+        succeeded = matches and bool(entry.secret_digest)
         if succeeded:
             self.user = user
-            self.tenant = known.tenant
+            self.tenant = entry.tenant
         return succeeded
 
     def reset(self) -> None:
-        """Forgets what the client told."""
+        """Resets the state that the client has set."""
         self.uses_resp3 = False
         self.client_name = b""
         if not self.config.is_open:
--- a/orchidgap/resp/slot_discovery.py
+++ b/orchidgap/resp/slot_discovery.py
@@ -1,4 +1,4 @@
-"""Which server owns which slot: asked of the servers, and joined with what discovery tells."""
+"""Discovery of slot owners: combines the servers' own slot map with the discovery host list."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from orchidgap.resp.writers import encode_command
 
 CHECK_INTERVAL_US = 100_000
-MAX_MAP_BYTES = 1 << 22  # each of 16,384 slots may be a range of its own
-ANSWER_TIMEOUT_US = 1_000_000  # for a server to answer with its map
+MAX_MAP_BYTES = 1 << 22  # sufficient if each of the 16,384 slots is a range of its own
+ANSWER_TIMEOUT_US = 1_000_000  # limit for a server to return its slot map
 CLUSTER_SLOTS = encode_command(b"CLUSTER", b"SLOTS")
 READY = "up"
 DRAINING = "draining"
@@ -30,7 +30,7 @@
 def parse_cluster_slots(item: Item) -> tuple[list[SlotRange], list[str]]:
     """Returns the ranges in an answer to CLUSTER SLOTS, and the addresses of all servers in it.
 
-    Raises ValueError for another form.
+    Raises ValueError if the answer has any other form.
 
     >>> ranges, names = parse_cluster_slots(
     ...     [[0, 9, [b"127.0.0.1", 7000, b"id"], [b"127.0.0.1", 7001, b"id2"]],
@@ -41,26 +41,26 @@
     ['127.0.0.1:7000', '127.0.0.1:7001']
     """
     if not isinstance(item, list):
-        raise ValueError("no list of slots")  # noqa: TRY004 - a value from outside
+        raise ValueError("the answer is not a list of slot ranges")  # noqa: TRY004 - a value from outside
     ranges = []
     names = dict[str, None]()
     for row in item:
         if not isinstance(row, list) or len(row) < 3:
-            raise ValueError("no range of slots")
+            raise ValueError("an entry is not a slot range")
         first, last, *servers = row
         if not isinstance(first, int) or not isinstance(last, int):
-            raise ValueError("no range of slots")  # noqa: TRY004 - a value from outside
-        found = [name for server in servers if (name := server_name(server)) is not None]
-        names |= dict.fromkeys(found)
-        if found:
-            ranges.append(SlotRange(first, last, found[0]))
+            raise ValueError("an entry is not a slot range")  # noqa: TRY004 - a value from outside
+        valid_names = [name for server in servers if (name := server_name(server)) is not None]
+        names |= dict.fromkeys(valid_names)
+        if valid_names:
+            ranges.append(SlotRange(first, last, valid_names[0]))
     return ranges, list(names)
 
 
 def server_name(server: Item) -> str | None:
-    """Returns the address of a server as text, None where it is no address.
+    """Returns the address of a server as text, or None if it is not an IP address and port.
 
-    A host name would have to be looked up, and an empty one says nothing.
+    A host name would need a DNS lookup, and an empty host identifies no server.
     """
     if not isinstance(server, list) or len(server) < 2:
         return None
@@ -76,18 +76,20 @@
 
 
 class SlotDiscovery:
-    """The discovery of a node before slot servers.
+    """Discovery for a node whose hosts are slot servers.
+
+    A server's name is its address as text.
 
     Attributes:
-        node: the node that is told of servers.
-        slots: the map of slots.
-        secret: words for AUTH, none where the servers ask for none.
-        seeds: servers to begin with, by name.
-        servers: all servers that a map, seed, redirection or discovery named.
-        states: what discovery says of addresses, where there is one.
-        addresses: where discovery last said that its hosts are, by its ids.
-        announced: what the node was told last.
-        attempts: maps that were asked for: each server is asked in turn.
+        node: the node that is notified of servers.
+        slots: the slot map.
+        secret: arguments of AUTH; empty if the servers require no authentication.
+        seeds: the configured servers, by name.
+        servers: all servers from the slot map, seeds, redirections and discovery, by name.
+        states: the state of each address according to discovery, if a discovery is configured.
+        addresses: the last address of each host in discovery's lists, by discovery's host id.
+        reported_states: the states last reported to the node, by server name.
+        refresh_count: slot map requests so far; selects the server for the next one (round robin).
     """
 
     def __init__(
@@ -98,7 +100,7 @@
         secret: tuple[bytes, ...],
         dial: Dial,
     ) -> None:
-        """Starts with the seeds; nothing is asked for before `fetch`."""
+        """Starts with the seeds as the only servers."""
         self.node = node
         self.slots = slots
         self.secret = secret
@@ -108,8 +110,8 @@
         self.servers = dict(self.seeds)
         self.states: dict[Address, str] = {}
         self.addresses: dict[str, Address] = {}
-        self.announced: dict[str, str] = {}
-        self.attempts = 0
+        self.reported_states: dict[str, str] = {}
+        self.refresh_count = 0
         self.conn: Connection | None = None
         self.reader = RespReader(MAX_MAP_BYTES)
         self.timer: Timer | None = None
@@ -129,23 +131,24 @@
     # --- servers
 
     def fetch(self) -> None:
-        """Begins to ask discovery and the servers."""
+        """Starts fetching the host list and the slot map."""
         if self.discovery:
             self.discovery.fetch()
-        self.announce()
+        self.report_servers()
         self.refresh_map()
 
     def move(self, address: Address) -> None:
-        """Asks another discovery from now on."""
+        """Switches to another discovery address."""
         if self.discovery:
             self.discovery.move(address)
 
     def on_list(
         self, is_whole: bool, entries: list[EndpointEntry], endpoints: list[Endpoint]
     ) -> None:
-        """Takes discovery's word on states; its ids are not the cluster's, addresses are.
+        """Applies a host list from discovery to the servers' states.
 
-        A host that has gone is told of without its address, which an earlier list has told.
+        Servers are matched by address, as discovery's ids differ from the cluster's. The entry of a
+        host that has gone has no address, so the address from an earlier list is used.
         """
         if is_whole:
             listed = {endpoint.host for endpoint in endpoints}
@@ -154,41 +157,41 @@
                 host: address for host, address in self.addresses.items() if host in listed
             }
         for endpoint in endpoints:
-            self.note_state(endpoint)
+            self.record_state(endpoint)
         for entry, (_, state, address) in zip(entries, endpoints):
             _, port = address
             if state == READY and entry[4] != ORIGIN_KIND and port:
                 self.servers.setdefault(format_address(address), address)
-        self.announce()
+        self.report_servers()
 
-    def note_state(self, endpoint: Endpoint) -> None:
-        """Keeps the state of an address, which goes by the host that was told to be there last.
+    def record_state(self, endpoint: Endpoint) -> None:
+        """Records the state of an address, which is the state of the host last listed there.
 
-        Where a host is gone, another one may have taken its address. If none has, its server counts
-        as draining while the map names it: nobody waits for another owner of its slots, and what is
-        under way there may end.
+        The address of a host that has gone may belong to another host by now. If it does not, its
+        server counts as draining while the slot map names it: commands for its slots do not wait
+        for another owner, and commands in flight there may finish.
         """
         host, state, address = endpoint
         if address != NO_ADDRESS:
             self.addresses[host] = address
-        known = self.addresses.get(host)
-        if known is None:
+        known_address = self.addresses.get(host)
+        if known_address is None:
             return
         if state != GONE:
-            self.states[known] = state
+            self.states[known_address] = state
             return
         del self.addresses[host]
-        if known not in self.addresses.values():
-            self.states[known] = DRAINING
+        if known_address not in self.addresses.values():
+            self.states[known_address] = DRAINING
 
-    def announce(self) -> None:
-        """Tells the node of servers, if something has changed."""
+    def report_servers(self) -> None:
+        """Reports the servers and their states to the node if they have changed."""
         states = {
             name: self.states.get(address, READY) for name, address in sorted(self.servers.items())
         }
-        if states == self.announced:
+        if states == self.reported_states:
             return
-        self.announced = states
+        self.reported_states = states
         entries = [
             EndpointEntry(name, state, 0, "", SLOT_SERVER_KIND, name, 1.0)
             for name, state in states.items()
@@ -197,68 +200,68 @@
         self.node.on_list(True, entries, endpoints)
 
     def on_redirect(self, redirect: Redirect) -> None:
-        """A server named another one for a slot."""
+        """Adds the target of a redirection, and updates the map (MOVED) or requests it (ASK)."""
         name = format_address(redirect.address)
         if name not in self.servers:
             self.servers[name] = redirect.address
-            self.announce()
+            self.report_servers()
         if redirect.once:
             self.slots.request_refresh(self.loop.now)
         else:
             self.slots.set_owner(redirect.slot, name, self.loop.now)
 
-    def on_doubt(self) -> None:
-        """Something does not fit the map."""
+    def on_map_mismatch(self) -> None:
+        """Requests a new slot map, as the current one may be out of date."""
         self.slots.request_refresh(self.loop.now)
 
-    # --- the map
+    # --- slot map
 
     def check(self) -> None:
-        """Asks for the map where that is due; called at intervals."""
+        """Refreshes the slot map if that is due; called at intervals."""
         self.refresh_map()
         self.loop.call_later(CHECK_INTERVAL_US, self.check)
 
     def refresh_map(self) -> None:
-        """Asks one server for its map, if that is due and no call is pending."""
+        """Requests the slot map from one server if a refresh is due and none is in progress."""
         if self.conn is not None or not self.servers:
             return
         if not self.slots.start_refresh_if_due(self.loop.now):
             return
         names = sorted(self.servers)
-        name = names[self.attempts % len(names)]
-        self.attempts += 1
+        name = names[self.refresh_count % len(names)]
+        self.refresh_count += 1
         sock = self.dial(self.servers[name])
         if isinstance(sock, AttemptFailure):
             self.slots.on_refresh_failed(self.loop.now)
             return
         self.reader = RespReader(MAX_MAP_BYTES)
         self.conn = Connection(self.loop, sock, self, opening=True)
-        self.timer = self.loop.call_later(ANSWER_TIMEOUT_US, self.ended, "silence")
+        self.timer = self.loop.call_later(ANSWER_TIMEOUT_US, self.ended, "answer timeout")
         if self.secret:
             self.conn.send(encode_command(b"AUTH", *self.secret))
         self.conn.send(CLUSTER_SLOTS)
 
     def opened(self) -> None:
-        """The connection has come up."""
+        """Does nothing when the connection is established: the request is already buffered."""
 
     def received(self, view: memoryview) -> None:
-        """Takes bytes from the server."""
+        """Reads answers from the server's bytes."""
         self.reader.feed(view)
         while self.conn and (item := self.reader.read_item()) is not None:
             is_answer_to_auth = item[:1] == b"+"
             if not is_answer_to_auth:
                 self.on_map(item)
         if self.conn and self.reader.error:
-            self.ended("no proper answer")
+            self.ended("malformed answer")
 
     def on_map(self, item: bytes) -> None:
-        """Takes the map of a server."""
+        """Replaces the slot map and the list of servers by an answer to CLUSTER SLOTS."""
         try:
             ranges, names = parse_cluster_slots(decode_item(item))
         except (ValueError, IndexError, RecursionError):
             ranges = []
         if not ranges:
-            self.ended("no map")
+            self.ended("no slot map in the answer")
             return
         unknown_before = self.slots.unknown_slot_count()
         failures_before = self.slots.refresh_failures
@@ -273,24 +276,24 @@
         unknown = self.slots.unknown_slot_count()
         if unknown != unknown_before or failures_before or self.slots.conflicting_slot_count:
             self.log_map(ranges, unknown)
-        self.announce()
+        self.report_servers()
         self.node.call_decisions(self.node.balancer.drain_queues)
 
     def log_map(self, ranges: list[SlotRange], unknown_slots: int) -> None:
-        """Logs how complete the map is."""
+        """Logs how complete the slot map is."""
         owners = len({entry.owner for entry in ranges})
         conflicts = self.slots.conflicting_slot_count
         self.node.event_log("slots", owners=owners, holes=unknown_slots, clashes=conflicts)
 
     def ended(self, what: str) -> None:
-        """A call has failed; the map that is known still applies."""
+        """Handles a failed request; the current slot map stays in use."""
         self.close_connection()
         self.slots.on_refresh_failed(self.loop.now)
-        if not any(name in self.servers for name in self.announced):
+        if not any(name in self.servers for name in self.reported_states):
             self.servers |= self.seeds
 
     def close_connection(self) -> None:
-        """Ends the call, if one is pending."""
+        """Closes the connection of the request in progress, if there is one."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
--- a/orchidgap/resp/slot_server_connection.py
+++ b/orchidgap/resp/slot_server_connection.py
@@ -1,4 +1,4 @@
-"""One pipelined connection to a slot server. Answers come in the order of what was written."""
+"""One pipelined connection to a slot server, which answers commands in the order written."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from orchidgap.resp.redirects import Redirect, parse_redirect
 from orchidgap.resp.writers import encode_command
 
-# Errors that promise that the command was not executed.
+# Error replies that guarantee that the command was not executed.
 NOT_EXECUTED_ERRORS = (
     b"-TRYAGAIN",
     b"-CLUSTERDOWN",
@@ -31,60 +31,62 @@
 
 
 class SlotServerPool(Protocol):
-    """What a connection needs of the pool that it belongs to."""
+    """The part of a pool that its connections use."""
 
     @property
     def loop(self) -> Loop:
-        """The loop that events come from."""
+        """The event loop of the pool."""
 
     @property
     def connect_timeout_us(self) -> int:
-        """How long a connection may take to come up, in microseconds."""
+        """The limit for establishing a connection, in microseconds."""
 
     @property
     def secret(self) -> tuple[bytes, ...]:
-        """Words for AUTH, none where the servers ask for none."""
+        """Arguments of AUTH; empty if the servers require no authentication."""
 
     @property
     def on_redirect(self) -> Callable[[Redirect], None]:
-        """Called with each redirection."""
+        """The callback for each redirection."""
 
     @property
-    def on_doubt(self) -> Callable[[], None]:
-        """Called where something does not fit the map of slots."""
+    def on_map_mismatch(self) -> Callable[[], None]:
+        """The callback for signs that the slot map is out of date."""
 
     def forget(self, connection: SlotServerConnection) -> None:
-        """The connection is closed."""
+        """Removes a closed connection."""
 
 
 class ExpectedAnswer:
-    """One answer that a connection waits for.
+    """One outstanding answer of a connection.
 
     Attributes:
-        attempt: whose it is; None for one given up, and for what was sent beside attempts.
-        start: bytes written on the connection before the command.
-        end: bytes written with it.
+        attempt: the attempt that the answer is for; None if the attempt was abandoned or the
+            command belongs to no attempt (AUTH, ASKING).
+        start: offset of the command's first byte in the connection's output.
+        end: offset after the command's last byte.
     """
 
     __slots__ = ("attempt", "end", "start")
 
     def __init__(self, attempt: UpstreamAttempt | None, start: int, end: int) -> None:
-        """Takes the attempt and where its command stands."""
+        """Stores the attempt and the byte range of its command."""
         self.attempt = attempt
         self.start = start
         self.end = end
 
 
 class SlotServerConnection:
-    """A connection and the answers that it waits for.
+    """A connection with its outstanding answers.
 
     Attributes:
         pool: the pool of its host.
-        expected: answers in the order they come.
-        unstarted: attempts to be written once it is up, in their order.
-        is_up: it has come up, and attempts are written as they come.
-        bytes_queued: bytes handed to the connection so far.
-        received_at_us: when something last arrived, or the oldest command was written.
+        expected: outstanding answers, in the order in which they will arrive.
+        unstarted: attempts to write once the connection is established, in order.
+        is_up: the connection is established, and attempts are written at once.
+        bytes_queued: bytes passed to `conn` so far, whether written or buffered.
+        received_at_us: when bytes last arrived, or when a command was written with no answer
+            outstanding, whichever is later.
     """
 
     __slots__ = (
@@ -101,7 +103,7 @@
     )
 
     def __init__(self, pool: SlotServerPool, sock: socket.socket) -> None:
-        """Takes a socket that is connecting."""
+        """Starts on a socket that is still connecting."""
         self.pool = pool
         self.loop = pool.loop
         self.reader = RespReader()
@@ -112,7 +114,7 @@
         self.received_at_us = self.loop.now
         self.conn = Connection(self.loop, sock, self, opening=True)
         self.timer: Timer | None = self.loop.call_later(
-            pool.connect_timeout_us, self.ended, "never came up"
+            pool.connect_timeout_us, self.ended, "connect timeout"
         )
         if pool.secret:
             self.write(None, encode_command(b"AUTH", *pool.secret))
@@ -120,7 +122,7 @@
     # --- commands
 
     def write(self, attempt: UpstreamAttempt | None, command: bytes) -> None:
-        """Writes a command and expects its answer."""
+        """Writes a command and records that its answer is outstanding."""
         if not self.expected:
             self.received_at_us = self.loop.now
         start = self.bytes_queued
@@ -130,11 +132,11 @@
 
     @property
     def load(self) -> int:
-        """How many answers it waits for, or will."""
+        """The number of outstanding answers and unwritten attempts."""
         return len(self.expected) + len(self.unstarted)
 
     def start_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Writes an attempt, or keeps it until the connection has come up."""
+        """Writes an attempt, or queues it until the connection is established."""
         attempt.carrier = self
         if self.is_up:
             self.write_attempt(attempt)
@@ -142,11 +144,11 @@
             self.unstarted.append(attempt)
 
     def write_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Writes an attempt, unless it is no longer wanted."""
+        """Writes an attempt, unless its owner has cancelled it."""
         if not attempt.owner.may_send(attempt.number):
             self.settle_unsent(attempt, "cancelled")
             return
-        if attempt.asking:  # on the same connection, with nothing in between
+        if attempt.asking:  # ASKING applies only to the next command on the same connection
             self.write(None, ASKING)
         if self.conn.is_open:
             self.write(attempt, attempt.head)
@@ -154,16 +156,16 @@
             self.settle_unsent(attempt, "broken")
 
     def settle_unsent(self, attempt: UpstreamAttempt, cause: str) -> None:
-        """Tells the owner of an attempt, after the call under way, that nothing was written."""
+        """Notifies an attempt, after the current call has returned, that nothing was written."""
         attempt.carrier = None
         failure = AttemptFailure(SendProgress.UNSENT, cause)
         self.loop.call_soon(attempt.settle, failure.outcome)
 
     def drop(self, attempt: UpstreamAttempt) -> SendProgress:
-        """Gives an attempt up and returns how much of it was written.
+        """Abandons an attempt and returns how much of it was written.
 
-        Its answer, should it come, belongs to nobody; the others on this connection go on. What
-        waits to be written is written all the same, so the command may yet execute.
+        Its answer is discarded if it arrives; other commands on the connection are not affected.
+        Bytes in the write buffer are still written, so the command may still execute.
         """
         if attempt in self.unstarted:
             self.unstarted.remove(attempt)
@@ -175,7 +177,7 @@
         return SendProgress.COMPLETE
 
     def send_progress(self, answer: ExpectedAnswer) -> SendProgress:
-        """How much of a command has been written."""
+        """Returns how much of a command has been written to the socket."""
         if self.conn.bytes_written >= answer.end:
             return SendProgress.COMPLETE
         if self.conn.bytes_written > answer.start:
@@ -183,16 +185,16 @@
         return SendProgress.UNSENT
 
     def opened(self) -> None:
-        """The connection has come up."""
+        """Starts writing once the connection is established."""
         self.cancel_timer()
         if self.loop.is_stalled:
-            # the server may drain by now, and the list that tells it may wait to be read
+            # The server may be draining by now, and the host list that reports it may be unread.
             self.loop.call_next_turn(self.start)
         else:
             self.start()
 
     def start(self) -> None:
-        """Writes the attempts that waited for the connection."""
+        """Writes the attempts that were queued until the connection was established."""
         self.is_up = True
         waiting = self.unstarted
         self.unstarted = []
@@ -200,7 +202,7 @@
             self.write_attempt(attempt)
 
     def cancel_timer(self) -> None:
-        """Stops the timer, if one runs."""
+        """Cancels the connect timer, if it is running."""
         if self.timer:
             self.timer.cancel()
             self.timer = None
@@ -208,15 +210,15 @@
     # --- answers
 
     def received(self, view: memoryview) -> None:
-        """Takes bytes from the server."""
+        """Reads answers from the server's bytes and settles their attempts."""
         self.reader.feed(view)
         self.received_at_us = self.loop.now
         while (item := self.reader.read_item()) is not None:
-            if item[:1] == PUSH:  # it answers nothing
+            if item[:1] == PUSH:  # a push message answers no command
                 continue
             if not self.expected:
-                # What this server would answer next could not be trusted.
-                self.ended("spoke unasked")
+                # Later answers could no longer be matched to their commands.
+                self.ended("unexpected answer")
                 return
             answer = self.expected.popleft()
             if answer.attempt:
@@ -224,26 +226,27 @@
             if not self.conn.is_open:
                 return
         if self.reader.error:
-            self.ended("no proper answer")
+            self.ended("malformed answer")
 
     def settle(self, attempt: UpstreamAttempt, item: bytes) -> None:
-        """Tells an attempt its answer."""
+        """Passes an answer to its attempt; reports redirections and refusals to the pool."""
         if redirect := parse_redirect(item):
             self.pool.on_redirect(redirect)
             attempt.redirect_host = format_address(redirect.address)
             attempt.redirect_once = redirect.once
             attempt.settle(AttemptOutcome.REDIRECTED, item)
         elif item.startswith(NOT_EXECUTED_ERRORS):
-            self.pool.on_doubt()
+            self.pool.on_map_mismatch()
             attempt.settle(AttemptOutcome.QUEUE_FULL, item)
         else:
             attempt.settle(AttemptOutcome.DONE, item)
 
-    # --- the end
+    # --- closing
 
     def ended(self, what: str) -> None:
-        """The connection has ended: what was written whole may have executed, the rest never
-        did.
+        """Closes the connection and fails its attempts.
+
+        A command that was written in full may have executed; any other did not execute.
         """
         cause = connect_failure_cause(what) if self.conn.connecting else "broken"
         failures = [
@@ -257,13 +260,13 @@
         self.expected.clear()
         self.unstarted.clear()
         self.close()
-        self.pool.on_doubt()
+        self.pool.on_map_mismatch()
         for attempt, failure in failures:
             if attempt:
                 self.loop.call_soon(attempt.settle, failure.outcome)
 
     def close(self) -> None:
-        """Closes the connection; nothing is told."""
+        """Closes the connection without notifying its attempts."""
         self.cancel_timer()
         self.conn.close()
         self.pool.forget(self)
--- a/orchidgap/resp/values.py
+++ b/orchidgap/resp/values.py
@@ -1,4 +1,4 @@
-"""Items of RESP as Python values: for maps of slots, and for tests. Answers pass undecoded."""
+"""Decodes RESP items to Python values, for slot maps and tests; answers are not decoded."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 )
 
 Item = None | bool | int | float | bytes | list["Item"] | dict[object, "Item"] | Exception
-VERBATIM_PREFIX_BYTES = 4  # of a verbatim string: its format and a colon
+VERBATIM_PREFIX_BYTES = 4  # three letters for the format and a colon
 
 
 class ErrorReply(Exception):  # noqa: N818 - the field's own term
-    """An error reply, as a value inside a decoded item."""
+    """An error reply as a value in a decoded item."""
 
 
 def decode_item(raw: bytes) -> Item:
-    r"""Returns one whole item as plain values.
+    r"""Returns one complete item as plain values.
 
-    Raises ValueError for what is not one whole item.
+    Raises ValueError if the bytes are not exactly one complete item.
 
     >>> decode_item(b"*3\r\n:1\r\n$-1\r\n%1\r\n+a\r\n#t\r\n")
     [1, None, {b'a': True}]
@@ -33,13 +33,13 @@
     data = bytearray(raw)
     end = item_end(data, 0, max(MAX_ITEM_BYTES, len(raw)))
     if end != len(raw):
-        raise ValueError("not one whole item")
+        raise ValueError("not exactly one complete RESP item")
     item, _ = decode_at(data, 0)
     return item
 
 
 def decode_at(data: bytearray, start: int) -> tuple[Item, int]:
-    """Returns the valid item at `start`, and where it ends."""
+    """Returns the item at `start`, which has to be valid, and the offset of its end."""
     kind = chr(data[start])
     line_end = data.index(CRLF, start)
     line = bytes(data[start + 1 : line_end])
@@ -52,7 +52,7 @@
     if kind in "$!=":
         body = bytes(data[position : position + size])
         return decode_bulk(kind, body), position + size + len(CRLF)
-    if kind == "|":  # attributes say nothing of the item behind them
+    if kind == "|":  # attributes are skipped: they do not change the value of the item that follows
         for _ in range(2 * size):
             _, position = decode_at(data, position)
         return decode_at(data, position)
@@ -64,7 +64,7 @@
 
 
 def decode_line(kind: str, line: bytes) -> Item:
-    """Returns the value of an item that is a line."""
+    """Returns the value of an item that consists of one line."""
     if kind == "+":
         return line
     if kind == "-":
@@ -86,7 +86,7 @@
 
 
 def decode_map(items: list[Item]) -> dict[object, Item]:
-    """Returns a map of keys and values that follow each other."""
+    """Returns alternating keys and values as a dictionary, with unhashable keys as `repr` text."""
     pairs: dict[object, Item] = {}
     for key, value in zip(items[::2], items[1::2]):
         is_hashable = isinstance(key, (bytes, int, bool, float))
--- a/orchidgap/resp/writers.py
+++ b/orchidgap/resp/writers.py
@@ -1,4 +1,4 @@
-"""Writers of RESP: commands, and items of replies. Nothing here does I/O."""
+"""Encoders for RESP commands and reply items. They do no I/O."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 def encode_bulk(text: bytes | None, resp3: bool = False) -> bytes:
-    """Returns a bulk string, or the null of the protocol's version."""
+    """Returns a bulk string, or the null of the protocol version."""
     if text is None:
         return b"_\r\n" if resp3 else b"$-1\r\n"
     return b"$%d\r\n%b\r\n" % (len(text), text)
 
 
 def encode_integer(number: int) -> bytes:
-    """Returns an integer."""
+    """Returns an integer item."""
     return b":%d\r\n" % number
 
 
 def encode_error(text: str) -> bytes:
-    """Returns an error reply; line breaks in the text would be read as more replies."""
+    """Returns an error reply with line breaks replaced, as they would start another reply."""
     return b"-%b\r\n" % text.replace("\r", " ").replace("\n", " ").encode()
 
 
--- a/orchidgap/wirehost/__init__.py
+++ b/orchidgap/wirehost/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions on the simulator's wire: many balancers in one process, sharing nothing.
+"""Adapter that runs the balancer's decisions behind an external simulator's line protocol.
 
-`words` has the wire's words, `messages` decodes what comes, `instance` is one balancer, `server`
-answers batches.
+One process runs many balancers that share no state. `words` defines the protocol's keywords,
+`messages` decodes messages, `instance` is one balancer, and `server` answers batches.
 """
--- a/orchidgap/wirehost/__main__.py
+++ b/orchidgap/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Speaks the simulator's wire on standard input and output."""
+"""Serves the simulator's line protocol on standard input and output."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Answer batches until the input ends; exits with one line where that is malformed."""
+    """Answer batches until the input ends; exit with a one-line error if a line is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedLineError as error:
--- a/orchidgap/wirehost/instance.py
+++ b/orchidgap/wirehost/instance.py
@@ -1,4 +1,4 @@
-"""One balancer of a simulation: messages go to its decisions, and its actions become lines."""
+"""One balancer of a simulation: applies messages to its decisions and encodes its actions."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class WirePort:
-    """What the decisions ask for, as lines of the reply under way.
+    """The port of the decisions, which encodes each action as a line of the next reply.
 
     Attributes:
-        lines: Those since the last reply.
+        lines: The lines since the last reply.
     """
 
     def __init__(self) -> None:
-        """Start with no lines."""
+        """Start without lines."""
         self.lines: list[str] = []
 
     def dispatch(self, request: int, host: str) -> None:
@@ -23,11 +23,11 @@
         self.lines.append(f"{words.DISPATCH} {request} {host} 0")
 
     def deny(self, request: int, retry_after_us: int) -> None:
-        """Final answer: a retry is harmless."""
+        """Answer finally that the request had no effect, so that a retry is harmless."""
         self.lines.append(f"{words.DENY} {request} {retry_after_us}")
 
     def abort(self, request: int) -> None:
-        """Final answer: it failed."""
+        """Answer finally that the request failed."""
         self.lines.append(f"{words.ABORT} {request}")
 
     def cancel(self, request: int, number: int) -> None:
@@ -35,15 +35,15 @@
         self.lines.append(f"{words.CANCEL} {request} {number}")
 
     def wake(self, delay_us: int, token: int) -> None:
-        """Call back after the delay."""
+        """Request a wake-up after the delay."""
         self.lines.append(f"{words.WAKE} {delay_us} {token}")
 
     def subscribe(self) -> None:
-        """Ask for the host list and its changes."""
+        """Subscribe to the host list and its changes."""
         self.lines.append(f"{words.SUBSCRIBE} 1")
 
     def log(self, line: str) -> None:
-        """Write one line for the operators."""
+        """Write one line to the operators' log."""
         self.lines.append(f"{words.LOG} {line}")
 
 
@@ -51,28 +51,28 @@
     """One balancer.
 
     Attributes:
-        port: Its actions.
-        balancer: Its decisions; None before it starts and after it ends.
+        port: The port that collects the balancer's actions.
+        balancer: The decisions; None before the start and after the end.
     """
 
     __slots__ = ("balancer", "port")
 
     def __init__(self) -> None:
-        """Wait for a start."""
+        """Begin without a balancer, until a `Start` message."""
         self.port = WirePort()
         self.balancer: Balancer | None = None
 
     def start(self, message: Start, now: int) -> None:
-        """Begin with these settings, in place of what it was before."""
+        """Create a balancer with these settings, replacing any earlier one."""
         self.balancer = Balancer(message.settings, self.port, message.seed, now)
 
     def end(self) -> None:
-        """Forget everything, actions too that nobody was told of."""
+        """Discard the balancer, and its actions that are not in a reply yet."""
         self.balancer = None
         self.port.lines.clear()
 
     def handle(self, message: Message, now: int) -> None:
-        """Act on a message; one that comes before a start is left aside."""
+        """Apply a message; messages before a start are ignored."""
         if isinstance(message, Start):
             self.start(message, now)
         elif isinstance(message, Exit):
--- a/orchidgap/wirehost/messages.py
+++ b/orchidgap/wirehost/messages.py
@@ -1,6 +1,6 @@
-"""The simulator's messages to an instance, decoded to typed values that call the decisions.
+"""Decodes the simulator's messages to typed values, which apply themselves to a balancer.
 
-Free of I/O. Times are whole microseconds.
+The module does no I/O. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 from orchidgap.errors import OrchidgapError
 from orchidgap.wirehost import words
 
-MAX_SHOWN_LETTERS = 80  # of a line that is malformed
+MAX_EXCERPT_LENGTH = 80  # of a malformed line in an error
 
 
 class MalformedLineError(OrchidgapError):
-    """A line that is not of this wire."""
+    """A line does not follow the simulator's protocol."""
 
 
 class Start(NamedTuple):
-    """The instance begins."""
+    """The instance starts."""
 
     seed: int
     settings: ServiceSettings
 
 
 class HostList(NamedTuple):
-    """The list of hosts has come, or calling for it failed."""
+    """A host list or a change to it arrived, or fetching it failed."""
 
     scope: ListScope
     entries: Sequence[HostEntry]
 
     def apply_to(self, balancer: Balancer) -> None:
-        """Have the decisions act on it."""
+        """Apply the message to the balancer."""
         balancer.on_hosts(self.scope, self.entries)
 
 
 class RequestArrived(NamedTuple):
-    """A request has come."""
+    """A request arrived."""
 
     request_id: int
     time_remaining_us: int
@@ -51,19 +51,19 @@
     tenant: str
 
     def apply_to(self, balancer: Balancer) -> None:
-        """Have the decisions act on it."""
+        """Apply the message to the balancer."""
         balancer.on_request(*self)
 
 
 class LoadReport(NamedTuple):
-    """What a host told of its load."""
+    """The load that a host reported."""
 
     host: str
-    request_rate: float | None  # requests a second
-    in_flight: float | None  # attempts that it holds
+    request_rate: float | None  # requests per second
+    in_flight: float | None  # attempts in progress at the host
 
     def apply_to(self, balancer: Balancer) -> None:
-        """Have the decisions act on it."""
+        """Apply the message to the balancer."""
         balancer.on_load_report(*self)
 
 
@@ -77,29 +77,29 @@
     load_report: LoadReport | None
 
     def apply_to(self, balancer: Balancer) -> None:
-        """Have the decisions act on it."""
+        """Apply the message to the balancer."""
         balancer.on_outcome(self.request_id, self.number, self.outcome, self.request_is_over)
         if self.load_report:
             self.load_report.apply_to(balancer)
 
 
 class ClientDisconnected(NamedTuple):
-    """The client of a request has gone."""
+    """The client of a request disconnected."""
 
     request_id: int
 
     def apply_to(self, balancer: Balancer) -> None:
-        """Have the decisions act on it."""
+        """Apply the message to the balancer."""
         balancer.on_client_disconnect(self.request_id)
 
 
 class TimerFired(NamedTuple):
-    """A wake-up that was asked for is due."""
+    """A requested wake-up is due."""
 
     token: int
 
     def apply_to(self, balancer: Balancer) -> None:
-        """Have the decisions act on it."""
+        """Apply the message to the balancer."""
         balancer.on_wake(self.token)
 
 
@@ -110,19 +110,19 @@
 MessageToBalancer = (
     HostList | RequestArrived | AttemptEnded | ClientDisconnected | TimerFired | LoadReport
 )
-Message = Start | Exit | MessageToBalancer | None  # None: it decides nothing
+Message = Start | Exit | MessageToBalancer | None  # None: no effect on decisions
 
 
 def decode_message(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> Message:
     """Decodes a message to an instance.
 
     Args:
-        parts: Its word and its fields, as many as `words.FIELD_COUNTS` says.
-        entry_lines: The lines of the host list that follow it.
+        parts: The keyword and the fields, with the count of `words.FIELD_COUNTS`.
+        entry_lines: The lines of the host list that follow the message.
 
     Raises:
-        MalformedLineError: A host entry, or a value, is not of this wire.
-        SettingError: A setting cannot be used.
+        MalformedLineError: A host entry or a value is malformed.
+        SettingError: A setting is invalid.
     """
     decode = _DECODERS.get(parts[0])
     if decode is None:
@@ -130,11 +130,11 @@
     try:
         return decode(parts, entry_lines)
     except (ValueError, KeyError):
-        raise MalformedLineError(f"bad value in {parts[0]}: {shown(' '.join(parts))}") from None
+        raise MalformedLineError(f"bad value in {parts[0]}: {excerpt(' '.join(parts))}") from None
 
 
 def decode_load(host: str, text: str) -> LoadReport | None:
-    """Decodes a load report; None where the host told nothing.
+    """Decodes a load report; returns None if the host reported nothing.
 
     >>> decode_load("c1", "tps:12.5,depth:3")
     LoadReport(host='c1', request_rate=12.5, in_flight=None)
@@ -150,9 +150,9 @@
     return LoadReport(host, values.get(words.REQUEST_RATE), values.get(words.IN_FLIGHT))
 
 
-def shown(line: str) -> str:
-    """The beginning of a line, for an error."""
-    return repr(line[:MAX_SHOWN_LETTERS])
+def excerpt(line: str) -> str:
+    """Returns the start of a line, quoted for an error message."""
+    return repr(line[:MAX_EXCERPT_LENGTH])
 
 
 def _decode_start(parts: Sequence[str], entry_lines: Sequence[Sequence[str]]) -> Start:
@@ -169,7 +169,7 @@
 def _decode_entry(parts: Sequence[str]) -> HostEntry:
     is_entry = len(parts) == words.HOST_ENTRY_PARTS and parts[0] == words.HOST_ENTRY
     if not is_entry or parts[5] not in words.HOST_STATES:
-        raise MalformedLineError(f"not a host entry: {shown(' '.join(parts))}")
+        raise MalformedLineError(f"invalid host entry: {excerpt(' '.join(parts))}")
     _, weight, started_at, zone, kind, state, cell, host = parts
     return (
         host,
--- a/orchidgap/wirehost/server.py
+++ b/orchidgap/wirehost/server.py
@@ -1,8 +1,8 @@
 """Answers the simulator's batches, one after another.
 
-A batch has the time, and messages to any of the instances; its reply has what each of them does
-then. A line that is not of this wire ends the program. An error in the decisions ends the
-simulation by the reply, with a text that tells of it.
+A batch contains the time and messages to any of the instances; its reply contains the resulting
+actions of each instance. A malformed line ends the program. An error in the decisions is sent in
+the reply as a fault with its text, which ends the simulation.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from orchidgap.errors import SettingError
 from orchidgap.wirehost import words
 from orchidgap.wirehost.instance import Instance
-from orchidgap.wirehost.messages import MalformedLineError, decode_message, shown
+from orchidgap.wirehost.messages import MalformedLineError, decode_message, excerpt
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batch after batch until the input ends.
+    """Answer batches until the input ends.
 
     Raises:
-        MalformedLineError: A line is not of this wire.
+        MalformedLineError: A line does not follow the protocol.
         UnicodeDecodeError: A line is not UTF-8.
     """
     instances: dict[str, Instance] = {}
@@ -40,18 +40,18 @@
         self, parts: list[str], head: bytes, source: BinaryIO, instances: dict[str, Instance]
     ) -> None:
         if parts[0] != words.BATCH or len(parts) != 3 or not parts[1].isdecimal():
-            raise MalformedLineError(f"a batch was expected: {shown(head.decode().strip())}")
+            raise MalformedLineError(f"expected a batch header: {excerpt(head.decode().strip())}")
         self.now = int(parts[1])
         self.number = parts[2]
         self.source = source
         self.instances = instances
-        self.touched: dict[str, Instance] = {}  # those that had a message, in order
+        self.addressed: dict[str, Instance] = {}  # instances with a message, in order
         self.current_name = ""
         self.current: Instance | None = None
-        self.fault: list[str] = []  # its lines in the reply
+        self.fault: list[str] = []  # lines of the fault in the reply, empty without a fault
 
     def handle_messages(self) -> None:
-        """Read all messages and act on them, up to the first fault."""
+        """Read all messages, and apply them up to the first fault."""
         read_line = self.source.readline
         field_counts = words.FIELD_COUNTS
         while True:
@@ -75,9 +75,9 @@
                 self._handle(self.current, parts, entry_lines)
 
     def reply(self) -> str:
-        """What the instances do, and the fault if there was one."""
+        """Return the actions of the instances, followed by the fault if there was one."""
         lines = []
-        for name, instance in self.touched.items():
+        for name, instance in self.addressed.items():
             if instance.port.lines:
                 lines.append(f"{words.REPLY_FOR} {name}")
                 lines += instance.port.lines
@@ -91,16 +91,16 @@
             self.instances[name] = Instance()
         self.current_name = name
         self.current = self.instances[name]
-        self.touched[name] = self.current
+        self.addressed[name] = self.current
 
     def _read_entries(self, parts: Sequence[str]) -> list[list[str]]:
-        """The lines of a host list, which follow its message."""
+        """Read the lines of a host list, which follow its message."""
         if parts[3] in words.NO_ENTRIES:
             return []
         try:
             return [self.source.readline().decode().split() for _ in range(int(parts[3]))]
         except ValueError:
-            raise MalformedLineError(f"not a count of entries: {parts[3]!r}") from None
+            raise MalformedLineError(f"invalid count of entries: {parts[3]!r}") from None
 
     def _handle(
         self, instance: Instance, parts: Sequence[str], entry_lines: Sequence[Sequence[str]]
@@ -113,7 +113,7 @@
             raise
         except SettingError as error:
             self._set_fault(str(error))
-        except Exception as error:  # noqa: BLE001 - the simulation must end with a text
+        except Exception as error:  # noqa: BLE001 - the simulation must end with the error as text
             self._set_fault(f"{parts[0]}: {type(error).__name__}: {error}")
 
     def _set_fault(self, text: str) -> None:
@@ -121,11 +121,11 @@
 
 
 def _check_field_count(parts: Sequence[str], line: str) -> None:
-    """Raise for a message that is not known, or has too few or too many fields."""
+    """Raise MalformedLineError for an unknown message or a wrong number of fields."""
     name = parts[0]
     count = words.FIELD_COUNTS.get(name)
     if count is None:
-        raise MalformedLineError(f"unknown message: {shown(line)}")
+        raise MalformedLineError(f"unknown message: {excerpt(line)}")
     has_too_many = len(parts) > count + 1 and name != words.START
     if len(parts) <= count or has_too_many:
-        raise MalformedLineError(f"{name} has {count} fields: {shown(line)}")
+        raise MalformedLineError(f"{name} has {count} fields: {excerpt(line)}")
--- a/orchidgap/wirehost/words.py
+++ b/orchidgap/wirehost/words.py
@@ -1,13 +1,13 @@
-"""The words of the simulator's wire, and what each means. They stand in this module only."""
+"""The keywords of the simulator's protocol and their meaning. Only this module spells them out."""
 
 from __future__ import annotations
 
 from orchidgap.decisions.host_list import ListScope
 from orchidgap.decisions.records import AttemptOutcome, HostStatus
 
-# Frame a batch.
+# Delimit a batch.
 BATCH = "BATCH"
-ABOUT = "ABOUT"  # the instance that the next messages are for
+ABOUT = "ABOUT"  # selects the instance for the next messages
 END_OF_BATCH = "YOUR_TURN"
 
 # Messages to an instance.
@@ -22,10 +22,10 @@
 MAIL = "MAIL"
 EXIT = "EXIT"
 
-# How many fields follow each word.
+# How many fields follow each keyword.
 FIELD_COUNTS = {
     ABOUT: 1,
-    START: 1,  # and a setting in each field after that
+    START: 1,  # further fields are one setting each
     HOST_LIST: 3,
     REQUEST: 9,
     ATTEMPT_STARTED: 4,
@@ -38,12 +38,12 @@
 }
 
 HOST_ENTRY = "M"
-HOST_ENTRY_PARTS = 8  # with the word
+HOST_ENTRY_PARTS = 8  # including the keyword
 NOTHING = "-"
 YES = "1"
 NO_ENTRIES = (NOTHING, "0")
 
-# What stands in a reply.
+# Lines of a reply.
 REPLY_FOR = "FOR"
 END_OF_REPLY = "YIELD"
 FAULT = "BAIL_OUT"
