--- a/tests/admin/test_admin_backlog.py
+++ b/tests/admin/test_admin_backlog.py
@@ -59,8 +59,8 @@
         process.stdin.flush()
         assert process.wait(20) == 0
         process.stderr.close()
-    client.look()
-    assert client.text == "FAILURE leaving\n", client.saw()
+    client.read_available()
+    assert client.text == "FAILURE leaving\n", client.outcome()
 
 
 def test_an_aborted_connection_closes_no_other():
--- a/tests/admin/test_admin_server.py
+++ b/tests/admin/test_admin_server.py
@@ -26,7 +26,7 @@
 def connect(net, server, text=b""):
     server_end, client_end = socket.socketpair()
     client_end.setblocking(False)
-    net.kept.append(client_end)
+    net.open_sockets.append(client_end)
     client_end.sendall(text)
     server.accept(server_end)
     net.turn()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,3 @@
-"""Makes the helpers beside the tests importable from the folders below."""
+"""Loads the plugin for known failures; pytest also puts this directory on the import path."""
 
 pytest_plugins = ["known_failures"]
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -3,7 +3,7 @@
 import contextlib
 
 import pytest
-from net_scenarios import REQ
+from net_scenarios import REQUEST_HEAD
 from node_harness import NodeHarness, received_text
 
 
@@ -63,31 +63,31 @@
         (b"GET / HTTP/1.1\r\n\r\n", 404),
         (b"GET //[ HTTP/1.1\r\n\r\n", 404),
         (b"GET http://[/ HTTP/1.1\r\n\r\n", 400),
-        (REQ + b"Request-Class: nosuch\r\n\r\n", 404),
+        (REQUEST_HEAD + b"Request-Class: nosuch\r\n\r\n", 404),
         (b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\n\r\n", 400),
-        (REQ + b"Request-Timeout: nan\r\n\r\n", 400),
+        (REQUEST_HEAD + b"Request-Timeout: nan\r\n\r\n", 400),
         (b"GET /read/k HTTP/1.1\r\nRequest-Timeout: 1\r\n\r\n", 400),
-        (REQ + b"Content-Length: 50000000\r\n\r\n", 413),
-        (REQ + b"X: " + b"x" * 20_000, 431),
-        (REQ + b"Transfer-Encoding: chunked\r\n\r\n" + b"g\r\n", 400),
+        (REQUEST_HEAD + b"Content-Length: 50000000\r\n\r\n", 413),
+        (REQUEST_HEAD + b"X: " + b"x" * 20_000, 431),
+        (REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + b"g\r\n", 400),
         (
-            REQ
+            REQUEST_HEAD
             + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-            + REQ
+            + REQUEST_HEAD
             + b"\r\n",
             400,
         ),
-        (REQ + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
-        (REQ + b"Content-Length: -1\r\n\r\n", 400),
-        (REQ + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400),
-        (REQ + b"Request-Id: 2\r\n\r\n", 400),
-        (REQ + b"Content-Length: 99999999999999999999\r\n\r\n", 400),
-        (REQ.replace(b"1.1", b"2.0") + b"\r\n", 505),
-        (REQ.replace(b"Timeout: 1", b"Timeout: 0") + b"\r\n", 400),
-        (REQ.replace(b"Timeout: 1", b"Timeout: 1_0") + b"\r\n", 400),
-        (REQ.replace(b"Timeout: 1", b"Timeout: -1") + b"\r\n", 400),
-        (REQ + b"Content-Length: 60000000\r\n\r\n", 413),
-        (REQ + b"Connection: upgrade\r\nUpgrade: x\r\n\r\n", 400),
+        (REQUEST_HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
+        (REQUEST_HEAD + b"Content-Length: -1\r\n\r\n", 400),
+        (REQUEST_HEAD + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400),
+        (REQUEST_HEAD + b"Request-Id: 2\r\n\r\n", 400),
+        (REQUEST_HEAD + b"Content-Length: 99999999999999999999\r\n\r\n", 400),
+        (REQUEST_HEAD.replace(b"1.1", b"2.0") + b"\r\n", 505),
+        (REQUEST_HEAD.replace(b"Timeout: 1", b"Timeout: 0") + b"\r\n", 400),
+        (REQUEST_HEAD.replace(b"Timeout: 1", b"Timeout: 1_0") + b"\r\n", 400),
+        (REQUEST_HEAD.replace(b"Timeout: 1", b"Timeout: -1") + b"\r\n", 400),
+        (REQUEST_HEAD + b"Content-Length: 60000000\r\n\r\n", 413),
+        (REQUEST_HEAD + b"Connection: upgrade\r\nUpgrade: x\r\n\r\n", 400),
         (b"CONNECT h:1 HTTP/1.1\r\n\r\n", 400),
     ],
 )
@@ -107,7 +107,7 @@
         f"HTTP/1.1 {status} {reason_phrase(status)}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
     )
     with contextlib.suppress(OSError):
-        net.send_and_turn(client, REQ + b"\r\n")  # too late
+        net.send_and_turn(client, REQUEST_HEAD + b"\r\n")  # too late
     assert net.node.clients.open_clients, "closing with unread bytes would lose the answer"
     assert received_text(client) == "" and not net.verdicts and not net.node.exchanges
     net.advance(1_100_000)
@@ -132,7 +132,7 @@
     trailers would fill the memory otherwise.
     """
     net = NodeHarness()
-    client = net.client(REQ + b"Transfer-Encoding: chunked\r\n\r\n0\r\nX: ")
+    client = net.client(REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\n0\r\nX: ")
     for _ in range(600):
         try:
             client.sendall(b"x" * 4096)
@@ -161,7 +161,7 @@
     for split in (False, True):
         net = NodeHarness(1)
         texts = [
-            REQ.replace(b"Id: 1", b"Id: %d" % i).replace(b"/k", b"/k%d" % i) + b"\r\n"
+            REQUEST_HEAD.replace(b"Id: 1", b"Id: %d" % i).replace(b"/k", b"/k%d" % i) + b"\r\n"
             for i in range(5)
         ]
         client = net.client(
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,8 +1,8 @@
-"""A pytest plugin: the tests that KNOWN-RED.txt names are run, and their failure fails no run.
+"""Pytest plugin that runs the tests listed in KNOWN-RED.txt without letting them fail the run.
 
-Each of them is reported by name as passed or failed. A line of the file that begins with `tests/`
-is the id of one test; other lines are prose, or about something that no test run can play. An id
-that names no test is an error: the list must not outlive what it is about.
+Each listed test is reported by name as passed or failed. A line of the file that begins with
+`tests/` is the id of one test. Other lines are prose, or describe something that no test run can
+reproduce. An id that names no test is an error, so that no entry outlives its test.
 """
 
 from pathlib import Path
@@ -14,14 +14,14 @@
 REASON = f"in {LIST_NAME}"
 
 
-def known_ids(text):
-    """Return the ids of the tests that the list names, in its order."""
+def listed_ids(text):
+    """Return the test ids in the list, in order."""
     return [line.strip() for line in text.splitlines() if line.startswith(ID_PREFIX)]
 
 
 def pytest_configure(config):
     path = Path(config.rootpath) / LIST_NAME
-    config.known_failures = known_ids(path.read_text()) if path.exists() else []
+    config.known_failures = listed_ids(path.read_text()) if path.exists() else []
 
 
 @pytest.hookimpl(tryfirst=True)
@@ -31,11 +31,11 @@
         if item.nodeid in known:
             item.add_marker(pytest.mark.xfail(reason=REASON, strict=False))
     if not any("::" in argument for argument in config.args):
-        refuse_unknown_ids(config, {item.nodeid for item in items})
+        reject_unknown_ids(config, {item.nodeid for item in items})
 
 
-def refuse_unknown_ids(config, collected):
-    """Raise UsageError for an id that is no test of a file that is there to be judged."""
+def reject_unknown_ids(config, collected):
+    """Raise UsageError for a listed id whose file is missing or was collected without that test."""
     files = {node_id.partition("::")[0] for node_id in collected}
     for node_id in config.known_failures:
         file = node_id.partition("::")[0]
@@ -46,14 +46,14 @@
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_handlecrashitem(crashitem, report, sched):
-    """A test that ends its worker, as one does that takes too long, is judged like any other."""
+    """Apply the list to a test that crashes its worker, for example by exceeding the time limit."""
     if crashitem in sched.config.known_failures:
         report.outcome = "skipped"
         report.wasxfail = f"reason: {REASON}"
 
 
 def pytest_terminal_summary(terminalreporter):
-    for outcome, word in (("xfailed", "failed"), ("xpassed", "passed")):
+    for outcome, result in (("xfailed", "failed"), ("xpassed", "passed")):
         for report in terminalreporter.stats.get(outcome, ()):
             if report.wasxfail.removeprefix("reason: ") == REASON:
-                terminalreporter.write_line(f"{REASON}, {word}: {report.nodeid}")
+                terminalreporter.write_line(f"{REASON}, {result}: {report.nodeid}")
--- a/tests/loopback_harness.py
+++ b/tests/loopback_harness.py
@@ -1,6 +1,7 @@
-"""A node on real loopback sockets, driven turn by turn under a clock that stands still between turns.
+"""A node on real loopback sockets, driven turn by turn with a clock that only the test advances.
 
-What is to cross is there before the turn: `wait_until_readable` waits until the kernel has it, so no test hopes.
+Everything that a turn must see is in the kernel before that turn starts: `wait_until_readable`
+waits for it, so no test depends on the timing of delivery.
 """
 
 import select
@@ -14,42 +15,45 @@
 from orchidgap.net.dialing import dial
 from orchidgap.net.receive_timestamps import ANCILLARY_BYTES, enable_receive_timestamps
 
-PATIENCE = 10  # seconds for the kernel to bring what was sent; never waited for when all is well
+SOCKET_TIMEOUT_S = 10  # for delivery by the kernel; reached only if something is wrong
 RESET = "reset"
 
 
 def wait_until_readable(*socks):
-    """All of these have something to read, or their end."""
+    """Wait until each socket has bytes, a connection or an end of stream to read."""
     for sock in socks:
-        poll = select.poll()  # `select` knows no descriptor above 1,023
+        poll = select.poll()  # `select` supports no descriptor above 1,023
         poll.register(sock, select.POLLIN)
-        assert poll.poll(PATIENCE * 1000), "the kernel brought nothing"
+        assert poll.poll(SOCKET_TIMEOUT_S * 1000), "the kernel delivered nothing"
 
 
 def wait_until_timestamped():
-    """The kernel tells when bytes come in, which it begins a moment after the first socket asked."""
-    deadline = time.monotonic() + PATIENCE
+    """Wait until the kernel timestamps received bytes.
+
+    It starts to do so shortly after the first socket enables timestamps.
+    """
+    deadline = time.monotonic() + SOCKET_TIMEOUT_S
     with socket.create_server(("127.0.0.1", 0)) as listener:
         assert enable_receive_timestamps(listener)
-        sender = socket.create_connection(listener.getsockname(), PATIENCE)
+        sender = socket.create_connection(listener.getsockname(), SOCKET_TIMEOUT_S)
         receiver, _ = listener.accept()
         with sender, receiver:
             is_stamped = False
             while not is_stamped:
-                assert time.monotonic() < deadline, "the kernel takes no timestamps"
+                assert time.monotonic() < deadline, "the kernel does not timestamp received bytes"
                 sender.sendall(b"x")
                 wait_until_readable(receiver)
                 is_stamped = bool(receiver.recvmsg(1, ANCILLARY_BYTES)[1])
 
 
 def send_without_delay(sock):
-    """What is written to it is with the other side at once, and does not wait for what was before it."""
+    """Make the socket non-blocking and disable Nagle's algorithm, so that bytes are sent at once."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setblocking(False)
 
 
 def received_or_reset(far):
-    """As `received_text`, but a reset is not taken for an end."""
+    """Return the same as `received_text`, but RESET if the connection was reset."""
     try:
         return far.recv(1 << 17).decode()
     except BlockingIOError:
@@ -59,47 +63,52 @@
 
 
 class LoopbackHarness(NodeHarness):
-    """Hosts and discovery listen on ports of their own; a dial goes to whatever its test port stands for."""
+    """A node whose dials to hosts and to discovery reach listeners of the harness.
+
+    There is one listener for each port that the tests use as the port of a host or of discovery.
+    """
 
-    timestamped = False  # the kernel was seen to tell when bytes come in
+    timestamped = False  # whether the kernel is known to timestamp received bytes
 
     def __init__(self, *args, **more):
-        self.doors = {}
+        self.listeners_by_port = {}
         super().__init__(*args, **more)
 
     def dial(self, address):
-        door = self.doors.get(address[1])
-        if door is None:
-            door = self.doors[address[1]] = socket.create_server(("127.0.0.1", 0))
-        sock = dial(door.getsockname())
+        listener = self.listeners_by_port.get(address[1])
+        if listener is None:
+            listener = self.listeners_by_port[address[1]] = socket.create_server(("127.0.0.1", 0))
+        sock = dial(listener.getsockname())
         if isinstance(sock, socket.socket):
-            door.settimeout(PATIENCE)
-            far, _ = door.accept()
+            listener.settimeout(SOCKET_TIMEOUT_S)
+            far, _ = listener.accept()
             send_without_delay(far)
             self.dialled.append((address[1], far))
         return sock
 
     def listen(self) -> Address:
-        """Listens for clients; where."""
+        """Open the listener for clients and return its address."""
         self.node.clients.listen(("127.0.0.1", 0))
         return self.node.clients.listening_socket.getsockname()
 
     def connect_client(self, text=b""):
-        """A client whose connection and bytes are there, and which the node has not looked at."""
+        """Connect a client and send its bytes; the node has not accepted the connection yet."""
         if self.node.clients.listening_socket is None:
             self.listen()
         if not self.timestamped:
             wait_until_timestamped()
             self.timestamped = True
-        sock = socket.create_connection(self.node.clients.listening_socket.getsockname(), PATIENCE)
+        sock = socket.create_connection(
+            self.node.clients.listening_socket.getsockname(), SOCKET_TIMEOUT_S
+        )
         send_without_delay(sock)
         sock.sendall(text)
-        self.kept.append(sock)
+        self.open_sockets.append(sock)
         wait_until_readable(self.node.clients.listening_socket)
         return sock
 
     def accepted_socket(self, client):
-        """The node's connection to this client."""
+        """Return the node's socket of this client's connection."""
         name = client.getsockname()
         return next(
             caller.conn.sock
@@ -108,24 +117,26 @@
         )
 
     def send_more(self, client, text):
-        """More of it is there, and the node has not looked."""
+        """Send further bytes from a client, which the node has not read yet."""
         client.sendall(text)
         wait_until_readable(self.accepted_socket(client))
 
     def wait_for_end(self, caller):
-        """The kernel knows of the end, whether or not anything before it was read."""
+        """Wait until the kernel has received the client's FIN, even if unread bytes precede it."""
         poll = select.poll()
         poll.register(caller.conn.sock, select.POLLRDHUP)
-        assert poll.poll(PATIENCE * 1000), "the kernel brought no end"
+        assert poll.poll(SOCKET_TIMEOUT_S * 1000), "the kernel delivered no FIN"
 
     def close_client(self, client):
-        """It has closed, and the node has not looked."""
-        near = self.accepted_socket(client)
+        """Close a client's connection; the node has not seen that yet."""
+        node_socket = self.accepted_socket(client)
         client.close()
-        wait_until_readable(near)
+        wait_until_readable(node_socket)
 
     def next_host_request(self):
-        """What a host was asked and has not been looked at, and that host's end."""
+        """Return the next request text that a host received, with that host's socket, or ("",
+        None).
+        """
         return next(
             (
                 (text, far)
@@ -136,22 +147,22 @@
         )
 
     def node_socket_of(self, far):
-        """The node's connection to this end of a host."""
+        """Return the node's socket of the connection to this host socket."""
         name = far.getpeername()
         return next(
-            link.conn.sock
+            connection.conn.sock
             for pool in self.node.pools.by_host.values()
-            for link in pool.connections
-            if link.conn.sock.getsockname() == name
+            for connection in pool.connections
+            if connection.conn.sock.getsockname() == name
         )
 
     def reset_host(self, far):
-        """A host resets its connection, and the node has not looked."""
+        """Reset a connection from the host's side; the node has not seen that yet."""
         far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         far.close()
 
     def send_host_answer(self, far, body="v"):
-        """A host has answered, and the node has not looked."""
+        """Send an answer from a host, which the node has not read yet."""
         far.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
 
 
--- a/tests/net/test_backlog.py
+++ b/tests/net/test_backlog.py
@@ -1,6 +1,7 @@
-"""The accept queue: what does a client see whose connection waits there as the process ends?
+"""Outcomes of clients whose connections wait in the accept queue while the process ends.
 
-Each of these connections is up and its request is in the kernel before the turn in which it matters.
+Each of these connections is established and its request is in the kernel before the turn in which
+it matters.
 """
 
 import errno
@@ -18,28 +19,30 @@
     ScriptedListener,
     free_address,
     queue_clients,
-    settle,
+    run_until_exit,
     tally,
     unanswered,
     write_config,
 )
 from handover_harness import ProcessPair
 from loopback_harness import LoopbackHarness, received_or_reset, request_text
-from net_scenarios import signals
+from net_scenarios import signal_handlers
 
 from orchidgap.decisions.lifecycle import SHUTDOWN_ACCEPT_US, State
 from orchidgap.net.client_listener import BACKLOG, HANDSHAKE_US
 from orchidgap.net.dialing import SO_ATTACH_FILTER, stop_handshakes
 
-FEW_DESCRIPTORS = 64  # of them 8 for clients, and 16 clients more that read their last answer
-LARGER_THAN_SOCKET_BUFFERS = 100
-DESCRIPTORS_ARE_SHORT_US = 100_000
+FEW_DESCRIPTORS = 64  # 8 of them for clients; 16 more clients may be reading their last answer
+MORE_THAN_CAPACITY = 100
+DESCRIPTOR_SHORTAGE_US = 100_000
 SO_DETACH_FILTER = 27  # Linux
-SYSTEM_BACKLOG = 4_096  # more than that no listener of this system holds, whatever it asks for
+SYSTEM_BACKLOG = (
+    4_096  # limit of the system for every listener's queue, whatever backlog is requested
+)
 
 
-def listening(descriptors=FEW_DESCRIPTORS, failure=lambda: None, on_empty=None):
-    """A node that listens; `failure` and `on_empty` are those of its ScriptedListener."""
+def listening_node(descriptors=FEW_DESCRIPTORS, failure=lambda: None, on_empty=None):
+    """Return a node that listens; `failure` and `on_empty` are those of its ScriptedListener."""
     net = LoopbackHarness(1, sockets=descriptors)
     address = net.listen()
     net.node.clients.listening_socket = ScriptedListener(
@@ -48,107 +51,109 @@
     return net, address
 
 
-def told_to_end(net):
-    """SIGTERM was read, and the listener is shut in the next turn whose time has come."""
+def advance_to_listener_close(net):
+    """Send SIGTERM and stop just before the listener is due to close."""
     signal.raise_signal(signal.SIGTERM)
     net.turn()
     assert net.node.lifecycle.state is State.LEAVING
     net.advance(SHUTDOWN_ACCEPT_US - 1)
 
 
-@pytest.mark.parametrize("stays", [False, True])
-def test_a_queue_longer_than_the_room_is_not_reset_by_the_end(stays):
-    """More clients wait than there is room for as the listener is shut. Each is answered,
-    whether or not those with an answer close their side.
+@pytest.mark.parametrize("stays_open", [False, True])
+def test_a_queue_longer_than_the_capacity_is_not_reset_at_shutdown(stays_open):
+    """More clients wait than the process has capacity for when the listener is closed. Each is
+    answered, whether or not clients close their side after the answer.
     """
-    net, address = listening()
-    with signals(net, None):
-        told_to_end(net)
-        seen = settle(net, queue_clients(address, LARGER_THAN_SOCKET_BUFFERS, stays))
+    net, address = listening_node()
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
+        seen = run_until_exit(net, queue_clients(address, MORE_THAN_CAPACITY, stays_open))
     assert not unanswered(seen), tally(seen)
 
 
-def test_who_is_refused_at_the_end_is_told_when_to_come_back():
-    """Clients for whom there is no room are answered 503. The settings have a Retry-After, and
-    it stands in each.
+def test_a_client_rejected_at_shutdown_is_sent_retry_after():
+    """Clients beyond the capacity are answered 503 at shutdown. The settings enable Retry-After,
+    so each of these answers carries it.
     """
-    net, address = listening()
-    with signals(net, None):
-        told_to_end(net)
-        clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
-        seen = settle(net, clients)
-    refused = [client for client in clients if client.saw() == "503"]
-    untold = [client for client in refused if "Retry-After: " not in client.text]
-    assert refused and not untold, f"{len(untold)} of {len(refused)} not told; {tally(seen)}"
+    net, address = listening_node()
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
+        clients = queue_clients(address, MORE_THAN_CAPACITY)
+        seen = run_until_exit(net, clients)
+    refused = [client for client in clients if client.outcome() == "503"]
+    without_retry_after = [client for client in refused if "Retry-After: " not in client.text]
+    assert refused and not without_retry_after, (
+        f"{len(without_retry_after)} of {len(refused)} lack Retry-After; {tally(seen)}"
+    )
 
 
 @pytest.mark.parametrize("name", ["EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"])
-def test_a_shortage_of_descriptors_resets_nobody_at_the_end(name):
-    """`accept` fails for lack of descriptors as the listener is shut, and works again later.
-    Whoever waited is answered.
+def test_a_shortage_of_descriptors_resets_no_client_at_shutdown(name):
+    """`accept` fails for lack of descriptors when the listener is closed, and works again later.
+    Every waiting client is answered.
     """
-    net, address = listening(1024)
-    works_at_us = net.now + SHUTDOWN_ACCEPT_US + DESCRIPTORS_ARE_SHORT_US
+    net, address = listening_node(1024)
+    works_at_us = net.now + SHUTDOWN_ACCEPT_US + DESCRIPTOR_SHORTAGE_US
     net.node.clients.listening_socket.failure = lambda: (
         OSError(getattr(errno, name), name) if net.now < works_at_us else None
     )
-    with signals(net, None):
-        told_to_end(net)
-        seen = settle(net, queue_clients(address, 20))
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
+        seen = run_until_exit(net, queue_clients(address, 20))
     assert not unanswered(seen), tally(seen)
 
 
-def test_who_was_gone_before_it_was_let_in_hides_nobody_behind_it():
-    """`accept` says ECONNABORTED again and again among those that wait as the listener is shut.
-    Those behind are answered.
+def test_aborted_connections_do_not_hide_the_clients_behind_them():
+    """`accept` repeatedly fails with ECONNABORTED while clients wait and the listener is closed.
+    The clients behind the aborted connections are answered.
     """
-    net, address = listening(1024)
+    net, address = listening_node(1024)
     failures = iter([None, *[OSError(errno.ECONNABORTED, "")] * 3, None] * 20)
     net.node.clients.listening_socket.failure = lambda: next(failures, None)
-    with signals(net, None):
-        told_to_end(net)
-        seen = settle(net, queue_clients(address, 20))
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
+        seen = run_until_exit(net, queue_clients(address, 20))
     assert not unanswered(seen), tally(seen)
 
 
-def test_so_many_aborted_connections_that_no_count_is_left_hide_nobody():
-    """As many ECONNABORTED as a look takes connections come first as the listener is shut. Those
-    behind are answered.
+def test_aborted_connections_that_use_up_a_whole_pass_hide_no_client():
+    """As many calls of `accept` fail with ECONNABORTED as one pass over the queue accepts
+    connections, and the listener is closed. The clients behind them are answered.
     """
-    net, address = listening(1024)
+    net, address = listening_node(1024)
     failures = iter([OSError(errno.ECONNABORTED, "")] * (2 * BACKLOG))
     net.node.clients.listening_socket.failure = lambda: next(failures, None)
-    with signals(net, None):
-        told_to_end(net)
-        seen = settle(net, queue_clients(address, 20))
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
+        seen = run_until_exit(net, queue_clients(address, 20))
     assert not unanswered(seen), tally(seen)
 
 
-def test_clients_that_reset_in_the_queue_hide_nobody_behind_them():
-    """Half of those that wait have reset their connections. The others are answered."""
-    net, address = listening()
-    with signals(net, None):
-        told_to_end(net)
+def test_clients_that_reset_in_the_queue_do_not_hide_those_behind_them():
+    """Half of the waiting clients have reset their connections. The others are answered."""
+    net, address = listening_node()
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
         clients = queue_clients(address, 40)
-        for gone in clients[::2]:
-            gone.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            gone.sock.close()
-        seen = settle(net, clients[1::2])
+        for reset_client in clients[::2]:
+            reset_client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+            reset_client.sock.close()
+        seen = run_until_exit(net, clients[1::2])
     assert not unanswered(seen), tally(seen)
 
 
-def test_where_another_process_accepts_nobody_is_taken_and_nobody_reset():
-    """Another process of this balancer accepts as this one ends. It takes nobody from the queue,
-    and its close resets nobody.
+def test_with_another_accepting_process_none_are_accepted_and_none_reset():
+    """Another process of this balancer accepts connections while this one ends. This one accepts
+    none from the queue, and closing its listener resets none.
     """
-    net, address = listening()
+    net, address = listening_node()
     other = net.node.clients.listening_socket.dup()
     net.node.clients.leave_listener()
-    with signals(net, None):
-        told_to_end(net)
-        clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
-        seen = settle(net, clients)
-    assert tally(seen) == {"no end": LARGER_THAN_SOCKET_BUFFERS}
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
+        clients = queue_clients(address, MORE_THAN_CAPACITY)
+        seen = run_until_exit(net, clients)
+    assert tally(seen) == {"no end": MORE_THAN_CAPACITY}
     assert net.node.traffic_counts.connections_accepted == 0
     for _ in clients:
         other.accept()[0].close()
@@ -157,9 +162,9 @@
     other.close()
 
 
-def test_the_successor_is_given_what_comes_as_the_old_process_closes(monkeypatch):
-    """A connection comes up, its request written, between the last look of a process that hands
-    over and the close of its listener. The newer process answers it.
+def test_the_successor_answers_a_client_that_connects_as_the_old_process_closes(monkeypatch):
+    """A connection is established and its request written between the last `accept` of a process
+    that hands over and the close of its listener. The successor answers it.
     """
     pair, shared = pair_on_one_listener(monkeypatch)
     address, late = shared.getsockname(), []
@@ -174,44 +179,46 @@
     monkeypatch.setattr(old, "close_listener", dial_then_close)
     shared.close()
     pair.old.node.begin_shutdown()
-    saw = settle_pair(pair, late)
+    seen = run_pair(pair, late)
     pair.end()
-    assert saw == ["200"], saw
+    assert seen == ["200"], seen
 
 
 def test_a_successor_that_dies_leaves_its_queue_to_the_old_process(monkeypatch):
-    """The newer process dies with more in the queue than the old one has room for, and the old
-    one is told to end in the same turn. Each of those that wait is answered.
+    """The successor dies with more clients in the queue than the old process has capacity for, and
+    the old process gets SIGTERM in the same turn. Every waiting client is answered.
     """
     pair, shared = pair_on_one_listener(monkeypatch)
     address = shared.getsockname()
     shared.close()
-    clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
-    die(pair.new)
-    with signals(pair.old, None):
+    clients = queue_clients(address, MORE_THAN_CAPACITY)
+    kill_process(pair.new)
+    with signal_handlers(pair.old, None):
         signal.raise_signal(signal.SIGTERM)
-        seen = settle(pair.old, clients)
+        seen = run_until_exit(pair.old, clients)
     assert not unanswered(seen), tally(seen)
 
 
 def test_a_process_that_ends_before_its_successor_serves_leaves_it_the_queue(monkeypatch):
-    """The old process ends while the newer one is there and does not serve yet. What waits in
-    the queue as the old one closes its listener is answered by the newer one.
+    """The old process ends while its successor runs but does not serve yet. The successor answers
+    the clients that are queued when the old process closes its listener.
     """
     pair, shared = pair_on_one_listener(monkeypatch, serves=False)
     address = shared.getsockname()
     shared.close()
     pair.old.node.begin_shutdown()
     pair.old.advance(SHUTDOWN_ACCEPT_US - 1)
-    clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
+    clients = queue_clients(address, MORE_THAN_CAPACITY)
     pair.new.now = pair.old.now
-    saw = settle_pair(pair, clients)
+    seen = run_pair(pair, clients)
     pair.end()
-    assert not unanswered(saw), tally(saw)
+    assert not unanswered(seen), tally(seen)
 
 
 def pair_on_one_listener(monkeypatch, serves=True):
-    """Two processes of one balancer that share a listener; the older one has few descriptors."""
+    """Return two processes of one balancer that share a listener; the older one has few
+    descriptors.
+    """
     shared = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
     monkeypatch.setattr(handover_harness, "listener", lambda: nonblocking(shared.dup()))
     pair = ProcessPair(1, serves=serves, sockets=FEW_DESCRIPTORS)
@@ -225,17 +232,17 @@
     return sock
 
 
-def settle_pair(pair, clients):
+def run_pair(pair, clients):
     for _ in range(100):
         pair.old.answer_all()
         pair.advance(10_000)
         for client in clients:
-            client.look()
-    return [client.saw() for client in clients]
+            client.read_available()
+    return [client.outcome() for client in clients]
 
 
-def die(net):
-    """A process has ended at once: the system closes all that it held."""
+def kill_process(net):
+    """Close all sockets of a process, as the system does when it dies."""
     for sibling in net.node.handover.siblings():
         sibling.channel.sock.close()
     net.node.clients.listening_socket.close()
@@ -255,23 +262,23 @@
     )
 
 
-def wait_for_event(process, word):
+def wait_for_event(process, text):
     for line in process.stdout:
-        if word in line:
+        if text in line:
             return
-    raise AssertionError(f"it ended without {word!r}")
+    raise AssertionError(f"the process ended before it wrote {text!r}")
 
 
 def stop(process):
-    """It is stopped, and looks at nothing from now on."""
+    """Send SIGSTOP and wait until the process has stopped."""
     process.send_signal(signal.SIGSTOP)
     os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
 
 
 @pytest.mark.parametrize("text", [b"", request_text("k")], ids=["silent", "asking"])
-def test_sigkill_resets_what_waits_in_the_queue(tmp_path, text):
-    """A process is killed with a connection in its accept queue. Its client is told by a reset,
-    not left waiting and not shown an end in order; a new connection is refused.
+def test_sigkill_resets_connections_that_wait_in_the_queue(tmp_path, text):
+    """A process is killed with a connection in its accept queue. The client sees a reset, not a
+    hanging connection or an orderly close; a new connection is refused.
     """
     address = free_address()
     with start(write_config(tmp_path, address)) as process:
@@ -280,16 +287,16 @@
         waiting = QueuedClient(address, text)
         process.kill()
         process.wait(20)
-        waiting.look()
-        assert waiting.saw() == RESET
+        waiting.read_available()
+        assert waiting.outcome() == RESET
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(address)
     waiting.sock.close()
 
 
-def test_sigkill_leaves_what_waits_at_a_listener_that_another_process_holds(tmp_path):
-    """A process is killed that inherited its listener. The connection in the queue stays there,
-    with its request, for the next process.
+def test_sigkill_keeps_the_queue_of_a_listener_that_another_process_holds(tmp_path):
+    """A process that inherited its listener is killed. The connection stays in the queue, with its
+    request, for the next process.
     """
     with socket.create_server(("127.0.0.1", 0)) as passed:
         number = passed.fileno()
@@ -301,38 +308,38 @@
             waiting = QueuedClient(passed.getsockname(), request_text("k"))
             process.kill()
             process.wait(20)
-        waiting.look()
-        assert waiting.saw() == "no end"
+        waiting.read_available()
+        assert waiting.outcome() == "no end"
         accepted, _ = passed.accept()
         assert accepted.recv(1 << 16) == request_text("k")
         accepted.close()
         waiting.sock.close()
 
 
-# --- while it starts
+# --- during startup
 
 
 def test_before_the_listener_listens_a_connection_is_refused(monkeypatch):
-    """A client dials between `bind` and `listen`. It is refused at once, and not held open by
-    nobody.
+    """A client dials between `bind` and `listen`. It is refused at once, and not kept waiting by a
+    socket that no process accepts from.
     """
-    listen, said = socket.socket.listen, []
+    listen, results = socket.socket.listen, []
 
     def dial_then_listen(sock, *backlog):
         with socket.socket() as early:
-            said.append(early.connect_ex(sock.getsockname()))
+            results.append(early.connect_ex(sock.getsockname()))
         listen(sock, *backlog)
 
     net = LoopbackHarness(1)
     monkeypatch.setattr(socket.socket, "listen", dial_then_listen)
     net.listen()
-    assert said == [errno.ECONNREFUSED]
+    assert results == [errno.ECONNREFUSED]
 
 
 @pytest.mark.parametrize("listed", [True, False])
-def test_who_comes_before_the_first_accept_is_answered(listed):
+def test_a_client_that_connects_before_the_first_accept_is_answered(listed):
     """A request is written between `listen` and the first `accept`, before the node has started.
-    It gets its answer.
+    It is answered.
     """
     net = LoopbackHarness(1, start=False, listed=listed)
     early = net.connect_client(request_text("early"))
@@ -341,67 +348,68 @@
     net.answer_all()
     net.advance(1_100_000)
     net.answer_all()
-    said = received_or_reset(early)
-    assert said and said.split()[1] in ("200", "503"), said
+    answer = received_or_reset(early)
+    assert answer and answer.split()[1] in ("200", "503"), answer
 
 
-def test_sigterm_before_the_first_accept_resets_nobody():
-    """SIGTERM is there before the first look at the listener, with a queue longer than the room.
-    Whoever waits is answered.
+def test_sigterm_before_the_first_accept_resets_no_client():
+    """SIGTERM arrives before the first `accept`, with a queue longer than the capacity. Every
+    waiting client is answered.
     """
     net = LoopbackHarness(1, sockets=FEW_DESCRIPTORS, start=False)
     address = net.listen()
-    clients = queue_clients(address, LARGER_THAN_SOCKET_BUFFERS)
-    with signals(net, None):
+    clients = queue_clients(address, MORE_THAN_CAPACITY)
+    with signal_handlers(net, None):
         signal.raise_signal(signal.SIGTERM)
         net.node.start()
-        seen = settle(net, clients)
+        seen = run_until_exit(net, clients)
     assert not unanswered(seen), tally(seen)
 
 
-# --- between the last look and the close
+# --- between the last accept and the close
 
 
-def test_who_comes_between_a_look_and_the_close_is_not_reset():
-    """A connection comes up, its request written, between the first `accept` after the time to
-    accept is over, which finds nothing, and what follows it. It is answered.
+def test_a_client_that_connects_between_an_accept_and_the_close_is_not_reset():
+    """The time to accept has expired, and the first `accept` after it finds nothing. A connection
+    that is established right after that call, with its request written, is answered.
     """
-    net, address = listening(1024)
+    net, address = listening_node(1024)
     late = []
-    with signals(net, None):
-        told_to_end(net)
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
         listener = net.node.clients.listening_socket
         listener.on_empty = lambda: late.extend(queue_clients(address, 1))
-        seen = settle(net, late)
+        seen = run_until_exit(net, late)
     assert late and not unanswered(seen), tally(seen)
 
 
-def test_who_comes_after_every_look_is_not_reset():
-    """One more connection comes up behind each `accept` that finds nothing, the last one too.
-    Each that came up is answered; the others are refused, or never come up.
+def test_a_client_that_connects_after_every_accept_is_not_reset():
+    """Another connection is established after each `accept` that finds nothing, including the last
+    one. Each established connection is answered; the others are refused or never established.
     """
-    net, address = listening(1024)
+    net, address = listening_node(1024)
     late = []
 
-    def cross():
+    def connect_again():
         sock = dial_without_waiting(address)
-        if came_up(sock):
+        if is_connected(sock):
             late.append(QueuedClient(sock, request_text(f"k{len(late)}")))
         else:
             sock.close()
-        listener.on_empty = cross
+        listener.on_empty = connect_again
 
-    with signals(net, None):
-        told_to_end(net)
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
         listener = net.node.clients.listening_socket
-        listener.on_empty = cross
-        seen = settle(net, late)
+        listener.on_empty = connect_again
+        seen = run_until_exit(net, late)
     assert late and not unanswered(seen), tally(seen)
 
 
-class HandshakeUnderWay(ScriptedListener):
-    """One connection, `late`, comes up in the turn in which handshakes are ended: behind the next
-    look, or at the end of that turn.
+class HandshakeInProgress(ScriptedListener):
+    """Completes one connection, `late`, in the turn in which handshakes are stopped.
+
+    It is established after the next `accept` that finds nothing, or at the end of that turn.
     """
 
     def __init__(self, sock, loop):
@@ -421,25 +429,25 @@
             stop_handshakes(self.sock)
 
 
-def test_a_handshake_under_way_as_handshakes_are_ended_is_not_reset():
-    """A handshake that began before the listener stopped to begin any ends in the same turn, its
-    request written. It is answered.
+def test_a_handshake_in_progress_when_handshakes_are_stopped_is_not_reset():
+    """A handshake begins before the listener stops new ones, and completes in the same turn with
+    its request written. It is answered.
     """
     net = LoopbackHarness(1)
     net.listen()
-    listener = HandshakeUnderWay(net.node.clients.listening_socket, net.loop)
+    listener = HandshakeInProgress(net.node.clients.listening_socket, net.loop)
     net.node.clients.listening_socket = listener
-    with signals(net, None):
-        told_to_end(net)
-        seen = settle(net, listener.late)
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
+        seen = run_until_exit(net, listener.late)
     assert listener.late and not unanswered(seen), tally(seen)
 
 
-def test_a_drain_by_hand_keeps_its_listener():
-    """An operator drains; connections come while it is drained for long. The listener is not
-    shut, and each is answered.
+def test_a_drain_by_an_operator_keeps_the_listener():
+    """An operator drains the balancer, and connections arrive long after it is drained. The
+    listener is not closed, and each client is answered.
     """
-    net, address = listening(1024)
+    net, address = listening_node(1024)
     net.node.drain()
     net.advance(1_500_000)
     assert net.node.lifecycle.state is State.DRAINED
@@ -448,39 +456,40 @@
         net.answer_all()
         net.advance(10_000)
         for client in clients:
-            client.look()
-    seen = [client.saw() for client in clients]
+            client.read_available()
+    seen = [client.outcome() for client in clients]
     assert not unanswered(seen), tally(seen)
     assert net.node.clients.listening_socket
 
 
-# --- the queue is full
+# --- with a full queue
 
 
 @pytest.mark.parametrize("descriptors", [FEW_DESCRIPTORS, 1024])
 @pytest.mark.parametrize("late", [False, True])
-@pytest.mark.parametrize("many", [BACKLOG + 1, SYSTEM_BACKLOG + 1])
-def test_sigterm_with_a_full_queue_resets_nobody(many, late, descriptors):
-    """As many are dialled as fill the accept queue, and 20 more, at SIGTERM or as the listener is
-    shut. Each connection that came up is answered; the others do not come up, and give up.
+@pytest.mark.parametrize("count", [BACKLOG + 1, SYSTEM_BACKLOG + 1])
+def test_sigterm_with_a_full_queue_resets_no_client(count, late, descriptors):
+    """20 more connections are dialled than fill the accept queue, at SIGTERM or when the listener
+    is closed. Each established connection is answered; the others are never established, and the
+    clients give up.
     """
-    net, address = listening(descriptors)
-    with signals(net, None):
+    net, address = listening_node(descriptors)
+    with signal_handlers(net, None):
         if late:
-            told_to_end(net)
-        dialled = [dial_without_waiting(address) for _ in range(many + 20)]
+            advance_to_listener_close(net)
+        dialled = [dial_without_waiting(address) for _ in range(count + 20)]
         clients = [
             QueuedClient(sock, request_text(f"k{i}"))
             for i, sock in enumerate(dialled)
-            if came_up(sock)
+            if is_connected(sock)
         ]
-        beyond = [sock for sock in dialled if not came_up(sock)]
-        assert len(clients) > BACKLOG and (beyond or late), "the queue is full"
-        for sock in beyond:
+        not_connected = [sock for sock in dialled if not is_connected(sock)]
+        assert len(clients) > BACKLOG and (not_connected or late), "the queue is full"
+        for sock in not_connected:
             sock.close()
         if not late:
             signal.raise_signal(signal.SIGTERM)
-        seen = settle(net, clients)
+        seen = run_until_exit(net, clients)
     assert not unanswered(seen), tally(seen)
 
 
@@ -491,7 +500,7 @@
     return sock
 
 
-def came_up(sock):
+def is_connected(sock):
     try:
         sock.getpeername()
     except OSError:
@@ -499,11 +508,13 @@
     return True
 
 
-# --- found by review: what else ends a request as room is made
+# --- found by review: other ways to lose a request while capacity is freed
 
 
 def slow_reader(net, address, size=60_000):
-    """A client that was sent its last answer and has read nothing of it; the rest is buffered here."""
+    """Return a client that was sent its last answer and has read nothing; the node buffers the
+    rest.
+    """
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
     client.connect(address)
@@ -518,19 +529,19 @@
     return client
 
 
-@pytest.mark.parametrize("leaves", [False, True])
-def test_a_last_answer_that_is_not_sent_yet_makes_no_way(leaves):
-    """Newcomers without room had whoever was being sent its last answer for 50 ms closed: it
-    read a part of it, and an end in order.
+@pytest.mark.parametrize("shuts_down", [False, True])
+def test_a_client_is_not_evicted_while_its_last_answer_is_being_sent(shuts_down):
+    """A client that was still being sent its last answer was evicted after 50 ms for new clients
+    beyond the capacity: it read part of the answer and an orderly close.
     """
-    net, address = listening()
+    net, address = listening_node()
     net.node.clients.listening_socket.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-    with signals(net, None):
+    with signal_handlers(net, None):
         slow = slow_reader(net, address)
-        if leaves:
+        if shuts_down:
             signal.raise_signal(signal.SIGTERM)
         net.advance(60_000)
-        others = queue_clients(address, 60, stays=True)
+        others = queue_clients(address, 60, stays_open=True)
         net.advance(100_000)
         received = b""
         slow.setblocking(False)
@@ -549,36 +560,36 @@
         other.sock.close()
 
 
-def test_a_connection_that_is_handed_over_where_there_is_no_room_is_answered():
-    """A successor that was full closed connections that it was given, over requests that had
-    been written to them.
+def test_a_connection_handed_over_to_a_full_successor_is_answered():
+    """A successor without capacity closed connections that were handed over to it, although
+    requests had been written to them.
     """
-    net, address = listening()
-    full = queue_clients(address, 8, stays=True)
+    net, address = listening_node()
+    full = queue_clients(address, 8, stays_open=True)
     net.turn()
     assert net.node.clients.is_full()
-    with socket.create_server(("127.0.0.1", 0)) as door:
-        moved = QueuedClient(door.getsockname(), request_text("moved"), stays=True)
-        near, _ = door.accept()
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        moved = QueuedClient(listener.getsockname(), request_text("moved"), stays_open=True)
+        near, _ = listener.accept()
     net.node.clients.adopt_connection(near)
-    moved.look()
-    assert moved.saw() == "503"
+    moved.read_available()
+    assert moved.outcome() == "503"
     for client in (moved, *full):
         client.sock.close()
 
 
 def test_the_time_for_handshakes_runs_from_when_they_were_stopped():
-    """It ran from the start of a turn that had taken longer than that: the listener was closed
-    at once behind the filter.
+    """The time was counted from the start of a turn that had taken longer than it: the listener
+    was closed immediately after the filter was attached.
     """
-    net, _ = listening(1024)
+    net, _ = listening_node(1024)
     clients = net.node.clients
 
     def take_long():
         net.now += 2 * HANDSHAKE_US
 
-    with signals(net, None):
-        told_to_end(net)
+    with signal_handlers(net, None):
+        advance_to_listener_close(net)
         clients.listening_socket.on_empty = take_long
         net.now += 1
         net.turn(1)
@@ -592,54 +603,54 @@
         assert not clients.is_listening
 
 
-def test_one_shortage_at_the_last_words_resets_nobody():
-    """No descriptor was left once as the process ended, one came free, and all who waited were
-    reset all the same.
+def test_one_descriptor_shortage_during_the_final_answers_resets_no_client():
+    """When the process ended, one `accept` found no descriptor and one became free again, but all
+    waiting clients were reset.
     """
-    net, address = listening(1024)
-    idle = QueuedClient(address, b"", stays=True)
+    net, address = listening_node(1024)
+    idle = QueuedClient(address, b"", stays_open=True)
     net.advance(600_000)
     failures = iter([OSError(errno.EMFILE, "")])
     net.node.clients.listening_socket.failure = lambda: next(failures, None)
-    clients = queue_clients(address, 20, stays=True)
+    clients = queue_clients(address, 20, stays_open=True)
     net.node.clients.abandon_listener()
     for client in clients:
-        client.look()
-    assert not unanswered([client.saw() for client in clients])
+        client.read_available()
+    assert not unanswered([client.outcome() for client in clients])
     assert net.node.traffic_counts.closed_over_backlog == 0
     for client in (idle, *clients):
         client.sock.close()
 
 
-def test_a_newcomer_that_asks_during_the_last_words_is_answered():
-    """Those who waited were told 503, and one who was let in before and asked meanwhile was
-    closed unanswered.
+def test_a_new_client_that_sends_its_request_during_the_final_answers_is_answered():
+    """Waiting clients were answered 503, but one that was accepted earlier and sent its request
+    meanwhile was closed without an answer.
     """
-    net, address = listening(1024)
-    newcomer = QueuedClient(address, b"", stays=True)
+    net, address = listening_node(1024)
+    newcomer = QueuedClient(address, b"", stays_open=True)
     net.turn()
     listener = net.node.clients.listening_socket
     listener.on_empty = lambda: net.send_more(newcomer.sock, request_text("late"))
     net.node.clients.abandon_listener()
-    newcomer.look()
-    assert newcomer.saw() == "503"
+    newcomer.read_available()
+    assert newcomer.outcome() == "503"
     newcomer.sock.close()
 
 
 @pytest.mark.parametrize("descriptors", [FEW_DESCRIPTORS, 1024])
-def test_from_sigterm_on_who_finds_no_room_does_not_wait_in_the_queue(descriptors):
-    """Until the listener was to close, those without room were let in by sixteen in 50 ms, and
-    a long queue outlived the grace of short timeouts.
+def test_after_sigterm_clients_beyond_the_capacity_do_not_wait_in_the_queue(descriptors):
+    """Clients beyond the capacity were accepted in batches of sixteen per 50 ms until the listener
+    was about to close, so a long queue outlasted the grace period of short timeouts.
     """
-    net, address = listening(descriptors)
-    with signals(net, None):
+    net, address = listening_node(descriptors)
+    with signal_handlers(net, None):
         signal.raise_signal(signal.SIGTERM)
         net.turn()
-        clients = queue_clients(address, 3 * LARGER_THAN_SOCKET_BUFFERS)
+        clients = queue_clients(address, 3 * MORE_THAN_CAPACITY)
         net.advance(20_000)
         for client in clients:
-            client.look()
+            client.read_available()
     places = net.node.clients.max_clients
-    assert sum(client.saw() == "503" for client in clients) >= len(clients) - places - 20
+    assert sum(client.outcome() == "503" for client in clients) >= len(clients) - places - 20
     for client in clients:
         client.sock.close()
--- a/tests/net/test_config.py
+++ b/tests/net/test_config.py
@@ -1,45 +1,45 @@
-"""The configuration's file at start."""
+"""The configuration file at startup."""
 
 import subprocess
 import sys
 
 import orjson
 import pytest
-from net_scenarios import GOOD
+from net_scenarios import VALID_CONFIG
 
 from orchidgap.net import config
 
 
 def test_start_reads_names_and_units(tmp_path):
-    (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
-    station = config.read(str(tmp_path / "c"))
-    assert (station.listen, station.seed, station.idle_timeout_us, station.descriptors) == (
+    (tmp_path / "c").write_bytes(orjson.dumps(VALID_CONFIG))
+    loaded = config.read(str(tmp_path / "c"))
+    assert (loaded.listen, loaded.seed, loaded.idle_timeout_us, loaded.descriptors) == (
         ("127.0.0.1", 1),
         255,
         7,
         1024,
     )
-    assert station.settings.request_classes["read"].idempotent
+    assert loaded.settings.request_classes["read"].idempotent
     assert (
-        not station.settings.uses_listed_weights
-        and station.settings.reported_fields == ()
-        and station.shadow_settings is None
+        not loaded.settings.uses_listed_weights
+        and loaded.settings.reported_fields == ()
+        and loaded.shadow_settings is None
     )
     new = {"weights": "rough", "report": {"how": "inline", "fields": ["concurrent", "tps"]}}
-    (tmp_path / "c").write_bytes(orjson.dumps(GOOD | {"watch": {"settings": new}}))
-    watching = config.read(str(tmp_path / "c"), station)
-    assert watching.settings == station.settings
-    assert watching.shadow_settings == station.settings._replace(
+    (tmp_path / "c").write_bytes(orjson.dumps(VALID_CONFIG | {"watch": {"settings": new}}))
+    with_shadow = config.read(str(tmp_path / "c"), loaded)
+    assert with_shadow.settings == loaded.settings
+    assert with_shadow.shadow_settings == loaded.settings._replace(
         uses_listed_weights=True, reported_fields=("concurrent", "tps")
     )
-    (tmp_path / "c").write_bytes(orjson.dumps(GOOD))
-    assert config.read(str(tmp_path / "c"), watching).shadow_settings is None, (
-        "a watch may be left out again"
+    (tmp_path / "c").write_bytes(orjson.dumps(VALID_CONFIG))
+    assert config.read(str(tmp_path / "c"), with_shadow).shadow_settings is None, (
+        "a later file may drop the shadow settings"
     )
 
 
 @pytest.mark.parametrize(
-    ("change", "names"),
+    ("change", "message"),
     [
         ({"listen": "nowhere"}, "not an address: 'nowhere'"),
         ({"listen": None}, "c: "),
@@ -48,13 +48,16 @@
         ({"limits": {"sockets": 10}}, "too few"),
         ({"known": {"hosts": 1}}, "c: "),
         ({"settings": {"rule-sets": [{"name": "a"}]}}, "rule-sets.0.client-timeout is missing"),
-        ({"settings": GOOD["settings"] | {"weights": "heavy"}}, "setting weights is 'heavy'"),
         (
-            {"settings": GOOD["settings"] | {"report": {"how": "loudly"}}},
+            {"settings": VALID_CONFIG["settings"] | {"weights": "heavy"}},
+            "setting weights is 'heavy'",
+        ),
+        (
+            {"settings": VALID_CONFIG["settings"] | {"report": {"how": "loudly"}}},
             "setting report.how is 'loudly'",
         ),
         (
-            {"settings": GOOD["settings"] | {"ceilings": {"may-duplicate": "maybe"}}},
+            {"settings": VALID_CONFIG["settings"] | {"ceilings": {"may-duplicate": "maybe"}}},
             "may-duplicate is 'maybe'",
         ),
         ({"watch": 7}, "watch.settings"),
@@ -72,19 +75,19 @@
         ),
     ],
 )
-def test_a_bad_start_is_one_plain_line(tmp_path, change, names):
-    """The configuration lacks a key, or has a value that cannot be. The program says which in
-    one line.
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path, change, message):
+    """The configuration lacks a key or has an invalid value. The program reports which one in a
+    single line.
     """
-    (tmp_path / "c").write_bytes(orjson.dumps(GOOD | change))
-    with pytest.raises(config.ConfigError, match=names) as told:
+    (tmp_path / "c").write_bytes(orjson.dumps(VALID_CONFIG | change))
+    with pytest.raises(config.ConfigError, match=message) as raised:
         config.read(str(tmp_path / "c"))
-    assert "\n" not in str(told.value)
+    assert "\n" not in str(raised.value)
 
 
 @pytest.mark.parametrize("text", [None, "", "{", "[]", "7"])
-def test_a_configuration_that_is_none_ends_the_command_with_one_line(tmp_path, text):
-    """The file is missing, empty or no JSON object. The command ends with one line and no
+def test_a_missing_or_unreadable_configuration_ends_the_command_with_one_line(tmp_path, text):
+    """The file is missing, empty or not a JSON object. The command exits with one line and no
     traceback.
     """
     path = tmp_path / "c"
--- a/tests/net/test_connection_log.py
+++ b/tests/net/test_connection_log.py
@@ -1,4 +1,7 @@
-"""What a process tells of each connection that it closes: without it a client can't show that its request was not read."""
+"""The log entry of each connection that the process closes.
+
+Without it a client cannot prove that its request was not read.
+"""
 
 import select
 
@@ -31,19 +34,19 @@
 )
 
 
-class Lines:
+class LogLines:
     def __init__(self):
-        self.told = []
+        self.events = []
 
     def __call__(self, event, **facts):
         orjson.dumps(facts)
-        self.told.append((event, facts))
+        self.events.append((event, facts))
 
 
 @pytest.fixture
 def net():
     harness = LoopbackHarness(1)
-    harness.lines = Lines()
+    harness.lines = LogLines()
     connection_log = ConnectionLog(harness.lines)
     harness.node.clients.on_closing = connection_log.on_closing
     harness.node.clients.on_half_closed_unread = connection_log.on_half_closed_unread
@@ -56,12 +59,12 @@
 
 
 def last_line(net):
-    event, facts = net.lines.told[-1]
+    event, facts = net.lines.events[-1]
     assert event == CONNECTION_CLOSED
     return facts
 
 
-def test_a_connection_that_asked_nothing_is_told_with_nothing_read(net):
+def test_a_connection_without_a_request_is_logged_with_nothing_read(net):
     far = net.connect_client()
     net.turn()
     before_us = monotonic_us()
@@ -72,33 +75,33 @@
     assert (facts["end"], facts["read"], facts["answered"], facts["unread"]) == ("silent", 0, 0, 0)
 
 
-def test_a_request_that_was_read_and_not_answered_is_told(net):
+def test_a_request_that_was_read_and_not_answered_is_logged(net):
     net.connect_client(request_text("k1"))
     net.turn()
     only_client(net).close(ConnectionEnd.SHUTDOWN)
     assert (last_line(net)["read"], last_line(net)["answered"]) == (1, 0)
 
 
-def test_a_request_that_was_read_in_part_or_waits_behind_another_is_told(net):
+def test_a_request_that_was_partly_read_or_pipelined_is_logged(net):
     net.connect_client(request_text("k1") + request_text("k2", id="b2") + b"GET /re")
     net.turn()
     only_client(net).close(ConnectionEnd.SHUTDOWN)
     assert (last_line(net)["read"], last_line(net)["answered"]) == (3, 0)
 
 
-def test_requests_that_were_answered_are_told_once_as_the_connection_is_shut(net):
+def test_answered_requests_are_logged_once_when_the_connection_is_closed(net):
     far = net.connect_client(request_text("k1"))
     net.turn()
     net.answer_from_host(net.host_socket())
     assert "200" in received_or_reset(far)
     only_client(net).finish()
     only_client(net).close(ConnectionEnd.FINISHED)
-    assert len(net.lines.told) == 1
+    assert len(net.lines.events) == 1
     facts = last_line(net)
     assert (facts["end"], facts["read"], facts["answered"]) == ("finished", 1, 1)
 
 
-def test_bytes_that_came_and_were_not_read_are_told(net):
+def test_received_bytes_that_were_not_read_are_logged(net):
     far = net.connect_client()
     net.turn()
     net.send_more(far, request_text())
@@ -106,46 +109,46 @@
     assert (last_line(net)["read"], last_line(net)["unread"]) == (0, True)
 
 
-def test_a_connection_that_its_client_closed_is_not_told(net):
+def test_a_connection_that_its_client_closed_is_not_logged(net):
     far = net.connect_client()
     net.turn()
     net.close_client(far)
     net.turn()
-    assert not net.node.clients.open_clients and not net.lines.told
+    assert not net.node.clients.open_clients and not net.lines.events
 
 
-@pytest.mark.parametrize("asked", [False, True])
-def test_a_process_tells_of_connections_only_where_it_is_asked_to(asked, monkeypatch):
+@pytest.mark.parametrize("is_enabled", [False, True])
+def test_a_process_logs_connections_only_if_enabled(is_enabled, monkeypatch):
     monkeypatch.delenv(CONNECTION_LOG_VARIABLE, raising=False)
-    if asked:
+    if is_enabled:
         monkeypatch.setenv(CONNECTION_LOG_VARIABLE, "1")
     listener = LoopbackHarness(1).node.clients
-    log_connections_if_enabled(listener, Lines())
-    assert (listener.on_closing is not None) is asked
-    assert (listener.on_half_closed_unread is not None) is asked
+    log_connections_if_enabled(listener, LogLines())
+    assert (listener.on_closing is not None) is is_enabled
+    assert (listener.on_half_closed_unread is not None) is is_enabled
 
 
-def test_a_request_that_comes_as_its_connection_is_to_make_way_is_answered(net, monkeypatch):
-    # it came behind the look that found the connection quiet, and was reset unread
+def test_a_request_that_arrives_as_its_connection_is_evicted_is_answered(net, monkeypatch):
+    # The request arrived after the check that found the connection idle, and was reset unread.
     far = net.connect_client()
     net.turn()
-    only_client(net).since_us -= RECENT_CONNECTION_US  # who came since makes no way
+    only_client(net).since_us -= RECENT_CONNECTION_US  # recent connections are not evicted
     is_idle = Http1ClientConnection.is_idle
 
-    def ask_behind_look(client):
+    def send_after_check(client):
         was_idle = is_idle(client)
         if was_idle:
             net.send_more(far, request_text())
         return was_idle
 
-    monkeypatch.setattr(Http1ClientConnection, "is_idle", ask_behind_look)
+    monkeypatch.setattr(Http1ClientConnection, "is_idle", send_after_check)
     assert not net.node.clients.close_unneeded()
-    assert not net.lines.told
+    assert not net.lines.events
     net.answer_from_host(net.host_socket())
     assert "200" in received_or_reset(far)
 
 
-def test_a_silent_client_whose_request_comes_in_the_moment_of_its_close_is_answered(net):
+def test_a_silent_client_whose_request_arrives_at_its_close_is_answered(net):
     far = net.connect_client()
     net.turn()
     net.send_more(far, request_text())
@@ -155,8 +158,9 @@
     assert "200" in received_or_reset(far)
 
 
-def test_a_close_counts_from_the_look_that_it_rests_on(net):
-    # a process may get no core between its look and its close: what comes then crosses the end
+def test_a_close_is_timed_by_the_check_that_it_relies_on(net):
+    # A process may not be scheduled between its last check and its close: bytes that arrive in
+    # between race the close.
     net.connect_client()
     net.turn()
     before_us = monotonic_us()
@@ -167,11 +171,11 @@
     assert facts["closed_us"] >= before_us - 1_000
 
 
-# --- a request that meets the end of a resting connection
+# --- a request that arrives while its idle connection is closed
 
 
-class Crossing:
-    """A client whose connection rests, and that asks once more at a moment of the end."""
+class LateRequest:
+    """A client with an idle connection that sends another request at a given moment of the close."""
 
     def __init__(self, net, folder):
         self.net, self.path = net, folder / "b0.log"
@@ -180,14 +184,15 @@
         net.answer_from_host(net.host_socket())
         assert "200" in received_or_reset(self.far)
         assert "/read/k1" in net.next_host_request()[0]
-        self.wrote_us, self.written_us, self.was_closed_at_write = 0, 0, False
+        self.write_began_us, self.written_us, self.was_closed_at_write = 0, 0, False
         offset_us = net.now - monotonic_us()
-        net.loop.clock = lambda: monotonic_us() + offset_us  # a look and its line have their times
+        # Real time passes between a check and its log entry.
+        net.loop.clock = lambda: monotonic_us() + offset_us
 
-    def ask(self, *_):
-        """The request is with the balancer's machine as this returns."""
+    def send_request(self, *_):
+        """Send the request; it has reached the balancer's socket when this returns."""
         near = self.net.accepted_socket(self.far)
-        self.wrote_us = monotonic_us()
+        self.write_began_us = monotonic_us()
         self.far.sendall(request_text("second"))
         self.written_us = monotonic_us()
         poll = select.poll()
@@ -196,116 +201,117 @@
         if near.fileno() >= 0 and not self.was_closed_at_write:
             wait_until_readable(near)
 
-    def ask_before(self, owner, name):
-        """It asks before the next call of this method."""
+    def send_before_call(self, owner, name):
+        """Send the request right before the next call of this method."""
         method = getattr(owner, name)
 
-        def behind(*args, **named):
-            if not self.wrote_us:
-                self.ask()
+        def wrapper(*args, **named):
+            if not self.write_began_us:
+                self.send_request()
             return method(*args, **named)
 
-        setattr(owner, name, behind)
+        setattr(owner, name, wrapper)
 
-    def end(self):
-        """What the client sees in the end, and what the checker calls it."""
+    def finish_turn(self):
+        """Return what the client received and how the checker classifies the request's end."""
         self.net.turn()
-        seen = received_or_reset(self.far)
+        received = received_or_reset(self.far)
         with open(self.path, "wb") as file:
-            for event, facts in self.net.lines.told:
+            for event, facts in self.net.lines.events:
                 file.write(orjson.dumps({"event": event} | facts) + b"\n")
         facts = ConnectionEndFacts(
             ProcessEnd.RUNNING,
             was_written=True,
-            write_began_us=self.wrote_us,
+            write_began_us=self.write_began_us,
             written_at_us=self.written_us,
             earlier_requests=1,
-            was_reset=seen == RESET,
+            was_reset=received == RESET,
             was_closed_at_write=self.was_closed_at_write,
             close_record=LoggedCloseRecords(self.path, 0).find(self.far.getsockname()[1], 0),
             was_seen_by_host=bool(self.net.next_host_request()[0]),
         )
-        return seen, classify_request_end(facts)
+        return received, classify_request_end(facts)
 
 
 @pytest.fixture
-def crossing(net, tmp_path):
-    return Crossing(net, tmp_path)
+def late_request(net, tmp_path):
+    return LateRequest(net, tmp_path)
 
 
-def test_a_request_that_comes_between_the_look_and_the_line_crosses_the_end(crossing):
-    # a process that stood still behind its look was told of a lost request
-    crossing.ask_before(crossing.net.node.clients, "on_closing")
-    crossing.net.node.clients.release_idle()
-    assert crossing.end() == ("", RequestEnd.RACED_CLOSE)
+def test_a_request_between_the_check_and_the_log_entry_races_the_close(late_request):
+    # A process that stalled after its last check was reported to have lost a request.
+    late_request.send_before_call(late_request.net.node.clients, "on_closing")
+    late_request.net.node.clients.release_idle()
+    assert late_request.finish_turn() == ("", RequestEnd.RACED_CLOSE)
 
 
-def test_a_request_that_comes_between_the_line_and_the_shutdown_crosses_the_end(crossing):
-    # its client sees an end in order, as if it had come first
-    tell = crossing.net.node.clients.on_closing
+def test_a_request_between_the_log_entry_and_the_shutdown_races_the_close(late_request):
+    # The client sees an orderly close, as if the close had preceded its request.
+    on_closing = late_request.net.node.clients.on_closing
 
-    def tell_and_ask(*facts):
-        tell(*facts)
-        crossing.ask()
+    def log_and_send(*facts):
+        on_closing(*facts)
+        late_request.send_request()
 
-    crossing.net.node.clients.on_closing = tell_and_ask
-    crossing.net.node.clients.release_idle()
-    assert crossing.end() == ("", RequestEnd.RACED_CLOSE)
+    late_request.net.node.clients.on_closing = log_and_send
+    late_request.net.node.clients.release_idle()
+    assert late_request.finish_turn() == ("", RequestEnd.RACED_CLOSE)
 
 
-def test_a_request_that_comes_behind_the_shutdown_crosses_the_end(crossing):
-    crossing.net.node.clients.release_idle()
-    crossing.ask()
-    assert crossing.was_closed_at_write
-    assert crossing.end() == ("", RequestEnd.RACED_CLOSE)
+def test_a_request_after_the_shutdown_races_the_close(late_request):
+    late_request.net.node.clients.release_idle()
+    late_request.send_request()
+    assert late_request.was_closed_at_write
+    assert late_request.finish_turn() == ("", RequestEnd.RACED_CLOSE)
 
 
-def test_a_request_that_comes_between_the_last_look_and_the_close_crosses_the_end(crossing):
-    crossing.ask_before(crossing.net.node.clients, "on_closing")
-    assert only_client(crossing.net).close_unless_unread(ConnectionEnd.EVICTED)
-    assert crossing.end() == (RESET, RequestEnd.RACED_CLOSE)
+def test_a_request_between_the_last_check_and_the_close_races_the_close(late_request):
+    late_request.send_before_call(late_request.net.node.clients, "on_closing")
+    assert only_client(late_request.net).close_unless_unread(ConnectionEnd.EVICTED)
+    assert late_request.finish_turn() == (RESET, RequestEnd.RACED_CLOSE)
 
 
-def test_a_request_that_is_being_written_at_the_last_look_crosses_the_end(crossing):
-    # its write had begun 8 us before the look, its bytes came behind that: it was called lost
+def test_a_request_being_written_at_the_last_check_races_the_close(late_request):
+    # The write had begun 8 us before the check and its bytes arrived after it: the request was
+    # classified as lost.
     began_us = monotonic_us()
-    crossing.ask_before(crossing.net.node.clients, "on_closing")
-    assert only_client(crossing.net).close_unless_unread(ConnectionEnd.EVICTED)
-    crossing.wrote_us = began_us
-    assert crossing.end() == (RESET, RequestEnd.RACED_CLOSE)
+    late_request.send_before_call(late_request.net.node.clients, "on_closing")
+    assert only_client(late_request.net).close_unless_unread(ConnectionEnd.EVICTED)
+    late_request.write_began_us = began_us
+    assert late_request.finish_turn() == (RESET, RequestEnd.RACED_CLOSE)
 
 
-def test_a_request_that_was_written_before_the_look_that_a_process_claims_is_lost(crossing):
-    crossing.ask()
-    only_client(crossing.net).close(ConnectionEnd.EVICTED, crossing.net.loop.clock())
-    assert crossing.end() == (RESET, RequestEnd.LOST)
+def test_a_request_written_before_the_check_that_a_process_claims_is_lost(late_request):
+    late_request.send_request()
+    only_client(late_request.net).close(ConnectionEnd.EVICTED, late_request.net.loop.clock())
+    assert late_request.finish_turn() == (RESET, RequestEnd.LOST)
 
 
-def test_a_request_that_comes_before_the_last_look_is_answered(crossing):
-    crossing.ask()
-    crossing.net.node.clients.release_idle()
-    crossing.net.turn()
-    crossing.net.answer_from_host(crossing.net.host_socket())
-    assert "200" in received_or_reset(crossing.far)
-    assert not crossing.net.lines.told
+def test_a_request_before_the_last_check_is_answered(late_request):
+    late_request.send_request()
+    late_request.net.node.clients.release_idle()
+    late_request.net.turn()
+    late_request.net.answer_from_host(late_request.net.host_socket())
+    assert "200" in received_or_reset(late_request.far)
+    assert not late_request.net.lines.events
 
 
-def test_a_request_that_is_read_and_dropped_before_the_shutdown_is_lost(crossing):
-    # what the process has read can't have crossed an end, whatever its line says
-    tell = crossing.net.node.clients.on_closing
+def test_a_request_that_is_read_and_dropped_before_the_shutdown_is_lost(late_request):
+    # A request that the process has read cannot have raced the close, whatever the log entry says.
+    on_closing = late_request.net.node.clients.on_closing
 
-    def ask_and_drop(*facts):
-        tell(*facts)
-        crossing.ask()
-        assert only_client(crossing.net).conn.sock.recv(1 << 16)
+    def send_and_discard(*facts):
+        on_closing(*facts)
+        late_request.send_request()
+        assert only_client(late_request.net).conn.sock.recv(1 << 16)
 
-    crossing.net.node.clients.on_closing = ask_and_drop
-    crossing.net.node.clients.release_idle()
-    assert crossing.end() == ("", RequestEnd.LOST)
+    late_request.net.node.clients.on_closing = send_and_discard
+    late_request.net.node.clients.release_idle()
+    assert late_request.finish_turn() == ("", RequestEnd.LOST)
 
 
-def test_a_request_that_came_before_the_look_and_is_shut_out_unread_is_lost(crossing):
-    # a process that never looks is owed no excuse
-    crossing.ask()
-    only_client(crossing.net).finish()
-    assert crossing.end() == ("", RequestEnd.LOST)
+def test_an_earlier_request_that_is_left_unread_without_a_check_is_lost(late_request):
+    # A process that never checks for unread bytes is not excused.
+    late_request.send_request()
+    only_client(late_request.net).finish()
+    assert late_request.finish_turn() == ("", RequestEnd.LOST)
--- a/tests/net/test_discovered_hosts.py
+++ b/tests/net/test_discovered_hosts.py
@@ -1,33 +1,43 @@
-"""The list of hosts: fetched, watched, broken, and what follows from it."""
+"""The host list: fetched, watched, interrupted, and applied."""
 
 import orjson
 import pytest
 from loopback_harness import LoopbackHarness, received_or_reset, request_text, wait_until_readable
-from net_scenarios import LIST, discovery_socket, host_states, idle_links, push_host_list
+from net_scenarios import (
+    LIST_PATH,
+    discovery_socket,
+    host_states,
+    open_idle_connections,
+    push_host_list,
+)
 from node_harness import NodeHarness, received_text
 
 
-def test_the_list_is_fetched_whole_and_then_watched_without_a_gap():
+def test_the_list_is_fetched_completely_and_then_watched_without_a_gap():
     net = NodeHarness(1)
-    assert received_text(discovery_socket(net)).startswith(f"GET {LIST} HTTP/1.1")
+    assert received_text(discovery_socket(net)).startswith(f"GET {LIST_PATH} HTTP/1.1")
     push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(3), net.host_entry(9)])
     assert host_states(net) == {"c0": "up", "c3": "up", "o": "up"}
-    assert received_text(discovery_socket(net)).startswith(f"GET {LIST}?after=41&wait_ms=3000 ")
+    assert received_text(discovery_socket(net)).startswith(
+        f"GET {LIST_PATH}?after=41&wait_ms=3000 "
+    )
     net.advance(3_000_000)
     push_host_list(net, 43, False, [net.host_entry(0, "Terminating"), net.host_entry(3, "Gone")])
     assert host_states(net) == {"c0": "draining", "o": "up"}
-    assert received_text(discovery_socket(net)).startswith(f"GET {LIST}?after=43&")
+    assert received_text(discovery_socket(net)).startswith(f"GET {LIST_PATH}?after=43&")
     push_host_list(net, 43, False, [])
     net.advance(50_000)
-    assert received_text(discovery_socket(net)) is None, "no spin where an agent does not wait"
+    assert received_text(discovery_socket(net)) is None, (
+        "no busy loop if the server answers a watch at once"
+    )
     net.advance(140_000)
-    assert received_text(discovery_socket(net)).startswith(f"GET {LIST}?after=43&"), (
-        "but within 200 ms"
+    assert received_text(discovery_socket(net)).startswith(f"GET {LIST_PATH}?after=43&"), (
+        "the next watch starts within 200 ms"
     )
 
 
 @pytest.mark.parametrize(
-    "does",
+    "fail",
     [
         lambda net: push_host_list(net, 1, True, [], status=500),
         lambda net: push_host_list(net, 1, False, []),
@@ -40,18 +50,18 @@
         lambda net: net.advance(1_000_000),
     ],
 )
-def test_a_bad_or_missing_answer_keeps_the_list_and_is_asked_again_later(does):
-    """Discovery closes, answers badly or not at all. The list is kept, and asked for again
-    after a wait that grows.
+def test_a_malformed_or_missing_answer_keeps_the_list_and_is_retried_later(fail):
+    """Discovery closes the connection, sends a malformed answer or none. The list is kept, and
+    requested again after a delay that grows.
     """
     net = NodeHarness(2)
     before = host_states(net)
-    does(net)
+    fail(net)
     net.turn()
     assert host_states(net) == before and "list lost" in net.log.lines
     times = len(net.dialled)
     net.advance(45_000)
-    assert len(net.dialled) == times, "not at once"
+    assert len(net.dialled) == times, "no immediate retry"
     net.advance(60_000)
     assert len(net.dialled) == times + 1
     net.refused.add(8500)
@@ -64,9 +74,9 @@
     assert host_states(net) == {"c5": "up", "o": "up"} and "list back" in net.log.lines
 
 
-def test_an_odd_entry_costs_its_host_and_not_the_list():
-    """One host of the list has no address, or a state that is unknown. It is sent nothing new;
-    the others are used.
+def test_a_malformed_entry_affects_its_host_and_not_the_list():
+    """One entry of the list has no valid address, or an unknown state. That host is sent nothing
+    new; the others are used.
     """
     net = NodeHarness(2)
     odd = [
@@ -80,9 +90,9 @@
     assert net.dialled[-1][0] == 102
 
 
-def test_a_change_that_cannot_be_read_or_a_version_that_falls_is_followed_by_the_whole_list():
-    """A change cannot be read, or its version is lower than the one held. The whole list is
-    asked for.
+def test_a_malformed_change_or_a_lower_version_is_followed_by_the_complete_list():
+    """A change cannot be decoded, or its version is lower than the current one. The complete list
+    is requested.
     """
     for seq, hosts, wait in ((42, [{"host": "x"}], 100_000), (3, [], 100_000)):
         net = NodeHarness(1)
@@ -91,28 +101,28 @@
         push_host_list(net, seq, False, hosts)
         net.advance(wait)
         assert received_text(discovery_socket(net)).startswith(
-            f"GET {LIST} HTTP/1.1"
+            f"GET {LIST_PATH} HTTP/1.1"
         ) and host_states(net) == {
             "c0": "up",
             "o": "up",
         }
 
 
-def test_an_address_that_changes_is_dialled_from_then_on():
-    """A host comes back at another address. Its old connections are closed, and the new
-    address is dialled.
+def test_a_changed_address_is_dialled_from_then_on():
+    """A host reappears at another address. Its old connections are closed, and the new address is
+    dialled.
     """
     net = NodeHarness(1)
     push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
-    [link] = idle_links(net, 1)
+    [connection] = open_idle_connections(net, 1)
     push_host_list(net, 42, False, [net.host_entry(0, port=300)])
     net.send_request("again")
     assert net.dialled[-1][0] == 300
-    received_text(link)
-    assert received_text(link) == ""
+    received_text(connection)
+    assert received_text(connection) == ""
 
 
-def test_a_restart_is_told_in_milliseconds_of_unix_time():
+def test_a_restart_time_is_in_milliseconds_of_unix_time():
     net = NodeHarness(2)
     push_host_list(
         net,
@@ -123,8 +133,9 @@
     assert net.node.balancer.hosts["c0"].warm_at_us == net.now + 10_000_000
 
 
-def test_a_list_that_is_there_counts_before_requests_that_came_earlier_in_the_same_turn():
-    # A soak's balancer that had been stopped sent to a host that it had been told was draining.
+def test_a_received_list_applies_before_requests_that_arrived_earlier_in_the_same_turn():
+    # In a soak, a balancer that had been stopped sent a request to a host although the list that
+    # marked it as draining had arrived.
     net = LoopbackHarness(1)
     push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
     client = net.connect_client(request_text("k1"))
--- a/tests/net/test_event_log.py
+++ b/tests/net/test_event_log.py
@@ -1,4 +1,4 @@
-"""The log and a reader that does not read."""
+"""The event log with a reader that does not read."""
 
 import os
 
@@ -7,9 +7,9 @@
 from orchidgap.net.event_log import EventLog
 
 
-def test_a_log_that_nobody_reads_loses_lines_and_does_not_wait():
-    """Nobody reads the log's pipe. Lines are dropped and counted, and the loop never blocks on
-    them.
+def test_a_log_that_is_not_read_drops_lines_and_does_not_block():
+    """The log's pipe is not read. Lines are dropped and counted, and the event loop never blocks
+    on them.
     """
     far, near = os.pipe()
     log = EventLog("n", near)
--- a/tests/net/test_loop.py
+++ b/tests/net/test_loop.py
@@ -1,11 +1,13 @@
-"""The loop tells of timers that it calls late, with what tells a busy process from one that got no core."""
+"""The loop's reports of late timers, with the figures that distinguish a busy process from a
+stalled one.
+"""
 
 import os
 
 from orchidgap.net.loop import MAX_POSTPONED_TURNS, READ, STALLED_TURN_US, Loop
 
 
-class StandInClock:
+class FakeClock:
     def __init__(self):
         self.now_us = 0
 
@@ -14,7 +16,7 @@
 
 
 def loop_with_reports():
-    clock = StandInClock()
+    clock = FakeClock()
     loop = Loop(clock)
     reports = []
     loop.on_late_turn = reports.append
@@ -25,8 +27,8 @@
     pass
 
 
-def test_a_turn_that_began_late_is_told():
-    # A process that is stopped answers late; its log said nothing of it.
+def test_a_turn_that_began_late_is_reported():
+    # A process that had been stopped answered late, and its log did not show the stop.
     clock, loop, reports = loop_with_reports()
     loop.call_later(50_000, ignore)
     clock.now_us = 250_000
@@ -39,16 +41,16 @@
     assert reports[0].cpu_us >= 0
 
 
-def test_a_turn_whose_calls_took_long_is_told():
-    # A timer waits for all calls of sockets that were ready before it.
+def test_a_turn_whose_callbacks_took_long_is_reported():
+    # A timer runs after the callbacks of all sockets that were ready before it.
     clock, loop, reports = loop_with_reports()
     reader, writer = os.pipe()
     with open(reader, "rb") as source, open(writer, "wb") as sink:
 
-        def take_long(mask):
+        def run_long(mask):
             clock.now_us += 150_000
 
-        loop.watch(source, READ, take_long)
+        loop.watch(source, READ, run_long)
         loop.call_later(0, ignore)
         sink.write(b"x")
         sink.flush()
@@ -56,7 +58,7 @@
     assert [(turn.began_late_us, turn.calls_us) for turn in reports] == [(0, 150_000)]
 
 
-def test_a_turn_within_the_limit_and_a_cancelled_timer_are_not_told():
+def test_a_turn_within_the_limit_and_a_cancelled_timer_are_not_reported():
     clock, loop, reports = loop_with_reports()
     loop.call_later(0, ignore).cancel()
     loop.call_later(100_000, ignore)
@@ -65,8 +67,9 @@
     assert not reports
 
 
-def test_a_timer_waits_for_what_came_while_the_process_was_stopped_in_its_wait():
-    # A selector whose wait runs out in a stop answers without another look: a request went to a draining host.
+def test_a_timer_runs_after_events_that_arrived_during_a_stop_in_select():
+    # A selector whose timeout expires during a stop returns without polling again: a request was
+    # sent to a draining host.
     clock, loop, _ = loop_with_reports()
     calls = []
     reader, writer = os.pipe()
@@ -75,20 +78,20 @@
         loop.call_later(10_000, calls.append, "timer")
         select = loop.selector.select
 
-        def stand_still(*wait):
+        def stall_in_select(*wait):
             loop.selector.select = select
             clock.now_us += 600_000
             sink.write(b"x")
             sink.flush()
             return []
 
-        loop.selector.select = stand_still
+        loop.selector.select = stall_in_select
         loop.run_once()
     assert calls == ["socket", "timer"]
 
 
-def test_what_is_postponed_comes_behind_those_whose_turn_comes_first_and_before_all_others():
-    # An attempt that waits for the list of hosts must not go out before the list is read.
+def test_postponed_calls_run_after_priority_callbacks_and_before_all_others():
+    # An attempt that is postponed until the host list is read must not be sent before that.
     _, loop, _ = loop_with_reports()
     calls = []
     pipes = [os.pipe() for _ in range(2)]
@@ -106,8 +109,8 @@
             os.close(descriptor)
 
 
-def test_the_turn_that_something_is_postponed_to_does_not_wait(monkeypatch):
-    # With nothing else to do it would have waited as long as the selector may.
+def test_a_turn_with_postponed_calls_does_not_wait(monkeypatch):
+    # Without other events, the loop waited for the selector's longest timeout.
     _, loop, _ = loop_with_reports()
     waits_s = []
     monkeypatch.setattr(loop.selector, "select", lambda wait_s: waits_s.append(wait_s) or [])
@@ -118,8 +121,8 @@
     assert calls == ["postponed"]
 
 
-def test_what_is_postponed_is_called_though_every_turn_is_stalled_before():
-    # Where what comes first took long in every turn, no attempt that had been put off was ever sent.
+def test_postponed_calls_run_even_if_every_turn_stalls_before_them():
+    # When priority callbacks took long in every turn, a postponed attempt was never sent.
     clock, loop, _ = loop_with_reports()
     reader, writer = os.pipe()
 
@@ -138,7 +141,7 @@
     assert calls == ["one", "two"]
     loop.call_next_turn(lambda: calls.append("three"))
     loop.run_once(0)
-    assert calls == ["one", "two"], "it waits anew"
+    assert calls == ["one", "two"], "a new call is postponed again"
     loop.unwatch(reader)
     loop.run_once(0)
     assert calls == ["one", "two", "three"]
@@ -146,7 +149,7 @@
     os.close(writer)
 
 
-def test_a_turn_is_stalled_once_its_selector_was_asked_long_ago():
+def test_a_turn_is_stalled_once_its_selector_was_polled_long_ago():
     clock, loop, _ = loop_with_reports()
     loop.run_once(0)
     clock.now_us += STALLED_TURN_US
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -1,34 +1,34 @@
-"""What the node joins: readiness, keys, descriptors, settings that are evaluated beside."""
+"""Node functions that combine its parts: readiness, keys, connection limits, shadow settings."""
 
 from functools import partial
 
 import pytest
 from balancer_harness import SETTINGS
-from net_scenarios import WAITS
+from net_scenarios import NO_CANCELLATION
 from node_harness import NodeHarness, received_text
 
 from orchidgap.decisions.settings import ServiceSettings
 from orchidgap.decisions.shadow import ShadowBalancer
 
 
-def test_a_watch_decides_as_before_and_tells_what_it_counted():
+def test_shadow_settings_change_no_decision_and_report_their_counts():
     new = ServiceSettings.from_pairs(
         SETTINGS | {"report.how": "inline", "report.fields": "concurrent"}
     )
-    net = NodeHarness(3, decider=partial(ShadowBalancer, new), **WAITS)
+    net = NodeHarness(3, decider=partial(ShadowBalancer, new), **NO_CANCELLATION)
     assert NodeHarness().node.shadow_report() == (False, "nothing is watched")
     client = net.send_request()
     net.advance(600_000)
-    assert len(net.host_sockets()) == 1, "nothing can be called off"
+    assert len(net.host_sockets()) == 1, "no attempt may be cancelled"
     net.answer_from_host(net.host_socket(), more="Server-Load: concurrent=7\r\n")
     assert "200" in received_text(client)
-    done, words = net.node.shadow_report()
-    assert done and words == (
+    done, report = net.node.shadow_report()
+    assert done and report == (
         "1 dispatches, owner 0, copy 0, repeat 0, call-off 1, answer 0, pause 0, limit 0"
     )
 
 
-def test_a_very_long_key_is_a_key():
+def test_a_very_long_key_is_accepted():
     net = NodeHarness(1)
     client = net.send_request("k" * 9_000)
     assert "/read/" + "k" * 9_000 in received_text(net.host_socket())
@@ -36,7 +36,7 @@
     assert received_text(client).startswith("HTTP/1.1 200")
 
 
-def test_ready_only_with_list_and_until_told_to_stop():
+def test_ready_only_with_a_list_and_until_shutdown():
     net = NodeHarness()
     assert received_text(net.client(b"GET /up HTTP/1.1\r\n\r\n")).startswith("HTTP/1.1 200")
     net.node.begin_shutdown()
@@ -54,9 +54,7 @@
         (10, 256, 8),
     ],
 )
-def test_clients_have_room_for_a_third_of_the_descriptors_where_memory_allows(
-    memory, sockets, most
-):
+def test_clients_may_use_a_third_of_the_descriptors_if_memory_allows(memory, sockets, most):
     net = NodeHarness(1, memory=memory, sockets=sockets)
     assert (
         net.node.clients.max_clients == most
--- a/tests/net/test_node_lifecycle.py
+++ b/tests/net/test_node_lifecycle.py
@@ -1,14 +1,14 @@
-"""Draining, resuming and ending, by hand and by signals."""
+"""Drain, resume and shutdown, by operators and by signals."""
 
 import signal
 
-from net_scenarios import REQ, WAITS, signals
+from net_scenarios import NO_CANCELLATION, REQUEST_HEAD, signal_handlers
 from node_harness import NodeHarness, received_text
 
 
-def test_told_to_stop_it_answers_all_and_ends():
-    """SIGTERM comes while requests are open. All are answered, whoever comes late is too, and
-    the process ends.
+def test_shutdown_answers_all_requests_and_exits():
+    """SIGTERM arrives while requests are open. All are answered, so are later ones, and the
+    process exits.
     """
     net = NodeHarness()
     idle, busy = net.send_request("k1"), net.send_request("k2")
@@ -23,7 +23,7 @@
     net.answer_from_host(net.host_socket(1))
     assert "Connection: close" in received_text(busy) and received_text(busy) == ""
     net.advance(200_000)
-    assert net.loop.running, "one is still owed its answer"
+    assert net.loop.running, "one request is still unanswered"
     net.answer_from_host(net.host_socket(2))
     assert "Connection: close" in received_text(late)
     busy.close()
@@ -32,21 +32,23 @@
     assert not net.loop.running
 
 
-def test_no_signal_no_stop():
-    """The ringing end of the pair was once not kept, and its end read as a signal."""
-    net, told = NodeHarness(), []
-    net.node.begin_shutdown = lambda: told.append(1)
-    with signals(net, None):
+def test_without_a_signal_the_process_does_not_shut_down():
+    """The writing end of the wakeup pair was once garbage-collected, and its end of stream read as
+    a signal.
+    """
+    net, shutdowns = NodeHarness(), []
+    net.node.begin_shutdown = lambda: shutdowns.append(1)
+    with signal_handlers(net, None):
         net.turn()
-        assert not told
+        assert not shutdowns
         signal.raise_signal(signal.SIGTERM)
         net.turn()
-        assert told
+        assert shutdowns
 
 
-def test_a_drain_turns_nobody_away_and_lets_all_go():
-    """The balancer drains. Whoever asks is still answered, each on its last connection."""
-    net = NodeHarness(**WAITS)
+def test_a_drain_rejects_no_client_and_closes_all_connections():
+    """The balancer drains. Every request is still answered, as the last one on its connection."""
+    net = NodeHarness(**NO_CANCELLATION)
     idle, busy = net.send_request("k1"), net.send_request("k2")
     net.answer_from_host(net.host_socket(0))
     assert "close" not in received_text(idle)
@@ -59,10 +61,10 @@
         "Connection: close" in received_text(client) and received_text(client) == ""
         for client in (busy, asked, late)
     )
-    net.send_and_turn(idle, REQ + b"\r\n")
+    net.send_and_turn(idle, REQUEST_HEAD + b"\r\n")
     net.answer_all()
     assert "200" in (text := received_text(idle)) and "Connection: close" in text, (
-        "a kept connection may be used once more"
+        "an idle connection may be used once more"
     )
     for client in (idle, busy, asked, late):
         client.close()
@@ -74,11 +76,11 @@
     )
 
 
-def test_connections_that_ask_nothing_are_closed_by_a_drain_and_requests_are_not_cut_off():
-    """Idle connections are closed during a drain. Requests that are open or come half are not
-    cut off.
+def test_a_drain_closes_idle_connections_and_cuts_off_no_request():
+    """Idle connections are closed during a drain. Requests that are open or partly received are
+    not cut off.
     """
-    net = NodeHarness(**WAITS)
+    net = NodeHarness(**NO_CANCELLATION)
     silent, half, idle, busy = (
         net.client(),
         net.client(b"GET /read/k9 HTTP/1.1\r\n"),
@@ -98,7 +100,7 @@
     net.send_and_turn(half, "Request-Id: 9\r\nRequest-Timeout: 1\r\n\r\n")
     net.answer_all()
     assert "200" in received_text(half) and "200" in received_text(busy)
-    newcomer = net.client()  # let in, and kept for no longer than it takes to ask
+    newcomer = net.client()  # accepted, and closed unless it sends a request soon
     net.advance(200_000)
     assert received_text(newcomer) is None
     net.advance(100_000)
@@ -106,14 +108,14 @@
     half.close()
     busy.close()
     net.advance(100_000)
-    assert net.node.lifecycle.state.value == "draining", "one has heard its end, and may yet read"
+    assert net.node.lifecycle.state.value == "draining", "one client has not closed its side yet"
     idle.close()
     net.advance(10_000)
     assert net.node.lifecycle.state.value == "drained"
 
 
-def test_after_a_resume_all_is_as_before():
-    """A drain is ended by hand. Connections are kept again."""
+def test_after_a_resume_connections_are_kept_open_again():
+    """An operator ends a drain. Connections are kept open again."""
     net = NodeHarness()
     net.node.drain()
     net.advance(2_000_000)
@@ -123,14 +125,14 @@
     assert "close" not in received_text(client)
     net.advance(5_000_000)
     assert received_text(client) is None
-    client.sendall(REQ + b"\r\n")
+    client.sendall(REQUEST_HEAD + b"\r\n")
     net.turn()
     net.answer_all()
     assert received_text(client).startswith("HTTP/1.1 200")
     net.node.drain()
     net.node.resume()
     net.advance(5_000_000)
-    assert received_text(client) is None, "what the first drain had set up is off"
+    assert received_text(client) is None, "the timers of the first drain are cancelled"
     net.node.begin_shutdown()
     net.advance(450_000)
     assert received_text(client) == "" and net.loop.running
--- a/tests/net/test_postponed_attempts.py
+++ b/tests/net/test_postponed_attempts.py
@@ -1,24 +1,26 @@
-"""What comes while an attempt waits for the next turn, as its own was held up: one outcome each, and no connection is
-lost count of.
+"""Events between an attempt's postponement and its turn.
+
+An attempt is postponed to the next turn if its own turn stalled. It has exactly one outcome, and
+every connection stays counted.
 """
 
 import pytest
 from loopback_harness import received_or_reset, wait_until_readable
-from stalled_turn import BEFORE_CALLBACKS, BEFORE_WRITE, STALL_US, bring_changes, stall_turn
-from test_stalled_turns import comes_up, is_read
+from stalled_turn import BEFORE_CALLBACKS, BEFORE_WRITE, STALL_US, deliver_list_changes, stall_turn
+from test_stalled_turns import connection_completes, request_arrives
 
 from orchidgap.decisions.records import AttemptOutcome
 
 MOVED_PORT = 107
-ALL_TIMES_US = 3_000_000  # longer than any request has
+AFTER_ALL_TIMEOUTS_US = 3_000_000  # longer than the timeout of any request
 
 
-class Postponed:
-    """A node whose one attempt waits for the next turn."""
+class PostponedAttempt:
+    """A node whose only attempt is postponed to the next turn."""
 
-    def __init__(self, make_scene, moment, monkeypatch):
-        self.scene = make_scene()
-        self.net = self.scene.net
+    def __init__(self, make_scenario, moment, monkeypatch):
+        self.scenario = make_scenario()
+        self.net = self.scenario.net
         stall_turn(self.net, monkeypatch, moment, STALL_US, lambda net: None)
         self.net.loop.run_once()
         assert self.net.loop.postponed
@@ -32,74 +34,78 @@
 
         monkeypatch.setattr(self.net.node.balancer, "on_outcome", on_outcome)
 
-    def check_sound(self):
+    def check_bookkeeping(self):
         pools = self.net.node.pools
-        links = [link for pool in pools.by_host.values() for link in pool.connections]
-        assert pools.connection_count == len(links)
+        connections = [
+            connection for pool in pools.by_host.values() for connection in pool.connections
+        ]
+        assert pools.connection_count == len(connections)
         for pool in pools.by_host.values():
             idle = list(pool.idle)
             assert len(set(idle)) == len(idle)
-            assert all(link in pool.connections and link.attempt is None for link in idle)
+            assert all(
+                connection in pool.connections and connection.attempt is None for connection in idle
+            )
         numbers = [number for number, _ in self.outcomes]
-        assert len(set(numbers)) == len(numbers), "one outcome each"
+        assert len(set(numbers)) == len(numbers), "one outcome for each attempt"
 
 
-@pytest.fixture(params=[(is_read, BEFORE_WRITE), (comes_up, BEFORE_CALLBACKS)])
+@pytest.fixture(params=[(request_arrives, BEFORE_WRITE), (connection_completes, BEFORE_CALLBACKS)])
 def postponed(request, monkeypatch):
-    return Postponed(*request.param, monkeypatch)
+    return PostponedAttempt(*request.param, monkeypatch)
 
 
-def test_it_is_not_sent_once_it_is_called_off(postponed):
-    # What had been given up would be sent all the same.
+def test_it_is_not_sent_after_it_is_cancelled(postponed):
+    # A cancelled attempt would still be sent.
     postponed.exchange.cancel_attempt(postponed.exchange.attempts[0])
     postponed.net.turn()
-    assert postponed.scene.begun() == []
+    assert postponed.scenario.received_reads() == []
     assert postponed.outcomes == [(0, AttemptOutcome.NEVER_SENT)]
-    postponed.check_sound()
+    postponed.check_bookkeeping()
 
 
-def test_it_is_not_sent_once_its_client_has_gone(postponed):
-    # Nobody waits for the answer, and the exchange must not stay open for it.
+def test_it_is_not_sent_after_its_client_disconnected(postponed):
+    # The answer has no recipient, and the exchange must not stay open for it.
     postponed.exchange.client.conn.fail("closed")
     postponed.net.turn()
-    assert postponed.scene.begun() == []
+    assert postponed.scenario.received_reads() == []
     assert not postponed.net.node.exchanges
-    postponed.check_sound()
+    postponed.check_bookkeeping()
 
 
-def test_it_is_not_sent_once_its_time_is_up(postponed):
-    # It had its answer, and a host would work for nobody.
+def test_it_is_not_sent_after_its_deadline(postponed):
+    # The client has been answered, so a host's work would be wasted.
     postponed.exchange.on_deadline()
     postponed.net.turn()
-    assert postponed.scene.begun() == []
-    assert received_or_reset(postponed.scene.client)
+    assert postponed.scenario.received_reads() == []
+    assert received_or_reset(postponed.scenario.client)
     assert not postponed.net.node.exchanges
-    postponed.check_sound()
+    postponed.check_bookkeeping()
 
 
-def test_it_is_not_sent_to_where_its_host_was(postponed):
-    # Its connection, where it has one, is one to the address before.
+def test_it_is_not_sent_to_the_previous_address_of_its_host(postponed):
+    # Its connection, if it has one, leads to the previous address.
     net = postponed.net
-    bring_changes(net, net.host_entry(0, port=MOVED_PORT))
+    deliver_list_changes(net, net.host_entry(0, port=MOVED_PORT))
     net.turn()
-    assert postponed.scene.begun() == []
-    net.advance(ALL_TIMES_US)
-    assert received_or_reset(postponed.scene.client)
+    assert postponed.scenario.received_reads() == []
+    net.advance(AFTER_ALL_TIMEOUTS_US)
+    assert received_or_reset(postponed.scenario.client)
     assert not net.node.exchanges
-    postponed.check_sound()
+    postponed.check_bookkeeping()
 
 
-def test_a_host_that_speaks_before_it_is_asked_has_not_answered_it(monkeypatch):
-    # What came before the first byte was written would be taken for its answer.
-    postponed = Postponed(comes_up, BEFORE_CALLBACKS, monkeypatch)
+def test_bytes_from_a_host_before_the_request_is_written_are_not_its_answer(monkeypatch):
+    # Bytes that arrive before the first byte is written would be taken for the answer.
+    postponed = PostponedAttempt(connection_completes, BEFORE_CALLBACKS, monkeypatch)
     net = postponed.net
-    [link] = net.node.pools.by_host["c0"].connections
-    far = next(far for port, far in reversed(net.dialled) if port == postponed.scene.port)
+    [connection] = net.node.pools.by_host["c0"].connections
+    far = next(far for port, far in reversed(net.dialled) if port == postponed.scenario.port)
     net.send_host_answer(far)
-    wait_until_readable(link.conn.sock)
-    link.conn.on_ready(1)
+    wait_until_readable(connection.conn.sock)
+    connection.conn.on_ready(1)
     net.turn()
-    assert "200" not in (received_or_reset(postponed.scene.client) or "")
+    assert "200" not in (received_or_reset(postponed.scenario.client) or "")
     assert postponed.outcomes[0][1] is not AttemptOutcome.DONE
-    assert link not in net.node.pools.by_host["c0"].connections
-    postponed.check_sound()
+    assert connection not in net.node.pools.by_host["c0"].connections
+    postponed.check_bookkeeping()
--- a/tests/net/test_rejection_log.py
+++ b/tests/net/test_rejection_log.py
@@ -1,4 +1,4 @@
-"""Operators are told by which rules requests are given up."""
+"""The log of rejected requests by reason."""
 
 from collections import Counter
 
@@ -9,8 +9,8 @@
 from orchidgap.net.rejection_log import LOG_INTERVAL_US, RejectionLog
 
 
-def test_the_first_rejection_is_told_at_once_and_more_of_them_once_a_second():
-    """An overload must not fill the log, nor may its beginning be told late."""
+def test_the_first_rejection_is_logged_at_once_and_later_ones_once_a_second():
+    """An overload must not fill the log, and its beginning must not be logged late."""
     lines = []
     rejections = Counter()
     log = RejectionLog(lambda event, **facts: lines.append((event, facts["reasons"])), rejections)
@@ -28,7 +28,7 @@
     assert log.facts() == {"reasons": {"origin_wait": 2, "slow_start": 2}}
 
 
-def test_operators_get_the_reasons_with_the_counts():
+def test_the_count_report_includes_the_reasons():
     net = LoopbackHarness(1)
     cache = net.node.balancer.placement.ring[0]
     cache.ejected_until_us = net.node.loop.now + 10_000_000
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -1,31 +1,38 @@
-"""SIGHUP: a file is taken whole or not at all."""
+"""SIGHUP: a configuration file is applied completely or not at all."""
 
 import copy
 import signal
 
 import orjson
 import pytest
-from net_scenarios import GOOD, LIST, host_states, idle_links, push_host_list, signals
+from net_scenarios import (
+    LIST_PATH,
+    VALID_CONFIG,
+    host_states,
+    open_idle_connections,
+    push_host_list,
+    signal_handlers,
+)
 from node_harness import NodeHarness, received_text
 
 from orchidgap.net import config
 from orchidgap.net.server import reload_config
 
 
-def test_sighup_moves_the_watch_and_keeps_the_list_and_a_bad_file_changes_nothing(tmp_path):
-    """SIGHUP comes with a missing file, a broken one and two that move discovery. Bad files
-    change nothing; a move keeps the list and its connections.
+def test_sighup_changes_the_discovery_address_and_a_bad_file_changes_nothing(tmp_path):
+    """SIGHUP arrives with a missing file, a malformed one and two that change the discovery
+    address. Bad files change nothing; a new address keeps the list and its connections.
     """
     net, path = NodeHarness(1), tmp_path / "c"
     push_host_list(net, 41, True, [net.host_entry(0), net.host_entry(9)])
-    [link], before = idle_links(net, 1), host_states(net)
-    with signals(net, str(path)):
+    [connection], before = open_idle_connections(net, 1), host_states(net)
+    with signal_handlers(net, str(path)):
         for round, text in enumerate(
             (
                 None,
                 "{",
-                orjson.dumps(GOOD | {"discovery": "127.0.0.1:8501"}).decode(),
-                orjson.dumps(GOOD | {"discovery": "127.0.0.1:8502"}).decode(),
+                orjson.dumps(VALID_CONFIG | {"discovery": "127.0.0.1:8501"}).decode(),
+                orjson.dumps(VALID_CONFIG | {"discovery": "127.0.0.1:8502"}).decode(),
             )
         ):
             if text:
@@ -44,25 +51,25 @@
                 and net.node.pools.by_host["c0"].idle
             )
             assert [port for port, _ in net.dialled if port > 8000] == [8500, 8501][: max(1, round)]
-            if round == 2:  # the versions of another agent mean nothing here
-                assert received_text(net.host_socket()).startswith(f"GET {LIST} HTTP/1.1")
+            if round == 2:  # versions of another discovery server are not comparable
+                assert received_text(net.host_socket()).startswith(f"GET {LIST_PATH} HTTP/1.1")
                 net.answer_from_host(
                     net.host_socket(),
                     body=orjson.dumps(
                         {"seq": 3, "whole": True, "hosts": [net.host_entry(0), net.host_entry(9)]}
                     ).decode(),
                 )
-                assert received_text(net.host_socket()).startswith(f"GET {LIST}?after=3&")
+                assert received_text(net.host_socket()).startswith(f"GET {LIST_PATH}?after=3&")
             elif round == 3:
                 net.refused.clear()
                 net.node.begin_shutdown()
                 net.advance(110_000)
-                assert net.dialled[-1][0] == 8502, "asked again soon, also while it ends"
-    received_text(link)
-    assert received_text(link) is None, "pools are as they were"
+                assert net.dialled[-1][0] == 8502, "retried soon, even during shutdown"
+    received_text(connection)
+    assert received_text(connection) is None, "connection pools are unchanged"
 
 
-def rules(*names, **more):
+def request_classes(*names, **more):
     return [
         {"name": name, "effect": "retryable", "client-timeout": 900_000} | more for name in names
     ]
@@ -130,38 +137,38 @@
     ],
 )
 def test_a_malformed_file_changes_nothing(tmp_path, malformed, why):
-    """SIGHUP comes, and the file lacks a key, has a value of another kind or is cut off. The
-    running settings are kept, and the log says why.
+    """SIGHUP arrives, and the file lacks a key, has a value of the wrong type or is truncated. The
+    current settings are kept, and the log states why.
     """
     path, net = tmp_path / "c", NodeHarness()
-    path.write_bytes(orjson.dumps(FILE))
+    path.write_bytes(orjson.dumps(CONFIG_FILE))
     net.node.config = config.read(str(path))
     before, dialled = net.node.config, len(net.dialled)
     if callable(malformed):
-        malformed(file := copy.deepcopy(FILE) | {"discovery": "127.0.0.1:8777"})
+        malformed(file := copy.deepcopy(CONFIG_FILE) | {"discovery": "127.0.0.1:8777"})
         malformed = orjson.dumps(file)
     if malformed is None:
         path.unlink()
     else:
         path.write_bytes(malformed)
-    told = []
-    net.node.event_log = lambda event, **facts: told.append((event, facts.get("why")))
+    events = []
+    net.node.event_log = lambda event, **facts: events.append((event, facts.get("why")))
     reload_config(net.node, str(path))
     assert (
         net.node.config is before
         and len(net.dialled) == dialled
         and net.node.balancer.settings is not before.settings
     )
-    assert [event for event, _ in told] == ["config rejected"] and why in told[0][1]
+    assert [event for event, _ in events] == ["config rejected"] and why in events[0][1]
 
 
-FILE = {
+CONFIG_FILE = {
     "name": "n",
     "listen": "127.0.0.1:7070",
     "discovery": "127.0.0.1:8500",
     "limits": {"memory_mb": 80},
     "settings": {
-        "rule-sets": rules("read", "once"),
+        "rule-sets": request_classes("read", "once"),
         "customers": [{"name": "a", "share": 1.0}],
         "ceilings": {"most-dispatches": 3, "may-cancel": True, "conn-idle": 9_000_000},
         "guarantees": {"warm-after": 1_000_000},
@@ -169,48 +176,52 @@
 }
 
 
-def test_new_settings_bind_new_requests_and_open_ones_keep_theirs(tmp_path):
-    """Settings change while a request is open. It keeps those under which it came, new
-    requests have the new ones.
+def test_new_settings_apply_to_new_requests_and_open_ones_keep_theirs(tmp_path):
+    """Settings change while a request is open. It keeps the settings of its arrival; new requests
+    have the new ones.
     """
     path, net = tmp_path / "c", NodeHarness(3)
-    path.write_bytes(orjson.dumps(FILE))
+    path.write_bytes(orjson.dumps(CONFIG_FILE))
     net.node.config = config.read(str(path))
     net.node.call_decisions(net.node.balancer.on_settings, net.node.config.settings)
     old = net.send_request("k1")
-    file = copy.deepcopy(FILE)
-    file["settings"]["rule-sets"] = rules("once", effect="fragile") + rules("fresh")
+    file = copy.deepcopy(CONFIG_FILE)
+    file["settings"]["rule-sets"] = request_classes("once", effect="fragile") + request_classes(
+        "fresh"
+    )
     file["settings"]["ceilings"]["most-dispatches"] = 1
     file["settings"]["customers"] = []
     path.write_bytes(orjson.dumps(file))
-    for _ in range(2):  # told twice, as well
+    for _ in range(2):  # a second reload changes nothing more
         reload_config(net.node, str(path))
     assert net.log.lines[-1] == "config applied"
     assert received_text(net.send_request("k2")).startswith("HTTP/1.1 404"), (
-        "a class that was dropped is unknown to new reqs"
+        "a removed request class is unknown for new requests"
     )
     net.send_and_turn(
         net.host_socket(0), "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
     )
-    assert received_text(old) is None, "the open one may still have another dispatch"
+    assert received_text(old) is None, "the open request may have another attempt"
     net.answer_from_host(net.host_socket(1))
     assert received_text(old).startswith("HTTP/1.1 200")
     fresh = net.send_request("k3", rule_set="fresh")
     net.send_and_turn(
         net.host_socket(), "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
     )
-    assert received_text(fresh).startswith("HTTP/1.1 503"), "one dispatch and no more"
+    assert received_text(fresh).startswith("HTTP/1.1 503"), "a single attempt"
 
 
-def test_what_cannot_change_while_it_runs_is_told_and_waits(tmp_path):
-    """A new file changes the address and the limits. They stay as they are, and the log names
-    them.
+def test_settings_that_need_a_restart_are_logged_and_keep_their_values(tmp_path):
+    """A new file changes the listen address and the limits. They keep their values until a
+    restart, and the log names them.
     """
     path, net = tmp_path / "c", NodeHarness()
-    path.write_bytes(orjson.dumps(FILE))
+    path.write_bytes(orjson.dumps(CONFIG_FILE))
     net.node.config = config.read(str(path))
-    path.write_bytes(orjson.dumps(FILE | {"listen": "127.0.0.1:7071", "limits": {"memory_mb": 90}}))
-    told = []
-    net.node.event_log = lambda event, **facts: told.append(facts.get("at_next_start"))
+    path.write_bytes(
+        orjson.dumps(CONFIG_FILE | {"listen": "127.0.0.1:7071", "limits": {"memory_mb": 90}})
+    )
+    events = []
+    net.node.event_log = lambda event, **facts: events.append(facts.get("at_next_start"))
     reload_config(net.node, str(path))
-    assert told == [["listen", "memory_mb"]] and net.node.config.memory_mb == 80
+    assert events == [["listen", "memory_mb"]] and net.node.config.memory_mb == 80
--- a/tests/net/test_stalled_timers.py
+++ b/tests/net/test_stalled_timers.py
@@ -1,5 +1,7 @@
-"""What is ready comes before what is due, in a turn that is held up too: an answer that the kernel has by then beats its
-time-out, and what is told of a time is told by the clock and not by the turn.
+"""In a stalled turn, events that are ready are handled before timers that are due.
+
+An answer that the kernel has received wins over its timeout, and times sent to peers are computed
+from the clock and not from the start of the turn.
 """
 
 import pytest
@@ -16,7 +18,7 @@
     BEFORE_TIMERS,
     SELECTOR_ANSWERED,
     STALL_US,
-    bring_changes,
+    deliver_list_changes,
     stall_turn,
 )
 
@@ -26,11 +28,11 @@
 from orchidgap.net.exchange import ANSWER_MARGIN_US
 
 MOMENTS = (SELECTOR_ANSWERED, BEFORE_CALLBACKS, BEFORE_TIMERS)
-LATE_READ_US = 490_000  # a read is late at its cache
-REMEMBERED_US = 1_000_000  # how long hosts remember a mark
+OVERDUE_READ_US = 490_000  # a read is overdue at its cache
+DEDUPLICATION_WINDOW_US = 1_000_000  # how long hosts keep deduplication records
 ELAPSED_US = 500_000
 ORIGIN_PORT = 109
-STEP_US = 20_000  # by which a timer may be late
+STEP_US = 20_000  # how late a timer may run
 
 
 @pytest.fixture
@@ -42,20 +44,18 @@
 
 
 def turn(net):
-    """The held-up turn, which may wait as long as any, and those that follow."""
+    """Run the stalled turn, which may block in its select like any other, and the turns after it."""
     net.loop.run_once()
     net.turn()
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_an_answer_that_came_in_the_stall_beats_the_timer_that_calls_it_late(
-    net, moment, monkeypatch
-):
-    # The origin was asked for what the cache had answered already.
+def test_an_answer_that_arrived_in_the_stall_wins_over_the_overdue_timer(net, moment, monkeypatch):
+    # The origin was sent a request that the cache had already answered.
     client = net.connect_client(request_text("k1"))
     net.turn()
     _, cache = net.next_host_request()
-    net.now += LATE_READ_US - STALL_US // 2
+    net.now += OVERDUE_READ_US - STALL_US // 2
 
     def answer(net):
         net.send_host_answer(cache)
@@ -68,21 +68,19 @@
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_a_list_that_came_in_the_stall_beats_the_timer_that_gives_its_call_up(
-    net, moment, monkeypatch
-):
-    # The call was given up over a list that was there, and its host got requests for longer.
+def test_a_list_that_arrived_in_the_stall_wins_over_the_watch_timeout(net, moment, monkeypatch):
+    # The watch timed out although the list had arrived, so its host was sent requests for longer.
     net.now += WATCH_TIMEOUT_MS * 1_000 + RESPONSE_GRACE_US - STALL_US // 2
     entry = net.host_entry(0, "Terminating")
-    stall_turn(net, monkeypatch, moment, STALL_US, lambda net: bring_changes(net, entry))
+    stall_turn(net, monkeypatch, moment, STALL_US, lambda net: deliver_list_changes(net, entry))
     turn(net)
     assert host_states(net)["c0"] == "draining"
     assert "list lost" not in net.log.lines
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_a_request_whose_rest_came_in_the_stall_is_answered(net, moment, monkeypatch):
-    # It was answered 408, though its last byte was there before its time was up.
+def test_a_request_whose_rest_arrived_in_the_stall_is_answered(net, moment, monkeypatch):
+    # It was answered 408, although its last byte had arrived before its time limit.
     text = request_text("k1")
     client = net.connect_client(text[:20])
     net.turn()
@@ -96,8 +94,9 @@
 
 
 @pytest.mark.parametrize("moment", [SELECTOR_ANSWERED, BEFORE_CALLBACKS])
-def test_a_client_that_is_let_in_after_a_stall_counts_as_just_come(net, moment, monkeypatch):
-    # It was let go in the same turn, before it could ask, as if it had been silent for long.
+def test_a_client_that_is_accepted_after_a_stall_counts_as_new(net, moment, monkeypatch):
+    # It was closed in the same turn, before it could send a request, as if it had been silent for
+    # long.
     net.listen()
     net.node.begin_shutdown()
     net.advance(SHUTDOWN_ACCEPT_US - STALL_US // 2)
@@ -112,14 +111,13 @@
 
 
 @pytest.mark.parametrize("moment", [SELECTOR_ANSWERED, BEFORE_CALLBACKS])
-def test_a_client_is_told_to_come_back_while_its_mark_is_remembered_by_the_clock(
-    moment, monkeypatch
-):
-    # Reckoned from the start of the turn, the repeat came when its hosts had forgotten the mark.
+def test_retry_after_ends_within_the_deduplication_window_by_the_clock(moment, monkeypatch):
+    # Computed from the start of the turn, Retry-After led to a repeat after the hosts had dropped
+    # the deduplication record.
     net = LoopbackHarness(
         0,
         **{
-            "rule-sets__1__repeat-window": str(REMEMBERED_US),
+            "rule-sets__1__repeat-window": str(DEDUPLICATION_WINDOW_US),
             "rule-sets__1__group": "all",
             "ceilings__most-dispatches": "1",
         },
@@ -139,8 +137,8 @@
     answer = received_or_reset(client)
     assert "503" in answer
     retry_after = next(line for line in answer.split("\r\n") if line.startswith("Retry-After"))
-    told_us = round(float(retry_after.split(": ")[1]) * 1e6)
-    assert told_us <= REMEMBERED_US - ELAPSED_US - STALL_US
+    retry_after_us = round(float(retry_after.split(": ")[1]) * 1e6)
+    assert retry_after_us <= DEDUPLICATION_WINDOW_US - ELAPSED_US - STALL_US
 
 
 def write_text(id, left="2.0"):
@@ -153,32 +151,32 @@
 @pytest.mark.parametrize(
     ("left", "denied_after_us"), [("2.0", 800_000), ("0.7", 700_000 - ANSWER_MARGIN_US)]
 )
-@pytest.mark.parametrize("begun", [False, True], ids=["read whole", "its rest is read"])
+@pytest.mark.parametrize("is_split", [False, True], ids=["read whole", "split in two"])
 @pytest.mark.parametrize("moment", [SELECTOR_ANSWERED, BEFORE_CALLBACKS])
-def test_a_request_that_waits_is_denied_in_time_after_its_arrival(
-    moment, begun, left, denied_after_us, monkeypatch
+def test_a_queued_request_is_denied_in_time_after_its_arrival(
+    moment, is_split, left, denied_after_us, monkeypatch
 ):
-    # Its objective and its deadline were put off by the hold-up: it was denied late, or failed.
+    # The stall delayed its objective and its deadline: it was denied late, or failed.
     net = LoopbackHarness(0)
     net.node.balancer.hosts["o"].concurrency_limit = 1.0
     net.connect_client(write_text("1").encode())
     net.turn()
     text = write_text("2", left).encode()
-    client = net.connect_client(text[:-1] if begun else text)
-    if begun:
+    client = net.connect_client(text[:-1] if is_split else text)
+    if is_split:
         net.turn()
         net.send_more(client, text[-1:])
-    came_at_us = net.now
+    arrived_at_us = net.now
     stall_turn(net, monkeypatch, moment, STALL_US, lambda net: None)
     turn(net)
     assert received_or_reset(client) is None
-    net.advance(came_at_us + denied_after_us + STEP_US - net.now)
+    net.advance(arrived_at_us + denied_after_us + STEP_US - net.now)
     assert "503" in (received_or_reset(client) or "")
     assert "unanswered" not in net.log.lines
 
 
-def test_who_is_about_to_be_told_408_is_looked_at_once_more(net):
-    # The sweep would have ended a request whose rest was there, and that nobody had read.
+def test_a_request_is_read_once_more_before_it_is_answered_408(net):
+    # The sweep would have ended a request whose rest had arrived but was not read yet.
     text = request_text("k1")
     client = net.connect_client(text[:20])
     net.turn()
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -1,4 +1,4 @@
-"""A signal that comes while the program starts."""
+"""Signals during startup, and configurations with unusual values."""
 
 import os
 import signal
@@ -17,7 +17,7 @@
 from orchidgap.net import config, server
 from orchidgap.net.loop import Loop
 
-GOOD = {
+VALID_CONFIG = {
     "name": "n",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:1",
@@ -27,18 +27,23 @@
 }
 
 
-def test_sighup_between_the_first_look_at_the_file_and_the_loop_is_heeded(tmp_path, monkeypatch):
-    """Its default would have ended the process; heeded late, the new file counts all the same."""
-    path, kept = tmp_path / "c", {number: signal.getsignal(number) for number in (1, 2, 15)}
-    path.write_bytes(orjson.dumps(GOOD))
+def test_sighup_between_the_first_read_of_the_file_and_the_loop_is_handled(tmp_path, monkeypatch):
+    """The default action would have ended the process. The new file must apply although SIGHUP
+    arrived before the loop started.
+    """
+    path, previous_handlers = (
+        tmp_path / "c",
+        {number: signal.getsignal(number) for number in (1, 2, 15)},
+    )
+    path.write_bytes(orjson.dumps(VALID_CONFIG))
     read, nodes = config.read, []
 
-    def reads(at, *more):
-        station = read(at, *more)
+    def read_and_change(at, *more):
+        loaded = read(at, *more)
         if not more:
             path.write_bytes(
                 orjson.dumps(
-                    GOOD
+                    VALID_CONFIG
                     | {
                         "settings": {
                             "rule-sets": [
@@ -49,40 +54,40 @@
                 )
             )
             signal.raise_signal(signal.SIGHUP)
-        return station._replace(listen=("127.0.0.1", 0))
+        return loaded._replace(listen=("127.0.0.1", 0))
 
-    class Once(Loop):
+    class FourTurnLoop(Loop):
         def run(self):
             for _ in range(4):
                 self.run_once(0)
 
-    class Seen(server.Node):
+    class RecordedNode(server.Node):
         def start(self):
             nodes.append(self)
             super().start()
 
-    monkeypatch.setattr(config, "read", reads)
-    monkeypatch.setattr(server, "Loop", Once)
-    monkeypatch.setattr(server, "Node", Seen)
+    monkeypatch.setattr(config, "read", read_and_change)
+    monkeypatch.setattr(server, "Loop", FourTurnLoop)
+    monkeypatch.setattr(server, "Node", RecordedNode)
     try:
         server.serve(str(path), protocol_for)
     finally:
         signal.set_wakeup_fd(-1)
-        for number, handler in kept.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
     assert nodes[0].knows_request_class("later") and not nodes[0].knows_request_class("read")
     nodes[0].clients.listening_socket.close()
 
 
-# a process that was told to read its file anew while it starts ended, and served nobody
+# A process that got SIGHUP during startup ended and served no request.
 @pytest.mark.parametrize("first_ms", [0, 10, 30, 100])
-def test_sighup_from_the_first_moment_of_the_deployed_command_ends_nothing(tmp_path, first_ms):
+def test_sighup_during_startup_of_the_deployed_command_does_not_end_it(tmp_path, first_ms):
     root = Path(__file__).parents[2]
     command = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
     path = tmp_path / "c"
-    path.write_bytes(orjson.dumps(GOOD | {"listen": f"127.0.0.1:{address[1]}"}))
+    path.write_bytes(orjson.dumps(VALID_CONFIG | {"listen": f"127.0.0.1:{address[1]}"}))
     environment = os.environ | {"GW_CONFIG": str(path)}
     process = subprocess.Popen(["sh", "-c", command], cwd=root, env=environment)
     try:
@@ -98,7 +103,7 @@
 
 
 def await_program(pid):
-    """Return once the shell has become the program."""
+    """Return once the shell has been replaced by the program."""
     while not Path(f"/proc/{pid}/cmdline").read_bytes().partition(b"\0")[0].endswith(b"python"):
         time.sleep(0.0005)
 
@@ -114,9 +119,9 @@
     return False
 
 
-# --- another customer's settings
+# --- settings of another customer
 
-WHOLE = {
+FULL_CONFIG = {
     "name": "n",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
@@ -153,7 +158,7 @@
         ],
     },
 }
-ODD = (
+UNUSUAL_VALUES = (
     None,
     -1,
     0,
@@ -179,8 +184,8 @@
 MISSING = object()
 
 
-def places(tree, path=()):
-    for name, branch in (
+def paths(tree, path=()):
+    for name, child in (
         tree.items()
         if isinstance(tree, dict)
         else enumerate(tree)
@@ -188,15 +193,15 @@
         else ()
     ):
         yield (*path, name)
-        yield from places(branch, (*path, name))
+        yield from paths(child, (*path, name))
 
 
-def laid(tree, path, value):
-    """The tree with this in that place."""
+def with_value(tree, path, value):
+    """Return a copy of the tree with this value at the path."""
     name, *rest = path
     copy = list(tree) if isinstance(tree, list) else dict(tree)
     if rest:
-        copy[name] = laid(copy[name], rest, value)
+        copy[name] = with_value(copy[name], rest, value)
     elif value is MISSING:
         del copy[name]
     else:
@@ -204,24 +209,26 @@
     return copy
 
 
-@pytest.mark.parametrize("path", list(places(WHOLE)), ids=lambda path: ".".join(map(str, path)))
-def test_whatever_stands_in_a_setting_it_can_be_gone_by_or_is_one_plain_line(path):
-    """A setting has any odd value. Either the balancer serves by it, or one line says what is
-    wrong.
+@pytest.mark.parametrize(
+    "path", list(paths(FULL_CONFIG)), ids=lambda path: ".".join(map(str, path))
+)
+def test_any_value_of_a_setting_is_usable_or_rejected_in_one_line(path):
+    """A setting has any unusual value. Either the balancer can serve with it, or the error states
+    in one line what is wrong.
     """
-    for value in (*ODD, MISSING):
+    for value in (*UNUSUAL_VALUES, MISSING):
         try:
-            station = config.parse(orjson.dumps(laid(WHOLE, path, value)), "file")
-        except config.ConfigError as trouble:
-            assert str(trouble).startswith("file: ") and "\n" not in str(trouble), (path, value)
+            loaded = config.parse(orjson.dumps(with_value(FULL_CONFIG, path, value)), "file")
+        except config.ConfigError as error:
+            assert str(error).startswith("file: ") and "\n" not in str(error), (path, value)
         else:
-            terms = station.settings
+            settings = loaded.settings
             assert (
                 min(
-                    terms.latency_objective_us,
-                    terms.longest_client_timeout_us,
-                    terms.balancer_count,
-                    terms.max_attempts,
+                    settings.latency_objective_us,
+                    settings.longest_client_timeout_us,
+                    settings.balancer_count,
+                    settings.max_attempts,
                 )
                 >= 1
             ), (
@@ -229,8 +236,8 @@
                 value,
             )
             assert (
-                min(station.connect_timeout_us, station.idle_timeout_us) >= 1
-                and station.descriptors >= 64
+                min(loaded.connect_timeout_us, loaded.idle_timeout_us) >= 1
+                and loaded.descriptors >= 64
             ), (
                 path,
                 value,
--- a/tests/net/test_traffic_counts.py
+++ b/tests/net/test_traffic_counts.py
@@ -1,4 +1,7 @@
-"""Arrivals and ends add up: once a request was lost and no log could tell whether it had ever come."""
+"""The counts of arrivals and of ends add up.
+
+A request was lost once, and no log could show whether it had ever arrived.
+"""
 
 import orjson
 from loopback_harness import LoopbackHarness, received_or_reset, request_text
@@ -16,7 +19,7 @@
     return counts
 
 
-def test_a_served_request_and_one_whose_client_goes_are_counted_apart():
+def test_a_served_request_and_one_whose_client_disconnects_are_counted_separately():
     net = LoopbackHarness(1)
     served = net.connect_client(request_text("k1"))
     net.turn()
@@ -34,7 +37,7 @@
     assert counts.connection_ends == {ConnectionEnd.CLIENT_CLOSED: 1}
 
 
-def test_what_is_rejected_before_it_is_a_request_is_counted_by_status():
+def test_malformed_requests_are_counted_by_status():
     net = LoopbackHarness(1)
     client = net.connect_client(b"GET /read/k1 HTTP/1.1\r\nno colon\r\n\r\n")
     net.turn()
@@ -47,7 +50,7 @@
     assert (counts.readiness_checks, counts.requests_arrived) == (1, 0)
 
 
-def test_a_silent_client_and_bytes_that_came_in_the_moment_of_its_close_are_counted():
+def test_a_silent_client_and_bytes_that_arrive_at_its_close_are_counted():
     net = LoopbackHarness(1)
     client = net.connect_client()
     net.turn()
@@ -63,7 +66,7 @@
     assert counts_that_add_up(net).connection_ends == {ConnectionEnd.SILENT: 2}
 
 
-def test_operators_get_the_counts_as_one_line():
+def test_the_count_report_is_one_line():
     net = LoopbackHarness(1)
     net.connect_client(request_text())
     net.turn()
--- a/tests/net_scenarios.py
+++ b/tests/net_scenarios.py
@@ -1,4 +1,4 @@
-"""Helpers of several test files on a node: signals, pairs that are full, the list as the node has it."""
+"""Helpers shared by tests of a node: signals, unwritable sockets, discovery answers, host states."""
 
 import contextlib
 import signal
@@ -9,43 +9,43 @@
 
 from orchidgap.net.server import handle_signals
 
-LIST = "/discovery/hosts"
+LIST_PATH = "/discovery/hosts"
 
 
-WAITS = {"ceilings__may-cancel": "false"}  # a req waits for its host as long as its client does
+NO_CANCELLATION = {"ceilings__may-cancel": "false"}  # attempts may not be cancelled
 
 
-REQ = b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n"
+REQUEST_HEAD = b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\n"
 
 
 @contextlib.contextmanager
-def signals(net, path):
-    kept = {
+def signal_handlers(net, path):
+    previous_handlers = {
         number: signal.getsignal(number)
         for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
     }
-    bell = handle_signals(net.loop, net.node, path)
+    wakeup_socket = handle_signals(net.loop, net.node, path)
     try:
         yield
     finally:
         signal.set_wakeup_fd(-1)
-        for number, handler in kept.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
-        bell.close()
+        wakeup_socket.close()
 
 
-def idle_links(net, many):
-    """So many links of c0, all idle, the last used last."""
-    clients = [net.send_request(f"k{i}") for i in range(many)]
+def open_idle_connections(net, count):
+    """Open `count` idle connections to c0 and return the host's ends; the last one was used last."""
+    clients = [net.send_request(f"k{i}") for i in range(count)]
     for i, client in enumerate(clients):
         net.now += 1_000
         net.answer_from_host(net.host_socket(i))
         assert received_text(client).startswith("HTTP/1.1 200")
-    return [net.host_socket(i) for i in range(many)]
+    return [net.host_socket(i) for i in range(count)]
 
 
-def full_pair():
-    """The near end does not become writable, as one that is still connecting."""
+def unwritable_pair():
+    """Return a socket pair whose near end stays unwritable, as if it were still connecting."""
     near, far = socket.socketpair()
     near.setblocking(False)
     with contextlib.suppress(BlockingIOError):
@@ -55,7 +55,7 @@
 
 
 def discovery_socket(net):
-    """The agent's end, and what has been asked there."""
+    """Return the discovery server's end of the newest connection from the node."""
     return next(far for port, far in reversed(net.dialled) if port == 8500)
 
 
@@ -71,7 +71,7 @@
     return {id: host.state for id, host in net.node.balancer.hosts.items()}
 
 
-GOOD = {
+VALID_CONFIG = {
     "name": "n",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -1,4 +1,4 @@
-"""A node on socket pairs under a clock of its own, for tests that play client and host."""
+"""A node on socket pairs with a simulated clock, for tests that act as clients and hosts."""
 
 import socket
 
@@ -15,27 +15,30 @@
 
 
 class EventRecorder:
-    """Keeps its lines; a trouble that was not expected ends the test."""
+    """Records the names of logged events; an exception that is not expected fails the test."""
 
-    def __init__(self, expects=()):
-        self.lines, self.expects = [], expects
+    def __init__(self, expected_errors=()):
+        self.lines, self.expected_errors = [], expected_errors
 
     def __call__(self, event, **facts):
         self.lines.append(event)
 
-    def exception(self, trouble):
-        if type(trouble) not in self.expects:
-            raise trouble
-        self.lines.append(type(trouble).__name__)
+    def exception(self, error):
+        if type(error) not in self.expected_errors:
+            raise error
+        self.lines.append(type(error).__name__)
 
 
 class NodeHarness:
-    """A node on socket pairs under a clock of its own. Hosts listen at the port that is their number."""
+    """A node on socket pairs with a simulated clock.
+
+    Host number i listens at port 100 + i; number 9 is the origin.
+    """
 
     def __init__(
         self,
         caches=2,
-        expects=(),
+        expected_errors=(),
         sockets=1024,
         memory=192,
         start=True,
@@ -43,16 +46,16 @@
         listed=True,
         **pairs,
     ):
-        self.now, self.log, self.dialled, self.refused, self.kept = (
+        self.now, self.log, self.dialled, self.refused, self.open_sockets = (
             10**12,
-            EventRecorder(expects),
+            EventRecorder(expected_errors),
             [],
             set(),
             [],
         )
         self.loop = Loop(clock=lambda: self.now, on_error=self.log.exception)
         pairs = SETTINGS | {name.replace("__", "."): value for name, value in pairs.items()}
-        found = decode_list(
+        initial_list = decode_list(
             {
                 "seq": 7,
                 "whole": True,
@@ -68,7 +71,7 @@
                 7,
                 sockets,
                 memory,
-                found,
+                initial_list,
                 ServiceSettings.from_pairs(pairs),
                 100_000,
                 30_000_000,
@@ -85,7 +88,7 @@
             outcome(id, number, verdict, over),
         )
         self.node.list_received = (
-            listed  # else it serves once discovery has told its list, or is silent for long
+            listed  # if False, serves after the first list, or after a long silence of discovery
         )
         if start:
             self.node.start()
@@ -116,9 +119,9 @@
         for _ in range(times):
             self.loop.run_once(0)
 
-    def advance(self, micros):
-        """Time passes; what is due on the way happens."""
-        end = self.now + micros
+    def advance(self, duration_us):
+        """Advance the clock by this many microseconds and run the timers that become due."""
+        end = self.now + duration_us
         while self.loop.timers and self.loop.timers[0][0] <= end:
             self.now = max(self.now, self.loop.timers[0][0])
             self.turn()
@@ -128,7 +131,7 @@
     def client(self, text=b""):
         near, far = socket.socketpair()
         far.setblocking(False)
-        self.kept.append(far)  # else it would hang up
+        self.open_sockets.append(far)  # a collected socket would close the connection
         far.sendall(text)
         self.turn(1)
         self.node.clients.admit(near)
@@ -143,7 +146,7 @@
         )
 
     def host_sockets(self):
-        """The hosts' ends of all links, in the order they were dialled."""
+        """Return the hosts' ends of all connections, in the order in which they were dialled."""
         return [far for port, far in self.dialled if port != 8500]
 
     def host_socket(self, number=-1):
@@ -154,7 +157,7 @@
         self.turn()
 
     def answer_all(self):
-        """Every host answers what it was asked."""
+        """Answer from every host that has received a request."""
         for far in self.host_sockets():
             if received_text(far):
                 self.answer_from_host(far)
@@ -166,7 +169,9 @@
 
 
 def received_text(far):
-    """What has come to this end: text, "" where it was closed, None where there is nothing."""
+    """Return the text received at this end, "" if the connection was closed, or None if nothing
+    arrived.
+    """
     try:
         return far.recv(1 << 17).decode()
     except BlockingIOError:
--- a/tests/resp/test_resp_backlog.py
+++ b/tests/resp/test_resp_backlog.py
@@ -3,7 +3,7 @@
 import errno
 
 import pytest
-from backlog_harness import QueuedClient, ScriptedListener, settle, tally
+from backlog_harness import QueuedClient, ScriptedListener, run_until_exit, tally
 from loopback_harness import LoopbackHarness
 from node_harness import EventRecorder, NodeHarness
 from resp_harness import RULES, Client, Town
@@ -72,7 +72,7 @@
     reply.
     """
     net, address = told_to_end()
-    seen = settle(net, pings(address, LARGER_THAN_SOCKET_BUFFERS, stays))
+    seen = run_until_exit(net, pings(address, LARGER_THAN_SOCKET_BUFFERS, stays))
     assert set(seen) <= REPLIES, tally(seen)
 
 
@@ -85,7 +85,7 @@
     net.node.clients.listening_socket.failure = lambda: (
         OSError(errno.EMFILE, "") if net.now < works_at_us else None
     )
-    seen = settle(net, pings(address, 8))
+    seen = run_until_exit(net, pings(address, 8))
     assert set(seen) <= REPLIES, tally(seen)
 
 
@@ -96,7 +96,7 @@
     late = []
     net, address = told_to_end()
     net.node.clients.listening_socket.on_empty = lambda: late.extend(pings(address, 1))
-    seen = settle(net, late)
+    seen = run_until_exit(net, late)
     assert late and set(seen) <= REPLIES, tally(seen)
 
 
--- a/tests/resp/test_stalled_commands.py
+++ b/tests/resp/test_stalled_commands.py
@@ -16,7 +16,7 @@
     SELECTOR_ANSWERED,
     STALL_US,
     StalledTurnScenario,
-    bring_changes,
+    deliver_list_changes,
 )
 
 from orchidgap.net import config
@@ -45,7 +45,7 @@
     """A node that speaks RESP before two slot servers, each with half of the slots, and discovery."""
 
     def __init__(self, timeout_ms):
-        self.doors, self.dialled, self.kept = {}, [], []
+        self.listeners_by_port, self.dialled, self.open_sockets = {}, [], []
         self.now, self.log = 10**12, EventRecorder()
         self.loop = Loop(clock=lambda: self.now, on_error=self.log.exception)
         document = {
@@ -190,7 +190,7 @@
     # A process that had stood still sent commands to servers that had been draining for long.
     scene = make_scene()
     entry = scene.net.host_entry(scene.number, health)
-    scene.run_stalled_turn(monkeypatch, moment, lambda net: bring_changes(net, entry))
+    scene.run_stalled_turn(monkeypatch, moment, lambda net: deliver_list_changes(net, entry))
     assert scene.begun() == []
 
 
@@ -202,7 +202,7 @@
     # What waited for the next turn was sent in that one, though it was held up too.
     scene = make_scene()
     entry = scene.net.host_entry(scene.number, "Terminating")
-    scene.run_two_stalled_turns(monkeypatch, moment, lambda net: bring_changes(net, entry))
+    scene.run_two_stalled_turns(monkeypatch, moment, lambda net: deliver_list_changes(net, entry))
     assert scene.begun() == []
 
 
@@ -222,7 +222,7 @@
 ):
     # RESP's connections did not ask whether their client was still there.
     scene = make_scene()
-    scene.run_stalled_turn(monkeypatch, moment, scene.departure_of_clients())
+    scene.run_stalled_turn(monkeypatch, moment, scene.disconnect_all_clients())
     assert scene.begun() == []
 
 
--- a/tests/stalled_turn.py
+++ b/tests/stalled_turn.py
@@ -1,7 +1,8 @@
-"""A node's turn that is held up: time passes within it, and the kernel brings more that the turn does not know of.
+"""Stalls a node's turn: time passes and bytes arrive that the turn does not know of.
 
-A process that is stopped, or gets no core, stands still at any line. The moments here are the ones that differ: before
-the clock is read, before the first callback, before a request is decided, and between the decision and the write.
+A process that is stopped, or is not scheduled, can stall at any line. The moments here are those
+that lead to different outcomes: before the clock is read, before the first callback, before a
+request is decided, before the first timer, and between the decision and the write.
 """
 
 import socket
@@ -14,7 +15,7 @@
 from orchidgap.net.loop import READ
 from orchidgap.resp.slot_discovery import SlotDiscovery
 
-STALL_US = 300_000  # past the grace of a drain
+STALL_US = 300_000  # longer than the grace period of a drain
 SELECTOR_ANSWERED = "the selector has answered"
 BEFORE_CALLBACKS = "before the first callback"
 BEFORE_DECISION = "before the decision"
@@ -23,77 +24,82 @@
 
 
 class TurnStall:
-    """Stands still once, for `held_us` of the node's clock, and has `meanwhile` happen."""
+    """Stalls once for `duration_us` of the node's clock and calls `during_stall` meanwhile."""
 
-    def __init__(self, net, held_us, meanwhile):
-        self.net, self.held_us, self.meanwhile, self.is_over = net, held_us, meanwhile, False
+    def __init__(self, net, duration_us, during_stall):
+        self.net, self.duration_us, self.during_stall, self.is_over = (
+            net,
+            duration_us,
+            during_stall,
+            False,
+        )
 
     def __call__(self, *_):
         if self.is_over:
             return
         self.is_over = True
-        self.net.now += self.held_us
-        self.meanwhile(self.net)
+        self.net.now += self.duration_us
+        self.during_stall(self.net)
 
-    def age(self, age_us):
-        """How long ago it came what the kernel had before the hold-up."""
-        return age_us + self.held_us if self.is_over and age_us is not None else age_us
+    def adjusted_age_us(self, age_us):
+        """Return the age of bytes that the kernel received before the stall, including the stall."""
+        return age_us + self.duration_us if self.is_over and age_us is not None else age_us
 
 
-def stall_turn(net, monkeypatch, moment, held_us, meanwhile):
-    """Have the next turn that gets to this moment stand still there."""
-    stands_still = TurnStall(net, held_us, meanwhile)
+def stall_turn(net, monkeypatch, moment, duration_us, during_stall):
+    """Make the next turn that reaches this moment stall there."""
+    stall = TurnStall(net, duration_us, during_stall)
     receive_age_us = connection.receive_age_us
     monkeypatch.setattr(
-        connection, "receive_age_us", lambda *seen: stands_still.age(receive_age_us(*seen))
+        connection, "receive_age_us", lambda *seen: stall.adjusted_age_us(receive_age_us(*seen))
     )
     if moment == SELECTOR_ANSWERED:
         select = net.loop.selector.select
 
-        def answered(*wait):
+        def select_and_stall(*wait):
             events = select(*wait)
-            stands_still()
+            stall()
             return events
 
-        net.loop.selector.select = answered
+        net.loop.selector.select = select_and_stall
     elif moment == BEFORE_CALLBACKS:
-        stall_turn_first(net, stands_still)
+        stall_before_callbacks(net, stall)
     elif moment == BEFORE_TIMERS:
-        net.loop.call_at(0, stands_still)
+        net.loop.call_at(0, stall)
     elif moment == BEFORE_DECISION:
-        put_before(net.node.balancer, "on_request", stands_still)
+        call_before(net.node.balancer, "on_request", stall)
     else:
-        put_before(net.node.pools, "send", stands_still)
-    return stands_still
+        call_before(net.node.pools, "send", stall)
+    return stall
 
 
-def stall_turn_first(net, stands_still):
-    """A callback that comes before all others of the next turn."""
+def stall_before_callbacks(net, stall):
+    """Stall in a callback that runs before all others of the next turn."""
     near, far = socket.socketpair()
-    net.kept.append(far)
+    net.open_sockets.append(far)
     far.send(b"!")
 
     def on_ready(mask):
         net.loop.unwatch(near)
         near.close()
-        stands_still()
+        stall()
 
     net.loop.watch(near, READ, on_ready, priority=True)
 
 
-def put_before(owner, name, call):
-    """This method is called behind that call."""
+def call_before(owner, name, first):
+    """Wrap this method so that `first` is called before it."""
     method = getattr(owner, name)
 
-    def behind(*args):
-        call()
+    def wrapper(*args):
+        first()
         return method(*args)
 
-    setattr(owner, name, behind)
+    setattr(owner, name, wrapper)
 
 
-def bring_changes(net, *entries):
-    """Discovery has told of changes, and the node has not looked."""
+def deliver_list_changes(net, *entries):
+    """Send list changes from discovery, which the node has not read yet."""
     agent = discovery_socket(net)
     body = orjson.dumps({"seq": 42, "whole": False, "hosts": list(entries)})
     agent.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -104,35 +110,39 @@
 
 
 def sent_timeout_us(text):
-    """The time that a host was told, in microseconds."""
+    """Return the Request-Timeout that was sent to a host, in microseconds."""
     lines = text.split("\r\n")
     field = next(line for line in lines if line.startswith("Request-Timeout"))
     return round(float(field.split(": ")[1]) * 1e6)
 
 
 class StalledTurnScenario:
-    """A node, `net`, before a turn in which it will send; `clients` wait for an answer."""
+    """A node, `net`, before a turn in which it will send; `clients` are waiting for an answer."""
 
-    def run_stalled_turn(self, monkeypatch, moment, meanwhile=lambda net: None):
-        """The held-up turn, which may wait as long as any, and those that follow."""
-        stall_turn(self.net, monkeypatch, moment, STALL_US, meanwhile)
+    def run_stalled_turn(self, monkeypatch, moment, during_stall=lambda net: None):
+        """Run a stalled turn, which may block in its select like any other, and the turns after
+        it.
+        """
+        stall_turn(self.net, monkeypatch, moment, STALL_US, during_stall)
         self.net.loop.run_once()
         self.net.turn()
 
-    def run_two_stalled_turns(self, monkeypatch, moment, meanwhile):
-        """A held-up turn that postpones what it has to send, and one that is held up before it is sent."""
+    def run_two_stalled_turns(self, monkeypatch, moment, during_stall):
+        """Run a stalled turn that postpones its send, and one that stalls before the postponed
+        send.
+        """
         stall_turn(self.net, monkeypatch, moment, STALL_US, lambda net: None)
         self.net.loop.run_once()
         assert self.net.loop.postponed
-        self.run_stalled_turn(monkeypatch, BEFORE_CALLBACKS, meanwhile)
+        self.run_stalled_turn(monkeypatch, BEFORE_CALLBACKS, during_stall)
 
-    def departure_of_clients(self):
-        """Have all clients close, as far as the kernel knows, while a turn is held up."""
-        nears = [self.net.accepted_socket(client) for client in self.clients]
+    def disconnect_all_clients(self):
+        """Return a callback that closes all client connections while a turn is stalled."""
+        node_sockets = [self.net.accepted_socket(client) for client in self.clients]
 
-        def leave(net):
+        def disconnect(net):
             for client in self.clients:
                 client.close()
-            wait_until_readable(*nears)
+            wait_until_readable(*node_sockets)
 
-        return leave
+        return disconnect
--- a/tests/streaming_scenarios.py
+++ b/tests/streaming_scenarios.py
@@ -1,29 +1,31 @@
-"""Helpers for bodies that flow: large texts, small buffers, and what the node holds."""
+"""Helpers for streamed bodies: large texts, small socket buffers, and the bytes that the node
+buffers.
+"""
 
 import contextlib
 import socket
 
-READ = 1 << 16  # the most that is read at once
+MAX_READ_BYTES = 1 << 16  # by the node, at once
 
 
-SIZE = 2_000_000
+BODY_SIZE = 2_000_000
 
 
-BODY = bytes(range(256)) * (SIZE // 256 + 1)
+BODY = bytes(range(256)) * (BODY_SIZE // 256 + 1)
 
 
-BODY = BODY[:SIZE]
+BODY = BODY[:BODY_SIZE]
 
 
-def small_buffers(*socks):
+def shrink_send_buffers(*socks):
     for sock in socks:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
 
 
-def received_bytes(far, most=1 << 17):
-    """What has come to this end; None where it was closed."""
+def received_bytes(far, max_bytes=1 << 17):
+    """Return the bytes received at this end, b"" if nothing arrived, or None if it was closed."""
     try:
-        return far.recv(most) or None
+        return far.recv(max_bytes) or None
     except BlockingIOError:
         return b""
     except ConnectionError:
@@ -31,23 +33,27 @@
 
 
 def held_bytes(net):
-    """Bytes that the node holds for clients and hosts."""
+    """Return the number of body bytes that the node buffers for clients and hosts."""
     conns = [client.conn for client in net.node.clients.open_clients]
-    conns += [link.conn for pool in net.node.pools.by_host.values() for link in pool.connections]
+    conns += [
+        connection.conn
+        for pool in net.node.pools.by_host.values()
+        for connection in pool.connections
+    ]
     flows = [client.upload for client in net.node.clients.open_clients if client.upload]
     return sum(len(conn.write_buffer) for conn in conns) + sum(
         sum(map(len, flow.parts)) for flow in flows
     )
 
 
-def push(net, far, text, most=1 << 16):
-    """Write what is taken now; what is left."""
+def send_some(net, far, text, max_bytes=1 << 16):
+    """Write as much as the socket accepts, up to `max_bytes`, and return the rest."""
     with contextlib.suppress(BlockingIOError):
-        return text[far.send(text[:most]) :]
+        return text[far.send(text[:max_bytes]) :]
     return text
 
 
-def unchunked(text):
+def decode_chunked(text):
     body = b""
     while True:
         size, _, text = text.partition(b"\r\n")
@@ -57,4 +63,4 @@
         body, text = body + text[: int(size, 16)], text[int(size, 16) + 2 :]
 
 
-REQ = b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\nX-State: yes\r\n\r\n"
+REQUEST = b"GET /read/k HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Timeout: 1\r\nX-State: yes\r\n\r\n"
