--- a/tests/resp/test_resp_backlog.py
+++ b/tests/resp/test_resp_backlog.py
@@ -3,7 +3,7 @@
 import errno
 
 import pytest
-from backlog_harness import QueuedClient, ScriptedListener, settle, tally
+from backlog_harness import QueuedClient, ScriptedListener, run_until_exit, tally
 from loopback_harness import LoopbackHarness
 from node_harness import EventRecorder, NodeHarness
 from resp_harness import RULES, Client, RespCluster
@@ -72,7 +72,7 @@
     command gets a reply.
     """
     net, address = node_in_shutdown()
-    outcomes = settle(net, ping_clients(address, LARGER_THAN_SOCKET_BUFFERS, stays))
+    outcomes = run_until_exit(net, ping_clients(address, LARGER_THAN_SOCKET_BUFFERS, stays))
     assert set(outcomes) <= REPLIES, tally(outcomes)
 
 
@@ -85,7 +85,7 @@
     net.node.clients.listening_socket.failure = lambda: (
         OSError(errno.EMFILE, "") if net.now < works_at_us else None
     )
-    outcomes = settle(net, ping_clients(address, 8))
+    outcomes = run_until_exit(net, ping_clients(address, 8))
     assert set(outcomes) <= REPLIES, tally(outcomes)
 
 
@@ -96,7 +96,7 @@
     late = []
     net, address = node_in_shutdown()
     net.node.clients.listening_socket.on_empty = lambda: late.extend(ping_clients(address, 1))
-    outcomes = settle(net, late)
+    outcomes = run_until_exit(net, late)
     assert late and set(outcomes) <= REPLIES, tally(outcomes)
 
 
--- a/tests/resp/test_stalled_commands.py
+++ b/tests/resp/test_stalled_commands.py
@@ -18,7 +18,7 @@
     SELECTOR_ANSWERED,
     STALL_US,
     StalledTurnScenario,
-    bring_changes,
+    deliver_list_changes,
 )
 
 from orchidgap.net import config
@@ -47,7 +47,7 @@
     """A RESP node with discovery and two slot servers, each of which owns half of the slots."""
 
     def __init__(self, timeout_ms):
-        self.doors, self.dialled, self.kept = {}, [], []
+        self.listeners_by_port, self.dialled, self.open_sockets = {}, [], []
         self.now, self.log = 10**12, EventRecorder()
         self.loop = Loop(clock=lambda: self.now, on_error=self.log.exception)
         document = {
@@ -195,7 +195,7 @@
     # had been draining for a long time.
     scenario = make_scenario()
     entry = scenario.net.host_entry(scenario.number, health)
-    scenario.run_stalled_turn(monkeypatch, moment, lambda net: bring_changes(net, entry))
+    scenario.run_stalled_turn(monkeypatch, moment, lambda net: deliver_list_changes(net, entry))
     assert scenario.sent_commands() == []
 
 
@@ -207,7 +207,7 @@
     # Guards against sending postponed commands in the next turn even if that turn stalls too.
     scenario = make_scenario()
     entry = scenario.net.host_entry(scenario.number, "Terminating")
-    scenario.run_two_stalled_turns(monkeypatch, moment, lambda net: bring_changes(net, entry))
+    scenario.run_two_stalled_turns(monkeypatch, moment, lambda net: deliver_list_changes(net, entry))
     assert scenario.sent_commands() == []
 
 
@@ -227,7 +227,7 @@
 ):
     # Guards against RESP connections that do not check whether their client has disconnected.
     scenario = make_scenario()
-    scenario.run_stalled_turn(monkeypatch, moment, scenario.departure_of_clients())
+    scenario.run_stalled_turn(monkeypatch, moment, scenario.disconnect_all_clients())
     assert scenario.sent_commands() == []
 
 
