--- a/tests/resp/test_stalled_commands.py
+++ b/tests/resp/test_stalled_commands.py
@@ -207,7 +207,9 @@
     # Guards against sending postponed commands in the next turn even if that turn stalls too.
     scenario = make_scenario()
     entry = scenario.net.host_entry(scenario.number, "Terminating")
-    scenario.run_two_stalled_turns(monkeypatch, moment, lambda net: deliver_list_changes(net, entry))
+    scenario.run_two_stalled_turns(
+        monkeypatch, moment, lambda net: deliver_list_changes(net, entry)
+    )
     assert scenario.sent_commands() == []
 
 
