--- a/orchidgap/simulation/__init__.py
+++ b/orchidgap/simulation/__init__.py
@@ -1,4 +1,4 @@
-"""Simulations: the balancer among stand-in peers and faults, checked, compared and reported.
+"""Simulations: the balancer among simulated peers and faults, checked, compared and reported.
 
-Nobody in `serve` imports this; it needs the libraries of `requirements-tools.txt`.
+The server (`serve`) does not import this package, which needs `requirements-tools.txt`.
 """
--- a/orchidgap/simulation/garbage_collection.py
+++ b/orchidgap/simulation/garbage_collection.py
@@ -1,4 +1,4 @@
-"""How often the interpreter looks for garbage while a simulation runs."""
+"""Reduces the frequency of garbage collection while a simulation runs."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-YOUNG_OBJECTS_BEFORE_COLLECTION = 100_000
+YOUNG_GENERATION_THRESHOLD = 100_000
 
 
 @contextmanager
 def rare_collections() -> Iterator[None]:
-    """Look for garbage more rarely: what a simulation has seen is kept, and is looked through."""
+    """Collect garbage less often: each collection traverses all records of a simulation."""
     thresholds = gc.get_threshold()
-    gc.set_threshold(YOUNG_OBJECTS_BEFORE_COLLECTION, *thresholds[1:])
+    gc.set_threshold(YOUNG_GENERATION_THRESHOLD, *thresholds[1:])
     try:
         yield
     finally:
--- a/orchidgap/simulation/invariant_checker.py
+++ b/orchidgap/simulation/invariant_checker.py
@@ -254,7 +254,7 @@
             self.record_breach(
                 "lost",
                 at,
-                f"{attempt.id.decode()} at {attempt.balancer}: truncated an answer without cause",
+                f"{attempt.id.decode()} at {attempt.balancer}: truncated what no host broke off",
             )
 
     def on_unreadable_answer(self, attempt: ClientAttempt, at: int) -> None:
--- a/orchidgap/simulation/listening_queue.py
+++ b/orchidgap/simulation/listening_queue.py
@@ -1,4 +1,4 @@
-"""Listening sockets of the virtual network: queues of connections that wait to be accepted."""
+"""Listening sockets of the virtual network: queues of connections to be accepted."""
 
 from __future__ import annotations
 
@@ -13,50 +13,50 @@
 
 
 class ListeningQueue:
-    """A listener's backlog, with those methods of a listening socket that a node calls."""
+    """A listener's backlog, with the methods of a listening socket that a node calls."""
 
     def __init__(self, loop: Loop) -> None:
-        """Start empty; callbacks come by `loop`."""
+        """Start empty; callbacks run on `loop`."""
         self.loop = loop
         self.waiting: deque[socket.socket] = deque()
         self.callback: Callable[[int], None] | None = None
         self.open = True
 
     def connect(self, sock: socket.socket) -> None:
-        """Add a connection, or close it where the backlog is full or the listener closed."""
+        """Add a connection, or close it if the backlog is full or the listener is closed."""
         if not self.open or len(self.waiting) >= LISTEN_BACKLOG:
             return sock.close()
         self.waiting.append(sock)
         return self.wake()
 
     def wake(self) -> None:
-        """Call back who watches the listener, where connections wait."""
+        """Schedule the callback of the listener if connections are queued."""
         if self.callback and self.waiting:
             self.loop.call_soon(self.callback, READ)
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Return the oldest connection. Raises BlockingIOError where none waits."""
+        """Return the oldest connection; raise BlockingIOError if none is queued."""
         if not self.waiting:
             raise BlockingIOError
         return self.waiting.popleft(), None
 
     def close(self) -> None:
-        """Close the listener and all connections that wait at it."""
+        """Close the listener and all queued connections."""
         self.open = False
         while self.waiting:
             self.waiting.popleft().close()
 
 
 class SharedListener(ListeningQueue):
-    """A backlog that sibling processes accept from, each by a handle."""
+    """A backlog from which sibling processes accept, each through a handle."""
 
     def __init__(self, loop: Loop) -> None:
-        """Start with no handles."""
+        """Start without handles."""
         super().__init__(loop)
         self.handles: list[ListenerHandle] = []
 
     def wake(self) -> None:
-        """Call back all processes that watch; who accepts first has the connection."""
+        """Notify all processes; the first to accept gets the connection."""
         for handle in self.handles:
             handle.wake()
 
@@ -65,14 +65,14 @@
     """One process's handle of a shared listener; closing it leaves the listener open."""
 
     def __init__(self, listener: SharedListener) -> None:
-        """Register a handle of the listener."""
+        """Register the handle with its listener."""
         super().__init__(listener.loop)
         self.listener = listener
         self.waiting = listener.waiting
         listener.handles.append(self)
 
     def close(self) -> None:
-        """Give up the handle; connections that wait stay for the other processes, if any."""
+        """Close the handle; queued connections remain for the other handles, if any."""
         self.open = False
         if self in self.listener.handles:
             self.listener.handles.remove(self)
--- a/orchidgap/simulation/loopback_network.py
+++ b/orchidgap/simulation/loopback_network.py
@@ -1,4 +1,4 @@
-"""The network of a simulation on real sockets: loopback and the system's clock."""
+"""The network of a simulation on real sockets: loopback addresses and the system's clock."""
 
 from __future__ import annotations
 
@@ -21,14 +21,17 @@
 
 
 class LoopbackListener(NamedTuple):
-    """A listening socket, and the callback that accepts its connections."""
+    """A listening socket and the callback that accepts its connections."""
 
     sock: socket.socket
     on_readable: Callable[[int], None]
 
 
 class LoopbackNetwork:
-    """Listeners by address. `on_listener_change` hears of each that opens (True) or closes."""
+    """Listeners by address.
+
+    `on_listener_change` is called with the address of each listener that opens (True) or closes.
+    """
 
     virtual = False
 
@@ -39,7 +42,7 @@
         self.on_listener_change: Callable[[Address, bool], None] = lambda address, is_open: None
 
     def listen(self, address: Address, accept: AcceptCallback) -> None:
-        """Listen at an address and call back with each connection. Raises OSError."""
+        """Listen at an address and call `accept` with each connection. Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
@@ -58,7 +61,7 @@
         self.on_listener_change(address, True)
 
     def unlisten(self, address: Address) -> None:
-        """Close the listener at an address, where there is one."""
+        """Close the listener at an address, if there is one."""
         if address in self.listeners:
             listener = self.listeners.pop(address)
             with suppress(KeyError):
@@ -67,25 +70,25 @@
             self.on_listener_change(address, False)
 
     def reset(self, far: socket.socket) -> None:
-        """Have a connection's other end see a reset once this end, `far`, is closed."""
+        """Make a connection's other end see a reset when this end, `far`, is closed."""
         with suppress(OSError):
             far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
     def set_silent(self, address: Address, silent: bool) -> None:
-        """Do nothing: the system completes handshakes at an address whatever stands behind it.
+        """Do nothing: the kernel completes handshakes whatever the listening process does.
 
-        Its host goes on accepting and reads what comes, so that the checker knows of it, and
-        answers nothing. When it is back it resets all connections.
+        A silent host continues to accept connections and read requests, so that the checker is
+        notified of them, and does not answer. When it returns it resets all connections.
         """
 
     @staticmethod
     def connection_number(near: socket.socket) -> int:
-        """Return by which number both ends know a client's connection: its port."""
+        """Return the number that identifies a client's connection at both ends: its port."""
         port: int = near.getsockname()[1]
         return port
 
     def dial(self, address: Address) -> socket.socket | AttemptFailure:
-        """Connect to an address, as the program does."""
+        """Connect to an address, as the balancer does."""
         return dial(address)
 
 
@@ -93,7 +96,7 @@
     """Return the seconds of CPU that a process has used so far.
 
     Raises:
-        OSError: there is no such process.
+        OSError: There is no such process.
     """
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     user_ticks = int(fields[11])
--- a/orchidgap/simulation/virtual_clock.py
+++ b/orchidgap/simulation/virtual_clock.py
@@ -1,6 +1,6 @@
-"""An event loop on a virtual clock, which goes on only when nothing is left to be done.
+"""An event loop on a virtual clock, which advances only when no work is due.
 
-What runs on it is a function of its input alone: callbacks come in one order on any machine.
+A run on it depends on its input alone: callbacks run in the same order on any machine.
 """
 
 from __future__ import annotations
@@ -13,31 +13,32 @@
 from orchidgap.net.loop import MAX_WAIT_US, Loop, Timer
 from orchidgap.simulation.virtual_socket import ACTIVITY, VirtualSocket
 
-START_US = 1_700_000_000_000_000  # Unix time that the clock begins at
+START_US = 1_700_000_000_000_000  # initial Unix time of the clock
 MAX_ROUNDS_AT_ONE_TIME = 200_000
-NOT_IDLE = -1  # a count of activity that there never is
+NOT_IDLE = -1  # differs from every activity count
 
 
 class VirtualClockStalledError(RuntimeError):
-    """The loop had work for `MAX_ROUNDS_AT_ONE_TIME` rounds while the clock stood still.
+    """The loop had work for `MAX_ROUNDS_AT_ONE_TIME` rounds without advancing the clock.
 
-    Something schedules itself anew without end.
+    A callback reschedules itself endlessly.
     """
 
 
 class OrderedSelector(selectors.EpollSelector):
-    """Returns ready sockets in the order of their registration, whatever the kernel's is.
+    """Returns ready sockets in the order of their registration, whatever order the kernel uses.
 
     Attributes:
-        foreign: The descriptors of sockets that are no virtual ones, and not counted.
-        idle_at: The count of the virtual sockets' activity when none was ready.
+        real_descriptors: The descriptors of registered sockets that are not virtual and whose
+            activity is not counted.
+        idle_at_count: The activity count of the virtual sockets when none was ready.
     """
 
     def __init__(self) -> None:
-        """Start with nothing registered."""
+        """Start without registered sockets."""
         super().__init__()
-        self.foreign: set[int] = set()
-        self.idle_at = NOT_IDLE
+        self.real_descriptors: set[int] = set()
+        self.idle_at_count = NOT_IDLE
         self.order: dict[int, int] = {}
         self.registration_count = 0
 
@@ -46,39 +47,39 @@
         key = super().register(fileobj, events, data)
         self.registration_count += 1
         self.order[key.fd] = self.registration_count
-        self.idle_at = NOT_IDLE
+        self.idle_at_count = NOT_IDLE
         if not isinstance(fileobj, VirtualSocket):
-            self.foreign.add(key.fd)
+            self.real_descriptors.add(key.fd)
         return key
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         """Watch a registered socket for other events."""
-        self.idle_at = NOT_IDLE
+        self.idle_at_count = NOT_IDLE
         return super().modify(fileobj, events, data)
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        """Watch a socket no more."""
+        """Stop watching a socket."""
         key = super().unregister(fileobj)
-        self.foreign.discard(key.fd)
+        self.real_descriptors.discard(key.fd)
         return key
 
     def may_have_ready(self) -> bool:
-        """Return whether a socket may be ready: none is where none was and nothing happened."""
-        return ACTIVITY.count != self.idle_at or bool(self.foreign)
+        """Return whether a socket may be ready: not if none was and no activity followed."""
+        return ACTIVITY.count != self.idle_at_count or bool(self.real_descriptors)
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready, in order. `timeout` is in seconds."""
+        """Return the ready sockets in order of registration; `timeout` is in seconds."""
         activity_before = ACTIVITY.count
         ready = super().select(timeout)
         if not ready:
-            self.idle_at = activity_before
+            self.idle_at_count = activity_before
         elif len(ready) > 1:
             ready.sort(key=lambda item: self.order[item[0].fd])
         return ready
 
 
 class VirtualClockLoop(Loop):
-    """A loop whose clock jumps to the next timer once all that is due has run.
+    """A loop whose clock jumps to the next timer when all due work has run.
 
     >>> loop = VirtualClockLoop(); start = loop.now
     >>> _ = loop.call_later(3_000_000, lambda: print("due", loop.now - start))
@@ -99,39 +100,39 @@
         self.time = START_US
         super().__init__(clock=lambda: self.time)
         self.selector.close()
-        # epoll, as on Linux
+        # the base class defaults to epoll on Linux
         self.ordered_selector = OrderedSelector()
         self.selector: selectors.DefaultSelector = self.ordered_selector  # type: ignore[assignment]
         self.rounds_at_this_time = 0
 
     def call_later(self, delay_us: int, callback: Callable[..., None], *args: Any) -> Timer:
-        """Call after so many microseconds."""
+        """Schedule a callback after a delay in microseconds."""
         timer = Timer(callback, args)
         self.schedule(self.now + delay_us, timer)
         return timer
 
     def schedule(self, when_us: int, timer: Timer) -> None:
-        """Call a timer back at a time of the clock, behind those of the same time."""
+        """Schedule a timer at a time of the clock, after timers of the same time."""
         self.timer_count += 1
         heappush(self.timers, (when_us, self.timer_count, timer))
 
     def run_once(self, max_wait_us: int = MAX_WAIT_US) -> None:
-        """Run all that is due now; where there is nothing, move the clock on."""
+        """Run all due work; if there is none, advance the clock."""
         self.now = self.last_poll_us = self.ready_since_us = self.time
         worked = self.run_ready_sockets()
         worked |= self.run_due_timers()
-        worked |= self.run_soon()
+        worked |= self.run_ready_callbacks()
         if worked:
             self.count_round()
         else:
             self.advance(max_wait_us)
 
     def run_instant(self, sockets_are_idle: bool) -> None:
-        """Run all that is due now, round after round, until nothing is left.
+        """Run all due work, round after round, until none is left.
 
         Args:
-            sockets_are_idle: No socket was ready when the clock was moved on, and nothing has run
-                since: all sockets are this process's own, so that none can be ready now.
+            sockets_are_idle: No socket was ready when the clock was advanced, and no callback has
+                run since. As this process has both ends of all sockets, none can be ready now.
         """
         self.now = self.last_poll_us = self.ready_since_us = self.time
         timers = self.timers
@@ -142,21 +143,24 @@
             if timers and timers[0][0] <= self.time:
                 worked |= self.run_due_timers()
             if ready_callbacks:
-                worked |= self.run_soon()
+                worked |= self.run_ready_callbacks()
             if not worked:
                 return
             self.count_round()
             worked = may_have_ready() and self.run_ready_sockets()
 
     def run_ready_sockets(self) -> bool:
-        """Return whether there were any. What a callback raises is passed on."""
+        """Run the callbacks of ready sockets; return whether there were any.
+
+        Exceptions of callbacks propagate.
+        """
         ready = self.selector.select(0)
         for key, mask in ready:
             key.data(mask)
         return bool(ready)
 
     def run_due_timers(self) -> bool:
-        """Return whether there were any that had not been cancelled."""
+        """Run due timers; return whether any of them had not been cancelled."""
         worked = False
         timers = self.timers
         while timers and timers[0][0] <= self.time:
@@ -166,8 +170,8 @@
                 timer.callback(*timer.args)
         return worked
 
-    def run_soon(self) -> bool:
-        """Run what stood in the queue at the begin of this call; return whether it had any."""
+    def run_ready_callbacks(self) -> bool:
+        """Run the callbacks queued before this call; return whether there were any."""
         count = len(self.ready_callbacks)
         for _ in range(count):
             callback, args = self.ready_callbacks.popleft()
@@ -175,14 +179,14 @@
         return count > 0
 
     def count_round(self) -> None:
-        """Count a round with work. Raises VirtualClockStalledError where there were too many."""
+        """Count a round with work; raise VirtualClockStalledError if there were too many."""
         self.rounds_at_this_time += 1
         if self.rounds_at_this_time >= MAX_ROUNDS_AT_ONE_TIME:
             at_us = self.time - START_US
             raise VirtualClockStalledError(f"{MAX_ROUNDS_AT_ONE_TIME} rounds at {at_us} us")
 
     def advance(self, max_wait_us: int) -> None:
-        """Move the clock to the next timer, but no further than `max_wait_us` on."""
+        """Advance the clock to the next timer, by at most `max_wait_us`."""
         timers = self.timers
         while timers and timers[0][2].callback is None:
             heappop(timers)
@@ -191,7 +195,7 @@
         self.rounds_at_this_time = 0
 
     def run_until(self, end_us: int) -> None:
-        """Run until this time of the clock; all that is due before it has happened then."""
+        """Run all work that is due before a time of the clock, and advance the clock to it."""
         sockets_are_idle = False
         while self.time < end_us:
             self.run_instant(sockets_are_idle)
--- a/orchidgap/simulation/virtual_network.py
+++ b/orchidgap/simulation/virtual_network.py
@@ -1,6 +1,6 @@
 """The network of a simulation on the virtual clock: connections are socket pairs.
 
-It has the methods of `loopback_network.LoopbackNetwork`, so that stand-ins run on both.
+It has the methods of `loopback_network.LoopbackNetwork`, so that simulated peers run on both.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 
 DEFAULT_ROUND_TRIP_US = 400
 SILENT_CONNECTION_TIMEOUT_US = 60_000_000
-UNREAD_BYTE = b"?"  # a socket closed on an unread byte gives its peer an error, as a reset does
+UNREAD_BYTE = b"?"  # closing a socket with an unread byte causes an error at its peer, as a reset
 
-# called with a connection, and with the name of the balancer that dialled it, "" for a client
+# called with a connection and the name of the balancer that dialled it ("" for a client)
 AcceptCallback = Callable[[socket.socket, str], None]
 
 
 class VirtualNetwork:
     """Listeners by address, and which of them cannot be reached.
 
-    `cut` holds pairs of a balancer's name and an address that it cannot reach; `silent` the
-    addresses that nobody can. `round_trip` returns, for a balancer's name and an address, the
-    microseconds that a connection takes to come up.
+    `cut` contains pairs of a balancer's name and an address that it cannot reach, `silent` the
+    addresses that no balancer can reach. `round_trip` returns, for a balancer's name and an
+    address, the time in microseconds until a connection is established.
     """
 
     virtual = True
@@ -47,7 +47,7 @@
         self.round_trip: Callable[[str, Address], int] = lambda name, address: DEFAULT_ROUND_TRIP_US
 
     def listen(self, address: Address, accept: AcceptCallback) -> None:
-        """Call back with each connection to an address."""
+        """Call `accept` with each connection to an address."""
         self.listeners[address] = accept
 
     def unlisten(self, address: Address) -> None:
@@ -57,11 +57,11 @@
             listener.close()
 
     def set_silent(self, address: Address, silent: bool) -> None:
-        """Let connections to an address neither come up nor be refused, or no longer so."""
+        """Set whether connections to an address are neither established nor refused."""
         self.silent[address] = silent
 
     def dial(self, address: Address) -> socket.socket | AttemptFailure:
-        """Connect a client at once: it puts its latency on by itself."""
+        """Connect a client at once; clients simulate their network latency themselves."""
         listener = self.listeners.get(address)
         if listener is None or (isinstance(listener, ListeningQueue) and not listener.open):
             return AttemptFailure(SendProgress.UNSENT, "broken", "Connection refused")
@@ -74,13 +74,16 @@
         return near
 
     def connection_number(self, near: socket.socket) -> int:
-        """Return by which number both ends know a client's connection."""
+        """Return the number that identifies a client's connection at both ends."""
         return self.client_connections[near]
 
     def dial_from(
         self, loop: BalancerLoop, name: str, address: Address
     ) -> socket.socket | AttemptFailure:
-        """Connect the balancer `name`: up or refused a round trip later, or never."""
+        """Connect the balancer `name`.
+
+        The connection is established or refused a round trip later, or never.
+        """
         near, far = connected_pair()
         if self.silent.get(address) or self.cut.get((name, address)):
             loop.opening[near] = None
@@ -98,14 +101,14 @@
         return near
 
     def reset(self, far: socket.socket) -> None:
-        """Have the balancer's end see an error once the host closes its end, `far`."""
+        """Make the balancer's end fail with an error when the host closes its end, `far`."""
         near = self.balancer_ends.get(far)
         if near and near.fileno() >= 0:
             with suppress(OSError):
                 near.send(UNREAD_BYTE)
 
     def accept(self, address: Address, far: socket.socket, name: str) -> None:
-        """Give the host its end of a connection, where it still listens."""
+        """Pass the host its end of a connection, or close it if the host no longer listens."""
         listener = self.listeners.get(address)
         if listener is None or isinstance(listener, ListeningQueue):
             far.close()
@@ -114,5 +117,5 @@
 
 
 def socket_number(sock: socket.socket) -> int:
-    """Return a number that no other socket has, also where another process gets the socket."""
+    """Return a unique number of a socket, which stays if another process receives the socket."""
     return os.fstat(sock.fileno()).st_ino
--- a/orchidgap/simulation/virtual_socket.py
+++ b/orchidgap/simulation/virtual_socket.py
@@ -1,6 +1,6 @@
-"""Sockets of the virtual network, which tell when one of them may have become ready.
+"""Sockets of the virtual network, which count calls that may have made a socket ready.
 
-Both ends of each connection are in this process: none can become ready but by a call of it.
+Both ends of each connection are in this process: only its own calls can make an end ready.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
     """Counts the calls that may have made a socket ready.
 
     Attributes:
-        count: Calls so far, by all virtual sockets of the process.
+        count: The number of calls so far on all virtual sockets of the process.
     """
 
     __slots__ = ("count",)
 
     def __init__(self) -> None:
-        """Nothing was called yet."""
+        """Start at zero."""
         self.count = 0
 
 
@@ -27,9 +27,9 @@
 
 
 class VirtualSocket(socket.socket):
-    """An end of a connection. Each call that may make an end ready is counted.
+    """An end of a connection. Counts each call that may make either end ready.
 
-    What reads is counted too: it makes room for the other end's writes.
+    Reads count too, as they free buffer space for the other end's writes.
     """
 
     __slots__ = ()
@@ -45,7 +45,7 @@
         super().sendall(*arguments)
 
     def sendmsg(self, *arguments: Any) -> int:
-        """Write several pieces, as `socket.sendmsg` does."""
+        """Write several buffers, as `socket.sendmsg` does."""
         ACTIVITY.count += 1
         return super().sendmsg(*arguments)
 
@@ -65,18 +65,18 @@
         super().shutdown(how)
 
     def close(self) -> None:
-        """Close it, as `socket.close` does."""
+        """Close the socket, as `socket.close` does."""
         ACTIVITY.count += 1
         super().close()
 
     def detach(self) -> int:
-        """Give up the descriptor, as `socket.detach` does; who has it now may do anything."""
+        """Detach the descriptor, as `socket.detach` does; its new owner may make an end ready."""
         ACTIVITY.count += 1
         return super().detach()
 
 
 def connected_pair() -> tuple[VirtualSocket, VirtualSocket]:
-    """Return the two ends of a new connection, neither of which blocks."""
+    """Return the two non-blocking ends of a new connection."""
     near, far = (
         VirtualSocket(socket.AF_UNIX, socket.SOCK_STREAM, 0, end.detach())
         for end in socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
