--- a/orchidgap/simulation/bad_clients.py
+++ b/orchidgap/simulation/bad_clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients that send what cannot be served: each is owed an error or a close, in time."""
+"""Simulated clients that send invalid requests: each must get an error or a close in time."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.clients import Clients
 
-ERROR_OWED_WITHIN_US = 3_000_000
-PIECE_BYTES = 4_096  # that are written at once
-LEAVER_RATIO = 0.2  # of them that close at once
-LEAVES_AFTER_US = 20_000
+ERROR_TIMEOUT_US = 3_000_000
+CHUNK_BYTES = 4_096  # written at once
+EARLY_CLOSE_RATIO = 0.2  # of these clients that close soon after they have sent
+EARLY_CLOSE_DELAY_US = 20_000
 FIRST_ERROR_STATUS = 400
 
 BAD_REQUESTS = (
@@ -38,60 +38,60 @@
 
 
 class BadClient:
-    """One connection with one such request.
+    """One connection with one invalid request.
 
     Attributes:
-        text: What it sends.
-        settled: It was answered, or has gone.
+        text: The bytes that it sends.
+        is_finished: The request was answered, or the connection is closed.
     """
 
     def __init__(
-        self, clients: Clients, sock: socket.socket, text: bytes, leaves: bool, opening: bool
+        self, clients: Clients, sock: socket.socket, text: bytes, closes_early: bool, opening: bool
     ) -> None:
-        """Send the text; one that `leaves` closes soon after."""
+        """Send the text, and close the connection soon after if `closes_early`."""
         self.clients = clients
         self.text = text
         self.reader = ResponseReader()
-        self.settled = False
+        self.is_finished = False
         self.conn = Connection(clients.loop, sock, self, opening=opening)
         clients.environment.invariant_checker.bad_requests += 1
-        for start in range(0, len(text), PIECE_BYTES):
+        for start in range(0, len(text), CHUNK_BYTES):
             if self.conn.is_open:
-                self.conn.send(text[start : start + PIECE_BYTES])
-        if leaves:
-            self.settled = True
-            clients.loop.call_later(LEAVES_AFTER_US, self.conn.close)
-        clients.loop.call_later(ERROR_OWED_WITHIN_US, self.on_due)
+                self.conn.send(text[start : start + CHUNK_BYTES])
+        if closes_early:
+            self.is_finished = True
+            clients.loop.call_later(EARLY_CLOSE_DELAY_US, self.conn.close)
+        clients.loop.call_later(ERROR_TIMEOUT_US, self.check_timeout)
 
     def opened(self) -> None:
-        """Nothing: what is sent before waits in the connection."""
+        """Do nothing: the connection sends the queued bytes when it is established."""
 
     def received(self, view: memoryview) -> None:
-        """Take in the answer, which must be an error."""
+        """Read the answer, which must be an error."""
         self.reader.feed(view)
         message = self.reader.message
         if not message.complete:
             return
-        if not self.settled and message.status < FIRST_ERROR_STATUS:
+        if not self.is_finished and message.status < FIRST_ERROR_STATUS:
             invariant_checker = self.clients.environment.invariant_checker
             invariant_checker.bad_served += 1
-            what = f"a bad client was answered {message.status}: {self.text[:40]!r}"
-            invariant_checker.record_breach("lost", self.clients.loop.now, what)
-        self.settled = True
+            description = f"an invalid request was answered {message.status}: {self.text[:40]!r}"
+            invariant_checker.record_breach("lost", self.clients.loop.now, description)
+        self.is_finished = True
 
-    def on_due(self) -> None:
-        """By now it should have its error, or be closed."""
-        if not self.settled and self.conn.is_open:
+    def check_timeout(self) -> None:
+        """Check that the request got an error or a close, and close the connection."""
+        if not self.is_finished and self.conn.is_open:
             self.clients.environment.invariant_checker.bad_ignored += 1
         self.conn.close()
 
     def ended(self, what: str) -> None:
-        """Its connection was closed."""
-        self.settled = True
+        """Note that the connection was closed."""
+        self.is_finished = True
 
 
 def send_bad_requests(clients: Clients, until_us: int, interval_us: int) -> None:
-    """Send one every so many microseconds in the mean, until then."""
+    """Send invalid requests until a time, at a mean interval in microseconds."""
     if clients.loop.now >= until_us:
         return
     environment = clients.environment
@@ -101,7 +101,7 @@
         sock = environment.network.dial(environment.address_of(balancer))
         if not isinstance(sock, AttemptFailure):
             text = rng.choice(BAD_REQUESTS)
-            leaves = rng.random() < LEAVER_RATIO
-            BadClient(clients, sock, text, leaves, not environment.network.virtual)
+            closes_early = rng.random() < EARLY_CLOSE_RATIO
+            BadClient(clients, sock, text, closes_early, not environment.network.virtual)
     delay_us = max(1, round(rng.expovariate(1.0) * interval_us))
     clients.loop.call_later(delay_us, send_bad_requests, clients, until_us, interval_us)
--- a/orchidgap/simulation/discovery_faults.py
+++ b/orchidgap/simulation/discovery_faults.py
@@ -11,14 +11,14 @@
     from orchidgap.simulation.environment import Environment
 
 
-def _disturb_discovery(
+def _set_discovery_fault(
     environment: Environment,
     fault: Fault,
-    gone: bool = False,
-    late: int = 0,
+    silent: bool = False,
+    lag_us: int = 0,
     frozen: bool = False,
 ) -> None:
-    """Puts the agents of balancers, all where none is named, into one state until the end."""
+    """Set a fault of the balancers' discovery agents until the end; of all if none is named."""
     agents = [
         environment.discovery.agents[name]
         for name in (
@@ -28,7 +28,7 @@
         )
     ]
     for agent in agents:
-        agent.set_fault(gone, late, frozen)
+        agent.set_fault(silent, lag_us, frozen)
 
     def end() -> None:
         for agent in agents:
@@ -43,22 +43,22 @@
     set_attribute_until_end(
         environment, fault, agents, "rejection_ratio", fault.magnitude or 0.9, 0.0
     )
-    for agent in agents:  # a watch that is under way ends, too
+    for agent in agents:  # also end watches in progress
         for link in list(agent.connections):
             link.conn.close()
             agent.connections.pop(link, None)
 
 
 def discovery_gone(environment: Environment, fault: Fault) -> None:
-    """Discovery is silent."""
-    _disturb_discovery(environment, fault, gone=True)
+    """Discovery does not answer."""
+    _set_discovery_fault(environment, fault, silent=True)
 
 
 def discovery_late(environment: Environment, fault: Fault) -> None:
-    """Discovery tells of changes `magnitude` seconds late (4)."""
-    _disturb_discovery(environment, fault, late=seconds_to_us(fault.magnitude or 4.0))
+    """Discovery reports changes `magnitude` seconds late (4)."""
+    _set_discovery_fault(environment, fault, lag_us=seconds_to_us(fault.magnitude or 4.0))
 
 
 def discovery_stale(environment: Environment, fault: Fault) -> None:
-    """Discovery goes on telling the list as it is now."""
-    _disturb_discovery(environment, fault, frozen=True)
+    """Discovery continues to send the current list, whatever changes."""
+    _set_discovery_fault(environment, fault, frozen=True)
--- a/orchidgap/simulation/fault_targets.py
+++ b/orchidgap/simulation/fault_targets.py
@@ -1,4 +1,4 @@
-"""What a fault hits, and how it ends."""
+"""Selects the targets of a fault and schedules its end."""
 
 from __future__ import annotations
 
@@ -15,58 +15,58 @@
 
 
 def pick_targets(
-    environment: Environment, fault: Fault, all_: list[T], name: Callable[[T], str]
+    environment: Environment, fault: Fault, candidates: list[T], name: Callable[[T], str]
 ) -> list[T]:
-    """The target by name, or the part of all (one at least), drawn by the seed."""
+    """Return the target by name, or a random sample of the plan's ratio, at least one."""
     if fault.target:
-        return [one for one in all_ if name(one) == fault.target]
-    count = max(1, round(fault.target_ratio * len(all_)))
-    return environment.rng.sample(all_, min(count, len(all_)))
+        return [candidate for candidate in candidates if name(candidate) == fault.target]
+    count = max(1, round(fault.target_ratio * len(candidates)))
+    return environment.rng.sample(candidates, min(count, len(candidates)))
 
 
 def pick_hosts(environment: Environment, fault: Fault) -> list[Store]:
-    """A cache host by name, also an origin; else a part of the caches that run."""
-    there = [store for store in environment.servers.values() if store.alive]
+    """Return a running host by name (cache or origin), or a sample of the running caches."""
+    running = [store for store in environment.servers.values() if store.alive]
     if fault.target:
-        return [store for store in there if store.id == fault.target]
+        return [store for store in running if store.id == fault.target]
     return pick_targets(
         environment,
         fault,
-        [store for store in there if not store.is_origin],
+        [store for store in running if not store.is_origin],
         lambda store: store.id,
     )
 
 
 def pick_balancers(environment: Environment, fault: Fault) -> list[str]:
-    """A balancer by name; else a part of all, drawn by the seed."""
+    """Return a balancer by name, or a random sample of all."""
     return pick_targets(environment, fault, list(environment.balancers), str)
 
 
 def origins(environment: Environment) -> list[Store]:
-    """All origin hosts."""
+    """Return all origin hosts."""
     return [store for store in environment.servers.values() if store.is_origin]
 
 
 def call_at_end(
-    environment: Environment, fault: Fault, act: Callable[..., None], *args: object
+    environment: Environment, fault: Fault, callback: Callable[..., None], *args: object
 ) -> None:
-    """Calls `act` once the fault is over."""
-    environment.loop.call_later(seconds_to_us(fault.duration_s), act, *args)
+    """Call `callback` when the fault ends."""
+    environment.loop.call_later(seconds_to_us(fault.duration_s), callback, *args)
 
 
 def set_attribute_until_end(
     environment: Environment,
     fault: Fault,
-    things: list[Any],
+    objects: list[Any],
     name: str,
     value: object,
-    usual: object,
+    default: object,
 ) -> None:
-    """One attribute of some things is another until the fault ends, then the usual."""
+    """Set an attribute of some objects until the fault ends, then reset it to its default."""
 
-    def put(what: object) -> None:
-        for thing in things:
-            setattr(thing, name, what)
+    def set_all(new_value: object) -> None:
+        for target in objects:
+            setattr(target, name, new_value)
 
-    put(value)
-    call_at_end(environment, fault, put, usual)
+    set_all(value)
+    call_at_end(environment, fault, set_all, default)
--- a/orchidgap/simulation/faults.py
+++ b/orchidgap/simulation/faults.py
@@ -1,7 +1,7 @@
 """The faults that a plan can name, and how one of them is started.
 
-A fault is a function of the simulation and of the fault's table in the plan. It is called at its
-time, and most undo by a timer what they did.
+A fault is a function that takes the simulation and the fault's table in the plan. It is called at
+the fault's time; most faults undo their effect by a timer.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-# by their words in a plan's file
+# by their names in a plan's file
 FAULTS: dict[str, Callable[[Environment, Fault], None]] = {
     "crash": host_faults.crash,
     "vanish": host_faults.vanish,
@@ -58,7 +58,7 @@
 
 
 def start_fault(environment: Environment, fault: Fault) -> None:
-    """Record the fault among the run's events and set it off."""
+    """Record the fault among the run's events and start it."""
     description = f"{fault.kind} {fault.target} {fault.target_ratio:g} {fault.magnitude:g}"
     environment.invariant_checker.record_event(environment.loop.now, " ".join(description.split()))
     if fault.kind in OPERATOR_FAULTS:
--- a/orchidgap/simulation/host_faults.py
+++ b/orchidgap/simulation/host_faults.py
@@ -1,4 +1,4 @@
-"""Faults of hosts: they end, fall silent, slow down, shut down gracefully or lose copies."""
+"""Faults of hosts: crash, silence, slowness, graceful shutdown or loss of cached copies."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-DRAIN_LINGER_S = 2.5  # that a draining host goes on with what it has
+DRAIN_LINGER_S = 2.5  # time in which a draining host continues with its requests
 DEPLOY_RESTART_US = 500_000
-REFUSAL_DELAY_US = 200_000  # after the grace, until a draining host refuses connections
+REFUSAL_DELAY_US = 200_000  # after the drain grace, until a draining host refuses connections
 DEFAULT_STALL_S = 0.4
 
 
 def crash(environment: Environment, fault: Fault) -> None:
-    """Hosts end by themselves and come back at the end; discovery notices after its delay."""
+    """Hosts crash and restart at the end; discovery removes them after its delay."""
     for store in pick_hosts(environment, fault):
         store.stop()
         environment.discovery.remove_later(store.id, environment.plan.discovery.removal_delay_s)
@@ -31,7 +31,7 @@
 
 
 def vanish(environment: Environment, fault: Fault) -> None:
-    """Hosts fall silent and come back at the end; discovery notices after its delay."""
+    """Hosts stop responding until the end; discovery removes them after its delay."""
     for store in pick_hosts(environment, fault):
         store.vanish(True)
         environment.discovery.remove_later(
@@ -41,7 +41,7 @@
 
 
 def stall(environment: Environment, fault: Fault) -> None:
-    """Hosts stand still for `magnitude` seconds (0.4), again and again until the end."""
+    """Hosts pause for `magnitude` seconds (0.4), repeatedly until the end."""
     hosts = pick_hosts(environment, fault)
     end = environment.loop.now + seconds_to_us(fault.duration_s)
     length = seconds_to_us(fault.magnitude or DEFAULT_STALL_S)
@@ -58,7 +58,7 @@
 
 
 def slow(environment: Environment, fault: Fault) -> None:
-    """Hosts take `magnitude` times as long (3)."""
+    """Hosts take `magnitude` times as long for their work (3)."""
     set_attribute_until_end(
         environment, fault, pick_hosts(environment, fault), "slowdown", fault.magnitude or 3.0, 1.0
     )
@@ -70,7 +70,7 @@
     restart_after_us: int | None,
     linger_s: float = DRAIN_LINGER_S,
 ) -> None:
-    """Listed as draining at once; it ends some seconds later, and may come back cold."""
+    """List a host as draining at once; it stops after `linger_s` and may restart cold."""
     if not store.alive:
         return
     environment.discovery.set_health(store.id, "Terminating")
@@ -92,8 +92,10 @@
 
 
 def drain(environment: Environment, fault: Fault) -> None:
-    """Hosts shut down gracefully, lingering for `magnitude` seconds (2.5), and come back after the
-    duration.
+    """Hosts shut down gracefully and restart later.
+
+    They continue with their requests for `magnitude` seconds (2.5), and restart the fault's
+    duration after they have stopped.
     """
     for store in pick_hosts(environment, fault):
         drain_host(
@@ -102,7 +104,7 @@
 
 
 def deploy(environment: Environment, fault: Fault) -> None:
-    """One batch of hosts after another, spread over the time; successors start cold."""
+    """Hosts are replaced one after another, spread over the duration; successors start cold."""
     hosts = pick_hosts(environment, fault)
     for i, store in enumerate(hosts):
         at = seconds_to_us(fault.duration_s) * i // len(hosts)
@@ -110,7 +112,7 @@
 
 
 def shrink(environment: Environment, fault: Fault) -> None:
-    """Hosts shut down gracefully one after another, spread over the duration, and stay away."""
+    """Hosts shut down gracefully one after another, spread over the duration, for good."""
     hosts = pick_hosts(environment, fault)
     for i, store in enumerate(hosts):
         environment.loop.call_later(
@@ -119,13 +121,13 @@
 
 
 def flush(environment: Environment, fault: Fault) -> None:
-    """Hosts lose a part of their copies (0.9)."""
+    """Hosts lose a part of their cached copies (0.9)."""
     for store in environment.servers.values():
         store.drop_copies(fault.target_ratio or 0.9)
 
 
 def spoilt(environment: Environment, fault: Fault) -> None:
-    """A part `magnitude` (0.2) of what hosts answer is malformed."""
+    """A part `magnitude` (0.2) of the hosts' answers is malformed."""
     set_attribute_until_end(
         environment,
         fault,
@@ -137,14 +139,14 @@
 
 
 def slow_origin(environment: Environment, fault: Fault) -> None:
-    """The origins take `magnitude` times as long (4)."""
+    """The origins take `magnitude` times as long for their work (4)."""
     set_attribute_until_end(
         environment, fault, origins(environment), "slowdown", fault.magnitude or 4.0, 1.0
     )
 
 
 def stopped_origin(environment: Environment, fault: Fault) -> None:
-    """The origins stop and come back at the end."""
+    """The origins stop and restart at the end."""
     for store in origins(environment):
         store.stop()
         call_at_end(environment, fault, store.revive, False)
--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -1,4 +1,7 @@
-"""How evenly the load lay on the caches in each phase of a run, by what hosts and clients saw."""
+"""Measures how evenly the load is spread over the caches in each phase of a run.
+
+All figures come from the records of hosts and clients.
+"""
 
 from __future__ import annotations
 
@@ -11,38 +14,40 @@
 from orchidgap.simulation.plan import EvennessBounds, milliseconds_to_us
 from orchidgap.simulation.verdict import service_ratio
 
-# of what a plan may expect; the others are bounded from above
+# figures that a plan bounds from below; it bounds the others from above
 LOWER_BOUNDED_FIGURES = ("least", "served")
 
 
 class PhaseRecorder:
-    """The phases of one run, one after another, and their figures."""
+    """Records the consecutive phases of one run and their figures."""
 
     def __init__(self, environment: Environment, expect: tuple[EvennessBounds, ...]) -> None:
-        """Begin with no phase.
+        """Start without a phase.
 
         Args:
             environment: The run that is measured.
-            expect: What its plan expects of the phases.
+            expect: The bounds that its plan sets for phases.
         """
         self.environment = environment
         self.bounds = expect
         self.figures_by_phase: dict[str, dict[str, float]] = {}
-        self.intervals: dict[str, tuple[int, int]] = {}  # from, to, in microseconds
-        self.current: tuple[str, int] = "", 0  # the phase that runs, and its start in microseconds
+        self.intervals: dict[str, tuple[int, int]] = {}  # begin and end in microseconds
+        self.current: tuple[str, int] = "", 0  # the current phase and its start in microseconds
 
     def begin(self, name: str) -> None:
-        """End the phase before, measure it while its caches are as they were, and begin another."""
-        old, since = self.current
+        """End and measure the previous phase while its caches are unchanged, and begin another."""
+        previous, since = self.current
         self.current = name, self.environment.loop.now
-        if old:
-            self.intervals[old] = since, self.environment.loop.now
-            self.figures_by_phase[old] = measure_phase(self.environment, *self.intervals[old])
+        if previous:
+            self.intervals[previous] = since, self.environment.loop.now
+            self.figures_by_phase[previous] = measure_phase(
+                self.environment, *self.intervals[previous]
+            )
 
     def finish(self, breach: Callable[[str, int, str], None]) -> dict[str, dict[str, float]]:
         """Compare all phases with their bounds at the end of the run.
 
-        What was in flight when a phase ended counts as it came out.
+        Requests in flight at the end of a phase count by their eventual outcome.
 
         Args:
             breach: Called with the rule, the time in microseconds, and a description.
@@ -52,15 +57,15 @@
             self.figures_by_phase[name]["served"] = round(
                 service_between(self.environment, since, until), 3
             )
-            for one in self.bounds:
-                if one.phase == name:
-                    for text in describe_deviations(self.figures_by_phase[name], one.figures()):
+            for bounds in self.bounds:
+                if bounds.phase == name:
+                    for text in describe_deviations(self.figures_by_phase[name], bounds.figures()):
                         breach("uneven", until, f"{name}: {text}")
         return self.figures_by_phase
 
 
 def operations_between(environment: Environment, since: int, until: int) -> list[Operation]:
-    """Counted operations that were begun in an interval, in microseconds."""
+    """Return the counted operations that began in an interval, in microseconds."""
     return [
         operation
         for operation in environment.invariant_checker.operations
@@ -69,7 +74,10 @@
 
 
 def service_between(environment: Environment, since: int, until: int) -> float:
-    """Value in time, of all that was answered or can no longer be in time."""
+    """Return the ratio of the value answered in time.
+
+    Only operations count that were answered or can no longer be answered in time.
+    """
     now = environment.loop.now
     return service_ratio(
         operation
@@ -83,14 +91,14 @@
 def read_attempts(
     environment: Environment, since: int, until: int
 ) -> Iterator[tuple[ClientAttempt, HostAttempt]]:
-    """Attempts of reads at hosts, each with the client attempt that it belongs to."""
+    """Yield the host attempts of reads, each with the client attempt that it belongs to."""
     for client_attempt in environment.invariant_checker.client_attempts.values():
         if (
             not client_attempt.operation.request_class.write
             and since <= client_attempt.arrived_at_us < until
         ):
             for sent in client_attempt.host_attempts:
-                # what came after the answer lay before a host that said nothing
+                # an attempt that its host read after the answer had waited at a silent host
                 if (
                     not client_attempt.answered_at_us
                     or sent.first_byte_at_us <= client_attempt.answered_at_us
@@ -99,14 +107,15 @@
 
 
 def measure_phase(environment: Environment, since: int, until: int) -> dict[str, float]:
-    """Figures of the caches that run at the end of a phase, by their words in the plan's file.
+    """Return figures of the caches that run at the end of a phase, by their names in the plan.
 
-    `most` and `least` are shares of the even one, `idle-s` the longest
-    time in which one of them got nothing, `copies` the caches that keep a key, `moved` the part of
-    reads that came to another cache than the key's read before, `p99-ms` of the slowest cache.
+    `most` and `least` are ratios of a cache's load to the even load, `idle-s` is the longest time
+    in which a cache received nothing, `copies` the mean number of caches that have a key, `moved`
+    the part of reads that went to another cache than the previous read of the key, `p99-ms` the
+    latency of the slowest cache.
     """
     servers = environment.servers
-    caches = {id_: one for id_, one in servers.items() if not one.is_origin and one.alive}
+    caches = {id_: store for id_, store in servers.items() if not store.is_origin and store.alive}
     reads: list[load_skew.CacheRead] = []
     latencies_us: dict[str, list[int]] = {host_id: [] for host_id in caches}
     fetches = 0
@@ -122,17 +131,17 @@
     times: dict[str, list[int]] = {host_id: [] for host_id in caches}
     for at, host_id, _ in reads:
         times[host_id].append(at)
-    share = load_skew.load_ratios(
+    ratios = load_skew.load_ratios(
         {host_id: len(row) for host_id, row in times.items()}, dict.fromkeys(caches, 1.0)
     )
-    count = sum(
+    read_count = sum(
         not operation.request_class.write
         for operation in operations_between(environment, since, until)
     )
-    slowest = [sorted(row)[len(row) * 99 // 100] for row in latencies_us.values() if row]
-    found: dict[str, float] = {
-        "most": max(share.values(), default=0.0),
-        "least": min(share.values(), default=0.0),
+    p99_by_cache = [sorted(row)[len(row) * 99 // 100] for row in latencies_us.values() if row]
+    figures: dict[str, float] = {
+        "most": max(ratios.values(), default=0.0),
+        "least": min(ratios.values(), default=0.0),
         "herd": load_skew.herd_ratio(times.values(), since, until),
         "idle-s": max(
             (load_skew.longest_idle_us(row, since, until) for row in times.values()), default=0
@@ -142,14 +151,14 @@
             (store.copies for store in caches.values()), {key for _, _, key in reads}
         ),
         "moved": load_skew.moved_read_ratio(reads),
-        "fetches": fetches / count if count else 0.0,
-        "p99-ms": max(slowest, default=0) / 1e3,
+        "fetches": fetches / read_count if read_count else 0.0,
+        "p99-ms": max(p99_by_cache, default=0) / 1e3,
     }
-    return {name: round(value, 3) for name, value in found.items()} | {"reads": count}
+    return {name: round(value, 3) for name, value in figures.items()} | {"reads": read_count}
 
 
 def reads_by_second(environment: Environment) -> dict[str, list[int]]:
-    """Reads that each cache was sent, by second from the start: what a heat map is drawn from."""
+    """Return the reads sent to each cache, by second since the start, for the heat map."""
     caches = [host_id for host_id, store in environment.servers.items() if not store.is_origin]
     seconds = max(
         1,
@@ -158,22 +167,22 @@
             (environment.loop.now - environment.start) // 1_000_000,
         ),
     )
-    found = {host_id: [0] * seconds for host_id in caches}
+    read_counts = {host_id: [0] * seconds for host_id in caches}
     for _, sent in read_attempts(environment, environment.start, environment.loop.now):
         second = (sent.first_byte_at_us - environment.start) // 1_000_000
-        if sent.host in found and second < seconds:
-            found[sent.host][second] += 1
-    return found
+        if sent.host in read_counts and second < seconds:
+            read_counts[sent.host][second] += 1
+    return read_counts
 
 
-def describe_deviations(found: dict[str, float], expected: dict[str, Any]) -> list[str]:
-    """Figures that are out of their bounds, in words.
+def describe_deviations(values: dict[str, float], expected: dict[str, Any]) -> list[str]:
+    """Return descriptions of the figures that are out of their bounds.
 
     >>> describe_deviations({"most": 1.3, "least": 0.9}, {"most": 1.25, "least": 0.85})
     ['most 1.3, over 1.25']
     """
     return [
-        f"{name} {found[name]:g}, {'under' if name in LOWER_BOUNDED_FIGURES else 'over'} {bound:g}"
+        f"{name} {values[name]:g}, {'under' if name in LOWER_BOUNDED_FIGURES else 'over'} {bound:g}"
         for name, bound in expected.items()
-        if (found[name] < bound if name in LOWER_BOUNDED_FIGURES else found[name] > bound)
+        if (values[name] < bound if name in LOWER_BOUNDED_FIGURES else values[name] > bound)
     ]
--- a/orchidgap/simulation/malformed_answers.py
+++ b/orchidgap/simulation/malformed_answers.py
@@ -1,24 +1,24 @@
-"""What a host writes that spoils its answers: not what was asked for, or more than that."""
+"""Malformed answers of hosts: other bytes than the requested answer, or additional ones."""
 
 from __future__ import annotations
 
 from random import Random
 
 KINDS = ("noise", "endless", "short", "long", "behind", "ahead", "garbled")
-WHOLE_KINDS = ("behind", "ahead")  # these have the whole answer in them
+WHOLE_KINDS = ("behind", "ahead")  # these contain the complete answer
 NOISE_BYTES = 300
 ENDLESS_HEAD_BYTES = 20_000
 SHORT_BODY_BYTES = 30_000
-PROMISED_BYTES = 3_000_000_000
+ANNOUNCED_BYTES = 3_000_000_000
 
 
 def malformed_answer(kind: str, body: bytes, rng: Random) -> tuple[bytes, ...]:
-    """Return what is written in the place of an answer with this body.
+    """Return the bytes that are written in place of an answer with this body.
 
     Args:
         kind: One of `KINDS`.
-        body: The body that was asked for.
-        rng: Draws the noise, whatever the kind: a trace depends on the number of draws.
+        body: The requested body.
+        rng: Draws the noise for every kind, as a trace depends on the number of draws.
     """
     noise = bytes(rng.randrange(256) for _ in range(NOISE_BYTES))
     ok = b"HTTP/1.1 200 OK\r\n"
@@ -27,7 +27,7 @@
     texts: dict[str, tuple[bytes, ...]] = {
         "noise": (noise,),
         "endless": (ok + b"X: " + b"x" * ENDLESS_HEAD_BYTES,),
-        "short": (ok + b"Content-Length: %d\r\n\r\n" % PROMISED_BYTES + b"x" * SHORT_BODY_BYTES,),
+        "short": (ok + b"Content-Length: %d\r\n\r\n" % ANNOUNCED_BYTES + b"x" * SHORT_BODY_BYTES,),
         "long": (ok + b"Content-Length: -7\r\n\r\n", body),
         "behind": (head, body, head, body),
         "ahead": (early_hints, head, body),
--- a/orchidgap/simulation/network_faults.py
+++ b/orchidgap/simulation/network_faults.py
@@ -16,9 +16,10 @@
 def _cut_links(
     environment: Environment, fault: Fault, hosts: list[Store], names: list[str]
 ) -> None:
-    """Cuts the connections between some hosts and balancers until the end."""
+    """Cut the connections between some hosts and balancers until the end of the fault."""
     if not isinstance(environment.network, VirtualNetwork):
-        for store in hosts:  # no way between two processes can be cut: the host is silent to all
+        # links between two real processes cannot be cut, so the host is silent to all
+        for store in hosts:
             store.vanish(True)
             call_at_end(environment, fault, store.vanish, False)
         return
@@ -38,17 +39,17 @@
 
 
 def link_loss(environment: Environment, fault: Fault) -> None:
-    """A share of the ways between balancers and hosts falls silent, drawn one by one."""
-    part = fault.target_ratio or 0.2
+    """Cut a ratio (0.2) of the links between balancers and caches, each drawn independently."""
+    ratio = fault.target_ratio or 0.2
     for store in environment.servers.values():
         if not store.is_origin:
-            names = [name for name in environment.balancers if environment.rng.random() < part]
+            names = [name for name in environment.balancers if environment.rng.random() < ratio]
             if names:
                 _cut_links(environment, fault, [store], names)
 
 
 def partition(environment: Environment, fault: Fault) -> None:
-    """Some balancers lose a part of the hosts."""
+    """Cut some balancers off from a ratio of the caches."""
     names = (
         [fault.target]
         if fault.target
--- a/orchidgap/simulation/operator_faults.py
+++ b/orchidgap/simulation/operator_faults.py
@@ -1,7 +1,7 @@
-"""What operators do in a run: drains, new settings, unusable files, new versions, silent calls.
+"""Operator actions: drains, new settings, unusable files, new versions and silent admin calls.
 
-Each is a function of the simulation, of the fault's table in the plan, and of the balancers that it
-hits.
+Each is a function that takes the simulation, the fault's table in the plan, and the affected
+balancers.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from orchidgap.admin import protocol
-from orchidgap.simulation.admin_calls import call, call_and_say_nothing
+from orchidgap.simulation.admin_calls import call, open_silent_call
 from orchidgap.simulation.environment import AttemptLimit
 from orchidgap.simulation.plan import Fault, milliseconds_to_us, seconds_to_us
 from orchidgap.simulation.unusable_settings import unusable_files
@@ -19,73 +19,74 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-HEALTH_ASKED_AFTER_US = 500_000  # a drain began
-DRAINED_WITHIN_US = 4_000_000  # after the call to drain
-OPEN_REQUEST_MAX_AGE_US = 2_000_000  # a request this old may still be open then
-RESUMED_AFTER_LOOK_US = 100_000
-READY_AGAIN_WITHIN_US = 2_000_000  # after the call that ends a drain
+HEALTH_CALL_DELAY_US = 500_000  # after the call to drain
+DRAIN_TIMEOUT_US = 4_000_000  # after the call to drain
+OPEN_REQUEST_MIN_AGE_US = 2_000_000  # of a request that may be open when the drain is checked
+RESUME_DELAY_US = 100_000
+RESUME_TIMEOUT_US = 2_000_000  # after the call that ends a drain
 SILENT_CALLERS = 100
-CALLS_BESIDE_SILENT_US = (50_000, 1_050_000, 3_050_000)
+CONCURRENT_CALL_DELAYS_US = (50_000, 1_050_000, 3_050_000)
 UNUSABLE_FILE_INTERVAL_US = 150_000
-SUCCESSOR_READY_WITHIN_US = 6_000_000
-SUCCESSOR_LOOK_INTERVAL_US = 20_000
+SUCCESSOR_TIMEOUT_US = 6_000_000
+SUCCESSOR_POLL_INTERVAL_US = 20_000
 PREDECESSOR_GRACE_US = 700_000  # past the longest client timeout
 
 
 def drain(environment: Environment, fault: Fault, names: list[str]) -> None:
-    """Balancers are drained, looked at after four seconds, and resumed as the fault ends."""
+    """Drain balancers, check them after four seconds, and resume them when the fault ends."""
     loop = environment.loop
-    look_last_us = DRAINED_WITHIN_US + RESUMED_AFTER_LOOK_US
-    resume_after_us = max(look_last_us, seconds_to_us(fault.duration_s))
+    latest_check_us = DRAIN_TIMEOUT_US + RESUME_DELAY_US
+    resume_after_us = max(latest_check_us, seconds_to_us(fault.duration_s))
     for name in names:
         call(environment, name, protocol.DRAIN)
         loop.call_later(
-            HEALTH_ASKED_AFTER_US, call, environment, name, protocol.HEALTH, protocol.FAILED
+            HEALTH_CALL_DELAY_US, call, environment, name, protocol.HEALTH, protocol.FAILED
         )
-        look_at_us = loop.now + DRAINED_WITHIN_US
-        loop.call_later(DRAINED_WITHIN_US, check_drained, environment, name, look_at_us)
+        check_at_us = loop.now + DRAIN_TIMEOUT_US
+        loop.call_later(DRAIN_TIMEOUT_US, check_drained, environment, name, check_at_us)
         loop.call_later(resume_after_us, _resume, environment, name)
 
 
 def check_drained(environment: Environment, name: str, now_us: int) -> None:
-    """Four seconds after the call no client may be sent there, nor be kept without need."""
+    """Check a drain four seconds after the call.
+
+    The balancer must not report ready, and it must not keep idle connections or young requests.
+    """
     invariant_checker = environment.invariant_checker
     if name not in environment.ingress.not_ready_since_us:
         invariant_checker.record_breach(
-            "lost", now_us, f"{name}: was told to drain, and still says yes"
+            "lost", now_us, f"{name}: draining, but still reports ready"
         )
     for connection in environment.clients.open_connections(name):
         attempt = connection.attempt
         if attempt is None:
             held = "an idle connection"
-        elif now_us - attempt.write_started_us < OPEN_REQUEST_MAX_AGE_US:
+        elif now_us - attempt.write_started_us < OPEN_REQUEST_MIN_AGE_US:
             held = attempt.id.decode()
         else:
             continue
-        invariant_checker.record_breach(
-            "lost", now_us, f"{name}: was told to drain, and holds {held}"
-        )
+        invariant_checker.record_breach("lost", now_us, f"{name}: draining, but still holds {held}")
 
 
 def _resume(environment: Environment, name: str) -> None:
-    """A drain ends; the balancer has to say soon that it serves."""
+    """End a drain; the balancer has to report ready soon."""
     call(environment, name, protocol.RESUME)
-    environment.loop.call_later(READY_AGAIN_WITHIN_US, _check_resumed, environment, name)
+    environment.loop.call_later(RESUME_TIMEOUT_US, _check_resumed, environment, name)
 
 
 def _check_resumed(environment: Environment, name: str) -> None:
     if name in environment.ingress.not_ready_since_us and environment.is_alive(name):
-        text = f"{name}: the drain ended, and it still says no"
+        text = f"{name}: the drain ended, but it still reports not ready"
         environment.invariant_checker.record_breach("lost", environment.loop.now, text)
 
 
 def silent_calls(environment: Environment, fault: Fault, names: list[str]) -> None:
-    """Callers, `magnitude` of them, say nothing; calls beside them are owed their answers."""
+    """Open `magnitude` admin calls that send nothing; concurrent calls must be answered."""
     callers = round(fault.magnitude or SILENT_CALLERS)
     for name in names:
         for _ in range(callers):
-            call_and_say_nothing(environment, name)
-        for after_us in CALLS_BESIDE_SILENT_US:
+            open_silent_call(environment, name)
+        for after_us in CONCURRENT_CALL_DELAYS_US:
             environment.loop.call_later(
                 after_us,
                 call,
@@ -98,31 +99,31 @@
 
 
 def reload_settings(environment: Environment, fault: Fault, names: list[str]) -> None:
-    """New settings count from now on; `magnitude`, if given, is how many attempts they allow."""
+    """Reload settings; `magnitude`, if given, is the new maximum number of attempts."""
     if fault.magnitude:
         previous = environment.attempt_limit.current
         limit = AttemptLimit(round(fault.magnitude), environment.loop.now, previous)
         environment.attempt_limit = limit
     for name in names:
         balancer = environment.balancers[name]
-        known = environment.latest_endpoint_list(name)
-        document = environment.balancer_settings(balancer, known)
+        endpoint_list = environment.latest_endpoint_list(name)
+        document = environment.balancer_settings(balancer, endpoint_list)
         balancer.reload(json.dumps(document).encode())
 
 
 def unusable_settings(environment: Environment, fault: Fault, names: list[str]) -> None:
-    """Files that cannot be used, one after another: nothing of them may count."""
+    """Reload unusable files, one after another: nothing in them may take effect."""
     for name in names:
         balancer = environment.balancers[name]
-        known = environment.latest_endpoint_list(name)
-        files = unusable_files(environment.balancer_settings(balancer, known))
+        endpoint_list = environment.latest_endpoint_list(name)
+        files = unusable_files(environment.balancer_settings(balancer, endpoint_list))
         for number, text in enumerate(files):
             after_us = number * UNUSABLE_FILE_INTERVAL_US
             environment.loop.call_later(after_us, balancer.reload, text)
 
 
 def upgrade(environment: Environment, fault: Fault, names: list[str]) -> None:
-    """One after another gets a new process beside the old one, which ends once that is ready."""
+    """Start a successor of each balancer in turn; its predecessor ends when it is ready."""
     for number, name in enumerate(names):
         after_us = seconds_to_us(fault.duration_s) * number // len(names)
         environment.loop.call_later(after_us, _start_successor, environment, name)
@@ -132,13 +133,13 @@
     balancer = environment.balancers[name]
     if not balancer.alive:
         return
-    give_up_at_us = environment.loop.now + SUCCESSOR_READY_WITHIN_US
+    give_up_at_us = environment.loop.now + SUCCESSOR_TIMEOUT_US
     balancer.start_successor(environment.latest_endpoint_list(name))
     _watch_successor(environment, name, give_up_at_us)
 
 
 def _watch_successor(environment: Environment, name: str, give_up_at_us: int) -> None:
-    """Look until the successor is ready, then have its predecessor end."""
+    """Poll until the successor is ready, then shut its predecessor down."""
     balancer = environment.balancers[name]
     loop = environment.loop
     if not balancer.alive:
@@ -148,22 +149,22 @@
         balancer.shut_down_predecessor()
         loop.call_later(_longest_shutdown_us(environment), balancer.kill_predecessor)
     elif loop.now > give_up_at_us:
-        text = f"{name}: no yes of the new process in time"
+        text = f"{name}: its successor was not ready in time"
         environment.invariant_checker.record_breach("late", loop.now, text)
     else:
         loop.call_later(
-            SUCCESSOR_LOOK_INTERVAL_US, _watch_successor, environment, name, give_up_at_us
+            SUCCESSOR_POLL_INTERVAL_US, _watch_successor, environment, name, give_up_at_us
         )
 
 
 def _longest_shutdown_us(environment: Environment) -> int:
-    """Return how long after its SIGTERM the predecessor is killed, where it has not ended."""
+    """Return how long after its SIGTERM a predecessor that still runs is killed."""
     request_classes = environment.plan.request_classes()
     longest_ms = max(request_class.client_timeout_ms for request_class in request_classes)
     return milliseconds_to_us(longest_ms) + PREDECESSOR_GRACE_US
 
 
-# by their words in a plan's file
+# by their names in a plan's file
 OPERATOR_FAULTS: dict[str, Callable[[Environment, Fault, list[str]], None]] = {
     "quiesce": drain,
     "retune": reload_settings,
--- a/orchidgap/simulation/traffic_faults.py
+++ b/orchidgap/simulation/traffic_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the traffic: more of it, in other places, or such as cannot be served."""
+"""Faults of the traffic: more load, shifted load, or requests that cannot be served."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-MAX_BALANCER_RATIO = 0.95  # of all traffic that one balancer can be given
+MAX_BALANCER_RATIO = 0.95  # of all traffic, sent to one balancer
 
 
 def scan(environment: Environment, fault: Fault) -> None:
-    """A part `magnitude` of the reads (0.1) walks over keys that nobody else asks for."""
+    """A part `magnitude` of the reads (0.1) scans keys that no other client requests."""
     set_attribute_until_end(
         environment, fault, [environment.clients], "scan_ratio", fault.magnitude or 0.1, 0.0
     )
 
 
 def hot_key(environment: Environment, fault: Fault) -> None:
-    """A part `magnitude` of all requests (0.2) asks for one to three keys."""
+    """A part `magnitude` of all requests (0.2) goes to one to three keys."""
     keys = environment.rng.sample(
         range(environment.plan.keys.count // 4, environment.plan.keys.count),
         environment.rng.randrange(1, 4),
@@ -36,14 +36,14 @@
 
 
 def hot_tenant(environment: Environment, fault: Fault) -> None:
-    """One tenant asks for `magnitude` times its load (4)."""
+    """One tenant sends `magnitude` times its load (4)."""
     name = fault.target or environment.plan.tenants()[0].name
     environment.clients.demand_factors[name] = fault.magnitude or 4.0
     call_at_end(environment, fault, _remove, environment.clients.demand_factors, name)
 
 
 def lopsided(environment: Environment, fault: Fault) -> None:
-    """One balancer suddenly carries a part `magnitude` of all traffic (0.7)."""
+    """One balancer suddenly receives a part `magnitude` of all traffic (0.7)."""
     name = pick_balancers(environment, fault)[0]
     ratios = environment.clients.weights.traffic_ratios
     ratios[name] = min(MAX_BALANCER_RATIO, fault.magnitude or 0.7)
--- a/orchidgap/simulation/unusable_settings.py
+++ b/orchidgap/simulation/unusable_settings.py
@@ -1,4 +1,4 @@
-"""Configuration files that a balancer must not take, made of one that it would."""
+"""Derives configuration files that a balancer must reject from a valid one."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 def unusable_files(document: Document) -> list[bytes]:
-    """Return a configuration in forms that must not be taken.
+    """Return variants of a configuration that must be rejected.
 
-    Each would move discovery and rename all request classes, so that one that is taken shows.
+    Each would change the discovery address and rename all request classes, so that a variant that
+    is applied shows.
     """
     whole = _changed(document, lambda other: None)
     return [
@@ -36,7 +37,7 @@
 
 
 def _changed(document: Document, change: Callable[[Document], object]) -> bytes:
-    """Return the file of a document with other discovery, other classes and that change."""
+    """Return the file of a changed document with other discovery and class names."""
     other = copy.deepcopy(document)
     other["discovery"] = OTHER_DISCOVERY
     for request_class in _classes(other):
--- a/tests/simulation/test_operator_faults.py
+++ b/tests/simulation/test_operator_faults.py
@@ -1,4 +1,4 @@
-"""Operators' drains are judged four seconds after the call."""
+"""Operators' drains are checked four seconds after the call."""
 
 from types import SimpleNamespace
 
@@ -10,8 +10,8 @@
 NOW_US = 10_000_000
 
 
-def test_a_request_that_was_sent_after_the_drain_is_told():
-    # The check itself failed where a request was open: it asked for a field that attempts do not have.
+def test_a_request_that_was_sent_after_the_drain_is_reported():
+    # The check itself failed if a request was open: it read a field that attempts do not have.
     invariant_checker = InvariantChecker(Plan(name="drain"), 0)
     plan = Plan(name="drain")
     operation = Operation(0, plan.request_classes()[0], "", 0, 1, 0)
@@ -25,5 +25,5 @@
     )
     check_drained(environment, "b0", NOW_US)
     assert [text for _, _, text in invariant_checker.breaches] == [
-        "b0: was told to drain, and holds q1"
+        "b0: draining, but still holds q1"
     ]
