--- a/orchidgap/simulation/commands.py
+++ b/orchidgap/simulation/commands.py
@@ -21,49 +21,56 @@
 from orchidgap.simulation.plan_file import format_plan, read_plan
 from orchidgap.simulation.runner import TRY, keep, simulation_of
 
-SHOWN = 12  # breaches told on the screen
+MAX_SHOWN_BREACHES = 12
 
 
-def main(told: Mapping[str, Any]) -> int:
-    """Takes what docopt read; gives the exit code: 1 where a rule broke, 2 for a bad plan."""
+def main(arguments: Mapping[str, Any]) -> int:
+    """Run the command that docopt parsed.
+
+    Returns the exit code: 1 if a rule was broken, 2 if the plan or an option is invalid.
+    """
     console = Console(stderr=True, highlight=False)
     try:
-        if told["try"]:
-            return trial(console, TRY, told, Path(told["--out"] or "trial-out"))
-        if told["report"]:
+        if arguments["try"]:
+            return trial(console, TRY, arguments, Path(arguments["--out"] or "trial-out"))
+        if arguments["report"]:
             from orchidgap.simulation.report import write_report
 
-            console.print(f"report: {write_report(Path(told['DIR']))}")
+            console.print(f"report: {write_report(Path(arguments['DIR']))}")
             return 0
-        if told["saturate"]:
+        if arguments["saturate"]:
             from orchidgap.simulation.saturate import main as saturate
 
-            return saturate(console, whole(told, "--seconds", 5))
-        plan = read_plan(told["PLAN"])
-        if told["trial"]:
-            return trial(console, plan, told, Path(told["--out"]) if told["--out"] else None)
-        if told["compare"]:
-            return compare(console, plan, told)
-        return hunt(console, plan, told)
-    except ScenarioError as trouble:
-        console.print(f"orchidgap: {trouble}", markup=False, soft_wrap=True)
+            return saturate(console, whole_number(arguments, "--seconds", 5))
+        plan = read_plan(arguments["PLAN"])
+        if arguments["trial"]:
+            return trial(
+                console, plan, arguments, Path(arguments["--out"]) if arguments["--out"] else None
+            )
+        if arguments["compare"]:
+            return compare(console, plan, arguments)
+        return hunt(console, plan, arguments)
+    except ScenarioError as error:
+        console.print(f"orchidgap: {error}", markup=False, soft_wrap=True)
         return 2
 
 
-def whole(told: Mapping[str, Any], name: str, default: int) -> int:
+def whole_number(arguments: Mapping[str, Any], name: str, default: int) -> int:
     try:
-        number = int(told[name] or default)
+        number = int(arguments[name] or default)
         if number < 0:
             raise ValueError
         return number
     except ValueError:
-        raise ScenarioError(f"{name} wants a whole number, not {told[name]!r}") from None
+        raise ScenarioError(f"{name} must be a whole number, not {arguments[name]!r}") from None
 
 
-def trial(console: Console, plan: Plan, told: Mapping[str, Any], out: Path | None) -> int:
-    seed = whole(told, "--seed", plan.seed)
-    simulation = simulation_of(plan, seed, bool(told["--real"]), told["--policy"] or "orchidgap")
-    length = simulated_duration_us(plan) / 1e6
+def trial(console: Console, plan: Plan, arguments: Mapping[str, Any], out: Path | None) -> int:
+    seed = whole_number(arguments, "--seed", plan.seed)
+    simulation = simulation_of(
+        plan, seed, bool(arguments["--real"]), arguments["--policy"] or "orchidgap"
+    )
+    duration_s = simulated_duration_us(plan) / 1e6
     with Progress(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -71,9 +78,9 @@
         console=console,
         transient=True,
     ) as progress:
-        task = progress.add_task(plan.name, total=length, line="")
+        task = progress.add_task(plan.name, total=duration_s, line="")
 
-        def tick(second: float) -> None:
+        def show_second(second: float) -> None:
             invariant_checker = simulation.invariant_checker
             up = sum(store.alive and not store.vanished for store in simulation.servers.values())
             progress.update(
@@ -85,9 +92,9 @@
                 ),
             )
 
-        verdict = simulation.play(tick)
-    console.print(figures(plan, simulation, verdict))
-    for rule, at, text in simulation.invariant_checker.breaches[:SHOWN]:
+        verdict = simulation.play(show_second)
+    console.print(summary_table(plan, simulation, verdict))
+    for rule, at, text in simulation.invariant_checker.breaches[:MAX_SHOWN_BREACHES]:
         console.print(f"{rule} at {at:.3f} s: {text}", markup=False, soft_wrap=True)
     if out:
         keep(out, simulation, verdict)
@@ -98,7 +105,7 @@
     return 0 if verdict["verdict"] == "kept" else 1
 
 
-def figures(plan: Plan, simulation: Any, verdict: dict[str, Any]) -> Table:
+def summary_table(plan: Plan, simulation: Any, verdict: dict[str, Any]) -> Table:
     table = Table(
         title=f"{plan.name}: {plan.description}" if plan.description else plan.name,
         title_justify="left",
@@ -109,7 +116,7 @@
         "p50",
         "p99",
         "p99.9",
-        "fetches a read",
+        "fetches per read",
         "wasted",
         "denied",
         "aborted",
@@ -134,12 +141,12 @@
     return table
 
 
-def compare(console: Console, plan: Plan, told: Mapping[str, Any]) -> int:
-    """All deciders on the same plan, side by side."""
-    seed = whole(told, "--seed", plan.seed)
+def compare(console: Console, plan: Plan, arguments: Mapping[str, Any]) -> int:
+    """Simulate a plan with each policy and print their results side by side."""
+    seed = whole_number(arguments, "--seed", plan.seed)
     table = Table(title=f"{plan.name}, seed {seed}", title_justify="left")
     for name in (
-        "decider",
+        "policy",
         "verdict",
         "service",
         "worst 10 s",
@@ -180,10 +187,10 @@
     return 0
 
 
-def hunt(console: Console, plan: Plan, told: Mapping[str, Any]) -> int:
-    runs, first = whole(told, "--runs", 100), whole(told, "--first", 0)
-    jobs = whole(told, "--jobs", 0) or os.cpu_count() or 1
-    out = Path(told["--out"] or "found")
+def hunt(console: Console, plan: Plan, arguments: Mapping[str, Any]) -> int:
+    runs, first = whole_number(arguments, "--runs", 100), whole_number(arguments, "--first", 0)
+    jobs = whole_number(arguments, "--jobs", 0) or os.cpu_count() or 1
+    out = Path(arguments["--out"] or "found")
     with Progress(
         TextColumn("hunt"),
         BarColumn(),
@@ -194,84 +201,84 @@
         task = progress.add_task("", total=runs, broken=0)
         broken = 0
 
-        def seen(number: int, verdict: dict[str, Any]) -> None:
+        def show_progress(number: int, verdict: dict[str, Any]) -> None:
             nonlocal broken
             broken += verdict["verdict"] != "kept"
             progress.update(task, advance=1, broken=broken)
 
-        found = hunts.hunt(plan, runs, jobs, first, seen)
-    table = Table(title=f"largest losses of {runs} runs", title_justify="left")
+        found = hunts.hunt(plan, runs, jobs, first, show_progress)
+    table = Table(title=f"largest losses of service in {runs} runs", title_justify="left")
     for name in ("run", "service", "best", "best_service", "loss"):
         table.add_column(name, justify="right")
     for row in found["losses"]:
-        table.add_row(*(str(row[name]) for name in table_names(table)))
+        table.add_row(*(str(row[name]) for name in column_names(table)))
     console.print(table)
-    sorts: dict[str, int] = {}
+    first_by_kind: dict[str, int] = {}
     for number, verdict in found["broken"]:
-        sorts.setdefault(hunts.failure_kind(verdict), number)
-    for sort, number in sorts.items():
-        console.print(f"run {number}: {sort}", markup=False)
-        save(
+        first_by_kind.setdefault(hunts.failure_kind(verdict), number)
+    for kind, number in first_by_kind.items():
+        console.print(f"run {number}: {kind}", markup=False)
+        save_plan(
             console,
             hunts.draw_plan(plan, number),
-            hunts.breaks_like(sort),
+            hunts.breaks_like(kind),
             f"run-{number}",
-            f"breaks: {sort}",
+            f"breaks: {kind}",
             out,
-            told,
+            arguments,
         )
     for row in found["losses"][:1]:
-        if row["loss"] > 0.02 and not sorts:
-            save(
+        if row["loss"] > 0.02 and not first_by_kind:
+            save_plan(
                 console,
                 hunts.draw_plan(plan, row["run"]),
                 hunts.loses_like(row["best"], row["loss"]),
                 f"run-{row['run']}",
                 f"loses {row['loss']} to {row['best']}",
                 out,
-                told,
+                arguments,
             )
     print(
         orjson.dumps(
             {
-                "verdict": "broken" if sorts else "kept",
+                "verdict": "broken" if first_by_kind else "kept",
                 "runs": runs,
                 "broken": len(found["broken"]),
-                "sorts": sorts,
+                "sorts": first_by_kind,
                 "mean_service": round(found["mean"], 4),
                 "largest_loss": max((row["loss"] for row in found["losses"]), default=0.0),
             }
         ).decode()
     )
-    return 1 if sorts else 0
+    return 1 if first_by_kind else 0
 
 
-def table_names(table: Table) -> list[str]:
+def column_names(table: Table) -> list[str]:
     return [str(column.header) for column in table.columns]
 
 
-def save(
+def save_plan(
     console: Console,
     plan: Plan,
-    still: Any,
+    still_shows: Any,
     name: str,
-    about: str,
+    description: str,
     out: Path,
-    told: Mapping[str, Any],
+    arguments: Mapping[str, Any],
 ) -> None:
     plays = 0
-    if not told["--whole"]:
-        plan, plays = hunts.shrink_plan(plan, still)
-    plan = hunts.name_plan(plan, name, about)
+    if not arguments["--whole"]:
+        plan, plays = hunts.shrink_plan(plan, still_shows)
+    plan = hunts.name_plan(plan, name, description)
     out.mkdir(parents=True, exist_ok=True)
     path = out / f"{name}.toml"
     path.write_text(format_plan(plan))
     console.print(
-        f"{path}: {len(plan.faults)} troubles, {plan.duration_s:g} s, {plan.cache_count} caches, "
-        f"{plan.balancer_count} balancers, after {plays} plays",
+        f"{path}: {len(plan.faults)} faults, {plan.duration_s:g} s, {plan.cache_count} caches, "
+        f"{plan.balancer_count} balancers, after {plays} simulations",
         markup=False,
     )
 
 
 if __name__ == "__main__":
-    sys.exit("run it as: orchidgap trial PLAN")
+    sys.exit("usage: orchidgap trial PLAN")
--- a/orchidgap/simulation/hunt.py
+++ b/orchidgap/simulation/hunt.py
@@ -1,6 +1,6 @@
-"""Draws plans and mixes of faults, finds breaches and losses, and shrinks plans that show them.
+"""Draws random plans and faults, finds breaches and losses, and shrinks the plans that show them.
 
-Every run comes from a number alone: run 17 of a plan is the same run on any machine.
+Each run is determined by its number: run 17 of a plan is the same run on any machine.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from orchidgap.simulation.runner import play
 
 BASELINES = ("random", "ring", "bounded-ring", "least-out")
-BASELINE_RUNS = 8  # of the runs with the largest losses, that the baselines play too
-KEPT_LOSS_RATIO = 0.6  # of a loss that a smaller plan must still show
-MAX_SHRINK_PLAYS = 60  # plays that one shrinking may take
+BASELINE_RUNS = 8  # of the runs with the lowest service, which the baselines play too
+KEPT_LOSS_RATIO = 0.6  # part of a loss that a smaller plan must still show
+MAX_SHRINK_PLAYS = 60  # simulations per plan that is shrunk
 MAGNITUDE_RANGES = {
     "stall": (0.2, 1.2),
     "slow": (2, 8),
@@ -37,7 +37,7 @@
 
 
 def draw_plan(plan: Plan, number: int) -> Plan:
-    """Run `number` of a hunt: another fleet, another load, one to five faults."""
+    """Return the plan of run `number`: a random fleet and load, and one to five faults."""
     rng = Random(f"{plan.seed} {number}")
     kinds = FAULT_KINDS + (
         OPERATOR_FAULT_KINDS
@@ -70,7 +70,7 @@
 
 
 def draw_fault(rng: Random, seconds: float, kinds: tuple[str, ...] = FAULT_KINDS) -> Fault:
-    """A fault of a random kind, time and size, in a run of so many seconds."""
+    """Return a fault of random kind, time and magnitude in a run of `seconds`."""
     kind = rng.choice(kinds)
     low, high = MAGNITUDE_RANGES.get(kind, (0, 0))
     return Fault(
@@ -84,7 +84,10 @@
 
 
 def play_verdict(job: tuple[Plan, str]) -> dict[str, Any]:
-    """One play, in a process of its own; a play that fails is a finding too."""
+    """Simulate a plan with a policy and return its verdict.
+
+    A simulation that raises an exception is a finding too, with the verdict `failed`.
+    """
     plan, policy = job
     try:
         return play(plan, policy=policy)[0]
@@ -100,7 +103,10 @@
 
 
 def failure_kind(verdict: dict[str, Any]) -> str:
-    """What is wrong with it: the rules broken, in a word that a smaller plan must still earn."""
+    """Return the words for what is wrong in a verdict: broken rules, or `fault`; "" for nothing.
+
+    A smaller plan must still show one of these words.
+    """
     if verdict["verdict"] == "failed":
         return f"failed {verdict['what'].partition(':')[0]}"
     return " ".join([rule for rule in RULES if verdict[rule]] + ["fault"] * bool(verdict["faults"]))
@@ -111,19 +117,19 @@
     runs: int,
     jobs: int,
     first: int = 0,
-    seen: Callable[[int, dict[str, Any]], None] | None = None,
+    on_verdict: Callable[[int, dict[str, Any]], None] | None = None,
 ) -> dict[str, Any]:
-    """Play the runs, then the baselines on the worst ones.
+    """Simulate the runs, then the baselines on the runs with the lowest service.
 
     Args:
-        plan: What the drawn plans vary.
-        runs: How many are played.
-        jobs: Processes that play at once.
+        plan: The plan that the drawn plans vary.
+        runs: The number of runs.
+        jobs: The number of processes that simulate in parallel.
         first: The number of the first run.
-        seen: Called with each run's number and verdict, in order.
+        on_verdict: Called with each run's number and verdict, in order.
 
     Returns:
-        What was found, the largest losses first.
+        The broken runs, the mean service, and the losses to baselines, the largest first.
     """
     found: list[tuple[int, dict[str, Any]]] = []
     numbers = range(first, first + runs)
@@ -131,8 +137,8 @@
         plays = ((draw_plan(plan, number), "orchidgap") for number in numbers)
         for number, verdict in zip(numbers, pool.map(play_verdict, plays)):
             found.append((number, verdict))
-            if seen:
-                seen(number, verdict)
+            if on_verdict:
+                on_verdict(number, verdict)
         kept = (item for item in found if item[1]["verdict"] == "kept")
         worst = sorted(kept, key=lambda item: item[1]["service"])
         rows = [
@@ -151,7 +157,7 @@
 def _compare_with_baselines(
     pool: ProcessPoolExecutor, plan: Plan, number: int, verdict: dict[str, Any]
 ) -> dict[str, Any]:
-    """One row of the losses: how far the run stays behind the best baseline that kept the rules."""
+    """Return a run's loss of service to the best baseline that kept the rules."""
     plays = ((draw_plan(plan, number), name) for name in BASELINES)
     verdicts = dict(zip(BASELINES, pool.map(play_verdict, plays)))
     services = {
@@ -169,7 +175,7 @@
 
 
 def smaller_plans(plan: Plan) -> Iterator[Plan]:
-    """Plans that are one step smaller, the largest steps first."""
+    """Yield plans that are one step smaller, the largest steps first."""
     replace = msgspec.structs.replace
     for i in range(len(plan.faults)):
         yield replace(plan, faults=plan.faults[:i] + plan.faults[i + 1 :])
@@ -192,45 +198,45 @@
 
 
 def shrink_plan(
-    plan: Plan, still: Callable[[Plan], bool], most: int = MAX_SHRINK_PLAYS
+    plan: Plan, still_shows: Callable[[Plan], bool], max_plays: int = MAX_SHRINK_PLAYS
 ) -> tuple[Plan, int]:
-    """The smallest plan found that still shows it, and how many plays that took."""
-    plays, again = 0, True
-    while again and plays < most:
-        again = False
+    """Return the smallest plan found that still shows the finding, and the number of plays."""
+    plays, has_shrunk = 0, True
+    while has_shrunk and plays < max_plays:
+        has_shrunk = False
         for candidate in smaller_plans(plan):
-            if plays >= most:
+            if plays >= max_plays:
                 break
             plays += 1
-            if still(candidate):
-                plan, again = candidate, True
+            if still_shows(candidate):
+                plan, has_shrunk = candidate, True
                 break
     return plan, plays
 
 
-def breaks_like(sort: str) -> Callable[[Plan], bool]:
-    """Whether a plan still earns one of the words."""
-    words = sort.split()
+def breaks_like(kind: str) -> Callable[[Plan], bool]:
+    """Return a function that tells whether a plan shows one of the words of a failure kind."""
+    words = kind.split()
     return lambda plan: any(
         word in failure_kind(play_verdict((plan, "orchidgap"))).split() for word in words
     )
 
 
 def loses_like(best: str, loss: float) -> Callable[[Plan], bool]:
-    """Whether a plan still shows most of that loss against the same baseline."""
+    """Return a function that tells whether a plan shows most of a loss to the same baseline."""
 
-    def still(plan: Plan) -> bool:
+    def still_shows(plan: Plan) -> bool:
         ours, other = play_verdict((plan, "orchidgap")), play_verdict((plan, best))
         return bool(
             other["verdict"] == "kept"
             and other["service"] - ours["service"] >= KEPT_LOSS_RATIO * loss
         )
 
-    return still
+    return still_shows
 
 
-def name_plan(plan: Plan, name: str, about: str) -> Plan:
-    """The plan under another name and description; raises ScenarioError where they cannot be."""
+def name_plan(plan: Plan, name: str, description: str) -> Plan:
+    """Return the plan with another name and description; raise ScenarioError if invalid."""
     return validate_plan(
-        msgspec.to_builtins(msgspec.structs.replace(plan, name=name, description=about))
+        msgspec.to_builtins(msgspec.structs.replace(plan, name=name, description=description))
     )
--- a/orchidgap/simulation/network_faults.py
+++ b/orchidgap/simulation/network_faults.py
@@ -39,7 +39,7 @@
 
 
 def link_loss(environment: Environment, fault: Fault) -> None:
-    """Cut a ratio (0.2) of the links between balancers and caches, each drawn independently."""
+    """Cut a part (0.2) of the links between balancers and caches, each drawn independently."""
     ratio = fault.target_ratio or 0.2
     for store in environment.servers.values():
         if not store.is_origin:
@@ -49,7 +49,7 @@
 
 
 def partition(environment: Environment, fault: Fault) -> None:
-    """Cut some balancers off from a ratio of the caches."""
+    """Cut some balancers off from a part of the caches."""
     names = (
         [fault.target]
         if fault.target
--- a/orchidgap/simulation/report.py
+++ b/orchidgap/simulation/report.py
@@ -1,6 +1,6 @@
-"""One HTML page of a recorded run: verdict, plots over time, faults, broken rules, log events.
+"""Writes an HTML report of a recorded run: verdict, plots over time, faults, breaches, log events.
 
-Reads `trial.json` as `runner` writes it; the page carries its plots in itself.
+Reads `trial.json` as written by `runner`. The plots are embedded in the page.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 FAULT_COLOUR = "#a00"
 REJECTION_BAR_HEIGHT = 0.3  # of the second with the most rejections
 PLOTTED_PERCENTILES = (0.5, 0.99)
-MOST_READS_OVER_EVEN = 3.0  # the end of the heat map's scale
+MAX_EVENNESS_RATIO = 3.0  # upper end of the heat map's scale
 MAX_LABELLED_CACHES = 12
 MAX_LOG_ROWS = 300
 
@@ -37,7 +37,7 @@
 
 
 def read_recording(folder: Path) -> Recording:
-    """Return what a run recorded in a folder.
+    """Return the recording of a run in a folder.
 
     Raises:
         ScenarioError: There is no recording, or it cannot be read.
@@ -49,7 +49,7 @@
     except OSError as error:
         raise ScenarioError(f"{path}: {error.strerror}") from None
     except (msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
-        raise ScenarioError(f"{path}: not what a trial keeps ({error})") from None
+        raise ScenarioError(f"{path}: not the recording of a trial ({error})") from None
 
 
 def percentile_ms(sorted_us: list[int], fraction: float) -> float:
@@ -63,7 +63,7 @@
 
 
 def embed_figure(figure: Any) -> str:
-    """Return the figure as an `img` element that carries its picture."""
+    """Return the figure as an `img` element with an embedded picture."""
     picture = io.BytesIO()
     figure.savefig(picture, format="png", dpi=90, bbox_inches="tight")
     pyplot.close(figure)
@@ -72,7 +72,7 @@
 
 
 def time_axes(recording: Recording, title: str) -> tuple[Any, Any]:
-    """Return an empty plot over the run's time, with its faults marked."""
+    """Return an empty plot over the time of the run, with its faults marked."""
     figure, axes = pyplot.subplots(figsize=PLOT_SIZE_INCHES)
     axes.set_title(title, loc="left", fontsize=11)
     axes.set_xlabel("seconds")
@@ -83,12 +83,14 @@
 
 
 def plot_service(recording: Recording) -> str:
-    """Plot the value answered in time over the value asked for, and rejections, by second."""
-    figure, axes = time_axes(recording, "service: value in time over value asked, by second")
+    """Plot the value answered in time over the offered value, and rejections, by second."""
+    figure, axes = time_axes(
+        recording, "service: value answered in time over offered value, by second"
+    )
     rows = sorted((int(second), row) for second, row in recording["seconds"].items())
     axes.plot(
         [second for second, _ in rows],
-        [in_time / asked if asked else 1.0 for _, (asked, in_time, *_) in rows],
+        [in_time / offered if offered else 1.0 for _, (offered, in_time, *_) in rows],
     )
     rejections = recording["denials"]
     most = max(1, *rejections.values()) if rejections else 1
@@ -97,7 +99,7 @@
         [min(1.0, count / most) * REJECTION_BAR_HEIGHT for count in rejections.values()],
         color="#c80",
         alpha=0.5,
-        label=f"denied or aborted (their most: {REJECTION_BAR_HEIGHT})",
+        label=f"denied or aborted (maximum: {REJECTION_BAR_HEIGHT})",
     )
     axes.set_ylim(0, 1.05)
     axes.legend(loc="lower right", fontsize=8)
@@ -105,8 +107,8 @@
 
 
 def plot_latency(recording: Recording) -> str:
-    """Plot percentiles of the time to a done answer, by second."""
-    figure, axes = time_axes(recording, "time to a done answer, ms")
+    """Plot latency percentiles of successful answers, by second."""
+    figure, axes = time_axes(recording, "latency of successful answers, ms")
     seconds = sorted(int(second) for second in recording["waits"])
     for fraction in PLOTTED_PERCENTILES:
         axes.plot(
@@ -120,8 +122,8 @@
 
 
 def plot_in_flight(recording: Recording) -> str:
-    """Plot what is queued and running at each host."""
-    figure, axes = time_axes(recording, "at each host, waiting and running")
+    """Plot the number of queued and running requests at each host."""
+    figure, axes = time_axes(recording, "queued and running requests of each host")
     host_ids = sorted({host_id for _, rows in recording["series"] for host_id in rows["out"]})
     colours = pyplot.get_cmap(HOST_COLOURS)
     for i, host_id in enumerate(host_ids):
@@ -137,14 +139,14 @@
 
 
 def plot_ranges(recording: Recording) -> str:
-    """Plot the sizes of the hash ranges as the first balancer has them."""
+    """Plot the sizes of the first balancer's hash ranges."""
     rows = [(at, row["sizes"]) for at, row in recording["series"] if row.get("sizes")]
     if not rows:
         return (
-            "<p>Ranges are not seen from outside: "
+            "<p>Ranges are internal to a balancer: "
             "none are drawn for this policy or on real sockets.</p>"
         )
-    figure, axes = time_axes(recording, "ranges as the first balancer has them, slots")
+    figure, axes = time_axes(recording, "ranges of the first balancer, slots")
     host_ids = sorted({host_id for _, sizes in rows for host_id in sizes})
     colours = pyplot.get_cmap(HOST_COLOURS)
     axes.stackplot(
@@ -159,20 +161,20 @@
 
 
 def plot_reads(recording: Recording) -> str:
-    """Draw a heat map of the caches' reads in each second, over the even share of that second."""
+    """Draw a heat map of each cache's reads by second, relative to an even load."""
     host_ids = sorted(recording["reads"])
     rows = [recording["reads"][host_id] for host_id in host_ids]
-    evens = [max(sum(second) / len(host_ids), 1e-9) for second in zip(*rows)]
-    figure, axes = time_axes(recording, "reads of each cache, over the even share of that second")
+    even_loads = [max(sum(second) / len(host_ids), 1e-9) for second in zip(*rows)]
+    figure, axes = time_axes(recording, "reads of each cache, relative to an even load")
     picture = axes.imshow(
-        [[count / even for count, even in zip(row, evens)] for row in rows],
+        [[count / even for count, even in zip(row, even_loads)] for row in rows],
         aspect="auto",
         origin="lower",
         vmin=0.0,
-        vmax=MOST_READS_OVER_EVEN,
+        vmax=MAX_EVENNESS_RATIO,
         cmap="magma",
         interpolation="nearest",
-        extent=(0, len(evens), -0.5, len(host_ids) - 0.5),
+        extent=(0, len(even_loads), -0.5, len(host_ids) - 0.5),
     )
     step = max(1, len(host_ids) // MAX_LABELLED_CACHES)
     axes.set_yticks(range(0, len(host_ids), step), host_ids[::step])
@@ -181,8 +183,8 @@
 
 
 def plot_breaches(recording: Recording) -> str:
-    """Mark each broken rule at its time."""
-    figure, axes = time_axes(recording, "rules broken")
+    """Plot each breach of a rule at its time."""
+    figure, axes = time_axes(recording, "breaches by rule")
     for i, rule in enumerate(RULES):
         times = [at for name, at, _ in recording["breaches"] if name == rule]
         axes.plot(times, [i] * len(times), "x", color=FAULT_COLOUR)
@@ -212,7 +214,7 @@
 
 
 def evenness_table(stretches: dict[str, dict[str, float]]) -> str:
-    """Return a table of how even the load was in each stretch; nothing where there are none.
+    """Return a table of the evenness figures of each phase, or "" if there are none.
 
     >>> evenness_table({}), evenness_table({"calm": {"most": 1.2}}).count("<td>")
     ('', 2)
@@ -221,7 +223,7 @@
         return ""
     names = tuple(next(iter(stretches.values())))
     rows: list[tuple[object, ...]] = [(name, *row.values()) for name, row in stretches.items()]
-    return html_table(rows, ("stretch", *names))
+    return html_table(rows, ("phase", *names))
 
 
 def _heading(recording: Recording) -> str:
@@ -245,8 +247,8 @@
 
 def _breaches_section(breaches: list[list[object]]) -> str:
     if not breaches:
-        return "<h2>No rule was broken</h2>"
-    return "<h2>Rules broken</h2>" + _table_of(breaches, ("rule", "second", "what"))
+        return "<h2>No breaches</h2>"
+    return "<h2>Breaches</h2>" + _table_of(breaches, ("rule", "second", "description"))
 
 
 def _table_of(rows: list[list[object]], head: tuple[str, ...]) -> str:
@@ -254,7 +256,7 @@
 
 
 def write_report(folder: Path) -> Path:
-    """Draw `report.html` in a run's folder and return its path.
+    """Write `report.html` in a run's folder and return its path.
 
     Raises:
         ScenarioError: There is no recording in the folder, or it cannot be read.
@@ -272,10 +274,11 @@
         plot_ranges(recording),
         plot_breaches(recording),
         _breaches_section(recording["breaches"]),
-        "<h2>Troubles and the list</h2>" + _table_of(recording["events"], ("second", "what")),
-        "<h2>What the balancers logged</h2>"
-        + _table_of(recording["modes"][:MAX_LOG_ROWS], ("balancer", "second", "event", "what")),
-        f"<h2>The plan</h2><pre>{html.escape(recording['plan'])}</pre>",
+        "<h2>Faults and host list changes</h2>"
+        + _table_of(recording["events"], ("second", "event")),
+        "<h2>Log events of the balancers</h2>"
+        + _table_of(recording["modes"][:MAX_LOG_ROWS], ("balancer", "second", "event", "details")),
+        f"<h2>Plan</h2><pre>{html.escape(recording['plan'])}</pre>",
     ]
     path = folder / "report.html"
     path.write_text("\n".join(parts))
--- a/orchidgap/simulation/saturate.py
+++ b/orchidgap/simulation/saturate.py
@@ -1,9 +1,10 @@
-"""What one balancer takes at most, beside a relay with no decisions and one that does not even parse.
+"""Measures the maximum throughput of one balancer, compared with two relays that do less work.
 
-`orchidgap saturate` starts stand-in hosts, clients and what is measured as processes on loopback, in turn:
-`balancer` (the program), `relay` (its network code, a fixed host for every key, no decisions) and `bytes`
-(the same loop and connections, what comes in goes out unread). Clients ask again as soon as they are served:
-this measures cost, not service. CPU is the process's own, as the system counts it.
+`orchidgap saturate` starts simulated hosts, clients and the measured program as processes on loopback.
+It measures in turn `balancer` (the program), `relay` (its network code with a fixed host for each key and
+no decisions) and `bytes` (the same event loop and connections, forwarding bytes without parsing them).
+Clients send the next request as soon as the previous one is answered: this measures cost, not service.
+CPU time is that of the measured process, as counted by the kernel.
 """
 
 from __future__ import annotations
@@ -35,21 +36,21 @@
 
 HOSTS = 3
 CONNECTIONS = 64
-FRONT: Address = ("127.1.9.1", 7070)
-AGENT: Address = ("127.3.9.1", 8500)
+LISTEN_ADDRESS: Address = ("127.1.9.1", 7070)
+DISCOVERY_ADDRESS: Address = ("127.3.9.1", 8500)
 KINDS = ("balancer", "relay", "bytes")
 BODY = b"v" * 200
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY) + BODY
 
 
-def host_of(number: int) -> Address:
+def host_address(number: int) -> Address:
     return f"127.2.9.{number + 1}", 7071
 
 
 class Relay:
-    """Has the face of a decider and decides nothing: a key's hash names its host."""
+    """Has the interface of `Balancer` but makes no decisions: a key's hash selects its host."""
 
-    def __init__(self, terms: Any, port: Any, seed: int, now: int) -> None:
+    def __init__(self, settings: Any, port: Any, seed: int, now: int) -> None:
         from random import Random
 
         self.port, self.rng, self.now = port, Random(seed), now
@@ -61,27 +62,27 @@
 
     def on_request(
         self,
-        id: int,
-        left: int,
-        write: bool,
-        rule_set: str,
+        request_id: int,
+        time_remaining_us: int,
+        is_write: bool,
+        request_class: str,
         key: int | None,
         tenant: str,
         *rest: Any,
     ) -> None:
-        self.port.dispatch(id, self.ids[crc_hqx(b"%d" % (key or 0), 0) % len(self.ids)])
+        self.port.dispatch(request_id, self.ids[crc_hqx(b"%d" % (key or 0), 0) % len(self.ids)])
 
-    def on_outcome(self, id: int, number: int, verdict: str, over: bool) -> None:
-        if not over:
-            self.port.abort(id)
+    def on_outcome(self, request_id: int, number: int, outcome: str, is_final: bool) -> None:
+        if not is_final:
+            self.port.abort(request_id)
 
-    def on_client_disconnect(self, id: int) -> None: ...
+    def on_client_disconnect(self, request_id: int) -> None: ...
 
     def on_wake(self, token: int) -> None: ...
 
 
-class Answering:
-    """A host that has every key and no work to do."""
+class ImmediateHost:
+    """A host that has every key and answers at once."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         self.conn = Connection(loop, sock, self)
@@ -95,8 +96,8 @@
     def ended(self, what: str) -> None: ...
 
 
-class Telling:
-    """Discovery that has nothing new to tell."""
+class StaticDiscovery:
+    """A discovery service whose host list never changes."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         self.loop, self.reader = loop, RequestReader()
@@ -109,27 +110,31 @@
         if self.reader.message.complete:
             watch = b"after=" in self.reader.message.target
             self.reader.advance()
-            self.loop.call_later(1_000_000 if watch else 0, self.tell, not watch)
+            self.loop.call_later(1_000_000 if watch else 0, self.send_list, not watch)
 
-    def tell(self, whole: bool) -> None:
-        body = orjson.dumps({"seq": 1, "whole": whole, "hosts": known()["hosts"] if whole else []})
+    def send_list(self, whole: bool) -> None:
+        body = orjson.dumps(
+            {"seq": 1, "whole": whole, "hosts": endpoint_list()["hosts"] if whole else []}
+        )
         if self.conn.is_open:
             self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body)
 
     def ended(self, what: str) -> None: ...
 
 
-class Passing:
-    """One end of a pair of connections: what it reads is written on the other."""
+class ForwardingConnection:
+    """One end of a pair of connections; forwards what it reads to the other end."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, other: Passing | None = None) -> None:
+    def __init__(
+        self, loop: Loop, sock: socket.socket, other: ForwardingConnection | None = None
+    ) -> None:
         self.conn = Connection(loop, sock, self, opening=other is not None)
         if other is None:
-            came = dial(host_of(sock.fileno() % HOSTS))
-            if isinstance(came, AttemptFailure):
+            dialled = dial(host_address(sock.fileno() % HOSTS))
+            if isinstance(dialled, AttemptFailure):
                 self.conn.close()
                 return
-            other = Passing(loop, came, self)
+            other = ForwardingConnection(loop, dialled, self)
         self.other = other
 
     def opened(self) -> None: ...
@@ -141,19 +146,19 @@
         self.other.conn.close()
 
 
-class Asking:
-    """A client that asks again as soon as it is answered."""
+class ContinuousClient:
+    """A client that sends the next request as soon as the previous one is answered."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, number: int, done: list[int]) -> None:
-        self.loop, self.number, self.done, self.left = loop, number, done, 0
+    def __init__(self, loop: Loop, sock: socket.socket, number: int, counts: list[int]) -> None:
+        self.loop, self.number, self.counts, self.left = loop, number, counts, 0
         self.reader = ResponseReader()
         self.count = 0
         self.conn = Connection(loop, sock, self, opening=True)
 
     def opened(self) -> None:
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.count += 1
         key = (self.number * 7919 + self.count * 104_729) % 5_000
         self.conn.send(
@@ -164,19 +169,19 @@
     def received(self, view: memoryview) -> None:
         self.reader.feed(view)
         if self.reader.message.complete:
-            self.done[0 if self.reader.message.status == 200 else 1] += 1
+            self.counts[0 if self.reader.message.status == 200 else 1] += 1
             self.reader.reset()
-            self.ask()
+            self.send_request()
 
     def ended(self, what: str) -> None:
-        self.done[1] += 1
+        self.counts[1] += 1
 
 
-def known() -> dict[str, Any]:
+def endpoint_list() -> dict[str, Any]:
     hosts = [
         {
             "host": f"c{i}",
-            "dial": format_address(host_of(i)),
+            "dial": format_address(host_address(i)),
             "site": "z",
             "class": "origin" if i == HOSTS else "cache",
             "block": i,
@@ -192,11 +197,11 @@
 def configuration() -> dict[str, Any]:
     return {
         "name": "b0",
-        "listen": format_address(FRONT),
-        "discovery": format_address(AGENT),
+        "listen": format_address(LISTEN_ADDRESS),
+        "discovery": format_address(DISCOVERY_ADDRESS),
         "seed": "7",
         "limits": {"memory_mb": 192, "sockets": 1024},
-        "known": known(),
+        "known": endpoint_list(),
         "settings": {
             "kinds": ["cache", "origin"],
             "family-info": {"mode": "aside", "origin-kind": 1},
@@ -214,53 +219,63 @@
     }
 
 
-def void(owner: object) -> None:
-    """An owner keeps itself, by the callbacks of its connection."""
+def discard(owner: object) -> None:
+    """Discard a connection's owner: the callbacks of its connection keep a reference to it."""
 
 
 def run_hosts() -> None:
     network = LoopbackNetwork()
     for i in range(HOSTS + 1):
-        network.listen(host_of(i), lambda sock, who: void(Answering(network.loop, sock)))
-    network.listen(AGENT, lambda sock, who: void(Telling(network.loop, sock)))
+        network.listen(
+            host_address(i), lambda sock, who: discard(ImmediateHost(network.loop, sock))
+        )
+    network.listen(
+        DISCOVERY_ADDRESS, lambda sock, who: discard(StaticDiscovery(network.loop, sock))
+    )
     network.loop.run()
 
 
-def run_front(kind: str, path: str) -> None:
+def run_measured(kind: str, path: str) -> None:
     if kind == "balancer":
         return serve(path, protocol_for)
     if kind == "relay":
         return serve(path, protocol_for, Relay)
     network = LoopbackNetwork()
-    network.listen(FRONT, lambda sock, who: void(Passing(network.loop, sock)))
+    network.listen(
+        LISTEN_ADDRESS, lambda sock, who: discard(ForwardingConnection(network.loop, sock))
+    )
     network.loop.run()
 
 
 def run_clients(seconds: int) -> None:
-    """Prints done and failed reqs once the time is up; a quarter of it goes before, uncounted."""
-    loop, done = Loop(), [0, 0]
+    """Print the numbers of successful and failed requests after `seconds`.
+
+    A warm-up of a quarter of that time precedes, whose requests do not count.
+    """
+    loop, counts = Loop(), [0, 0]  # successful, failed
     for number in range(CONNECTIONS):
-        came = dial(FRONT)
-        if not isinstance(came, AttemptFailure):
-            Asking(loop, came, number, done)
+        dialled = dial(LISTEN_ADDRESS)
+        if not isinstance(dialled, AttemptFailure):
+            ContinuousClient(loop, dialled, number, counts)
     until = loop.clock() + seconds * 250_000
     while loop.clock() < until:
         loop.run_once(100_000)
     print("begun", flush=True)
-    done[0] = done[1] = 0
+    counts[0] = counts[1] = 0
     began = loop.clock()
     while loop.clock() < began + seconds * 1_000_000:
         loop.run_once(100_000)
     print(
-        json.dumps({"done": done[0], "failed": done[1], "took": loop.clock() - began}), flush=True
+        json.dumps({"done": counts[0], "failed": counts[1], "took": loop.clock() - began}),
+        flush=True,
     )
 
 
-def part(*args: str, **more: Any) -> subprocess.Popen[bytes]:
+def start_process(*args: str, **more: Any) -> subprocess.Popen[bytes]:
     return subprocess.Popen([sys.executable, "-m", "orchidgap.simulation.saturate", *args], **more)
 
 
-def await_door(address: Address) -> None:
+def wait_for_listener(address: Address) -> None:
     until = time.monotonic() + 10
     while time.monotonic() < until:
         try:
@@ -268,28 +283,28 @@
                 return
         except OSError:
             time.sleep(0.02)
-    raise RuntimeError(f"nobody listens on {format_address(address)}")
+    raise RuntimeError(f"no process listens on {format_address(address)}")
 
 
 def measure(kind: str, path: str, seconds: int) -> dict[str, float]:
-    """Reqs a second and microseconds of CPU a req of one kind."""
-    front = part("front", kind, path, stderr=subprocess.DEVNULL)
+    """Return requests per second and microseconds of CPU time per request of one kind of program."""
+    measured = start_process("front", kind, path, stderr=subprocess.DEVNULL)
     clients = None
     try:
-        await_door(FRONT)
-        clients = part("clients", str(seconds), stdout=subprocess.PIPE)
+        wait_for_listener(LISTEN_ADDRESS)
+        clients = start_process("clients", str(seconds), stdout=subprocess.PIPE)
         assert clients.stdout
         clients.stdout.readline()
-        before = cpu_seconds_of(front.pid)
-        told = json.loads(clients.stdout.readline())
-        spent = cpu_seconds_of(front.pid) - before
+        before = cpu_seconds_of(measured.pid)
+        result = json.loads(clients.stdout.readline())
+        spent = cpu_seconds_of(measured.pid) - before
         return {
-            "reqs_a_second": round(told["done"] / told["took"] * 1e6),
-            "cpu_us_a_req": round(spent * 1e6 / max(1, told["done"]), 1),
-            "failed": told["failed"],
+            "reqs_a_second": round(result["done"] / result["took"] * 1e6),
+            "cpu_us_a_req": round(spent * 1e6 / max(1, result["done"]), 1),
+            "failed": result["failed"],
         }
     finally:
-        for process in (clients, front):
+        for process in (clients, measured):
             if process:
                 process.send_signal(signal.SIGKILL)
                 process.wait()
@@ -300,21 +315,23 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "balancer.json"
         path.write_text(json.dumps(configuration()))
-        hosts = part("hosts")
+        hosts = start_process("hosts")
         try:
-            await_door(AGENT)
+            wait_for_listener(DISCOVERY_ADDRESS)
             for kind in KINDS:
                 rows[kind] = measure(kind, str(path), max(1, seconds))
         finally:
             hosts.kill()
             hosts.wait()
-    table = Table(title=f"{CONNECTIONS} clients that ask without pause", title_justify="left")
-    for name in ("what", "reqs a second", "CPU us a req", "failed", "CPU beside bytes"):
+    table = Table(
+        title=f"{CONNECTIONS} clients that send requests without pause", title_justify="left"
+    )
+    for name in ("program", "requests/s", "CPU us/request", "failed", "CPU relative to bytes"):
         table.add_column(name, justify="right")
-    least = rows["bytes"]["cpu_us_a_req"] or 1.0
+    baseline = rows["bytes"]["cpu_us_a_req"] or 1.0
     for kind, row in rows.items():
         table.add_row(
-            kind, *(str(value) for value in row.values()), f"{row['cpu_us_a_req'] / least:.2f}"
+            kind, *(str(value) for value in row.values()), f"{row['cpu_us_a_req'] / baseline:.2f}"
         )
     console.print(table)
     print(orjson.dumps(rows).decode())
@@ -326,6 +343,6 @@
     if role == "hosts":
         run_hosts()
     elif role == "front":
-        run_front(sys.argv[2], sys.argv[3])
+        run_measured(sys.argv[2], sys.argv[3])
     else:
         run_clients(int(sys.argv[2]))
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -152,7 +152,7 @@
         return bool(Simulation(candidate, decider=LeavesTheGroup).play()["twice"])
 
     assert still(plan)
-    small, plays = hunt.shrink_plan(plan, still, most=25)
+    small, plays = hunt.shrink_plan(plan, still, max_plays=25)
     assert (
         still(small)
         and plays <= 25
