--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -1,4 +1,4 @@
-"""Balancers with one defect each, planted on purpose, and the days on which it shows."""
+"""Balancers with one planted defect each, and the plans that expose it."""
 
 import tomllib
 from pathlib import Path
@@ -17,29 +17,36 @@
 
 
 class Defect(Balancer):
-    """The port of a balancer in a trial is its node: a defect can be anywhere behind it."""
+    """A balancer with a defect.
+
+    Its port is its node in a simulation, so a defect may also change the node and its connections.
+    """
 
     def exchange(self, req):
         return self.port.exchanges.get(req.id)
 
 
 class ResendsAnything(Defect):
-    """A further dispatch whatever the rule set says."""
+    """Retries whatever the request class allows."""
 
     def may_retry(self, req, host):
         return not req.answered and len(req.attempts) < self.settings.max_attempts
 
 
 class AnswersTwice(Defect):
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        if id % 50 == 0:
-            exchange = self.port.exchanges[id]
-            exchange.client = Twice(exchange.client)
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        if request_id % 50 == 0:
+            exchange = self.port.exchanges[request_id]
+            exchange.client = DoubleAnsweringClient(exchange.client)
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
 
 
-class Nobody:
-    """Whose dispatch nobody waits for."""
+class IgnoringOwner:
+    """The owner of an attempt whose outcome is ignored."""
 
     def may_send(self, number):
         return True
@@ -48,7 +55,7 @@
         pass
 
 
-class Twice:
+class DoubleAnsweringClient:
     def __init__(self, client):
         self.client = client
 
@@ -64,7 +71,7 @@
 
 
 class AnswersLate(Defect):
-    """Its own guard is off, and what it gives up it answers after the client timeout."""
+    """Disables its own deadline timer and rejects after the client timeout."""
 
     def reject(self, req, reason):
         exchange = self.exchange(req)
@@ -76,7 +83,7 @@
 
 
 class HoldsBack(Defect):
-    """Denies only when the client is about to go, so that it does not ask again."""
+    """Delays rejections until shortly before the client timeout, so that clients do not retry."""
 
     def reject(self, req, reason):
         self.call_later(
@@ -86,18 +93,24 @@
 
 
 class IgnoresDrains(Defect):
-    def __init__(self, terms, port, seed, now):
-        super().__init__(terms, port, seed, now)
-        follow = port.pools.apply_endpoints
-        port.pools.apply_endpoints = lambda whole, told: follow(
+    def __init__(self, settings, port, seed, now):
+        super().__init__(settings, port, seed, now)
+        apply_endpoints = port.pools.apply_endpoints
+        port.pools.apply_endpoints = lambda whole, endpoints: apply_endpoints(
             whole,
-            [(id, "up" if state == "draining" else state, address) for id, state, address in told],
+            [
+                (host_id, "up" if state == "draining" else state, address)
+                for host_id, state, address in endpoints
+            ],
         )
 
     def on_hosts(self, scope, entries):
         super().on_hosts(
             scope,
-            [(id, "up" if state == "draining" else state, *more) for id, state, *more in entries],
+            [
+                (host_id, "up" if state == "draining" else state, *fields)
+                for host_id, state, *fields in entries
+            ],
         )
 
 
@@ -107,7 +120,7 @@
         super().on_hosts(scope, entries)
 
 
-class Unlimited(ConcurrencyLimiter):
+class UnlimitedConcurrency(ConcurrencyLimiter):
     def has_capacity(self, host):
         return True
 
@@ -118,70 +131,70 @@
         host.concurrency_limit = 1e9
 
 
-class Patient(Dispatch):
+class NeverCancels(Dispatch):
     def should_cancel(self, attempt, settings):
         return False
 
 
-class Hurries(Placement):
-    """A host that has just started gets its whole range at once, however long it takes to answer."""
+class NoSlowStart(Placement):
+    """Sends a host that has just started all requests of its range at once, however slow it is."""
 
     def accepts(self, host):
         return True
 
 
 class FloodsCold(Defect):
-    def __init__(self, terms, port, seed, now):
-        super().__init__(terms, port, seed, now)
-        self.placement.__class__, self.dispatch.__class__ = Hurries, Patient
-        self.limiter.__class__ = Unlimited
+    def __init__(self, settings, port, seed, now):
+        super().__init__(settings, port, seed, now)
+        self.placement.__class__, self.dispatch.__class__ = NoSlowStart, NeverCancels
+        self.limiter.__class__ = UnlimitedConcurrency
 
 
-class Everything(Origin):
+class UnlimitedOrigin(Origin):
     def choose_host(self, req):
         return min(self.hosts, key=lambda host: host.in_flight) if self.hosts else None
 
 
 class FloodsOrigin(FloodsCold):
-    """Misses go to the origin without any limit, and nobody waits for another's fetch."""
+    """Sends misses to the origin without any limit and without coalescing fetches of a key."""
 
-    def __init__(self, terms, port, seed, now):
-        super().__init__(terms, port, seed, now)
-        self.origin.__class__ = Everything
+    def __init__(self, settings, port, seed, now):
+        super().__init__(settings, port, seed, now)
+        self.origin.__class__ = UnlimitedOrigin
         self.coalescing.forward = lambda req, host=None: self.placement.forward(req)
 
 
 class HoldsIdle(Defect):
-    """A drain lets nobody go who asks nothing."""
+    """Keeps idle connections open during a drain."""
 
-    def __init__(self, terms, port, seed, now):
-        super().__init__(terms, port, seed, now)
+    def __init__(self, settings, port, seed, now):
+        super().__init__(settings, port, seed, now)
         port.clients.release_idle = lambda: None
 
 
 class KeepsItsCount(Defect):
-    """New settings say fewer dispatches, and the old number goes on."""
+    """Keeps the old maximum number of attempts when new settings lower it."""
 
-    def on_settings(self, terms):
-        super().on_settings(terms._replace(max_attempts=self.settings.max_attempts))
+    def on_settings(self, settings):
+        super().on_settings(settings._replace(max_attempts=self.settings.max_attempts))
 
 
 class EndsAtOnce(Defect):
-    """Told to end while another process is there, it leaves what it has."""
+    """Drops its requests when it is shut down while another process takes over."""
 
-    def __init__(self, terms, port, seed, now):
-        super().__init__(terms, port, seed, now)
+    def __init__(self, settings, port, seed, now):
+        super().__init__(settings, port, seed, now)
         port.begin_shutdown = port.stop
 
 
 class CutsFlows(Defect):
-    """A large answer is cut off when its req's time would have been up."""
+    """Truncates a large answer that is still streaming 200 ms after its attempt's outcome."""
 
-    def on_outcome(self, id, number, verdict, over):
-        exchange = self.port.exchanges.get(id)
+    def on_outcome(self, request_id, number, outcome, is_final):
+        exchange = self.port.exchanges.get(request_id)
         if exchange and exchange.streaming_attempt:
             self.port.loop.call_later(200_000, self.cut, exchange)
-        super().on_outcome(id, number, verdict, over)
+        super().on_outcome(request_id, number, outcome, is_final)
 
     def cut(self, exchange):
         if exchange.streaming_attempt:
@@ -189,8 +202,8 @@
             attempt.settle(attempt.abandon("overdue").outcome)
 
 
-class SlowSink:
-    """A client whose streamed answers go on long after their head."""
+class DelayedStreamClient:
+    """A client whose streamed answers continue long after their head."""
 
     def __init__(self, client, loop):
         self.client = client
@@ -207,16 +220,20 @@
 
 
 class HoldsStreams(Defect):
-    """Of a large answer it sends the head at once, and the body 2 s after it came."""
-
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        exchange = self.port.exchanges[id]
-        exchange.client = SlowSink(exchange.client, self.port.loop)
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
+    """Sends the head of a large answer at once, and each part of the body with a delay of 2 s."""
+
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        exchange = self.port.exchanges[request_id]
+        exchange.client = DelayedStreamClient(exchange.client, self.port.loop)
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
 
 
 class AsksForEver(Defect):
-    """Discovery that turns it away is asked again at once."""
+    """Calls discovery again at once when that rejects its call."""
 
     def on_hosts(self, scope, entries):
         registry = getattr(self.port, "discovery", None)
@@ -229,7 +246,7 @@
 
 
 class LeavesTheGroup(Defect):
-    """A uniqued req that may have run goes to whichever origin is next."""
+    """Retries a possibly executed keyed write outside of its deduplication group."""
 
     def may_retry(self, req, host):
         return (
@@ -240,14 +257,18 @@
 
 
 class RepeatsTooLate(Defect):
-    """A second copy of what is still out once the host has forgotten its mark, and no look at that at the write."""
+    """Repeats a keyed write in flight after the deduplication window, without checking the latest start."""
 
-    def latest_start_us(self, id, number):
+    def latest_start_us(self, request_id, number):
         return 1 << 62
 
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
-        req = self.requests.get(id)
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
+        req = self.requests.get(request_id)
         if req and req.request_class.idempotency_keyed and req.attempts:
             self.call_later(req.request_class.deduplication_window_us + 60_000, self.again, req)
 
@@ -263,27 +284,35 @@
 
 
 class ServesFromMemory(Defect):
-    """Answers with what it once saw for the key."""
-
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        if id % 40 == 0 and not write:
-            return self.port.exchanges[id].answer(200, b"an old value")
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
+    """Answers with an old value of its own."""
+
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        if request_id % 40 == 0 and not is_write:
+            return self.port.exchanges[request_id].answer(200, b"an old value")
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
 
 
 class DoublesAtOnce(Defect):
-    """Two copies, though the settings allow one."""
+    """Sends two concurrent attempts although the settings do not allow hedging."""
 
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
-        req = self.requests.get(id)
-        if req and req.request_class.idempotent and len(req.attempts) == 1 and id % 20 == 0:
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
+        req = self.requests.get(request_id)
+        if req and req.request_class.idempotent and len(req.attempts) == 1 and request_id % 20 == 0:
             self.dispatch.forward(req, self.placement.ring[0])
 
 
 class TriesForEver(Defect):
-    def __init__(self, terms, port, seed, now):
-        super().__init__(terms._replace(max_attempts=50), port, seed, now)
+    def __init__(self, settings, port, seed, now):
+        super().__init__(settings._replace(max_attempts=50), port, seed, now)
 
     def may_retry(self, req, host):
         return not req.answered and req.request_class.idempotent
@@ -300,11 +329,17 @@
 
 
 class SendsAfterTheAnswer(Defect):
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        exchange = self.port.exchanges[id]
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
-        if id % 30 == 0:
-            attempt = UpstreamAttempt(exchange.head, exchange.body, exchange.deadline_us, Nobody())
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        exchange = self.port.exchanges[request_id]
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
+        if request_id % 30 == 0:
+            attempt = UpstreamAttempt(
+                exchange.head, exchange.body, exchange.deadline_us, IgnoringOwner()
+            )
             self.port.loop.call_at(
                 exchange.deadline_us - 50_000,
                 self.port.pools.send,
@@ -314,7 +349,7 @@
 
 
 class HangsUp(Defect):
-    """Closes the client's connection where it has no answer."""
+    """Closes the client's connection instead of rejecting."""
 
     def reject(self, req, reason):
         exchange = self.exchange(req)
@@ -324,29 +359,37 @@
 
 
 class ClosesFirstRequest(Defect):
-    """Closes each connection on the first request that it has read there."""
+    """Closes each connection after reading its first request."""
 
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        exchange = self.port.exchanges[id]
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        exchange = self.port.exchanges[request_id]
         if exchange.client.conn.bytes_written:
-            return super().on_request(id, left, write, rule_set, key, tenant, *rest)
+            return super().on_request(
+                request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+            )
         exchange.close()
         self.port.loop.call_soon(exchange.client.conn.fail, "closed")
 
 
 class ClosesALaterRequest(Defect):
-    """Closes a connection 1 ms after it has read a request that is not the first on it."""
-
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        exchange = self.port.exchanges[id]
-        if id % 40 or not exchange.client.conn.bytes_written:
-            return super().on_request(id, left, write, rule_set, key, tenant, *rest)
+    """Closes a connection 1 ms after reading a request that is not its first."""
+
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        exchange = self.port.exchanges[request_id]
+        if request_id % 40 or not exchange.client.conn.bytes_written:
+            return super().on_request(
+                request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+            )
         exchange.close()
         self.port.loop.call_later(1_000, exchange.client.conn.fail, "closed")
 
 
-class OnWire:
-    """What a client gets in the place of its answer, and whether its connection is reset then."""
+class RawAnswerClient:
+    """A client that receives raw bytes instead of its answer; its connection may then be reset."""
 
     def __init__(self, client, text, resets):
         self.client = client
@@ -359,52 +402,62 @@
             self.client.conn.reset()
 
 
-class SaysOnWire(Defect):
-    TEXT = b""
-    RESETS = False
+class SendsRawAnswer(Defect):
+    RAW_ANSWER = b""
+    RESETS_CONNECTION = False
 
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        if id % 40 == 0:
-            exchange = self.port.exchanges[id]
-            exchange.client = OnWire(exchange.client, self.TEXT, self.RESETS)
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        if request_id % 40 == 0:
+            exchange = self.port.exchanges[request_id]
+            exchange.client = RawAnswerClient(
+                exchange.client, self.RAW_ANSWER, self.RESETS_CONNECTION
+            )
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
 
 
-class ResetsHalfAnAnswer(SaysOnWire):
-    """Begins an answer that its host has given whole, and resets the connection."""
+class ResetsHalfAnAnswer(SendsRawAnswer):
+    """Begins an answer although its host sent a complete one, and resets the connection."""
 
-    TEXT = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it"
-    RESETS = True
+    RAW_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it"
+    RESETS_CONNECTION = True
 
 
-class StopsInAnAnswer(SaysOnWire):
-    """Begins an answer, and neither goes on nor closes."""
+class StopsInAnAnswer(SendsRawAnswer):
+    """Begins an answer, and neither continues it nor closes the connection."""
 
-    TEXT = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it"
+    RAW_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it"
 
 
-class AnswersNoHttp(SaysOnWire):
-    """Its answer is none, and the connection is reset behind it."""
+class AnswersNoHttp(SendsRawAnswer):
+    """Answers with bytes that are not HTTP, and resets the connection."""
 
-    TEXT = b"\x00 no answer\r\n\r\n"
-    RESETS = True
+    RAW_ANSWER = b"\x00 no answer\r\n\r\n"
+    RESETS_CONNECTION = True
 
 
 class NeverAnswersTheLast(Defect):
-    """From some time on it answers nothing: what comes last has no time left to be seen overdue."""
+    """Stops answering 7.5 s after its start: the last requests are not overdue before the run ends."""
 
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
         if self.now < self.began + 7_500_000:
-            return super().on_request(id, left, write, rule_set, key, tenant, *rest)
-        self.port.exchanges[id].deadline_timer.cancel()
+            return super().on_request(
+                request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+            )
+        self.port.exchanges[request_id].deadline_timer.cancel()
 
-    def __init__(self, terms, port, seed, now):
-        super().__init__(terms, port, seed, now)
+    def __init__(self, settings, port, seed, now):
+        super().__init__(settings, port, seed, now)
         self.began = now
 
 
-class Unaware:
-    """A client's connection whose end shows nowhere."""
+class UndetectedDisconnects:
+    """A client's connection whose end is not reported."""
 
     def __init__(self, client):
         self.client = client
@@ -417,41 +470,53 @@
 
 
 class ServesWhoHasLeft(Defect):
-    """It goes on with requests whose client has closed its connection."""
-
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        exchange = self.port.exchanges[id]
-        exchange.client.pending_request = None  # which is told that its client has gone
-        exchange.client = Unaware(exchange.client)
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
+    """Continues with requests whose client has closed its connection."""
+
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        exchange = self.port.exchanges[request_id]
+        exchange.client.pending_request = None  # would be notified of its client's disconnect
+        exchange.client = UndetectedDisconnects(exchange.client)
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
 
 
 class RejectsAll(Defect):
-    """From some time on it rejects whatever comes, at once."""
+    """Rejects all requests at once, from 2 s after its start."""
 
-    def __init__(self, terms, port, seed, now):
-        super().__init__(terms, port, seed, now)
+    def __init__(self, settings, port, seed, now):
+        super().__init__(settings, port, seed, now)
         self.began = now
 
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
         if self.now < self.began + 2_000_000:
-            return super().on_request(id, left, write, rule_set, key, tenant, *rest)
-        self.port.exchanges[id].answer(503)
+            return super().on_request(
+                request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+            )
+        self.port.exchanges[request_id].answer(503)
 
 
 class MakesUpIds(Defect):
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        if id % 40 == 0:
-            exchange = self.port.exchanges[id]
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        if request_id % 40 == 0:
+            exchange = self.port.exchanges[request_id]
             exchange.head = exchange.head.replace(b"Request-Id: q", b"Request-Id: z")
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
 
 
 class StartsTheTimeAnew(Defect):
-    """Each attempt tells its host the whole time that the client gave, also a late one."""
+    """Sends each attempt, also a late one, with the timeout that the request arrived with."""
 
-    def __init__(self, terms, port, seed, now):
-        super().__init__(terms, port, seed, now)
+    def __init__(self, settings, port, seed, now):
+        super().__init__(settings, port, seed, now)
         send = port.pools.send
 
         def send_with_whole_time(host, attempt):
@@ -462,16 +527,20 @@
 
 
 class ChangesTheHead(Defect):
-    """What it forwards has another start line than what came, or another idempotency key."""
+    """Forwards requests with a changed start line or idempotency key."""
 
     def change(self, head):
         raise NotImplementedError
 
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        if id % 20 == 0:
-            exchange = self.port.exchanges[id]
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        if request_id % 20 == 0:
+            exchange = self.port.exchanges[request_id]
             exchange.head = self.change(exchange.head)
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
 
 
 class ChangesTheMethod(ChangesTheHead):
@@ -495,7 +564,7 @@
         return head.replace(b"Idempotency-Key: op", b"Idempotency-Key: po", 1)
 
 
-class Cut:
+class TruncatingClient:
     def __init__(self, client):
         self.client = client
 
@@ -504,12 +573,18 @@
 
 
 class CutsAnswersShort(Defect):
-    """A value that lacks its last byte, and says that it is whole."""
-
-    def on_request(self, id, left, write, rule_set, key, tenant, *rest):
-        if id % 40 == 0:
-            self.port.exchanges[id].client = Cut(self.port.exchanges[id].client)
-        super().on_request(id, left, write, rule_set, key, tenant, *rest)
+    """Removes the last byte of an answer and announces the shorter length."""
+
+    def on_request(
+        self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+    ):
+        if request_id % 40 == 0:
+            self.port.exchanges[request_id].client = TruncatingClient(
+                self.port.exchanges[request_id].client
+            )
+        super().on_request(
+            request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
+        )
 
 
 USUAL = {"name": "planted", "seconds": 8.0, "balancers": 2, "caches": 4, "rate": 80.0}
@@ -584,9 +659,9 @@
 TRIALS = Path(__file__).parents[2] / "trials"
 
 
-def shipped(name, **more):
-    """A plan of the operators' days, as a day here."""
-    return tomllib.loads((TRIALS / f"{name}.toml").read_text()) | more
+def shipped_plan(name, **changes):
+    """Return a plan of `trials/` with some keys replaced."""
+    return tomllib.loads((TRIALS / f"{name}.toml").read_text()) | changes
 
 
 ROLL = USUAL | {
@@ -594,7 +669,7 @@
     "trouble": [{"kind": "balancer-roll", "at-s": 2, "for-s": 2, "part": 1.0}],
 }
 
-# the defect, its day, the rule that it breaks
+# the defect, the plan that exposes it, the rule that it breaks
 PLANTED = [
     (ResendsAnything, BUSY | {"origin": {"errors": 0.2, "uneven": 0.0}}, "twice"),
     (AnswersTwice, USUAL, "late"),
@@ -631,7 +706,7 @@
     (ChangesTheIdempotencyKey, BUSY, "lost"),
     (
         HoldsIdle,
-        shipped(
+        shipped_plan(
             "ops-drain",
             rate=3.0,
             trouble=[
@@ -641,13 +716,13 @@
         ),
         "lost",
     ),
-    (KeepsItsCount, shipped("ops-retune"), "twice"),
-    (EndsAtOnce, shipped("ops-upgrade"), "lost"),
-    (CutsFlows, shipped("ops-bulk"), "lost"),
+    (KeepsItsCount, shipped_plan("ops-retune"), "twice"),
+    (EndsAtOnce, shipped_plan("ops-upgrade"), "lost"),
+    (CutsFlows, shipped_plan("ops-bulk"), "lost"),
     (HoldsStreams, LARGE, "late"),
     (
         AsksForEver,
-        shipped(
+        shipped_plan(
             "ops-herd",
             seed=7,
             trouble=[
--- a/tests/simulation/test_balancer_loop.py
+++ b/tests/simulation/test_balancer_loop.py
@@ -1,4 +1,4 @@
-"""A balancer's timers on the shared virtual clock: one that is called off acts on nothing."""
+"""A balancer's timers and sockets on the shared virtual clock."""
 
 import socket
 
@@ -10,7 +10,7 @@
 
 
 class CountedLoop(VirtualClockLoop):
-    """Counts how often the clock was moved on."""
+    """Counts how often the clock was advanced."""
 
     def __init__(self):
         super().__init__()
@@ -35,7 +35,7 @@
 
 
 def test_a_cancelled_timer_does_not_move_the_clock(shared, loop):
-    # Each of them cost a simulation an instant with two rounds.
+    # Each cancelled timer cost a simulation an instant with two rounds.
     for delay_us in range(100, 200):
         loop.call_later(delay_us, pytest.fail).cancel()
     shared.run_until(shared.time + 1_000)
@@ -43,7 +43,7 @@
 
 
 def test_a_timer_that_is_due_in_a_pause_runs_after_it_unless_it_is_cancelled(shared, loop):
-    # A stopped process must not act, and not act later on what was called off meanwhile.
+    # A stopped process must not run timers, and must not later run those cancelled meanwhile.
     calls = []
     start_us = shared.time
     loop.call_later(100, lambda: calls.append(shared.time - start_us))
@@ -54,20 +54,20 @@
     assert calls == [500]
 
 
-def test_what_is_written_at_the_end_of_an_instant_is_read_in_it(shared, loop):
-    # The clock must not pass by a socket that became ready in the last round of an instant.
+def test_bytes_written_at_the_end_of_an_instant_are_read_in_it(shared, loop):
+    # The clock must not advance while a socket is unread that became ready in an instant's last round.
     near, far = socket.socketpair()
     far.setblocking(False)
-    heard = []
+    reads = []
     with near, far:
-        shared.watch(far, 1, lambda mask: heard.append((shared.time, far.recv(9))))
+        shared.watch(far, 1, lambda mask: reads.append((shared.time, far.recv(9))))
         start_us = shared.time
         shared.call_at(start_us + 50, lambda: shared.call_soon(near.send, b"x"))
         shared.run_until(start_us + 100)
-        near.send(b"y")  # between two stretches, outside of any callback
+        near.send(b"y")  # between two calls of run_until, outside of any callback
         shared.run_until(start_us + 200)
         shared.unwatch(far)
-    assert heard == [(start_us + 50, b"x"), (start_us + 100, b"y")]
+    assert reads == [(start_us + 50, b"x"), (start_us + 100, b"y")]
 
 
 @pytest.fixture
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ("act", "heard"),
+    ("act", "reads"),
     [
         (lambda near: near.send(b"x"), b"x"),
         (lambda near: near.sendall(b"x"), b"x"),
@@ -89,9 +89,9 @@
     ids=["send", "sendall", "sendmsg", "shutdown", "close"],
 )
 def test_each_call_that_makes_a_virtual_socket_ready_has_it_read_at_that_time(
-    shared, pair, act, heard
+    shared, pair, act, reads
 ):
-    # A select that is left out because nothing seemed to have happened would deliver it late.
+    # If the loop skipped its select because no activity was counted, it would read the socket late.
     near, far = pair
     calls = []
 
@@ -105,7 +105,7 @@
     shared.call_at(start_us + 50, act, near)
     shared.call_at(start_us + 90, int)
     shared.run_until(start_us + 100)
-    assert calls == [(start_us + 50, heard)]
+    assert calls == [(start_us + 50, reads)]
 
 
 def test_a_virtual_socket_that_was_ready_before_it_is_watched_is_read_then(shared, pair):
@@ -122,8 +122,8 @@
     assert calls == [(start_us + 50, b"x")]
 
 
-def test_room_that_a_read_makes_wakes_who_waits_to_write(shared, pair):
-    # A large body would stand still until something else happens.
+def test_a_read_that_frees_buffer_space_wakes_the_writer(shared, pair):
+    # Otherwise the rest of a large body would wait for the next unrelated event.
     near, far = pair
     with pytest.raises(BlockingIOError):
         while True:
--- a/tests/simulation/test_close_records.py
+++ b/tests/simulation/test_close_records.py
@@ -1,4 +1,4 @@
-"""What balancers noted of the connections that they closed: another connection's note excuses nothing."""
+"""Records of closed connections: a record of another connection must not excuse a lost request."""
 
 from types import SimpleNamespace
 
@@ -19,7 +19,7 @@
     )
 
 
-def test_an_earlier_connection_with_the_same_number_tells_nothing_of_this_one():
+def test_a_record_of_an_earlier_connection_with_the_same_number_is_not_found():
     records = CloseRecords()
     records.note(PORT, client(4, 4), ConnectionEnd.SHUTDOWN, 1_000)
     assert records.find(PORT, 500) == CloseRecord(1_000, 4, 4, had_unread_bytes=False)
@@ -27,7 +27,7 @@
     assert records.find(PORT + 1, 0) is None
 
 
-def test_what_two_processes_read_on_one_connection_adds_up():
+def test_requests_that_two_processes_read_on_one_connection_add_up():
     records = CloseRecords()
     records.note(PORT, client(2, 1), ConnectionEnd.MIGRATED, 1_000)
     assert records.find(PORT, 0) is None
@@ -36,14 +36,16 @@
 
 
 def line(**facts):
-    told = {"event": "connection closed", "end": "shutdown", "read": 1, "answered": 1}
+    usual = {"event": "connection closed", "end": "shutdown", "read": 1, "answered": 1}
     return (
-        orjson.dumps(told | {"unread": False, "looked": False, "peer": ["127.0.0.1", PORT]} | facts)
+        orjson.dumps(
+            usual | {"unread": False, "looked": False, "peer": ["127.0.0.1", PORT]} | facts
+        )
         + b"\n"
     )
 
 
-def test_a_log_is_read_as_it_grows_by_the_clients_clock_and_a_cut_line_tells_nothing(tmp_path):
+def test_a_growing_log_is_read_by_the_clients_clock_and_truncated_lines_are_ignored(tmp_path):
     path = tmp_path / "b0.log"
     records = LoggedCloseRecords(path, clock_offset_us=1_000_000)
     assert records.find(PORT, 0) is None
@@ -58,15 +60,19 @@
     )
 
 
-def test_bytes_found_unread_behind_a_shutdown_are_told_of_that_connection_alone(tmp_path):
+def test_unread_bytes_behind_a_shutdown_count_for_that_connection_only(tmp_path):
     path = tmp_path / "b0.log"
     records = LoggedCloseRecords(path, clock_offset_us=1_000_000)
     shut = {"event": "connection shut unread", "peer": ["127.0.0.1", PORT], "shut_us": 20}
     path.write_bytes(orjson.dumps(shut) + b"\n" + line(closed_us=10, end="finished"))
-    assert records.find(PORT, 0).shut_unread_at_us == 0, "of an earlier connection"
+    assert records.find(PORT, 0).shut_unread_at_us == 0, (
+        "the event belongs to an earlier connection"
+    )
     with path.open("ab") as file:
         file.write(orjson.dumps(shut) + b"\n")
     assert records.find(PORT, 0).shut_unread_at_us == 1_000_020
     with path.open("ab") as file:
         file.write(line(closed_us=30) + orjson.dumps(shut | {"shut_us": 40}) + b"\n")
-    assert records.find(PORT, 1_000_030).shut_unread_at_us == 0, "it was closed, not shut"
+    assert records.find(PORT, 1_000_030).shut_unread_at_us == 0, (
+        "the connection was closed, not shut down"
+    )
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands as they are typed, what a hunt finds, and what a report holds."""
+"""The simulation commands as they are typed, the findings of a hunt and the contents of a report."""
 
 import json
 import subprocess
@@ -96,12 +96,12 @@
     assert (code, out) == (2, "") and err.count("\n") == 1
 
 
-def test_a_report_of_what_is_no_trial_is_refused(tmp_path):
+def test_a_report_of_an_invalid_recording_is_rejected(tmp_path):
     (tmp_path / "trial.json").write_text("{}")
     assert run("report", tmp_path)[0] == 2
 
 
-def test_compare_plays_every_decider(tmp_path):
+def test_compare_plays_every_policy(tmp_path):
     (tmp_path / "p.toml").write_text(TINY)
     code, out, _ = run("compare", tmp_path / "p.toml")
     rows = json.loads(out)
@@ -118,23 +118,25 @@
 def test_a_hunt_draws_the_same_run_from_the_same_number():
     plan = validate_plan({"name": "h", "seconds": 6})
     assert hunt.draw_plan(plan, 3) == hunt.draw_plan(plan, 3) != hunt.draw_plan(plan, 4)
-    kinds = {
-        trouble.kind for number in range(80) for trouble in hunt.draw_plan(plan, number).faults
-    }
+    kinds = {fault.kind for number in range(80) for fault in hunt.draw_plan(plan, number).faults}
     assert len(kinds) > 20 and all(hunt.draw_plan(plan, number).faults for number in range(80))
 
 
-def test_a_hunt_tells_the_same_whatever_the_jobs(tmp_path):
+def test_a_hunt_prints_the_same_for_any_number_of_jobs(tmp_path):
     (tmp_path / "p.toml").write_text(TINY)
-    told = [
+    results = [
         run("hunt", tmp_path / "p.toml", "--runs=4", f"--jobs={jobs}", f"--out={tmp_path}")
         for jobs in (1, 3)
     ]
-    assert told[0][0] == 0 and told[0][1] == told[1][1] and json.loads(told[0][1])["runs"] == 4
+    assert (
+        results[0][0] == 0
+        and results[0][1] == results[1][1]
+        and json.loads(results[0][1])["runs"] == 4
+    )
 
 
-def test_what_is_found_shrinks_to_a_plan_that_still_shows_it():
-    """A defect planted, a day with more than it takes: what is left is one trouble and a few seconds."""
+def test_a_finding_shrinks_to_a_plan_that_still_shows_it():
+    """A plan with needless faults shrinks to few faults and seconds that still expose a planted defect."""
     plan = validate_plan(
         CELLS
         | {
@@ -148,13 +150,13 @@
         }
     )
 
-    def still(candidate):
+    def still_shows(candidate):
         return bool(Simulation(candidate, decider=LeavesTheGroup).play()["twice"])
 
-    assert still(plan)
-    small, plays = hunt.shrink_plan(plan, still, max_plays=25)
+    assert still_shows(plan)
+    small, plays = hunt.shrink_plan(plan, still_shows, max_plays=25)
     assert (
-        still(small)
+        still_shows(small)
         and plays <= 25
         and len(small.faults) <= 2
         and small.duration_s < 12
@@ -162,7 +164,7 @@
     )
 
 
-def test_what_fails_in_a_play_is_a_finding():
+def test_an_exception_in_a_play_is_a_finding():
     plan = msgspec.structs.replace(
         validate_plan(USUAL), faults=(Fault("crash", 1.0, target="c00"),)
     )
@@ -174,14 +176,14 @@
     )
 
 
-def test_a_report_draws_ranges_only_where_they_are_seen(tmp_path):
+def test_a_report_draws_ranges_only_where_they_are_known(tmp_path):
     verdict, simulation = play(parse_plan(TINY), policy="ring")
     keep(tmp_path, simulation, verdict)
     assert "none are drawn" in write_report(tmp_path).read_text()
 
 
 def test_real_balancers_play_the_same_plan(tmp_path):
-    """The program as processes, one killed and started again: no timing is judged, only that no rule broke."""
+    """Real balancer processes, one killed and restarted: checks that no rule is broken, but no timing."""
     (tmp_path / "p.toml").write_text(
         TINY.replace("balancers = 1", "balancers = 2")
         + ('[[trouble]]\nkind = "balancer-kill"\nat-s = 0.8\nfor-s = 0.3\ntarget = "b0"\n')
--- a/tests/simulation/test_departures.py
+++ b/tests/simulation/test_departures.py
@@ -1,4 +1,4 @@
-"""Clients that close their connection early: what still begins for them is judged."""
+"""Clients that close their connection early: attempts that begin for them later are checked."""
 
 from types import SimpleNamespace
 
@@ -33,32 +33,32 @@
     ("first_byte_at_us", "found"), [(LATEST_US, []), (LATEST_US + 1, ["lost"])]
 )
 def test_an_attempt_may_begin_for_a_tenth_of_a_second_after_the_close(first_byte_at_us, found):
-    """The bound is that of the standing page: 0.1 s, and not a microsecond more."""
+    """The bound is the required one, 0.1 s, and not a microsecond more."""
     breaches = []
     checker_of(breaches).on_host_attempt(attempt_at(first_byte_at_us), [], "q1")
     assert breaches == found
 
 
-def test_an_attempt_of_a_client_that_stays_is_not_judged():
-    """Without a close there is nothing to be late for."""
+def test_an_attempt_of_a_client_that_has_not_closed_is_not_checked():
+    """Without a close there is no limit to exceed."""
     breaches = []
     checker_of(breaches).on_host_attempt(attempt_at(9_000_000, left_at_us=0), [], "q1")
     assert breaches == []
 
 
 @pytest.mark.parametrize(("delay_us", "found"), [(10, []), (9, ["lost"])])
-def test_on_sockets_only_the_kernels_count_of_the_excess_excuses(delay_us, found):
-    """A balancer that got no core for all of the excess is excused, and for less it is not."""
+def test_on_sockets_only_a_run_delay_as_long_as_the_excess_excuses(delay_us, found):
+    """A balancer is excused if it was without a core for the whole excess, but not for less."""
     breaches = []
     checker = checker_of(breaches, TOLERANCE_US)
     checker.lateness.run_delay_us = lambda balancer, since_us, until_us: delay_us
     checker.on_host_attempt(attempt_at(LATEST_US + TOLERANCE_US + 10), [], "q1")
-    assert breaches == [], "the kernel's count is not read yet"
+    assert breaches == [], "the kernel's run delay is not read yet"
     checker.check_all()
     assert breaches == found
 
 
-def test_a_plan_of_commands_in_which_clients_leave_is_refused():
-    """Nothing closes there, and the plan would seem to have been played."""
+def test_a_resp_plan_in_which_clients_leave_is_rejected():
+    """RESP clients never close early: the plan would seem to have been simulated."""
     with pytest.raises(ScenarioError, match="no client leaves"):
         parse_plan('name = "x"\ndialect = "resp"\n[callers]\nleave = 0.1')
--- a/tests/simulation/test_invariant_checker.py
+++ b/tests/simulation/test_invariant_checker.py
@@ -1,4 +1,4 @@
-"""The invariant checker finds every planted defect under its rule, and none in the program as it is."""
+"""The invariant checker finds every planted defect under its rule, and no breach without a defect."""
 
 import pytest
 from planted import PLANTED
@@ -10,10 +10,10 @@
 
 
 @pytest.mark.parametrize(
-    ("defect", "day", "rule"), PLANTED, ids=lambda what: getattr(what, "__name__", "")
+    ("defect", "plan", "rule"), PLANTED, ids=lambda what: getattr(what, "__name__", "")
 )
-def test_each_planted_defect_is_caught_under_its_rule(defect, day, rule):
-    simulation = Simulation(validate_plan(day), decider=defect)
+def test_each_planted_defect_is_caught_under_its_rule(defect, plan, rule):
+    simulation = Simulation(validate_plan(plan), decider=defect)
     verdict = simulation.play()
     assert verdict["verdict"] == "broken" and verdict[rule], (
         verdict,
@@ -22,16 +22,16 @@
 
 
 @pytest.mark.parametrize(
-    "day",
+    "plan",
     [
-        day
-        for i, (_, day, _) in enumerate(PLANTED)
-        if day not in [other for _, other, _ in PLANTED[:i]]
+        plan
+        for i, (_, plan, _) in enumerate(PLANTED)
+        if plan not in [other for _, other, _ in PLANTED[:i]]
     ],
-    ids=lambda day: "",
+    ids=lambda plan: "",
 )
-def test_the_program_as_it_is_keeps_the_rules_on_the_same_days(day):
-    simulation = Simulation(validate_plan(day), decider=Balancer)
+def test_the_balancer_without_defects_keeps_the_rules_with_the_same_plans(plan):
+    simulation = Simulation(validate_plan(plan), decider=Balancer)
     verdict = simulation.play()
     assert not any(verdict[rule] for rule in RULES) and not verdict["faults"], (
         simulation.invariant_checker.breaches[:3]
--- a/tests/simulation/test_kernel_times.py
+++ b/tests/simulation/test_kernel_times.py
@@ -1,4 +1,4 @@
-"""On real sockets a rule is judged by when bytes came, not by when the simulation's process got to read them."""
+"""On real sockets, rules are checked by the arrival times of bytes, not by when the simulation read them."""
 
 import random
 import socket
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def exchange():
-    """A client's request at a balancer's listener, both in this process."""
+    """A client's request at a balancer's listener, with both ends in this process."""
     loop = Loop()
     plan = Plan(name="pause")
     invariant_checker = InvariantChecker(plan, loop.now, LOOPBACK_SLACK_US)
@@ -47,34 +47,34 @@
         environment=environment,
         connections={"b0": {}},
         idle={"b0": []},
-        on_overdue=lambda link, ask: None,
-        on_outcome=lambda ask, status, pause: None,
+        on_overdue=lambda connection, attempt: None,
+        on_outcome=lambda attempt, status, pause: None,
     )
     operation = Operation(0, READ, "", 0, 1, loop.now)
-    ask = ClientAttempt(b"q1", operation, "b0", 1, 0, 0)
+    attempt = ClientAttempt(b"q1", operation, "b0", 1, 0, 0)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        link = BalancerConnection(clients, "b0", dial(listener.getsockname()), True)
-        link.start(ask, (b"GET /read/k1 HTTP/1.1\r\nHost: service\r\n\r\n",))
+        connection = BalancerConnection(clients, "b0", dial(listener.getsockname()), True)
+        connection.start(attempt, (b"GET /read/k1 HTTP/1.1\r\nHost: service\r\n\r\n",))
         balancer, _ = listener.accept()
-        while not ask.arrived_at_us:
+        while not attempt.arrived_at_us:
             loop.run_once(10_000)
         balancer.recv(1 << 12)
         with balancer:
             yield SimpleNamespace(
-                loop=loop, invariant_checker=invariant_checker, ask=ask, balancer=balancer
+                loop=loop, invariant_checker=invariant_checker, attempt=attempt, balancer=balancer
             )
-        link.conn.close()
+        connection.conn.close()
 
 
 def read_answer(exchange):
-    while not exchange.ask.status:
+    while not exchange.attempt.status:
         exchange.loop.run_once(10_000)
     exchange.invariant_checker.lateness.check_all()
     return [text for rule, _, text in exchange.invariant_checker.breaches if rule == "late"]
 
 
-def test_a_pause_of_the_simulation_is_not_held_against_the_balancer(exchange):
-    # A drill beside load was late once: an answer that was there had not been read for half a second.
+def test_a_pause_of_the_simulation_does_not_make_an_answer_late(exchange):
+    # A fault test beside other load reported a late answer that had been unread for half a second.
     exchange.balancer.sendall(DENIED)
     time.sleep(PAUSE_S)
     assert read_answer(exchange) == []
@@ -88,8 +88,8 @@
     assert "held back" in late[0]
 
 
-def stand_still(exchange, pause_s, meanwhile):
-    """Have the loop's next turn stand still behind its look at the sockets."""
+def stall_next_turn(exchange, pause_s, meanwhile):
+    """Make the loop's next turn pause after it has polled the sockets."""
     near, far = socket.socketpair()
 
     def on_ready(mask):
@@ -114,22 +114,22 @@
     return [text for rule, _, text in exchange.invariant_checker.breaches if rule == "lost"]
 
 
-def test_an_answer_that_came_while_the_last_turn_stood_still_is_not_missing(exchange):
-    # The end was judged by a clock that had gone on since the sockets were looked at.
-    exchange.ask.deadline_us = exchange.loop.clock()
-    stand_still(exchange, PAUSE_S, lambda: exchange.balancer.sendall(DENIED))
+def test_an_answer_that_came_while_the_last_turn_was_stalled_is_not_missing(exchange):
+    # The end was checked by a clock that had advanced since the sockets were polled.
+    exchange.attempt.deadline_us = exchange.loop.clock()
+    stall_next_turn(exchange, PAUSE_S, lambda: exchange.balancer.sendall(DENIED))
     assert never_answered(exchange) == []
 
 
 def test_an_answer_that_never_came_is_missing_at_the_end(exchange):
-    exchange.ask.deadline_us = exchange.loop.clock()
-    stand_still(exchange, PAUSE_S, lambda: None)
+    exchange.attempt.deadline_us = exchange.loop.clock()
+    stall_next_turn(exchange, PAUSE_S, lambda: None)
     exchange.loop.run_once(0)
     assert len(never_answered(exchange)) == 1
 
 
 def test_an_end_behind_an_answer_does_not_make_that_late(exchange):
-    # The kernel merges an end into data that nobody has read, and stamps both with the end's time.
+    # The kernel merges a FIN into unread data and stamps both with the FIN's time.
     exchange.balancer.sendall(DENIED)
     time.sleep(PAUSE_S)
     exchange.balancer.shutdown(socket.SHUT_WR)
@@ -147,13 +147,13 @@
 
 @pytest.fixture
 def dispatch():
-    """A balancer's connection to a host that it was told is draining, both in this process."""
+    """A balancer's connection to a draining host, with both ends in this process."""
     loop = Loop()
     invariant_checker = InvariantChecker(Plan(name="drain"), loop.now, LOOPBACK_SLACK_US)
     operation = Operation(0, READ, "", 0, 1, loop.now)
-    ask = ClientAttempt(b"q1", operation, "b0", 1, loop.now, loop.now + 2_000_000)
-    ask.start_line = b"GET /read/k1"
-    invariant_checker.on_client_attempt(ask)
+    attempt = ClientAttempt(b"q1", operation, "b0", 1, loop.now, loop.now + 2_000_000)
+    attempt.start_line = b"GET /read/k1"
+    invariant_checker.on_client_attempt(attempt)
     environment = SimpleNamespace(
         invariant_checker=invariant_checker, last_pause_end_us=lambda name: 0
     )
@@ -172,19 +172,20 @@
     ):
         host = ServerConnection(store, listener.accept()[0], "b0")
         yield SimpleNamespace(
-            loop=loop, invariant_checker=invariant_checker, ask=ask, balancer=balancer
+            loop=loop, invariant_checker=invariant_checker, attempt=attempt, balancer=balancer
         )
         host.conn.close()
 
 
 def drain_breaches(dispatch):
-    while not dispatch.ask.host_attempts:
+    while not dispatch.attempt.host_attempts:
         dispatch.loop.run_once(10_000)
     return [text for rule, _, text in dispatch.invariant_checker.breaches if rule == "drain"]
 
 
-def test_a_request_that_was_given_up_unread_was_sent_when_it_was_written(dispatch):
-    # Written 700 ms before this process read it, and given up just then: it counted as sent at its end.
+def test_a_request_that_was_cancelled_unread_was_sent_when_it_was_written(dispatch):
+    # A request that was written 700 ms before this process read it, and cancelled just then, counted as
+    # sent at the time of its cancellation.
     dispatch.invariant_checker.on_list_written("b0", "c0", "draining", dispatch.loop.clock())
     dispatch.balancer.sendall(REQUEST)
     time.sleep(PAUSE_S)
--- a/tests/simulation/test_late_connection.py
+++ b/tests/simulation/test_late_connection.py
@@ -1,4 +1,4 @@
-"""A connection belongs to the process that accepted it: one that comes up late may have met the next one."""
+"""A connection belongs to the process that accepted it, also if it is established late."""
 
 import socket
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 
 
 def make_connection(sock):
-    """A connection that is dialled while the balancer's first process is its last."""
+    """Return a connection that is dialled while the balancer's first process runs."""
     environment = SimpleNamespace(
         incarnation=1, network=SimpleNamespace(connection_number=lambda sock: 1)
     )
@@ -23,20 +23,22 @@
     return environment, BalancerConnection(owner, "b0", sock, opening=True)
 
 
-@pytest.mark.parametrize(("was_up", "incarnation"), [(True, 1), (False, 2)])
-def test_a_connection_that_comes_up_late_is_of_the_process_that_runs_then(was_up, incarnation):
-    # what the second process lost was judged as if the first one had it, which may have been killed
+@pytest.mark.parametrize(("is_established", "incarnation"), [(True, 1), (False, 2)])
+def test_a_connection_that_is_established_late_belongs_to_the_process_that_runs_then(
+    is_established, incarnation
+):
+    # A loss of the second process was excused if the first one had been killed.
     near, far = socket.socketpair()
-    with far, near, socket.socket() as alone:
-        environment, connection = make_connection(near if was_up else alone)
+    with far, near, socket.socket() as unconnected:
+        environment, connection = make_connection(near if is_established else unconnected)
         environment.incarnation = 2
         connection.opened()
         assert connection.incarnation == incarnation
 
 
 def test_a_request_is_written_in_the_call_that_dials_where_its_connection_is_up():
-    # The test stood still for 410 ms between dial and write, twice on one request, and a balancer
-    # that was told to end had let the newcomers go by then: "lost".
+    # A fault test was stalled for 410 ms between dial and write, twice for one request. A balancer
+    # that was shutting down had closed the new connections by then, and the request counted as lost.
     plan = Plan(name="dial")
     loop = Loop()
     with socket.create_server(("127.0.0.1", 0)) as listener:
--- a/tests/simulation/test_listening_queue.py
+++ b/tests/simulation/test_listening_queue.py
@@ -1,4 +1,4 @@
-"""The accept queue on the virtual clock: what does a client see that waits there as a node ends?"""
+"""The accept queue on the virtual clock: what clients in the queue see when a node ends."""
 
 import pytest
 from backlog_harness import tally
@@ -23,8 +23,8 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv"
 
 
-class Side:
-    """One end of a connection; `answer` is what it says to whatever comes."""
+class RecordingPeer:
+    """One end of a connection; it sends `answer` whenever it receives bytes."""
 
     def __init__(self, network, sock, answer=b""):
         self.text, self.end, self.answer = "", "", answer
@@ -40,13 +40,13 @@
     def ended(self, what):
         self.end = what
 
-    def saw(self):
+    def result(self):
         return self.text.split()[1] if self.text else self.end or "no end"
 
 
 def serving_node(network):
-    """A node that serves at ADDRESS, and its loop; its one host answers all that it is asked."""
-    network.listen(HOST, lambda sock, who: Side(network, sock, ANSWER))
+    """Return a node that serves at ADDRESS, and its loop; its only host answers all requests."""
+    network.listen(HOST, lambda sock, who: RecordingPeer(network, sock, ANSWER))
     log = EventRecorder()
     loop = BalancerLoop(network.loop, log.exception)
     hosts = {"seq": 7, "whole": True, "hosts": [NodeHarness.host_entry(0)]}
@@ -72,12 +72,12 @@
     return node, loop
 
 
-def run(network, micros):
-    network.loop.run_until(network.loop.time + micros)
+def run(network, duration_us):
+    network.loop.run_until(network.loop.time + duration_us)
 
 
 def dial_with_request(network, number):
-    client = Side(network, network.dial(ADDRESS))
+    client = RecordingPeer(network, network.dial(ADDRESS))
     client.conn.send(
         b"GET /read/k HTTP/1.1\r\nRequest-Id: r%d\r\nTenant: small\r\nRequest-Timeout: 2\r\n\r\n"
         % number
@@ -85,35 +85,35 @@
     return client
 
 
-@pytest.mark.parametrize("many", [20, LARGER_THAN_SOCKET_BUFFERS])
-def test_a_queue_is_not_reset_by_the_end(many):
-    """Clients wait as the listener is shut, more than there is room for or fewer. Each request
-    is answered.
+@pytest.mark.parametrize("client_count", [20, LARGER_THAN_SOCKET_BUFFERS])
+def test_a_shutdown_does_not_reset_queued_connections(client_count):
+    """Clients wait when the listener is closed, more than the descriptors allow or fewer. Each
+    request is answered.
     """
     network = VirtualNetwork()
     node, loop = serving_node(network)
     loop.call_soon(node.begin_shutdown)
     run(network, SHUTDOWN_ACCEPT_US - 1)
-    clients = [dial_with_request(network, number) for number in range(many)]
+    clients = [dial_with_request(network, number) for number in range(client_count)]
     run(network, 5_000_000)
-    seen = [client.saw() for client in clients]
-    assert set(seen) <= {"200", "503"}, tally(seen)
+    results = [client.result() for client in clients]
+    assert set(results) <= {"200", "503"}, tally(results)
 
 
-def test_a_kill_resets_what_waits_in_the_queue():
-    """A node is killed with requests in its accept queue. Each client is told by a reset."""
+def test_a_kill_resets_queued_connections():
+    """A node is killed with requests in its accept queue. Each client sees a reset."""
     network = VirtualNetwork()
     _, loop = serving_node(network)
     clients = [dial_with_request(network, number) for number in range(5)]
     loop.kill()
     network.unlisten(ADDRESS)
     run(network, 1_000)
-    assert tally([client.saw() for client in clients]) == {"Connection reset by peer": 5}
+    assert tally([client.result() for client in clients]) == {"Connection reset by peer": 5}
 
 
 def test_the_close_of_one_handle_of_two_resets_nobody():
-    """Two processes hold the listener, and one closes its handle. What waits stays for the
-    other.
+    """Two processes share the listener, and one closes its handle. Queued connections remain for
+    the other.
     """
     network = VirtualNetwork()
     shared = network.listeners[ADDRESS] = SharedListener(network.loop)
@@ -121,7 +121,7 @@
     client = dial_with_request(network, 1)
     first.close()
     run(network, 1_000)
-    assert client.saw() == "no end"
+    assert client.result() == "no end"
     sock, _ = second.accept()
     assert sock.recv(1 << 16).startswith(b"GET /read/k")
     sock.close()
--- a/tests/simulation/test_plans.py
+++ b/tests/simulation/test_plans.py
@@ -1,4 +1,4 @@
-"""The shipped plans, each with its troubles, end with the rules kept and service above what they ask for."""
+"""Every shipped plan ends with the rules kept and with service above the plan's minimum."""
 
 import sys
 from pathlib import Path
@@ -26,14 +26,14 @@
 
 
 def test_the_plans_together_have_every_kind_of_trouble():
-    used = [trouble.kind for path in SHIPPED for trouble in read_plan(str(path)).faults]
+    used = [fault.kind for path in SHIPPED for fault in read_plan(str(path)).faults]
     assert [kind for kind in FAULT_KINDS + RESP_FAULT_KINDS if kind not in used] == []
 
 
 @pytest.mark.parametrize("kind", FAULT_KINDS)
 def test_every_trouble_acts_alone_and_is_seen(kind):
-    """Each is a different day from the calm one, and each is told in the trial's events."""
-    told = {
+    """Each fault changes the trace of the calm run, and is recorded among the events of its run."""
+    calm_plan = {
         "name": "one",
         "seconds": 4,
         "balancers": 2,
@@ -41,9 +41,9 @@
         "rate": 60,
         "cache": {"zones": 2},
     }
-    calm, _ = play(validate_plan(told))
+    calm, _ = play(validate_plan(calm_plan))
     verdict, simulation = play(
-        validate_plan(told | {"trouble": [{"kind": kind, "at-s": 1, "for-s": 2, "part": 0.4}]})
+        validate_plan(calm_plan | {"trouble": [{"kind": kind, "at-s": 1, "for-s": 2, "part": 0.4}]})
     )
     assert verdict["verdict"] == "kept", simulation.invariant_checker.breaches[:5]
     assert verdict["trace"] != calm["trace"] and any(
--- a/tests/simulation/test_crossing.py
+++ b/tests/simulation/test_raced_close.py
@@ -1,4 +1,4 @@
-"""A request that is written to a closed connection is sent once more, with the time that is left, and is owed."""
+"""A request written to a connection that was already closed is resent once, with its remaining time."""
 
 import socket
 from types import SimpleNamespace
@@ -26,7 +26,7 @@
 
 
 class Owner:
-    """The clients of one connection to a balancer that a test plays."""
+    """The clients of one connection whose balancer's end is driven by the test."""
 
     def __init__(self):
         self.loop = Loop()
@@ -35,14 +35,14 @@
         self.idle = {"b0": []}
         self.connections = {"b0": {}}
         self.record = None
-        self.sent_once_more = []
+        self.resent = []
         self.lost = []
         self.environment = SimpleNamespace(
             incarnation_of=lambda balancer: 1,
             network=LoopbackNetwork,
             process_end=lambda balancer, incarnation: ProcessEnd.RUNNING,
             close_record=self.close_record,
-            max_attempts_at=lambda came: 3,
+            max_attempts_at=lambda arrived_at_us: 3,
             client_one_way_us=lambda: 0,
             invariant_checker=SimpleNamespace(
                 failed_connections=0,
@@ -57,7 +57,7 @@
         return None if is_earlier else self.record
 
     def resend(self, attempt, message, balancer):
-        self.sent_once_more.append(attempt)
+        self.resent.append(attempt)
 
     def on_outcome(self, attempt, status, retry_after_us):
         pass
@@ -71,8 +71,8 @@
 
 
 @pytest.fixture
-def met():
-    """A client's connection, and the balancer's end of it."""
+def connected():
+    """A client's connection and the balancer's end of it."""
     owner = Owner()
     with socket.create_server(("127.0.0.1", 0)) as server:
         near = socket.create_connection(server.getsockname())
@@ -87,20 +87,20 @@
     return CloseRecord(owner.loop.clock(), read, read, had_unread_bytes=False)
 
 
-def test_a_first_request_on_a_connection_that_was_closed_before_is_sent_once_more(met):
-    """The fault test stood still between its dial and its write, and called the request lost."""
-    owner, connection, far = met
+def test_a_first_request_on_a_connection_that_was_closed_before_is_resent(connected):
+    """A fault test that was stalled between dial and write counted such a request as lost."""
+    owner, connection, far = connected
     owner.record = closed_now(owner)
     far.close()
     attempt = attempt_at()
     connection.start(attempt, MESSAGE)
     owner.run()
-    assert owner.sent_once_more == [attempt] and not owner.lost
+    assert owner.resent == [attempt] and not owner.lost
 
 
-def test_a_connection_that_was_closed_before_its_client_went_on_from_the_dial_is_found(met):
-    """The process that dials may stand still right behind its dial, for longer than an idle time."""
-    owner, _, _ = met
+def test_a_close_before_the_client_continues_after_its_dial_is_found(connected):
+    """The dialling process may be stalled right after its dial, for longer than the idle timeout."""
+    owner, _, _ = connected
     with socket.create_server(("127.0.0.1", 0)) as server:
         near = socket.create_connection(server.getsockname())
         late_far, _ = server.accept()
@@ -110,11 +110,11 @@
     attempt = attempt_at()
     late.start(attempt, MESSAGE)
     owner.run()
-    assert owner.sent_once_more == [attempt] and not owner.lost
+    assert owner.resent == [attempt] and not owner.lost
 
 
-def test_a_later_request_on_a_connection_that_was_closed_before_is_sent_once_more(met):
-    owner, connection, far = met
+def test_a_later_request_on_a_connection_that_was_closed_before_is_resent(connected):
+    owner, connection, far = connected
     connection.start(attempt_at(), MESSAGE)
     far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv")
     owner.run()
@@ -124,31 +124,31 @@
     attempt = attempt_at()
     connection.start(attempt, MESSAGE)
     owner.run()
-    assert owner.sent_once_more == [attempt] and not owner.lost
+    assert owner.resent == [attempt] and not owner.lost
 
 
-def test_a_request_that_was_written_first_and_reset_unread_is_lost(met):
-    """A listener that is closed over its backlog resets requests that were taken."""
-    owner, connection, far = met
+def test_a_request_that_was_written_first_and_reset_unread_is_lost(connected):
+    """A listener that is closed with a backlog resets requests that the kernel had accepted."""
+    owner, connection, far = connected
     attempt = attempt_at()
     connection.start(attempt, MESSAGE)
     owner.record = closed_now(owner)
     far.close()
     owner.run()
-    assert owner.lost == [attempt] and not owner.sent_once_more
+    assert owner.lost == [attempt] and not owner.resent
 
 
-def test_a_request_of_which_no_process_noted_the_close_is_lost(met):
-    owner, connection, far = met
+def test_a_request_without_a_record_of_the_close_is_lost(connected):
+    owner, connection, far = connected
     far.close()
     attempt = attempt_at()
     connection.start(attempt, MESSAGE)
     owner.run()
-    assert owner.lost == [attempt] and not owner.sent_once_more
+    assert owner.lost == [attempt] and not owner.resent
 
 
-def test_a_request_that_was_read_and_reset_on_purpose_is_lost(met):
-    owner, connection, far = met
+def test_a_request_that_was_read_and_reset_on_purpose_is_lost(connected):
+    owner, connection, far = connected
     attempt = attempt_at()
     connection.start(attempt, MESSAGE)
     owner.record = closed_now(owner, read=1)
@@ -156,25 +156,25 @@
     far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     far.close()
     owner.run()
-    assert owner.lost == [attempt] and not owner.sent_once_more
+    assert owner.lost == [attempt] and not owner.resent
 
 
-def test_a_request_that_crosses_a_second_end_is_lost(met):
-    owner, connection, far = met
+def test_a_request_that_races_a_second_close_is_lost(connected):
+    owner, connection, far = connected
     owner.record = closed_now(owner)
     far.close()
     attempt = attempt_at()
     attempt.was_resent = True
     connection.start(attempt, MESSAGE)
     owner.run()
-    assert owner.lost == [attempt] and not owner.sent_once_more
+    assert owner.lost == [attempt] and not owner.resent
 
 
-# --- written between the last look and the shutdown: its client sees an end in order
+# --- written between the balancer's last read and its shutdown: the client sees an orderly end
 
 
 def written_before_shutdown(owner, connection, far):
-    """A request on a connection that its balancer is about to shut, having looked for a last time."""
+    """Write a request after its balancer's last read and before it shuts the connection down."""
     owner.record = closed_now(owner)
     attempt = attempt_at()
     connection.start(attempt, MESSAGE)
@@ -187,62 +187,64 @@
     owner.record = owner.record._replace(shut_unread_at_us=owner.loop.clock())
 
 
-def test_a_request_that_was_found_unread_behind_the_shutdown_is_sent_once_more(met):
-    """Its balancer's process may stand still before it notes that, and its client waits."""
-    owner, connection, far = met
+def test_a_request_that_was_found_unread_behind_the_shutdown_is_resent(connected):
+    """The client waits for the record, as the balancer's process may be stalled before it writes it."""
+    owner, connection, far = connected
     attempt = written_before_shutdown(owner, connection, far)
-    assert not owner.lost and not owner.sent_once_more
+    assert not owner.lost and not owner.resent
     note_shut_unread(owner)
     owner.run()
-    assert owner.sent_once_more == [attempt] and not owner.lost
+    assert owner.resent == [attempt] and not owner.lost
 
 
-def test_a_request_of_which_its_process_notes_nothing_behind_the_shutdown_is_lost(met, monkeypatch):
+def test_a_request_without_a_record_of_unread_bytes_behind_the_shutdown_is_lost(
+    connected, monkeypatch
+):
     monkeypatch.setattr(balancer_connection, "SHUT_NOTE_TIMEOUT_US", 40_000)
-    owner, connection, far = met
+    owner, connection, far = connected
     attempt = written_before_shutdown(owner, connection, far)
     owner.run()
-    assert owner.lost == [attempt] and not owner.sent_once_more
+    assert owner.lost == [attempt] and not owner.resent
 
 
-def test_neither_a_later_end_of_its_process_nor_a_host_excuses_what_waits_for_a_note(met):
-    owner, connection, far = met
+def test_neither_a_process_end_nor_a_host_excuses_a_request_that_awaits_a_record(connected):
+    owner, connection, far = connected
     attempt = written_before_shutdown(owner, connection, far)
     assert attempt.incarnation == NO_PROCESS
     owner.environment.process_end = lambda balancer, incarnation: ProcessEnd.KILLED
     attempt.host_attempts.append(None)
     note_shut_unread(owner)
     owner.run()
-    assert owner.lost == [attempt] and not owner.sent_once_more
+    assert owner.lost == [attempt] and not owner.resent
 
 
-# --- how it is sent once more
+# --- how a request is resent
 
 
 @pytest.fixture
 def simulation():
-    made = simulation_of(PLAN)
-    for balancer in made.balancers.values():
+    created = simulation_of(PLAN)
+    for balancer in created.balancers.values():
         balancer.alive, balancer.ready_at = True, 1
-    yield made
-    made.close()
+    yield created
+    created.close()
 
 
 @pytest.fixture
 def sent(simulation, monkeypatch):
-    """What is sent, in place of the sending: time, balancer, message."""
-    found = []
+    """Records time, balancer and message of each attempt instead of sending it."""
+    sent_messages = []
 
     def send(attempt, message, balancer, fresh=False):
         assert fresh
-        found.append((simulation.loop.clock(), balancer, message))
+        sent_messages.append((simulation.loop.clock(), balancer, message))
 
     monkeypatch.setattr(simulation.clients, "send_attempt", send)
-    return found
+    return sent_messages
 
 
-def crossed_at(simulation, elapsed_us):
-    """An attempt that was written, and whose end is seen so much later."""
+def resend_after(simulation, elapsed_us):
+    """Resend an attempt whose connection's end is seen `elapsed_us` after its write."""
     attempt = attempt_at()
     attempt.arrived_at_us = simulation.loop.clock()
     attempt.deadline_us = attempt.arrived_at_us + TIMEOUT_US
@@ -251,8 +253,8 @@
     return attempt
 
 
-def test_it_is_sent_with_the_time_that_is_left(simulation, sent):
-    attempt = crossed_at(simulation, 300_000)
+def test_it_is_resent_with_the_remaining_time(simulation, sent):
+    attempt = resend_after(simulation, 300_000)
     left_s = (TIMEOUT_US - 300_000) / 1e6
     assert sent == [
         (simulation.loop.clock(), "b0", (MESSAGE[0].replace(b"9.000", b"%.3f" % left_s),))
@@ -261,16 +263,16 @@
     assert attempt.deadline_us == attempt.arrived_at_us + TIMEOUT_US
 
 
-def test_where_its_balancer_takes_no_more_it_goes_to_another(simulation, sent):
-    attempt = crossed_at(simulation, 0)
+def test_it_goes_to_another_balancer_if_its_own_refuses_connections(simulation, sent):
+    attempt = resend_after(simulation, 0)
     simulation.clients.on_refused(attempt, "b0")
     simulation.network.loop.run_until(simulation.loop.clock() + 50_000)
     assert [balancer for _, balancer, _ in sent] == ["b0", "b1"]
     assert attempt.balancer == "b1"
 
 
-def test_the_end_of_a_process_that_did_not_take_it_excuses_nothing(simulation, sent):
-    attempt = crossed_at(simulation, 0)
+def test_the_end_of_a_process_that_refused_it_excuses_nothing(simulation, sent):
+    attempt = resend_after(simulation, 0)
     simulation.invariant_checker.client_attempts[attempt.id] = attempt
     simulation.clients.on_refused(attempt, "b0")
     simulation.invariant_checker.on_balancer_ended("b0", 1, simulation.loop.now, was_killed=True)
@@ -279,8 +281,8 @@
     assert [balancer for _, balancer, _ in sent] == ["b0", "b1"]
 
 
-def test_where_nobody_takes_it_in_time_it_is_lost(simulation, sent):
-    attempt = crossed_at(simulation, 0)
+def test_it_is_lost_if_no_balancer_accepts_it_in_time(simulation, sent):
+    attempt = resend_after(simulation, 0)
     for balancer in simulation.balancers.values():
         balancer.ready_at = 0
     simulation.clients.on_refused(attempt, "b0")
--- a/tests/simulation/test_rejection_checker.py
+++ b/tests/simulation/test_rejection_checker.py
@@ -1,4 +1,4 @@
-"""On calm days at most one balancer in ten may reject all that it gets for 4 s on end."""
+"""With calm plans at most one balancer in ten may reject all its requests for 4 s without a break."""
 
 from types import SimpleNamespace
 
@@ -32,7 +32,7 @@
 
 
 def test_fifteen_rejections_over_four_seconds_count_and_fewer_or_shorter_ones_do_not():
-    """Both bounds are those of the standing page."""
+    """Both bounds are the required ones."""
     (stretch,) = rejecting_stretches(rejected())
     assert stretch == ("b0", S, 5 * S, 15)
     assert rejecting_stretches(rejected(count=14)) == []
@@ -43,24 +43,24 @@
     "sign", [request_at(3, 200), request_at(3, 500), request_at(2.9, 0, sent_at=3)]
 )
 def test_any_sign_of_service_in_between_ends_a_stretch(sign):
-    """An attempt that brings no answer is one too: the balancer has tried."""
+    """An attempt without an answer is a sign of service too."""
     assert rejecting_stretches([*rejected(), sign]) == []
     assert len(rejecting_stretches([*rejected(count=60, seconds=9), sign])) == 1
 
 
-def test_a_restart_begins_a_stretch_anew():
-    """What two processes rejected adds up to no stretch of either."""
+def test_a_restart_begins_a_new_stretch():
+    """Rejections of two processes of a balancer do not form one stretch."""
     both = rejected(seconds=3) + [request_at(5, incarnation=2)]
     assert rejecting_stretches(both) == []
 
 
 @pytest.mark.parametrize(("balancer_count", "found"), [(9, 1), (10, 0)])
-def test_one_balancer_in_ten_may(balancer_count, found):
-    """Of fewer than ten balancers none may."""
+def test_one_balancer_in_ten_may_reject_all(balancer_count, found):
+    """With fewer than ten balancers, none may."""
     assert len(excessive_rejections(rejected(), balancer_count)) == found
 
 
-def test_two_of_ten_may_not():
+def test_two_balancers_in_ten_may_not_reject_all():
     """Balancers are counted, not stretches."""
     both = rejected() + rejected(balancer="b1")
     twice = rejected() + [request_at(6, 200)] + [request_at(7 + i / 3) for i in range(15)]
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(("kind", "calm"), [("balancer-roll", True), ("crash", False)])
-def test_only_days_with_no_other_trouble_are_judged(kind, calm):
-    """Where hosts are gone, a balancer may have nowhere to send to."""
+def test_only_plans_without_other_faults_are_checked(kind, calm):
+    """With hosts missing, a balancer may have no host to send requests to."""
     plan = validate_plan({"name": "x", "trouble": [{"kind": kind, "at-s": 1}]})
     assert is_calm(plan) == calm
--- a/tests/simulation/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -1,4 +1,4 @@
-"""What makes a load uneven on purpose is caught by a shipped plan, seen from the hosts alone."""
+"""Planted defects that make the load uneven are caught by shipped plans, by what hosts saw."""
 
 from pathlib import Path
 from types import SimpleNamespace as Namespace
@@ -16,13 +16,13 @@
 TRIALS = Path(__file__).parents[2] / "trials"
 
 
-def in_step(self, req, preferred_index=Placement.preferred_index):
-    """In one tenth of each second all balancers send all that they have to one cache."""
+def synchronized_index(self, req, preferred_index=Placement.preferred_index):
+    """In one tenth of each second all balancers send all requests to one cache."""
     return 0 if self.context.now // 100_000 % 10 == 0 else preferred_index(self, req)
 
 
-def not_me(self, host, accepts=Placement.accepts):
-    """Whoever knows that a host was away leaves it to others."""
+def rejects_restarted_hosts(self, host, accepts=Placement.accepts):
+    """A balancer that knows of a host's restart never sends requests to it."""
     return not host.started_at_us and accepts(self, host)
 
 
@@ -34,7 +34,7 @@
         "quarter",
         "calm: most",
     ),
-    "all at one moment": (Placement, "preferred_index", in_step, "calm", "calm: herd"),
+    "all at one moment": (Placement, "preferred_index", synchronized_index, "calm", "calm: herd"),
     "ranges stay as a release left them": (
         rebalancing,
         "EVEN_OUT_STEPS",
@@ -45,7 +45,7 @@
     "each leaves a cache that came back to others": (
         Placement,
         "accepts",
-        not_me,
+        rejects_restarted_hosts,
         "flaps",
         "after: least",
     ),
@@ -54,39 +54,44 @@
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_unevenness_is_caught(name, monkeypatch):
-    owner, what, planted, plan, said = DEFECTS[name]
-    monkeypatch.setattr(owner, what, planted)
+    owner, attribute, planted, plan, breach = DEFECTS[name]
+    monkeypatch.setattr(owner, attribute, planted)
     verdict, simulation = play(read_plan(str(TRIALS / f"spread-{plan}.toml")))
     assert verdict["verdict"] == "broken" and verdict["uneven"]
     assert any(
-        rule == "uneven" and text.startswith(said)
+        rule == "uneven" and text.startswith(breach)
         for rule, _, text in simulation.invariant_checker.breaches
     ), simulation.invariant_checker.breaches
 
 
-def test_what_is_out_when_a_stretch_ends_counts_as_it_comes_out():
-    """One req that was out at that moment broke a drill that lost none."""
+def test_a_request_in_flight_when_a_phase_ends_counts_by_its_outcome():
+    """A fault test that lost no request was broken by one that was in flight at the end of a phase."""
     work = Namespace(
         write=False, latency_objective_ms=500, priority_weight=1.0, late_value_ratio=0.0
     )
-    ops = [
-        Namespace(counted=True, created_at_us=born, completed_at_us=done, request_class=work)
-        for born, done in ((1, 9), (990_000, 0))
+    operations = [
+        Namespace(
+            counted=True, created_at_us=created, completed_at_us=completed, request_class=work
+        )
+        for created, completed in ((1, 9), (990_000, 0))
     ]
     invariant_checker = Namespace(
         client_attempts={},
-        operations=ops,
+        operations=operations,
     )
     simulation = Namespace(
         servers={}, start=0, loop=Namespace(now=1_000_000), invariant_checker=invariant_checker
     )
-    stretches = PhaseRecorder(simulation, (EvennessBounds("calm", min_service_ratio=0.9),))
-    stretches.current = "calm", 0
-    stretches.begin("")
-    for late, served in ((0, 0.5), (1_010_000, 1.0)):
-        ops[1].completed_at_us, simulation.loop.now = late, 3_000_000
-        said = []
+    phases = PhaseRecorder(simulation, (EvennessBounds("calm", min_service_ratio=0.9),))
+    phases.current = "calm", 0
+    phases.begin("")
+    for completed_at_us, served in ((0, 0.5), (1_010_000, 1.0)):
+        operations[1].completed_at_us, simulation.loop.now = completed_at_us, 3_000_000
+        breaches = []
         assert (
-            stretches.finish(lambda *told, said=said: said.append(told))["calm"]["served"] == served
+            phases.finish(lambda *breach, breaches=breaches: breaches.append(breach))["calm"][
+                "served"
+            ]
+            == served
         )
-        assert bool(said) == (served < 0.9)
+        assert bool(breaches) == (served < 0.9)
--- a/tests/simulation/test_told_times.py
+++ b/tests/simulation/test_told_times.py
@@ -1,4 +1,4 @@
-"""From when a balancer counts as told of a change of the list."""
+"""The time from which a balancer counts as notified of a change of the host list."""
 
 import socket
 from types import SimpleNamespace
@@ -6,19 +6,19 @@
 from orchidgap.net.loop import Loop
 from orchidgap.simulation.discovery_server import AgentConnection, DiscoveryAgent
 
-STOOD_STILL_US = 247_000
+STALLED_US = 247_000
 
 
-def test_a_change_counts_as_told_when_it_is_written_and_not_from_the_begin_of_the_turn():
-    # The test stood still between its turn's clock and the write: the balancer had so much less of
-    # the drain's grace, and was not to blame.
+def test_a_balancer_counts_as_notified_when_a_change_is_written_and_not_when_the_turn_begins():
+    # A fault test was stalled between reading its turn's clock and the write. That shortened the drain
+    # grace of the balancer, which was not at fault.
     clock = SimpleNamespace(us=0)
     loop = Loop(clock=lambda: clock.us)
-    told = []
+    notifications = []
     entry = {"host": "c0", "health": "Terminating", "born_ms": 0}
     environment = SimpleNamespace(
         invariant_checker=SimpleNamespace(
-            on_list_written=lambda *facts: told.append(facts), list_calls=0
+            on_list_written=lambda *facts: notifications.append(facts), list_calls=0
         ),
         network=SimpleNamespace(listen=lambda address, accept: None),
         endpoint_list_for=lambda balancer, document: document,
@@ -38,11 +38,11 @@
         far.send(b"GET /discovery/hosts?after=1&wait_ms=3000 HTTP/1.1\r\nHost: d\r\n\r\n")
         send = connection.conn.send
 
-        def stand_still_and_send(*parts):
-            clock.us += STOOD_STILL_US
+        def stall_and_send(*parts):
+            clock.us += STALLED_US
             send(*parts)
 
-        connection.conn = SimpleNamespace(is_open=True, send=stand_still_and_send)
+        connection.conn = SimpleNamespace(is_open=True, send=stall_and_send)
         loop.run_once(0)
         assert far.recv(1 << 12).startswith(b"HTTP/1.1 200")
-    assert told == [("b0", "c0", "draining", STOOD_STILL_US, 0)]
+    assert notifications == [("b0", "c0", "draining", STALLED_US, 0)]
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -1,4 +1,4 @@
-"""The virtual network, the peers on it, and the hard cases of a simulation."""
+"""The virtual network, the simulated peers on it, and edge cases of a simulation."""
 
 import socket
 
@@ -28,13 +28,13 @@
 
 class Owner:
     def __init__(self):
-        self.got, self.ends = bytearray(), []
+        self.received_bytes, self.ends = bytearray(), []
 
     def opened(self):
-        self.got += b"^"
+        self.received_bytes += b"^"
 
     def received(self, view):
-        self.got += view
+        self.received_bytes += view
 
     def ended(self, what):
         self.ends.append(what)
@@ -47,36 +47,36 @@
     made.loop.selector.close()
 
 
-def share_of(network):
-    return BalancerLoop(network.loop, lambda trouble: pytest.fail(str(trouble)))
+def balancer_loop(network):
+    return BalancerLoop(network.loop, lambda error: pytest.fail(str(error)))
 
 
-def test_a_dialled_connection_comes_up_a_round_trip_later(network):
-    share, far_ends, owner = share_of(network), [], Owner()
+def test_a_dialled_connection_is_established_a_round_trip_later(network):
+    loop, far_ends, owner = balancer_loop(network), [], Owner()
     network.listen(("h", 1), lambda sock, who: far_ends.append((sock, who)))
-    conn = Connection(share, network.dial_from(share, "b0", ("h", 1)), owner, opening=True)
+    conn = Connection(loop, network.dial_from(loop, "b0", ("h", 1)), owner, opening=True)
     start = network.loop.time
     network.loop.run_until(start + 399)
-    assert not owner.got and conn.connecting
+    assert not owner.received_bytes and conn.connecting
     network.loop.run_until(start + 401)
-    assert owner.got == b"^" and far_ends[0][1] == "b0"
+    assert owner.received_bytes == b"^" and far_ends[0][1] == "b0"
 
 
 @pytest.mark.parametrize(("state", "ends"), [("refused", True), ("silent", False), ("cut", False)])
-def test_connections_that_do_not_come_up(network, state, ends):
-    share, owner = share_of(network), Owner()
+def test_connections_that_are_not_established(network, state, ends):
+    loop, owner = balancer_loop(network), Owner()
     if state != "refused":
-        network.listen(("h", 1), lambda sock, who: pytest.fail("let in"))
+        network.listen(("h", 1), lambda sock, who: pytest.fail("accepted"))
     network.silent["h", 1] = state == "silent"
     network.cut["b0", ("h", 1)] = state == "cut"
-    conn = Connection(share, network.dial_from(share, "b0", ("h", 1)), owner, opening=True)
+    conn = Connection(loop, network.dial_from(loop, "b0", ("h", 1)), owner, opening=True)
     network.loop.run_until(network.loop.time + 1_000_000)
-    assert bool(owner.ends) is ends and not owner.got
+    assert bool(owner.ends) is ends and not owner.received_bytes
     conn.close()
     network.loop.run_until(network.loop.time + 1_000_000)
 
 
-def test_a_buffer_that_fills_holds_up_its_writer_and_nobody_else(network):
+def test_a_full_buffer_blocks_only_its_writer(network):
     near, far = connected_pair()
     writer, reader = Owner(), Owner()
     conn = Connection(network.loop, near, writer)
@@ -85,40 +85,40 @@
     assert 0 < len(conn.write_buffer) < 1_500_000
     Connection(network.loop, far, reader)
     network.loop.run_until(network.loop.time + 1)
-    assert len(reader.got) == 1_500_000 and not conn.write_buffer
+    assert len(reader.received_bytes) == 1_500_000 and not conn.write_buffer
 
 
-def test_a_killed_share_closes_all_it_had_and_runs_no_more(network):
-    share, ran, far_owner = share_of(network), [], Owner()
+def test_a_killed_balancer_loop_closes_its_connections_and_runs_no_timers(network):
+    loop, ran, far_owner = balancer_loop(network), [], Owner()
     near, far = connected_pair()
-    Connection(share, near, Owner())
+    Connection(loop, near, Owner())
     Connection(network.loop, far, far_owner)
-    door = ListeningQueue(network.loop)
-    share.watch(door, READ, ran.append)
-    door.connect(connected_pair()[0])
-    share.call_later(10, ran.append, 1)
-    share.kill()
+    listener = ListeningQueue(network.loop)
+    loop.watch(listener, READ, ran.append)
+    listener.connect(connected_pair()[0])
+    loop.call_later(10, ran.append, 1)
+    loop.kill()
     network.loop.run_until(network.loop.time + 100)
     assert not ran and far_owner.ends == ["closed"]
 
 
-def test_a_share_that_stands_still_goes_on_where_it_was(network):
-    share, ran, owner = share_of(network), [], Owner()
+def test_a_paused_balancer_loop_continues_where_it_stopped(network):
+    loop, ran, owner = balancer_loop(network), [], Owner()
     near, far = connected_pair()
-    Connection(share, near, owner)
-    cancelled = share.call_later(3_000, ran.append, "cancelled while it stood")
-    share.call_later(2_000, lambda: (ran.append(network.loop.time), cancelled.cancel()))
+    Connection(loop, near, owner)
+    cancelled = loop.call_later(3_000, ran.append, "cancelled during the pause")
+    loop.call_later(2_000, lambda: (ran.append(network.loop.time), cancelled.cancel()))
     start = network.loop.time
-    share.pause(start + 50_000)
+    loop.pause(start + 50_000)
     far.send(b"x")
     network.loop.run_until(start + 49_000)
-    assert not ran and not owner.got
+    assert not ran and not owner.received_bytes
     network.loop.run_until(start + 51_000)
-    assert ran == [start + 50_000] and owner.got == b"x"
+    assert ran == [start + 50_000] and owner.received_bytes == b"x"
 
 
-def test_a_balancer_killed_with_reqs_held_loses_none_of_them():
-    """They are its clients' to ask again; what it held does not count as lost, and no other balancer suffers."""
+def test_requests_of_a_killed_balancer_do_not_count_as_lost():
+    """Their clients retry them, and the other balancers are not affected."""
     plan = validate_plan(
         SMALL
         | {
@@ -129,16 +129,18 @@
         }
     )
     verdict, simulation = play(plan)
-    held = [
-        ask
-        for ask in simulation.invariant_checker.client_attempts.values()
-        if ask.abandoned and not ask.status
+    abandoned = [
+        attempt
+        for attempt in simulation.invariant_checker.client_attempts.values()
+        if attempt.abandoned and not attempt.status
     ]
-    assert held and verdict["verdict"] == "kept" and simulation.balancers["b0"].incarnation == 2
+    assert (
+        abandoned and verdict["verdict"] == "kept" and simulation.balancers["b0"].incarnation == 2
+    )
 
 
 @pytest.mark.parametrize("part", [1.0])
-def test_a_plan_that_leaves_no_host_still_answers_everybody(part):
+def test_all_requests_are_answered_when_no_host_is_left(part):
     plan = validate_plan(
         SMALL
         | {
@@ -153,97 +155,100 @@
 
 
 @pytest.mark.parametrize("name", POLICY_NAMES)
-def test_every_decider_plays_and_the_oracle_sees_what_the_others_cannot(name):
+def test_every_policy_can_be_simulated(name):
     verdict, _ = play(validate_plan(SMALL), policy=name)
     assert verdict["verdict"] == "kept" and verdict["service"] > 0.9 and not verdict["faults"]
 
 
-def test_what_cannot_be_played_is_told_in_a_line():
+def test_an_unplayable_policy_is_a_scenario_error():
     with pytest.raises(ScenarioError, match="no policy"):
         simulation_of(validate_plan(SMALL), policy="best")
     with pytest.raises(ScenarioError, match="oracle"):
         simulation_of(validate_plan(SMALL), real=True, policy="oracle")
 
 
-# --- the invariant checker's own judgement, case by case
+# --- the checks of the invariant checker, case by case
 
 
-def check(**work):
-    told = {
+def checker_with_attempt(**class_changes):
+    plan_table = {
         "name": "j",
         "work": [
-            {"name": "w", "share": 1, "work-ms": 10, "target-ms": 100, "timeout-ms": 1000} | work
+            {"name": "w", "share": 1, "work-ms": 10, "target-ms": 100, "timeout-ms": 1000}
+            | class_changes
         ],
     }
-    plan = validate_plan(told)
+    plan = validate_plan(plan_table)
     invariant_checker = InvariantChecker(plan, 0)
-    ask = ClientAttempt(
+    attempt = ClientAttempt(
         b"q1", Operation(0, plan.request_classes()[0], "north", 1, 1, 0), "b0", 1, 0, 1_000_000
     )
-    invariant_checker.operations.append(ask.operation)
-    invariant_checker.on_client_attempt(ask)
-    return invariant_checker, ask
+    invariant_checker.operations.append(attempt.operation)
+    invariant_checker.on_client_attempt(attempt)
+    return invariant_checker, attempt
 
 
-def broken(invariant_checker):
+def broken_rules(invariant_checker):
     return [rule for rule in RULES if invariant_checker.breach_counts[rule]]
 
 
-UNIQUED = {"effect": "uniqued", "write": True, "window-ms": 200}
-ONCE = {"effect": "non-replayable", "write": True}
+KEYED_WRITE = {"effect": "uniqued", "write": True, "window-ms": 200}
+NON_REPLAYABLE_WRITE = {"effect": "non-replayable", "write": True}
 
 
 @pytest.mark.parametrize(
-    ("work", "outcome", "second", "breaks"),
+    ("class_changes", "outcome", "second", "breaks"),
     [
         ({}, "error", ("o1", "all", 50_000), []),
-        (ONCE, "full", ("o1", "all", 50_000), []),
-        (ONCE, "error", ("o1", "all", 50_000), ["twice"]),
-        (ONCE, "", ("o1", "all", 50_000), ["twice"]),
-        (UNIQUED, "error", ("o1", "all", 50_000), []),
-        (UNIQUED, "error", ("o1", "all", 250_000), ["twice"]),
-        (UNIQUED, "error", ("o1", "other", 50_000), ["twice"]),
-        (UNIQUED, "full", ("o1", "other", 900_000), []),
+        (NON_REPLAYABLE_WRITE, "full", ("o1", "all", 50_000), []),
+        (NON_REPLAYABLE_WRITE, "error", ("o1", "all", 50_000), ["twice"]),
+        (NON_REPLAYABLE_WRITE, "", ("o1", "all", 50_000), ["twice"]),
+        (KEYED_WRITE, "error", ("o1", "all", 50_000), []),
+        (KEYED_WRITE, "error", ("o1", "all", 250_000), ["twice"]),
+        (KEYED_WRITE, "error", ("o1", "other", 50_000), ["twice"]),
+        (KEYED_WRITE, "full", ("o1", "other", 900_000), []),
     ],
 )
-def test_a_second_dispatch_is_judged_by_what_the_first_came_to(work, outcome, second, breaks):
-    invariant_checker, _ = check(**work)
+def test_a_second_attempt_is_checked_by_the_outcome_of_the_first(
+    class_changes, outcome, second, breaks
+):
+    invariant_checker, _ = checker_with_attempt(**class_changes)
     first = invariant_checker.on_host_attempt(b"q1", "o0", "all", 10_000, 10_000)
     if outcome:
         invariant_checker.on_attempt_settled(first, outcome, 20_000)
     host, group, at = second
     invariant_checker.on_host_attempt(b"q1", host, group, at, at)
-    assert broken(invariant_checker) == breaks
+    assert broken_rules(invariant_checker) == breaks
 
 
 @pytest.mark.parametrize(
-    ("work", "outcome", "status", "at", "breaks"),
+    ("class_changes", "outcome", "status", "at", "breaks"),
     [
         ({}, "error", 503, 50_000, []),
-        (ONCE, "error", 503, 50_000, ["twice"]),
-        (ONCE, "error", 500, 50_000, []),
-        (ONCE, "full", 503, 50_000, []),
-        (UNIQUED, "error", 503, 50_000, []),
-        (UNIQUED | {"group": "cell"}, "error", 503, 50_000, ["twice"]),
+        (NON_REPLAYABLE_WRITE, "error", 503, 50_000, ["twice"]),
+        (NON_REPLAYABLE_WRITE, "error", 500, 50_000, []),
+        (NON_REPLAYABLE_WRITE, "full", 503, 50_000, []),
+        (KEYED_WRITE, "error", 503, 50_000, []),
+        (KEYED_WRITE | {"group": "cell"}, "error", 503, 50_000, ["twice"]),
         ({}, "error", 503, 990_000, ["late"]),
         ({}, "", 503, 990_000, []),
         ({}, "error", 503, 1_010_000, ["late"]),
         ({}, "error", 200, 50_000, ["lost"]),
     ],
 )
-def test_a_final_answer_is_judged_by_what_may_have_run_and_by_its_time(
-    work, outcome, status, at, breaks
+def test_a_final_answer_is_checked_by_possibly_executed_attempts_and_by_its_time(
+    class_changes, outcome, status, at, breaks
 ):
-    invariant_checker, ask = check(**work)
+    invariant_checker, attempt = checker_with_attempt(**class_changes)
     sent = invariant_checker.on_host_attempt(b"q1", "c0", "all", 10_000, 10_000)
     if outcome:
         invariant_checker.on_attempt_settled(sent, outcome, 20_000)
-    invariant_checker.on_answer(ask, status, b"nobody made this", at)
-    assert broken(invariant_checker) == breaks
+    invariant_checker.on_answer(attempt, status, b"produced by no host", at)
+    assert broken_rules(invariant_checker) == breaks
 
 
 @pytest.mark.parametrize(
-    ("told", "first_at", "breaks"),
+    ("notified", "first_at", "breaks"),
     [
         (("draining", 0), 240_000, []),
         (("draining", 0), 260_000, ["drain"]),
@@ -251,31 +256,31 @@
         (("up", 0), 900_000, []),
     ],
 )
-def test_a_dispatch_begun_after_the_grace_breaks_the_drain(told, first_at, breaks):
-    invariant_checker, _ = check()
-    invariant_checker.on_list_written("b0", "c0", *told)
+def test_an_attempt_begun_after_the_grace_breaks_the_drain(notified, first_at, breaks):
+    invariant_checker, _ = checker_with_attempt()
+    invariant_checker.on_list_written("b0", "c0", *notified)
     invariant_checker.on_host_attempt(b"q1", "c0", "all", first_at, first_at)
-    assert broken(invariant_checker) == breaks
+    assert broken_rules(invariant_checker) == breaks
 
 
-def test_what_is_written_before_the_list_was_told_is_no_breach_on_real_sockets():
-    """Told and written race there: both times are taken by the peers, and the slack lies between them."""
+def test_an_attempt_within_the_tolerance_after_the_grace_is_no_breach_on_real_sockets():
+    """The peers take the times of both the list and the attempt, which race within the tolerance."""
     plan = validate_plan({"name": "j"})
     invariant_checker = InvariantChecker(plan, 0, slack=50_000)
-    ask = ClientAttempt(
+    attempt = ClientAttempt(
         b"q1", Operation(0, plan.request_classes()[0], "north", 1, 1, 0), "b0", 1, 0, 1_500_000
     )
-    invariant_checker.on_client_attempt(ask)
+    invariant_checker.on_client_attempt(attempt)
     invariant_checker.on_list_written("b0", "c0", "draining", 0)
     assert isinstance(
         invariant_checker.on_host_attempt(b"q1", "c0", "all", 299_000, 299_500), HostAttempt
-    ) and not broken(invariant_checker)
+    ) and not broken_rules(invariant_checker)
     invariant_checker.on_host_attempt(b"q1", "c0", "all", 301_000, 301_000)
-    assert broken(invariant_checker) == ["drain"]
+    assert broken_rules(invariant_checker) == ["drain"]
 
 
 @pytest.mark.parametrize(
-    ("moment", "noted", "breaks"),
+    ("moment", "record", "breaks"),
     [
         ("before the write", CloseRecord(0, 1, 1, had_unread_bytes=False), []),
         ("before the write", None, ["lost"]),
@@ -283,49 +288,49 @@
         ("read", CloseRecord(0, 2, 1, had_unread_bytes=False), ["lost"]),
     ],
 )
-def test_a_connection_closed_between_reqs_is_asked_again_and_one_closed_on_a_req_is_lost(
-    moment, noted, breaks
+def test_a_request_is_resent_if_its_connection_was_closed_before_it_and_else_is_lost(
+    moment, record, breaks
 ):
-    """A request that was written first is owed its answer, read or not."""
+    """A request that was written before the close must be answered, whether it was read or not."""
     simulation = Simulation(validate_plan(SMALL))
     try:
-        post = next(iter(simulation.balancers))
-        balancer = simulation.balancers[post]
+        name = next(iter(simulation.balancers))
+        balancer = simulation.balancers[name]
         balancer.alive, balancer.incarnation = True, 1
         simulation.network.listen(balancer.address, lambda sock, who: accepted.append(sock))
         accepted = []
         near = simulation.network.dial(balancer.address)
         (far,) = accepted
-        link = BalancerConnection(simulation.clients, post, near, False)
+        connection = BalancerConnection(simulation.clients, name, near, False)
         if moment == "before the write":
             far.shutdown(socket.SHUT_WR)
-        if noted:
-            record = noted._replace(closed_at_us=simulation.loop.clock())
-            note = CloseNote(ConnectionEnd.SHUTDOWN, record)
-            balancer.close_records.notes[link.number].append(note)
-        ask = ClientAttempt(
+        if record:
+            closed = record._replace(closed_at_us=simulation.loop.clock())
+            note = CloseNote(ConnectionEnd.SHUTDOWN, closed)
+            balancer.close_records.notes[connection.number].append(note)
+        attempt = ClientAttempt(
             b"q7",
             Operation(0, simulation.plan.request_classes()[0], "north", 1, 1, 0),
-            post,
+            name,
             1,
             0,
             0,
         )
-        link.request_count = 1
-        link.start(ask, (b"GET /view/k1 HTTP/1.1\r\n\r\n",))
+        connection.request_count = 1
+        connection.start(attempt, (b"GET /view/k1 HTTP/1.1\r\n\r\n",))
         if moment == "read":
             far.recv(100)
         far.close()
         simulation.network.loop.run_until(simulation.network.loop.time + 1_000)
-        assert broken(simulation.invariant_checker) == breaks
-        assert ask.was_resent is not bool(breaks)
-        # sent once more, it is at the listener again
+        assert broken_rules(simulation.invariant_checker) == breaks
+        assert attempt.was_resent is not bool(breaks)
+        # a resent request arrives on a second connection
         assert len(accepted) == (1 if breaks else 2)
     finally:
         simulation.close()
 
 
-def test_a_cache_keeps_what_it_has_room_for_and_a_cold_one_is_slow():
+def test_a_cache_evicts_keys_beyond_its_capacity_and_a_cold_one_is_slow():
     simulation = Simulation(
         validate_plan(SMALL | {"cache": {"keys": 3, "cold-from": 0.25, "warm-s": 8, "ttl-s": 2}})
     )
@@ -336,7 +341,7 @@
             store.store_copy(key)
         assert list(store.copies) == [3, 1, 4] and store.has_copy(3) and not store.has_copy(2)
         simulation.loop.run_until(simulation.loop.time + 2_100_000)
-        assert not store.has_copy(3), "its time to live is over"
+        assert not store.has_copy(3), "its time to live has expired"
         store.stop()
         store.revive()
         assert store.warm_ratio() == 0.25
@@ -346,29 +351,29 @@
         simulation.close()
 
 
-def test_a_watch_answers_on_a_change_and_otherwise_when_its_time_is_up():
+def test_a_watch_answers_on_a_change_or_at_its_timeout():
     simulation = Simulation(validate_plan(SMALL))
     try:
         agent = simulation.discovery.agents["b0"]
         near, owner = simulation.network.dial(simulation.balancers["b0"].discovery_address), Owner()
         assert not isinstance(near, AttemptFailure) and isinstance(near, socket.socket)
         conn = Connection(simulation.loop, near, owner)
-        wait = simulation.loop.run_until
+        run_until = simulation.loop.run_until
         conn.send(b"GET /discovery/hosts?after=1&wait_ms=500 HTTP/1.1\r\n\r\n")
-        wait(simulation.loop.time + 499_000)
-        assert not owner.got
-        wait(simulation.loop.time + 2_000)
-        assert b'"whole":false,"hosts":[]' in owner.got
+        run_until(simulation.loop.time + 499_000)
+        assert not owner.received_bytes
+        run_until(simulation.loop.time + 2_000)
+        assert b'"whole":false,"hosts":[]' in owner.received_bytes
         conn.send(b"GET /discovery/hosts?after=1&wait_ms=9000 HTTP/1.1\r\n\r\n")
-        wait(simulation.loop.time + 10_000)
+        run_until(simulation.loop.time + 10_000)
         agent.set_fault(silent=True)
         simulation.discovery.set_health("c01", "Terminating")
-        wait(simulation.loop.time + 10_000)
-        assert b"Terminating" not in owner.got, "it is silent"
+        run_until(simulation.loop.time + 10_000)
+        assert b"Terminating" not in owner.received_bytes, "discovery is silent"
         agent.set_fault()
-        wait(simulation.loop.time + 10_000)
+        run_until(simulation.loop.time + 10_000)
         assert (
-            b"Terminating" in owner.got
+            b"Terminating" in owner.received_bytes
             and simulation.invariant_checker.notified_states["b0", "c01"][0] == "draining"
         )
         assert parse_seconds(b"1") == 1_000_000
@@ -376,10 +381,20 @@
         simulation.close()
 
 
-def test_denials_are_counted_apart_where_hosts_had_capacity():
-    """A verdict of kept with a third of all denied told nothing of whether hosts were full then."""
-    work = {"name": "view", "share": 1, "work-ms": 200, "target-ms": 300, "timeout-ms": 1000}
-    full = SMALL | {"rate": 120, "work": [work], "keys": {"count": 4000, "zipf": 0.1}}
+def test_denials_while_hosts_had_capacity_are_counted_separately():
+    """A verdict of kept with a third of all requests denied did not show whether hosts were full."""
+    view = {
+        "name": "view",
+        "share": 1,
+        "work-ms": 200,
+        "target-ms": 300,
+        "timeout-ms": 1000,
+    }
+    full = SMALL | {
+        "rate": 120,
+        "work": [view],
+        "keys": {"count": 4000, "zipf": 0.1},
+    }
     verdict, _ = play(validate_plan(full | {"cache": {"keys": 1}, "origin": {"cores": 1}}))
     assert verdict["denied"] > 50 > verdict["denied_with_room"] * 5
     simulation = Simulation(validate_plan(SMALL))
@@ -391,8 +406,8 @@
         simulation.close()
 
 
-def test_a_release_of_all_caches_within_their_warm_up_leaves_no_hosts_idle_beside_denials():
-    """Two denials in five came with cores to spare: where all caches were cold, none was sent to."""
+def test_a_release_of_all_caches_within_their_warm_up_causes_no_denials_beside_idle_hosts():
+    """Two denials in five came while cores were idle, as no request was sent while all caches were cold."""
     release = {"kind": "deploy", "at-s": 5, "for-s": 5, "part": 1.0}
     plan = SMALL | {"seconds": 16, "balancers": 5, "caches": 6, "rate": 150, "trouble": [release]}
     verdict, _ = play(validate_plan(plan | {"origin": {"cores": 2}}))
