--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -243,7 +243,7 @@
     sent = invariant_checker.on_host_attempt(b"q1", "c0", "all", 10_000, 10_000)
     if outcome:
         invariant_checker.on_attempt_settled(sent, outcome, 20_000)
-    invariant_checker.on_answer(attempt, status, b"produced by no host", at)
+    invariant_checker.on_answer(attempt, status, b"nobody made this", at)
     assert broken_rules(invariant_checker) == breaks
 
 
