--- a/orchidgap/simulation/host_faults.py
+++ b/orchidgap/simulation/host_faults.py
@@ -112,7 +112,7 @@
 
 
 def shrink(environment: Environment, fault: Fault) -> None:
-    """Hosts shut down gracefully one after another, spread over the duration, for good."""
+    """Hosts shut down gracefully one after another, spread over the duration, permanently."""
     hosts = pick_hosts(environment, fault)
     for i, store in enumerate(hosts):
         environment.loop.call_later(
--- a/orchidgap/simulation/hunt.py
+++ b/orchidgap/simulation/hunt.py
@@ -215,7 +215,7 @@
 
 
 def breaks_like(kind: str) -> Callable[[Plan], bool]:
-    """Return a function that tells whether a plan shows one of the words of a failure kind."""
+    """Return a predicate for plans: whether a plan shows a word of a failure kind."""
     words = kind.split()
     return lambda plan: any(
         word in failure_kind(play_verdict((plan, "orchidgap"))).split() for word in words
@@ -223,7 +223,7 @@
 
 
 def loses_like(best: str, loss: float) -> Callable[[Plan], bool]:
-    """Return a function that tells whether a plan shows most of a loss to the same baseline."""
+    """Return a predicate for plans: whether a plan shows most of a loss to a baseline."""
 
     def still_shows(plan: Plan) -> bool:
         ours, other = play_verdict((plan, "orchidgap")), play_verdict((plan, best))
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -22,15 +22,15 @@
     Its port is its node in a simulation, so a defect may also change the node and its connections.
     """
 
-    def exchange(self, req):
-        return self.port.exchanges.get(req.id)
+    def exchange(self, request):
+        return self.port.exchanges.get(request.id)
 
 
 class ResendsAnything(Defect):
     """Retries whatever the request class allows."""
 
-    def may_retry(self, req, host):
-        return not req.answered and len(req.attempts) < self.settings.max_attempts
+    def may_retry(self, request, host):
+        return not request.answered and len(request.attempts) < self.settings.max_attempts
 
 
 class AnswersTwice(Defect):
@@ -65,30 +65,30 @@
 
 
 class NeverAnswers(Defect):
-    def reject(self, req, reason):
-        self.exchange(req).deadline_timer.cancel()
-        self.close_request(req)
+    def reject(self, request, reason):
+        self.exchange(request).deadline_timer.cancel()
+        self.close_request(request)
 
 
 class AnswersLate(Defect):
     """Disables its own deadline timer and rejects after the client timeout."""
 
-    def reject(self, req, reason):
-        exchange = self.exchange(req)
+    def reject(self, request, reason):
+        exchange = self.exchange(request)
         exchange.deadline_timer.cancel()
         self.call_later(
             max(0, exchange.deadline_us - self.now) + 90_000,
-            lambda: Balancer.reject(self, req, reason),
+            lambda: Balancer.reject(self, request, reason),
         )
 
 
 class HoldsBack(Defect):
     """Delays rejections until shortly before the client timeout, so that clients do not retry."""
 
-    def reject(self, req, reason):
+    def reject(self, request, reason):
         self.call_later(
-            max(0, self.exchange(req).deadline_us - self.now - 40_000),
-            lambda: Balancer.reject(self, req, reason),
+            max(0, self.exchange(request).deadline_us - self.now - 40_000),
+            lambda: Balancer.reject(self, request, reason),
         )
 
 
@@ -151,7 +151,7 @@
 
 
 class UnlimitedOrigin(Origin):
-    def choose_host(self, req):
+    def choose_host(self, request):
         return min(self.hosts, key=lambda host: host.in_flight) if self.hosts else None
 
 
@@ -161,7 +161,7 @@
     def __init__(self, settings, port, seed, now):
         super().__init__(settings, port, seed, now)
         self.origin.__class__ = UnlimitedOrigin
-        self.coalescing.forward = lambda req, host=None: self.placement.forward(req)
+        self.coalescing.forward = lambda request, host=None: self.placement.forward(request)
 
 
 class HoldsIdle(Defect):
@@ -248,11 +248,11 @@
 class LeavesTheGroup(Defect):
     """Retries a possibly executed keyed write outside of its deduplication group."""
 
-    def may_retry(self, req, host):
+    def may_retry(self, request, host):
         return (
-            not req.answered
-            and len(req.attempts) < 2
-            and not any(sent.host is host for sent in req.attempts)
+            not request.answered
+            and len(request.attempts) < 2
+            and not any(sent.host is host for sent in request.attempts)
         )
 
 
@@ -268,19 +268,21 @@
         super().on_request(
             request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
         )
-        req = self.requests.get(request_id)
-        if req and req.request_class.idempotency_keyed and req.attempts:
-            self.call_later(req.request_class.deduplication_window_us + 60_000, self.again, req)
+        request = self.requests.get(request_id)
+        if request and request.request_class.idempotency_keyed and request.attempts:
+            self.call_later(
+                request.request_class.deduplication_window_us + 60_000, self.repeat, request
+            )
 
-    def again(self, req):
-        if not req.answered and self.origin.hosts:
-            self.dispatch.forward(req, self.origin.hosts[0])
+    def repeat(self, request):
+        if not request.answered and self.origin.hosts:
+            self.dispatch.forward(request, self.origin.hosts[0])
 
 
 class DeniesWhatMayHaveRun(Defect):
-    def reject(self, req, reason):
-        self.port.deny(req.id, 0)
-        self.close_request(req)
+    def reject(self, request, reason):
+        self.port.deny(request.id, 0)
+        self.close_request(request)
 
 
 class ServesFromMemory(Defect):
@@ -305,27 +307,32 @@
         super().on_request(
             request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
         )
-        req = self.requests.get(request_id)
-        if req and req.request_class.idempotent and len(req.attempts) == 1 and request_id % 20 == 0:
-            self.dispatch.forward(req, self.placement.ring[0])
+        request = self.requests.get(request_id)
+        if (
+            request
+            and request.request_class.idempotent
+            and len(request.attempts) == 1
+            and request_id % 20 == 0
+        ):
+            self.dispatch.forward(request, self.placement.ring[0])
 
 
 class TriesForEver(Defect):
     def __init__(self, settings, port, seed, now):
         super().__init__(settings._replace(max_attempts=50), port, seed, now)
 
-    def may_retry(self, req, host):
-        return not req.answered and req.request_class.idempotent
+    def may_retry(self, request, host):
+        return not request.answered and request.request_class.idempotent
 
-    def reject(self, req, reason):
+    def reject(self, request, reason):
         if (
-            req.attempts
-            and req.attempts[-1].outcome in RETRYABLE_OUTCOMES
-            and not req.answered
+            request.attempts
+            and request.attempts[-1].outcome in RETRYABLE_OUTCOMES
+            and not request.answered
             and self.placement.ring
         ):
-            return self.dispatch.forward(req, self.placement.ring[0])
-        super().reject(req, reason)
+            return self.dispatch.forward(request, self.placement.ring[0])
+        super().reject(request, reason)
 
 
 class SendsAfterTheAnswer(Defect):
@@ -351,9 +358,9 @@
 class HangsUp(Defect):
     """Closes the client's connection instead of rejecting."""
 
-    def reject(self, req, reason):
-        exchange = self.exchange(req)
-        self.close_request(req)
+    def reject(self, request, reason):
+        exchange = self.exchange(request)
+        self.close_request(request)
         exchange.close()
         exchange.client.close(ConnectionEnd.EVICTED)
 
--- a/tests/simulation/test_kernel_times.py
+++ b/tests/simulation/test_kernel_times.py
@@ -146,7 +146,7 @@
 
 
 @pytest.fixture
-def dispatch():
+def host_attempt():
     """A balancer's connection to a draining host, with both ends in this process."""
     loop = Loop()
     invariant_checker = InvariantChecker(Plan(name="drain"), loop.now, LOOPBACK_SLACK_US)
@@ -177,25 +177,29 @@
         host.conn.close()
 
 
-def drain_breaches(dispatch):
-    while not dispatch.attempt.host_attempts:
-        dispatch.loop.run_once(10_000)
-    return [text for rule, _, text in dispatch.invariant_checker.breaches if rule == "drain"]
+def drain_breaches(host_attempt):
+    while not host_attempt.attempt.host_attempts:
+        host_attempt.loop.run_once(10_000)
+    return [text for rule, _, text in host_attempt.invariant_checker.breaches if rule == "drain"]
 
 
-def test_a_request_that_was_cancelled_unread_was_sent_when_it_was_written(dispatch):
+def test_a_request_that_was_cancelled_unread_was_sent_when_it_was_written(host_attempt):
     # A request that was written 700 ms before this process read it, and cancelled just then, counted as
     # sent at the time of its cancellation.
-    dispatch.invariant_checker.on_list_written("b0", "c0", "draining", dispatch.loop.clock())
-    dispatch.balancer.sendall(REQUEST)
+    host_attempt.invariant_checker.on_list_written(
+        "b0", "c0", "draining", host_attempt.loop.clock()
+    )
+    host_attempt.balancer.sendall(REQUEST)
     time.sleep(PAUSE_S)
-    dispatch.balancer.shutdown(socket.SHUT_WR)
-    assert drain_breaches(dispatch) == []
+    host_attempt.balancer.shutdown(socket.SHUT_WR)
+    assert drain_breaches(host_attempt) == []
 
 
-def test_a_request_to_a_draining_host_breaks_the_rule_with_an_end_behind_it_too(dispatch):
-    dispatch.invariant_checker.on_list_written("b0", "c0", "draining", dispatch.loop.clock())
+def test_a_request_to_a_draining_host_breaks_the_rule_with_an_end_behind_it_too(host_attempt):
+    host_attempt.invariant_checker.on_list_written(
+        "b0", "c0", "draining", host_attempt.loop.clock()
+    )
     time.sleep(PAUSE_S)
-    dispatch.balancer.sendall(REQUEST)
-    dispatch.balancer.shutdown(socket.SHUT_WR)
-    assert len(drain_breaches(dispatch)) == 1
+    host_attempt.balancer.sendall(REQUEST)
+    host_attempt.balancer.shutdown(socket.SHUT_WR)
+    assert len(drain_breaches(host_attempt)) == 1
--- a/tests/simulation/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -16,9 +16,9 @@
 TRIALS = Path(__file__).parents[2] / "trials"
 
 
-def synchronized_index(self, req, preferred_index=Placement.preferred_index):
+def synchronized_index(self, request, preferred_index=Placement.preferred_index):
     """In one tenth of each second all balancers send all requests to one cache."""
-    return 0 if self.context.now // 100_000 % 10 == 0 else preferred_index(self, req)
+    return 0 if self.context.now // 100_000 % 10 == 0 else preferred_index(self, request)
 
 
 def rejects_restarted_hosts(self, host, accepts=Placement.accepts):
