--- a/orchidgap/simulation/invariant_checker.py
+++ b/orchidgap/simulation/invariant_checker.py
@@ -103,9 +103,7 @@
         self.hosts_have_capacity: Callable[[], bool] = lambda: False
         self.answered_failed = 0  # with neither 200 nor a rejection
         self.truncated = 0  # incomplete answers that their clients could recognize as such
-        self.cut_while_written = (
-            0  # requests whose connection ended before their last byte was written
-        )
+        self.cut_while_written = 0  # requests whose connection ended during their write
         self.connections_dialled = 0  # to hosts
         self.list_calls = 0
         self.large_bodies = 0  # transferred completely, in either direction
@@ -381,9 +379,8 @@
             and operation.effect_count > 1
             and sent.client_attempt.effect_count == 1
         ):
-            self.client_duplicates += (
-                1  # the window starts at the first send, which only its client knows
-            )
+            # the window starts at the first send, which only its client knows
+            self.client_duplicates += 1
         elif operation.request_class.effect != "replayable" and operation.effect_count > 1:
             who = f"{sent.client_attempt.id.decode()} ({operation.request_class.name})"
             self.record_breach(
