--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,10 @@
-# build: what `serve` needs; tools: what trials need too; try: ten seconds of a small fleet of stand-ins;
-# test, lint: with the developers' tools; trials: the short plans, each ending in its verdict;
-# drill: real processes with faults between them, each plan ending in its verdict;
-# run: serve by the file that GW_CONFIG names
+# build: installs what `serve` needs
+# tools: also installs what simulations need
+# try: simulates a small fleet for ten seconds
+# test, lint: install and run the development tools
+# trials: simulates each plan in trials/ and prints its verdict
+# drill: runs the fault tests drills/change-*.toml on real processes and prints the verdict of each
+# run: starts `serve` with the configuration file named by GW_CONFIG
 
 PYTHON = .venv/bin/python
 
@@ -29,7 +32,7 @@
 try: .venv/tools
 	$(PYTHON) -m orchidgap try
 
-# real processes are judged by real time: they run when the tests that take all cores have ended
+# tests/fault_tests check real processes against real time, so they run after the tests that use all cores
 test: .venv/dev
 	$(PYTHON) -m pytest -q -n auto --dist worksteal --ignore=tests/fault_tests
 	$(PYTHON) -m pytest -q -n auto --dist worksteal tests/fault_tests
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -1,7 +1,7 @@
-"""The one place where the compatibility tests touch the program's Python names.
+"""The only module of the compatibility tests that uses the program's Python names.
 
-Whoever renames a module, class or method of the program edits this file, and nothing else in this folder.
-No function here computes what is compared: each only starts a part of the program or calls it.
+After a rename of a module, class or method of the program, only this file in this folder has to change.
+No function here computes data that is compared: each only starts a part of the program or calls it.
 """
 
 from __future__ import annotations
@@ -31,31 +31,32 @@
 
 CorruptFile = CorruptFileError
 
-# events of the log that tell what a balancer found in its folder; the log's words may change
-VERSION_FOUND, VERSION_DAMAGED, CALLS_CONTROL = (
+# Log events that report what a balancer found in its folder. Their texts are not part of the compatible formats
+# and may change.
+VERSION_FOUND, VERSION_CORRUPT, LEASE_REQUESTED = (
     "stored policy found",
     "stored policy corrupt",
     "lease requested",
 )
-VERSION_FACT = "version"  # the name under which the first of them tells the version
+VERSION_FIELD = "version"  # the field of VERSION_FOUND that holds the version
 
 
 def write_folder_file(folder: Path, name: str, content: object) -> None:
-    """Stores a file as the program does; durable when it returns."""
+    """Stores a file as the program does; the file is durable on return."""
     DurableStore(folder).write(name, content)
 
 
 def read_folder_file(folder: Path, name: str) -> object:
-    """Raises CorruptFile."""
+    """Returns the content of a file that the program has stored; raises CorruptFile if it is damaged."""
     return DurableStore(folder).read(name)
 
 
-def quiet_log(*event: object, **facts: object) -> None:
-    """Takes the place of the program's log."""
+def discard_log(*event: object, **facts: object) -> None:
+    """Replaces the program's log and discards every event."""
 
 
 class SilentLog:
-    """The same where the program also reports unexpected exceptions to it."""
+    """Discards every event of the log, and raises the unexpected exceptions that are reported to it."""
 
     def __call__(self, *event: object, **facts: object) -> None:
         pass
@@ -65,7 +66,7 @@
 
 
 class EventLoop:
-    """The program's event loop under a clock that stands still until a test advances it."""
+    """The program's event loop with a clock that only the test advances."""
 
     def __init__(self, now_us: int = 10**12) -> None:
         self.now_us = now_us
@@ -84,7 +85,7 @@
         return self.loop.timers[0][0] if self.loop.timers else None
 
 
-def has_call_out(calls: RpcClient) -> bool:
+def has_call_in_progress(calls: RpcClient) -> bool:
     return any(connection.on_body is not None for connection in calls.connections)
 
 
@@ -111,7 +112,7 @@
             ProcessConfig(name, addresses, str(folder), lease_us, 6 * lease_us, False),
             self.others,
             DurableStore(folder),
-            quiet_log,
+            discard_log,
             Random(name),
             events.clock,
         )
@@ -121,7 +122,9 @@
         self.control.start(new)
 
     def is_busy(self) -> bool:
-        return self.control.acceptor.writer.busy or any(map(has_call_out, self.others.values()))
+        return self.control.acceptor.writer.busy or any(
+            map(has_call_in_progress, self.others.values())
+        )
 
     def close(self) -> None:
         server = self.control.server
@@ -134,7 +137,7 @@
 
 
 class LeaseHolder:
-    """A balancer's side of control, with a fixed clock and a seeded random generator."""
+    """The part of a balancer that calls control, with a fixed clock and a seeded random generator."""
 
     def __init__(self, events: EventLoop, config_path: Path, folder: Path, seed: int) -> None:
         config = config_module.read(str(config_path))
@@ -142,7 +145,7 @@
             str(config_path),
             events.loop,
             config,
-            quiet_log,
+            discard_log,
             DurableStore(folder),
             Random(seed),
             events.clock,
@@ -154,7 +157,7 @@
         self.keeper.begin(lambda: None)
 
     def is_busy(self) -> bool:
-        return self.keeper.writer.busy or any(map(has_call_out, self.keeper.clients))
+        return self.keeper.writer.busy or any(map(has_call_in_progress, self.keeper.clients))
 
     def may_serve(self) -> bool:
         return self.keeper.may_serve()
@@ -163,16 +166,18 @@
         return self.keeper.lease.version
 
     def end(self) -> None:
-        """Tells control that this process ends."""
+        """Notifies control that this process is shutting down."""
         self.keeper.close()
 
 
 class BalancerProcess:
-    """A balancer that speaks HTTP, with a fixed clock; its hosts are socket pairs of the test."""
+    """An HTTP balancer with a fixed clock; the test holds the other ends of its connections to hosts."""
 
     def __init__(self, events: EventLoop, config: dict[str, object]) -> None:
         self.events = events
-        self.dialled: list[tuple[int, socket.socket]] = []  # port and the test's end
+        self.dialled: list[
+            tuple[int, socket.socket]
+        ] = []  # host's port, the test's end of the connection
         self.node = Node(
             events.loop,
             config_module.parse(orjson.dumps(config), "config"),
@@ -183,27 +188,27 @@
         self.node.list_received = True
 
     def dial(self, address: Address) -> socket.socket:
-        near, far = socket.socketpair()
-        far.setblocking(False)
-        self.dialled.append((address[1], far))
-        return near
+        balancer_end, test_end = socket.socketpair()
+        test_end.setblocking(False)
+        self.dialled.append((address[1], test_end))
+        return balancer_end
 
     def start(self) -> None:
         self.node.start()
 
     def share_listener(self, listener: socket.socket) -> None:
-        """As if started with GW_PASSED_SOCKET."""
+        """Uses the listener as a process started with GW_PASSED_SOCKET does."""
         self.node.clients.use_listening_socket(inherited_listener(str(listener.detach())))
         self.node.handover = Handover(self.events.loop, self.node, None, shared=True)
 
     def accept_successor(self, sock: socket.socket) -> None:
         self.node.handover.accept_successor(sock)
 
-    def call_predecessor(self, sock: socket.socket) -> None:
+    def join_predecessor(self, sock: socket.socket) -> None:
         self.node.handover.join_predecessor(sock)
 
-    def leave(self) -> None:
-        """As on SIGTERM."""
+    def begin_shutdown(self) -> None:
+        """Shuts down as on SIGTERM."""
         self.node.begin_shutdown()
 
     def is_ready(self) -> bool:
@@ -214,29 +219,29 @@
 
 
 class GossipPeer:
-    """A balancer's part in gossip; `send` is given an address and a datagram."""
+    """The gossip transport of a balancer; `send` is called with an address and a datagram."""
 
     def __init__(
         self,
         balancer: BalancerProcess,
         name: str,
-        part: config_module.GossipConfig,
+        config: config_module.GossipConfig,
         seed: int,
         send: object,
     ) -> None:
         self.gossip = GossipTransport(
-            balancer.events.loop, balancer.node, quiet_log, name, part, seed, send
+            balancer.events.loop, balancer.node, discard_log, name, config, seed, send
         )
 
     def receive(self, datagram: bytes) -> None:
         self.gossip.receive(datagram)
 
     def rejected_count(self) -> int:
-        """Datagrams that were not signed with this key, or malformed."""
+        """Returns the number of datagrams that were malformed or not signed with this key."""
         counts = self.gossip.datagram_counts
         return counts[BAD_SIGNATURE] + counts[MALFORMED]
 
 
-def gossip_part(config: dict[str, object]) -> config_module.GossipConfig:
-    """The configuration's part for gossip as the program reads it."""
+def parse_gossip_config(config: dict[str, object]) -> config_module.GossipConfig:
+    """Returns the gossip section of a configuration as the program parses it."""
     return config_module.parse(orjson.dumps(config), "config").gossip
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -1,9 +1,9 @@
-"""Writes the records in `data/`. Run it only where the formats are meant to change:
+"""Writes the records in `data/`. Run it only if the formats are meant to change:
 
     .venv/bin/python tests/compatibility/record.py
 
-The records here were written by the program before its modules were renamed. A test that fails is not
-mended by recording anew: versions before and after run side by side and read each other's files.
+The present records were written by the program before its modules were renamed. Do not record again to fix a
+failing test: old and new versions run at the same time and read each other's files.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     (DATA / f"{name}.json").write_text(text + "\n")
 
 
-def fresh() -> Path:
+def make_folder() -> Path:
     return Path(tempfile.mkdtemp(prefix="compatibility-"))
 
 
@@ -38,25 +38,25 @@
 
 
 def main() -> None:
-    write_files(exchanges.control_folders(fresh()))
-    write("control-calls", exchanges.control_calls(fresh()))
-    write("lost-control-calls", exchanges.lost_control_calls(fresh()))
-    write("between-control-processes", exchanges.between_control_processes(fresh()))
-    transcript, files = exchanges.balancer_and_control(fresh())
+    write_files(exchanges.control_folders(make_folder()))
+    write("control-calls", exchanges.control_calls(make_folder()))
+    write("lost-control-calls", exchanges.lost_control_calls(make_folder()))
+    write("between-control-processes", exchanges.between_control_processes(make_folder()))
+    transcript, files = exchanges.balancer_and_control(make_folder())
     write("balancer-and-control", transcript)
     write_files(files)
-    write("settle-call", exchanges.settle_call(fresh()))
-    old = exchanges.old_side()
-    write("handover-old-side", old)
-    packets = [packet["packet"] for packet in old[1]["heard"]]
-    write("handover-new-side", exchanges.new_side(packets))
-    write("handover-moved-requests", exchanges.moved_requests(old))
-    edited = exchanges.edited_snapshot(packets)
-    write("snapshot", {"told": edited, "found": exchanges.new_side(edited)})
+    write("settle-call", exchanges.settle_call(make_folder()))
+    predecessor_steps = exchanges.play_predecessor()
+    write("handover-old-side", predecessor_steps)
+    packets = [packet["packet"] for packet in predecessor_steps[1]["heard"]]
+    write("handover-new-side", exchanges.play_successor(packets))
+    write("handover-moved-requests", exchanges.migrate_requests(predecessor_steps))
+    snapshot = exchanges.edited_snapshot(packets)
+    write("snapshot", {"told": snapshot, "found": exchanges.play_successor(snapshot)})
     write("gossip", exchanges.gossip())
-    write("change-commands", exchanges.change_commands(fresh()))
-    write("check-commands", exchanges.check_commands(fresh()))
-    write("admin-lines", exchanges.admin_lines(fresh()))
+    write("change-commands", exchanges.change_commands(make_folder()))
+    write("check-commands", exchanges.check_commands(make_folder()))
+    write("admin-lines", exchanges.admin_lines(make_folder()))
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/other_sides.py
+++ b/tests/compatibility/scripted_peers.py
@@ -1,4 +1,4 @@
-"""The other sides that the compatibility tests play: plain sockets and processes, nothing of the program."""
+"""Peers of the program in the compatibility tests: plain sockets and processes that import none of its code."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-PATIENCE_S = 30
+TIMEOUT_S = 30
 
 
 def free_address() -> tuple[str, int]:
@@ -22,15 +22,19 @@
 
 
 def run_command(*arguments: str, **environment: str) -> dict[str, object]:
-    """Runs the program to its end; its exit code and what it printed."""
-    done = subprocess.run(
+    """Runs the program until it exits; returns its exit code and output."""
+    completed = subprocess.run(
         [sys.executable, "-m", "orchidgap", *arguments],
         cwd=ROOT,
         env=os.environ | environment,
         capture_output=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
     )
-    return {"exit": done.returncode, "out": done.stdout.decode(), "error": done.stderr.decode()}
+    return {
+        "exit": completed.returncode,
+        "out": completed.stdout.decode(),
+        "error": completed.stderr.decode(),
+    }
 
 
 def start_process(
@@ -50,16 +54,16 @@
 def stop_process(process: subprocess.Popen[bytes]) -> None:
     process.terminate()
     try:
-        process.wait(PATIENCE_S)
+        process.wait(TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         process.wait()
 
 
 class Relay:
-    """Passes bytes on between one caller and one server, and keeps them as a transcript.
+    """Forwards bytes between one caller and one server, and records them as a transcript.
 
-    Calls here come one after another, so bytes that follow each other in one direction are one message.
+    Calls are made one after another, so consecutive bytes in one direction are one message.
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
@@ -72,32 +76,32 @@
         self.thread.start()
 
     def run(self) -> None:
-        ends: dict[socket.socket, tuple[socket.socket, str]] = {}
+        peers: dict[socket.socket, tuple[socket.socket, str]] = {}
         while not self.closing:
-            for sock in select.select([self.listener, *ends], [], [], 0.05)[0]:
+            for sock in select.select([self.listener, *peers], [], [], 0.05)[0]:
                 if sock is self.listener:
                     caller = self.listener.accept()[0]
                     server = socket.create_connection(self.target)
-                    ends[caller], ends[server] = (server, "request"), (caller, "answer")
+                    peers[caller], peers[server] = (server, "request"), (caller, "answer")
                     continue
-                if sock not in ends:
+                if sock not in peers:
                     continue
-                other, kind = ends[sock]
+                peer, kind = peers[sock]
                 data = b""
                 with suppress(OSError):
                     data = sock.recv(1 << 20)
                 if data:
-                    self.keep(kind, data)
+                    self.record(kind, data)
                     with suppress(OSError):
-                        other.sendall(data)
+                        peer.sendall(data)
                 else:
-                    for end in (sock, other):
-                        ends.pop(end, None)
-                        end.close()
-        for sock in [self.listener, *ends]:
+                    for closed in (sock, peer):
+                        peers.pop(closed, None)
+                        closed.close()
+        for sock in [self.listener, *peers]:
             sock.close()
 
-    def keep(self, kind: str, data: bytes) -> None:
+    def record(self, kind: str, data: bytes) -> None:
         text = data.decode("latin-1")
         if self.transcript and self.transcript[-1]["kind"] == kind:
             self.transcript[-1]["bytes"] += text
@@ -106,14 +110,14 @@
 
     def close(self) -> None:
         self.closing = True
-        self.thread.join(PATIENCE_S)
+        self.thread.join(TIMEOUT_S)
 
 
 class ScriptedServer:
-    """Answers HTTP requests by a table of bodies (one for each call, the last one again and again)."""
+    """Answers HTTP requests by a table of bodies: one per call, the last one for every call after that."""
 
     def __init__(self, bodies: dict[str, list[bytes]]) -> None:
-        self.bodies = {path: list(told) for path, told in bodies.items()}
+        self.bodies = {path: list(answers) for path, answers in bodies.items()}
         self.requests: list[str] = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
@@ -131,36 +135,36 @@
             while request := read_message(sock):
                 self.requests.append(request.decode("latin-1"))
                 path = request.split(b" ", 2)[1].decode()
-                told = self.bodies[path]
-                body = told.pop(0) if len(told) > 1 else told[0]
+                answers = self.bodies[path]
+                body = answers.pop(0) if len(answers) > 1 else answers[0]
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
     def close(self) -> None:
         with suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
-        self.thread.join(PATIENCE_S)
+        self.thread.join(TIMEOUT_S)
 
 
 def read_message(sock: socket.socket) -> bytes:
-    """One HTTP message with a Content-Length; empty where the connection ended before."""
+    """Returns one HTTP message with a Content-Length; empty if the connection ended before its end."""
     data = b""
     while b"\r\n\r\n" not in data:
-        part = sock.recv(1 << 16)
-        if not part:
+        chunk = sock.recv(1 << 16)
+        if not chunk:
             return b""
-        data += part
+        data += chunk
     size = content_length(data)
     while len(data) < size:
-        part = sock.recv(1 << 16)
-        if not part:
+        chunk = sock.recv(1 << 16)
+        if not chunk:
             return b""
-        data += part
+        data += chunk
     return data
 
 
 def content_length(data: bytes) -> int:
-    """Bytes of the whole message, head and body."""
+    """Returns the length of the whole message in bytes, head and body."""
     head = data.partition(b"\r\n\r\n")[0]
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length:"):
@@ -168,17 +172,17 @@
     return len(head) + 4
 
 
-def ask(address: tuple[str, int], text: bytes, turn: Callable[[], None]) -> bytes:
-    """Sends bytes on a connection of its own; the whole answer. `turn` drives the server meanwhile."""
+def send_request(address: tuple[str, int], request: bytes, run_turn: Callable[[], None]) -> bytes:
+    """Sends a request on a new connection and returns the whole answer; `run_turn` runs the server meanwhile."""
     with socket.create_connection(address) as sock:
-        sock.sendall(text)
+        sock.sendall(request)
         sock.setblocking(False)
         data = b""
         while b"\r\n\r\n" not in data or len(data) < content_length(data):
-            turn()
+            run_turn()
             with suppress(BlockingIOError):
-                part = sock.recv(1 << 20)
-                if not part:
+                chunk = sock.recv(1 << 20)
+                if not chunk:
                     break
-                data += part
+                data += chunk
         return data
--- a/tests/compatibility/test_compatible_gossip.py
+++ b/tests/compatibility/test_compatible_gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams between balancers, byte for byte as before modules were renamed."""
+"""Compares datagrams between balancers byte for byte with records made before modules were renamed."""
 
 import json
 from pathlib import Path
@@ -10,12 +10,14 @@
 
 
 def test_balancers_send_the_recorded_datagrams():
-    """Old balancers would drop what new ones say as badly signed or odd, and each would count alone."""
+    """Otherwise old balancers would drop the datagrams of new ones as badly signed or malformed, and each would
+    use only its own counts."""
     assert exchanges.gossip() == RECORD
 
 
-def test_recorded_datagrams_are_heard_and_change_what_is_said_next():
-    """New balancers would drop what old ones say, and would draw their ranges from their own counts alone."""
+def test_recorded_datagrams_are_accepted_and_change_the_next_ones():
+    """Otherwise new balancers would drop the datagrams of old ones, and would draw their ranges from their own
+    counts only."""
     found = exchanges.gossip(recorded=RECORD["b0"])
     assert found["b1"] == RECORD["b1"]
-    assert any('["b0",' in datagram for datagram in found["b1"]), "b0's row is passed on"
+    assert any('["b0",' in datagram for datagram in found["b1"]), "b1 forwards b0's row"
