--- a/orchidgap/fault_tests/actions.py
+++ b/orchidgap/fault_tests/actions.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from orchidgap.fault_tests import disk_faults
-from orchidgap.fault_tests.child_processes import HeldCommand
+from orchidgap.fault_tests.child_processes import PrestartedCommand
 from orchidgap.fault_tests.cluster import Cluster
 from orchidgap.fault_tests.datagram_relay import DatagramRelay
 from orchidgap.fault_tests.dial_stream import DialLimits, DialStreams
@@ -52,7 +52,7 @@
         links = cluster.links
         self.dial_streams = DialStreams(cluster)
         self.soak_faults = SoakFaults(cluster, self.dial_streams)
-        self.held_evictions: list[HeldCommand] = []
+        self.prestarted_evictions: list[PrestartedCommand] = []
         self.handlers: dict[ActionKind, Callable[..., None]] = {
             ActionKind.PROPOSE: self.propose,
             ActionKind.KILL: self.kill,
@@ -142,14 +142,18 @@
         An interpreter that starts beside load may take longer than control waits for a proposal.
         """
         kinds = [action.kind for action in actions]
-        self.cluster.proposers.hold(kinds.count(ActionKind.PROPOSE))
+        self.cluster.proposers.prestart(kinds.count(ActionKind.PROPOSE))
         needed = kinds.count(ActionKind.EVICT)
-        self.held_evictions += [HeldCommand() for _ in range(needed - len(self.held_evictions))]
+        self.prestarted_evictions += [
+            PrestartedCommand() for _ in range(needed - len(self.prestarted_evictions))
+        ]
 
     def evict(self, name: str) -> None:
         """Evict a balancer from those that serve without a quorum."""
-        command = self.held_evictions.pop(0) if self.held_evictions else HeldCommand()
-        command.go(["change", "strike", name, f"--at={self._control_addresses()}"])
+        command = (
+            self.prestarted_evictions.pop(0) if self.prestarted_evictions else PrestartedCommand()
+        )
+        command.run(["change", "strike", name, f"--at={self._control_addresses()}"])
         cluster = self.cluster
         try:
             cluster.wait_until(command.has_ended, EVICTION_TIMEOUT_S, "struck off")
@@ -160,7 +164,7 @@
 
     def close(self) -> None:
         """End the commands whose step was not reached."""
-        for command in self.held_evictions:
+        for command in self.prestarted_evictions:
             command.close()
 
     def reload(self, name: str) -> None:
@@ -174,9 +178,9 @@
         number = cluster.last_proposal
         proposal = ProposalRecord(number, cluster.loop.now)
         cluster.checker.proposals[number] = proposal
-        for post in cluster.balancers.values():
-            if post.alive:
-                cluster.reload(post, number)
+        for instance in cluster.balancers.values():
+            if instance.alive:
+                cluster.reload(instance, number)
                 cluster.loop.run_once(0)  # clients go on meanwhile
         outcome = ProposalOutcome.DECIDED
         cluster.checker.on_outcome(proposal, outcome, number, "", cluster.loop.now)
@@ -209,10 +213,10 @@
         if name not in cluster.balancers:
             cluster.control(name).start(cluster.controls)
             return
-        post = cluster.balancers[name]
-        if post.alive:
-            post.kill()
-        post.start(cluster.latest_endpoint_list(name))
+        instance = cluster.balancers[name]
+        if instance.alive:
+            instance.kill()
+        instance.start(cluster.latest_endpoint_list(name))
 
     def pause(self, name: str) -> None:
         """Stop a process where it stands."""
--- a/orchidgap/fault_tests/breach_story.py
+++ b/orchidgap/fault_tests/breach_report.py
@@ -1,4 +1,4 @@
-"""Tells each breach together with the faults and the log lines of all processes around it."""
+"""Describes each breach together with the faults and log lines of all processes around its time."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 from orchidgap.simulation.invariant_checker import InvariantChecker
 
-WINDOW_S = 2.0  # before and after a breach
-MAX_TOLD_BREACHES = 3
-MAX_LINES = 60  # of one breach: those nearest to it
+WINDOW_S = 2.0  # length of the window before a breach, and of the one after it
+MAX_DETAILED_BREACHES = 3
+MAX_LINES = 60  # for one breach: the lines nearest to it in time
 
 
 class LogLine(NamedTuple):
     """One line of a process's log, or a fault.
 
     Attributes:
-        at_s: When, in Unix time.
-        text: The process's name and the line.
+        at_s: When it was logged, in Unix time.
+        text: The name of the process and the line.
     """
 
     at_s: float
@@ -30,7 +30,7 @@
 
 
 def read_logs(folder: Path) -> list[LogLine]:
-    """Return the events in all logs of a folder; what is no event is left out."""
+    """Return the events in all logs of a folder; lines that are not events are left out."""
     return [line for path in sorted(folder.glob("*.log")) for line in _read_log(path)]
 
 
@@ -43,17 +43,18 @@
             yield LogLine(at_s, f"{path.stem} {orjson.dumps(facts).decode()}")
 
 
-def tell_breaches(
+def describe_breaches(
     checker: InvariantChecker,
     folder: Path,
     describe_scheduling: Callable[[int, int], str] | None = None,
 ) -> str:
-    """Return the first breaches, each with what happened around it, as text.
+    """Return a text with all breaches, the first ones with the log lines and faults around them.
 
     Args:
-        checker: What was breached, and which faults there were.
-        folder: The files of all processes.
-        describe_scheduling: Tells which processes got no core between two times in microseconds.
+        checker: The record of breaches and faults.
+        folder: The folder with the logs of all processes.
+        describe_scheduling: Describes which processes were runnable but got no core between two
+            times in microseconds.
     """
 
     def scheduling_at(at_s: float) -> str:
@@ -66,27 +67,27 @@
     start_s = checker.started_at_us / 1e6
     lines = read_logs(folder)
     lines += [LogLine(start_s + at_s, f"fault: {text}") for at_s, text in checker.events]
-    stories = [
+    descriptions = [
         f"{rule} at {at_s:.3f} s: {text}\n"
         + scheduling_at(at_s)
         + _lines_around(lines, start_s, at_s)
-        for rule, at_s, text in checker.breaches[:MAX_TOLD_BREACHES]
+        for rule, at_s, text in checker.breaches[:MAX_DETAILED_BREACHES]
     ]
-    stories += [
+    descriptions += [
         f"{rule} at {at_s:.3f} s: {text}\n"
-        for rule, at_s, text in checker.breaches[MAX_TOLD_BREACHES:]
+        for rule, at_s, text in checker.breaches[MAX_DETAILED_BREACHES:]
     ]
-    return "".join(stories)
+    return "".join(descriptions)
 
 
 def _lines_around(lines: list[LogLine], start_s: float, at_s: float) -> str:
-    """Return the lines within the window, with their seconds from the start."""
+    """Return the log lines within the window, each with its seconds since the start."""
     breach_s = start_s + at_s
 
     def distance_s(line: LogLine) -> float:
         return abs(line.at_s - breach_s)
 
-    near = [line for line in lines if distance_s(line) <= WINDOW_S]
-    nearest = sorted(near, key=distance_s)[:MAX_LINES]
-    told = sorted(nearest, key=itemgetter(0))
-    return "".join(f"  {line.at_s - start_s:9.3f} {line.text}\n" for line in told)
+    in_window = [line for line in lines if distance_s(line) <= WINDOW_S]
+    nearest = sorted(in_window, key=distance_s)[:MAX_LINES]
+    by_time = sorted(nearest, key=itemgetter(0))
+    return "".join(f"  {line.at_s - start_s:9.3f} {line.text}\n" for line in by_time)
--- a/orchidgap/fault_tests/child_processes.py
+++ b/orchidgap/fault_tests/child_processes.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from orchidgap.fault_tests.held_command import END_OF_LINE
+from orchidgap.fault_tests.prestarted_command import END_OF_LINE
 from orchidgap.fault_tests.process import DEFECT_VARIABLE, DISK_FAULTS_VARIABLE
 from orchidgap.net.connection_log import CONNECTION_LOG_VARIABLE
 
@@ -23,21 +23,21 @@
 PR_SET_PDEATHSIG = 1
 MAX_FAULT_TESTS = 64
 MEMORY_FOLDER = "/dev/shm"
-HELD_COMMAND_MODULE = "orchidgap.fault_tests.held_command"
+PRESTARTED_COMMAND_MODULE = "orchidgap.fault_tests.prestarted_command"
 
 
-def die_with_parent() -> None:
+def kill_when_parent_ends() -> None:
     """Ask the kernel to kill this process when its parent ends."""
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def start_as_deployed() -> None:
+def prepare_process() -> None:
     """Begin as the operators' command does: SIGHUP is ignored until the program handles it."""
-    die_with_parent()
+    kill_when_parent_ends()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-class HeldCommand:
+class PrestartedCommand:
     """An operator's command in a process that is started already and waits for its word.
 
     Attributes:
@@ -47,14 +47,14 @@
     def __init__(self) -> None:
         """Start it; it does nothing until `go`."""
         self.process = subprocess.Popen(
-            [sys.executable, "-m", HELD_COMMAND_MODULE],
+            [sys.executable, "-m", PRESTARTED_COMMAND_MODULE],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
-            preexec_fn=die_with_parent,
+            preexec_fn=kill_when_parent_ends,
         )
 
-    def go(self, arguments: list[str]) -> None:
+    def run(self, arguments: list[str]) -> None:
         """Let it run.
 
         Args:
@@ -161,5 +161,5 @@
                 stderr=log,
                 stdout=log,
                 env=os.environ | variables,
-                preexec_fn=start_as_deployed,
+                preexec_fn=prepare_process,
             )
--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -1,4 +1,4 @@
-"""All processes of one fault test: balancers and control, the relays between, stand-ins around."""
+"""The processes of one fault test with the relays between them and the simulated environment."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from orchidgap.fault_tests.process_logs import ProcessLogs
 from orchidgap.fault_tests.proposal_callers import ProposalCallers
 from orchidgap.fault_tests.rollout_checker import STUCK, RolloutChecker
-from orchidgap.fault_tests.scheduling_watch import TEST_ITSELF, SchedulingWatch
+from orchidgap.fault_tests.scheduling_watch import TEST_PROCESS, SchedulingWatch
 from orchidgap.fault_tests.version_clients import VersionClients
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.loop import LateTurn
@@ -40,36 +40,37 @@
 from orchidgap.simulation.request_end import ProcessEnd
 from orchidgap.simulation.simulation import Balancer, Simulation
 
-LOOK_INTERVAL_US = 50_000
+PROCESS_POLL_INTERVAL_US = 50_000
 LOOP_TURN_US = 10_000
-# a request is on its way, and answers are seen, with this much delay on a busy machine
+# on a busy machine a request may arrive, and an answer be observed, this much later
 SLACK_US = 250_000
 CALL_TIMEOUT_US = 500_000
 CALL_ROUNDS = 10
 CALL_PAUSE_US = 200_000
-LONG_PAUSE_US = 2_000_000  # a balancer that stays stopped for longer than that is resumed
+LONG_PAUSE_US = 2_000_000  # ending all faults resumes balancers that stay paused for longer
 RECENT_COUNT = 2
-# how long a balancer may deny that has come to reach control: leases and one change may pass
+# how long a balancer may deny after it reaches control: some leases and one change may pass
 GRACE_LEASES = 3
 GRACE_EXTRA_MS = 1_000
-# each way, beyond which heartbeats time out
+# maximum one-way delay; heartbeats time out if the delay is longer
 MAX_HEARTBEAT_DELAY_US = 200_000
-# how long a proposer waits, as a part of the time after which control gives up
+# how long a proposer waits, as a multiple of the time after which control gives up
 PROPOSER_WAIT_RATIO = 1.2
 
 
 class Cluster(Simulation):
-    """The processes and all around them.
+    """The processes under test and their environment: clients, hosts, discovery and relays.
 
     Attributes:
         test: The plan.
         controls: The control processes.
-        majority_watch: Which balancers reached a majority of them, and when.
+        majority_watch: Records which balancers reached a majority of the control processes, and
+            when.
         links: The relays between processes.
-        logs: What processes have logged.
-        checker: What became of proposals.
-        proposers: The running callers of control.
-        last_proposal: The highest proposal of the plan so far.
+        logs: The events that the processes have logged.
+        checker: The outcomes of proposals and the check of rollouts.
+        proposers: The running commands that propose changes to control.
+        last_proposal: The highest number of a proposal so far.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
         disk: str = "",
         policy: str = "orchidgap",
     ) -> None:
-        """Prepare everything; `start_processes` runs it."""
+        """Create the cluster without starting its processes; `start_processes` starts them."""
         _, max_files = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (max_files, max_files))
         self.test = test
@@ -91,12 +92,13 @@
         self.configured_version = 0
         self.last_proposal = 0
         super().__init__(test.plan, seed, real=True, policy=policy, disk=disk or memory_folder())
-        # reports that wait for the end of a process to be seen, the oldest first
+        # reports of unanswered requests, delayed until the end of a process is detected, oldest
+        # first
         self.unreported: deque[Callable[[], None]] = deque()
         self.scheduling = SchedulingWatch()
         self.invariant_checker.lateness.run_delay_us = self.run_delay_us
         self.report_unanswered = self.invariant_checker.on_connection_lost
-        setattr(self.invariant_checker, "on_connection_lost", self._on_unanswered)  # noqa: B010
+        setattr(self.invariant_checker, "on_connection_lost", self._delay_unanswered_report)  # noqa: B010
         self.links = Links(self.loop, self.rng, self.port_offset, self._topology())
         self.controls = [
             ControlProcess(self.launcher, self.links, test.control, number)
@@ -118,22 +120,22 @@
 
     @cached_property
     def directory(self) -> Path:
-        """The folder of all processes' files."""
+        """The folder with the files of all processes."""
         assert self.folder
         return Path(self.folder.name)
 
     @cached_property
     def launcher(self) -> ProcessLauncher:
-        """What starts the processes."""
+        """The launcher that starts the processes."""
         return ProcessLauncher(self.directory, self.test.failing_disks, self.defect)
 
     def proposer_wait_s(self) -> float:
-        """Return how long a caller of control waits for the end of its change."""
+        """Return how long a proposer waits for the outcome of its change, in seconds."""
         return self.test.control.give_up_ms / 1e3 * PROPOSER_WAIT_RATIO
 
     def _topology(self) -> Topology:
         return Topology(
-            balancer_zones={name: post.zone for name, post in self.balancers.items()},
+            balancer_zones={name: instance.zone for name, instance in self.balancers.items()},
             host_zones={name: store.zone for name, store in self.servers.items()},
             zone_names=tuple(f"z{zone}" for zone in range(self.test.plan.cache.zones)),
         )
@@ -142,14 +144,16 @@
         if self.test.relays_to_hosts:
             self._add_host_relays()
         if self.test.plan.gossip:
-            for name, post in self.balancers.items():
-                self.links.add_datagram_relay(name, post.number, post.gossip_address)
+            for name, instance in self.balancers.items():
+                self.links.add_datagram_relay(name, instance.number, instance.gossip_address)
 
     def _add_host_relays(self) -> None:
         host_ids = {store.address: store.id for store in self.servers.values()}
         for host_number, store in enumerate(self.servers.values()):
-            for name, post in self.balancers.items():
-                self.links.add_host_relay(name, post.number, store.id, host_number, store.address)
+            for name, instance in self.balancers.items():
+                self.links.add_host_relay(
+                    name, instance.number, store.id, host_number, store.address
+                )
 
         def on_listener(address: Address, listens: bool) -> None:
             if address in host_ids:
@@ -160,14 +164,14 @@
         assert isinstance(self.network, LoopbackNetwork)
         self.network.on_listener_change = on_listener
 
-    # --- what the simulation's parts ask
+    # --- overridden methods of the simulation
 
     def make_balancer(self, name: str, number: int, zone: int, decider: Decider) -> Balancer:
-        """Make a balancer's place."""
+        """Create a balancer instance, whose process may be restarted."""
         return ClusterBalancer(self, name, number, zone, self.policy, self.launcher)
 
     def make_clients(self) -> Clients:
-        """Make the clients."""
+        """Create the clients; they request the classes of versions if the plan has proposals."""
         if not self.proposal_count:
             return Clients(self)
         return VersionClients(self, lambda: self.checker, self.recent_versions)
@@ -175,7 +179,7 @@
     def balancer_settings(
         self, balancer: BalancerInstance, known: dict[str, Any]
     ) -> dict[str, Any]:
-        """Return a balancer's configuration, with relays in the place of other processes."""
+        """Return a balancer's configuration, with relay addresses in place of other processes."""
         config = super().balancer_settings(balancer, known)
         config["known"] = self.endpoint_list_for(balancer.name, config["known"])
         if self.controls:
@@ -188,7 +192,7 @@
         return config
 
     def endpoint_list_for(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
-        """Return the endpoint list as a balancer gets it, with its own relays."""
+        """Return the endpoint list for one balancer, with the addresses of its own relays."""
         if not self.test.relays_to_hosts:
             return known
         hosts = []
@@ -198,7 +202,7 @@
         return known | {"hosts": hosts}
 
     def gossip_settings(self, balancer: BalancerInstance) -> dict[str, Any]:
-        """Return a balancer's settings of gossip; the others are heard by way of relays."""
+        """Return a balancer's gossip settings; its peers are reached through relays."""
         peers = [
             format_address(relay.address)
             for name, relay in self.links.datagram_relays.items()
@@ -207,13 +211,13 @@
         return super().gossip_settings(balancer) | {"peers": peers}
 
     def is_rule_set_listed(self, work: RequestClassSpec) -> bool:
-        """Return whether the settings that are being written have this class."""
+        """Return whether the settings that are being written include this request class."""
         if not self.proposal_count:
             return super().is_rule_set_listed(work)
         return work.name in (COMMON_CLASS, class_of_version(self.configured_version))
 
     def recent_versions(self) -> list[int]:
-        """Return what may govern now: the last proposals, and what was decided before them."""
+        """Return the versions that may be in effect: the last proposed and the last decided."""
         proposals = self.checker.proposals
         decided = [
             number
@@ -222,17 +226,17 @@
         ]
         return sorted({*list(proposals)[-RECENT_COUNT:], *decided[-RECENT_COUNT:]})
 
-    def _on_unanswered(self, ask: ClientAttempt, at_us: int) -> None:
-        """A connection ended unanswered; that its process died may be seen a moment later."""
+    def _delay_unanswered_report(self, attempt: ClientAttempt, at_us: int) -> None:
+        """Delay the report of an unanswered request: a kill of its process may be seen later."""
 
-        def report_unless_dead() -> None:
-            self.look()
-            post = self.balancers[ask.balancer]
-            was_killed = post.process_end(ask.incarnation) is ProcessEnd.KILLED
-            if not ask.abandoned and not was_killed:
-                self.report_unanswered(ask, at_us)
+        def report_unless_killed() -> None:
+            self.poll_processes()
+            instance = self.balancers[attempt.balancer]
+            was_killed = instance.process_end(attempt.incarnation) is ProcessEnd.KILLED
+            if not attempt.abandoned and not was_killed:
+                self.report_unanswered(attempt, at_us)
 
-        self.unreported.append(report_unless_dead)
+        self.unreported.append(report_unless_killed)
         self.loop.call_later(SLACK_US, self._report_oldest)
 
     def _report_oldest(self) -> None:
@@ -240,22 +244,22 @@
             self.unreported.popleft()()
 
     def link_faulty_until_us(self, balancer: str, host: str) -> int:
-        """Return until when their relay may have held back what the balancer sent, 0 for never."""
+        """Return until when the link's relay may have delayed the balancer's data, 0 for never."""
         return self.links.faulty_until_us(balancer, host)
 
     def build_verdict(self) -> dict[str, Any]:
-        """Return the checker's verdict, with what was about to be reported in it."""
+        """Return the checker's verdict, including the delayed reports."""
         self.report_all_unanswered()
         return super().build_verdict()
 
     def report_all_unanswered(self) -> None:
-        """Report at once what was about to be, and what is still owed its answer."""
+        """Issue the delayed reports now, and report the requests that have no answer."""
         while self.unreported:
             self._report_oldest()
         self.report_unanswered_requests()
 
     def _on_late_turn(self, turn: LateTurn) -> None:
-        """Note that this process stood still: hosts, clients and relays did, and no balancer."""
+        """Record that this process was stalled, and with it hosts, clients and relays."""
         text = (
             f"the fault test itself was {turn.late_us // 1000} ms late "
             f"({turn.cpu_us // 1000} ms of CPU, its calls {turn.calls_us // 1000} ms, "
@@ -266,19 +270,21 @@
     # --- configurations
 
     def settings_of_version(self, number: int) -> dict[str, Any]:
-        """Return the settings that a proposal of this number has."""
+        """Return the settings that the proposal of this number contains."""
         self.configured_version = number
         first = next(iter(self.balancers.values()))
         settings: dict[str, Any] = super().balancer_settings(first, {})["settings"]
         self.configured_version = 0
         return settings
 
-    def reload(self, post: Balancer, number: int) -> None:
-        """Write a balancer's file with the settings of a version, and send SIGHUP."""
+    def reload(self, instance: Balancer, number: int) -> None:
+        """Write a balancer's configuration file with the settings of a version and send SIGHUP."""
         self.configured_version = number
-        text = json.dumps(self.balancer_settings(post, self.latest_endpoint_list(post.name)))
+        text = json.dumps(
+            self.balancer_settings(instance, self.latest_endpoint_list(instance.name))
+        )
         self.configured_version = 0
-        post.reload(text.encode())
+        instance.reload(text.encode())
 
     # --- processes
 
@@ -291,7 +297,7 @@
         return [*self.balancers, *(control.name for control in self.controls)]
 
     def process_of(self, name: str) -> subprocess.Popen[bytes]:
-        """Return the process that was started last under a name."""
+        """Return the most recent process that was started under a name."""
         owner = self.balancers[name] if name in self.balancers else self.control(name)
         assert isinstance(owner, ClusterBalancer | ControlProcess)
         assert owner.process
@@ -300,14 +306,14 @@
     def start_processes(self) -> None:
         """Start all control processes and balancers."""
         for control in self.controls:
-            control.address_for(OPERATOR)  # there to be cut before the first call
+            control.address_for(OPERATOR)  # creates the relay, so that it can be cut before a call
             control.start(self.controls)
         _, entries = self.discovery.changes_since(None, 1)
-        for post in self.balancers.values():
-            post.start({"seq": 1, "whole": True, "hosts": entries})
+        for instance in self.balancers.values():
+            instance.start({"seq": 1, "whole": True, "hosts": entries})
 
     def end_faults(self) -> None:
-        """Heal all links and disks, resume what is stopped, start what is dead."""
+        """Heal all links and disks, resume paused processes and restart ended ones."""
         self.links.heal()
         for name in self.balancers:
             self._repair_balancer(name)
@@ -321,49 +327,54 @@
 
     def _repair_balancer(self, name: str) -> None:
         disk_faults.free(disk_faults.disk_folder(self.directory, name))
-        post = self.balancers[name]
-        assert isinstance(post, ClusterBalancer)
-        if post.alive and post.pauses and post.pauses[-1].end_us > self.loop.now + LONG_PAUSE_US:
+        instance = self.balancers[name]
+        assert isinstance(instance, ClusterBalancer)
+        if (
+            instance.alive
+            and instance.pauses
+            and instance.pauses[-1].end_us > self.loop.now + LONG_PAUSE_US
+        ):
             self.resume(name)
-        post.mark_if_ended()
-        if not post.alive:
-            post.start(self.latest_endpoint_list(name))
+        instance.mark_if_ended()
+        if not instance.alive:
+            instance.start(self.latest_endpoint_list(name))
 
     def resume(self, name: str) -> None:
-        """Let a stopped process go on; its late answers are not held against it."""
+        """Resume a paused process; for a balancer, extend the deadlines of its open requests."""
         self.process_of(name).send_signal(signal.SIGCONT)
         if name not in self.balancers:
             return
-        post = self.balancers[name]
-        resumed_us = self.loop.clock()  # the turn may have begun long before the signal
-        stopped_us = post.pauses.pop().start_us
-        post.pauses.append(Pause(stopped_us, resumed_us + 1_000_000))
-        for ask in self.invariant_checker.client_attempts.values():
-            if ask.balancer == name and not ask.status:
-                ask.deadline_us = resumed_us + milliseconds_to_us(
-                    ask.operation.request_class.client_timeout_ms
+        instance = self.balancers[name]
+        # not the time of the turn, which may have begun long before the signal
+        resumed_us = self.loop.clock()
+        stopped_us = instance.pauses.pop().start_us
+        instance.pauses.append(Pause(stopped_us, resumed_us + 1_000_000))
+        for attempt in self.invariant_checker.client_attempts.values():
+            if attempt.balancer == name and not attempt.status:
+                attempt.deadline_us = resumed_us + milliseconds_to_us(
+                    attempt.operation.request_class.client_timeout_ms
                 )
-                ask.last_attempt_ended_us = resumed_us
+                attempt.last_attempt_ended_us = resumed_us
 
-    def look(self) -> None:
-        """Take note of processes and callers of control that have ended."""
+    def poll_processes(self) -> None:
+        """Collect the processes and proposers that have ended, and sample what is watched."""
         self.proposers.collect(self.loop.now)
-        self.scheduling.look(self._process_ids(), self.loop.now)
-        for post in self.balancers.values():
-            if isinstance(post, ClusterBalancer) and not post.is_shutting_down:
-                post.mark_if_ended()
+        self.scheduling.sample(self._process_ids(), self.loop.now)
+        for instance in self.balancers.values():
+            if isinstance(instance, ClusterBalancer) and not instance.is_shutting_down:
+                instance.mark_if_ended()
         for control in self.controls:
             control.alive = control.alive and not control.has_ended()
         if self.controls:
-            self.majority_watch.look(self._reaching_majority(), self.loop.now)
+            self.majority_watch.update(self._reaching_majority(), self.loop.now)
 
     def _process_ids(self) -> dict[str, int]:
-        """Return the ids of all processes, this one included, by their names."""
+        """Return the process ids of all processes, including this one, by name."""
         ids = {name: self.process_of(name).pid for name in self.process_names()}
-        return ids | {TEST_ITSELF: os.getpid()}
+        return ids | {TEST_PROCESS: os.getpid()}
 
     def run_delay_us(self, balancer: str, since_us: int, until_us: int) -> int:
-        """Return how long a balancer was ready and got no core within a time."""
+        """Return how long within an interval a balancer was runnable but got no core."""
         return self.scheduling.delay_us(balancer, since_us, until_us)
 
     def _reaching_majority(self) -> list[str]:
@@ -372,8 +383,8 @@
         quorum = quorum_size(len(self.controls))
         return [
             name
-            for name, post in self.balancers.items()
-            if post.alive
+            for name, instance in self.balancers.items()
+            if instance.alive
             and sum(
                 self.links.is_open(name, control, MAX_HEARTBEAT_DELAY_US) for control in running
             )
@@ -382,30 +393,30 @@
         ]
 
     def _runs(self, name: str) -> bool:
-        """Return whether a process is there and is not stopped."""
+        """Return whether a process exists and is not stopped."""
         process = self.process_of(name)
         return process.poll() is None and process_state(process.pid) != STOPPED_STATE
 
     def wait_until(self, is_met: Callable[[], bool], timeout_s: float, what: str) -> bool:
-        """Run until something is seen; a breach and False if that takes longer."""
+        """Run the loop until a condition is met; record a breach and return False on timeout."""
         end_s = time.monotonic() + timeout_s
-        next_look_us = 0
+        next_poll_us = 0
         while True:
             self.loop.run_once(LOOP_TURN_US)
-            if self.loop.now >= next_look_us:
-                next_look_us = self.loop.now + LOOK_INTERVAL_US
-                self.look()
+            if self.loop.now >= next_poll_us:
+                next_poll_us = self.loop.now + PROCESS_POLL_INTERVAL_US
+                self.poll_processes()
                 if is_met():
                     return True
             if time.monotonic() > end_s:
-                text = f"not seen in {timeout_s:g} s: {what}"
-                self.checker.breach(STUCK, self.loop.now, text)
+                text = f"condition not met within {timeout_s:g} s: {what}"
+                self.checker.record_breach(STUCK, self.loop.now, text)
                 return False
 
-    def ask_control(
+    def call_control(
         self, method: RpcMethod[RequestT, AnswerT], request: RequestT
     ) -> AnswerT | None:
-        """Return the answer of whichever control process answers first, None if none does."""
+        """Call the control processes in turn; return the first answer, or None if none answers."""
         for _ in range(CALL_ROUNDS):
             for client in self.control_clients:
                 answer = client.call_and_wait(method, request)
@@ -421,10 +432,10 @@
         self.proposers.close()
         for control in self.controls:
             control.kill()
-        for post in self.balancers.values():
-            if isinstance(post, ClusterBalancer) and post.process:
-                post.process.kill()
-                post.process.wait()
+        for instance in self.balancers.values():
+            if isinstance(instance, ClusterBalancer) and instance.process:
+                instance.process.kill()
+                instance.process.wait()
         self.links.close()
         super().close()
         self.port_lock.close()
--- a/orchidgap/fault_tests/commands.py
+++ b/orchidgap/fault_tests/commands.py
@@ -14,7 +14,7 @@
 import orjson
 
 from orchidgap.errors import ScenarioError
-from orchidgap.fault_tests.breach_story import tell_breaches
+from orchidgap.fault_tests.breach_report import describe_breaches
 from orchidgap.fault_tests.cluster import Cluster
 from orchidgap.fault_tests.denial_report import describe_denials
 from orchidgap.fault_tests.plan import FaultTest, read
@@ -30,7 +30,7 @@
 
 
 def main(arguments: Mapping[str, Any]) -> int:
-    """Run the command, as docopt read it; return the exit code."""
+    """Run the command with the arguments that docopt parsed; return the exit code."""
     try:
         test = read(arguments["PLAN"])
         seed = _whole_number(arguments, "--seed")
@@ -53,24 +53,29 @@
     try:
         return int(arguments[name]) if arguments[name] else None
     except ValueError:
-        raise ScenarioError(f"{name} wants a whole number, not {arguments[name]!r}") from None
+        raise ScenarioError(f"{name} has to be a whole number, not {arguments[name]!r}") from None
 
 
 def _check_options(test: FaultTest, defect: str, policy: str) -> None:
     if defect and defect not in DEFECTS:
-        raise ScenarioError(f"no defect {defect!r}: one of {', '.join(DEFECTS)}")
+        raise ScenarioError(f"unknown defect {defect!r}: use one of {', '.join(DEFECTS)}")
     if policy == DEFAULT_POLICY:
         return
     if policy not in PROCESS_POLICIES or test.control.count or defect:
         raise ScenarioError(
-            f"--policy={policy}: one of {', '.join(PROCESS_POLICIES)}, without control and defects"
+            f"--policy={policy}: use one of {', '.join(PROCESS_POLICIES)}, "
+            "without control processes and defects"
         )
 
 
 def with_balancers(test: FaultTest, count: int) -> FaultTest:
-    """Return the same test with so many balancers; ScenarioError if they are too many or none."""
+    """Return the same test with another number of balancers.
+
+    Raises:
+        ScenarioError: The number is out of range.
+    """
     if not 1 <= count <= MAX_BALANCERS:
-        raise ScenarioError(f"--balancers={count}: 1 to {MAX_BALANCERS} can be")
+        raise ScenarioError(f"--balancers={count}: has to be between 1 and {MAX_BALANCERS}")
     return replace(test, plan=msgspec.structs.replace(test.plan, balancers=count))
 
 
@@ -84,24 +89,25 @@
 ) -> tuple[dict[str, Any], Cluster]:
     """Run a fault test.
 
-    The files of a run that broke a rule are kept, in `out` or in a folder of its own below the
-    system's for temporary files. The verdict names it as `folder`, and the first breaches are told
-    on standard error. Those of a planted defect, which is to break a rule, are kept only in `out`.
+    The files of a run that broke a rule are kept, in `out` or in a new folder in the system's
+    folder for temporary files. The verdict contains its path as `folder`, and the breaches are
+    described on standard error. A run with a planted defect is expected to break a rule, so its
+    files are kept only if `out` is given.
 
     Args:
         test: The plan.
-        seed: Of all that is drawn, in place of the plan's own.
+        seed: The seed of all random choices, None for the plan's own.
         defect: The name of a planted defect, empty for none.
         out: Where to keep the files of all processes, the events and the verdict.
         disk: The folder of the processes' disks, empty for one in memory.
-        policy: What decides in balancers.
+        policy: The name of the policy by which balancers decide.
 
     Returns:
-        The content of the verdict line, and what is left of the cluster.
+        The content of the verdict line, and the closed cluster.
     """
     cluster = Cluster(test, seed, defect, disk, policy)
     runner = FaultTestRunner(cluster)
-    # copied to the disk only when all is over: `out` may be slow, and the test goes on meanwhile
+    # copied to `out` only after the test: its disk may be slow, and writing would delay the test
     with tempfile.TemporaryDirectory() as copied:
 
         def copy_files() -> None:
@@ -114,10 +120,10 @@
                 shutil.copytree(copied, out, dirs_exist_ok=True, symlinks=True)
             raise
         if verdict["verdict"] == "broken":
-            story = tell_breaches(
+            description = describe_breaches(
                 cluster.invariant_checker, Path(copied), cluster.scheduling.describe
             )
-            print(story, file=sys.stderr)
+            print(description, file=sys.stderr)
             if out is None and not defect:
                 out = Path(tempfile.mkdtemp(prefix=f"orchidgap-drill-{test.plan.name}-"))
         if out is not None:
--- a/orchidgap/fault_tests/conditions.py
+++ b/orchidgap/fault_tests/conditions.py
@@ -1,4 +1,4 @@
-"""Whether what a step waits for is seen from outside."""
+"""Checks whether the condition of a step is met, as observed from outside the processes."""
 
 from __future__ import annotations
 
@@ -12,21 +12,25 @@
 
 
 class StepConditions:
-    """Looks at a cluster for the conditions of steps."""
+    """Evaluates the conditions of steps on a cluster."""
 
     def __init__(self, cluster: Cluster) -> None:
-        """Look at this cluster."""
+        """Evaluate conditions on this cluster."""
         self.cluster = cluster
 
     def is_met(self, condition: Condition, since_us: int) -> bool:
-        """Return whether it is seen; `since_us` is when the step began to wait."""
+        """Return whether a condition is met; `since_us` is when the step began to wait."""
         cluster = self.cluster
         arguments = condition.arguments
         match condition.kind:
             case ConditionKind.SECONDS_PASSED:
                 return cluster.loop.now - since_us >= seconds_to_us(float(arguments[0]))
             case ConditionKind.ALL_UP:
-                return all(post.ready_at > 0 for post in cluster.balancers.values() if post.alive)
+                return all(
+                    instance.ready_at > 0
+                    for instance in cluster.balancers.values()
+                    if instance.alive
+                )
             case ConditionKind.PROPOSALS_ENDED:
                 return not cluster.proposers.running
             case ConditionKind.EVENT_LOGGED:
@@ -37,10 +41,10 @@
                 return self._is_answered(condition, since_us)
 
     def serves(self, balancer: str, request_class: str, since_us: int) -> bool:
-        """Return whether a balancer has answered 200 for this class."""
+        """Return whether a balancer has answered 200 for this class since a time."""
         return any(
-            ask.balancer == balancer and self._is_served(ask, request_class)
-            for ask in self._asks_since(since_us)
+            attempt.balancer == balancer and self._is_served(attempt, request_class)
+            for attempt in self._attempts_since(since_us)
         )
 
     def _is_logged(self, process: str, event: str) -> bool:
@@ -51,18 +55,21 @@
         arguments = condition.arguments
         if condition.kind is ConditionKind.SERVES_VERSION:
             return self.serves(arguments[0], arguments[1], since_us)
-        asks = self._asks_since(since_us)
+        attempts = self._attempts_since(since_us)
         if condition.kind is ConditionKind.VERSION_SEEN:
-            return any(self._is_served(ask, arguments[0]) for ask in asks)
-        return any(ask.balancer == arguments[0] and ask.status == STATUS_DENIED for ask in asks)
+            return any(self._is_served(attempt, arguments[0]) for attempt in attempts)
+        return any(
+            attempt.balancer == arguments[0] and attempt.status == STATUS_DENIED
+            for attempt in attempts
+        )
 
     @staticmethod
-    def _is_served(ask: ClientAttempt, request_class: str) -> bool:
-        return ask.status == STATUS_OK and ask.operation.request_class.name == request_class
+    def _is_served(attempt: ClientAttempt, request_class: str) -> bool:
+        return attempt.status == STATUS_OK and attempt.operation.request_class.name == request_class
 
-    def _asks_since(self, since_us: int) -> list[ClientAttempt]:
+    def _attempts_since(self, since_us: int) -> list[ClientAttempt]:
         return [
-            ask
-            for ask in reversed(self.cluster.invariant_checker.client_attempts.values())
-            if ask.arrived_at_us > since_us
+            attempt
+            for attempt in reversed(self.cluster.invariant_checker.client_attempts.values())
+            if attempt.arrived_at_us > since_us
         ]
--- a/orchidgap/fault_tests/costs.py
+++ b/orchidgap/fault_tests/costs.py
@@ -61,7 +61,7 @@
         """Take a sample, now and again and again."""
         cluster = self.cluster
         cluster.loop.call_later(SAMPLE_INTERVAL_US, self.sample)
-        names = [name for name, post in cluster.balancers.items() if post.alive]
+        names = [name for name, instance in cluster.balancers.items() if instance.alive]
         cpu_s = 0.0
         for name in names:
             with suppress(OSError, IndexError, ValueError):
--- a/orchidgap/fault_tests/final_checks.py
+++ b/orchidgap/fault_tests/final_checks.py
@@ -36,8 +36,8 @@
         cluster = self.cluster
         numbers = [number for number in self.checker.proposals if number]
         if cluster.controls:
-            if cluster.ask_control(SETTLE, EmptyMessage()) is None:
-                self.checker.breach(STUCK, cluster.loop.now, "control does not come back")
+            if cluster.call_control(SETTLE, EmptyMessage()) is None:
+                self.checker.record_breach(STUCK, cluster.loop.now, "control does not come back")
                 return
             wait_s = cluster.proposer_wait_s() + EXTRA_WAIT_S
             cluster.wait_until(self._nothing_is_proposed, wait_s, "none proposed")
@@ -48,13 +48,13 @@
             self._check_expected_outcomes(numbers)
 
     def _nothing_is_proposed(self) -> bool:
-        status = self.cluster.ask_control(STATUS, EmptyMessage())
+        status = self.cluster.call_control(STATUS, EmptyMessage())
         return status is not None and status.proposal is None
 
     def _check_outcome(self, proposal: ProposalRecord) -> None:
         """Compare what control tells now with what callers were told."""
         change_id = f"v{proposal.number}"
-        answer = self.cluster.ask_control(CHANGE, ChangeRequest(change_id=change_id))
+        answer = self.cluster.call_control(CHANGE, ChangeRequest(change_id=change_id))
         now_us = self.cluster.loop.now
         state = answer.state if answer else None
         if answer and state in (ChangeState.DECIDED, ChangeState.DROPPED):
@@ -69,7 +69,7 @@
             rule = STUCK if state in (None, ChangeState.PROPOSED) else UNTRUE
             before = proposal.outcome.value or "nothing"
             word = state.value if state else "nothing"
-            self.checker.breach(rule, now_us, f"{change_id}: {word}, after {before}")
+            self.checker.record_breach(rule, now_us, f"{change_id}: {word}, after {before}")
 
     def _check_balancers(self) -> None:
         """Each living balancer has to serve under the version that counts."""
@@ -77,7 +77,7 @@
         request_class = class_of_version(self.checker.last_decided().number)
         since_us = cluster.loop.now
         lease_s = cluster.test.control.lease_ms / 1e3
-        for name in [name for name, post in cluster.balancers.items() if post.alive]:
+        for name in [name for name, instance in cluster.balancers.items() if instance.alive]:
             spent_s = (cluster.loop.now - since_us) / 1e6
             wait_s = cluster.test.settle_s + SETTLE_LEASES * lease_s - spent_s
             is_served = partial(self.conditions.serves, name, request_class, since_us)
@@ -91,4 +91,4 @@
         if expected and found != expected:
             reasons = "; ".join(proposal.reason for proposal in proposals)
             text = f"outcomes {', '.join(found)}: {reasons}"
-            self.checker.breach(STUCK, self.cluster.loop.now, text)
+            self.checker.record_breach(STUCK, self.cluster.loop.now, text)
--- a/orchidgap/fault_tests/majority_watch.py
+++ b/orchidgap/fault_tests/majority_watch.py
@@ -48,16 +48,16 @@
     grace_us: int
     without_majority_us: int = 0
     intervals: dict[str, list[Interval]] = field(default_factory=dict)
-    _looked_at_us: int = 0
+    _updated_at_us: int = 0
     _reaching: frozenset[str] | None = None  # as of the last look
 
-    def look(self, reaching: Iterable[str], now_us: int) -> None:
+    def update(self, reaching: Iterable[str], now_us: int) -> None:
         """Take in who reaches a majority now; called again and again."""
         before = self._reaching
         if before is not None and not before:
-            self.without_majority_us += now_us - self._looked_at_us
+            self.without_majority_us += now_us - self._updated_at_us
         self._reaching = frozenset(reaching)
-        self._looked_at_us = now_us
+        self._updated_at_us = now_us
         for name in self._reaching:
             known = self.intervals.setdefault(name, [])
             if before and name in before:
--- a/orchidgap/fault_tests/plan.py
+++ b/orchidgap/fault_tests/plan.py
@@ -1,7 +1,7 @@
 """The plan of a fault test: a simulation's plan with a table `control` and steps.
 
-The words of plan files stand here and nowhere else; `Condition` and `Action` are what the rest of
-the package sees of a step.
+Only this module knows the keywords of plan files; the rest of the package uses `Condition` and
+`Action`.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class ConditionKind(Enum):
-    """What a step waits for. The values are the words of plan files."""
+    """The kinds of conditions that a step waits for. The values are the keywords of plan files."""
 
     ALL_UP = "up"
     SECONDS_PASSED = "seconds"
@@ -54,7 +54,7 @@
 
 
 class ActionKind(Enum):
-    """What a step does. The values are the words of plan files."""
+    """The kinds of actions of a step. The values are the keywords of plan files."""
 
     NOTHING = "nothing"
     PROPOSE = "propose"
@@ -87,7 +87,7 @@
 
 
 class ProposalOutcome(Enum):
-    """What became of a proposal. The values are the words of plans and of the verdict line."""
+    """The outcome of a proposal. The values appear in plans and in the verdict line."""
 
     OPEN = ""
     DECIDED = "decided"
@@ -96,7 +96,7 @@
 
 
 ArgumentCounts = tuple[int, int]
-"""The least and the most words after the first one."""
+"""The minimum and maximum number of words after the keyword."""
 
 CONDITION_ARGUMENTS: dict[ConditionKind, ArgumentCounts] = {
     ConditionKind.ALL_UP: (0, 0),
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """What a step waits for, as seen from outside; `text` is as the plan has it."""
+    """A condition that a step waits for; `text` is its wording in the plan."""
 
     kind: ConditionKind
     arguments: tuple[str, ...]
@@ -151,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """What a step does; `text` is as the plan has it."""
+    """An action of a step; `text` is its wording in the plan."""
 
     kind: ActionKind
     arguments: tuple[str, ...]
@@ -159,7 +159,7 @@
 
     @classmethod
     def of(cls, kind: ActionKind, *arguments: object) -> Action:
-        """Make an action that stands in no plan.
+        """Create an action that is not in a plan.
 
         >>> Action.of(ActionKind.CUT, "b0", "all").text
         'cut b0 all'
@@ -170,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Wait for the condition, no longer than `timeout_s`, then act; `repeat_count` times."""
+    """A condition to wait for, for at most `timeout_s`, and actions; run `repeat_count` times."""
 
     condition: Condition
     actions: tuple[Action, ...]
@@ -179,7 +179,7 @@
 
 
 class ControlSettings(PlanTable, frozen=True):
-    """The table `control`; without control processes balancers have their files alone."""
+    """The table `control`; without control processes balancers use only their own files."""
 
     count: Annotated[int, Meta(ge=0, le=5)] = 1
     lease_ms: Positive = 2_000.0
@@ -188,7 +188,7 @@
 
 
 class StepTable(PlanTable, frozen=True):
-    """A table `step`, as the file has it."""
+    """A table `step` of a plan file."""
 
     when: str
     do: str = ActionKind.NOTHING.value
@@ -198,16 +198,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTest:
-    """A whole plan.
+    """The complete plan of a fault test.
 
     Attributes:
-        plan: Hosts, clients and load.
-        control: The control processes.
-        steps: In their order.
-        outcomes: What has to come of the proposals, in their order; none: whatever does.
-        settle_s: With all faults healed, within so much all serve under what counts.
-        failing_disks: Whether disks can be made to fail at one operation.
-        relays_to_hosts: Whether each balancer reaches each host by a relay of its own.
+        plan: The simulation's plan: hosts, clients and load.
+        control: The settings of the control processes.
+        steps: The steps, in the order in which they run.
+        outcomes: The expected outcomes of the proposals, in order; if empty, any are accepted.
+        settle_s: How long balancers may take to serve under the decided version after all faults
+            have ended, in seconds.
+        failing_disks: Whether single disk operations can be made to fail.
+        relays_to_hosts: Whether each balancer reaches each host through a relay of its own.
     """
 
     plan: Plan
@@ -219,7 +220,7 @@
     relays_to_hosts: bool = False
 
     def proposal_count(self) -> int:
-        """Return the highest version that is proposed; a repeated step proposes the next one."""
+        """Return the highest proposed version; each repetition of a step proposes the next one."""
         proposing = (ActionKind.PROPOSE, ActionKind.ROLL_OUT_BY_SIGNAL)
         return sum(
             step.repeat_count
@@ -230,12 +231,12 @@
 
 
 def class_of_version(number: int) -> str:
-    """Return the request class that only this version has."""
+    """Return the request class that only this version defines."""
     return f"{CLASS_PREFIX}{number}"
 
 
 def version_of_class(name: str) -> int | None:
-    """Return the version that alone has this request class, None for a class of all versions.
+    """Return the only version that defines this request class, None for a class of all versions.
 
     >>> version_of_class("v12"), version_of_class("base")
     (12, None)
@@ -245,7 +246,7 @@
 
 
 def split_words(text: str, known: Mapping[str, ArgumentCounts], where: str) -> list[str]:
-    """Split a condition or an action into words, and check how many there are.
+    """Split a condition or an action into words and check their number.
 
     Raises:
         ScenarioError: The first word is unknown, or the number of words is wrong.
@@ -258,19 +259,19 @@
         raise ScenarioError(f"{text!r} begins with none of {', '.join(known)} - at `{where}`")
     least, most = known[words[0]]
     if not least <= len(words) - 1 <= most:
-        raise ScenarioError(f"{words[0]} takes {least} to {most} words - at `{where}`")
+        raise ScenarioError(f"{words[0]} takes {least} to {most} arguments - at `{where}`")
     return words
 
 
 def parse_condition(text: str, where: str) -> Condition:
-    """Read what a step waits for; `where` is its place in the file, for errors."""
+    """Parse the condition of a step; `where` is its position in the file, for error messages."""
     known = {kind.value: counts for kind, counts in CONDITION_ARGUMENTS.items()}
     first, *arguments = split_words(text, known, where)
     return Condition(ConditionKind(first), tuple(arguments), text)
 
 
 def parse_action(text: str, where: str) -> Action:
-    """Read one action of a step; `where` is its place in the file, for errors."""
+    """Parse one action of a step; `where` is its position in the file, for error messages."""
     known = {kind.value: counts for kind, counts in ACTION_ARGUMENTS.items()}
     first, *arguments = split_words(text, known, where)
     return Action(ActionKind(first), tuple(arguments), text)
@@ -285,21 +286,25 @@
 
 
 def _with_class_per_version(plan: Plan, version_count: int) -> Plan:
-    """Give each version a class that no other has: an answer for it tells which one governs."""
-    marks = [
+    """Add a request class for each version; an answer for it shows which version is in effect."""
+    version_classes = [
         RequestClassSpec(class_of_version(number), 0.01, 5, 1_000, 2_000)
         for number in range(version_count + 1)
     ]
     return msgspec.structs.replace(
-        plan, request_class_specs=(RequestClassSpec(COMMON_CLASS, 1.0, 5, 1_000, 2_000), *marks)
+        plan,
+        request_class_specs=(
+            RequestClassSpec(COMMON_CLASS, 1.0, 5, 1_000, 2_000),
+            *version_classes,
+        ),
     )
 
 
 def parse(text: str) -> FaultTest:
-    """Read a plan.
+    """Parse the text of a plan.
 
     Raises:
-        ScenarioError: With one line that tells what is wrong, and where.
+        ScenarioError: The plan is invalid; the message is one line with the fault and its position.
 
     >>> test = parse('name = "x"\\n[[step]]\\nwhen = "up"\\ndo = "propose 1; kill b0"')
     >>> works = [work.name for work in test.plan.request_classes()]
@@ -328,7 +333,7 @@
     relays_to_hosts = bool(document.pop("links", False))
     steps = tuple(_parse_step(table, index) for index, table in enumerate(tables))
     if control.count not in CONTROL_COUNTS:
-        raise ScenarioError("none, 1, 3 or 5 can be - at `control.count`")
+        raise ScenarioError("has to be 0, 1, 3 or 5 - at `control.count`")
     plan = validate_plan(document)
     test = FaultTest(plan, control, steps, outcomes, settle_s, failing_disks, relays_to_hosts)
     proposal_count = test.proposal_count()
@@ -342,7 +347,8 @@
     """Read a plan file.
 
     Raises:
-        ScenarioError: With one line that begins with the path.
+        ScenarioError: The file is unreadable or invalid; the message is one line that begins with
+            the path.
     """
     try:
         return parse(Path(path).read_text())
--- a/orchidgap/fault_tests/held_command.py
+++ b/orchidgap/fault_tests/prestarted_command.py
@@ -1,6 +1,6 @@
 """An operator's command that is started early and waits for its word, as in a shell that is open.
 
-`python -m orchidgap.fault_tests.held_command`
+`python -m orchidgap.fault_tests.prestarted_command`
 
 It loads what the commands of `change` need and waits for one line on standard input, the arguments
 as a JSON list. Then it runs the program as if it had been started with them: the program does not
--- a/orchidgap/fault_tests/proposal_callers.py
+++ b/orchidgap/fault_tests/proposal_callers.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from orchidgap.fault_tests.child_processes import HeldCommand
+from orchidgap.fault_tests.child_processes import PrestartedCommand
 from orchidgap.fault_tests.plan import ProposalOutcome
 from orchidgap.fault_tests.rollout_checker import ProposalRecord, RolloutChecker
 
@@ -23,7 +23,7 @@
     """A running command, and the proposal that it makes."""
 
     proposal: ProposalRecord
-    command: HeldCommand
+    command: PrestartedCommand
 
 
 class ProposalCallers:
@@ -33,12 +33,12 @@
         """Tell outcomes to `checker`; each command waits no longer than `wait_s`."""
         self.checker = checker
         self.wait_s = wait_s
-        self.held: list[HeldCommand] = []
+        self.prestarted: list[PrestartedCommand] = []
         self.running: list[ProposalCaller] = []
 
-    def hold(self, count: int) -> None:
+    def prestart(self, count: int) -> None:
         """Have so many commands wait for their proposals, to run without delay."""
-        self.held += [HeldCommand() for _ in range(count - len(self.held))]
+        self.prestarted += [PrestartedCommand() for _ in range(count - len(self.prestarted))]
 
     def start(self, proposal: ProposalRecord, document: Path, addresses: str) -> None:
         """Propose a document to the control processes at these addresses."""
@@ -51,8 +51,8 @@
             f"--wait={self.wait_s}",
             "--json",
         ]
-        command = self.held.pop(0) if self.held else HeldCommand()
-        command.go(arguments)
+        command = self.prestarted.pop(0) if self.prestarted else PrestartedCommand()
+        command.run(arguments)
         self.running.append(ProposalCaller(proposal, command))
 
     def collect(self, now_us: int) -> None:
@@ -74,5 +74,5 @@
 
     def close(self) -> None:
         """Kill the commands that still run, or were never needed."""
-        for command in (*self.held, *(caller.command for caller in self.running)):
+        for command in (*self.prestarted, *(caller.command for caller in self.running)):
             command.close()
--- a/orchidgap/fault_tests/readiness_report.py
+++ b/orchidgap/fault_tests/readiness_report.py
@@ -11,9 +11,9 @@
     """Judge all starts of the run up to now."""
     starts = [
         start
-        for post in cluster.balancers.values()
-        if isinstance(post, ClusterBalancer)
-        for start in post.starts
+        for instance in cluster.balancers.values()
+        if isinstance(instance, ClusterBalancer)
+        for start in instance.starts
     ]
 
     def usable_us(balancer: str, since_us: int, until_us: int) -> int:
--- a/orchidgap/fault_tests/request_ledger.py
+++ b/orchidgap/fault_tests/request_ledger.py
@@ -1,9 +1,10 @@
-"""Adds up, for each process of each balancer, the requests that clients wrote to it.
+"""Accounts for all requests that clients wrote, for each process of each balancer.
 
-What was written has to be what was answered and what is excused by name; anything left over is
-lost. A process that ended by itself also says in its log what it has read (event `traffic`). What
-it has not read has to be what crossed an end, what its clients gave up, or what is lost already;
-and what its clients take for unread, as it crossed an end, it must not have read.
+Each written request has to be answered or to have another known end; all others are lost. A
+process that exited by itself also logs how many requests it read (event `traffic`). The requests
+that it did not read must have been written while it closed the connection, abandoned by their
+clients, or reported as lost. A request that its client treats as unread, because it was written
+while the connection was being closed, must not have been read.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class ProcessKey(NamedTuple):
-    """One process of a balancer."""
+    """Identifies one process of a balancer."""
 
     balancer: str
     incarnation: int
@@ -36,7 +37,7 @@
 class WrittenRequest:
     """A request whose last byte was written to a connection of one process.
 
-    `was_resent`: it crossed the end of that connection, and its client wrote it once more.
+    `was_resent`: it was written while the connection was being closed, and its client resent it.
     """
 
     attempt: ClientAttempt
@@ -46,20 +47,21 @@
 
 @dataclass(slots=True)
 class LedgerRow(Tally):
-    """What became of the requests that were written to one process, or to several.
+    """The ends of the requests that were written to one or several processes.
 
     Attributes:
-        written: All of them.
-        answered: Their answers came whole.
-        broken_off: Their clients can tell that the answers are not whole, or were told so.
-        killed: Their process was killed outright.
-        left: Their clients went away first.
-        crossed: They crossed the end of their connection, and were sent again.
-        lost: The checker was told of them.
-        under_way: Their time is not over.
-        arrived: Read and handed on, by the process's own count, where it ended by itself.
-        rejected: Turned away with an answer before that, by the same count.
-        counted: How many were written to processes that have such a count.
+        written: All written requests.
+        answered: Requests with a complete answer.
+        broken_off: Requests with a partial answer that their clients can recognize as such.
+        killed: Requests whose process was ended by SIGKILL before its time to shut down was over.
+        left: Requests that their clients abandoned.
+        crossed: Requests that were written while the connection was being closed, and resent.
+        lost: Requests that were reported to the invariant checker as lost.
+        under_way: Requests whose deadline has not passed.
+        arrived: Requests that the process read and passed on, by its own count, which it logs if it
+            exits by itself.
+        rejected: Requests that the process answered with an error before that, by its own count.
+        counted: Requests written to processes that logged such a count.
     """
 
     written: int = 0
@@ -75,7 +77,7 @@
     counted: int = 0
 
     def remainder(self) -> int:
-        """Return how many requests have no end by name.
+        """Return how many requests have no known end.
 
         >>> LedgerRow(written=3, answered=1, killed=1).remainder()
         1
@@ -85,38 +87,38 @@
         return self.written - ended - excused - self.under_way
 
     def unread(self) -> int:
-        """Return how many were written and not read, by the process's own count."""
+        """Return how many requests were written but not read, by the process's own count."""
         return self.counted - self.arrived - self.rejected
 
     def faults(self) -> list[str]:
-        """Return what does not add up for one process.
+        """Return the inconsistencies in the counts of one process, as texts.
 
         >>> row = LedgerRow(written=3, answered=2, crossed=1, counted=3, arrived=3)
         >>> row.faults()
-        ['3 were read, of 3 written and 1 taken for unread']
+        ['3 were read, of 3 written and 1 resent as unread']
         >>> LedgerRow(written=2, answered=2, counted=2, arrived=1).faults()
-        ['1 were never read, and 0 have an end that tells of it']
+        ['1 were never read, and 0 have an end that explains it']
         """
         found = []
         if self.remainder():
-            found.append(f"{self.remainder()} have no end by name")
+            found.append(f"{self.remainder()} have no known end")
         if self.counted and self.arrived > self.counted - self.crossed:
             text = f"{self.arrived} were read, of {self.counted} written"
-            found.append(f"{text} and {self.crossed} taken for unread")
+            found.append(f"{text} and {self.crossed} resent as unread")
         explained = self.crossed + self.lost + self.left
         if self.unread() > explained:
             found.append(
-                f"{self.unread()} were never read, and {explained} have an end that tells of it"
+                f"{self.unread()} were never read, and {explained} have an end that explains it"
             )
         return found
 
     def describe(self) -> str:
-        """Return the figures above 0."""
+        """Return the counts above 0."""
         return ", ".join(f"{name} {count}" for name, count in asdict(self).items() if count)
 
 
 class ProcessTraffic(NamedTuple):
-    """What a process says of the requests that it read; `at_us` is when it said so."""
+    """A process's own counts of the requests that it read, and when it logged them."""
 
     at_us: int
     arrived: int
@@ -124,7 +126,7 @@
 
 
 def read_traffic(path: Path) -> Iterator[ProcessTraffic]:
-    """Return what the processes that wrote this log say of their requests."""
+    """Yield the request counts that processes have written to this log."""
     for line in path.read_bytes().splitlines():
         with suppress(ValueError):
             facts: dict[str, Any] = orjson.loads(line)
@@ -135,10 +137,10 @@
 
 
 class RequestLedger:
-    """Hears of each request that is written, and adds up at the end."""
+    """Records each written request and checks the counts at the end."""
 
     def __init__(self, cluster: Cluster) -> None:
-        """Listen to what the checker of this cluster is told."""
+        """Intercept the calls to the invariant checker of this cluster."""
         self.cluster = cluster
         self.written: list[WrittenRequest] = []
         self.last_by_id: dict[bytes, WrittenRequest] = {}
@@ -154,7 +156,7 @@
         setattr(invariant_checker, "on_balancer_ended", self.on_ended)  # noqa: B010
 
     def on_written(self, attempt: ClientAttempt) -> None:
-        """The last byte of a request is written."""
+        """Record a request whose last byte was written."""
         earlier = self.last_by_id.get(attempt.id)
         if earlier:
             earlier.was_resent = True
@@ -165,12 +167,12 @@
         self.on_client_attempt(attempt)
 
     def on_ended(self, balancer: str, incarnation: int, at: int, was_killed: bool) -> None:
-        """A process has ended; what it logged, it logged before."""
+        """Record the end of a process; all that it logged precedes this time."""
         self.end_times_us[ProcessKey(balancer, incarnation)] = at
         self.on_balancer_ended(balancer, incarnation, at, was_killed)
 
     def rows(self) -> dict[ProcessKey, LedgerRow]:
-        """Return the figures of each process that a request was written to."""
+        """Return the counts of each process that a request was written to."""
         rows: dict[ProcessKey, LedgerRow] = {}
         for request in self.written:
             row = rows.setdefault(request.process, LedgerRow())
@@ -181,7 +183,7 @@
         return rows
 
     def _end_of(self, request: WrittenRequest) -> str:
-        """Return the name of the figure that a request belongs to, empty for none."""
+        """Return the name of the count that a request belongs to, empty for none."""
         attempt = request.attempt
         if request.was_resent:
             return "crossed"
@@ -198,7 +200,7 @@
         return "under_way" if is_in_time and end is ProcessEnd.RUNNING else ""
 
     def report(self) -> dict[str, dict[str, int]]:
-        """Record a breach for all that does not add up; return what the verdict says."""
+        """Record a breach for each inconsistency; return the entry for the verdict line."""
         rows = self.rows()
         for name in self.cluster.balancers:
             self._add_traffic(name, rows)
@@ -210,7 +212,7 @@
         return {"ledger": figures}
 
     def _add_traffic(self, name: str, rows: dict[ProcessKey, LedgerRow]) -> None:
-        """Add what the balancer's processes say that ended by themselves."""
+        """Add the counts that a balancer's processes logged when they exited by themselves."""
         ends = sorted(
             (at_us, process)
             for process, at_us in self.end_times_us.items()
@@ -231,6 +233,6 @@
         invariant_checker.record_event(now_us, f"requests written to {who}: {row.describe()}")
         faults = row.faults()
         if self.cluster.process_end(*process) is ProcessEnd.EXITED and not row.counted:
-            faults.append(f"it ended by itself and did not say what it read: {row.describe()}")
+            faults.append(f"it exited by itself without logging what it read: {row.describe()}")
         for fault in faults:
             invariant_checker.record_breach("lost", now_us, f"requests to {who}: {fault}")
--- a/orchidgap/fault_tests/rollout_checker.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -1,15 +1,16 @@
-"""Checks a change of policy by what clients were answered and callers of control were told.
+"""Checks rollouts of policy changes by the answers to clients and the outcomes given to proposers.
 
-A request of the class that only one version has is answered 200 under that version, and under no
+A request of a class that only one version defines is answered 200 under that version and under no
 other. The rules, by their keys in the verdict line:
 
-`undecided`: a request was answered under a version that was decided nowhere, or not yet.
+`undecided`: a request was answered under a version that was never decided, or not yet.
 `old`: a request was sent later than the bound after a decision, and answered under an earlier
     version.
-`untrue`: one caller was told another outcome of a change than another, or than the history says.
-`uneven`: a stretch was not as even as the plan expects.
-`stuck`: with all faults healed, a balancer did not serve under what counts, or a proposal had no
-    outcome.
+`untrue`: a proposer received a different outcome of a change than another proposer, or than
+    control's history contains.
+`uneven`: load was less even during a stretch than the plan expects.
+`stuck`: after all faults had ended, a balancer did not serve under the decided version, or a
+    proposal had no outcome; or a condition was not met in time, or restarts took too long.
 """
 
 from __future__ import annotations
@@ -32,16 +33,17 @@
 
 @dataclass(slots=True)
 class ProposalRecord:
-    """What became of one proposal, as its callers were told.
+    """The outcome of one proposal, as reported to its proposers.
 
     Attributes:
-        number: Which proposal of the plan; 0 for the policy at the start.
+        number: The number of the proposal in the plan; 0 for the initial policy.
         began_us: When it was proposed.
-        outcome: What the callers were told.
-        version: As which version it was decided.
+        outcome: The outcome that control reported.
+        version: The version as which it was decided.
         reason: Why it was dropped.
-        ended_us: When its caller was told.
-        undecided_until_us: Until then a majority of control had certainly not accepted it.
+        ended_us: When the outcome was reported.
+        undecided_until_us: The last time at which a majority of control had certainly not accepted
+            it.
     """
 
     number: int
@@ -54,13 +56,13 @@
 
 
 class GovernedRequest(NamedTuple):
-    """A request, and the proposal under whose version it was answered."""
+    """A request and the proposal under whose version it was answered."""
 
     request: ClientAttempt
     proposal: ProposalRecord
 
     def describe(self) -> str:
-        """Return who answered it under what, for a breach's text."""
+        """Return the request, its balancer and the version, for the text of a breach."""
         request = self.request
         return (
             f"{request.id.decode()} at {request.balancer}: answered under v{self.proposal.number}"
@@ -68,23 +70,24 @@
 
 
 class RolloutChecker:
-    """Collects what is seen of proposals, and checks it at the end.
+    """Collects the outcomes of proposals and checks all requests against them at the end.
 
     Attributes:
-        proposals: By number.
-        breach_counts: By rule.
-        outdated_answers: Requests answered under an earlier version within the bound.
-        rollout_us: Of each decided version: from its decision to the last request answered under
-            an earlier one.
+        proposals: The proposals by number.
+        breach_counts: The number of breaches by rule.
+        outdated_answers: The number of requests sent after a decision and answered under an
+            earlier version.
+        rollout_us: For each decided version, the time from its decision to the sending of the last
+            request that was answered under an earlier version.
     """
 
     def __init__(self, invariant_checker: InvariantChecker, bound_us: int, slack_us: int) -> None:
         """Check the requests of `invariant_checker`.
 
         Args:
-            invariant_checker: What clients saw.
-            bound_us: How long after a decision an earlier version may answer.
-            slack_us: How much later than that answers may be seen on a busy machine.
+            invariant_checker: The record of all requests.
+            bound_us: How long after a decision requests may be answered under an earlier version.
+            slack_us: An addition to the bound, for delays on a busy machine.
         """
         self.invariant_checker = invariant_checker
         self.bound_us = bound_us
@@ -94,8 +97,8 @@
         self.rollout_us: list[int] = []
         self.outdated_answers = 0
 
-    def breach(self, rule: str, at_us: int, text: str) -> None:
-        """Record that a rule broke."""
+    def record_breach(self, rule: str, at_us: int, text: str) -> None:
+        """Record that a rule was broken."""
         self.breach_counts[rule] += 1
         self.invariant_checker.breaches.append(
             (rule, (at_us - self.invariant_checker.started_at_us) / 1e6, text)
@@ -109,12 +112,12 @@
         reason: str,
         at_us: int,
     ) -> None:
-        """Take in what some caller was told; final outcomes have to agree."""
+        """Record an outcome that a proposer received; final outcomes have to agree."""
         if proposal.outcome in FINAL_OUTCOMES and outcome in FINAL_OUTCOMES:
             if (proposal.outcome, proposal.version) != (outcome, version):
                 before = f"{proposal.outcome.value} {proposal.version}"
                 text = f"v{proposal.number}: {outcome.value} {version}, after {before}"
-                self.breach(UNTRUE, at_us, text)
+                self.record_breach(UNTRUE, at_us, text)
             return
         if outcome in FINAL_OUTCOMES or proposal.outcome is ProposalOutcome.OPEN:
             proposal.outcome = outcome
@@ -123,7 +126,7 @@
             proposal.ended_us = at_us
 
     def last_decided(self) -> ProposalRecord:
-        """Return the proposal that was decided as the highest version."""
+        """Return the decided proposal with the highest version."""
 
         def decided_version(proposal: ProposalRecord) -> int:
             return proposal.version if proposal.outcome is ProposalOutcome.DECIDED else -1
@@ -131,7 +134,7 @@
         return max(self.proposals.values(), key=decided_version)
 
     def _governed_requests(self) -> list[GovernedRequest]:
-        """Return the requests that tell which version governed them."""
+        """Return the requests whose answer shows the version that was in effect."""
         found = []
         for request in self.invariant_checker.client_attempts.values():
             if request.status != 200:
@@ -142,7 +145,7 @@
         return found
 
     def _decision_times_us(self, governed: list[GovernedRequest]) -> dict[int, int]:
-        """Return by version when it was certainly decided, at the latest."""
+        """Return, by version, the earliest time at which it had certainly been decided."""
         decided_us: dict[int, int] = {}
         for proposal in self.proposals.values():
             if proposal.outcome is ProposalOutcome.DECIDED and proposal.number:
@@ -151,7 +154,7 @@
         return decided_us
 
     def check(self) -> None:
-        """Check all requests against all decisions."""
+        """Check all requests against all decided versions."""
         governed = self._governed_requests()
         decided_us = self._decision_times_us(governed)
         last_outdated_us: dict[int, int] = {}
@@ -173,16 +176,16 @@
         self.rollout_us = [last_outdated_us.get(version, 0) for version in decided_us]
 
     def _check_decided(self, governed: GovernedRequest) -> bool:
-        """Return whether the version was decided at all; that it was so in time is checked too."""
+        """Return whether the version was ever decided; also check that it was before the answer."""
         request, proposal = governed
         if proposal.outcome is not ProposalOutcome.DECIDED:
             outcome = proposal.outcome.value or ProposalOutcome.DROPPED.value
-            text = f"{governed.describe()}, which holds {outcome}"
-            self.breach(UNDECIDED, request.answered_at_us, text)
+            text = f"{governed.describe()}, whose outcome is {outcome}"
+            self.record_breach(UNDECIDED, request.answered_at_us, text)
             return False
         if proposal.number and request.answered_at_us < proposal.undecided_until_us:
             text = f"{governed.describe()} before it was decided"
-            self.breach(UNDECIDED, request.answered_at_us, text)
+            self.record_breach(UNDECIDED, request.answered_at_us, text)
         return True
 
     def _check_age(self, governed: GovernedRequest, decided_us: dict[int, int]) -> None:
@@ -192,11 +195,11 @@
             if version > proposal.version and request.arrived_at_us > latest_us:
                 age_s = (request.arrived_at_us - since_us) / 1e6
                 late = f"sent {age_s:.2f} s after version {version} was decided"
-                self.breach(OLD, request.answered_at_us, f"{governed.describe()}, {late}")
+                self.record_breach(OLD, request.answered_at_us, f"{governed.describe()}, {late}")
                 return
 
     def verdict(self, verdict: dict[str, Any]) -> dict[str, Any]:
-        """Return the verdict line's content with the counts of these rules added."""
+        """Return the content of the verdict line extended by the counts of these rules."""
         broken = verdict["verdict"] == "broken" or any(self.breach_counts.values())
         proposals = [proposal for number, proposal in sorted(self.proposals.items()) if number]
         outcomes = [proposal.outcome for proposal in proposals]
--- a/orchidgap/fault_tests/runner.py
+++ b/orchidgap/fault_tests/runner.py
@@ -1,4 +1,4 @@
-"""Runs a fault test: the steps in their order, then all healed and checked."""
+"""Runs a fault test: performs the steps in order, ends all faults, then checks the result."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 from orchidgap.fault_tests.actions import StepActions
-from orchidgap.fault_tests.cluster import LOOK_INTERVAL_US, Cluster
+from orchidgap.fault_tests.cluster import PROCESS_POLL_INTERVAL_US, Cluster
 from orchidgap.fault_tests.conditions import StepConditions
 from orchidgap.fault_tests.costs import CostMeter
 from orchidgap.fault_tests.decision_watch import DecisionWatch
@@ -22,14 +22,14 @@
 TERMINATION_TIMEOUT_S = 6
 MAX_DURATION_S = 3_600
 NO_STRETCH = ""
-PREPARED_STEPS = 2  # the one that is waited for, and the one behind it
+PREPARED_STEPS = 2  # the step whose condition is awaited, and the next one
 
 
 class FaultTestRunner:
-    """Plays the plan of a cluster."""
+    """Runs the plan of a cluster."""
 
     def __init__(self, cluster: Cluster) -> None:
-        """Prepare to run this cluster, once."""
+        """Prepare a single run of this cluster."""
         self.cluster = cluster
         self.conditions = StepConditions(cluster)
         self.actions = StepActions(cluster)
@@ -58,20 +58,20 @@
         cluster = self.cluster
         began_s = time.monotonic()
         cluster.start_processes()
-        cluster.wait_until(self._all_ready, START_TIMEOUT_S, "all up")
+        cluster.wait_until(self._all_ready, START_TIMEOUT_S, "all balancers ready")
         self.costs.on_started(time.monotonic() - began_s)
         cluster.start = cluster.loop.clock()
         cluster.invariant_checker.started_at_us = cluster.start
-        cluster.loop.call_later(LOOK_INTERVAL_US, self.costs.sample)
+        cluster.loop.call_later(PROCESS_POLL_INTERVAL_US, self.costs.sample)
         cluster.clients.end = cluster.start + seconds_to_us(MAX_DURATION_S)
         cluster.loop.call_soon(cluster.clients.on_arrival)
         cluster.loop.call_soon(self.decision_watch.poll)
 
     def _all_ready(self) -> bool:
-        return all(post.ready_at for post in self.cluster.balancers.values())
+        return all(instance.ready_at for instance in self.cluster.balancers.values())
 
     def _run_steps(self) -> None:
-        """Run the steps up to the first that is not seen in time."""
+        """Run the steps; stop at the first whose condition is not met in time."""
         for index, step in enumerate(self.cluster.test.steps):
             for _ in range(step.repeat_count):
                 if not self._run_step(index, step):
@@ -92,7 +92,7 @@
         return True
 
     def _prepare_steps(self, index: int) -> None:
-        """Prepare what a step and the one behind it do, before the step is waited for."""
+        """Prepare the actions of a step and of the next one, before the step's wait begins."""
         steps = self.cluster.test.steps[index : index + PREPARED_STEPS]
         self.actions.prepare(action for step in steps for action in step.actions)
 
@@ -100,13 +100,13 @@
         cluster = self.cluster
         cluster.stretches.begin(NO_STRETCH)
         cluster.end_faults()
-        leaving = [post for post in cluster.balancers.values() if post.is_shutting_down]
+        leaving = [instance for instance in cluster.balancers.values() if instance.is_shutting_down]
         cluster.wait_until(
-            lambda: not any(post.alive for post in leaving),
+            lambda: not any(instance.alive for instance in leaving),
             TERMINATION_TIMEOUT_S,
-            "all ended that were told to",
+            "all balancers that were shut down have ended",
         )
-        cluster.end_faults()  # those that have ended start again
+        cluster.end_faults()  # restarts the balancers that have ended
         wait_s = cluster.proposer_wait_s() + EXTRA_WAIT_S
         cluster.wait_until(lambda: not cluster.proposers.running, wait_s, "no proposal open")
 
@@ -118,11 +118,11 @@
         for text in cluster.majority_watch.withheld(
             cluster.invariant_checker.client_attempts.values()
         ):
-            cluster.checker.breach(STUCK, cluster.loop.now, text)
+            cluster.checker.record_breach(STUCK, cluster.loop.now, text)
         readiness = check_readiness(cluster)
         for text in readiness.breaches:
-            cluster.checker.breach(STUCK, cluster.loop.now, text)
-        stretches = cluster.stretches.finish(cluster.checker.breach)
+            cluster.checker.record_breach(STUCK, cluster.loop.now, text)
+        stretches = cluster.stretches.finish(cluster.checker.record_breach)
         verdict = cluster.checker.verdict(cluster.build_verdict()) | self.costs.report()
         if cluster.controls:
             without_us = cluster.majority_watch.without_majority_us
--- a/orchidgap/fault_tests/scheduling_watch.py
+++ b/orchidgap/fault_tests/scheduling_watch.py
@@ -11,7 +11,7 @@
 
 from orchidgap.net.run_delay import run_delay_us, schedstat_of, steal_us
 
-TEST_ITSELF = "test"  # clients, hosts, discovery and relays
+TEST_PROCESS = "test"  # clients, hosts, discovery and relays
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
         self.samples: dict[str, list[tuple[int, DelaySamples]]] = {}
         self.steal = DelaySamples()
 
-    def look(self, process_ids: Mapping[str, int], now_us: int) -> None:
+    def sample(self, process_ids: Mapping[str, int], now_us: int) -> None:
         """Sample the processes with these ids, by their names."""
         for name, process_id in process_ids.items():
             runs = self.samples.setdefault(name, [])
--- a/orchidgap/fault_tests/soak_faults.py
+++ b/orchidgap/fault_tests/soak_faults.py
@@ -69,8 +69,8 @@
         fault = self.kind_rng.choice(self.kinds)
         serving = [
             name
-            for name, post in self.cluster.balancers.items()
-            if post.alive and post.ready_at and not post.is_shutting_down
+            for name, instance in self.cluster.balancers.items()
+            if instance.alive and instance.ready_at and not instance.is_shutting_down
         ]
         if len(serving) > 1:  # clients have somewhere to go
             fault(self.rng.choice(serving))
@@ -94,10 +94,10 @@
 
     def retire(self, name: str) -> None:
         """SIGTERM amid new connections, perhaps more signals; SIGKILL at the earliest time."""
-        post = self.cluster.balancers[name]
+        instance = self.cluster.balancers[name]
         self.dial_streams.begin(name, SHUTDOWN_DIALS)
         self.send_signal(self.cluster.process_of(name), name, signal.SIGTERM)
-        post.begin_shutdown()
+        instance.begin_shutdown()
         for number in (signal.SIGTERM, signal.SIGHUP):
             if self.rng.random() < 0.5:
                 self.send_signal_later(name, number, self.rng.randrange(*SECOND_SIGNAL_US))
@@ -105,14 +105,14 @@
 
     def await_end(self, name: str) -> None:
         """See the process end, kill it when it may be, and start another one."""
-        post = self.cluster.balancers[name]
+        instance = self.cluster.balancers[name]
         process = self.cluster.process_of(name)
         if process.poll() is not None:
-            post.ends[post.incarnation] = ProcessEnd.EXITED
+            instance.ends[instance.incarnation] = ProcessEnd.EXITED
             self.loop.call_later(LAST_ANSWERS_US, self.on_ended, name)
-        elif self.loop.now >= post.kill_time_us():
+        elif self.loop.now >= instance.kill_time_us():
             self.note(f"SIGKILL {name}, {KILL_MARGIN_US // 1000} ms after the longest timeout")
-            post.ends[post.incarnation] = post.end_by_kill()
+            instance.ends[instance.incarnation] = instance.end_by_kill()
             process.kill()
             self.loop.call_later(LAST_ANSWERS_US, self.on_ended, name)
         else:
@@ -120,21 +120,21 @@
 
     def on_ended(self, name: str) -> None:
         """Judge what it left unanswered, and start it anew."""
-        post = self.cluster.balancers[name]
-        if not post.alive:
+        instance = self.cluster.balancers[name]
+        if not instance.alive:
             return
         for attempt in self.unanswered(name):
             self.cluster.report_unanswered(attempt, self.loop.now)
-        post.mark_ended(post.process_end(post.incarnation))
+        instance.mark_ended(instance.process_end(instance.incarnation))
         self.restart_later(name)
 
     def unanswered(self, name: str) -> list[ClientAttempt]:
         """Return the requests that its process had taken and never answered."""
-        post = self.cluster.balancers[name]
+        instance = self.cluster.balancers[name]
         return [
             attempt
             for attempt in self.cluster.invariant_checker.client_attempts.values()
-            if (attempt.balancer, attempt.incarnation) == (name, post.incarnation)
+            if (attempt.balancer, attempt.incarnation) == (name, instance.incarnation)
             and attempt.arrived_at_us
             and not attempt.status
             and not attempt.abandoned
@@ -175,8 +175,8 @@
         restart_balancer(self.cluster, name)
 
         def retire() -> None:
-            post = self.cluster.balancers[name]
-            if post.alive and not post.is_shutting_down:
+            instance = self.cluster.balancers[name]
+            if instance.alive and not instance.is_shutting_down:
                 self.retire(name)
 
         self.loop.call_later(self.rng.randrange(*TERM_AFTER_START_US), retire)
@@ -185,12 +185,12 @@
         """Stop it for a moment."""
         duration_us = self.rng.randrange(*STOP_US)
         self.note(f"stop {name} for {duration_us // 1000} ms")
-        post = self.cluster.balancers[name]
-        post.pause(self.loop.now + duration_us)
-        incarnation = post.incarnation
+        instance = self.cluster.balancers[name]
+        instance.pause(self.loop.now + duration_us)
+        incarnation = instance.incarnation
 
         def resume() -> None:
-            if post.alive and post.incarnation == incarnation:
+            if instance.alive and instance.incarnation == incarnation:
                 self.cluster.resume(name)
 
         self.loop.call_later(duration_us, resume)
--- a/orchidgap/fault_tests/version_clients.py
+++ b/orchidgap/fault_tests/version_clients.py
@@ -52,7 +52,7 @@
         """Choose evenly, also balancers that deny: which version governs them is the question."""
         names = [
             name
-            for name, post in self.environment.balancers.items()
-            if post.alive and post.ready_at and name != excluded
+            for name, instance in self.environment.balancers.items()
+            if instance.alive and instance.ready_at and name != excluded
         ]
         return self.rng.choice(names) if names else None
--- a/tests/fault_tests/test_breach_story.py
+++ b/tests/fault_tests/test_breach_report.py
@@ -1,18 +1,18 @@
-"""A fault test that broke a rule leaves what explains it: once its message was gone with its folder."""
+"""A fault test that broke a rule keeps its files; once they were deleted along with the only explanation."""
 
 import shutil
 from pathlib import Path
 
 import orjson
 
-from orchidgap.fault_tests.breach_story import tell_breaches
+from orchidgap.fault_tests.breach_report import describe_breaches
 from orchidgap.fault_tests.commands import play
 from orchidgap.fault_tests.plan import read
 from orchidgap.simulation.invariant_checker import InvariantChecker
 
 NEVER_SEEN = """
 name = "never-seen"
-about = "Waits for what no process logs."
+about = "Waits for an event that no process logs."
 balancers = 1
 caches = 1
 rate = 20.0
@@ -26,7 +26,7 @@
 """
 
 
-def test_a_breach_is_told_with_the_lines_and_faults_around_it(tmp_path):
+def test_a_breach_is_described_with_the_log_lines_and_faults_around_it(tmp_path):
     checker = InvariantChecker(plan=read_plan(tmp_path).plan, start=1_000_000_000)
     lines = [
         {"at": 1000.5, "balancer": "b0", "event": "early"},
@@ -36,12 +36,12 @@
     (tmp_path / "b0.log").write_bytes(text)
     checker.record_event(1_002_000_000, "kill b0")
     checker.record_breach("late", 1_004_000_000, "r1: late")
-    assert tell_breaches(checker, tmp_path) == (
+    assert describe_breaches(checker, tmp_path) == (
         'late at 4.000 s: r1: late\n      2.000 fault: kill b0\n      3.500 b0 {"event":"near","x":1}\n'
     )
 
 
-def test_the_files_of_a_broken_run_are_kept_and_named(tmp_path, capsys):
+def test_the_files_of_a_broken_run_are_kept_and_their_folder_is_reported(tmp_path, capsys):
     verdict, _ = play(read_plan(tmp_path))
     assert verdict["verdict"] == "broken"
     kept = Path(verdict["folder"])
--- a/tests/fault_tests/test_majority_watch.py
+++ b/tests/fault_tests/test_majority_watch.py
@@ -18,7 +18,7 @@
 def watch_that_saw(*looks):
     watch = MajorityWatch(grace_us=8 * S)
     for second, reaching in looks:
-        watch.look(reaching.split(), second * S)
+        watch.update(reaching.split(), second * S)
     return watch
 
 
--- a/tests/fault_tests/test_held_command.py
+++ b/tests/fault_tests/test_prestarted_command.py
@@ -7,7 +7,7 @@
 import pytest
 
 from orchidgap.fault_tests.actions import StepActions
-from orchidgap.fault_tests.child_processes import HeldCommand
+from orchidgap.fault_tests.child_processes import PrestartedCommand
 from orchidgap.fault_tests.plan import ProposalOutcome, parse_action
 from orchidgap.fault_tests.proposal_callers import ProposalCallers
 from orchidgap.fault_tests.rollout_checker import ProposalRecord
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def command():
-    command = HeldCommand()
+    command = PrestartedCommand()
     yield command
     command.close()
 
@@ -42,7 +42,7 @@
     with pytest.raises(TimeoutError):
         listener.accept()
     assert not command.has_ended()
-    command.go(arguments(listener, "strike", "b0"))
+    command.run(arguments(listener, "strike", "b0"))
     listener.settimeout(TIMEOUT_S)
     connection, _ = listener.accept()
     with connection:
@@ -87,16 +87,16 @@
 
 def test_a_proposal_is_made_by_a_command_that_was_held_for_it(listener, callers, tmp_path):
     """An interpreter that started beside load took longer than control waits for a proposal."""
-    callers.hold(1)
-    callers.hold(1)
-    [held] = callers.held
+    callers.prestart(1)
+    callers.prestart(1)
+    [prestarted] = callers.prestarted
     document = tmp_path / "v1.doc"
     document.write_text('{"settings": {}}')
     proposal = ProposalRecord(1, 0)
     address = arguments(listener)[-1].removeprefix("--at=")
     callers.start(proposal, document, address)
-    assert not callers.held
-    assert [caller.command for caller in callers.running] == [held]
+    assert not callers.prestarted
+    assert [caller.command for caller in callers.running] == [prestarted]
     give_up_s = time.monotonic() + TIMEOUT_S
     listener.settimeout(TIMEOUT_S)
     connection, _ = listener.accept()
@@ -114,16 +114,16 @@
     """One that is held for each step again would leave processes behind."""
     actions = StepActions.__new__(StepActions)
     actions.cluster = SimpleNamespace(proposers=callers)
-    actions.held_evictions = []
+    actions.prestarted_evictions = []
     steps = [parse_action(text, text) for text in ("propose good", "strike b0", "propose bad")]
     for _ in range(2):
         actions.prepare(steps)
-        assert (len(callers.held), len(actions.held_evictions)) == (2, 1)
+        assert (len(callers.prestarted), len(actions.prestarted_evictions)) == (2, 1)
     actions.close()
 
 
 def test_commands_that_were_not_needed_end_with_the_drill(callers):
-    callers.hold(2)
-    held = list(callers.held)
+    callers.prestart(2)
+    prestarted = list(callers.prestarted)
     callers.close()
-    assert all(command.has_ended() for command in held)
+    assert all(command.has_ended() for command in prestarted)
--- a/tests/fault_tests/test_request_ledger.py
+++ b/tests/fault_tests/test_request_ledger.py
@@ -1,4 +1,4 @@
-"""The sum of all requests that were written to a process: one that has no end by name is lost, whoever excuses it."""
+"""Guards against lost requests: each request written to a process needs a known end, or it counts as lost."""
 
 from types import SimpleNamespace
 
@@ -12,7 +12,7 @@
 
 
 def make_ledger(tmp_path, traffic=None, end=ProcessEnd.EXITED):
-    """A ledger of one balancer, whose first process has ended so and logged this."""
+    """Return a ledger of one balancer whose first process has this end and logged this traffic."""
     log = tmp_path / "b0.log"
     log.write_text(f'{{"at": 8.0, "event": "traffic", {traffic}}}\nno event\n' if traffic else "")
     checker = InvariantChecker(validate_plan({"name": "x", "balancers": 1}), 0)
@@ -39,35 +39,35 @@
     return attempt
 
 
-def test_a_request_without_an_end_by_name_is_lost(tmp_path):
-    # whatever lets go of a request without a word to the checker
+def test_a_request_without_a_known_end_is_lost(tmp_path):
+    # any code path that drops a request without reporting it to the checker
     ledger, checker = make_ledger(tmp_path, '"requests": {"arrived": 2}, "rejected": {}')
     write(ledger, 1, status=200)
     write(ledger, 2)
     figures = ledger.report()["ledger"]
     assert (figures["written"], figures["answered"], figures["remainder"]) == (2, 1, 1)
-    assert "1 have no end by name" in checker.breaches[0][2]
+    assert "1 have no known end" in checker.breaches[0][2]
 
 
-def test_what_was_read_is_not_taken_for_unread(tmp_path):
-    # a process that reads a request, says nothing and resets: its client sends it again
+def test_a_request_that_was_read_may_not_be_resent_as_unread(tmp_path):
+    # a process reads a request, sends no answer and resets the connection: its client resends it
     ledger, checker = make_ledger(tmp_path, '"requests": {"arrived": 2}, "rejected": {}')
     write(ledger, 1, status=200)
     ledger.cluster.invariant_checker.on_client_attempt(write(ledger, 2))
     ledger.last_by_id[b"q2"].attempt.status = 200
     figures = ledger.report()["ledger"]
     assert (figures["written"], figures["crossed"]) == (3, 1)
-    assert not checker.breaches  # of three that were written it read two
+    assert not checker.breaches  # three were written, and two of them read
     ledger, checker = make_ledger(tmp_path, '"requests": {"arrived": 3}, "rejected": {}')
     write(ledger, 1, status=200)
     ledger.cluster.invariant_checker.on_client_attempt(write(ledger, 2))
     ledger.last_by_id[b"q2"].attempt.status = 200
     ledger.report()
-    assert "3 were read, of 3 written and 1 taken for unread" in checker.breaches[0][2]
+    assert "3 were read, of 3 written and 1 resent as unread" in checker.breaches[0][2]
 
 
-def test_what_was_never_read_has_an_end_that_tells_of_it(tmp_path):
-    # a listener that is closed over its queue: lost by name, or else by this sum
+def test_an_unread_request_needs_an_end_that_explains_it(tmp_path):
+    # a listener closed with a non-empty accept queue: reported as lost, or found by this count
     traffic = '"requests": {"arrived": 1}, "rejected": {"503": 1}'
     ledger, checker = make_ledger(tmp_path, traffic)
     for number, status in enumerate((200, 503, -1)):
@@ -82,16 +82,16 @@
     assert "1 were never read" in checker.breaches[0][2]
 
 
-def test_a_process_that_ended_by_itself_says_what_it_read(tmp_path):
-    # one that crashes, and all that it had read with it
+def test_a_process_that_exits_by_itself_has_to_log_what_it_read(tmp_path):
+    # a process that crashes loses all requests that it had read
     ledger, checker = make_ledger(tmp_path)
     write(ledger, 1, status=200)
     ledger.report()
-    assert "did not say what it read" in checker.breaches[0][2]
+    assert "without logging what it read" in checker.breaches[0][2]
 
 
-def test_a_killed_process_has_no_count_and_excuses_what_it_held(tmp_path):
-    # only an outright kill does
+def test_a_killed_process_has_no_count_and_its_open_requests_are_excused(tmp_path):
+    # a kill after the time for a shutdown excuses nothing
     ledger, checker = make_ledger(tmp_path, end=ProcessEnd.KILLED)
     write(ledger, 1)
     assert ledger.report()["ledger"]["killed"] == 1
@@ -99,4 +99,4 @@
     ledger, checker = make_ledger(tmp_path, end=ProcessEnd.KILLED_PAST_GRACE)
     write(ledger, 1)
     ledger.report()
-    assert "1 have no end by name" in checker.breaches[0][2]
+    assert "1 have no known end" in checker.breaches[0][2]
--- a/tests/fault_tests/test_resumption.py
+++ b/tests/fault_tests/test_resumption.py
@@ -31,17 +31,17 @@
         clock.us += STOOD_STILL_US
         sent.append((number, clock.us))
 
-    ask = ClientAttempt(b"q1", Operation(0, READ, "", 0, 1, 0), "b0", 1, 500, TIMEOUT_US)
-    post = SimpleNamespace(pauses=[Pause(600, 900)])
+    attempt = ClientAttempt(b"q1", Operation(0, READ, "", 0, 1, 0), "b0", 1, 500, TIMEOUT_US)
+    instance = SimpleNamespace(pauses=[Pause(600, 900)])
     cluster = SimpleNamespace(
         loop=loop,
-        balancers={"b0": post},
+        balancers={"b0": instance},
         process_of=lambda name: SimpleNamespace(send_signal=stand_still_and_send),
-        invariant_checker=SimpleNamespace(client_attempts={b"q1": ask}),
+        invariant_checker=SimpleNamespace(client_attempts={b"q1": attempt}),
     )
     Cluster.resume(cluster, "b0")
     resumed_us = 1_000 + STOOD_STILL_US
     assert sent == [(signal.SIGCONT, resumed_us)]
-    assert ask.last_attempt_ended_us == resumed_us
-    assert ask.deadline_us == resumed_us + TIMEOUT_US
-    assert post.pauses == [Pause(600, resumed_us + 1_000_000)]
+    assert attempt.last_attempt_ended_us == resumed_us
+    assert attempt.deadline_us == resumed_us + TIMEOUT_US
+    assert instance.pauses == [Pause(600, resumed_us + 1_000_000)]
--- a/tests/fault_tests/test_scheduling_watch.py
+++ b/tests/fault_tests/test_scheduling_watch.py
@@ -21,9 +21,9 @@
 
 def test_a_process_that_was_started_anew_is_counted_by_itself():
     watch = SchedulingWatch()
-    watch.look({"b0": os.getpid()}, 1_000)
-    watch.look({"b0": os.getppid()}, 2_000)
-    watch.look({"b0": os.getppid()}, 3_000)
+    watch.sample({"b0": os.getpid()}, 1_000)
+    watch.sample({"b0": os.getppid()}, 2_000)
+    watch.sample({"b0": os.getppid()}, 3_000)
     assert [process_id for process_id, _ in watch.samples["b0"]] == [os.getpid(), os.getppid()]
     assert 0 <= watch.delay_us("b0", 0, 3_000) <= 3_000
     assert watch.delay_us("none", 0, 3_000) == 0
--- a/tests/fault_tests/test_soak_faults.py
+++ b/tests/fault_tests/test_soak_faults.py
@@ -25,7 +25,7 @@
     loop = Loop(clock=lambda: clock.us)
     plan = Plan(name="soak")
     environment = SimpleNamespace(loop=loop, plan=plan, port_offset=0)
-    post = StoodIn(environment, "b0", 0, 0)
+    instance = StoodIn(environment, "b0", 0, 0)
     signals = []
     process = SimpleNamespace(
         poll=lambda: None,
@@ -33,14 +33,14 @@
         kill=lambda: signals.append((signal.SIGKILL, clock.us)),
     )
     cluster = SimpleNamespace(
-        balancers={"b0": post},
+        balancers={"b0": instance},
         loop=loop,
         rng=random.Random(0),
         seed=2,
         invariant_checker=SimpleNamespace(record_event=lambda at, text: None),
         process_of=lambda name: process,
     )
-    post.has_exited = lambda: False
+    instance.has_exited = lambda: False
 
     def dial(name, limits):
         clock.us += DIALS_TAKE_US
