--- a/orchidgap/fault_tests/actions.py
+++ b/orchidgap/fault_tests/actions.py
@@ -1,4 +1,4 @@
-"""What the steps of a fault test do."""
+"""The actions of a fault test's steps."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 from orchidgap.simulation.plan import Fault, milliseconds_to_us, seconds_to_us
 
 FOREVER_US = 1 << 62
-FILE_VERSION = 999  # of settings that no proposal has
+FILE_VERSION = 999  # version of the settings in a balancer's file; no proposal has it
 EVICTION_TIMEOUT_S = 20
 NOISE_BURSTS = 100
 NOISE_INTERVAL_US = 10_000
 MAX_NOISE_BYTES = 1_400
-EARLIEST_END_US = 200_000  # of a fault by chance
+EARLIEST_END_US = 200_000  # minimum duration of a random fault
 LATEST_END_US = 2_000_000
 END_PROBABILITY = 0.5
 
 
 class StepActions:
-    """Does to a cluster what steps say."""
+    """Performs the actions of steps on a cluster."""
 
     def __init__(self, cluster: Cluster) -> None:
         """Act on this cluster."""
@@ -81,7 +81,7 @@
         }
 
     def perform(self, action: Action) -> None:
-        """Do one action."""
+        """Perform one action."""
         arguments = action.arguments
         if arguments and arguments[0].endswith("%"):
             for name in self._first_balancers(arguments[0]):
@@ -102,7 +102,7 @@
         return names[: len(names) * int(percentage.rstrip("%")) // 100]
 
     def random_fault(self) -> None:
-        """Do a fault by chance, which may end by itself."""
+        """Cause a random fault, which may end by itself."""
         cluster = self.cluster
         self.perform(draw_fault(cluster))
         if cluster.rng.random() < END_PROBABILITY:
@@ -112,7 +112,7 @@
     # --- changes
 
     def propose(self, policy: str, target: str = "") -> None:
-        """Propose a good or bad policy by one control process, or a version once more."""
+        """Propose a good or bad policy, via one control process or all, or repeat a proposal."""
         cluster = self.cluster
         repeats = target.startswith(CLASS_PREFIX)
         number = int(target[1:]) if repeats else cluster.last_proposal + 1
@@ -125,8 +125,8 @@
         proposals = cluster.checker.proposals
         if not repeats or proposals[number].outcome is ProposalOutcome.DROPPED:
             proposals[number] = ProposalRecord(number, cluster.loop.now)
-        asked = "" if repeats else target
-        cluster.proposers.start(proposals[number], path, self._control_addresses(asked))
+        control_name = "" if repeats else target
+        cluster.proposers.start(proposals[number], path, self._control_addresses(control_name))
 
     def _control_addresses(self, name: str = "") -> str:
         """Return the addresses of one control process, or of all, for the command line."""
@@ -137,9 +137,9 @@
         )
 
     def prepare(self, actions: Iterable[Action]) -> None:
-        """Start ahead of their steps what an operator would have at hand then.
+        """Start the processes of operators' commands ahead of their steps.
 
-        An interpreter that starts beside load may take longer than control waits for a proposal.
+        Under load an interpreter may take longer to start than control waits for a proposal.
         """
         kinds = [action.kind for action in actions]
         self.cluster.proposers.prestart(kinds.count(ActionKind.PROPOSE))
@@ -149,7 +149,7 @@
         ]
 
     def evict(self, name: str) -> None:
-        """Evict a balancer from those that serve without a quorum."""
+        """Remove a balancer from the members that may serve without a quorum."""
         command = (
             self.prestarted_evictions.pop(0) if self.prestarted_evictions else PrestartedCommand()
         )
@@ -163,16 +163,16 @@
         cluster.invariant_checker.record_event(cluster.loop.now, f"{name} struck off: {exit_code}")
 
     def close(self) -> None:
-        """End the commands whose step was not reached."""
+        """End the prestarted commands whose step was not reached."""
         for command in self.prestarted_evictions:
             command.close()
 
     def reload(self, name: str) -> None:
-        """Give a balancer's file settings of its own; those of control go before."""
+        """Change the settings in a balancer's file; those from control take precedence."""
         self.cluster.reload(self.cluster.balancers[name], FILE_VERSION)
 
     def roll_out_by_signal(self) -> None:
-        """Change the settings without control: one file and one SIGHUP after another."""
+        """Change the settings without control: write each balancer's file and send it SIGHUP."""
         cluster = self.cluster
         cluster.last_proposal += 1
         number = cluster.last_proposal
@@ -181,7 +181,7 @@
         for instance in cluster.balancers.values():
             if instance.alive:
                 cluster.reload(instance, number)
-                cluster.loop.run_once(0)  # clients go on meanwhile
+                cluster.loop.run_once(0)  # lets clients continue in the meantime
         outcome = ProposalOutcome.DECIDED
         cluster.checker.on_outcome(proposal, outcome, number, "", cluster.loop.now)
 
@@ -198,7 +198,7 @@
         self.cluster.control(name).alive = False
 
     def terminate(self, name: str) -> None:
-        """Send SIGTERM; a control process's end is waited for."""
+        """Send SIGTERM; for a control process, wait for its end."""
         if name in self.cluster.balancers:
             self.cluster.balancers[name].shut_down()
             return
@@ -208,7 +208,7 @@
         self.cluster.control(name).alive = False
 
     def start(self, name: str) -> None:
-        """Start a process anew."""
+        """Start a process again."""
         cluster = self.cluster
         if name not in cluster.balancers:
             cluster.control(name).start(cluster.controls)
@@ -219,7 +219,7 @@
         instance.start(cluster.latest_endpoint_list(name))
 
     def pause(self, name: str) -> None:
-        """Stop a process where it stands."""
+        """Pause a process with SIGSTOP."""
         cluster = self.cluster
         cluster.process_of(name).send_signal(signal.SIGSTOP)
         if name in cluster.balancers:
@@ -228,23 +228,23 @@
     # --- disks
 
     def wipe_disk(self, name: str) -> None:
-        """Lose all files of a process."""
+        """Delete all files of a process."""
         disk_faults.wipe(disk_faults.disk_folder(self.cluster.directory, name))
 
     def tear_file(self, name: str, file: str) -> None:
-        """Cut a file of a process in half."""
+        """Truncate a file of a process to half its length."""
         disk_faults.tear_file(disk_faults.disk_folder(self.cluster.directory, name) / file)
 
     def fill_disk(self, name: str) -> None:
-        """Leave a process no room."""
+        """Make the writes of a process fail for lack of disk space."""
         disk_faults.fill(disk_faults.disk_folder(self.cluster.directory, name))
 
     def free_disk(self, name: str) -> None:
-        """Make room for a process again."""
+        """Free disk space for a process again."""
         disk_faults.free(disk_faults.disk_folder(self.cluster.directory, name))
 
     def fail_disk(self, name: str, operation: str, number: str, failure: str) -> None:
-        """Let the Nth disk operation of a process fail."""
+        """Make the Nth disk operation of a process fail."""
         path = self.cluster.launcher.disk_faults_path(name)
         disk_faults.fail_operation(path, operation, number, failure)
         if failure == disk_faults.KILL and name in self.cluster.balancers:
@@ -253,17 +253,17 @@
     # --- links
 
     def slow(self, one: str, other: str, delay_ms: str, loss_ratio: str = "0") -> None:
-        """Delay everything between the two, and lose a part."""
+        """Delay all data between two ends and lose a fraction of the packets."""
         self.cluster.links.slow(one, other, milliseconds_to_us(float(delay_ms)), float(loss_ratio))
 
     def lose_datagrams(self, name: str, percentage: str) -> None:
-        """Lose a part of the datagrams to and from a balancer, or of all."""
+        """Lose a fraction of the datagrams to and from a balancer, or of all balancers."""
         loss_ratio = float(percentage.rstrip("%")) / 100
         address = None if name == ALL_BALANCERS else self.cluster.balancers[name].gossip_address
         self.cluster.links.lose_datagrams(name, address, loss_ratio)
 
     def send_noise(self, name: str, count: str) -> None:
-        """Send a balancer so many datagrams that nobody signed, within a second."""
+        """Send a balancer a number of unsigned random datagrams within a second."""
         noise = Random(self.cluster.seed)
         relay = self.cluster.links.datagram_relays[name]
         burst = int(count) // NOISE_BURSTS
@@ -279,17 +279,17 @@
     # --- clients
 
     def dial(self, name: str, duration_s: str, slots: str, max_dials: str, when: str = "") -> None:
-        """Connect to a balancer without pause, in so many slots and so often at most."""
+        """Dial a balancer continuously, within limits of time, slots and total connections."""
         duration_us = seconds_to_us(float(duration_s))
         limits = DialLimits(int(slots), int(max_dials), duration_us, when == WRITES_LATER)
         self.dial_streams.begin(name, limits)
 
-    # --- faults that simulations have
+    # --- faults of the simulation
 
     def simulation_fault(
         self, kind: str, duration_s: str, target: str = "", size: str = "0"
     ) -> None:
-        """Set off a simulation's fault; the target is a part of the hosts, or one by name."""
+        """Start a simulation's fault; the target is a percentage of the hosts, or a name."""
         ratio = 0.0
         if target.endswith("%"):
             ratio = float(target.rstrip("%")) / 100
--- a/orchidgap/fault_tests/balancer_process.py
+++ b/orchidgap/fault_tests/balancer_process.py
@@ -19,7 +19,7 @@
 
 
 class ClusterBalancer(BalancerProcess):
-    """A balancer's place; the program is started by the fault test's launcher."""
+    """A balancer whose process is started by the fault test's launcher."""
 
     def __init__(
         self,
@@ -30,19 +30,19 @@
         policy: str,
         launcher: ProcessLauncher,
     ) -> None:
-        """Prepare the process; `begin` runs it."""
+        """Prepare the balancer; `start` runs its process."""
         super().__init__(environment, name, number, zone, policy, str(launcher.folder))
         self.launcher = launcher
         self.starts: list[ProcessStart] = []
 
     def command(self) -> list[str]:
-        """Return the interpreter's arguments."""
+        """Return the arguments of the Python interpreter."""
         if self.policy != "orchidgap":
             return super().command()
         return self.launcher.command("serve")
 
     def start(self, known: dict[str, Any]) -> None:
-        """Start the program, and poll until it serves."""
+        """Record the start, start the program and poll until it is ready."""
         now_us = self.environment.loop.now
         self.starts.append(ProcessStart(self.name, now_us, is_restart=bool(self.starts)))
         super().start(known)
@@ -54,7 +54,7 @@
         self.process = self.launcher.start(self.name, [*self.command(), f"--config={path}"])
 
     def poll_readiness(self) -> None:
-        """Probe again and again: the listener opens when the balancer holds a lease."""
+        """Probe repeatedly until the listener is open, which needs a lease."""
         if not self.alive or self.ready_at:
             return
         client = RpcClient(self.environment.loop, self.address, PROBE_TIMEOUT_US)
@@ -71,7 +71,7 @@
         client.probe(PROBE_PATH, on_answer)
 
     def begin_shutdown(self) -> None:
-        """Note that the program is asked to end."""
+        """Record that a shutdown of the program was requested."""
         super().begin_shutdown()
         self._note_end()
 
@@ -80,7 +80,7 @@
         start.ended_us = start.ended_us or self.environment.loop.now
 
     def mark_ended(self, end: ProcessEnd) -> None:
-        """Take note that the program has ended."""
+        """Record that the program has ended."""
         super().mark_ended(end)
         self._note_end()
         self.ready_at = 0
--- a/orchidgap/fault_tests/child_processes.py
+++ b/orchidgap/fault_tests/child_processes.py
@@ -1,4 +1,4 @@
-"""Starts the program's processes so that none outlives the fault test."""
+"""Starts the program's processes; the kernel kills them if the fault test ends first."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 
 
 def kill_when_parent_ends() -> None:
-    """Ask the kernel to kill this process when its parent ends."""
+    """Make the kernel kill this process when its parent ends."""
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def prepare_process() -> None:
-    """Begin as the operators' command does: SIGHUP is ignored until the program handles it."""
+    """Prepare a process like a deployed one: SIGHUP is ignored until the program handles it."""
     kill_when_parent_ends()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
 class PrestartedCommand:
-    """An operator's command in a process that is started already and waits for its word.
+    """An operator's command in a process that was started early and waits for its arguments.
 
     Attributes:
-        process: The process; its standard output is the command's.
+        process: The process; its standard output is that of the command.
     """
 
     def __init__(self) -> None:
-        """Start it; it does nothing until `go`."""
+        """Start the process; it does nothing until `run` is called."""
         self.process = subprocess.Popen(
             [sys.executable, "-m", PRESTARTED_COMMAND_MODULE],
             stdin=subprocess.PIPE,
@@ -55,27 +55,27 @@
         )
 
     def run(self, arguments: list[str]) -> None:
-        """Let it run.
+        """Run the command.
 
         Args:
-            arguments: Those of `orchidgap`.
+            arguments: The command-line arguments of `orchidgap`.
         """
         assert self.process.stdin
-        with suppress(BrokenPipeError), self.process.stdin as word:
-            word.write(orjson.dumps(arguments) + END_OF_LINE)
+        with suppress(BrokenPipeError), self.process.stdin as stdin:
+            stdin.write(orjson.dumps(arguments) + END_OF_LINE)
 
     def has_ended(self) -> bool:
-        """Return whether it has run."""
+        """Return whether the process has ended."""
         return self.process.poll() is not None
 
     def last_line(self) -> bytes:
-        """Return the last line that the command wrote before it ended, empty for none."""
+        """Wait for the end of the output and return its last line, empty for none."""
         assert self.process.stdout
         lines = self.process.stdout.read().splitlines()
         return lines[-1] if lines else b""
 
     def close(self) -> None:
-        """End it, whether it has run or not."""
+        """End the process, whether the command has run or not."""
         assert self.process.stdin
         assert self.process.stdout
         self.process.kill()
@@ -86,22 +86,26 @@
 
 
 def memory_folder() -> str | None:
-    """Return a folder in memory, if there is one.
+    """Return a folder in memory, None if there is none.
 
-    A disk that is shared with others takes a different time in each run.
+    The latency of a disk that is shared with other processes differs between runs.
     """
     return MEMORY_FOLDER if os.access(MEMORY_FOLDER, os.W_OK) else None
 
 
 class PortOffset:
-    """An offset to all ports that no other fault test on this machine uses until `close`.
+    """An offset to all ports, reserved for one fault test on this machine until `close`.
 
     Attributes:
-        value: The offset; 0 is left to simulations with real balancers.
+        value: The offset; 0 is reserved for simulations with real balancers.
     """
 
     def __init__(self) -> None:
-        """Take the first free offset; RuntimeError if there is none."""
+        """Reserve the first free offset.
+
+        Raises:
+            RuntimeError: All offsets are in use.
+        """
         for number in range(MAX_FAULT_TESTS):
             path = Path(tempfile.gettempdir()) / f"orchidgap-drill-{number}.lock"
             lock_file = open(path, "w")  # noqa: SIM115
@@ -113,22 +117,22 @@
             self.lock_file: IO[str] = lock_file
             self.value = number + 1
             return
-        raise RuntimeError(f"{MAX_FAULT_TESTS} drills run already")
+        raise RuntimeError(f"{MAX_FAULT_TESTS} fault tests are already running on this machine")
 
     def close(self) -> None:
-        """Leave the offset to others."""
+        """Release the offset."""
         self.lock_file.close()
 
 
 class ProcessLauncher:
-    """Starts balancers and control processes, with a log file each in `folder`."""
+    """Starts balancers and control processes, each with a log file in `folder`."""
 
     def __init__(self, folder: Path, failing_disks: bool, defect: str) -> None:
         """Prepare to start processes.
 
         Args:
-            folder: Where logs and the files of disk faults are.
-            failing_disks: Whether disks can be made to fail at one operation.
+            folder: The folder for logs and the files that configure disk faults.
+            failing_disks: Whether single disk operations can be made to fail.
             defect: The name of a planted defect, empty for none.
         """
         self.folder = folder
@@ -141,11 +145,11 @@
         return ["-m", module, kind]
 
     def log_path(self, name: str) -> Path:
-        """Return where a process writes its log."""
+        """Return the path of a process's log."""
         return self.folder / f"{name}.log"
 
     def disk_faults_path(self, name: str) -> Path:
-        """Return the file that tells which disk operations of a process fail."""
+        """Return the path of the file that configures which disk operations of a process fail."""
         return self.folder / f"{name}.orders"
 
     def start(self, name: str, command: list[str]) -> subprocess.Popen[bytes]:
--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -263,7 +263,7 @@
         text = (
             f"the fault test itself was {turn.late_us // 1000} ms late "
             f"({turn.cpu_us // 1000} ms of CPU, its calls {turn.calls_us // 1000} ms, "
-            f"ready and not run {turn.run_delay_us // 1000} ms)"
+            f"runnable but not run {turn.run_delay_us // 1000} ms)"
         )
         self.invariant_checker.record_event(self.loop.now, text)
 
--- a/orchidgap/fault_tests/commands.py
+++ b/orchidgap/fault_tests/commands.py
@@ -44,7 +44,7 @@
         print(f"orchidgap: {error}", file=sys.stderr)
         return EXIT_BAD_PLAN
     out = Path(arguments["--out"]) if arguments["--out"] else None
-    verdict, _ = play(test, seed, defect, out, arguments["--disk"] or "", policy)
+    verdict, _ = run_fault_test(test, seed, defect, out, arguments["--disk"] or "", policy)
     print(orjson.dumps(verdict).decode())
     return EXIT_KEPT if verdict["verdict"] == "kept" else EXIT_BROKEN
 
@@ -79,7 +79,7 @@
     return replace(test, plan=msgspec.structs.replace(test.plan, balancers=count))
 
 
-def play(
+def run_fault_test(
     test: FaultTest,
     seed: int | None = None,
     defect: str = "",
--- a/orchidgap/fault_tests/control_process.py
+++ b/orchidgap/fault_tests/control_process.py
@@ -14,10 +14,10 @@
 
 
 class ControlProcess:
-    """A control process's place: its program may end and start again there.
+    """A control process; its program may end and be restarted.
 
     Attributes:
-        alive: Whether it runs, as far as was looked.
+        alive: Whether the process was running when it was last checked.
         starts_new: Whether the next start is the first one, with an empty disk.
     """
 
@@ -36,11 +36,11 @@
         self.alive = False
 
     def address_for(self, client: str) -> Address:
-        """Return where a client finds it."""
+        """Return the address at which a client reaches this process."""
         return self.links.to_control(client, self.name, self.number, self.address)
 
     def start(self, members: list[ControlProcess]) -> None:
-        """Start it as one of these control processes."""
+        """Start the process as one of these control processes."""
         folder = self.launcher.folder
         addresses = {
             member.name: format_address(
@@ -64,17 +64,17 @@
         self.alive = True
 
     def has_ended(self) -> bool:
-        """Return whether the process is not there any more."""
+        """Return whether the process has ended or was never started."""
         return self.process is None or self.process.poll() is not None
 
     def resume(self, signal_number: int) -> None:
-        """Send the signal that lets a stopped process go on, if it is there."""
+        """Send the signal that resumes a stopped process, if it still exists."""
         assert self.process
         with suppress(ProcessLookupError):
             self.process.send_signal(signal_number)
 
     def kill(self) -> None:
-        """Kill it and wait for its end."""
+        """Kill the process and wait for its end."""
         if self.process:
             self.process.kill()
             self.process.wait()
--- a/orchidgap/fault_tests/costs.py
+++ b/orchidgap/fault_tests/costs.py
@@ -1,4 +1,4 @@
-"""What the processes of a fault test cost: start, memory, CPU and bytes."""
+"""Measures the costs of a fault test's processes: start time, memory, CPU and bytes."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class CostSample(NamedTuple):
-    """Costs of all balancers so far.
+    """The total costs of all balancers up to one time.
 
     Attributes:
-        at_us: When it was taken.
-        cpu_s: CPU time of the balancers, as the system counts it.
-        relayed_bytes: Bytes between balancers and control.
-        balancer_count: How many were alive.
+        at_us: When the sample was taken.
+        cpu_s: The CPU time of the balancers, as counted by the system.
+        relayed_bytes: The bytes exchanged between balancers and control.
+        balancer_count: The number of running balancers.
     """
 
     at_us: int
@@ -31,7 +31,7 @@
 
 
 def proportional_memory_kb(process_id: int) -> int:
-    """Return a process's memory with shared pages counted in part, 0 if the system tells none."""
+    """Return a process's proportional set size (PSS) in kB, 0 if it is not available."""
     with suppress(OSError):
         for line in Path(f"/proc/{process_id}/smaps_rollup").read_text().splitlines():
             if line.startswith("Pss:"):
@@ -40,7 +40,7 @@
 
 
 class CostMeter:
-    """Samples the costs of a cluster while it runs."""
+    """Samples the costs of a running cluster."""
 
     def __init__(self, cluster: Cluster) -> None:
         """Begin without samples."""
@@ -50,7 +50,7 @@
         self.memory_kb = 0
 
     def on_started(self, start_s: float) -> None:
-        """Take in how long it took until all balancers were up; measure memory, start to sample."""
+        """Record how long it took until all balancers were ready, and measure memory."""
         self.start_s = start_s
         names = self.cluster.process_names()
         self.memory_kb = sum(
@@ -58,7 +58,7 @@
         )
 
     def sample(self) -> None:
-        """Take a sample, now and again and again."""
+        """Take a sample, now and periodically."""
         cluster = self.cluster
         cluster.loop.call_later(SAMPLE_INTERVAL_US, self.sample)
         names = [name for name, instance in cluster.balancers.items() if instance.alive]
@@ -70,10 +70,10 @@
         self.samples.append(CostSample(cluster.loop.now, cpu_s, relayed_bytes, len(names)))
 
     def report(self) -> dict[str, Any]:
-        """Return the verdict line's costs.
+        """Return the costs for the verdict line.
 
-        CPU and bytes are those of one balancer in a second, over the longest stretch in which none
-        came or went.
+        CPU and bytes are per balancer and second, over the longest span of samples between which
+        the number of balancers is the same.
         """
         costs: dict[str, Any] = {
             "started_s": round(self.start_s, 1),
--- a/orchidgap/fault_tests/datagram_relay.py
+++ b/orchidgap/fault_tests/datagram_relay.py
@@ -1,4 +1,4 @@
-"""A relay in the place of one balancer, for the datagrams that others send it."""
+"""A relay for the datagrams that other balancers send to one balancer."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 
 
 class DatagramRelay:
-    """Passes datagrams on, or loses them.
+    """Forwards datagrams or loses them.
 
     Attributes:
-        loss_ratios: By the sender's IP address, or `ANY_SENDER`: the part that is lost.
+        loss_ratios: The fraction of datagrams that is lost, by the sender's IP address or
+            `ANY_SENDER`.
     """
 
     def __init__(
         self, loop: Loop, address: Address, receiver_address: Address, rng: Random
     ) -> None:
-        """Receive at `address` what is meant for `receiver_address`; `rng` draws what is lost."""
+        """Forward datagrams from `address` to `receiver_address`; `rng` decides which are lost."""
         self.loop = loop
         self.address = address
         self.receiver_address = receiver_address
@@ -40,7 +41,7 @@
                 data, (sender, _) = self.socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # nobody listened for the datagram sent before
+            except OSError:  # no process listened for the previous datagram
                 continue
             sender_loss = self.loss_ratios.get(sender, 0.0)
             general_loss = self.loss_ratios.get(ANY_SENDER, 0.0)
@@ -53,6 +54,6 @@
             self.socket.sendto(data, self.receiver_address)
 
     def close(self) -> None:
-        """Receive nothing any more."""
+        """Stop receiving and close the socket."""
         self.loop.unwatch(self.socket)
         self.socket.close()
--- a/orchidgap/fault_tests/decision_watch.py
+++ b/orchidgap/fault_tests/decision_watch.py
@@ -1,4 +1,4 @@
-"""Asks control again and again until when a version was certainly not decided."""
+"""Polls control for the last time at which a version was certainly not decided."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def has_accepted(status: StatusAnswer, change_id: str) -> bool:
-    """Return whether a control process has accepted the change as decided."""
+    """Return whether a control process has accepted the change as a decided version."""
     if status.change_id == change_id:
         return True
     return any(record.change_id == change_id and record.version for record in status.history)
@@ -32,10 +32,10 @@
         ]
 
     def poll(self) -> None:
-        """Ask all control processes, now and again and again."""
+        """Request the status of all control processes, now and periodically."""
         loop = self.cluster.loop
         loop.call_later(POLL_INTERVAL_US, self.poll)
-        asked_us = loop.clock()
+        called_us = loop.clock()
         answers: list[StatusAnswer] = []
         open_proposals = [
             proposal
@@ -47,7 +47,7 @@
             if status and not status.lost_register:
                 answers.append(status)
             if len(answers) == quorum_size(len(self.clients)):
-                self._on_quorum(open_proposals, answers, asked_us)
+                self._on_quorum(open_proposals, answers, called_us)
 
         if open_proposals:
             for client in self.clients:
@@ -55,8 +55,8 @@
 
     @staticmethod
     def _on_quorum(
-        proposals: list[ProposalRecord], answers: list[StatusAnswer], asked_us: int
+        proposals: list[ProposalRecord], answers: list[StatusAnswer], called_us: int
     ) -> None:
         for proposal in proposals:
             if not any(has_accepted(status, f"v{proposal.number}") for status in answers):
-                proposal.undecided_until_us = max(proposal.undecided_until_us, asked_us)
+                proposal.undecided_until_us = max(proposal.undecided_until_us, called_us)
--- a/orchidgap/fault_tests/denial_report.py
+++ b/orchidgap/fault_tests/denial_report.py
@@ -1,8 +1,8 @@
-"""Tells which rules denied clients in a fault test: by reason, by balancer, by time since a fault.
+"""Reports the denials of a fault test: by reason, by balancer and by time since the last faults.
 
-Balancers log the reasons (`rejections`), clients tell when they were denied and whether hosts had
-room then. The two are joined by time: what was denied with room between two lines of a balancer's
-log is shared out by the reasons of the later line.
+Balancers log the reasons (event `rejections`); clients record when they were denied and whether
+hosts had capacity then. Both are joined by time: the denials with capacity between two lines of a
+balancer's log are divided among the reasons of the later line, in proportion to their counts.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 from orchidgap.simulation.invariant_checker import Rejection
 
-LOG_DELAY_S = 0.02  # a client may see a denial so long after the line that counts it
+LOG_DELAY_S = 0.02  # a client may receive a denial this long after the log line that counts it
 UNKNOWN_REASON = "not logged"
-# Upper ends of the classes of time since the last fault of a kind.
+# Upper bounds of the classes of time since the last fault of a kind.
 AGE_CLASSES_S = (0.5, 1.0, 2.0, 4.0, 8.0)
-LIST_CHANGE = "list:"
-TEST_WAS_LATE = "the"  # fault test itself was late
-PUSHED_OVER = "pushed"
+LIST_CHANGE_PREFIX = "list:"
+FAULT_TEST_PREFIX = "the"  # first word of "the fault test itself was ... late"
+PUSHED_WORD = "pushed"
 
 
 class LoggedReasons(NamedTuple):
-    """One line of a balancer's log.
+    """One line of a balancer's log with the reasons of denials.
 
     Attributes:
-        at_s: When, in seconds from the start of the test.
-        reasons: Requests given up since the line before, by reason.
+        at_s: When it was logged, in seconds since the start of the test.
+        reasons: The number of requests rejected since the previous line, by reason.
     """
 
     at_s: float
@@ -40,14 +40,14 @@
 
 
 class DenialCount(NamedTuple):
-    """How many were denied, and how many of them while hosts had room."""
+    """The number of denials, and of those that happened while hosts had capacity."""
 
     denied: float = 0
-    with_room: float = 0
+    with_capacity: float = 0
 
-    def plus(self, denied: float, with_room: float) -> DenialCount:
-        """Return the sum."""
-        return DenialCount(self.denied + denied, self.with_room + with_room)
+    def plus(self, denied: float, with_capacity: float) -> DenialCount:
+        """Return the sum of both counts."""
+        return DenialCount(self.denied + denied, self.with_capacity + with_capacity)
 
 
 def describe_denials(
@@ -56,13 +56,13 @@
     folder: Path,
     started_at_us: int,
 ) -> str:
-    """Return three tables as text; nothing where nobody was denied.
+    """Return three tables as text; empty if there were no denials.
 
     Args:
-        rejections: What clients were denied, with times of the test's clock.
-        events: The faults, by seconds from the start.
-        folder: The logs of all balancers.
-        started_at_us: When the test began, on its clock, which is Unix time.
+        rejections: The denials that clients received, with times of the test's clock.
+        events: The faults with their seconds since the start.
+        folder: The folder with the logs of all balancers.
+        started_at_us: When the test began on its clock, which is Unix time.
     """
     if not rejections:
         return ""
@@ -93,7 +93,7 @@
     logs: dict[str, list[LoggedReasons]],
     started_at_us: int,
 ) -> dict[str, DenialCount]:
-    """Return the denials that logs tell by reason, and clients' denials with room shared out."""
+    """Return the logged denials by reason, and clients' denials with capacity by these reasons."""
     counts: defaultdict[str, DenialCount] = defaultdict(DenialCount)
     for lines in logs.values():
         for line in lines:
@@ -115,7 +115,7 @@
 def count_by_age(
     rejections: Iterable[Rejection], events: Iterable[tuple[float, str]], started_at_us: int
 ) -> dict[str, DenialCount]:
-    """Return the denials by the kind of fault and the time since the last one of that kind."""
+    """Return the denials by the kind of fault and the time since the last fault of that kind."""
     times: defaultdict[str, list[float]] = defaultdict(list)
     for at_s, text in sorted(events):
         times[fault_kind(text)].append(at_s)
@@ -131,17 +131,17 @@
 
 
 def fault_kind(text: str) -> str:
-    """Return what kind of fault an event is.
+    """Return the kind of fault that an event describes.
 
     >>> [fault_kind(text) for text in ("stop b7 for 519 ms", "list: c04 Gone", "kill b5, SIGHUP")]
     ['stop', 'list: Gone', 'kill']
     """
     words = text.split()
-    if words[0] == LIST_CHANGE:
-        return f"{LIST_CHANGE} {words[-1]}"
-    if words[0] == TEST_WAS_LATE:
+    if words[0] == LIST_CHANGE_PREFIX:
+        return f"{LIST_CHANGE_PREFIX} {words[-1]}"
+    if words[0] == FAULT_TEST_PREFIX:
         return "late test"
-    if PUSHED_OVER in words:
+    if PUSHED_WORD in words:
         return "host pushed over"
     return words[0]
 
@@ -155,16 +155,17 @@
 
 def _count_by_balancer(rejections: Iterable[Rejection]) -> dict[str, DenialCount]:
     denied = Counter[str]()
-    with_room = Counter[str]()
+    with_capacity = Counter[str]()
     for rejection in rejections:
         denied[rejection.balancer] += 1
-        with_room[rejection.balancer] += rejection.had_capacity
-    return {name: DenialCount(denied[name], with_room[name]) for name in sorted(denied)}
+        with_capacity[rejection.balancer] += rejection.had_capacity
+    return {name: DenialCount(denied[name], with_capacity[name]) for name in sorted(denied)}
 
 
 def _table(title: str, counts: dict[str, DenialCount]) -> str:
     lines = [f"{title:40} {'denied':>8} {'with room':>10}"]
     lines += [
-        f"{name:40} {count.denied:8.0f} {count.with_room:10.0f}" for name, count in counts.items()
+        f"{name:40} {count.denied:8.0f} {count.with_capacity:10.0f}"
+        for name, count in counts.items()
     ]
     return "\n".join(lines) + "\n"
--- a/orchidgap/fault_tests/dial_stream.py
+++ b/orchidgap/fault_tests/dial_stream.py
@@ -1,7 +1,7 @@
-"""Clients that connect to one balancer without pause, whatever happens to its process meanwhile.
+"""Clients that connect to one balancer continuously, also while its process ends or restarts.
 
-Each connection carries one request, which is judged as those of the other clients are. A stream is
-bounded in connections and time; `DialCounts` accounts for each connection that was dialled.
+Each connection carries one request, which is checked like those of the other clients. A stream is
+limited in connections and time; `DialCounts` accounts for each connection that was dialled.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 from orchidgap.simulation.environment import Environment
 from orchidgap.simulation.observations import ClientAttempt, Operation
 
-REFUSED_PAUSE_PER_SLOT_US = 2_000  # so that all slots together are refused every second millisecond
+REFUSED_PAUSE_PER_SLOT_US = 2_000  # all slots together are refused about every 2 ms
 ID_PREFIX = b"d"  # requests of other clients begin with another letter
-# so few that the hosts' caches have them: a stream is to press the balancer alone
+# few enough that all are in the hosts' caches: a stream is meant to load only the balancer
 KEY_COUNT = 16
 WORK_US = 5_000
 STATUS_DENIED = (429, 503)
 
 
 class DialLimits(NamedTuple):
-    """The bounds of a stream.
+    """The limits of a stream.
 
     Attributes:
-        slots: Connections that are dialled or open at a time.
-        max_dials: Connections in all.
-        duration_us: For how long new ones are dialled.
-        writes_later: The request is written a turn of the loop after the connection is up, as
-            programs do that wait for it with many others.
+        slots: The maximum number of connections that are being dialled or open at the same time.
+        max_dials: The maximum total number of connections.
+        duration_us: How long new connections are dialled.
+        writes_later: Whether the request is written one turn of the loop after the connection is
+            established, as by programs that wait for many connections at once.
     """
 
     slots: int
@@ -45,20 +45,22 @@
 
 @dataclass(slots=True)
 class DialCounts(Tally):
-    """What became of the connections that were dialled.
+    """The results of the connections that were dialled.
 
     Attributes:
-        dialled: All of them.
-        refused: Never came up.
-        cut: Came up, and ended before their request's last byte was written.
-        served: Their request was answered 200.
-        denied: It was answered 429 or 503.
-        failed: It was answered otherwise, or with a part that shows that it is not whole.
-        killed: Its process was killed outright.
-        lost: The checker was told of its end, with no answer.
-        open: Nothing has become of it yet.
-        sent_again: Further connections for requests that crossed the end of the first one.
-        written_late: Of those that came up, how many had no request in the call that dialled them.
+        dialled: All dialled connections.
+        refused: Connections that were never established.
+        cut: Established connections that ended before the last byte of the request was written.
+        served: Connections whose request was answered 200.
+        denied: Connections whose request was answered 429 or 503.
+        failed: Connections whose request got another answer, or a recognizably partial one.
+        killed: Connections whose process was killed outright.
+        lost: Connections that ended without an answer, reported to the invariant checker.
+        open: Connections without a result yet.
+        sent_again: Further connections for requests that were written while the first one was
+            being closed.
+        written_late: Established connections whose request was not written in the call that dialled
+            them.
     """
 
     dialled: int = 0
@@ -74,7 +76,7 @@
     written_late: int = 0
 
     def remainder(self) -> int:
-        """Return how many connections no other count accounts for.
+        """Return how many connections are not accounted for by any other count.
 
         >>> DialCounts(dialled=3, refused=1, served=1).remainder()
         1
@@ -84,13 +86,14 @@
 
 
 class DialledConnection(BalancerConnection):
-    """A connection whose request is written as soon as it is up, and no sooner.
+    """A connection whose request is written as soon as it is established, not before.
 
-    On loopback that is mostly so when the call that dials returns. The moment in which a balancer
-    has a connection without a request, and may close it for that, is as short as it can be.
+    On loopback the connection is mostly established when the call that dials returns. This keeps
+    the time as short as possible in which the balancer has a connection without a request, which
+    it may close.
     """
 
-    __slots__ = ("first_request", "is_written_at_once")
+    __slots__ = ("first_request", "writes_immediately")
 
     def __init__(
         self,
@@ -99,18 +102,18 @@
         attempt: ClientAttempt,
         message: tuple[bytes, ...],
     ) -> None:
-        """Take a socket that was dialled."""
+        """Wrap a dialled socket."""
         self.first_request = attempt, message
-        self.is_written_at_once = is_up(sock) and not stream.limits.writes_later
-        super().__init__(stream, stream.balancer, sock, opening=not self.is_written_at_once)
+        self.writes_immediately = is_up(sock) and not stream.limits.writes_later
+        super().__init__(stream, stream.balancer, sock, opening=not self.writes_immediately)
 
     def start_if_up(self) -> None:
-        """Write the request now, if the connection is up."""
-        if self.is_written_at_once:
+        """Write the request now if the connection is established."""
+        if self.writes_immediately:
             self.start(*self.first_request)
 
     def opened(self) -> None:
-        """Write the request; a process that was started meanwhile is the one that has it."""
+        """Write the request; the process to account it to may have been started since the dial."""
         attempt, message = self.first_request
         self.find_process(attempt)
         assert isinstance(self.clients, DialStream)
@@ -118,13 +121,13 @@
         self.start(attempt, message)
 
     def ended(self, what: str) -> None:
-        """It was refused, or has ended under its request."""
+        """Handle a refused connection, or one that ended during its request."""
         attempt, _ = self.first_request
         if not self.request_count:
             self._forget()
             self.clients.on_refused(attempt, self.balancer)
             return
-        # the end of its process was seen first, and its owner is told of that by nobody else
+        # if the end of the process was detected first, nothing else notifies the stream
         was_abandoned = attempt.abandoned and self.attempt is attempt
         super().ended(what)
         if was_abandoned:
@@ -132,21 +135,23 @@
 
 
 class DialStream:
-    """Dials one balancer again and again; the owner of its connections.
+    """Dials one balancer repeatedly and owns the connections.
 
     Attributes:
         balancer: The balancer's name.
-        attempts: One for each connection that was dialled first for a request.
-        refused_ids: The ids of those that never came up.
-        cut_ids: The ids of those that ended before their request's last byte was written.
-        sent_again: Further connections for requests that crossed the end of the first one.
-        written_late: Connections that had no request when the call that dialled them returned.
+        attempts: One attempt for each first connection of a request.
+        refused_ids: The ids of attempts whose connection was never established.
+        cut_ids: The ids of attempts whose connection ended before the request was written.
+        sent_again: The number of further connections for requests that were written while the
+            first connection was being closed.
+        written_late: The number of connections whose request was not written in the call that
+            dialled them.
         began_us: When the stream began.
-        end_us: When the last connection is dialled.
+        end_us: When the stream stops dialling.
     """
 
     def __init__(self, cluster: Cluster, balancer: str, limits: DialLimits, rng: Random) -> None:
-        """Dial nothing yet; what is drawn is drawn from `rng`."""
+        """Prepare a stream that draws its requests from `rng`; `start` begins to dial."""
         self.environment: Environment = cluster
         self.cluster = cluster
         self.plan = cluster.plan
@@ -170,12 +175,12 @@
         self.end_us = self.began_us + limits.duration_us
 
     def start(self) -> None:
-        """Dial in all slots."""
+        """Dial one connection per slot."""
         for _ in range(self.limits.slots):
             self.dial_next()
 
     def dial_next(self) -> None:
-        """Dial for one more request, unless the stream is over."""
+        """Dial a connection for another request, unless a limit of the stream is reached."""
         if self.loop.now >= self.end_us or len(self.attempts) >= self.limits.max_dials:
             return
         attempt = self._draw_attempt()
@@ -201,7 +206,7 @@
         return ClientAttempt(request_id, operation, self.balancer, 0, 0, 0)
 
     def counts(self) -> DialCounts:
-        """Return what has become of all connections so far."""
+        """Return the results of all connections so far."""
         counts = DialCounts(sent_again=self.sent_again, written_late=self.written_late)
         for attempt in self.attempts:
             counts.dialled += 1
@@ -225,12 +230,12 @@
             return "denied"
         return "served" if attempt.status == 200 else "failed"
 
-    # --- what its connections tell
+    # --- callbacks of the connections
 
     def send_attempt(
         self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str, fresh: bool = False
     ) -> None:
-        """Send a request on a new connection, as none is kept."""
+        """Send a request on a new connection; connections are not reused."""
         cluster = self.cluster
         self.sent_again += attempt.arrived_at_us > 0
         attempt.incarnation = cluster.incarnation_of(balancer)
@@ -241,19 +246,19 @@
             DialledConnection(self, sock, attempt, message).start_if_up()
 
     def resend(self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str) -> None:
-        """Have the other clients send what crossed an end; the next one is dialled here."""
+        """Pass a request that raced a close to the other clients to resend; dial the next one."""
         self.sent_again += 1
         self.cluster.clients.resend(attempt, message, balancer)
         self.dial_next()
 
     def on_refused(self, attempt: ClientAttempt, balancer: str) -> None:
-        """Nothing was accepted; the next one is dialled a moment later."""
+        """Count a refused connection, and dial the next one after a pause."""
         self.refused_ids.add(attempt.id)
         pause_us = self.limits.slots * REFUSED_PAUSE_PER_SLOT_US
         self.loop.call_later(self.rng.randrange(pause_us // 2, 3 * pause_us // 2), self.dial_next)
 
     def on_outcome(self, attempt: ClientAttempt, status: int, retry_after_us: int) -> None:
-        """A request has its answer, or its connection has ended: the next one is dialled."""
+        """Dial the next connection, as a request was answered or its connection has ended."""
         if not attempt.arrived_at_us:
             self.cut_ids.add(attempt.id)
         while self.idle[self.balancer]:
@@ -261,11 +266,11 @@
         self.dial_next()
 
     def on_unknown_class(self, attempt: ClientAttempt) -> None:
-        """Its balancer does not know its class."""
+        """Pass on that a balancer does not know the class of a request."""
         self.cluster.clients.on_unknown_class(attempt)
 
     def on_overdue(self, connection: BalancerConnection, attempt: ClientAttempt) -> None:
-        """An answer is waited for no longer."""
+        """Pass on that the deadline of a request has passed."""
         self.cluster.clients.on_overdue(connection, attempt)
 
 
@@ -273,21 +278,21 @@
     """All streams of a fault test, with a random generator of their own."""
 
     def __init__(self, cluster: Cluster) -> None:
-        """Nothing is dialled yet."""
+        """Begin without streams."""
         self.cluster = cluster
         self.rng = Random(f"{cluster.seed} dials")
         self.streams: list[DialStream] = []
 
     def begin(self, balancer: str, limits: DialLimits) -> None:
-        """Begin to dial a balancer."""
+        """Start a stream of connections to a balancer."""
         stream = DialStream(self.cluster, balancer, limits, self.rng)
         self.streams.append(stream)
         stream.start()
 
     def report(self) -> dict[str, dict[str, int]]:
-        """Return what the verdict says of them, nothing where there was none.
+        """Return the entry for the verdict line, empty if there were no streams.
 
-        Each stream gets a line among the events; a connection that no count accounts for is lost.
+        Each stream is recorded as an event; connections that are not accounted for are a breach.
         """
         total = DialCounts()
         for stream in self.streams:
--- a/orchidgap/fault_tests/final_checks.py
+++ b/orchidgap/fault_tests/final_checks.py
@@ -1,4 +1,4 @@
-"""With all faults healed, what counts has to be what all serve under and all callers are told."""
+"""Checks after all faults have ended: balancers serve under the decided version, outcomes agree."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from orchidgap.fault_tests.plan import ProposalOutcome, class_of_version
 from orchidgap.fault_tests.rollout_checker import STUCK, UNTRUE, ProposalRecord
 
-EXTRA_WAIT_S = 5.0  # beyond the time that a proposer waits
+EXTRA_WAIT_S = 5.0  # in addition to the time that a proposer waits
 MIN_SERVE_WAIT_S = 0.5
-SETTLE_LEASES = 3  # that may pass until all balancers serve under what counts
+SETTLE_LEASES = 3  # lease durations that may pass until all balancers serve the decided version
 
 
 class FinalChecks:
@@ -32,27 +32,27 @@
         self.checker = cluster.checker
 
     def run(self) -> None:
-        """Run all checks; what is wrong is a breach."""
+        """Run all checks; each failed one is recorded as a breach."""
         cluster = self.cluster
         numbers = [number for number in self.checker.proposals if number]
         if cluster.controls:
             if cluster.call_control(SETTLE, EmptyMessage()) is None:
-                self.checker.record_breach(STUCK, cluster.loop.now, "control does not come back")
+                self.checker.record_breach(STUCK, cluster.loop.now, "control does not answer")
                 return
             wait_s = cluster.proposer_wait_s() + EXTRA_WAIT_S
-            cluster.wait_until(self._nothing_is_proposed, wait_s, "none proposed")
+            cluster.wait_until(self._no_proposal_open, wait_s, "no proposal open at control")
             for number in numbers:
                 self._check_outcome(self.checker.proposals[number])
         if numbers:
             self._check_balancers()
             self._check_expected_outcomes(numbers)
 
-    def _nothing_is_proposed(self) -> bool:
+    def _no_proposal_open(self) -> bool:
         status = self.cluster.call_control(STATUS, EmptyMessage())
         return status is not None and status.proposal is None
 
     def _check_outcome(self, proposal: ProposalRecord) -> None:
-        """Compare what control tells now with what callers were told."""
+        """Compare the outcome that control reports now with the one that proposers received."""
         change_id = f"v{proposal.number}"
         answer = self.cluster.call_control(CHANGE, ChangeRequest(change_id=change_id))
         now_us = self.cluster.loop.now
@@ -64,15 +64,16 @@
             version = answer.version or 0
             self.checker.on_outcome(proposal, outcome, version, answer.reason or "", now_us)
         elif state is ChangeState.UNKNOWN and proposal.outcome is not ProposalOutcome.DECIDED:
-            proposal.outcome = ProposalOutcome.DROPPED  # nobody accepted it or was told otherwise
+            # no control process accepted it, and no proposer received another outcome
+            proposal.outcome = ProposalOutcome.DROPPED
         else:
             rule = STUCK if state in (None, ChangeState.PROPOSED) else UNTRUE
             before = proposal.outcome.value or "nothing"
-            word = state.value if state else "nothing"
-            self.checker.record_breach(rule, now_us, f"{change_id}: {word}, after {before}")
+            found = state.value if state else "nothing"
+            self.checker.record_breach(rule, now_us, f"{change_id}: {found}, after {before}")
 
     def _check_balancers(self) -> None:
-        """Each living balancer has to serve under the version that counts."""
+        """Check that each running balancer serves under the decided version."""
         cluster = self.cluster
         request_class = class_of_version(self.checker.last_decided().number)
         since_us = cluster.loop.now
--- a/orchidgap/fault_tests/links.py
+++ b/orchidgap/fault_tests/links.py
@@ -1,4 +1,4 @@
-"""The links between processes: a relay for each, and the faults of links."""
+"""The links between processes: one relay for each link, and the faults of links."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 CONTROL_PORT = 7500
 HOST_PORT = 7071
-CONTROL_RELAY_NETWORK = 100  # second part of the relays' addresses, plus the server's number
+CONTROL_RELAY_NETWORK = 100  # second octet of the relays' addresses, plus the server's number
 HOST_RELAY_NETWORK = 110
 DATAGRAM_RELAY_NETWORK = 201
-OPERATOR = "shell"  # the name of whoever calls control from outside
+OPERATOR = "shell"  # the client name of commands that call control from outside
 
 
 class Link(NamedTuple):
-    """Who calls whom, by their names."""
+    """The names of the client and the server of a link."""
 
     client: str
     server: str
@@ -31,16 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """The zones of balancers and hosts, by their names; `zone_names` are the words for them."""
+    """The zones of balancers and hosts by name; `zone_names` are the words for zones in plans."""
 
     balancer_zones: dict[str, int]
     host_zones: dict[str, int]
     zone_names: tuple[str, ...]
 
-    def is_end(self, word: str, end: str, server: str) -> bool:
-        """Return whether a plan's word means this end of a link to `server`.
+    def matches(self, word: str, end: str, server: str) -> bool:
+        """Return whether a word of a plan denotes this end of a link to `server`.
 
-        `all` is every end of a link to control, `hosts` all hosts, `z1` all that is in that zone.
+        `all` denotes every end of a link to control, `hosts` all hosts, `z1` all ends in that zone.
         """
         if word == ALL_CONTROL:
             return server not in self.host_zones
@@ -56,7 +56,7 @@
     """All relays of one fault test."""
 
     def __init__(self, loop: Loop, rng: Random, port_offset: int, topology: Topology) -> None:
-        """Begin without relays; `rng` draws what they lose."""
+        """Create no relays yet; `rng` decides which packets they lose."""
         self.loop = loop
         self.rng = rng
         self.port_offset = port_offset
@@ -65,7 +65,7 @@
         self.datagram_relays: dict[str, DatagramRelay] = {}
 
     def to_control(self, client: str, server: str, number: int, address: Address) -> Address:
-        """Return where a client finds a control process: at a relay between the two."""
+        """Return the address at which a client reaches a control process: that of their relay."""
         link = Link(client, server)
         if link not in self.relays:
             host = f"127.{CONTROL_RELAY_NETWORK + number}.{address_suffix(len(self.relays))}"
@@ -76,7 +76,7 @@
     def add_host_relay(
         self, balancer: str, balancer_number: int, host: str, host_number: int, address: Address
     ) -> None:
-        """Put a relay between a balancer and a host."""
+        """Add a relay between a balancer and a host."""
         relay_host = f"127.{HOST_RELAY_NETWORK + host_number}.{address_suffix(balancer_number)}"
         self.relays[Link(balancer, host)] = Relay(
             self.loop,
@@ -87,27 +87,27 @@
         )
 
     def add_datagram_relay(self, balancer: str, number: int, address: Address) -> None:
-        """Put a relay in the place of a balancer, for datagrams of the others."""
+        """Add a relay for the datagrams that other balancers send to a balancer."""
         relay_address = (f"127.{DATAGRAM_RELAY_NETWORK}.{address_suffix(number)}", address[1])
         relay = DatagramRelay(self.loop, relay_address, address, self.rng)
         self.datagram_relays[balancer] = relay
 
     def _between(self, one: str, other: str) -> Iterator[tuple[Relay, bool]]:
-        """Yield the relays on which two ends meet, and whether the first one is the client."""
-        is_end = self.topology.is_end
+        """Yield the relays between two ends, and whether the first end is the client."""
+        matches = self.topology.matches
         for (client, server), relay in self.relays.items():
-            if is_end(one, client, server) and is_end(other, server, server):
+            if matches(one, client, server) and matches(other, server, server):
                 yield relay, True
-            if is_end(other, client, server) and is_end(one, server, server):
+            if matches(other, client, server) and matches(one, server, server):
                 yield relay, False
 
     def cut(self, one: str, other: str) -> None:
-        """Refuse and reset all connections between the two."""
+        """Refuse and reset all connections between two ends."""
         for relay, _ in self._between(one, other):
             relay.set_condition(LinkCondition(cut=True))
 
     def stall(self, sender: str, receiver: str) -> None:
-        """Let nothing arrive that one sends to the other; the other way it does."""
+        """Stall the data from one end to the other; the opposite direction still works."""
         for relay, sender_is_client in self._between(sender, receiver):
             before = relay.condition
             relay.set_condition(
@@ -118,12 +118,12 @@
             )
 
     def slow(self, one: str, other: str, delay_us: int, loss_ratio: float) -> None:
-        """Delay everything each way, and lose a part of the packets."""
+        """Delay all data in both directions and lose a fraction of the packets."""
         for relay, _ in self._between(one, other):
             relay.set_condition(LinkCondition(delay_us=delay_us, loss_ratio=loss_ratio))
 
     def heal(self, one: str = "", other: str = "") -> None:
-        """Heal the links between the two, or all; no datagrams are lost any more."""
+        """Heal the links between two ends, or all; also end all loss of datagrams."""
         for datagram_relay in self.datagram_relays.values():
             datagram_relay.loss_ratios.clear()
         relays = list(self.relays.values())
@@ -133,7 +133,7 @@
             relay.set_condition(HEALTHY)
 
     def lose_datagrams(self, balancer: str, address: Address | None, loss_ratio: float) -> None:
-        """Lose a part of the datagrams to and from the balancer at `address`, or all."""
+        """Lose a fraction of the datagrams to and from the balancer at `address`, or of all."""
         if balancer == ALL_BALANCERS or address is None:
             for relay in self.datagram_relays.values():
                 relay.loss_ratios[ANY_SENDER] = loss_ratio
@@ -143,7 +143,7 @@
             relay.loss_ratios[address[0]] = loss_ratio
 
     def is_open(self, client: str, server: str, max_delay_us: int) -> bool:
-        """Return whether what the two send each other arrives, no later than this each way."""
+        """Return whether data arrives in both directions within this one-way delay."""
         relay = self.relays.get(Link(client, server))
         if relay is None:
             return True
@@ -152,12 +152,12 @@
         return arrives and condition.delay_us <= max_delay_us
 
     def faulty_until_us(self, client: str, server: str) -> int:
-        """Return until when something was wrong with their link, now if it is, 0 for never."""
+        """Return the end of the link's last fault: now if it is faulty, 0 if it never was."""
         relay = self.relays.get(Link(client, server))
         return relay.faulty_until_us if relay else 0
 
     def control_bytes(self) -> int:
-        """Return how many bytes balancers and control have exchanged so far."""
+        """Return the bytes exchanged between balancers and control so far."""
         return sum(
             relay.relayed_bytes
             for (client, server), relay in self.relays.items()
--- a/orchidgap/fault_tests/majority_watch.py
+++ b/orchidgap/fault_tests/majority_watch.py
@@ -1,7 +1,7 @@
-"""Whether balancers could reach a majority of control, as seen from outside.
+"""Tracks which balancers can reach a majority of control, as observed from outside.
 
-Without one no balancer gets a lease, and those that deny without a quorum have to deny all. Where a
-balancer has reached one for long and denies all the same, it withholds its service: a fault.
+Without a majority no balancer gets a lease, and those that deny without a quorum have to deny all
+requests. A balancer that has reached a majority for long and still denies all requests is faulty.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from orchidgap.simulation.observations import ClientAttempt
 
 STOPPED_STATE = "T"
-MIN_DENIALS = 5  # that make a case
+MIN_DENIALS = 5  # fewer denials are no evidence of a fault
 STATUS_OK = 200
 STATUS_DENIED = 503
 
 
 def process_state(process_id: int) -> str:
-    """Return the letter that the system has for a process's state, empty where it has ended."""
+    """Return the system's letter for the state of a process, empty if it has ended."""
     try:
         text = Path(f"/proc/{process_id}/stat").read_text()
     except OSError:
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Interval:
-    """A time in which one balancer reached a majority without a break, in microseconds."""
+    """An interval in which one balancer continuously reached a majority, in microseconds."""
 
     since_us: int
     until_us: int
@@ -37,22 +37,22 @@
 
 @dataclass(slots=True)
 class MajorityWatch:
-    """Notes which balancers reach a majority, look by look.
+    """Records which balancers reach a majority, from periodic updates.
 
     Attributes:
-        grace_us: How long a balancer may deny after it has come to reach one.
-        without_majority_us: How long none did.
-        intervals: When each did, by its name.
+        grace_us: How long a balancer may deny all requests after it reaches a majority.
+        without_majority_us: For how long no balancer reached a majority.
+        intervals: The intervals in which each balancer reached a majority, by its name.
     """
 
     grace_us: int
     without_majority_us: int = 0
     intervals: dict[str, list[Interval]] = field(default_factory=dict)
     _updated_at_us: int = 0
-    _reaching: frozenset[str] | None = None  # as of the last look
+    _reaching: frozenset[str] | None = None  # as of the last update
 
     def update(self, reaching: Iterable[str], now_us: int) -> None:
-        """Take in who reaches a majority now; called again and again."""
+        """Record which balancers reach a majority now; called periodically."""
         before = self._reaching
         if before is not None and not before:
             self.without_majority_us += now_us - self._updated_at_us
@@ -66,7 +66,7 @@
                 known.append(Interval(now_us, now_us))
 
     def withheld(self, attempts: Iterable[ClientAttempt]) -> list[str]:
-        """Return, in words, which balancers denied all though they had reached a majority."""
+        """Return descriptions of balancers that denied all requests while reaching a majority."""
         answers: dict[tuple[str, int], list[int]] = {}
         for attempt in attempts:
             for index, interval in enumerate(self.intervals.get(attempt.balancer, [])):
@@ -75,8 +75,8 @@
                     answers.setdefault((attempt.balancer, index), []).append(attempt.status)
         grace_s = self.grace_us / 1e6
         return [
-            f"{name}: all {len(statuses)} requests denied, {grace_s:g} s and more after it had "
-            "come to reach a majority of control"
+            f"{name}: all {len(statuses)} requests denied, {grace_s:g} s and more after it "
+            "reached a majority of control"
             for (name, _), statuses in answers.items()
             if STATUS_OK not in statuses and statuses.count(STATUS_DENIED) >= MIN_DENIALS
         ]
--- a/orchidgap/fault_tests/model/__init__.py
+++ b/orchidgap/fault_tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""Models of the register and of the leases, over which every reachable state is checked."""
+"""Models of the register and of leases, whose reachable states are all checked."""
--- a/orchidgap/fault_tests/model/acceptor_steps.py
+++ b/orchidgap/fault_tests/model/acceptor_steps.py
@@ -1,4 +1,4 @@
-"""What one acceptor of the fleet model comes to, by `decisions.leases` and `cas_register`."""
+"""Transitions of one acceptor of the fleet model, by `decisions.leases` and `cas_register`."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class AcceptorSteps:
-    """Steps from the number of an acceptor's state to the next; each is worked out once."""
+    """Transitions between the numbers of an acceptor's states; each is computed once."""
 
     def __init__(
         self, tables: FleetTables, on_lost_quorum: OnLostQuorum, max_restarts: int
     ) -> None:
-        """Prepare the steps of acceptors."""
+        """Prepare the transitions of acceptors."""
         self.tables = tables
         self.on_lost_quorum = on_lost_quorum
         self.max_restarts = max_restarts
@@ -40,7 +40,7 @@
         self.normalized = cache(self._normalized)
 
     def initial(self, balancer_count: int, state: PolicyState) -> int:
-        """Return an acceptor that has granted nothing and has this state."""
+        """Return an acceptor that has granted no lease and has accepted this state."""
         value = self.tables.policies.number(state)
         answers = (None,) * balancer_count
         return self.tables.acceptors.number(
@@ -77,13 +77,13 @@
         )
 
     def _without_answer(self, number: int, balancer: int) -> int:
-        """What it answered to that balancer's call counts no more."""
+        """Drop the acceptor's answer to a balancer's call."""
         acceptor = self.tables.acceptors[number]
         answers = with_item(acceptor.answers, balancer, None)
         return self.tables.acceptors.number(acceptor._replace(answers=answers))
 
     def _after_heartbeat(self, balancer: int, balancer_number: int, number: int) -> int:
-        """A balancer's call reaches it."""
+        """Deliver a balancer's heartbeat."""
         acceptor = self.tables.acceptors[number]
         caller = self.tables.balancers[balancer_number]
         leases = self._lease_table(acceptor)
@@ -106,7 +106,7 @@
         return self.tables.acceptors.number(after)
 
     def _after_accept_request(self, number: int, round_number: int, value: int) -> list[int]:
-        """Return what it may come to: it waits for leases to end, or it begins to write."""
+        """Return the possible states: waiting for leases to expire, or writing the value."""
         acceptor = self.tables.acceptors[number]
         ballot = ballot_of_round(round_number)
         if acceptor.accepted_ballot == ballot:
@@ -121,14 +121,14 @@
         leases = self._lease_table(acceptor)
         blocked = leases.begin_decision(current, policies[value], 0)
         after = self._with_lease_table(acceptor, leases)
-        # it may wait for this balancer, or for another one that is not in the model
+        # the acceptor may wait for this balancer, or for one that is not in the model
         found = [self.tables.acceptors.number(after)] if leases.pending_decision else []
         if not blocked:
             found.append(self.tables.acceptors.number(after._replace(writing=round_number)))
         return found
 
     def _after_failed_write(self, number: int) -> int:
-        """What it wrote may be on the disk all the same."""
+        """Fail the write in progress; the value may be on the disk nevertheless."""
         acceptor = self.tables.acceptors[number]
         return self.tables.acceptors.number(
             acceptor._replace(writing=NO_ROUND, failed_write=acceptor.writing)
@@ -148,7 +148,7 @@
         )
 
     def _after_accepted(self, number: int, round_number: int, value: int) -> int:
-        """The value of a round is on its disk."""
+        """Complete the write of a round's value."""
         acceptor = self.tables.acceptors[number]
         leases = self._lease_table(acceptor)
         leases.on_accepted()
@@ -165,9 +165,10 @@
         )
 
     def _normalized(self, number: int, driver_number: int) -> int:
-        """Drop what makes no difference any more.
+        """Remove parts of the state that have no effect any more.
 
-        That is acceptances of what is decided already, and failed writes that no restart will find.
+        These are acceptances of versions that are already decided, and failed writes that no
+        restart can find on the disk.
         """
         acceptor = self.tables.acceptors[number]
         driver = self.tables.drivers[driver_number]
--- a/orchidgap/fault_tests/model/balancer_steps.py
+++ b/orchidgap/fault_tests/model/balancer_steps.py
@@ -1,4 +1,4 @@
-"""What one balancer of the fleet model comes to, by `decisions.lease_state` itself."""
+"""Transitions of one balancer of the fleet model, by `decisions.lease_state`."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class BalancerSteps:
-    """Steps from the number of a balancer's state to the next; each is worked out once."""
+    """Transitions between the numbers of a balancer's states; each is computed once."""
 
     def __init__(self, tables: FleetTables, on_lost_quorum: OnLostQuorum) -> None:
-        """Prepare the steps of balancers that all do the same without a quorum."""
+        """Prepare the transitions of balancers that all behave alike without a quorum."""
         self.tables = tables
         self.on_lost_quorum = on_lost_quorum
         self.after_tick = cache(self._after_tick)
@@ -44,13 +44,13 @@
         return self.tables.balancers.number(state)
 
     def restarted(self, number: int) -> int:
-        """Return its next incarnation, which knows nothing."""
+        """Return the balancer's next incarnation, which has no version."""
         incarnation = self.tables.balancers[number].incarnation + 1
         state = BalancerState(incarnation, -1, 0, 0, 0, False, None, NOTHING_REPORTED)
         return self.tables.balancers.number(state)
 
     def calling(self, number: int) -> int:
-        """Return it with a call to all acceptors just sent."""
+        """Return the balancer after it has sent a call to all acceptors."""
         balancer = self.tables.balancers[number]
         reported = balancer.version, balancer.promised
         return self.tables.balancers.number(balancer._replace(call_sent_us=0, reported=reported))
@@ -78,7 +78,7 @@
         )
 
     def _after_tick(self, number: int) -> int:
-        """A lease that is over is as if it had never been, an old call as old as it gets."""
+        """Advance the time; an expired lease counts as none, and the age of a call is capped."""
         balancer = self.tables.balancers[number]
         sent_us = balancer.call_sent_us
         if sent_us is not None:
@@ -89,7 +89,7 @@
         )
 
     def _after_promise_written(self, number: int) -> int:
-        """A balancer that refuses is as one whose write never ends."""
+        """Complete the write of a promise; a refusal is modelled as a write that never ends."""
         balancer = self.tables.balancers[number]
         lease = self._lease_state(balancer)
         lease.on_promise_durable(balancer.writing)
@@ -98,7 +98,7 @@
     def _after_answers(
         self, index: int, number: int, answers: tuple[HeartbeatAnswer, ...]
     ) -> tuple[int, bool]:
-        """Return the balancer after these answers, and whether its call is over."""
+        """Return the balancer after these answers, and whether its call has ended."""
         balancer = self.tables.balancers[number]
         policies = self.tables.policies
         state, granted = evaluate_answers(
--- a/orchidgap/fault_tests/model/explorer.py
+++ b/orchidgap/fault_tests/model/explorer.py
@@ -1,4 +1,4 @@
-"""Visits the states of a model: all of them, or some by random walks."""
+"""Visits the states of a model: all states, or some by random walks."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from typing import Generic, NamedTuple, TypeVar
 
 MAX_WALK_STEPS = 120
-MAX_REMEMBERED_STATES = 1 << 15  # whose successors are kept in memory during walks
+MAX_REMEMBERED_STATES = 1 << 15  # number of states whose successors are cached during walks
 
 StateT = TypeVar("StateT", bound=Hashable)
 
 
 class InvariantViolation(Exception):  # noqa: N818
-    """A state was reached that breaks an invariant; the message is one line."""
+    """A reached state breaks an invariant; the message is one line."""
 
 
 class Exploration(NamedTuple):
-    """What a breadth-first search has seen.
+    """The result of a breadth-first search.
 
     Attributes:
-        state_count: How many distinct states were seen.
+        state_count: The number of distinct states found.
         complete: Whether these are all reachable states.
     """
 
@@ -32,24 +32,24 @@
 
 
 class Model(ABC, Generic[StateT]):
-    """A state machine that checks its invariants on each state that it reaches.
+    """A state machine that checks its invariants in each state that it reaches.
 
     Attributes:
-        initial_state: Where each search and each walk begins.
+        initial_state: The state in which each search and each walk begins.
     """
 
     initial_state: StateT
 
     @abstractmethod
     def successors(self, state: StateT) -> Iterator[StateT]:
-        """Yield each state that one step leads to.
+        """Yield each state that is reached by one step.
 
         Raises:
-            InvariantViolation: One of them breaks an invariant.
+            InvariantViolation: One of these states breaks an invariant.
         """
 
     def explore(self, max_states: int) -> Exploration:
-        """Visit states breadth first until there is none left, or `max_states` were seen.
+        """Visit states breadth first until none is left or `max_states` were found.
 
         Raises:
             InvariantViolation: A state breaks an invariant.
@@ -66,10 +66,10 @@
         return Exploration(len(seen), complete=True)
 
     def walk(self, walk_count: int, rng: Random) -> int:
-        """Go far along random paths, for models with too many states; return the steps taken.
+        """Follow long random paths, for models with too many states; return the number of steps.
 
-        The successors of a state that was visited lately are remembered: all walks begin at the
-        initial state, and many lead through the same states.
+        The successors of recently visited states are cached, as all walks begin in the initial
+        state and many visit the same states.
 
         Raises:
             InvariantViolation: A state breaks an invariant.
--- a/orchidgap/fault_tests/model/fleet_model.py
+++ b/orchidgap/fault_tests/model/fleet_model.py
@@ -1,13 +1,13 @@
 """A model of leases and versions: balancers, three acceptors and a driver of changes.
 
-Balancers promise, refuse, adopt, pause, start again and are cut off. Acceptors take their time
-over a write. The driver decides whenever it likes, and the clock goes on between any two steps,
-without end. What the driver does in one prepare phase happens at once; its requests to accept
-arrive wherever and whenever.
+Balancers promise, refuse, adopt, pause, restart and lose their links. A write of an acceptor may
+take any time. The driver may decide at any time, and the clock may advance without limit between
+any two steps. One prepare phase of the driver is atomic; its accept requests may arrive at any
+acceptor at any time.
 
-Acceptors that differ by their names only are one state. One balancer stands for any number: what
-others do reaches it by way of an acceptor only, as a wait (which an accept request may have at any
-time) or as a round of the register.
+States that differ only by a permutation of acceptors are treated as one. One balancer represents
+any number of them: others affect it only through an acceptor, as a wait (which an accept request
+may incur at any time) or as a round of the register.
 """
 
 from __future__ import annotations
@@ -41,7 +41,10 @@
 
 
 class FleetModel(Model[FleetState]):
-    """Whoever may serve does so under what is decided, a lease after a decision at the latest."""
+    """Checks that each balancer that may serve runs the decided version.
+
+    An earlier version may be served for at most one lease duration after a decision.
+    """
 
     def __init__(
         self,
@@ -51,7 +54,7 @@
         max_restarts: int,
         on_lost_quorum: OnLostQuorum,
     ) -> None:
-        """Bound the proposals, the driver's rounds and the restarts of processes."""
+        """Limit the number of proposals, of the driver's rounds and of process restarts."""
         self.max_proposals = max_proposals
         self.max_rounds = max_rounds
         self.max_restarts = max_restarts
@@ -71,7 +74,7 @@
         )
 
     def successors(self, state: FleetState) -> Iterator[FleetState]:
-        """Yield each state that one step leads to, checked and with sorted acceptors."""
+        """Yield each state that is reached by one step, checked and with sorted acceptors."""
         for after in self._steps(state):
             self._check(after)
             acceptors = sorted(
@@ -127,7 +130,7 @@
             yield from self._answers(state, index)
 
     def _heartbeats(self, state: FleetState, index: int) -> Iterator[FleetState]:
-        """The balancer's call reaches an acceptor."""
+        """Yield the states after the balancer's call has reached an acceptor."""
         balancer = state.balancers[index]
         for position, acceptor in enumerate(state.acceptors):
             if self.tables.acceptors[acceptor].answers[index] is None:
@@ -135,7 +138,7 @@
                 yield self._with_acceptor(state, position, answered)
 
     def _answers(self, state: FleetState, index: int) -> Iterator[FleetState]:
-        """Two or three answers have reached the balancer; one tells it nothing."""
+        """Yield the states after two or three answers have arrived; one alone has no effect."""
         in_flight = (self.tables.acceptors[number].answers[index] for number in state.acceptors)
         answers = sorted(answer for answer in in_flight if answer)
         subsets = (*combinations(answers, QUORUM), *combinations(answers, ACCEPTOR_COUNT))
@@ -144,7 +147,7 @@
                 index, state.balancers[index], received
             )
             informed = self._with_balancer(state, index, after)
-            # what others answer to the same call adds nothing
+            # once the call has ended, further answers to it have no effect
             yield self._without_answers(informed, index) if call_is_over else informed
 
     @staticmethod
@@ -184,7 +187,7 @@
         return state._replace(acceptors=with_item(state.acceptors, index, number))
 
     def _after_accepted(self, state: FleetState, index: int, round_number: int) -> FleetState:
-        """The value of a round is on an acceptor's disk, and may be chosen by that."""
+        """Complete an acceptor's write of a round's value, which may thereby be chosen."""
         driver = self.tables.drivers[state.driver]
         value = driver.round_values[round_number]
         accepted = self.acceptor_steps.after_accepted(state.acceptors[index], round_number, value)
@@ -198,7 +201,7 @@
         return after
 
     def _after_chosen(self, state: FleetState, policy: PolicyState) -> FleetState:
-        """Whoever may serve at this moment has to have promised what is decided by it."""
+        """Record a decision; each balancer that may serve now must have promised or adopted it."""
         driver = self.tables.drivers[state.driver]
         version = policy.version
         if version <= driver.last_version():
@@ -209,7 +212,7 @@
             if not prepared and self.balancer_steps.may_serve(number):
                 raise InvariantViolation(
                     f"version {version} was decided while {balancer_name(index)} "
-                    f"may serve under {balancer.version} unpromised"
+                    f"may serve under version {balancer.version} without a promise"
                 )
         decided = driver._replace(chosen=(*driver.chosen, ChosenVersion(version, 0)))
         return state._replace(driver=self.tables.drivers.number(decided))
@@ -217,20 +220,20 @@
     # --- the driver
 
     def _driver_rounds(self, state: FleetState) -> Iterator[FleetState]:
-        """One prepare phase at each majority, with all that may be proposed on what it finds."""
+        """Yield one prepare phase per majority and value that may be proposed after it."""
         driver = self.tables.drivers[state.driver]
         if len(driver.round_values) >= self.max_rounds:
             return
         ballot = ballot_of_round(len(driver.round_values))
         for quorum in combinations(range(ACCEPTOR_COUNT), QUORUM):
-            asked = [self.tables.acceptors[state.acceptors[index]] for index in quorum]
-            if any(acceptor.writing != NO_ROUND for acceptor in asked):
-                continue  # it is asked when the write is over
+            members = [self.tables.acceptors[state.acceptors[index]] for index in quorum]
+            if any(acceptor.writing != NO_ROUND for acceptor in members):
+                continue  # an acceptor answers prepare requests after its write
             acceptors = state.acceptors
-            for index, acceptor in zip(quorum, asked):
+            for index, acceptor in zip(quorum, members):
                 promised = acceptor._replace(promised_ballot=ballot, failed_write=NO_ROUND)
                 acceptors = with_item(acceptors, index, self.tables.acceptors.number(promised))
-            newest = max(asked, key=lambda acceptor: acceptor.accepted_ballot)
+            newest = max(members, key=lambda acceptor: acceptor.accepted_ballot)
             for policy in self._proposable(state, self.tables.policies[newest.value]):
                 value = self.tables.policies.number(policy)
                 begun = driver._replace(round_values=(*driver.round_values, value))
@@ -238,7 +241,7 @@
                 yield state._replace(acceptors=acceptors, driver=number)
 
     def _proposable(self, state: FleetState, policy: PolicyState) -> list[PolicyState]:
-        """Return the policy itself, and what the driver may make of it."""
+        """Return the policy state itself and all states that the driver may propose after it."""
         found: list[PolicyState] = []
         if policy.proposal_count < self.max_proposals:
             found.append(policy_rollout.propose(policy, f"p{policy.proposal_count}", {}))
@@ -262,10 +265,11 @@
             name = balancer_name(index)
             running = self.tables.balancers[number].version
             if running > last_version:
-                raise InvariantViolation(f"{name} runs {running}, which is not decided")
+                raise InvariantViolation(f"{name} runs version {running}, which is not decided")
             for version, age_us in driver.chosen:
                 outdated = running < version and age_us >= LEASE_US
                 if outdated and self.balancer_steps.may_serve(number):
                     raise InvariantViolation(
-                        f"{name} may serve under {running}, a lease after {version} was decided"
+                        f"{name} may serve under version {running} a full lease duration "
+                        f"after version {version} was decided"
                     )
--- a/orchidgap/fault_tests/model/fleet_state.py
+++ b/orchidgap/fault_tests/model/fleet_state.py
@@ -1,7 +1,7 @@
 """The states of the fleet model: balancers, acceptors that grant leases, and a driver of changes.
 
-All times are relative to now, in microseconds of model time. What is over counts as never, so a
-fleet's clock may go on without end.
+All times are relative to now, in microseconds of model time. Expired times count as never set, so
+the model's clock may advance without limit.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class HeartbeatAnswer(NamedTuple):
-    """What an acceptor answered to a balancer's call; it may arrive at any time, or never.
+    """An acceptor's answer to a balancer's call; it may arrive at any time or never.
 
     Attributes:
-        ballot: The ballot that the acceptor had accepted last.
+        ballot: The ballot that the acceptor last accepted.
         value: The number of the accepted `PolicyState`.
         granted: Whether it grants a lease.
     """
@@ -35,17 +35,17 @@
 
 
 class BalancerState(NamedTuple):
-    """A balancer: what its `LeaseState` holds, and its call that is in flight.
+    """A balancer: the content of its `LeaseState`, and its call in flight.
 
     Attributes:
-        incarnation: How often it was started before.
+        incarnation: The number of its restarts.
         version: The version under which it serves, -1 for none.
-        promised: The proposal number that it holds a promise for, 0 for none.
-        writing: The proposal number whose promise it writes, 0 for none.
-        lease_expires_us: When its lease ends.
+        promised: The number of the proposal that it has promised, 0 for none.
+        writing: The number of the proposal whose promise it is writing, 0 for none.
+        lease_expires_us: When its lease expires.
         registered: Whether it may serve without a quorum.
         call_sent_us: When its call was sent, None if no call is in flight.
-        reported: The version and the promised proposal that the call tells.
+        reported: The version and the promised proposal that the call contains.
     """
 
     incarnation: int
@@ -59,19 +59,19 @@
 
 
 class AcceptorView(NamedTuple):
-    """An acceptor: its disk, the leases it has granted, its answers to each balancer's call.
+    """An acceptor: its disk, the leases that it has granted and its answers in flight.
 
     Attributes:
-        promised_ballot: The highest ballot it promised.
-        accepted_ballot: The ballot of what it accepted last.
+        promised_ballot: The highest promised ballot.
+        accepted_ballot: The ballot of the last accepted value.
         value: The number of the accepted `PolicyState`.
-        holders: To whom it has granted leases that still run.
-        unknown_holders_until_us: Until then leases may run that it forgot in a restart.
-        pending_decision: The proposal number and version that wait for the end of leases.
+        holders: The holders of unexpired leases that it granted.
+        unknown_holders_until_us: Until when leases may be valid that were lost in a restart.
+        pending_decision: The proposal number and version that wait for leases to expire.
         writing: The round whose value is being written, `NO_ROUND` for none.
-        failed_write: The round whose write failed and may be on the disk all the same.
-        answers: By balancer, the answer that is in flight.
-        accepted_rounds: A bit for each round that it accepted and that would decide something.
+        failed_write: The round whose write failed but may be on the disk nevertheless.
+        answers: The answer in flight, by balancer.
+        accepted_rounds: A bit mask of the accepted rounds that would decide a new version.
     """
 
     promised_ballot: Ballot
@@ -87,19 +87,19 @@
 
 
 class ChosenVersion(NamedTuple):
-    """A version that was decided, and how long ago, at most `LEASE_US`."""
+    """A decided version and the time since its decision, capped at `LEASE_US`."""
 
     version: int
     age_us: int
 
 
 class DriverState(NamedTuple):
-    """The driver's rounds and what came of them.
+    """The driver's rounds and their results.
 
     Attributes:
-        round_values: The number of the value that each round asks acceptors to accept.
-        chosen: The versions decided so far, in their order.
-        restarts: How many processes were started again.
+        round_values: For each round, the number of the value in its accept requests.
+        chosen: The versions decided so far, in order.
+        restarts: The number of process restarts.
     """
 
     round_values: tuple[int, ...]
@@ -107,12 +107,12 @@
     restarts: int
 
     def last_version(self) -> int:
-        """Return the version that was decided last, 0 for none."""
+        """Return the last decided version, 0 for none."""
         return max((version for version, _ in self.chosen), default=0)
 
 
 class FleetState(NamedTuple):
-    """All parts by their numbers in `FleetTables`."""
+    """A state of the model; all parts are represented by their numbers in `FleetTables`."""
 
     balancers: tuple[int, ...]
     acceptors: tuple[int, ...]
@@ -120,10 +120,10 @@
 
 
 class FleetTables:
-    """The numbers of all parts of a fleet model's states."""
+    """The tables that number all parts of a fleet model's states."""
 
     def __init__(self) -> None:
-        """Begin without parts."""
+        """Begin with empty tables."""
         self.policies: ValueTable[PolicyState] = ValueTable()
         self.balancers: PartTable[BalancerState] = PartTable()
         self.acceptors: PartTable[AcceptorView] = PartTable()
@@ -136,5 +136,5 @@
 
 
 def balancer_name(index: int) -> str:
-    """Return the name by which acceptors know a balancer."""
+    """Return the name under which a balancer sends heartbeats to acceptors."""
     return f"b{index}"
--- a/orchidgap/fault_tests/model/interning.py
+++ b/orchidgap/fault_tests/model/interning.py
@@ -1,4 +1,4 @@
-"""Numbers for equal values, so that states are small and quickly compared."""
+"""Assigns one number to equal values, so that states are small and fast to compare."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ValueTable(Generic[ValueT]):
-    """Numbers for values that orjson can write; values with equal JSON have one number."""
+    """Numbers values that orjson can serialize; values with equal JSON have the same number."""
 
     def __init__(self) -> None:
         """Begin without values."""
@@ -33,7 +33,7 @@
 
 
 class PartTable(Generic[PartT]):
-    """Numbers for hashable parts of a state."""
+    """Numbers hashable parts of states."""
 
     def __init__(self) -> None:
         """Begin without parts."""
@@ -58,7 +58,7 @@
 
 
 def with_item(row: tuple[ItemT, ...], index: int, item: ItemT) -> tuple[ItemT, ...]:
-    """Return the row with another item at `index`.
+    """Return the row with the item at `index` replaced.
 
     >>> with_item(("a", "b", "c"), 1, "x")
     ('a', 'x', 'c')
--- a/orchidgap/fault_tests/model/register_model.py
+++ b/orchidgap/fault_tests/model/register_model.py
@@ -1,7 +1,7 @@
 """A model of the compare-and-set register: three acceptors and several rounds of proposers.
 
-Every message may be lost, doubled, late or out of order. A proposer may start again under a ballot
-that it had used before, and an acceptor may lose its disk and come back.
+Every message may be lost, duplicated, delayed or reordered. A proposer may restart with a ballot
+that it has used before, and an acceptor may lose its disk and recover.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 NO_VALUE = -1
 
 Labels = tuple[str, ...]
-"""A value of the register: each round appends its label to what it finds."""
+"""A value of the register: each round appends its label to the value that it finds."""
 
 
 class StoredState(NamedTuple):
-    """What an acceptor has on its disk; `value` is a number of the model's value table."""
+    """The content of an acceptor's disk; `value` is a number of the model's value table."""
 
     promised_ballot: Ballot
     accepted_ballot: Ballot
@@ -47,15 +47,15 @@
 
 
 class RoundState(NamedTuple):
-    """One round, as its proposer has it.
+    """One round, in the view of its proposer.
 
     Attributes:
         ballot: The ballot of the round.
-        label: What it appends, empty for a round that only reads.
-        excluded: An acceptor that does not count, `NO_ACCEPTOR` for none.
-        promises: In the order in which they came.
-        value: What it asks acceptors to accept, `NO_VALUE` until that is known.
-        accepted_by: The acceptors of whose acceptance it knows.
+        label: The label that it appends, empty for a round that only reads.
+        excluded: An acceptor that is not counted, `NO_ACCEPTOR` for none.
+        promises: The received promises, in the order of arrival.
+        value: The value in its accept requests, `NO_VALUE` until it is known.
+        accepted_by: The acceptors whose acceptance the proposer has received.
     """
 
     ballot: Ballot
@@ -67,7 +67,7 @@
 
 
 class Acceptance(NamedTuple):
-    """An acceptor has accepted a value."""
+    """The acceptance of a value by one acceptor."""
 
     ballot: Ballot
     value: int
@@ -78,10 +78,10 @@
     """A state of the model.
 
     Attributes:
-        stored: The disk of each acceptor, None where it is lost.
-        rounds: All rounds that were begun.
-        acceptances: All that ever happened.
-        disk_losses: How many disks were lost.
+        stored: The disk of each acceptor, None if it is lost.
+        rounds: All rounds begun so far.
+        acceptances: All acceptances that ever happened.
+        disk_losses: The number of lost disks.
     """
 
     stored: tuple[StoredState | None, ...]
@@ -91,15 +91,15 @@
 
 
 def new_round(ballot: Ballot, label: str, excluded: int = NO_ACCEPTOR) -> RoundState:
-    """Return a round that has sent nothing yet."""
+    """Return a round that has not sent any message yet."""
     return RoundState(ballot, label, excluded, (), NO_VALUE, frozenset())
 
 
 class RegisterModel(Model[RegisterState]):
-    """Of two values that were chosen, the later one begins with the earlier one."""
+    """Checks that of two chosen values the later one begins with the earlier one."""
 
     def __init__(self, max_rounds: int, max_disk_losses: int) -> None:
-        """Bound how many rounds are begun, and how many disks are lost."""
+        """Limit the number of rounds and of lost disks."""
         self.max_rounds = max_rounds
         self.max_disk_losses = max_disk_losses
         self.values: ValueTable[Labels] = ValueTable()
@@ -108,7 +108,7 @@
         self.initial_state = RegisterState((empty,) * ACCEPTOR_COUNT, (), frozenset(), 0)
 
     def successors(self, state: RegisterState) -> Iterator[RegisterState]:
-        """Yield each state that one step leads to, checked."""
+        """Yield each state that is reached by one step, checked."""
         for successor in self._steps(state):
             self._check(successor)
             yield successor
@@ -132,7 +132,7 @@
         used_ballots = {round_.ballot for round_ in state.rounds}
         last_count = max((count for count, _ in used_ballots), default=0)
         for proposer in PROPOSER_NAMES:
-            # the last count too: a proposer that started again may repeat its own ballot
+            # includes the last count, as a restarted proposer may repeat its own ballot
             for count in sorted({last_count, last_count + 1} - {0}):
                 others = (name for name in PROPOSER_NAMES if name != proposer)
                 if any((count, other) in used_ballots for other in others):
@@ -142,7 +142,10 @@
 
     @staticmethod
     def _begin_recoveries(state: RegisterState) -> Iterator[RegisterState]:
-        """An acceptor without a disk reads the register by a round that does not count itself."""
+        """Begin rounds in which an acceptor that lost its disk reads the register.
+
+        The acceptor is not counted in its own round.
+        """
         last_count = max((round_.ballot[0] for round_ in state.rounds), default=0)
         for acceptor, stored in enumerate(state.stored):
             if stored is None:
@@ -150,7 +153,7 @@
                 yield state._replace(rounds=(*state.rounds, begun))
 
     def _prepare(self, state: RegisterState, index: int, acceptor: int) -> Iterator[RegisterState]:
-        """A request for a promise reaches an acceptor."""
+        """Deliver a prepare request to an acceptor."""
         stored = state.stored[acceptor]
         if stored is None:
             return
@@ -159,8 +162,8 @@
         if promised is None:
             return
         written = self._with_stored(state, acceptor, promised)
-        yield written  # and the answer is lost
-        # an answer that comes late tells the proposer no more than one that comes at once
+        yield written  # the answer is lost
+        # a late answer informs the proposer no more than an immediate one
         if round_.value == NO_VALUE:
             value = self.values.number(promised.value)
             received = PromiseReceived(acceptor, promised.accepted_ballot, value)
@@ -171,7 +174,7 @@
             yield written._replace(rounds=with_item(state.rounds, index, informed))
 
     def _accept(self, state: RegisterState, index: int, acceptor: int) -> Iterator[RegisterState]:
-        """A request to accept reaches an acceptor."""
+        """Deliver an accept request to an acceptor."""
         stored = state.stored[acceptor]
         round_ = state.rounds[index]
         if stored is None or round_.value == NO_VALUE:
@@ -183,14 +186,14 @@
         written = self._with_stored(state, acceptor, accepted)._replace(
             acceptances=state.acceptances | {acceptance}
         )
-        yield written  # and the answer is lost
+        yield written  # the answer is lost
         informed = round_._replace(accepted_by=round_.accepted_by | {acceptor})
         yield self._with_acceptance_known(written, index, informed)
 
     def _with_acceptance_known(
         self, state: RegisterState, index: int, round_: RoundState
     ) -> RegisterState:
-        """Let the acceptor that had lost its disk come back, once its round's value is chosen."""
+        """Recover the acceptor that lost its disk once the value of its round is chosen."""
         stored = state.stored
         excluded = round_.excluded
         recovers = excluded != NO_ACCEPTOR and stored[excluded] is None
@@ -211,7 +214,7 @@
         return state._replace(stored=with_item(state.stored, acceptor, stored))
 
     def _proposer(self, round_: RoundState) -> Proposer[Labels]:
-        """Return the proposer of a round, with all that it has received."""
+        """Return the proposer of a round after all messages that it has received."""
 
         def append_label(value: Labels) -> Labels:
             return (*value, round_.label) if round_.label else value
--- a/orchidgap/fault_tests/plan.py
+++ b/orchidgap/fault_tests/plan.py
@@ -1,6 +1,6 @@
 """The plan of a fault test: a simulation's plan with a table `control` and steps.
 
-Only this module knows the keywords of plan files; the rest of the package uses `Condition` and
+Only this module uses the keywords of plan files; the rest of the package uses `Condition` and
 `Action`.
 """
 
--- a/orchidgap/fault_tests/planted_defects.py
+++ b/orchidgap/fault_tests/planted_defects.py
@@ -1,4 +1,7 @@
-"""Defects planted on purpose: each a program that looks right until a fault shows its defect."""
+"""Planted defects, with which the fault tests are tested.
+
+Each function patches the program with a defect that is not visible until a fault occurs.
+"""
 
 # mypy: disable-error-code="method-assign, attr-defined, assignment"
 
@@ -34,27 +37,27 @@
 from orchidgap.net.traffic_counts import ConnectionEnd
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
-LONGEST_COUNTED_STOP_US = 50_000
+MAX_COUNTED_PAUSE_US = 50_000
 DENIAL_DELAY_US = 600_000
 READ_BEFORE_CLOSE_US = 1_000
 REQUESTS_BEFORE_EXIT = 1_000
-ADDED_TIME_US = 300_000
+ADDED_TIMEOUT_US = 300_000
 SLOW_START_S = 7.0
 
 
 def keeps_old_version() -> None:
-    """It reports that it runs a version, and goes on under the one before."""
+    """The balancer reports a new version as adopted but continues to run the previous one."""
     adopt = LeaseKeeper.adopt
 
-    def skip(self: LeaseKeeper, document: Any) -> None:
+    def skip_adoption(self: LeaseKeeper, document: Any) -> None:
         if self.lease.version < 0:
             adopt(self, document)
 
-    LeaseKeeper.adopt = skip
+    LeaseKeeper.adopt = skip_adoption
 
 
 def serves_before_first_lease() -> None:
-    """It serves before it knows what is decided."""
+    """The balancer serves before it has received the decided version."""
     begin = LeaseKeeper.begin
 
     def open_at_once(self: LeaseKeeper, on_first_lease: Callable[[], None]) -> None:
@@ -66,7 +69,7 @@
 
 
 def forgets_promise() -> None:
-    """It loses its promise: without a quorum it goes on as if it had given none."""
+    """The balancer does not keep its promise: without a quorum it serves as if it had made none."""
     LeaseState.on_promise_durable = lambda self, proposal_number: True
     send_heartbeat = LeaseKeeper.send_heartbeat
 
@@ -85,42 +88,42 @@
 
     check_proposal = LeaseKeeper.check_proposal
 
-    def remember(self: LeaseKeeper, proposal: ProposalMessage | ProposalNotice) -> None:
+    def remember_proposal(self: LeaseKeeper, proposal: ProposalMessage | ProposalNotice) -> None:
         self.seen_proposal = proposal.proposal_number
         check_proposal(self, proposal)
 
     LeaseKeeper.seen_proposal = 0
     LeaseKeeper.send_heartbeat = send_with_promise
-    LeaseKeeper.check_proposal = remember
+    LeaseKeeper.check_proposal = remember_proposal
 
 
 def answers_twice() -> None:
-    """It answers a request two times."""
+    """The balancer answers each request twice."""
     answer = Http1ClientConnection.answer
 
-    def again(self: Http1ClientConnection, status: int, *more: Any, **named: Any) -> None:
+    def answer_again(self: Http1ClientConnection, status: int, *more: Any, **named: Any) -> None:
         answer(self, status, *more, **named)
         if status == 200 and more:
             self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-    Http1ClientConnection.answer = again
+    Http1ClientConnection.answer = answer_again
 
 
 def adopts_proposal() -> None:
-    """It takes a version that it has only promised."""
+    """The balancer adopts a version that it has only promised."""
     checked = LeaseKeeper.on_proposal_checked
 
-    def take(self: LeaseKeeper, proposal: ProposalMessage, refusal_reason: str) -> None:
+    def adopt_promised(self: LeaseKeeper, proposal: ProposalMessage, refusal_reason: str) -> None:
         checked(self, proposal, refusal_reason)
         if self.lease.promised_proposal == proposal.proposal_number:
             with suppress(InvalidPolicyError):
                 self.adopt(proposal.document)
 
-    LeaseKeeper.on_proposal_checked = take
+    LeaseKeeper.on_proposal_checked = adopt_promised
 
 
 def ignores_lease_end() -> None:
-    """Once it had a lease it serves for ever."""
+    """The balancer serves forever once it has held a lease."""
 
     def permission(self: LeaseState, now_us: int) -> ServingPermission:
         return ServingPermission.LEASE if self.version >= 0 else ServingPermission.DENIED
@@ -129,20 +132,23 @@
 
 
 def loses_time_while_stopped() -> None:
-    """Its clock stands still while it is stopped, as one that counts loop turns would."""
+    """The balancer's clock does not advance while the process is stopped.
+
+    A clock that counts turns of the event loop would behave like this.
+    """
     begin = LeaseKeeper.begin
 
     def count(self: LeaseKeeper, on_first_lease: Callable[[], None]) -> None:
         real_clock = self.clock
         last = real_clock()
-        own = last
+        own_time = last
 
         def clock() -> int:
-            nonlocal last, own
+            nonlocal last, own_time
             now = real_clock()
-            own += min(now - last, LONGEST_COUNTED_STOP_US)
+            own_time += min(now - last, MAX_COUNTED_PAUSE_US)
             last = now
-            return own
+            return own_time
 
         self.clock = clock
         begin(self, on_first_lease)
@@ -151,27 +157,27 @@
 
 
 def decides_without_promises() -> None:
-    """Control decides without waiting for promises or for the end of leases."""
-    LeaseTable.unprepared_members = lambda self, *told: []
+    """Control decides without waiting for promises or for leases to expire."""
+    LeaseTable.unprepared_members = lambda self, *arguments: []
 
 
 def skips_acceptor_writes() -> None:
-    """Control confirms what it never wrote."""
+    """Control confirms writes that it never made."""
     DurableAcceptor.write_state = lambda self, state, on_written: self.loop.call_soon(
         on_written, True
     )
 
 
 def sees_no_hot_key() -> None:
-    """It sees no hot key."""
+    """The balancer detects no hot keys."""
     HotKeyDetector.replica_count = lambda self, key, cache_count: 1
 
 
 def counts_reports_again() -> None:
-    """It counts again what others had reported before."""
+    """The balancer adds a peer's previous report to its new one and so counts keys twice."""
     receive_report = GossipCounts.receive_report
 
-    def again(self: GossipCounts, report: CountsReport) -> ReportOutcome:
+    def add_known_counts(self: GossipCounts, report: CountsReport) -> ReportOutcome:
         known = self.reports.get(report.balancer)
         known_counts = known.hot_key_counts if known else {}
         counts = {
@@ -179,11 +185,11 @@
         }
         return receive_report(self, report._replace(hot_key_counts=counts))
 
-    GossipCounts.receive_report = again
+    GossipCounts.receive_report = add_known_counts
 
 
 def closes_with_requests_read() -> None:
-    """Told to end, it closes connections whose requests it has read and not answered."""
+    """On shutdown the balancer closes connections with requests that it read but did not answer."""
     begin_shutdown = NodeLifecycle.begin_shutdown
 
     def begin_and_close(self: NodeLifecycle) -> None:
@@ -196,7 +202,7 @@
 
 
 def closes_first_request() -> None:
-    """It closes each connection on the first request that it has read there."""
+    """The balancer closes each connection after reading the first request on it."""
     hand_over = Http1ClientConnection.hand_over
 
     def close(self: Http1ClientConnection, *request: Any) -> None:
@@ -209,7 +215,7 @@
 
 
 def closes_later_request() -> None:
-    """It closes a connection 1 ms after it has read a request that is not the first on it."""
+    """The balancer closes a connection 1 ms after reading a later request than the first on it."""
     hand_over = Http1ClientConnection.hand_over
 
     def close_soon(self: Http1ClientConnection, *request: Any) -> None:
@@ -222,7 +228,7 @@
 
 
 def resets_first_request() -> None:
-    """It reads the first request of a connection, sends nothing, and resets on purpose."""
+    """The balancer reads the first request of a connection and resets it without an answer."""
     hand_over = Http1ClientConnection.hand_over
 
     def reset(self: Http1ClientConnection, *request: Any) -> None:
@@ -235,7 +241,7 @@
 
 
 def resets_later_request() -> None:
-    """It reads a request that is not the first on its connection, sends nothing, and resets."""
+    """The balancer reads a later request of a connection and resets it without an answer."""
     hand_over = Http1ClientConnection.hand_over
 
     def reset(self: Http1ClientConnection, *request: Any) -> None:
@@ -248,13 +254,13 @@
 
 
 def reset_unanswered(client: Http1ClientConnection) -> None:
-    """Reset a connection under the request that was read on it."""
+    """Reset a connection without answering the request that was read on it."""
     client.conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     client.close(ConnectionEnd.SHUTDOWN)
 
 
 def closes_over_backlog() -> None:
-    """Told to end, it closes its listener at once, over the connections that wait there."""
+    """On shutdown the balancer closes its listener while connections wait in the accept queue."""
     begin_shutdown = NodeLifecycle.begin_shutdown
 
     def close_and_begin(self: NodeLifecycle) -> None:
@@ -269,7 +275,7 @@
 
 
 def resets_half_answers() -> None:
-    """It begins answers that it has whole, and resets the connection."""
+    """The balancer sends only a part of answers that it has completely, and resets."""
 
     answer = Http1ClientConnection.answer
 
@@ -285,12 +291,12 @@
 
 
 def ends_at_once() -> None:
-    """Told to end, it ends at once, whatever it has read."""
+    """On shutdown the balancer exits immediately, regardless of open requests."""
     NodeLifecycle.begin_shutdown = NodeLifecycle.stop
 
 
 def never_ends() -> None:
-    """Told to end it does not, and answers nothing from then on."""
+    """On SIGTERM the balancer does not exit, and answers no requests from then on."""
 
     def begin_shutdown(self: NodeLifecycle) -> None:
         Http1ClientConnection.hand_over = lambda *request: None
@@ -299,7 +305,7 @@
 
 
 def denies_late() -> None:
-    """It answers what it denies 0.6 s later than it could."""
+    """The balancer sends each denial 0.6 s late."""
     deny = DecisionsPort.deny
 
     def deny_later(self: DecisionsPort, request: int, retry_after_us: int) -> None:
@@ -308,13 +314,13 @@
     DecisionsPort.deny = deny_later
 
 
-def takes_draining_for_ready() -> None:
-    """It goes on sending to hosts that drain."""
+def treats_draining_as_ready() -> None:
+    """The balancer continues to send requests to hosts that drain."""
     STATES["Terminating"] = "up"
 
 
 def drops_query() -> None:
-    """It forwards requests without their query."""
+    """The balancer forwards requests without their query string."""
     forwarded_head = server.forwarded_head
 
     def head_without_query(method: bytes, target: bytes, *more: Any) -> bytes:
@@ -324,7 +330,7 @@
 
 
 def end_after_requests(end: Callable[[], None]) -> None:
-    """Have the process call `end`, which does not return, once it has had so many requests."""
+    """Call `end`, which does not return, after `REQUESTS_BEFORE_EXIT` requests."""
     hand_over = Http1ClientConnection.hand_over
     requests_left = REQUESTS_BEFORE_EXIT
 
@@ -339,34 +345,34 @@
 
 
 def exits_by_itself() -> None:
-    """It exits by itself, with its code for all being well, after so many requests."""
+    """The process exits with status 0 after a number of requests."""
     end_after_requests(lambda: os._exit(0))
 
 
 def kills_itself() -> None:
-    """It ends by SIGKILL, as one that the system takes for too large, after so many requests."""
+    """The process ends by SIGKILL, as from the OOM killer, after a number of requests."""
     end_after_requests(lambda: os.kill(os.getpid(), signal.SIGKILL))
 
 
-def tells_more_time() -> None:
-    """It tells hosts more time than is left to the client."""
+def sends_longer_timeout() -> None:
+    """The balancer sends hosts a longer timeout than the client has left."""
     start_attempt = HostConnection.start_attempt
 
     def start_with_more_time(self: HostConnection, attempt: UpstreamAttempt) -> None:
-        attempt.deadline_us += ADDED_TIME_US
+        attempt.deadline_us += ADDED_TIMEOUT_US
         start_attempt(self, attempt)
 
     HostConnection.start_attempt = start_with_more_time
 
 
-def serves_who_has_left() -> None:
-    """It goes on with requests whose client has closed its connection."""
+def serves_disconnected_clients() -> None:
+    """The balancer continues requests whose client has closed the connection."""
     Http1ClientConnection.on_disconnect = lambda self: None
     Http1ClientConnection.has_disconnected = lambda self: False
 
 
 def starts_slowly() -> None:
-    """It needs 7 s from its start until it reads its configuration."""
+    """The process reads its configuration only 7 s after its start."""
     time.sleep(SLOW_START_S)
 
 
@@ -392,12 +398,12 @@
     "quits": ends_at_once,
     "outstays": never_ends,
     "dawdles": denies_late,
-    "stubborn": takes_draining_for_ready,
+    "stubborn": treats_draining_as_ready,
     "rewrites": drops_query,
     "crashes": exits_by_itself,
     "falls-dead": kills_itself,
-    "overstates": tells_more_time,
+    "overstates": sends_longer_timeout,
     "sleeps-in": starts_slowly,
-    "serves-nobody": serves_who_has_left,
+    "serves-nobody": serves_disconnected_clients,
 }
-"""By the name that the command and the environment of a process take."""
+"""The defects by the name that the command line and the process environment use."""
--- a/orchidgap/fault_tests/process.py
+++ b/orchidgap/fault_tests/process.py
@@ -1,12 +1,12 @@
-"""The program as a process with a disk that can be made to fail and, on request, a planted defect.
+"""Runs the program with a disk that can be made to fail and, optionally, a planted defect.
 
 `python -m orchidgap.fault_tests.process serve|control --config=FILE [--new]`
 
-The environment's `DRILL_DISK` names a file that tells which disk operations fail, and
-`DRILL_DEFECT` names the defect. Both are read here only: the program knows neither. A line of the
-file is `OPERATION N FAILURE`, for the Nth call of open, write, fsync or rename since the file was
-written, or 0 for all calls. FAILURE is ENOSPC, EIO, short (half is written, then ENOSPC), kill, or
-a delay in milliseconds.
+The environment variable `DRILL_DISK` names a file that defines which disk operations fail, and
+`DRILL_DEFECT` names the defect. Only this module reads them, not the program. A line of the file is
+`OPERATION N FAILURE`, for the Nth call of open, write, fsync or rename since the file was written,
+or 0 for all calls. FAILURE is ENOSPC, EIO, short (half is written, then ENOSPC), kill, or a delay
+in milliseconds.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 def failure_error(failure: str) -> OSError:
-    """Return the error that the system gives for a failure.
+    """Return the error that the system raises for a failure.
 
     >>> failure_error("EIO").errno == errno.EIO, failure_error("short").errno == errno.ENOSPC
     (True, True)
@@ -49,19 +49,19 @@
 
 
 class FailingStore(DurableStore):
-    """A durable store whose disk fails as the file of disk faults tells."""
+    """A durable store whose disk operations fail as the file of disk faults defines."""
 
     def __init__(self, folder: Path) -> None:
-        """Open the store; the file is named by the environment."""
+        """Open the store; the environment names the file of disk faults."""
         self.faults_path = Path(os.environ[DISK_FAULTS_VARIABLE])
         self.process_id = os.getpid()
-        # when the file was written (ns), and the calls of each operation since then: shared with
-        # child processes that write
+        # when the file was written (ns), then the number of calls of each operation since; shared
+        # with the child processes that write
         self.counters = memoryview(mmap(-1, COUNTER_BYTES * (1 + len(OPERATIONS)))).cast("q")
         super().__init__(folder)
 
     def _count_call(self, operation: str, written_ns: int) -> int:
-        """Return how many calls of it there were since the file was written, this one included."""
+        """Count a call; return the number of calls of this operation since the file was written."""
         if written_ns != self.counters[0]:
             for index in range(len(self.counters)):
                 self.counters[index] = 0
@@ -71,7 +71,7 @@
         return self.counters[index]
 
     def _next_failure(self, operation: str) -> str:
-        """Return how this call fails, if it does; a delay or a kill happens here."""
+        """Return how this call fails, empty if it does not; delays and kills happen here."""
         try:
             with open(self.faults_path) as file:
                 written_ns = os.fstat(file.fileno()).st_mtime_ns
@@ -97,12 +97,12 @@
             raise failure_error(failure)
 
     def open_file(self, path: Path) -> int:
-        """Open a file, or fail."""
+        """Open a file, unless a fault is due."""
         self._fail_if_due("open")
         return super().open_file(path)
 
     def write_some(self, fd: int, data: memoryview) -> int:
-        """Write, or fail, possibly with half of it written."""
+        """Write data, unless a fault is due; the fault may write half of it first."""
         failure = self._next_failure("write")
         if failure == SHORT_WRITE:
             super().write_some(fd, data[: len(data) // 2])
@@ -111,18 +111,18 @@
         return super().write_some(fd, data)
 
     def sync(self, fd: int) -> None:
-        """Sync to the disk, or fail."""
+        """Sync a file to disk, unless a fault is due."""
         self._fail_if_due("fsync")
         super().sync(fd)
 
     def rename(self, old: Path, new: Path) -> None:
-        """Rename a file, or fail."""
+        """Rename a file, unless a fault is due."""
         self._fail_if_due("rename")
         super().rename(old, new)
 
 
 def main() -> None:
-    """Run a balancer or a control process, as the command line tells."""
+    """Run a balancer or a control process, as the command line specifies."""
     kind = sys.argv[1]
     config = sys.argv[2].partition("=")[2]
     plant_defect = DEFECTS.get(os.environ.get(DEFECT_VARIABLE, ""))
--- a/orchidgap/fault_tests/process_logs.py
+++ b/orchidgap/fault_tests/process_logs.py
@@ -1,4 +1,4 @@
-"""The events that the processes of a fault test have logged."""
+"""Reads the events that the processes of a fault test have logged."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True)
 class LogPosition:
-    """How far one log was read.
+    """The position up to which one log was read.
 
     Attributes:
-        offset_bytes: Where the first line begins that was not read yet.
-        events: The names of all events read.
-        marked_count: How many there were when the last step was done.
+        offset_bytes: The offset of the first line that was not read yet.
+        events: The names of all events read so far.
+        marked_count: The number of events at the last `mark`.
     """
 
     offset_bytes: int = 0
@@ -31,7 +31,7 @@
     """Reads the logs of processes by their names."""
 
     def __init__(self, log_path: Callable[[str], Path]) -> None:
-        """Read logs where `log_path` tells for each process."""
+        """Read the logs at the paths that `log_path` returns for process names."""
         self.log_path = log_path
         self.positions: dict[str, LogPosition] = {}
 
@@ -54,10 +54,10 @@
         return events[self.positions[name].marked_count :]
 
     def mark(self) -> None:
-        """Let the events so far count as old."""
+        """Treat all events so far as old for `new_events`."""
         for name, position in self.positions.items():
             position.marked_count = len(self.events(name))
 
     def tails(self) -> dict[str, list[str]]:
-        """Return the last events of each process, for whoever has to explain a breach."""
+        """Return the last events of each process, for the diagnosis of a breach."""
         return {name: position.events[-TAIL_EVENTS:] for name, position in self.positions.items()}
--- a/orchidgap/fault_tests/proposal_callers.py
+++ b/orchidgap/fault_tests/proposal_callers.py
@@ -1,4 +1,4 @@
-"""Callers of `change propose`, each a process of its own."""
+"""Runs `change propose` commands, each in a process of its own."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ProposalCaller:
-    """A running command, and the proposal that it makes."""
+    """A running command and the proposal that it makes."""
 
     proposal: ProposalRecord
     command: PrestartedCommand
 
 
 class ProposalCallers:
-    """All commands that still run."""
+    """The running commands, and the prestarted ones that have no proposal yet."""
 
     def __init__(self, checker: RolloutChecker, wait_s: float) -> None:
-        """Tell outcomes to `checker`; each command waits no longer than `wait_s`."""
+        """Report outcomes to `checker`; each command waits at most `wait_s` for its outcome."""
         self.checker = checker
         self.wait_s = wait_s
         self.prestarted: list[PrestartedCommand] = []
         self.running: list[ProposalCaller] = []
 
     def prestart(self, count: int) -> None:
-        """Have so many commands wait for their proposals, to run without delay."""
+        """Ensure that this many prestarted commands wait for their arguments."""
         self.prestarted += [PrestartedCommand() for _ in range(count - len(self.prestarted))]
 
     def start(self, proposal: ProposalRecord, document: Path, addresses: str) -> None:
@@ -56,7 +56,7 @@
         self.running.append(ProposalCaller(proposal, command))
 
     def collect(self, now_us: int) -> None:
-        """Take in what the commands that have ended were told."""
+        """Report the outcomes that the ended commands received."""
         for caller in list(self.running):
             if caller.command.has_ended():
                 self.running.remove(caller)
@@ -73,6 +73,6 @@
         self.checker.on_outcome(caller.proposal, outcome, version, reason, now_us)
 
     def close(self) -> None:
-        """Kill the commands that still run, or were never needed."""
+        """Kill the commands that are still running or were never used."""
         for command in (*self.prestarted, *(caller.command for caller in self.running)):
             command.close()
--- a/orchidgap/fault_tests/random_faults.py
+++ b/orchidgap/fault_tests/random_faults.py
@@ -1,4 +1,4 @@
-"""Draws a fault by chance."""
+"""Draws random faults."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from orchidgap.fault_tests.plan import ALL_CONTROL, ALL_HOSTS, Action, ActionKind
 from orchidgap.fault_tests.process import OPERATIONS
 
-PROCESS_FAULT_WEIGHT = 2  # faults of processes are that much more likely than each other one
+PROCESS_FAULT_WEIGHT = 2  # a fault of a process is this many times as likely as each other fault
 SIGNAL_FAULTS = (ActionKind.KILL, ActionKind.PAUSE, ActionKind.TERMINATE)
 
 
 def draw_fault(cluster: Cluster) -> Action:
-    """Draw a fault that can happen now, at some balancer or control process."""
+    """Draw a fault that is possible now, at a random balancer or control process."""
     rng = cluster.rng
     balancer = rng.choice(list(cluster.balancers))
     control = rng.choice([process.name for process in cluster.controls])
@@ -46,7 +46,7 @@
 
 
 def _control_faults(cluster: Cluster, control: str) -> list[Action]:
-    """Faults of a control process, none while one of them is dead already."""
+    """Return the possible faults of a control process, none while any of them has ended."""
     if not all(process.alive for process in cluster.controls):
         return []
     kill = Action.of(ActionKind.KILL, control)
--- a/orchidgap/fault_tests/readiness_report.py
+++ b/orchidgap/fault_tests/readiness_report.py
@@ -1,4 +1,4 @@
-"""Collects the starts of a fault test's balancers, and has them judged."""
+"""Collects the starts of a fault test's balancers and checks their readiness."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def check_readiness(cluster: Cluster) -> ReadinessReport:
-    """Judge all starts of the run up to now."""
+    """Check all starts of the run up to now."""
     starts = [
         start
         for instance in cluster.balancers.values()
@@ -17,9 +17,9 @@
     ]
 
     def usable_us(balancer: str, since_us: int, until_us: int) -> int:
-        """Return how much of a time a balancer could use to get ready."""
+        """Return how much of an interval a balancer could use to become ready."""
         delay_us = cluster.run_delay_us(balancer, since_us, until_us)
-        if cluster.controls:  # a process that is stopped reaches no majority
+        if cluster.controls:  # the intervals with a majority exclude pauses of the process
             reached = cluster.majority_watch.intervals.get(balancer, [])
             intervals = [(interval.since_us, interval.until_us) for interval in reached]
             return overlap_us(intervals, since_us, until_us) - delay_us
--- a/orchidgap/fault_tests/readiness_watch.py
+++ b/orchidgap/fault_tests/readiness_watch.py
@@ -1,9 +1,9 @@
-"""Judges how soon balancers are ready: from the start of a process to its first list and accept.
+"""Checks how soon balancers are ready, from the start of a process to its first list and accept.
 
-The standing page: none takes over 30 s, and nine in ten restarted balancers are ready within 10 s,
-or within 6 s if the run ends sooner. What a balancer could not use is taken off: the time in which
-the plan had stopped it, or it reached no majority of control, and what it was ready to run and got
-no core, by the kernel's count.
+The requirement: no balancer takes more than 30 s, and nine in ten restarted balancers are ready
+within 10 s, or within 6 s if the run ends sooner. Time that a balancer could not use is subtracted:
+while the plan paused it, while it could not reach a majority of control, and while it was runnable
+but got no core, as counted by the kernel.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from typing import NamedTuple
 
 READY_WITHIN_US = 10_000_000
-READY_WITHIN_SHORT_RUN_US = 6_000_000  # where the run ends within the longer time
+READY_WITHIN_SHORT_RUN_US = 6_000_000  # if the run ends within the longer time
 MAX_READY_US = 30_000_000
-MAX_LATE_RATIO = 0.1  # of all restarted balancers
+MAX_LATE_RATIO = 0.1  # as a fraction of all restarted balancers
 
 
 @dataclass(slots=True)
@@ -23,11 +23,11 @@
     """One start of a balancer's process; times in microseconds, 0 until they are known.
 
     Attributes:
-        balancer: Its name.
-        began_us: When it was started.
-        ready_us: When it was seen to be ready.
-        ended_us: When it ended, or was told to.
-        is_restart: Another process had run under the name before.
+        balancer: The balancer's name.
+        began_us: When the process was started.
+        ready_us: When the process was detected to be ready.
+        ended_us: When the process ended or its shutdown was requested.
+        is_restart: Whether another process had run under the name before.
     """
 
     balancer: str
@@ -38,12 +38,12 @@
 
 
 class ReadinessReport(NamedTuple):
-    """What became of all starts of a run.
+    """The result of checking all starts of a run.
 
     Attributes:
-        restarts: How many restarts could be judged.
-        late: How many of these were not ready in time.
-        breaches: What broke the page's rules, in words.
+        restarts: The number of restarts that could be checked.
+        late: The number of these that were not ready in time.
+        breaches: Descriptions of the broken requirements.
     """
 
     restarts: int
@@ -52,15 +52,18 @@
 
 
 UsableTime = Callable[[str, int, int], int]
-"""Returns how much of the time between two times a balancer could use, in microseconds."""
+"""Returns how much of the time between two times a balancer could use, in microseconds.
+
+The arguments are the balancer's name and the two times.
+"""
 
 
 def check_starts(
     starts: Iterable[ProcessStart], end_us: int, tolerance_us: int, usable_us: UsableTime
 ) -> ReadinessReport:
-    """Judge all starts of a run that ended at a time.
+    """Check all starts of a run that ended at `end_us`.
 
-    A process that was not ready, and that ended before its time was over, tells nothing.
+    A process that ended before its time limit without being ready is not counted.
     """
     restarts = 0
     late: list[str] = []
@@ -71,7 +74,7 @@
         text = f"{start.balancer} {'ready' if start.ready_us else 'not ready'} after "
         text += f"{(until_us - start.began_us) / 1e6:.1f} s"
         if waited_us > MAX_READY_US:
-            breaches.append(f"{text}, {MAX_READY_US // 1_000_000} s may be")
+            breaches.append(f"{text}, more than {MAX_READY_US // 1_000_000} s")
         if not start.is_restart:
             continue
         is_late = waited_us > time_limit_us(start, end_us)
@@ -84,7 +87,7 @@
 
 
 def time_limit_us(start: ProcessStart, end_us: int) -> int:
-    """Return within which time a restarted balancer has to be ready.
+    """Return the time within which a restarted balancer has to be ready.
 
     >>> time_limit_us(ProcessStart("b0", 0), 12_000_000), time_limit_us(ProcessStart("b0", 0), 9)
     (10000000, 6000000)
@@ -94,7 +97,7 @@
 
 
 def overlap_us(intervals: Iterable[tuple[int, int]], since_us: int, until_us: int) -> int:
-    """Return how much of the time between two times lies in intervals that do not meet.
+    """Return how much of the time between two times lies in disjoint intervals.
 
     >>> overlap_us([(0, 10), (20, 30)], 5, 22)
     7
--- a/orchidgap/fault_tests/relay.py
+++ b/orchidgap/fault_tests/relay.py
@@ -1,6 +1,6 @@
-"""A relay in the place of a server, on the link from one process to it.
+"""A TCP relay on the link from one process to a server.
 
-It can slow, stall, cut and heal the link, and lose a part of the packets.
+It can delay, stall, cut and heal the link, and simulate packet loss.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from orchidgap.net.dialing import dial, open_listener
 from orchidgap.net.loop import READ, Loop
 
-MAX_STALLED_BYTES = 1 << 22  # of one direction of a connection
-RETRANSMIT_US = 200_000  # until a lost packet is sent once more; twice as long each time after
+MAX_STALLED_BYTES = 1 << 22  # for one direction of a connection
+RETRANSMIT_US = 200_000  # delay of the first retransmission; doubled for each further one
 LISTEN_BACKLOG = 512
 MAX_ACCEPTS_PER_TURN = 64
 
 
 @dataclass(frozen=True, slots=True)
 class LinkCondition:
-    """What is wrong with a link; the default is a healthy one.
+    """The faults of a link; the default is a healthy link.
 
     Attributes:
-        cut: Connections are refused, and open ones are reset.
-        stalled_to_server: What clients send does not arrive, as if all packets were lost.
-        stalled_to_client: The same of what the server sends.
-        delay_us: How much later everything arrives, each way.
-        loss_ratio: The part of packets that are lost, and arrive by retransmission.
+        cut: New connections are refused and open ones are reset.
+        stalled_to_server: Data from the client does not arrive, as if all packets were lost.
+        stalled_to_client: Data from the server does not arrive, as if all packets were lost.
+        delay_us: The additional one-way delay in both directions.
+        loss_ratio: The fraction of packets that are lost and arrive by retransmission.
     """
 
     cut: bool = False
@@ -45,25 +45,25 @@
 
 
 class RelayedDirection:
-    """One side of a relayed connection; what it reads is sent at the other side."""
+    """One side of a relayed connection; data read on it is sent on the other side."""
 
     def __init__(
         self, pair: RelayedConnection, sock: socket.socket, to_server: bool, opening: bool
     ) -> None:
-        """Read from `sock`; `to_server` tells whether that is the client's side."""
+        """Read from `sock`; `to_server` is whether that is the client's side."""
         self.pair = pair
         self.to_server = to_server
         self.peer: RelayedDirection
         self.stalled_pieces: list[bytes] = []
-        self.last_arrival_us = 0  # of the last delayed piece: bytes keep their order
+        self.last_arrival_us = 0  # when the last delayed piece arrives; bytes keep their order
         self.sender_closed = False
         self.conn = Connection(pair.relay.loop, sock, self, opening=opening)
 
     def opened(self) -> None:
-        """Nothing is to be done when a dialled connection comes up."""
+        """Do nothing when a dialled connection is established."""
 
     def received(self, view: memoryview) -> None:
-        """Pass bytes on: at once, later, or when the stall is over."""
+        """Forward bytes: immediately, after a delay, or when the stall ends."""
         relay = self.pair.relay
         data = bytes(view)
         relay.relayed_bytes += len(data)
@@ -76,41 +76,41 @@
         arrival_us = max(self.last_arrival_us, now_us + relay.draw_delay_us())
         if arrival_us > now_us:
             self.last_arrival_us = arrival_us
-            relay.loop.call_at(arrival_us, self._send_on, data)
+            relay.loop.call_at(arrival_us, self._forward, data)
         else:
-            self._send_on(data)
+            self._forward(data)
 
-    def _send_on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         if self.sender_closed and not self.pair.relay.delivers_after_close:
             self.pair.reset()
         elif self.peer.conn.is_open:
             self.peer.conn.send(data)
 
     def ended(self, what: str) -> None:
-        """Close the other side once everything on its way has arrived."""
+        """Close the other side once all delayed data has arrived."""
         self.sender_closed = True
         if not self.stalled_pieces:
             relay = self.pair.relay
             arrival_us = max(self.last_arrival_us, relay.loop.now + relay.condition.delay_us)
             relay.loop.call_at(arrival_us, self.pair.close_side, self.peer)
 
-    def release(self) -> None:
-        """Send what a stall held back."""
+    def flush_stalled(self) -> None:
+        """Forward the data that was queued during a stall."""
         pieces = self.stalled_pieces
         self.stalled_pieces = []
         for data in pieces:
-            self._send_on(data)
+            self._forward(data)
         if self.sender_closed:
             self.pair.close_side(self.peer)
 
 
 class RelayedConnection:
-    """A client's connection and the relay's own one to the server."""
+    """A client's connection to the relay and the relay's connection to the server."""
 
     def __init__(
         self, relay: Relay, client_socket: socket.socket, server_socket: socket.socket
     ) -> None:
-        """Relay between an accepted socket and one that is being connected."""
+        """Relay between an accepted socket and a socket that is connecting."""
         self.relay = relay
         self.client_side = RelayedDirection(self, client_socket, to_server=True, opening=False)
         self.server_side = RelayedDirection(self, server_socket, to_server=False, opening=True)
@@ -118,14 +118,14 @@
         self.server_side.peer = self.client_side
 
     def close_side(self, side: RelayedDirection) -> None:
-        """Close one side gracefully; forget the connection when both are closed."""
+        """Close one side gracefully; remove the connection when both sides are closed."""
         if side.conn.is_open:
             side.conn.close_gracefully()
         if not (self.client_side.conn.is_open or self.server_side.conn.is_open):
             self.relay.connections.pop(self, None)
 
     def reset(self) -> None:
-        """Reset both sides; what was held back is lost."""
+        """Reset both sides; queued data is lost."""
         for side in (self.client_side, self.server_side):
             side.stalled_pieces.clear()
             side.conn.reset()
@@ -133,12 +133,12 @@
 
 
 class Relay:
-    """Listens in the place of a server for one process that calls it.
+    """Accepts connections from one process on behalf of a server and forwards them.
 
     Attributes:
-        condition: What is wrong with the link.
-        connections: The open connections, in the order they came.
-        relayed_bytes: Bytes read so far, both ways.
+        condition: The current faults of the link.
+        connections: The open connections, in the order in which they were accepted.
+        relayed_bytes: The bytes read so far in both directions.
         listener: The listening socket, None while connections are refused.
     """
 
@@ -154,11 +154,12 @@
 
         Args:
             loop: The event loop.
-            address: Where to listen.
-            server_address: Where to connect to.
-            rng: Draws which packets are lost.
-            delivers_after_close: Whether what is on its way arrives though its sender has closed.
-                False where the checker would hold it against the sender, who cannot take it back.
+            address: The address to listen at.
+            server_address: The address of the server.
+            rng: The random generator that decides which packets are lost.
+            delivers_after_close: Whether delayed data is still delivered after its sender has
+                closed the connection. False where the checker would count such data as a fault of
+                the sender, which cannot recall it.
         """
         self.loop = loop
         self.address = address
@@ -174,7 +175,7 @@
         self._update_listener()
 
     def _update_listener(self) -> None:
-        """Refuse connections where there would be none without the relay."""
+        """Listen only while the link is not cut and the server itself listens."""
         should_listen = self.server_listens and not self.condition.cut
         if should_listen == (self.listener is not None):
             return
@@ -187,12 +188,12 @@
             self.loop.watch(self.listener, READ, self._accept)
 
     def set_server_listens(self, server_listens: bool) -> None:
-        """Take note of whether somebody listens at the server's address."""
+        """Record whether a process listens at the server's address."""
         self.server_listens = server_listens
         self._update_listener()
 
     def draw_delay_us(self) -> int:
-        """Draw how long one piece takes, retransmissions included."""
+        """Draw the delay of one piece of data, including retransmissions."""
         delay_us = self.condition.delay_us
         retransmit_us = RETRANSMIT_US
         loss_ratio = self.condition.loss_ratio
@@ -202,7 +203,7 @@
         return delay_us
 
     def is_stalled(self, to_server: bool) -> bool:
-        """Return whether nothing arrives in this direction."""
+        """Return whether this direction is stalled."""
         if to_server:
             return self.condition.stalled_to_server
         return self.condition.stalled_to_client
@@ -224,15 +225,15 @@
 
     @property
     def faulty_until_us(self) -> int:
-        """Until when something was wrong with the link, now if it is, 0 for never."""
+        """The end of the link's last fault: now if it is faulty, 0 if it never was."""
         return self._healed_at_us if self.condition == HEALTHY else self.loop.now
 
     def set_condition(self, condition: LinkCondition) -> None:
-        """Put a condition in the place of the one before; `HEALTHY` heals the link."""
+        """Replace the condition of the link; `HEALTHY` heals it."""
         if self.condition != HEALTHY:
             self._healed_at_us = self.loop.now
         self.condition = condition
-        # the address may still be in use; the next change tries once more
+        # the address may still be in use; the next change of the condition tries again
         with suppress(OSError):
             self._update_listener()
         for connection in list(self.connections):
@@ -241,7 +242,7 @@
                 continue
             for side in (connection.client_side, connection.server_side):
                 if side.stalled_pieces and not self.is_stalled(side.to_server):
-                    side.release()
+                    side.flush_stalled()
 
     def close(self) -> None:
         """Reset all connections and stop listening."""
--- a/orchidgap/fault_tests/scheduling_watch.py
+++ b/orchidgap/fault_tests/scheduling_watch.py
@@ -1,6 +1,6 @@
-"""Which processes of a fault test were ready and got no core, and when, by the kernel's word.
+"""Tracks when processes of a fault test were runnable but got no core, as counted by the kernel.
 
-Only that is counted: time in which a process was stopped, waited for a disk or was busy is its own.
+Time in which a process was stopped, waited for a disk or was running is not counted.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 from orchidgap.net.run_delay import run_delay_us, schedstat_of, steal_us
 
-TEST_PROCESS = "test"  # clients, hosts, discovery and relays
+TEST_PROCESS = "test"  # this process, which runs clients, hosts, discovery and relays
 
 
 @dataclass(slots=True)
 class DelaySamples:
-    """Samples of one process, the oldest first, all times in microseconds.
+    """Samples of one process's run delay, the oldest first, in microseconds.
 
     Attributes:
-        taken_at_us: When each was taken.
-        delays_us: How long the process had been ready and not run until then.
+        taken_at_us: When each sample was taken.
+        delays_us: The total time until then in which the process was runnable but did not run.
     """
 
     taken_at_us: list[int] = field(default_factory=list)
     delays_us: list[int] = field(default_factory=list)
 
     def between(self, since_us: int, until_us: int) -> int:
-        """Return the delay within a time, at most its length.
+        """Return the run delay within an interval, at most the interval's length.
 
-        It is taken from the last sample before it to the first behind it.
+        It is the difference between the last sample before the interval and the first after it.
         """
         if not self.taken_at_us or until_us <= since_us:
             return 0
@@ -39,7 +39,7 @@
 
 
 class SchedulingWatch:
-    """Takes a sample of each process at each look."""
+    """Samples the run delay of each process periodically."""
 
     def __init__(self) -> None:
         """Begin with no samples."""
@@ -59,14 +59,14 @@
         self.steal.delays_us.append(steal_us())
 
     def delay_us(self, name: str, since_us: int, until_us: int) -> int:
-        """Return how long a process was ready and not run within a time."""
+        """Return how long within an interval a process was runnable but did not run."""
         runs = self.samples.get(name, ())
         total_us = sum(samples.between(since_us, until_us) for _, samples in runs)
         return min(total_us, max(0, until_us - since_us))
 
     def describe(self, since_us: int, until_us: int) -> str:
-        """Return the same of all processes, for a breach's story."""
+        """Describe the run delays of all processes within an interval, for breach reports."""
         delays = {name: self.delay_us(name, since_us, until_us) for name in self.samples}
-        told = ", ".join(f"{name} {delay_us // 1000}" for name, delay_us in delays.items())
+        by_process = ", ".join(f"{name} {delay_us // 1000}" for name, delay_us in delays.items())
         stolen_ms = self.steal.between(since_us, until_us) // 1000
-        return f"ready and not run, ms: {told}; taken from the machine: {stolen_ms}"
+        return f"runnable but not run, ms: {by_process}; stolen from the machine: {stolen_ms}"
--- a/orchidgap/fault_tests/state_space.py
+++ b/orchidgap/fault_tests/state_space.py
@@ -1,7 +1,7 @@
-"""Looks at every state that the pure modules of a change can reach, within bounds.
+"""Checks all reachable states of the pure modules that implement policy changes, within bounds.
 
 `python -m orchidgap.fault_tests.state_space [STATES WALKS [MODEL ...]]`: a model with more than
-STATES states is seen as far as that, and then by WALKS random walks.
+STATES states is explored up to that number, and then by WALKS random walks.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 def report(name: str, max_states: int, walk_count: int) -> str:
-    """Explore one model and return what was seen, in one line."""
+    """Explore one model and return the result as one line."""
     began_s = time.monotonic()
     model = MODELS[name]()
     state_count, complete = model.explore(max_states)
@@ -48,7 +48,7 @@
 
 
 def main() -> None:
-    """Explore the models that the command line names, or all of them."""
+    """Explore the models that the command line names, or all models."""
     max_states = DEFAULT_MAX_STATES
     walk_count = DEFAULT_WALKS
     if len(sys.argv) > 2:
--- a/orchidgap/fault_tests/version_clients.py
+++ b/orchidgap/fault_tests/version_clients.py
@@ -1,4 +1,4 @@
-"""Clients that find out which version governs each balancer."""
+"""Clients whose requests show which version is in effect at each balancer."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from orchidgap.simulation.environment import Environment
 from orchidgap.simulation.observations import ClientAttempt, Operation
 
-RECENT_VERSION_RATIO = 0.8  # of requests for one version's class
-COMMON_CLASS_RATIO = 0.3  # of all requests
+RECENT_VERSION_RATIO = 0.8  # fraction of requests whose version is drawn from the recent ones
+COMMON_CLASS_RATIO = 0.3  # fraction of all requests
 
 
 class VersionClients(Clients):
-    """Clients that also send requests of classes that only one version has."""
+    """Clients that also send requests of classes that only one version defines."""
 
     def __init__(
         self,
@@ -23,15 +23,15 @@
         checker: Callable[[], RolloutChecker],
         recent_versions: Callable[[], list[int]],
     ) -> None:
-        """ClientAttempt for what `recent_versions` tells, and at times for all in the checker."""
+        """Request the classes of `recent_versions`, and sometimes of all the checker's versions."""
         super().__init__(environment)
         self.checker = checker
         self.recent_versions = recent_versions
 
     def draw_operation(self) -> Operation:
-        """Draw an operation of the common class, or of one version's own."""
+        """Draw an operation of the common class or of a version's own class."""
         op = super().draw_operation()
-        # what was replaced long ago is asked for too: whoever comes back may have it still
+        # versions that were replaced long ago too: a balancer that returns may still run one
         if self.rng.random() < RECENT_VERSION_RATIO:
             numbers = self.recent_versions()
         else:
@@ -43,13 +43,13 @@
         return op
 
     def on_unknown_class(self, attempt: ClientAttempt) -> None:
-        """Take an answer that the class is unknown for what it is: another version governs."""
+        """Do not count this answer as a failure: another version is in effect at the balancer."""
         self.environment.invariant_checker.answered_failed -= 1
         if attempt.operation.request_class.name == COMMON_CLASS:
             super().on_unknown_class(attempt)
 
     def choose_balancer(self, excluded: str = "", key: int = 0) -> str | None:
-        """Choose evenly, also balancers that deny: which version governs them is the question."""
+        """Choose evenly, including balancers that deny: their version has to be observed too."""
         names = [
             name
             for name, instance in self.environment.balancers.items()
--- a/tests/fault_tests/test_breach_report.py
+++ b/tests/fault_tests/test_breach_report.py
@@ -6,7 +6,7 @@
 import orjson
 
 from orchidgap.fault_tests.breach_report import describe_breaches
-from orchidgap.fault_tests.commands import play
+from orchidgap.fault_tests.commands import run_fault_test
 from orchidgap.fault_tests.plan import read
 from orchidgap.simulation.invariant_checker import InvariantChecker
 
@@ -42,7 +42,7 @@
 
 
 def test_the_files_of_a_broken_run_are_kept_and_their_folder_is_reported(tmp_path, capsys):
-    verdict, _ = play(read_plan(tmp_path))
+    verdict, _ = run_fault_test(read_plan(tmp_path))
     assert verdict["verdict"] == "broken"
     kept = Path(verdict["folder"])
     assert (kept / "b0.log").read_bytes()
--- a/tests/fault_tests/test_denial_report.py
+++ b/tests/fault_tests/test_denial_report.py
@@ -1,4 +1,4 @@
-"""Denials are told by rule: the logs of a run could not tell which one had denied 669 with room."""
+"""Denials are reported by reason: once the logs of a run did not show which rule had denied 669 with capacity."""
 
 import orjson
 
@@ -29,7 +29,7 @@
     (folder / "b0.log").write_bytes(text)
 
 
-def test_denials_with_room_are_told_by_the_reasons_of_their_time(tmp_path):
+def test_denials_with_capacity_are_divided_among_the_reasons_logged_next(tmp_path):
     write_log(
         tmp_path,
         [
@@ -47,7 +47,7 @@
     }
 
 
-def test_denials_are_told_by_the_time_since_the_last_fault_of_each_kind():
+def test_denials_are_counted_by_the_time_since_the_last_fault_of_each_kind():
     events = [(1.0, "stop b7 for 519 ms"), (3.0, "stop b8 for 100 ms"), (2.0, "list: c04 Gone")]
     seen = [rejection(0.5), rejection(1.2), rejection(3.7, False), rejection(30.0)]
     assert count_by_age(seen, events, START_US) == {
@@ -59,7 +59,7 @@
     }
 
 
-def test_the_report_counts_by_balancer_and_is_empty_where_nobody_was_denied(tmp_path):
+def test_the_report_counts_by_balancer_and_is_empty_without_denials(tmp_path):
     assert describe_denials([], [], tmp_path, START_US) == ""
     text = describe_denials([rejection(1), rejection(2, False)], [], tmp_path, START_US)
     assert ["b0", "2", "1"] in [line.split() for line in text.splitlines()]
--- a/tests/fault_tests/test_prestarted_command.py
+++ b/tests/fault_tests/test_prestarted_command.py
@@ -1,4 +1,4 @@
-"""An operator's command that waits for its word: run early, or not at all, it would spoil the drill."""
+"""A prestarted operator's command has to run exactly when it receives its arguments, or the fault test is invalid."""
 
 import socket
 import time
@@ -36,8 +36,8 @@
     return ["change", *words, f"--at={host}:{port}"]
 
 
-def test_a_held_command_asks_for_nothing_before_its_word(listener, command):
-    """Run before its step, it would find no balancer to evict and the change would wait for ever."""
+def test_a_prestarted_command_sends_nothing_before_it_has_its_arguments(listener, command):
+    """Run before its step, it would find no balancer to evict and the change would wait forever."""
     listener.settimeout(2)
     with pytest.raises(TimeoutError):
         listener.accept()
@@ -50,8 +50,8 @@
     assert command.process.wait(TIMEOUT_S) == UNKNOWN
 
 
-def test_a_held_command_without_its_word_is_never_run(listener, command):
-    """A drill that ends before the step must not evict anybody as it closes."""
+def test_a_prestarted_command_without_arguments_is_never_run(listener, command):
+    """A fault test that ends before the step must not evict a balancer while it closes."""
     command.process.stdin.close()
     assert command.process.wait(TIMEOUT_S) == 0
     listener.setblocking(False)
@@ -59,10 +59,10 @@
         listener.accept()
 
 
-@pytest.mark.parametrize("word", [b'["change"', b'["change", "strike", "b0"]'])
-def test_a_held_command_whose_word_is_cut_off_is_never_run(listener, command, word):
-    """A drill that is killed as it gives the word must not run half of it."""
-    command.process.stdin.write(word)
+@pytest.mark.parametrize("line", [b'["change"', b'["change", "strike", "b0"]'])
+def test_a_prestarted_command_with_an_incomplete_line_is_never_run(listener, command, line):
+    """A fault test that is killed while it writes the arguments must not cause a partial command."""
+    command.process.stdin.write(line)
     command.process.stdin.close()
     assert command.process.wait(TIMEOUT_S) == 0
     listener.setblocking(False)
@@ -72,10 +72,10 @@
 
 class Outcomes:
     def __init__(self):
-        self.told = []
+        self.received = []
 
     def on_outcome(self, *facts):
-        self.told.append(facts)
+        self.received.append(facts)
 
 
 @pytest.fixture
@@ -85,8 +85,8 @@
     callers.close()
 
 
-def test_a_proposal_is_made_by_a_command_that_was_held_for_it(listener, callers, tmp_path):
-    """An interpreter that started beside load took longer than control waits for a proposal."""
+def test_a_proposal_is_made_by_a_prestarted_command(listener, callers, tmp_path):
+    """Under load an interpreter took longer to start than control waits for a proposal."""
     callers.prestart(1)
     callers.prestart(1)
     [prestarted] = callers.prestarted
@@ -105,13 +105,13 @@
     while callers.running and time.monotonic() < give_up_s:
         time.sleep(0.02)
         callers.collect(7)
-    assert callers.checker.told == [
+    assert callers.checker.received == [
         (proposal, ProposalOutcome.UNKNOWN, 0, "control does not answer", 7)
     ]
 
 
-def test_as_many_commands_are_held_as_the_steps_ahead_need(callers):
-    """One that is held for each step again would leave processes behind."""
+def test_as_many_commands_are_prestarted_as_the_next_steps_need(callers):
+    """Prestarting commands again in each step would leave unused processes behind."""
     actions = StepActions.__new__(StepActions)
     actions.cluster = SimpleNamespace(proposers=callers)
     actions.prestarted_evictions = []
@@ -122,7 +122,7 @@
     actions.close()
 
 
-def test_commands_that_were_not_needed_end_with_the_drill(callers):
+def test_unused_prestarted_commands_end_with_the_fault_test(callers):
     callers.prestart(2)
     prestarted = list(callers.prestarted)
     callers.close()
--- a/tests/fault_tests/test_relay.py
+++ b/tests/fault_tests/test_relay.py
@@ -1,4 +1,4 @@
-"""A link between two processes, as the drill plays it."""
+"""The relay on a link between two processes of a fault test."""
 
 import socket
 from random import Random
@@ -9,53 +9,55 @@
 from orchidgap.net.loop import Loop
 
 
-def reached(loop, relay, far, act):
-    """What the far end got of a call that was stalled, after `act` and a heal."""
-    near = socket.create_connection(relay.listener.getsockname())
+def received_after_stall(loop, relay, server, act):
+    """Return what the server received of data that was stalled, after `act` and a heal."""
+    client = socket.create_connection(relay.listener.getsockname())
     for _ in range(20):
         loop.run_once(1_000)
-    at_far, _ = far.accept()
+    accepted, _ = server.accept()
     relay.set_condition(LinkCondition(stalled_to_server=True))
-    near.sendall(b"late")
+    client.sendall(b"late")
     for _ in range(20):
         loop.run_once(1_000)
-    act(near)
+    act(client)
     for _ in range(20):
         loop.run_once(1_000)
     relay.set_condition(HEALTHY)
     for _ in range(20):
         loop.run_once(1_000)
-    at_far.settimeout(1)
+    accepted.settimeout(1)
     try:
-        return at_far.recv(99)
+        return accepted.recv(99)
     except ConnectionResetError:
         return b""
     finally:
-        at_far.close()
-        near.close()
+        accepted.close()
+        client.close()
 
 
 @pytest.mark.parametrize(
-    ("delivers_after_close", "act", "got"),
+    ("delivers_after_close", "act", "expected"),
     [
-        (True, lambda near: None, b"late"),
+        (True, lambda client: None, b"late"),
         (True, socket.socket.close, b"late"),
-        (False, lambda near: None, b"late"),
+        (False, lambda client: None, b"late"),
         (False, socket.socket.close, b""),
     ],
 )
-def test_what_was_stalled_comes_late_unless_its_sender_has_hung_up(delivers_after_close, act, got):
+def test_stalled_data_arrives_late_unless_its_sender_has_closed(
+    delivers_after_close, act, expected
+):
     loop = Loop()
-    with socket.create_server(("127.0.0.1", 0)) as far:
-        relay = Relay(loop, ("127.0.0.1", 0), far.getsockname(), Random(1), delivers_after_close)
-        assert reached(loop, relay, far, act) == got
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        relay = Relay(loop, ("127.0.0.1", 0), server.getsockname(), Random(1), delivers_after_close)
+        assert received_after_stall(loop, relay, server, act) == expected
         relay.close()
 
 
-def test_who_is_not_there_is_refused_and_so_is_who_is_cut_off():
+def test_connections_are_refused_while_the_server_does_not_listen_or_the_link_is_cut():
     loop = Loop()
-    with socket.create_server(("127.0.0.1", 0)) as far:
-        relay = Relay(loop, ("127.0.0.1", 0), far.getsockname(), Random(1))
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        relay = Relay(loop, ("127.0.0.1", 0), server.getsockname(), Random(1))
         for off, on in (
             (lambda: relay.set_server_listens(False), lambda: relay.set_server_listens(True)),
             (
@@ -63,10 +65,10 @@
                 lambda: relay.set_condition(HEALTHY),
             ),
         ):
-            there = relay.listener.getsockname()
+            address = relay.listener.getsockname()
             off()
             with pytest.raises(ConnectionRefusedError):
-                socket.create_connection(there)
+                socket.create_connection(address)
             on()
             assert relay.listener is not None
         relay.close()
--- a/tests/fault_tests/test_resumption.py
+++ b/tests/fault_tests/test_resumption.py
@@ -1,4 +1,4 @@
-"""From when a balancer that was stopped is judged again."""
+"""The deadlines of a paused balancer's requests count from its SIGCONT."""
 
 import signal
 from types import SimpleNamespace
@@ -17,18 +17,18 @@
     latency_objective_ms=500.0,
     client_timeout_ms=TIMEOUT_US / 1e3,
 )
-STOOD_STILL_US = 735_000
+TEST_STALL_US = 735_000
 
 
-def test_a_stopped_balancer_is_judged_from_its_sigcont_and_not_from_the_begin_of_the_turn():
-    # The test stood still between its turn's clock and SIGCONT: two refusals of 10 ms later were
-    # "held back for 736 ms".
+def test_a_paused_balancer_is_checked_from_its_sigcont_and_not_from_the_begin_of_the_turn():
+    # The test process was stalled between the time of its turn and SIGCONT: two refusals sent 10 ms
+    # after SIGCONT were reported as "held back for 736 ms".
     clock = SimpleNamespace(us=1_000)
     loop = Loop(clock=lambda: clock.us)
     sent = []
 
-    def stand_still_and_send(number):
-        clock.us += STOOD_STILL_US
+    def stall_and_send(number):
+        clock.us += TEST_STALL_US
         sent.append((number, clock.us))
 
     attempt = ClientAttempt(b"q1", Operation(0, READ, "", 0, 1, 0), "b0", 1, 500, TIMEOUT_US)
@@ -36,11 +36,11 @@
     cluster = SimpleNamespace(
         loop=loop,
         balancers={"b0": instance},
-        process_of=lambda name: SimpleNamespace(send_signal=stand_still_and_send),
+        process_of=lambda name: SimpleNamespace(send_signal=stall_and_send),
         invariant_checker=SimpleNamespace(client_attempts={b"q1": attempt}),
     )
     Cluster.resume(cluster, "b0")
-    resumed_us = 1_000 + STOOD_STILL_US
+    resumed_us = 1_000 + TEST_STALL_US
     assert sent == [(signal.SIGCONT, resumed_us)]
     assert attempt.last_attempt_ended_us == resumed_us
     assert attempt.deadline_us == resumed_us + TIMEOUT_US
--- a/tests/fault_tests/test_scheduling_watch.py
+++ b/tests/fault_tests/test_scheduling_watch.py
@@ -1,4 +1,4 @@
-"""Which processes got no core, and how much lateness that excuses: a late answer is no one else's fault."""
+"""Lateness is excused only as far as the kernel counts time in which the balancer was runnable but got no core."""
 
 import os
 
@@ -10,7 +10,7 @@
 from orchidgap.simulation.plan_file import validate_plan
 
 
-def test_a_delay_is_told_for_the_time_asked_and_no_longer():
+def test_a_delay_is_measured_within_the_interval_and_is_no_longer_than_it():
     samples = DelaySamples([0, 100, 200, 300], [0, 0, 80, 80])
     assert samples.between(100, 200) == 80
     assert samples.between(150, 190) == 40
@@ -19,7 +19,7 @@
     assert DelaySamples().between(0, 100) == 0
 
 
-def test_a_process_that_was_started_anew_is_counted_by_itself():
+def test_a_restarted_process_has_samples_of_its_own():
     watch = SchedulingWatch()
     watch.sample({"b0": os.getpid()}, 1_000)
     watch.sample({"b0": os.getppid()}, 2_000)
@@ -27,7 +27,7 @@
     assert [process_id for process_id, _ in watch.samples["b0"]] == [os.getpid(), os.getppid()]
     assert 0 <= watch.delay_us("b0", 0, 3_000) <= 3_000
     assert watch.delay_us("none", 0, 3_000) == 0
-    assert watch.describe(0, 3_000).startswith("ready and not run, ms: b0 ")
+    assert watch.describe(0, 3_000).startswith("runnable but not run, ms: b0 ")
 
 
 def checker_of_answer(delay_us, status, at_us):
@@ -46,9 +46,7 @@
     ("delay_us", "late", "excused"),
     [(0, 2, 0), (140_000, 2, 0), (150_000, 1, 1), (2_000_000, 0, 2)],
 )
-def test_lateness_is_excused_by_the_kernels_word_and_for_the_time_that_it_names(
-    delay_us, late, excused
-):
-    # 150 ms too late beyond the slack, and held back for longer than that
+def test_lateness_is_excused_up_to_the_run_delay_that_the_kernel_counts(delay_us, late, excused):
+    # the answer is 150 ms too late beyond the slack, and the failure was withheld for longer than that
     checker = checker_of_answer(delay_us, 500, 1_700_000)
     assert (checker.breach_counts["late"], checker.lateness.excused_by_run_delay) == (late, excused)
--- a/tests/fault_tests/test_silent_hosts.py
+++ b/tests/fault_tests/test_silent_hosts.py
@@ -1,22 +1,22 @@
-"""While hosts say nothing, refusals still have to come at once: what is in flight there is seen."""
+"""Refusals have to be immediate even while hosts do not answer: in-flight requests to these hosts do not excuse delay."""
 
 from pathlib import Path
 
-from orchidgap.fault_tests.commands import play
+from orchidgap.fault_tests.commands import run_fault_test
 from orchidgap.fault_tests.plan import read
 
 PLAN = Path(__file__).parents[2] / "drills" / "silent-hosts.toml"
 
 
-def test_refusals_beside_silent_hosts_come_at_once():
-    """Two of three hosts are silent under three times the load: hundreds are refused."""
-    verdict, cluster = play(read(str(PLAN)))
+def test_refusals_are_immediate_while_hosts_are_silent():
+    """Two of three hosts do not answer under three times the load: hundreds of requests are refused."""
+    verdict, cluster = run_fault_test(read(str(PLAN)))
     assert verdict["verdict"] == "kept", (verdict, cluster.invariant_checker.breaches[:5])
     assert verdict["denied"] > 100
 
 
-def test_a_refusal_that_is_held_back_beside_silent_hosts_is_caught():
-    """Each of them was excused as long as any host said nothing."""
-    verdict, _ = play(read(str(PLAN)), defect="dawdles")
+def test_a_delayed_refusal_while_hosts_are_silent_is_detected():
+    """Each delayed refusal was once excused as long as any host did not answer."""
+    verdict, _ = run_fault_test(read(str(PLAN)), defect="dawdles")
     assert verdict["verdict"] == "broken"
     assert verdict["late"], verdict
--- a/tests/fault_tests/test_soak_faults.py
+++ b/tests/fault_tests/test_soak_faults.py
@@ -1,4 +1,4 @@
-"""What the soak allows a balancer that it tells to end."""
+"""How long a soak lets a balancer shut down before it sends SIGKILL."""
 
 import random
 import signal
@@ -11,21 +11,21 @@
 from orchidgap.simulation.balancer_instance import KILL_MARGIN_US, BalancerInstance
 from orchidgap.simulation.plan import Plan, milliseconds_to_us
 
-DIALS_TAKE_US = 300_000
+DIALING_US = 300_000
 
 
-class StoodIn(BalancerInstance):
+class BalancerWithoutProcess(BalancerInstance):
     """A balancer without a process."""
 
 
 @pytest.fixture
 def soak():
-    """Faults for one balancer whose process is a record of signals, on a clock set by hand."""
+    """Return faults for one balancer, with a test double that records signals and a manual clock."""
     clock = SimpleNamespace(us=0)
     loop = Loop(clock=lambda: clock.us)
     plan = Plan(name="soak")
     environment = SimpleNamespace(loop=loop, plan=plan, port_offset=0)
-    instance = StoodIn(environment, "b0", 0, 0)
+    instance = BalancerWithoutProcess(environment, "b0", 0, 0)
     signals = []
     process = SimpleNamespace(
         poll=lambda: None,
@@ -43,7 +43,7 @@
     instance.has_exited = lambda: False
 
     def dial(name, limits):
-        clock.us += DIALS_TAKE_US
+        clock.us += DIALING_US
 
     streams = SimpleNamespace(begin=dial)
     return SimpleNamespace(
@@ -51,13 +51,13 @@
     )
 
 
-def test_a_balancer_has_all_of_its_grace_from_the_moment_of_sigterm(soak):
-    # The time ran from before the dials of the turn: SIGKILL came up to 0.3 s too early beside load.
-    soak.faults.retire("b0")
+def test_the_time_to_shut_down_begins_with_sigterm(soak):
+    # The time was measured from before the turn's dials: under load SIGKILL was sent up to 0.3 s too early.
+    soak.faults.terminate("b0")
     while (signal.SIGKILL, soak.clock.us) not in soak.signals:
         soak.clock.us += 1_000
         soak.loop.run_once(0)
-    told_us = next(at_us for number, at_us in soak.signals if number is signal.SIGTERM)
+    sigterm_us = next(at_us for number, at_us in soak.signals if number is signal.SIGTERM)
     longest_ms = max(spec.client_timeout_ms for spec in soak.plan.request_classes())
-    earliest_us = told_us + milliseconds_to_us(longest_ms) + KILL_MARGIN_US
+    earliest_us = sigterm_us + milliseconds_to_us(longest_ms) + KILL_MARGIN_US
     assert earliest_us <= soak.clock.us <= earliest_us + 20_000
--- a/tests/fault_tests/test_state_space.py
+++ b/tests/fault_tests/test_state_space.py
@@ -1,4 +1,4 @@
-"""Every state of small models keeps the guarantee, and each defect of a pure module is found by one of them."""
+"""Every state of small models keeps the guarantee, and the models detect each planted defect of a pure module."""
 
 from random import Random
 
@@ -18,7 +18,7 @@
 SERVE = OnLostQuorum.SERVE
 
 
-def test_the_smallest_models_are_seen_whole():
+def test_the_smallest_models_are_explored_completely():
     for model in (RegisterModel(1, 0), FleetModel(1, 1, 1, 0, DENY), FleetModel(1, 1, 1, 0, SERVE)):
         count, complete = model.explore(100_000)
         assert complete and count > 50
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize(
     "model", [RegisterModel(3, 1), FleetModel(3, 2, 4, 2, DENY), FleetModel(3, 2, 4, 2, SERVE)]
 )
-def test_the_larger_ones_are_kept_as_far_as_chance_goes(model):
+def test_random_walks_through_larger_models_keep_the_invariants(model):
     model.walk(40, Random(7))
 
 
@@ -35,34 +35,34 @@
     return cas_register.AcceptorState(max(ballot, self.state.promised_ballot), ballot, value)
 
 
-def from_the_answer(
-    self, version, proposal, registered, asked, granted=True, on_chosen=LeaseState.on_chosen_state
+def count_lease_from_answer(
+    self, version, proposal, registered, sent_us, granted=True, on_chosen=LeaseState.on_chosen_state
 ):
-    return on_chosen(self, version, proposal, registered, asked + TICK_US, granted)
+    return on_chosen(self, version, proposal, registered, sent_us + TICK_US, granted)
 
 
-def by_value(count, answers):
-    told = list(answers)
-    for _, value, _ in told:
-        if sum(other == value for _, other, _ in told) >= cas_register.quorum_size(count):
+def count_equal_values(count, answers):
+    received = list(answers)
+    for _, value, _ in received:
+        if sum(other == value for _, other, _ in received) >= cas_register.quorum_size(count):
             return value, True
     return None, False
 
 
-def unlocked(self, old, new, now, begin=LeaseTable.begin_decision):
-    late = begin(self, old, new, now)
-    self.pending_decision = self.pending_decision if late else None
-    return late
+def grant_during_write(self, old, new, now, begin=LeaseTable.begin_decision):
+    unprepared = begin(self, old, new, now)
+    self.pending_decision = self.pending_decision if unprepared else None
+    return unprepared
 
 
 DEFECTS = {
-    "an acceptor takes what it promised not to": (
+    "an acceptor accepts a ballot below its promise": (
         Acceptor,
         "accept",
         stale_accept,
         RegisterModel(2, 0),
     ),
-    "an acceptor promises twice": (
+    "an acceptor promises a ballot twice": (
         Acceptor,
         "prepare",
         lambda self, ballot: self.state._replace(
@@ -70,19 +70,19 @@
         ),
         RegisterModel(2, 0),
     ),
-    "nobody is waited for": (
+    "a decision waits for no balancer": (
         LeaseTable,
         "unprepared_members",
-        lambda self, *told: [],
+        lambda self, *arguments: [],
         FleetModel(1, 1, 3, 0, DENY),
     ),
-    "leases go on beside a write": (
+    "leases are granted during a write": (
         LeaseTable,
         "begin_decision",
-        unlocked,
+        grant_during_write,
         FleetModel(1, 1, 2, 0, DENY),
     ),
-    "a start forgets who holds a lease": (
+    "a restarted acceptor ignores leases granted before": (
         LeaseTable,
         "max_lease_us",
         property(
@@ -95,10 +95,10 @@
     "a lease counts from its answer": (
         LeaseState,
         "on_chosen_state",
-        from_the_answer,
+        count_lease_from_answer,
         FleetModel(1, 1, 2, 0, DENY),
     ),
-    "a lease has no end": (
+    "a lease does not expire": (
         LeaseState,
         "permission",
         lambda self, now: (
@@ -106,7 +106,7 @@
         ),
         FleetModel(1, 1, 2, 0, DENY),
     ),
-    "a promise is forgotten when alone": (
+    "a promise is ignored without a quorum": (
         LeaseState,
         "permission",
         lambda self, now: (
@@ -118,16 +118,16 @@
         ),
         FleetModel(1, 1, 2, 0, SERVE),
     ),
-    "a promise is taken for a decision": (
+    "a promise is treated as a decision": (
         LeaseState,
         "on_promise_durable",
         lambda self, number: self.on_version_adopted(self.version + 1),
         FleetModel(1, 1, 2, 0, DENY),
     ),
-    "equal values do for one ballot": (
+    "equal values are counted without their ballots": (
         balancer_steps,
         "evaluate_answers",
-        by_value,
+        count_equal_values,
         FleetModel(1, 1, 4, 0, DENY),
     ),
 }
@@ -135,13 +135,13 @@
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_defect_of_a_pure_module_is_found(name, monkeypatch):
-    owner, what, planted, model = DEFECTS[name]
-    monkeypatch.setattr(owner, what, planted)
+    owner, attribute, planted, model = DEFECTS[name]
+    monkeypatch.setattr(owner, attribute, planted)
     with pytest.raises(InvariantViolation):
         model.walk(5_000, Random(7))
 
 
-def test_an_acceptor_that_comes_back_with_nothing_is_found():
+def test_an_acceptor_that_recovers_with_an_empty_disk_is_found():
     model = RegisterModel(2, 1)
     model.stored_after_disk_loss = model.initial_state.stored[0]
     with pytest.raises(InvariantViolation):
