--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -136,7 +136,7 @@
     def _topology(self) -> Topology:
         return Topology(
             balancer_zones={name: instance.zone for name, instance in self.balancers.items()},
-            host_zones={name: store.zone for name, store in self.servers.items()},
+            host_zones={name: host.zone for name, host in self.servers.items()},
             zone_names=tuple(f"z{zone}" for zone in range(self.test.plan.cache.zones)),
         )
 
@@ -148,12 +148,10 @@
                 self.links.add_datagram_relay(name, instance.number, instance.gossip_address)
 
     def _add_host_relays(self) -> None:
-        host_ids = {store.address: store.id for store in self.servers.values()}
-        for host_number, store in enumerate(self.servers.values()):
+        host_ids = {host.address: host.id for host in self.servers.values()}
+        for host_number, host in enumerate(self.servers.values()):
             for name, instance in self.balancers.items():
-                self.links.add_host_relay(
-                    name, instance.number, store.id, host_number, store.address
-                )
+                self.links.add_host_relay(name, instance.number, host.id, host_number, host.address)
 
         def on_listener(address: Address, listens: bool) -> None:
             if address in host_ids:
--- a/orchidgap/fault_tests/rollout_checker.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -55,7 +55,7 @@
     undecided_until_us: int = 0
 
 
-class GovernedRequest(NamedTuple):
+class AnsweredRequest(NamedTuple):
     """A request and the proposal under whose version it was answered."""
 
     request: ClientAttempt
@@ -133,7 +133,7 @@
 
         return max(self.proposals.values(), key=decided_version)
 
-    def _governed_requests(self) -> list[GovernedRequest]:
+    def _answered_requests(self) -> list[AnsweredRequest]:
         """Return the requests whose answer shows the version that was in effect."""
         found = []
         for request in self.invariant_checker.client_attempts.values():
@@ -141,24 +141,24 @@
                 continue
             number = version_of_class(request.operation.request_class.name)
             if number is not None and number in self.proposals:
-                found.append(GovernedRequest(request, self.proposals[number]))
+                found.append(AnsweredRequest(request, self.proposals[number]))
         return found
 
-    def _decision_times_us(self, governed: list[GovernedRequest]) -> dict[int, int]:
+    def _decision_times_us(self, answered: list[AnsweredRequest]) -> dict[int, int]:
         """Return, by version, the earliest time at which it had certainly been decided."""
         decided_us: dict[int, int] = {}
         for proposal in self.proposals.values():
             if proposal.outcome is ProposalOutcome.DECIDED and proposal.number:
-                answered_us = [request.answered_at_us for request, by in governed if by is proposal]
+                answered_us = [request.answered_at_us for request, by in answered if by is proposal]
                 decided_us[proposal.version] = min([proposal.ended_us, *answered_us])
         return decided_us
 
     def check(self) -> None:
         """Check all requests against all decided versions."""
-        governed = self._governed_requests()
-        decided_us = self._decision_times_us(governed)
+        answered = self._answered_requests()
+        decided_us = self._decision_times_us(answered)
         last_outdated_us: dict[int, int] = {}
-        for one in governed:
+        for one in answered:
             if not self._check_decided(one):
                 continue
             self._check_age(one, decided_us)
@@ -175,27 +175,27 @@
                 last_outdated_us[version] = max(last_outdated_us.get(version, 0), age_us)
         self.rollout_us = [last_outdated_us.get(version, 0) for version in decided_us]
 
-    def _check_decided(self, governed: GovernedRequest) -> bool:
+    def _check_decided(self, answered: AnsweredRequest) -> bool:
         """Return whether the version was ever decided; also check that it was before the answer."""
-        request, proposal = governed
+        request, proposal = answered
         if proposal.outcome is not ProposalOutcome.DECIDED:
             outcome = proposal.outcome.value or ProposalOutcome.DROPPED.value
-            text = f"{governed.describe()}, whose outcome is {outcome}"
+            text = f"{answered.describe()}, whose outcome is {outcome}"
             self.record_breach(UNDECIDED, request.answered_at_us, text)
             return False
         if proposal.number and request.answered_at_us < proposal.undecided_until_us:
-            text = f"{governed.describe()} before it was decided"
+            text = f"{answered.describe()} before it was decided"
             self.record_breach(UNDECIDED, request.answered_at_us, text)
         return True
 
-    def _check_age(self, governed: GovernedRequest, decided_us: dict[int, int]) -> None:
-        request, proposal = governed
+    def _check_age(self, answered: AnsweredRequest, decided_us: dict[int, int]) -> None:
+        request, proposal = answered
         for version, since_us in decided_us.items():
             latest_us = since_us + self.bound_us + self.slack_us
             if version > proposal.version and request.arrived_at_us > latest_us:
                 age_s = (request.arrived_at_us - since_us) / 1e6
                 late = f"sent {age_s:.2f} s after version {version} was decided"
-                self.record_breach(OLD, request.answered_at_us, f"{governed.describe()}, {late}")
+                self.record_breach(OLD, request.answered_at_us, f"{answered.describe()}, {late}")
                 return
 
     def verdict(self, verdict: dict[str, Any]) -> dict[str, Any]:
