--- a/orchidgap/control/heartbeat.py
+++ b/orchidgap/control/heartbeat.py
@@ -14,10 +14,10 @@
 
 CALL_TIMEOUT_US = 500_000
 FIRST_INTERVAL_US = 100_000  # until the first answer specifies an interval
-MAX_DOUBLINGS = 4  # of the delay, while heartbeats fail
+MAX_DOUBLINGS = 4  # maximum doublings of the delay while heartbeats fail
 MAX_BACKOFF_US = 2_000_000
-BACKOFF_JITTER = (0.75, 1.25)
-INTERVAL_JITTER = (0.8, 1.0)
+BACKOFF_JITTER = (0.75, 1.25)  # bounds of the random factor of a backoff
+INTERVAL_JITTER = (0.8, 1.0)  # bounds of the random factor of an interval
 
 
 @dataclass(eq=False)
--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -62,7 +62,8 @@
 from orchidgap.state.background_writer import BackgroundWriter
 from orchidgap.state.durable_store import DurableStore
 
-RETRY_AFTER_US = 1_000_000  # for clients while there is no permission; with jitter of up to half
+# Mean Retry-After of requests denied without permission to serve; jitter changes it by up to half.
+RETRY_AFTER_US = 1_000_000
 DEREGISTER_TIMEOUT_US = 300_000
 MAX_LOOP_WAIT_US = 10_000  # longest wait in one turn of the loop during deregistration
 
@@ -304,7 +305,7 @@
         listening = self.on_first_lease is None
         self.node.put_policy_into_force(settings_of(document), config, accepting=listening)
 
-    # --- open proposal
+    # --- pending proposal
 
     def check_proposal(self, proposal: ProposalMessage | ProposalNotice) -> None:
         """Check a proposal and write it to disk; it is promised once the write is durable."""
--- a/orchidgap/control/lease_service.py
+++ b/orchidgap/control/lease_service.py
@@ -26,7 +26,7 @@
 MAX_ON_LOST_QUORUM_CHARS = 5
 MAX_REASON_CHARS = 500
 
-CALLS_PER_LEASE = 4  # while there is no open proposal
+CALLS_PER_LEASE = 4  # a balancer's calls in one lease time while no proposal is pending
 MIN_CALL_INTERVAL_US = 50_000
 CALL_COST_US = 2_500
 """Estimated cost of a balancer's call for a control process; limits how often balancers call."""
@@ -111,7 +111,7 @@
     def _call_interval_us(self) -> int:
         """Return the interval between a balancer's calls.
 
-        It is short while there is an open proposal, but long enough that one process can handle the
+        It is short while a proposal is pending, but long enough that one process can handle the
         calls of all balancers.
         """
         interval_us = self.leases.lease_us // CALLS_PER_LEASE
@@ -138,7 +138,7 @@
 def _proposal_for(
     holder: LeaseHolder, policy: PolicyState
 ) -> ProposalMessage | ProposalNotice | None:
-    """Return the open proposal; without its document if the balancer has promised or refused it."""
+    """Return the pending proposal, without its document if the balancer promised or refused it."""
     proposal = policy.proposal
     if proposal is None:
         return None
--- a/orchidgap/control/messages/consensus.py
+++ b/orchidgap/control/messages/consensus.py
@@ -10,7 +10,7 @@
 
 
 class PrepareRequest(WireMessage, frozen=True):
-    """First phase of a round: asks for a promise to accept nothing under a lower ballot."""
+    """First phase of a round: requests a promise to accept nothing under a lower ballot."""
 
     ballot: Ballot
 
@@ -32,7 +32,7 @@
 
 
 class AcceptRequest(WireMessage, frozen=True):
-    """Second phase of a round: asks to accept a value.
+    """Second phase of a round: requests the acceptance of a value.
 
     Attributes:
         ballot: The ballot of the round.
@@ -51,10 +51,10 @@
 
 
 class ProgressAnswer(WireMessage, frozen=True):
-    """Progress of the open proposal, as known to one control process.
+    """Progress of the pending proposal, as known to one control process.
 
     Attributes:
-        proposal_number: The number of the open proposal, 0 for none.
+        proposal_number: The number of the pending proposal, 0 for none.
         pending_members: The balancers that have to promise before the proposal can be decided.
         refusals: The balancers that refused the proposal, with their reasons.
     """
--- a/orchidgap/control/messages/lease.py
+++ b/orchidgap/control/messages/lease.py
@@ -60,7 +60,7 @@
         proposal_number: The number of the proposal that became this version.
         members_without_quorum: The caller's own entry only: its name, and the incarnation that is
             registered to serve without a quorum, None for none.
-        proposal: The open proposal; without its document if the caller has promised or refused it.
+        proposal: The pending proposal; without its document if the caller promised or refused it.
         document: The policy in force; only if the caller applies an earlier version.
     """
 
--- a/orchidgap/control/messages/operators.py
+++ b/orchidgap/control/messages/operators.py
@@ -15,7 +15,7 @@
 
 
 class CheckRequest(WireMessage, frozen=True):
-    """Asks whether a policy could be proposed."""
+    """Requests a check whether a policy could be proposed."""
 
     document: Document = field(name="doc")
 
@@ -44,7 +44,7 @@
 
 
 class ChangeRequest(WireMessage, frozen=True):
-    """Asks for the state of a change."""
+    """Requests the state of a change."""
 
     change_id: str = field(name="id")
 
@@ -66,7 +66,7 @@
     Attributes:
         state: The state of the change.
         version: The version that the change became, or would become.
-        proposal_number: The number of the open proposal, as known to the answering process.
+        proposal_number: The number of the pending proposal, as known to the answering process.
         pending_members: The balancers that have to promise before the change can be decided.
         refusals: The balancers that refused the change, with their reasons.
         current_version: The version in force.
@@ -163,8 +163,8 @@
         change_id: The change that created this version.
         members_without_quorum: Balancers registered to serve without a lease, with incarnations.
         history: The last changes that ended, oldest first.
-        proposal: The open proposal.
-        proposal_number: The number of the open proposal, 0 for none.
+        proposal: The pending proposal.
+        proposal_number: The number of the pending proposal, 0 for none.
         pending_members: The balancers that have to promise before the proposal can be decided.
         refusals: The balancers that refused the proposal, with their reasons.
         holders: The balancers that this process has received heartbeats from.
--- a/orchidgap/control/messages/reports.py
+++ b/orchidgap/control/messages/reports.py
@@ -29,7 +29,7 @@
     Attributes:
         version: The version in force.
         change_id: The change that created this version.
-        proposal: The open proposal.
+        proposal: The pending proposal.
         pending_members: The balancers that have to promise before the proposal can be decided, each
             with the longest remaining wait in microseconds; 0 if the wait ends only with a promise
             or an eviction.
--- a/orchidgap/control/operator_service.py
+++ b/orchidgap/control/operator_service.py
@@ -52,7 +52,7 @@
             acceptor: This process's acceptor.
             leases: The leases granted by this process.
             proposer: Changes the register.
-            driver: Decides or drops the open proposal.
+            driver: Decides or drops the pending proposal.
         """
         self.clock = clock
         self.group = group
@@ -98,7 +98,7 @@
     def on_change(self, request: ChangeRequest, on_answer: OnChangeAnswer) -> None:
         """Answer with the state of a change.
 
-        The progress of an open proposal is taken from this process's own state; the result of a
+        The progress of a pending proposal is taken from this process's own state; the result of a
         change only from a value read from a majority.
         """
         change_id = request.change_id
--- a/orchidgap/control/process.py
+++ b/orchidgap/control/process.py
@@ -53,7 +53,7 @@
         acceptor: The register's acceptor in this process.
         leases: The leases granted by this process.
         proposer: Changes the register.
-        driver: Decides or drops the open proposal.
+        driver: Decides or drops the pending proposal.
         group: All control processes.
         server: Handles the calls to this process.
     """
--- a/orchidgap/control/rollout_driver.py
+++ b/orchidgap/control/rollout_driver.py
@@ -1,4 +1,4 @@
-"""Drives the open proposal: polls its progress, and decides or drops it."""
+"""Drives the pending proposal: polls its progress, and decides or drops it."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     Attributes:
         proposal_number: The number of the proposal.
         answer_count: The number of processes that have answered or failed to answer.
-        agreeing_count: The number of processes with the same open proposal.
+        agreeing_count: The number of processes with the same pending proposal.
         pending_members: The balancers that any of these processes waits for.
         refusals: The reasons of balancers that refused, by balancer name.
     """
@@ -50,7 +50,7 @@
 
 
 class RolloutDriver:
-    """Decides or drops the open proposal; it runs in every control process.
+    """Decides or drops the pending proposal; it runs in every control process.
 
     The process that received the proposal drives it immediately, the others after a delay by rank.
 
@@ -93,7 +93,7 @@
         self._seen_since_us = 0
 
     def progress(self) -> ProgressAnswer:
-        """Return the progress of the open proposal, as known to this process."""
+        """Return the progress of the pending proposal, as known to this process."""
         now_us = self.clock()
         policy = self.acceptor.policy
         return ProgressAnswer(
@@ -109,7 +109,7 @@
         on_answer(None if self.acceptor.has_lost_register else self.progress())
 
     def tick(self) -> None:
-        """Drive the open proposal if this process's delay has passed; called periodically."""
+        """Drive the pending proposal if this process's delay has passed; called periodically."""
         now_us = self.clock()
         proposal = self.acceptor.policy.proposal
         number = proposal.proposal_number if proposal else 0
--- a/orchidgap/control/rpc_client.py
+++ b/orchidgap/control/rpc_client.py
@@ -30,7 +30,7 @@
     def __init__(self, client: RpcClient, sock: socket.socket) -> None:
         """Take over a socket that is connected or connecting."""
         self.client = client
-        self.on_body: OnBody | None = None  # of the call in progress
+        self.on_body: OnBody | None = None  # callback of the call in progress
         self.timer: Timer | None = None
         self.reader = ResponseReader(MAX_ANSWER_BYTES)
         self.conn = Connection(client.loop, sock, self, opening=True)
--- a/orchidgap/control/status_report.py
+++ b/orchidgap/control/status_report.py
@@ -85,7 +85,7 @@
 
 
 def format_status(report: StatusReport) -> list[str]:
-    """Return the lines of a report: the version, the open proposal, and a table of balancers."""
+    """Return the lines of a report: the version, the pending proposal, and a table of balancers."""
     control = report.control
     warning = "" if control.has_quorum else ", too few: leases run out, nothing can be decided"
     lines = [
--- a/orchidgap/decisions/admission.py
+++ b/orchidgap/decisions/admission.py
@@ -19,14 +19,19 @@
 from orchidgap.decisions.records import Attempt, AttemptOutcome, HostState, Request
 from orchidgap.decisions.rejections import RejectionReason
 
-OVERLOAD_SLOWNESS_RATIO = 1.5  # of a host's latency to its slow threshold: more means overload
-MAX_SHARE_RATIO = 1.15  # of a tenant's part of admitted requests to its quota: more is shed
-MAX_WAIT_DIVISOR = 2  # of the latency objective: a longer wait for a cache rejects all requests
-OVERLOAD_WAIT_DIVISOR = 4  # of the latency objective: a longer wait for any host means overload
-MAX_SHED_RATIO = 0.9
-SHED_GAIN_RATIO = 1 / 4  # of the excess over `MAX_SHARE_RATIO`, added to the shed ratio each tick
+# A host with a higher ratio of its latency to its slow threshold means overload.
+OVERLOAD_SLOWNESS_RATIO = 1.5
+# A tenant with a higher ratio of its part of admitted requests to its quota is shed.
+MAX_SHARE_RATIO = 1.15
+# A wait for a cache longer than the latency objective divided by this rejects all requests.
+MAX_WAIT_DIVISOR = 2
+# A wait for any host longer than the latency objective divided by this means overload.
+OVERLOAD_WAIT_DIVISOR = 4
+MAX_SHED_RATIO = 0.9  # highest fraction of a tenant's requests that is shed
+# The part of a tenant's excess over `MAX_SHARE_RATIO` that each tick adds to its shed ratio.
+SHED_GAIN_RATIO = 1 / 4
 SHED_DECAY_RATIO = 0.02  # subtracted from shed ratios at each tick without overload
-ADMITTED_DECAY_RATIO = 0.8  # part of the counts kept at each tick
+ADMITTED_DECAY_RATIO = 0.8  # part of the counts of admitted requests that is kept at each tick
 
 
 class Admission(Stage):
@@ -46,7 +51,7 @@
         self.admitted: dict[str, float] = {}
         self.shed_ratios: dict[str, float] = {}
         self.overloaded = False
-        self._worst_wait_us = 0  # since the last tick
+        self._worst_wait_us = 0  # longest wait in a queue since the last tick
         self.update_tenants()
 
     def update_tenants(self) -> None:
--- a/orchidgap/decisions/balancer.py
+++ b/orchidgap/decisions/balancer.py
@@ -65,7 +65,7 @@
         self.latency_objective_us = settings.latency_objective_us
         self.limiter = ConcurrencyLimiter(self)
         self.slot_map: SlotMap | None = None
-        self._subscribe_failures = 0  # consecutive ones
+        self._subscribe_failures = 0  # consecutive failed subscriptions
         self.origin = Origin(self)
         self.placement = Placement(self, self.origin)
         self.admission = Admission(self, self.placement, self.origin)
--- a/orchidgap/decisions/concurrency_limit.py
+++ b/orchidgap/decisions/concurrency_limit.py
@@ -11,24 +11,30 @@
 from orchidgap.decisions.ports import RuleContext
 from orchidgap.decisions.records import HostState
 
-INITIAL_LIMIT_ATTEMPTS = 24.0  # at one host, from all balancers together
-MIN_INITIAL_LIMIT_ATTEMPTS = 2.0
-MAX_INITIAL_LIMIT_ATTEMPTS = 8.0
-LIMIT_FLOOR_ATTEMPTS = 4  # minimum at one cache, from all balancers together
-ORIGIN_LIMIT_FACTOR = 2  # of limits of origins: there is one origin for many caches
-
-CACHE_SLOW_RATIO = 0.25  # of the latency objective, above which a cache's answers are slow
-ORIGIN_SLOW_RATIO = 0.6
-CACHE_MIN_DECREASE_RATIO = 0.5  # the least that one decrease leaves of a limit
-ORIGIN_MIN_DECREASE_RATIO = 0.2
-MAX_DECREASE_RATIO = 0.9  # the most that one decrease leaves of a limit
+INITIAL_LIMIT_ATTEMPTS = 24.0  # sum of the initial limits of all balancers for one host
+MIN_INITIAL_LIMIT_ATTEMPTS = 2.0  # lower bound of one balancer's initial limit
+MAX_INITIAL_LIMIT_ATTEMPTS = 8.0  # upper bound of one balancer's initial limit
+LIMIT_FLOOR_ATTEMPTS = 4  # sum of the lowest limits of all balancers for one cache
+# Limits of origins have this many times the floor and recovery of those of caches, as there is one
+# origin for many caches.
+ORIGIN_LIMIT_FACTOR = 2
+
+CACHE_SLOW_RATIO = 0.25  # a cache's answers are slow above this part of the latency objective
+ORIGIN_SLOW_RATIO = 0.6  # the same for an origin's answers
+CACHE_MIN_DECREASE_RATIO = 0.5  # slow answers multiply a cache's limit by at least this
+ORIGIN_MIN_DECREASE_RATIO = 0.2  # the same for an origin's limit
+MAX_DECREASE_RATIO = 0.9  # slow answers multiply a limit by at most this
 LATENCY_LIFETIME_US = 5_000_000  # an older smoothed latency is ignored
-# Of a server's minimum latency, above which its answers are slow: the rest is due to load.
+# If servers own their slots, answers are not slow up to this many times the server's minimum
+# latency: only the excess over the minimum is due to load.
 OWNER_SLOW_RATIO = 1.5
-MIN_LATENCY_WINDOW_US = 10_000_000  # a minimum latency is used for one to two windows
+# The length of a window of minimum latencies. Each window takes over the minimum of the one before,
+# so a minimum latency is never increased before `reset`.
+MIN_LATENCY_WINDOW_US = 10_000_000
 SMOOTHING_DIVISOR = 8  # the weight of a new latency is one over this
 
-# Latency objectives, and capacity checks of a cache, until a limit that fell to 0 is 1 again.
+# How many latency objectives (for a cache, also how many capacity checks) it takes until a limit
+# that fell to 0 is 1 again.
 RECOVERY_OBJECTIVES = 24
 ORIGIN_RECOVERY_DIVISOR = 3  # an origin's limit recovers this many times slower by time alone
 
@@ -98,7 +104,7 @@
         return host.smoothed_latency_us / slow_us
 
     def _update_min_latency(self, host: HostState, latency_us: int) -> None:
-        """Update the minimum latency of the current and the previous window."""
+        """Update the minimum latency, and start a new window if the current one is over."""
         now = self.context.now
         if now - host.min_latency_window_start_us >= MIN_LATENCY_WINDOW_US:
             host.previous_min_latency_us = host.min_latency_us
--- a/orchidgap/decisions/dispatch.py
+++ b/orchidgap/decisions/dispatch.py
@@ -30,7 +30,7 @@
 # An attempt in flight for this many times the latency of a host that answers others was lost in
 # transit.
 LOST_ATTEMPT_LATENCIES = 6
-OVERDUE_DECREASE_RATIO = 0.2  # left of a limit after an overdue attempt if hedging is off
+OVERDUE_DECREASE_RATIO = 0.2  # an overdue attempt multiplies a limit by this if hedging is off
 
 # The host answered the attempt as intended.
 ANSWERS = frozenset((AttemptOutcome.DONE, AttemptOutcome.CACHE_MISS, AttemptOutcome.REDIRECTED))
@@ -96,7 +96,7 @@
         elif not host.is_origin:
             self._record_latency(host, self.context.now - attempt.started_at_us, False)
             if not self.context.settings.may_hedge:
-                # This balancer gets few of its answers, and none while the host is silent.
+                # This balancer gets few answers of the host, and none while the host is silent.
                 self.context.limiter.decrease_limit(host, OVERDUE_DECREASE_RATIO)
             if self.should_cancel(attempt, self.context.settings):
                 self._cancel(attempt)
--- a/orchidgap/decisions/gossip_counts.py
+++ b/orchidgap/decisions/gossip_counts.py
@@ -78,7 +78,7 @@
 class ReportOutcome(Enum):
     """What was done with a received report."""
 
-    KEPT = "kept"
+    KEPT = "kept"  # stored as the last report of its balancer
     OWN = "own"  # dropped: the report is this balancer's own
     OLD = "old"  # dropped: the stored report of its balancer is the same one or a later one
     TOO_MANY = "too many"  # dropped: `MAX_REPORTS` are stored and none of them has expired
--- a/orchidgap/decisions/hash_ranges.py
+++ b/orchidgap/decisions/hash_ranges.py
@@ -15,7 +15,7 @@
 from orchidgap.decisions.records import HostState
 
 SLOT_COUNT = 1 << 14  # b = 14 in the paper's terms; as many slots as a RESP cluster has
-MIN_SIZE_RATIO = 0.25  # of a cache's even share: the minimum size of its range
+MIN_SIZE_RATIO = 0.25  # minimum size of a cache's range, as a part of its even share
 
 
 def slot_of_key(key: int) -> int:
@@ -53,7 +53,7 @@
         return self._even_share(host, self.by_weight)
 
     def even_range_ends(self, by_weight: bool) -> list[int]:
-        """Return the ends of ranges if all caches had their even shares, by weight or not."""
+        """Return the ends that ranges would have at even shares, by weight or all the same."""
         shares = (self._even_share(host, by_weight) for host in self.ring)
         return [round(end) for end in accumulate(shares)]
 
--- a/orchidgap/decisions/host_list.py
+++ b/orchidgap/decisions/host_list.py
@@ -22,7 +22,7 @@
 
 
 MIN_WEIGHT = 1e-6  # used instead of a listed weight that is 0 or negative
-FIRST_RETRY_US = 1_000_000
+BACKOFF_BASE_US = 1_000_000  # doubled for each consecutive failure, including the first
 MAX_RETRY_DOUBLINGS = 3
 
 
@@ -66,5 +66,5 @@
 
 def max_retry_delay_us(failures: int, subscribe_within_us: int) -> int:
     """Return the maximum delay to subscribe again after so many consecutive failures."""
-    backoff_us = FIRST_RETRY_US << min(failures, MAX_RETRY_DOUBLINGS)
+    backoff_us = BACKOFF_BASE_US << min(failures, MAX_RETRY_DOUBLINGS)
     return min(subscribe_within_us // 4, backoff_us)
--- a/orchidgap/decisions/hot_keys.py
+++ b/orchidgap/decisions/hot_keys.py
@@ -11,7 +11,8 @@
 from math import sqrt
 from typing import Protocol
 
-SPREAD_THRESHOLD_RATIO = 0.25  # of a cache's even share; each such part adds one more cache
+# A key gets one more cache for each such part of a cache's even share of all reads.
+SPREAD_THRESHOLD_RATIO = 0.25
 READS_PER_CACHE_BEFORE_HALVING = 24  # a key at the threshold has been read six times by then
 MIN_KEPT_COUNT = 2  # keys with a lower count are removed when counts are halved
 MAX_COUNTED_KEYS = 4_096
--- a/orchidgap/decisions/lifecycle.py
+++ b/orchidgap/decisions/lifecycle.py
@@ -27,10 +27,10 @@
 DRAIN_IDLE_US = 1_000_000
 # Time after SHUT_DOWN by which every open request is answered.
 MAX_ANSWER_US = 3_500_000
-# Added to the longest client timeout for the same purpose, as a request may have arrived after
-# SHUT_DOWN; the earlier of the two times applies.
+# Added to the longest client timeout, as a request may have arrived after SHUT_DOWN. If the sum is
+# less than MAX_ANSWER_US, it is the time by which every open request is answered.
 ANSWER_MARGIN_US = 500_000
-# Time for writing those answers, after which the process exits.
+# Time for writing the last answers, after which the process exits.
 FINAL_WRITE_US = 100_000
 # Time after SHUT_DOWN when the process exits even if an answer is still being streamed to a client.
 MAX_SHUTDOWN_US = 30_000_000
--- a/orchidgap/decisions/load_reports.py
+++ b/orchidgap/decisions/load_reports.py
@@ -17,7 +17,7 @@
 REPORT_LIFETIME_US = 10_000_000  # older reports are ignored
 FAIR_RATIO = 3  # a fair load is at most this many times the median, plus the margin below
 FAIR_MARGIN_ATTEMPTS = 2  # so that random variation does not exceed a fair load
-MIN_DECREASE_RATIO = 0.1  # the least that one decrease leaves of a limit
+MIN_DECREASE_RATIO = 0.1  # a load report multiplies a limit by at least this
 
 
 def reports_in_flight(settings: ServiceSettings) -> bool:
--- a/orchidgap/decisions/load_skew.py
+++ b/orchidgap/decisions/load_skew.py
@@ -13,7 +13,7 @@
 from math import exp, lgamma, log
 from typing import NamedTuple
 
-HERD_WINDOW_US = 100_000
+HERD_WINDOW_US = 100_000  # length of the windows in which `herd_ratio` counts arrivals
 NEIGHBOUR_WINDOWS = 20  # windows on each side of a window that give the cache's mean at that time
 SEARCH_PRECISION_RATIO = 1e-6  # precision of the bisection, relative to the mean load
 
--- a/orchidgap/decisions/origin.py
+++ b/orchidgap/decisions/origin.py
@@ -13,7 +13,9 @@
 from orchidgap.decisions.rejections import RejectionReason
 from orchidgap.decisions.retry_policy import RETRYABLE_OUTCOMES
 
-SPARE_SLOWNESS_RATIO = 0.45  # up to which an origin serves reads in place of caches
+# An origin serves reads in place of caches only while the ratio of its latency to its slow
+# threshold is below this.
+SPARE_SLOWNESS_RATIO = 0.45
 
 
 class Origin(Stage):
@@ -67,7 +69,7 @@
         )
 
     def is_idle(self) -> bool:
-        """Return whether no request is queued or in flight there, and an origin has capacity.
+        """Return whether no request is queued or in flight at origins, and one has capacity.
 
         The smoothed latency is ignored, as it may be outdated: one request measures it again.
         """
@@ -137,7 +139,7 @@
         return RejectionReason.NOT_REPEATABLE if self.hosts else RejectionReason.NO_ORIGIN
 
     def _refusal_reason(self) -> RejectionReason:
-        """Return why no origin accepts a request, where the wait for one would be too long."""
+        """Return why no origin accepts a request that would also wait too long in the queue."""
         if all(self.context.now < host.ejected_until_us for host in self.hosts):
             return RejectionReason.ORIGIN_EJECTED
         if self._limit() < 1.0:
--- a/orchidgap/decisions/outlier_ejection.py
+++ b/orchidgap/decisions/outlier_ejection.py
@@ -12,7 +12,7 @@
 
 EJECTION_US = 500_000
 SHORT_EJECTION_US = 50_000  # if only its queue is full, and for origins, which have no substitute
-EJECTION_DECREASE_RATIO = 0.7  # left of the concurrency limit of an ejected host
+EJECTION_DECREASE_RATIO = 0.7  # an ejection multiplies the host's concurrency limit by this
 
 # The host answered or began to answer, so only this answer may have failed.
 FAILED_ANSWER_OUTCOMES = frozenset((AttemptOutcome.SERVER_ERROR, AttemptOutcome.CONNECTION_RESET))
--- a/orchidgap/decisions/placement.py
+++ b/orchidgap/decisions/placement.py
@@ -37,8 +37,12 @@
 
 HOT_KEY_OFFSETS = (0, -1, 1, -2, 2)  # ring positions from a hot key's owner to its caches
 MAX_NEIGHBOURS = 2  # on each side: a wider search scatters keys, and each is fetched again
-OWNER_CHECKS = 2  # checks of the owner before a neighbour: random if its limit is below 1
-REFUSED_REQUEST_ATTEMPTS = 2  # counted for a refused request: else an overloaded range would grow
+# How often the owner is checked before a neighbour is chosen: a check is random if the owner's
+# limit is below 1.
+OWNER_CHECKS = 2
+# Attempts that are counted for each check in which the owner is at its limit: without them an
+# overloaded range would grow.
+REFUSED_REQUEST_ATTEMPTS = 2
 
 # Outcomes that are no failure of the cache: the same cache may get the next attempt.
 NON_FAILURE_OUTCOMES = frozenset((AttemptOutcome.CACHE_MISS, AttemptOutcome.STALE_CONNECTION))
@@ -101,7 +105,7 @@
             self.next_stage.forward(request, chosen)
         elif not request.is_write and self._origin_accepts_read():
             self.slow_start.on_not_placed(request)
-            # It passes the stage above again, so that fetches of one key are shared.
+            # It passes through the coalescing stage again, so that fetches of one key are shared.
             request.cache_missed = True
             self.previous_stage.forward(request)
         elif self.ring and self.ring[self.preferred_index(request)].in_flight:
--- a/orchidgap/decisions/ports.py
+++ b/orchidgap/decisions/ports.py
@@ -18,10 +18,10 @@
         """Send the request to a host; its attempts are numbered from 0 in the order of calls."""
 
     def deny(self, request: int, retry_after_us: int) -> None:
-        """Give the final answer that a retry is harmless, best after this time (0: no advice)."""
+        """Send the final answer that a retry is harmless, best after this time (0: no advice)."""
 
     def abort(self, request: int) -> None:
-        """Give the final answer that it failed and was possibly executed: a retry may repeat it."""
+        """Send the final answer that it failed and was possibly executed: a retry may repeat it."""
 
     def cancel(self, request: int, number: int) -> None:
         """Stop waiting for one attempt of the request."""
--- a/orchidgap/decisions/rebalancing.py
+++ b/orchidgap/decisions/rebalancing.py
@@ -18,9 +18,10 @@
 from orchidgap.decisions.records import HostState
 
 REBALANCE_INTERVAL_US = 5_000_000  # minimum time between two rebalances
-REBALANCE_MIN_ATTEMPTS = 100  # per cache, counted since the last rebalance
-UNCHANGED_LIST_US = 2 * REBALANCE_INTERVAL_US  # without changes before ranges return to even
-EVEN_OUT_STEPS = 3  # each half way to even, after the last change of the list
+REBALANCE_MIN_ATTEMPTS = 100  # minimum mean of attempts per cache since the last rebalance
+# Time without changes of the host list before ranges return to even shares.
+UNCHANGED_LIST_US = 2 * REBALANCE_INTERVAL_US
+EVEN_OUT_STEPS = 3  # resizes after the last change of the list, each half way to even shares
 
 
 class Rebalancer:
--- a/orchidgap/decisions/records.py
+++ b/orchidgap/decisions/records.py
@@ -61,7 +61,7 @@
 
     id: str
     is_origin: bool
-    state: HostStatus = HostStatus.GONE  # from discovery's list
+    state: HostStatus = HostStatus.GONE  # its status in discovery's list
     started_at_us: int = -1  # last start of its process, from discovery's list; 0: long ago
     zone: str = ""
     cell: str = ""
@@ -78,8 +78,8 @@
     capacity_checks: int = 0  # capacity checks since a limit below 1 was last set
     smoothed_latency_us: int = 0  # moving average of the latencies recorded for it
     latency_recorded_at_us: int = 0  # when the average was last updated
-    min_latency_us: int = 0  # of answers in the current and the previous window; 0: none
-    previous_min_latency_us: int = 0  # of answers in the previous window alone
+    min_latency_us: int = 0  # lowest latency of its answers; 0: none
+    previous_min_latency_us: int = 0  # `min_latency_us` at the end of the previous window
     min_latency_window_start_us: int = 0  # start of the current window
     last_response_at_us: int = 0  # time of its last answer, misses and redirections included
 
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -80,7 +80,7 @@
     idempotency_keyed: bool
     deduplication_scope: str  # hosts that deduplicate together: all, or those of one zone or cell
     deduplication_window_us: int
-    client_timeout_us: int  # of the clients with the longest timeout
+    client_timeout_us: int  # longest time that any of its clients waits for an answer
 
 
 class Tenant(NamedTuple):
@@ -115,11 +115,11 @@
     origin_kind: str  # hosts of this kind are origins; empty if the caches fetch by themselves
     subscribes: bool  # discovery sends changes of the endpoint list instead of being polled
     subscribe_within_us: int
-    max_attempts: int  # for each request
+    max_attempts: int  # maximum number of attempts of each request
     may_cancel: bool  # attempts in flight may be cancelled
     may_hedge: bool  # two attempts of one request may be in flight
     max_retry_after_us: int  # 0: clients are sent no Retry-After
-    slow_start_fraction: float  # of its usual load that a host gets right after its start
+    slow_start_fraction: float  # part of its usual load that a host gets right after its start
     slow_start_us: int  # time from a host's start until it is warm
     uses_listed_weights: bool  # the endpoint list contains the relative capacity of hosts
     reported_fields: tuple[str, ...]  # fields of the load report that hosts add to each answer
--- a/orchidgap/decisions/slot_map.py
+++ b/orchidgap/decisions/slot_map.py
@@ -25,10 +25,11 @@
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 
 MAX_REDIRECTS = 5
-MIN_REFRESH_INTERVAL_US = 1_000_000  # however many redirections arrive
-REFRESH_INTERVAL_US = 15_000_000  # without redirections
+MIN_REFRESH_INTERVAL_US = 1_000_000  # time between refreshes, however many redirections arrive
+REFRESH_INTERVAL_US = 15_000_000  # time between refreshes if no redirections arrive
 MAX_BACKOFF_DOUBLINGS = 4
-JITTER_RATIO = 0.5  # random part of an interval added to it: balancers must not refresh all at once
+# Up to this part of an interval is added to it at random: balancers must not refresh all at once.
+JITTER_RATIO = 0.5
 UNKNOWN_OWNER = -1
 
 
--- a/orchidgap/decisions/slow_start.py
+++ b/orchidgap/decisions/slow_start.py
@@ -40,7 +40,8 @@
         self.placements = 0
         self.answers = 0
         self.max_total_weight = 0.0
-        self._first_warm_at_us: int | None = 0  # of the ready caches; None: outdated
+        # When the first of the ready caches becomes warm; None: to be computed again.
+        self._first_warm_at_us: int | None = 0
         # Answers and time while a ready cache was warm, both decaying at each tick.
         self._counted_answers = 0.0
         self._counted_us = 0.0
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -103,13 +103,13 @@
         self.processes[name].server.dispatch(method.path, wire, on_wire_answer)
         return answers
 
-    def ask(self, name, method, request, within_us=5_000_000):
+    def call_and_wait(self, name, method, request, within_us=5_000_000):
         """Calls one process and advances the clock; returns the answer, None if there was none."""
         answers = self.call(name, method, request)
         self.run(within_us)
         return answers[0] if answers else None
 
-    def ask_lease(
+    def request_lease(
         self,
         name,
         balancer,
@@ -129,12 +129,12 @@
             refusal_reason=reason,
             last_answer_at_us=last_answer_at_us,
         )
-        return self.ask(name, LEASE, request, 0)
+        return self.call_and_wait(name, LEASE, request, 0)
 
     def ask_all_leases(self, balancer, **fields):
         """Requests a lease from every process, as a balancer that has received all answers so far."""
         return [
-            self.ask_lease(name, balancer, last_answer_at_us=self.loop.now, **fields)
+            self.request_lease(name, balancer, last_answer_at_us=self.loop.now, **fields)
             for name in self.processes
         ]
 
@@ -145,7 +145,7 @@
             again=False,
             known_proposal_count=known_proposal_count,
         )
-        return self.ask(name, PROPOSE, request, 200_000)
+        return self.call_and_wait(name, PROPOSE, request, 200_000)
 
     def query_change(self, name, change_id):
-        return self.ask(name, CHANGE, ChangeRequest(change_id=change_id), 1_000_000)
+        return self.call_and_wait(name, CHANGE, ChangeRequest(change_id=change_id), 1_000_000)
--- a/tests/control/test_acceptor.py
+++ b/tests/control/test_acceptor.py
@@ -22,7 +22,7 @@
 def begin_decision(cluster, writer):
     """Starts to write a decision in k0 while b0 holds a lease and has promised; returns k0's answers."""
     cluster.run(2 * LEASE_US)
-    assert cluster.ask_lease("k0", "b0", promised=1).granted
+    assert cluster.request_lease("k0", "b0", promised=1).granted
     cluster.processes["k0"].acceptor.writer = writer
     policy = decide(propose(INITIAL_STATE, "x", DOCUMENT), 1)
     request = AcceptRequest(ballot=(9, "k1"), value=policy_state_to_wire(policy))
@@ -39,12 +39,12 @@
     answers = begin_decision(cluster, writer)
     acceptor, now_us = cluster.processes["k0"].acceptor, cluster.loop.now
     assert not answers and acceptor.policy.version == 0
-    assert cluster.ask_lease("k0", "b0", promised=1, last_answer_at_us=now_us).granted
-    assert not cluster.ask_lease("k0", "b1").granted
+    assert cluster.request_lease("k0", "b0", promised=1, last_answer_at_us=now_us).granted
+    assert not cluster.request_lease("k0", "b1").granted
     writer.pending.pop()("")
     assert answers == [AcceptAnswer(accepted=True)] and acceptor.policy.version == 1
     # the same answer contains version 1
-    answer = cluster.ask_lease("k0", "b1", last_answer_at_us=now_us)
+    answer = cluster.request_lease("k0", "b1", last_answer_at_us=now_us)
     assert answer.granted and answer.version == 1
 
 
@@ -56,8 +56,8 @@
     acceptor, now_us = cluster.processes["k0"].acceptor, cluster.loop.now
     writer.pending.pop()("Input/output error")
     assert answers == [None] and acceptor.disk_state is DiskState.FAILING
-    assert not cluster.ask_lease("k0", "b1").granted
-    assert cluster.ask_lease("k0", "b0", promised=1, last_answer_at_us=now_us).granted
+    assert not cluster.request_lease("k0", "b1").granted
+    assert cluster.request_lease("k0", "b0", promised=1, last_answer_at_us=now_us).granted
 
 
 def test_calls_queued_behind_a_blocked_disk_time_out(cluster):
@@ -72,7 +72,7 @@
     assert answers == [[None]] * 4 and len(writer.pending) == 1
     assert cluster.processes["k0"].acceptor.disk_state is DiskState.SLOW
     request = ProposeRequest(change_id="y", document=DOCUMENT, again=False, known_proposal_count=0)
-    assert cluster.ask("k1", PROPOSE, request).state is ChangeState.PROPOSED
+    assert cluster.call_and_wait("k1", PROPOSE, request).state is ChangeState.PROPOSED
 
 
 def test_calls_are_written_one_at_a_time(cluster):
@@ -112,12 +112,12 @@
     """A caller sends a value without its keys. Under a low ballot it is rejected before it is parsed; under a
     high ballot the register keeps its value."""
     acceptor = cluster.processes["k0"].acceptor
-    cluster.ask("k0", PREPARE, PrepareRequest(ballot=(9, "k1")))
-    low = cluster.ask("k0", ACCEPT, AcceptRequest(ballot=(8, "k1"), value={}))
+    cluster.call_and_wait("k0", PREPARE, PrepareRequest(ballot=(9, "k1")))
+    low = cluster.call_and_wait("k0", ACCEPT, AcceptRequest(ballot=(8, "k1"), value={}))
     assert low == AcceptAnswer(accepted=False)
     state = acceptor.acceptor.state
     with pytest.raises(KeyError):
-        cluster.ask("k0", ACCEPT, AcceptRequest(ballot=(9, "k1"), value={}))
+        cluster.call_and_wait("k0", ACCEPT, AcceptRequest(ballot=(9, "k1"), value={}))
     assert acceptor.acceptor.state == state
 
 
--- a/tests/control/test_messages.py
+++ b/tests/control/test_messages.py
@@ -57,7 +57,7 @@
     '"alone":"leave","runs":1,"promised":0,"refused":0,"why":"","heard":10,"until":900}]}'
 )
 
-# message type and its JSON, as written by the version before the modules were renamed
+# message type and its JSON, as written by an earlier version
 EXAMPLES = [
     (LeaseRequest, LEASE_REQUEST),
     (LeaseAnswer, LEASE_ANSWER),
--- a/tests/control/test_process.py
+++ b/tests/control/test_process.py
@@ -11,7 +11,7 @@
     )
 
 
-def test_of_two_concurrent_proposals_one_is_open_and_one_gets_busy(cluster):
+def test_of_two_concurrent_proposals_one_is_pending_and_one_gets_busy(cluster):
     """Two operators propose different changes through two processes at the same time. One is proposed and
     decided. The other is answered as busy, and it has no effect when its call is repeated."""
     answers = {
@@ -23,11 +23,11 @@
     assert set(states.values()) == {ChangeState.BUSY, ChangeState.PROPOSED}
     winner = next(change_id for change_id in states if states[change_id] is ChangeState.PROPOSED)
     cluster.run(3 * LEASE_US)
-    answer = cluster.ask("k2", CHANGE, ChangeRequest(change_id=winner))
+    answer = cluster.call_and_wait("k2", CHANGE, ChangeRequest(change_id=winner))
     assert answer.state is ChangeState.DECIDED
     assert {process.acceptor.policy.version for process in cluster.processes.values()} == {1}
     loser = "y" if winner == "x" else "x"
-    answer = cluster.ask("k2", PROPOSE, propose_request(loser))
+    answer = cluster.call_and_wait("k2", PROPOSE, propose_request(loser))
     assert answer.state is ChangeState.UNKNOWN
     assert cluster.processes["k2"].acceptor.policy.proposal is None
 
@@ -36,7 +36,7 @@
     """A process loses its register and recovers it from the others. At the end of its round it observes a
     higher ballot. It adopts the value under the ballot of its round, because under a higher one another value
     may be chosen."""
-    answer = cluster.ask("k0", PROPOSE, propose_request("x"))
+    answer = cluster.call_and_wait("k0", PROPOSE, propose_request("x"))
     assert answer.state is ChangeState.PROPOSED
     cluster.run(3 * LEASE_US)
     lost = cluster.processes["k0"]
@@ -66,7 +66,7 @@
 def test_a_recovered_process_does_not_adopt_an_older_value(cluster):
     """Two rounds to recover a lost register are in progress. The value of the first is adopted; the second must
     not overwrite promises that the process may have made since."""
-    cluster.ask("k0", PROPOSE, propose_request("x"))
+    cluster.call_and_wait("k0", PROPOSE, propose_request("x"))
     cluster.run(3 * LEASE_US)
     lost, recovered = cluster.processes["k0"], []
     lost.acceptor.acceptor = None
@@ -87,11 +87,11 @@
     """One process is partitioned. A change proposed there has no effect. The other two decide a change, which
     the process knows after the partition."""
     cluster.partitioned = {"k0"}
-    assert cluster.ask("k0", PROPOSE, propose_request("x"), 20_000_000) is None
-    answer = cluster.ask("k1", PROPOSE, propose_request("y"))
+    assert cluster.call_and_wait("k0", PROPOSE, propose_request("x"), 20_000_000) is None
+    answer = cluster.call_and_wait("k1", PROPOSE, propose_request("y"))
     assert answer.state is ChangeState.PROPOSED
     cluster.run(3 * LEASE_US)
     cluster.partitioned = set()
-    answer = cluster.ask("k0", CHANGE, ChangeRequest(change_id="y"))
+    answer = cluster.call_and_wait("k0", CHANGE, ChangeRequest(change_id="y"))
     assert answer.state is ChangeState.DECIDED
     assert cluster.processes["k0"].acceptor.policy.change_id == "y"
--- a/tests/control/test_rollout_driver.py
+++ b/tests/control/test_rollout_driver.py
@@ -85,7 +85,7 @@
     cluster.run(2 * LEASE_US)
     driver = cluster.processes["k0"].driver
     for name in ("k1", "k2"):
-        assert cluster.ask_lease(name, "b0").granted
+        assert cluster.request_lease(name, "b0").granted
     answer = cluster.propose("k0", "x")
     assert answer.state is ChangeState.PROPOSED and not answer.pending_members
     updates = []
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -166,7 +166,7 @@
 
 
 def restart_all_caches(balancer, caches):
-    """All caches have just started, and the origin has no spare capacity for reads."""
+    """Restart all caches, while the origin has no spare capacity for reads."""
     balancer.list_hosts([f"c{i}" for i in range(caches)], started_at_us=balancer.now)
     balancer.origin.has_spare_capacity = lambda: False
 
@@ -189,7 +189,7 @@
 
 
 def test_marked_client_retries_do_not_count_while_all_caches_are_cold():
-    """Guards against the same at a balancer that has just started and knows no rate."""
+    """Guards against overload by client retries at a balancer that knows no rate, as it just started."""
     balancer = BalancerHarness(4)
     restart_all_caches(balancer, 4)
     balancer.hosts["o"].in_flight = 1
