--- a/orchidgap/decisions/concurrency_limit.py
+++ b/orchidgap/decisions/concurrency_limit.py
@@ -15,8 +15,8 @@
 MIN_INITIAL_LIMIT_ATTEMPTS = 2.0  # lower bound of one balancer's initial limit
 MAX_INITIAL_LIMIT_ATTEMPTS = 8.0  # upper bound of one balancer's initial limit
 LIMIT_FLOOR_ATTEMPTS = 4  # sum of the lowest limits of all balancers for one cache
-# Limits of origins have this many times the floor and recovery of those of caches, as there is one
-# origin for many caches.
+# Factor by which an origin's limit may be higher, and recover faster, than a cache's, as there is
+# one origin for many caches.
 ORIGIN_LIMIT_FACTOR = 2
 
 CACHE_SLOW_RATIO = 0.25  # a cache's answers are slow above this part of the latency objective
@@ -71,7 +71,10 @@
         host.previous_min_latency_us = 0
 
     def has_capacity(self, host: HostState) -> bool:
-        """Return whether the host's limit admits one more attempt, at random if it is below 1."""
+        """Return whether the host's limit admits one more attempt, at random if it is below 1.
+
+        Each call with a limit below 1 counts as a capacity check.
+        """
         if host.concurrency_limit >= 1.0:
             return host.in_flight + host.in_flight_elsewhere < host.concurrency_limit
         host.capacity_checks += 1
--- a/orchidgap/decisions/lease_state.py
+++ b/orchidgap/decisions/lease_state.py
@@ -70,7 +70,7 @@
 
 
 class PromisePhase(Enum):
-    """How far a balancer has got with its promise of a proposal."""
+    """The phase of a balancer's promise of a proposal."""
 
     NONE = "none"
     WRITING = "writing"  # the proposal is being written to the disk
--- a/orchidgap/decisions/outlier_ejection.py
+++ b/orchidgap/decisions/outlier_ejection.py
@@ -14,7 +14,7 @@
 SHORT_EJECTION_US = 50_000  # if only its queue is full, and for origins, which have no substitute
 EJECTION_DECREASE_RATIO = 0.7  # an ejection multiplies the host's concurrency limit by this
 
-# The host answered or began to answer, so only this answer may have failed.
+# The attempt was sent to the host, and the failure may concern this attempt alone.
 FAILED_ANSWER_OUTCOMES = frozenset((AttemptOutcome.SERVER_ERROR, AttemptOutcome.CONNECTION_RESET))
 # Outcomes that count as failures of the host. A reused connection that broke does not.
 HOST_FAILURES = RETRYABLE_OUTCOMES - {AttemptOutcome.STALE_CONNECTION}
--- a/orchidgap/decisions/rebalancing.py
+++ b/orchidgap/decisions/rebalancing.py
@@ -30,7 +30,7 @@
     Attributes:
         ranges: The ranges to resize.
         all_caches: The record with the count of attempts at all caches together.
-        rebalanced_at_us: When ranges were last resized.
+        rebalanced_at_us: When ranges were last set by loads or evened out, at first the start time.
         is_rebalanced: Whether ranges were ever set by loads; they are not evened out after that.
     """
 
--- a/orchidgap/decisions/records.py
+++ b/orchidgap/decisions/records.py
@@ -24,9 +24,9 @@
     REDIRECTED = "moved"  # the server named another one and did not execute the request
     QUEUE_FULL = "full"  # rejected by the host before it was executed
     SERVER_ERROR = "error"
-    CONNECTION_RESET = "reset"  # the connection broke after the request was sent, at least in part
+    CONNECTION_RESET = "reset"  # the connection broke after the request was sent
     STALE_CONNECTION = "stale"  # a reused connection broke before any byte of an answer
-    UNCONNECTED = "unconnected"  # no connection could be opened
+    UNCONNECTED = "unconnected"  # no connection could be opened, or it broke before all was sent
     CONNECTION_REFUSED = "refused"  # no process listens at the host's address
     TIMED_OUT = "timeout"
     CANCELLED = "cancelled"  # cancelled after it was sent
@@ -111,7 +111,7 @@
 
     request: Request
     host: HostState
-    started_at_us: int
+    started_at_us: int  # when it was placed, or later, when its streamed body was complete
     outcome: AttemptOutcome | None = None  # None while it is in flight
 
 
--- a/orchidgap/decisions/settings.py
+++ b/orchidgap/decisions/settings.py
@@ -76,10 +76,10 @@
     """The properties shared by all requests of one class."""
 
     latency_objective_us: int
-    idempotent: bool
-    idempotency_keyed: bool
+    idempotent: bool  # a second execution does no harm
+    idempotency_keyed: bool  # hosts deduplicate repeats by an idempotency key
     deduplication_scope: str  # hosts that deduplicate together: all, or those of one zone or cell
-    deduplication_window_us: int
+    deduplication_window_us: int  # how long a host remembers an idempotency key
     client_timeout_us: int  # longest time that any of its clients waits for an answer
 
 
@@ -114,7 +114,7 @@
     balancer_count: int
     origin_kind: str  # hosts of this kind are origins; empty if the caches fetch by themselves
     subscribes: bool  # discovery sends changes of the endpoint list instead of being polled
-    subscribe_within_us: int
+    subscribe_within_us: int  # bounds the random delays before subscriptions
     max_attempts: int  # maximum number of attempts of each request
     may_cancel: bool  # attempts in flight may be cancelled
     may_hedge: bool  # two attempts of one request may be in flight
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -131,7 +131,7 @@
         )
         return self.call_and_wait(name, LEASE, request, 0)
 
-    def ask_all_leases(self, balancer, **fields):
+    def request_all_leases(self, balancer, **fields):
         """Requests a lease from every process, as a balancer that has received all answers so far."""
         return [
             self.request_lease(name, balancer, last_answer_at_us=self.loop.now, **fields)
--- a/tests/control/test_proposer.py
+++ b/tests/control/test_proposer.py
@@ -58,7 +58,7 @@
     """A decision is proposed before a balancer has promised. No acceptor accepts it, and another round would
     wait for the same balancer, so the update ends with the first round."""
     cluster.run(2 * LEASE_US)
-    cluster.ask_all_leases("b0")
+    cluster.request_all_leases("b0")
     cluster.propose("k0", "x")
     process, values = cluster.processes["k1"], []
     rounds = count_rounds(process)
--- a/tests/control/test_rollout_driver.py
+++ b/tests/control/test_rollout_driver.py
@@ -10,7 +10,7 @@
 def hold_lease_and_propose(cluster):
     """Lets b0 hold a lease and k0 propose x, which b0 has not promised."""
     cluster.run(2 * LEASE_US)
-    assert all(answer.granted for answer in cluster.ask_all_leases("b0"))
+    assert all(answer.granted for answer in cluster.request_all_leases("b0"))
     answer = cluster.propose("k0", "x")
     assert answer.state is ChangeState.PROPOSED
     assert [member.name for member in answer.pending_members] == ["b0"]
@@ -23,7 +23,7 @@
 def test_a_change_is_decided_once_all_have_promised(cluster):
     """A balancer holds a lease and promises the proposal. The next poll decides it."""
     hold_lease_and_propose(cluster)
-    cluster.ask_all_leases("b0", promised=1)
+    cluster.request_all_leases("b0", promised=1)
     cluster.run(500_000)
     assert cluster.query_change("k1", "x").state is ChangeState.DECIDED
     assert events_of_changes(cluster) == [("change decided", {"change": "x", "version": 1})]
@@ -32,7 +32,7 @@
 def test_a_refusal_drops_the_change_with_its_reason(cluster):
     """A balancer that holds a lease refuses. The change is dropped, and its state contains the reason."""
     hold_lease_and_propose(cluster)
-    cluster.ask_all_leases("b0", refused=1, reason="disk: full")
+    cluster.request_all_leases("b0", refused=1, reason="disk: full")
     cluster.run(500_000)
     answer = cluster.query_change("k1", "x")
     assert (answer.state, answer.reason) == (ChangeState.DROPPED, "b0: disk: full")
@@ -46,11 +46,11 @@
     hold_lease_and_propose(cluster)
     for _ in range(11):
         cluster.run(LEASE_US // 2)
-        cluster.ask_all_leases("b0")
+        cluster.request_all_leases("b0")
     assert cluster.processes["k1"].acceptor.policy.proposal is not None
     for _ in range(3):
         cluster.run(LEASE_US // 2)
-        cluster.ask_all_leases("b0")
+        cluster.request_all_leases("b0")
     answer = cluster.query_change("k1", "x")
     assert answer.state is ChangeState.DROPPED
     assert answer.reason == "no promise in time from b0"
@@ -59,10 +59,10 @@
 def test_another_process_drives_the_proposal_of_a_partitioned_one(cluster):
     """The process that proposed a change is partitioned immediately. The next one by rank drives it later."""
     cluster.run(2 * LEASE_US)
-    cluster.ask_all_leases("b0")
+    cluster.request_all_leases("b0")
     assert cluster.propose("k0", "x").state is ChangeState.PROPOSED
     cluster.partitioned = {"k0"}
-    cluster.ask_all_leases("b0", promised=1)
+    cluster.request_all_leases("b0", promised=1)
     cluster.run(RANK_DELAY_US * 3 // 4)
     assert cluster.processes["k1"].acceptor.policy.version == 0
     cluster.run(RANK_DELAY_US * 2)
--- a/tests/control/test_status_report.py
+++ b/tests/control/test_status_report.py
@@ -47,7 +47,7 @@
     "refused": [],
     "rows": [LEAVING, STAYING | {"promised": 4, "heard": 2_500_000, "until": -5}],
 }
-# has the highest ballot and the most recent heartbeat of b1
+# the answer of k1, with the highest ballot and the most recent heartbeat of b1
 OTHER = ONE | {
     "name": "k1",
     "ballot": [6, "k1"],
@@ -55,7 +55,7 @@
     "refused": [["b3", "disk: full"]],
     "rows": [STAYING, LEAVING | {"heard": 300_000, "until": 990_000}],
 }
-# has another proposal, which is ignored
+# the answer of k2, whose pending balancers are ignored, as it does not have the proposal
 WITHOUT_REGISTER = ONE | {
     "name": "k2",
     "lost": True,
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -5,7 +5,7 @@
 
 
 @pytest.mark.parametrize(
-    ("request_class", "allowed", "answers", "again"),
+    ("request_class", "allowed", "answers", "is_hedged"),
     [
         ("read", "true", True, True),
         ("read", "true", False, False),
@@ -15,7 +15,7 @@
     ],
 )
 def test_an_attempt_that_a_quick_host_has_lost_is_hedged_and_does_not_count_as_slow(
-    request_class, allowed, answers, again
+    request_class, allowed, answers, is_hedged
 ):
     balancer = BalancerHarness(**{"ceilings.may-duplicate": allowed})
     for key in (1, 2):
@@ -27,9 +27,9 @@
         balancer.finish_attempt(balancer.send_request(1, request_class), "done")
     before = balancer.hosts[host].concurrency_limit
     balancer.advance(450_000)
-    assert balancer.attempted_hosts(lost) == [host] * (1 + again)
+    assert balancer.attempted_hosts(lost) == [host] * (1 + is_hedged)
     assert (balancer.hosts[host].smoothed_latency_us < 100_000) == (answers or host == "o")
-    if again:
+    if is_hedged:
         balancer.finish_attempt(lost, "done", 1)
         assert balancer.actions("cancel", lost) == [(lost, 0)]
     else:
--- a/tests/decisions/test_rebalancing.py
+++ b/tests/decisions/test_rebalancing.py
@@ -46,7 +46,7 @@
         ([399, 1, 0, 0], [1024, 5109, 5126, 5126]),
     ],
 )  # the last case raises a range to the minimum of a quarter, and rescales the others
-def test_rebalance(attempts, after):
+def test_ranges_are_resized_by_attempt_counts_once_the_interval_is_over(attempts, after):
     balancer = BalancerHarness(4)
     for host, count in zip(balancer.placement.ring, attempts, strict=True):
         host.attempt_count = count
@@ -79,7 +79,7 @@
     assert list(range_sizes(balancer).values()) == pytest.approx([4096, 12288], abs=2)
 
 
-def test_a_request_that_its_owner_refuses_counts_twice_for_the_rebalance():
+def test_a_request_refused_at_both_checks_of_its_owner_counts_as_four_attempts():
     balancer = BalancerHarness()
     owner = balancer.hosts[balancer.owner_of_key(1)]
     owner.concurrency_limit, before = 0.0, owner.attempt_count
