--- a/orchidgap/decisions/records.py
+++ b/orchidgap/decisions/records.py
@@ -24,9 +24,9 @@
     REDIRECTED = "moved"  # the server named another one and did not execute the request
     QUEUE_FULL = "full"  # rejected by the host before it was executed
     SERVER_ERROR = "error"
-    CONNECTION_RESET = "reset"  # the connection broke after the request was sent, at least in part
+    CONNECTION_RESET = "reset"  # the connection broke after the request was sent
     STALE_CONNECTION = "stale"  # a reused connection broke before any byte of an answer
-    UNCONNECTED = "unconnected"  # no connection could be opened
+    UNCONNECTED = "unconnected"  # no connection could be opened, or it broke before all was sent
     CONNECTION_REFUSED = "refused"  # no process listens at the host's address
     TIMED_OUT = "timeout"
     CANCELLED = "cancelled"  # cancelled after it was sent
@@ -61,7 +61,7 @@
 
     id: str
     is_origin: bool
-    state: HostStatus = HostStatus.GONE  # from discovery's list
+    state: HostStatus = HostStatus.GONE  # its status in discovery's list
     started_at_us: int = -1  # last start of its process, from discovery's list; 0: long ago
     zone: str = ""
     cell: str = ""
@@ -78,8 +78,8 @@
     capacity_checks: int = 0  # capacity checks since a limit below 1 was last set
     smoothed_latency_us: int = 0  # moving average of the latencies recorded for it
     latency_recorded_at_us: int = 0  # when the average was last updated
-    min_latency_us: int = 0  # of answers in the current and the previous window; 0: none
-    previous_min_latency_us: int = 0  # of answers in the previous window alone
+    min_latency_us: int = 0  # lowest latency of its answers; 0: none
+    previous_min_latency_us: int = 0  # `min_latency_us` at the end of the previous window
     min_latency_window_start_us: int = 0  # start of the current window
     last_response_at_us: int = 0  # time of its last answer, misses and redirections included
 
@@ -111,7 +111,7 @@
 
     request: Request
     host: HostState
-    started_at_us: int
+    started_at_us: int  # when it was placed, or later, when its streamed body was complete
     outcome: AttemptOutcome | None = None  # None while it is in flight
 
 
