--- a/orchidgap/fault_tests/actions.py
+++ b/orchidgap/fault_tests/actions.py
@@ -73,7 +73,7 @@
             ActionKind.RELOAD: self.reload,
             ActionKind.SET_HOST_HEALTH: cluster.discovery.set_health,
             ActionKind.ROLL_OUT_BY_SIGNAL: self.roll_out_by_signal,
-            ActionKind.MEASURE: cluster.stretches.begin,
+            ActionKind.MEASURE: cluster.phase_recorder.begin,
             ActionKind.SIMULATION_FAULT: self.simulation_fault,
             ActionKind.LOSE_DATAGRAMS: self.lose_datagrams,
             ActionKind.SEND_NOISE: self.send_noise,
--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -206,10 +206,10 @@
         ]
         return super().gossip_settings(balancer) | {"peers": peers}
 
-    def is_rule_set_listed(self, work: RequestClassSpec) -> bool:
+    def is_class_listed(self, work: RequestClassSpec) -> bool:
         """Return whether the settings that are being written have this class."""
         if not self.proposal_count:
-            return super().is_rule_set_listed(work)
+            return super().is_class_listed(work)
         return work.name in (COMMON_CLASS, class_of_version(self.configured_version))
 
     def recent_versions(self) -> list[int]:
--- a/orchidgap/fault_tests/dial_stream.py
+++ b/orchidgap/fault_tests/dial_stream.py
@@ -112,7 +112,7 @@
     def opened(self) -> None:
         """Write the request; a process that was started meanwhile is the one that has it."""
         attempt, message = self.first_request
-        self.find_process(attempt)
+        self.update_incarnation(attempt)
         assert isinstance(self.clients, DialStream)
         self.clients.written_late += 1
         self.start(attempt, message)
@@ -159,7 +159,7 @@
         self.request_classes = [
             request_class
             for request_class in self.plan.request_classes()
-            if not request_class.write and cluster.clients.is_named(request_class)
+            if not request_class.write and cluster.clients.is_in_use(request_class)
         ]
         self.attempts: list[ClientAttempt] = []
         self.refused_ids: set[bytes] = set()
--- a/orchidgap/fault_tests/runner.py
+++ b/orchidgap/fault_tests/runner.py
@@ -98,7 +98,7 @@
 
     def _heal(self) -> None:
         cluster = self.cluster
-        cluster.stretches.begin(NO_STRETCH)
+        cluster.phase_recorder.begin(NO_STRETCH)
         cluster.end_faults()
         leaving = [post for post in cluster.balancers.values() if post.is_shutting_down]
         cluster.wait_until(
@@ -122,7 +122,7 @@
         readiness = check_readiness(cluster)
         for text in readiness.breaches:
             cluster.checker.breach(STUCK, cluster.loop.now, text)
-        stretches = cluster.stretches.finish(cluster.checker.breach)
+        stretches = cluster.phase_recorder.finish(cluster.checker.breach)
         verdict = cluster.checker.verdict(cluster.build_verdict()) | self.costs.report()
         if cluster.controls:
             without_us = cluster.majority_watch.without_majority_us
--- a/orchidgap/simulation/balancer_connection.py
+++ b/orchidgap/simulation/balancer_connection.py
@@ -1,4 +1,4 @@
-"""A stand-in client's end of a connection to a balancer, over HTTP/1.1."""
+"""A simulated client's end of an HTTP/1.1 connection to a balancer."""
 
 from __future__ import annotations
 
@@ -17,26 +17,27 @@
     CloseRecord,
     ConnectionEndFacts,
     RequestEnd,
-    awaits_shut_note,
+    awaits_unread_record,
     classify_request_end,
 )
 from orchidgap.simulation.timed_connection import TimedConnection
 
-# after its client timeout, or the last byte of its answer, no more is waited for
+# time to wait for an answer after the client timeout or the answer's last byte so far
 OVERDUE_US = 3_000_000
-# a connection that was dialled so long ago is not used for a first request
+# a connection that took longer than this to open is not used for a first request
 MAX_UNUSED_US = 2_000_000
-PIECE_BYTES = 16_384  # of a large body that are written at once
-# for a balancer's process that stood still behind its shutdown to note what it found unread
-SHUT_NOTE_TIMEOUT_US = 1_000_000
-SHUT_NOTE_CHECK_US = 50_000
+PIECE_BYTES = 16_384  # size of the writes of a large body
+# time for a stalled balancer process to record the bytes that it found unread after it had shut
+# down its side of a connection
+UNREAD_RECORD_TIMEOUT_US = 1_000_000
+UNREAD_RECORD_POLL_US = 50_000
 CLOSED = "closed"
 STATUS_UNKNOWN_CLASS = 404
 STATUS_FAILED = 500
 
 
 class ConnectionOwner(Protocol):
-    """The clients, as far as their connections use them."""
+    """The interface of the clients that their connections use."""
 
     environment: Environment
     plan: Plan
@@ -48,26 +49,26 @@
     def send_attempt(
         self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str, fresh: bool = False
     ) -> None:
-        """Send a request on an idle connection or, with `fresh` always, on a new one."""
+        """Send a request on an idle connection, or on a new one with `fresh`."""
 
     def resend(self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str) -> None:
-        """Send what crossed an end once more, on a new connection, with the time that is left."""
+        """Resend a request that raced a close, on a new connection and with its remaining time."""
 
     def on_outcome(self, attempt: ClientAttempt, status: int, retry_after_us: int) -> None:
-        """An attempt has ended, with this answer, or with none for 0."""
+        """Handle the end of an attempt; `status` is 0 if it has no answer."""
 
     def on_refused(self, attempt: ClientAttempt, balancer: str) -> None:
-        """Nothing was accepted."""
+        """Handle a refused connection."""
 
     def on_unknown_class(self, attempt: ClientAttempt) -> None:
-        """Its balancer does not know its class."""
+        """Report that the balancer does not know the attempt's request class."""
 
     def on_overdue(self, connection: BalancerConnection, attempt: ClientAttempt) -> None:
-        """An answer is waited for no longer."""
+        """Stop waiting for an answer."""
 
 
 def is_up(sock: socket.socket) -> bool:
-    """Return whether the other side is connected already.
+    """Return whether the connection is already established.
 
     >>> near, far = socket.socketpair()
     >>> with near, far, socket.socket() as alone:
@@ -82,24 +83,24 @@
 
 
 class BalancerConnection:
-    """One connection; it carries one request at a time.
+    """One connection, with at most one request at a time.
 
     Attributes:
-        clients: Whose it is.
+        clients: The clients that it belongs to.
         balancer: The balancer's name.
-        incarnation: Which of its processes was connected to.
-        attempt: The request under way, None between requests.
-        message: What was written for it.
-        number: By which the network knows the connection, at both of its ends.
-        dialled_at_us: When it was dialled, at the earliest: when the turn began that did it.
-        write_began_us: When the first byte of the request under way was about to be written.
-        request_count: Requests that it has carried.
-        unsent_body: Of a large request, what is yet to be written.
-        bytes_per_s: The pace of a slow client, 0 for as fast as it goes.
-        last_byte_at_us: When the last byte of an answer came.
-        was_closed_at_write: The balancer's end had been shut when the request was written.
-        was_up_at_dial: It came up in the call that dialled it.
-        overdue_timer: Ends the wait for an answer; cancelled once that has come.
+        incarnation: The balancer's incarnation that accepted the connection.
+        attempt: The request in progress, None between requests.
+        message: The encoded request in progress.
+        number: The network's number of the connection, the same at both ends.
+        dialled_at_us: Start of the loop turn that opened it, so no later than the actual dial.
+        write_began_us: When the first byte of the request in progress was about to be written.
+        request_count: Requests that were started on it.
+        unsent_body: The part of a large request body that is not written yet.
+        bytes_per_s: The rate of a slow client, 0 for no limit.
+        last_byte_at_us: When the last byte of an answer was received.
+        was_closed_at_write: The balancer had closed its end when the request was written.
+        was_up_at_dial: The connection was established within the call that dialled it.
+        overdue_timer: Ends the wait for an answer; cancelled when the answer is complete.
         conn: The socket with its buffers.
     """
 
@@ -126,7 +127,7 @@
     def __init__(
         self, clients: ConnectionOwner, balancer: str, sock: socket.socket, opening: bool
     ) -> None:
-        """Take a socket that is connected, or is on its way."""
+        """Use a socket that is connected or, with `opening`, still connecting."""
         self.clients = clients
         self.balancer = balancer
         self.incarnation = clients.environment.incarnation_of(balancer)
@@ -139,7 +140,7 @@
         self.last_byte_at_us = 0
         self.was_closed_at_write = False
         self.number = clients.environment.network.connection_number(sock)
-        self.dialled_at_us = clients.loop.now  # this process may have stood still since the dial
+        self.dialled_at_us = clients.loop.now  # this process may have stalled after the dial
         self.write_began_us = 0
         self.was_up_at_dial = is_up(sock)
         self.overdue_timer: Timer | None = None
@@ -149,14 +150,14 @@
     # --- writing a request
 
     def start(self, attempt: ClientAttempt, message: tuple[bytes, ...]) -> None:
-        """Write a request: its head, and its body if it has one."""
+        """Write a request: its head and, if it has one, its body."""
         self.attempt = attempt
         self.message = message
         attempt.write_started_us = self.clients.loop.clock()
         self.write_began_us = attempt.write_started_us
         attempt.arrived_at_us = 0
         self.request_count += 1
-        self._draw_pace()
+        self._draw_rate()
         if len(message) > 1 and len(message[1]) > LARGE_BODY_BYTES:
             self._start_large(attempt, message)
             return
@@ -164,7 +165,7 @@
         if self.attempt is attempt and not self.conn.connecting:
             self.on_request_written()
 
-    def _draw_pace(self) -> None:
+    def _draw_rate(self) -> None:
         bodies = self.clients.plan.large_bodies
         is_slow = (
             bool(bodies.slow_reader_ratio) and self.clients.rng.random() < bodies.slow_reader_ratio
@@ -175,12 +176,12 @@
         self.unsent_body = message[1]
         self.conn.on_drained = self.send_more_body
         self.conn.send(message[0])
-        is_under_way = self.attempt is attempt
-        if is_under_way and not self.conn.connecting and not self.conn.write_buffer:
+        is_in_progress = self.attempt is attempt
+        if is_in_progress and not self.conn.connecting and not self.conn.write_buffer:
             self.send_more_body()
 
     def send_more_body(self) -> None:
-        """Write the next pieces of a large body."""
+        """Write more pieces of a large body."""
         while self.unsent_body and self._can_write():
             piece = self.unsent_body[:PIECE_BYTES]
             self.unsent_body = self.unsent_body[PIECE_BYTES:]
@@ -201,26 +202,28 @@
         return self.conn.is_open and not self.conn.write_buffer and self.attempt is not None
 
     def opened(self) -> None:
-        """The connection has come up, and is used unless it has stood unused for long.
+        """Use the established connection, unless that took longer than `MAX_UNUSED_US`.
 
-        That is so where this process stood still: a balancer may have closed it for silence.
+        That happens when this process was stalled: the balancer may have closed the idle connection
+        in the meantime.
         """
         attempt = self.attempt
-        self.find_process(attempt)
+        self.update_incarnation(attempt)
         if attempt and self.clients.loop.clock() - attempt.write_started_us > MAX_UNUSED_US:
             self.close()
             self.clients.send_attempt(attempt, self.message, self.balancer, fresh=True)
             return
-        self.write_began_us = self.clients.loop.clock()  # what was kept is written behind this call
+        self.write_began_us = self.clients.loop.clock()  # buffered data is written after this call
         if self.unsent_body:
             self.send_more_body()
         elif attempt:
             self.on_request_written()
 
-    def find_process(self, attempt: ClientAttempt | None) -> None:
-        """Take note of the process that has it: one that came up late may have met the next one.
+    def update_incarnation(self, attempt: ClientAttempt | None) -> None:
+        """Set the incarnation that accepted the connection; it may be a later one than was dialled.
 
-        The system repeats a first step that was dropped a second later.
+        The kernel retransmits a dropped SYN after a second, and the balancer may have been
+        restarted by then.
         """
         if self.was_up_at_dial:
             return
@@ -229,18 +232,18 @@
             attempt.incarnation = self.incarnation
 
     def on_request_written(self) -> None:
-        """The last byte of the request is written: its time runs."""
+        """Start the timeout of a request whose last byte has been written."""
         attempt = self.attempt
         if attempt is None:
             return
         clients = self.clients
-        # asked of the kernel in the moment of the write: an end that comes later crossed nothing
+        # queried right after the write: a close that arrives later did not race this request
         self.was_closed_at_write = self.conn.peer_has_closed()
-        # the turn may have begun long before this write
+        # the loop's time may be much earlier, as the turn may have started long before this write
         now_us = clients.loop.clock()
         timeout_us = milliseconds_to_us(attempt.operation.request_class.client_timeout_ms)
         attempt.arrived_at_us = now_us
-        if not attempt.was_resent:  # its time goes on
+        if not attempt.was_resent:  # a resent request keeps its deadline
             attempt.deadline_us = now_us + timeout_us
         overdue_in_us = max(0, attempt.deadline_us - now_us) + OVERDUE_US
         attempt.max_attempts = clients.environment.max_attempts_at(now_us)
@@ -252,9 +255,9 @@
     # --- reading an answer
 
     def received(self, view: memoryview) -> None:
-        """Take in a part of the answer."""
+        """Process received bytes of an answer."""
         reader = self.reader
-        # the kernel's time: this process may have stood still before it read
+        # the kernel's receive time, as this process may have been stalled before the read
         received_at_us = self.conn.received_at_us
         if self.attempt is None:
             self.clients.environment.invariant_checker.on_extra_bytes(None, received_at_us)
@@ -264,7 +267,7 @@
         self.last_byte_at_us = received_at_us
         if not self.attempt.first_answer_byte_us:
             self.attempt.first_answer_byte_us = received_at_us
-        if self.unsent_body:  # answered before all was sent: the rest does not matter any more
+        if self.unsent_body:  # answered before the whole request was sent: drop the rest
             self.unsent_body = b""
             self.conn.on_drained = None
             self.on_request_written()
@@ -273,7 +276,7 @@
         if reader.message.complete:
             self._on_answer(self.attempt, reader.message, received_at_us)
         elif reader.message.error_status:
-            self.conn.fail("no proper answer")
+            self.conn.fail("invalid HTTP answer")
 
     def _pause_reading(self, byte_count: int) -> None:
         self.conn.pause_reading(True)
@@ -283,7 +286,7 @@
         self.clients.loop.call_later(delay_us, self.conn.pause_reading, False)
 
     def _on_answer(self, attempt: ClientAttempt, message: Message, received_at_us: int) -> None:
-        """The answer is whole."""
+        """Process a complete answer."""
         self.attempt = None
         if self.overdue_timer:
             self.overdue_timer.cancel()
@@ -311,7 +314,7 @@
     # --- its end
 
     def ended(self, what: str) -> None:
-        """The connection has ended; a request under way is sent again, or judged."""
+        """Classify the request in progress when the connection ends; `what` is the reason."""
         clients = self.clients
         attempt = self.attempt
         self.attempt = None
@@ -319,29 +322,29 @@
         if attempt is None or attempt.status or attempt.abandoned:
             return
         facts = self._facts_of_end(attempt, what)
-        if awaits_shut_note(facts):
-            attempt.incarnation = NO_PROCESS  # a later end of the process excuses nothing
-            self._await_shut_note(attempt, facts, clients.loop.now + SHUT_NOTE_TIMEOUT_US)
+        if awaits_unread_record(facts):
+            attempt.incarnation = NO_PROCESS  # a later end of the process is no excuse
+            self._await_unread_record(attempt, facts, clients.loop.now + UNREAD_RECORD_TIMEOUT_US)
         else:
             self._handle_request_end(attempt, facts)
 
-    def _await_shut_note(
+    def _await_unread_record(
         self, attempt: ClientAttempt, facts: ConnectionEndFacts, wait_until_us: int
     ) -> None:
-        """Judge once the balancer's process has noted what it found unread, or has had the time."""
+        """Classify the request once the balancer has recorded unread bytes, or after a timeout."""
         loop = self.clients.loop
         facts = facts._replace(
             close_record=self._close_record(), was_seen_by_host=bool(attempt.host_attempts)
         )
-        if awaits_shut_note(facts) and loop.now < wait_until_us:
+        if awaits_unread_record(facts) and loop.now < wait_until_us:
             loop.call_later(
-                SHUT_NOTE_CHECK_US, self._await_shut_note, attempt, facts, wait_until_us
+                UNREAD_RECORD_POLL_US, self._await_unread_record, attempt, facts, wait_until_us
             )
         else:
             self._handle_request_end(attempt, facts)
 
     def _handle_request_end(self, attempt: ClientAttempt, facts: ConnectionEndFacts) -> None:
-        """Send again what its connection's end excuses, and tell the checker of the rest."""
+        """Resend the request if its connection's end permits, else report it to the checker."""
         clients = self.clients
         end = classify_request_end(facts)
         if end is RequestEnd.RACED_CLOSE and attempt.was_resent:
@@ -358,7 +361,7 @@
             clients.on_outcome(attempt, STATUS_FAILED, 0)
 
     def _facts_of_end(self, attempt: ClientAttempt, what: str) -> ConnectionEndFacts:
-        """Return what is known of the request and the end of its connection."""
+        """Return the known facts about the request and the end of its connection."""
         reader = self.reader
         was_reset = what != CLOSED
         answer_has_no_end = reader.started and not was_reset and reader.on_connection_closed()
@@ -378,19 +381,19 @@
         )
 
     def _close_record(self) -> CloseRecord | None:
-        """Return what the balancer's process noted as it closed this connection."""
+        """Return the balancer's record of how it closed this connection, if there is one."""
         environment = self.clients.environment
         return environment.close_record(self.balancer, self.number, self.dialled_at_us)
 
-    def _send_again(self, attempt: ClientAttempt) -> None:
-        """Send what was never written whole on a new connection."""
+    def _send_on_new_connection(self, attempt: ClientAttempt) -> None:
+        """Send a request that was not fully written on a new connection."""
         self.clients.environment.invariant_checker.failed_connections += 1
         self.clients.send_attempt(attempt, self.message, self.balancer, fresh=True)
 
     def _on_not_taken(self, attempt: ClientAttempt) -> None:
-        """The connection ended, or never came up, before the request was written whole."""
+        """Handle a connection that failed or ended before the request was fully written."""
         if self.request_count > 1:
-            self._send_again(attempt)
+            self._send_on_new_connection(attempt)
             return
         invariant_checker = self.clients.environment.invariant_checker
         invariant_checker.failed_connections += 1
@@ -401,7 +404,7 @@
         self.clients.on_outcome(attempt, STATUS_FAILED, 0)
 
     def _report_end(self, attempt: ClientAttempt, end: RequestEnd) -> None:
-        """Tell the checker of a request whose connection ended under it."""
+        """Report a request whose connection ended before its answer was complete."""
         now_us = self.clients.loop.now
         invariant_checker = self.clients.environment.invariant_checker
         if end is RequestEnd.TRUNCATED:
@@ -412,14 +415,14 @@
             invariant_checker.on_connection_lost(attempt, now_us)
 
     def abandon(self) -> None:
-        """Close it under its request: the client waits no longer."""
+        """Close it during a request, as a client does that gives up."""
         self.attempt = None
         if self.overdue_timer:
             self.overdue_timer.cancel()
         self.close()
 
     def close(self) -> None:
-        """Close it; nobody is told."""
+        """Close it without any notification."""
         self._forget()
         self.conn.close()
 
--- a/orchidgap/simulation/clients.py
+++ b/orchidgap/simulation/clients.py
@@ -1,7 +1,8 @@
-"""Stand-in clients: requests come when they come, whether or not earlier ones were answered.
+"""Simulated clients with an open arrival process.
 
-Arrivals are open. What a client wants is an `Operation`; each try at one balancer is a
-`ClientAttempt`. The order of random draws is part of a simulation's trace.
+Requests arrive at random times that do not depend on answers to earlier ones. What a client wants
+is an `Operation`; each request that it sends for it to a balancer is a `ClientAttempt`. The order
+of random draws is part of a simulation's trace.
 """
 
 from __future__ import annotations
@@ -28,15 +29,15 @@
 ZIPF_OFFSET = 3.0
 BACKOFF_JITTER = (0.7, 1.3)
 RETRY_AFTER_JITTER = (1.0, 1.2)
-HARMLESS_STATUSES = (0, 429, 503)  # after which any retry does no harm; 0 for no answer
+HARMLESS_STATUSES = (0, 429, 503)  # any request can be retried after these; 0 is no answer
 STATUS_OK = 200
-REFUSED_PAUSE_US = 20_000  # before what crossed an end is sent to the next balancer
-LEAST_TIME_LEFT_US = 1_000
+REFUSED_RETRY_DELAY_US = 20_000  # before a request that raced a close is sent to the next balancer
+MIN_REMAINING_US = 1_000
 REQUEST_TIMEOUT = re.compile(rb"Request-Timeout: [0-9.]+")
 
 
 def with_request_timeout(message: tuple[bytes, ...], timeout_us: int) -> tuple[bytes, ...]:
-    r"""Return a request that tells another time; one that tells none is left as it is.
+    r"""Return a request with another `Request-Timeout`; one without that header is unchanged.
 
     >>> with_request_timeout((b"GET / HTTP/1.1\r\nRequest-Timeout: 1.500\r\n\r\n",), 20_000)
     (b'GET / HTTP/1.1\r\nRequest-Timeout: 0.020\r\n\r\n',)
@@ -46,7 +47,7 @@
 
 
 class HotKeys(NamedTuple):
-    """Keys that take a part of all requests beyond their own."""
+    """Keys that are drawn for a ratio of all requests, in addition to their Zipf share."""
 
     ratio: float
     keys: list[int]
@@ -56,20 +57,20 @@
     """All clients, their connections and their attempts.
 
     Attributes:
-        idle: Connections without a request under way, by balancer.
-        connections: All that are open, by balancer.
-        attempt_count: Attempts so far.
-        load: The factor of the plan's rate of requests.
-        hot_keys: What is hot now.
-        scan_ratio: The part of reads that go to keys that nobody asked for before.
-        demand_factors: The factor of each tenant's requests, where that is not 1.
-        weights: By which clients choose a balancer.
-        end: When the last request comes, in microseconds.
-        departures: Which clients leave before their answer has come.
+        idle: Connections without a request in progress, by balancer.
+        connections: All open connections, by balancer.
+        attempt_count: Number of attempts so far.
+        load: Factor on the plan's request rate.
+        hot_keys: The keys that are hot now.
+        scan_ratio: Ratio of reads that are for keys not requested before.
+        demand_factors: Factors on tenants' requests, by tenant; 1 for a tenant without an entry.
+        weights: Weights of the balancers in the clients' choice.
+        end: When arrivals end, in microseconds.
+        departures: Decides which clients leave before their answer has arrived.
     """
 
     def __init__(self, environment: Environment) -> None:
-        """Draw which balancers get more than others; nothing is asked yet."""
+        """Draw the balancers' weights; no request is sent yet."""
         self.environment = environment
         self.plan = environment.plan
         self.loop = environment.loop
@@ -81,13 +82,13 @@
             name: {} for name in environment.balancers
         }
         self.request_classes = self.plan.request_classes()
-        self._class_ends = list(accumulate(spec.share for spec in self.request_classes))
+        self._cumulative_shares = list(accumulate(spec.share for spec in self.request_classes))
         names = list(environment.balancers)
         self.weights = BalancerWeights(names, self.plan.clients, self.rng)
         key_weights = (
             (rank + ZIPF_OFFSET) ** -self.plan.keys.zipf for rank in range(self.plan.keys.count)
         )
-        self._key_ends = list(accumulate(key_weights))
+        self._cumulative_key_weights = list(accumulate(key_weights))
         self.attempt_count = 0
         self._scanned_count = 0
         self.load = 1.0
@@ -97,10 +98,10 @@
         self.end = environment.start + seconds_to_us(self.plan.duration_s)
         self.departures = ClientDepartures(self.loop, self.rng, self.plan.clients)
 
-    # --- what is asked
+    # --- operations
 
     def request_rate(self) -> float:
-        """Return the requests a second, now."""
+        """Return the current rate of requests per second."""
         duration_us = max(1, self.end - self.environment.start)
         progress = (self.loop.now - self.environment.start) / duration_us
         shape = self._shape_factor(progress)
@@ -115,7 +116,7 @@
         return self.plan.request_rate * shape * self.load * (1.0 + extra / total)
 
     def _shape_factor(self, progress: float) -> float:
-        """Return the factor of the load when this part of the plan, from 0 to 1, has passed."""
+        """Return the load factor at this progress of the plan, from 0 to 1."""
         match self.plan.clients.load_shape:
             case "ramp":
                 return 0.7 + 0.6 * progress
@@ -124,7 +125,7 @@
         return 1.0
 
     def on_arrival(self) -> None:
-        """An operation comes; the next one is set."""
+        """Start an operation and schedule the next arrival."""
         if self.loop.now >= self.end:
             return
         delay_us = max(1, round(self.rng.expovariate(self.request_rate()) * 1e6))
@@ -134,13 +135,15 @@
         self.start_attempt(operation)
 
     def draw_operation(self) -> Operation:
-        """Draw what a client wants."""
+        """Draw an operation."""
         rng = self.rng
         last_class = len(self.request_classes) - 1
-        drawn = bisect(self._class_ends, rng.random() * self._class_ends[-1], 0, last_class)
+        drawn = bisect(
+            self._cumulative_shares, rng.random() * self._cumulative_shares[-1], 0, last_class
+        )
         request_class = self.request_classes[drawn]
-        if not self.is_named(request_class):  # the usual first one in its place
-            request_class = next(spec for spec in self.request_classes if self.is_named(spec))
+        if not self.is_in_use(request_class):  # use the first class in use instead
+            request_class = next(spec for spec in self.request_classes if self.is_in_use(spec))
         tenants = self.plan.tenants()
         usage = [
             tenant.quota * tenant.quota_usage * self.demand_factors.get(tenant.name, 1.0)
@@ -155,7 +158,12 @@
 
     def _draw_key(self, request_class: RequestClassSpec) -> int:
         rng = self.rng
-        key = bisect(self._key_ends, rng.random() * self._key_ends[-1], 0, len(self._key_ends) - 1)
+        key = bisect(
+            self._cumulative_key_weights,
+            rng.random() * self._cumulative_key_weights[-1],
+            0,
+            len(self._cumulative_key_weights) - 1,
+        )
         if self.hot_keys.ratio and rng.random() < self.hot_keys.ratio:
             return rng.choice(self.hot_keys.keys)
         if self.scan_ratio and not request_class.write and rng.random() < self.scan_ratio:
@@ -163,25 +171,25 @@
             return self.plan.keys.count + self._scanned_count
         return key
 
-    def is_named(self, request_class: RequestClassSpec) -> bool:
-        """Return whether clients name this class now."""
+    def is_in_use(self, request_class: RequestClassSpec) -> bool:
+        """Return whether clients use this class now."""
         second = (self.loop.now - self.environment.start) / 1e6
         has_begun = request_class.from_s <= second
         return has_begun and (not request_class.until_s or second < request_class.until_s)
 
     def open_connections(self, balancer: str) -> list[BalancerConnection]:
-        """Return the connections to this balancer that have not ended."""
+        """Return the open connections to this balancer."""
         return [connection for connection in self.connections[balancer] if connection.conn.is_open]
 
     def on_unknown_class(self, attempt: ClientAttempt) -> None:
-        """Its balancer does not know its class."""
-        why = f"{attempt.id.decode()}: a class that the settings have is unknown"
+        """Report that the balancer does not know the attempt's request class."""
+        why = f"{attempt.id.decode()}: its class is in the settings, but unknown to the balancer"
         self.environment.invariant_checker.record_breach("lost", self.loop.now, why)
 
     # --- the attempts
 
     def choose_balancer(self, excluded: str = "", key: int = 0) -> str | None:
-        """Choose as the ingress does: by weight, of those not seen dead for its notice time."""
+        """Choose a balancer as the ingress does: by weight, without those known to be dead."""
         settings = self.plan.clients
         notice_us = seconds_to_us(settings.failover_delay_s)
         ingress = self.environment.ingress
@@ -201,7 +209,7 @@
         return self.rng.choices(candidates, cum_weights=self.weights.running_sums(candidates))[0]
 
     def start_attempt(self, operation: Operation, excluded: str = "") -> None:
-        """Try the operation at a balancer, unless there is none."""
+        """Send a request for the operation to a balancer, if there is one."""
         balancer = self.choose_balancer(excluded, operation.key)
         if balancer is None:
             return
@@ -270,7 +278,8 @@
             environment.invariant_checker.failed_connections += 1
             self.on_refused(attempt, balancer)
             return
-        # written at once where it is up: this process may stand still before its next turn
+        # a connection that is already up is written to at once, as this process may be stalled
+        # before its next turn
         is_opening = not (environment.network.virtual or is_up(sock))
         connection = BalancerConnection(self, balancer, sock, is_opening)
         connection.start(attempt, message)
@@ -278,31 +287,31 @@
         self.departures.draw_close(attempt, connection)
 
     def on_refused(self, attempt: ClientAttempt, balancer: str) -> None:
-        """Nothing was accepted: the ingress tries another balancer at once, one time.
+        """Handle a refused connection: the ingress tries one other balancer at once.
 
-        What had crossed an end is still owed its answer, by whichever balancer there is.
+        A request that raced a close must still be answered, by any balancer.
         """
         if attempt.was_resent:
-            attempt.incarnation = NO_PROCESS  # whose end would excuse it
-            self.loop.call_later(REFUSED_PAUSE_US, self.send_elsewhere, attempt, balancer)
+            attempt.incarnation = NO_PROCESS  # so that no process's end excuses a missing answer
+            self.loop.call_later(REFUSED_RETRY_DELAY_US, self.send_elsewhere, attempt, balancer)
         elif attempt.operation.attempt_count <= self.plan.clients.max_retries + 1:
             self.start_attempt(attempt.operation, excluded=balancer)
 
-    # --- once more, after the end of a connection crossed a request
+    # --- resending of requests that raced the close of their connection
 
     def resend(self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str) -> None:
-        """Send what crossed an end once more, on a new connection, with the time that is left."""
-        if not attempt.arrived_at_us:  # its last byte was never written: its time runs from here
+        """Resend a request that raced a close, on a new connection and with its remaining time."""
+        if not attempt.arrived_at_us:  # never fully written: its timeout starts now
             timeout_us = milliseconds_to_us(attempt.operation.request_class.client_timeout_ms)
             attempt.deadline_us = self.loop.clock() + timeout_us
         self.environment.invariant_checker.failed_connections += 1
         self.environment.invariant_checker.sent_once_more += 1
         attempt.was_resent = True
         attempt.message = message
-        self._send_with_time_left(attempt, balancer)
+        self._send_with_remaining_time(attempt, balancer)
 
     def send_elsewhere(self, attempt: ClientAttempt, refused_by: str) -> None:
-        """Send it to another balancer, as this one takes no new connection."""
+        """Send a request to another balancer than the one that refused the connection."""
         if attempt.status or attempt.abandoned:
             return
         if self.loop.clock() >= attempt.deadline_us:
@@ -310,23 +319,23 @@
             return
         balancer = self.choose_balancer(refused_by, attempt.operation.key)
         if balancer is None:
-            self.loop.call_later(REFUSED_PAUSE_US, self.send_elsewhere, attempt, refused_by)
+            self.loop.call_later(REFUSED_RETRY_DELAY_US, self.send_elsewhere, attempt, refused_by)
             return
         attempt.balancer = balancer
-        self._send_with_time_left(attempt, balancer)
+        self._send_with_remaining_time(attempt, balancer)
 
-    def _send_with_time_left(self, attempt: ClientAttempt, balancer: str) -> None:
-        left_us = max(LEAST_TIME_LEFT_US, attempt.deadline_us - self.loop.clock())
-        message = with_request_timeout(attempt.message, left_us)
+    def _send_with_remaining_time(self, attempt: ClientAttempt, balancer: str) -> None:
+        remaining_us = max(MIN_REMAINING_US, attempt.deadline_us - self.loop.clock())
+        message = with_request_timeout(attempt.message, remaining_us)
         self.send_attempt(attempt, message, balancer, fresh=True)
 
     def on_overdue(self, connection: BalancerConnection, attempt: ClientAttempt) -> None:
-        """An answer is waited for no longer."""
+        """Stop waiting for an answer; report it missing unless its process was killed."""
         if connection.attempt is not attempt or attempt.status:
             return
-        patience_ends_us = self._patience_ends_us(connection, attempt)
-        if patience_ends_us > self.loop.now:
-            wait_us = min(patience_ends_us - self.loop.now, OVERDUE_US)
+        wait_ends_us = self._wait_ends_us(connection, attempt)
+        if wait_ends_us > self.loop.now:
+            wait_us = min(wait_ends_us - self.loop.now, OVERDUE_US)
             self.loop.call_later(wait_us, self.on_overdue, connection, attempt)
             return
         end = self.environment.process_end(connection.balancer, connection.incarnation)
@@ -335,8 +344,8 @@
         connection.attempt = None
         connection.close()
 
-    def _patience_ends_us(self, connection: BalancerConnection, attempt: ClientAttempt) -> int:
-        """Return until when an answer may come: it goes on coming, or its process was stopped."""
+    def _wait_ends_us(self, connection: BalancerConnection, attempt: ClientAttempt) -> int:
+        """Return until when to wait: longer while an answer arrives or after a pause."""
         last_us = connection.last_byte_at_us if connection.reader.started else 0
         resumed_us = self.environment.last_pause_end_us(connection.balancer)
         if resumed_us > attempt.arrived_at_us:
@@ -344,15 +353,15 @@
             last_us = max(last_us, resumed_us + timeout_us)
         return last_us + OVERDUE_US if last_us else 0
 
-    # --- what follows
+    # --- retries
 
     def on_outcome(self, attempt: ClientAttempt, status: int, retry_after_us: int) -> None:
-        """Retry, where that is harmless and the client has not given up.
+        """Retry where that is harmless and the client has not given up.
 
         Args:
-            attempt: What ended.
-            status: Its answer's status code, 0 where its balancer died.
-            retry_after_us: How long the client was asked to wait.
+            attempt: The attempt that ended.
+            status: Status code of its answer, 0 if its balancer died.
+            retry_after_us: The answer's Retry-After, 0 for none.
         """
         if not self._may_retry(attempt.operation, status):
             return
@@ -365,7 +374,7 @@
         window_us = milliseconds_to_us(request_class.deduplication_window_ms)
         is_forgotten = self.loop.now + wait_us > operation.created_at_us + window_us
         if request_class.effect == "uniqued" and is_forgotten:
-            return  # a repeat would no longer be known as one
+            return  # a repeat would no longer be recognised as one
         self.loop.call_later(round(wait_us), self.start_attempt, operation)
 
     def _may_retry(self, operation: Operation, status: int) -> bool:
@@ -374,5 +383,5 @@
         if is_over or operation.attempt_count > self.plan.clients.max_retries:
             return False
         if not status and effect != "replayable":
-            return False  # its balancer died, and what became of it is not known
+            return False  # its balancer died, and the request's effect is unknown
         return status in HARMLESS_STATUSES or effect != "non-replayable"
--- a/orchidgap/simulation/close_records.py
+++ b/orchidgap/simulation/close_records.py
@@ -1,4 +1,4 @@
-"""What balancers' own processes noted of clients' connections that they closed."""
+"""Records that balancer processes make of the client connections that they close."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class CloseNote(NamedTuple):
-    """What one process noted of one connection.
+    """One process's note of one connection.
 
     Attributes:
-        end: Why it was closed; one that migrated goes on in another process.
-        record: When that began, and what had been read and answered there.
+        end: Why it was closed; a migrated connection continues in another process.
+        record: When the close began, and what had been read and answered by then.
     """
 
     end: ConnectionEnd
@@ -28,10 +28,10 @@
 
 
 class CloseRecords:
-    """The notes of one balancer's processes, by the connection: a number that its client knows."""
+    """The notes of one balancer's processes, by a connection number that clients know too."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start without notes."""
         self.notes: dict[int, list[CloseNote]] = defaultdict(list)
 
     def note(
@@ -42,14 +42,14 @@
         closed_at_us: int,
         was_looked_at: bool = False,
     ) -> None:
-        """Keep what is known of a connection that a process is about to close.
+        """Add the note of a connection that a process is about to close.
 
         Args:
-            connection: Its number.
-            client: The process's end of it.
+            connection: The connection's number.
+            client: The process's end of the connection.
             end: Why it is closed.
-            closed_at_us: When that began.
-            was_looked_at: Nothing was unread then.
+            closed_at_us: When the close began.
+            was_looked_at: No bytes were unread then.
         """
         record = CloseRecord(
             closed_at_us,
@@ -61,11 +61,11 @@
         self.notes[connection].append(CloseNote(end, record))
 
     def note_shut_unread(self, connection: int, at_us: int) -> None:
-        """Keep that a connection was shut for sending over bytes that were not read.
+        """Record that unread bytes were found after the sending side had been shut down.
 
         Args:
-            connection: Its number; without a note of its close nothing is kept.
-            at_us: When they were found, behind the shutdown.
+            connection: The connection's number; ignored without a note of its close.
+            at_us: When the bytes were found.
         """
         notes = self.notes.get(connection)
         if notes and notes[-1].end is ConnectionEnd.FINISHED:
@@ -73,11 +73,11 @@
             notes[-1] = CloseNote(ConnectionEnd.FINISHED, record)
 
     def find(self, connection: int, opened_at_us: int) -> CloseRecord | None:
-        """Return what is known of a connection, None where no process noted that it closed it.
+        """Return the record of a connection, None if no process noted that it closed it.
 
         Args:
-            connection: Its number.
-            opened_at_us: Earlier notes are of another connection that had the same number.
+            connection: The connection's number.
+            opened_at_us: Earlier notes belong to another connection with the same number.
         """
         read = answered = 0
         for end, record in self.notes.get(connection, ()):
@@ -91,21 +91,21 @@
 
 
 class LoggedCloseRecords(CloseRecords):
-    """Reads the notes from the log of a balancer's processes, by the client's port."""
+    """Reads the notes from the log of a balancer's processes, by the client's port number."""
 
     def __init__(self, log_path: Path, clock_offset_us: int) -> None:
-        """Read this log; the offset leads from the clock of its times to the clients' clock."""
+        """Read this log; the offset is added to its times to get times of the clients' clock."""
         super().__init__()
         self.log_path = log_path
         self.clock_offset_us = clock_offset_us
         self.offset_bytes = 0
 
     def find(self, connection: int, opened_at_us: int) -> CloseRecord | None:
-        """Return what is known of a connection, after the new lines of the log are read."""
-        self._read_on()
+        """Read new lines of the log, and return the record of a connection."""
+        self._read_new_lines()
         return super().find(connection, opened_at_us)
 
-    def _read_on(self) -> None:
+    def _read_new_lines(self) -> None:
         with suppress(OSError), open(self.log_path, "rb") as file:
             file.seek(self.offset_bytes)
             complete = file.read().rpartition(b"\n")[0]
@@ -124,7 +124,7 @@
             self.note_shut_unread(port, facts["shut_us"] + self.clock_offset_us)
 
     def _read_close(self, line: bytes) -> None:
-        """Keep what a line tells; one that is cut or has no peer tells of no connection."""
+        """Add the note of a log line; a truncated line or one without a peer is ignored."""
         with suppress(ValueError, KeyError):
             facts = orjson.loads(line)
             record = CloseRecord(
--- a/orchidgap/simulation/environment.py
+++ b/orchidgap/simulation/environment.py
@@ -1,6 +1,6 @@
-"""What stand-ins ask of the simulation or fault test that they are part of.
+"""The interface through which simulated parts use the simulation or fault test that runs them.
 
-None of them has to know the whole: each is given an `Environment`.
+Clients, hosts and discovery depend on the protocol `Environment`, not on a concrete run.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.balancer_instance import BalancerInstance
 
-SETTINGS_IN_FORCE_AFTER_US = 1_200_000  # new ones, after SIGHUP
+SETTINGS_IN_FORCE_AFTER_US = 1_200_000  # new settings apply this long after SIGHUP at the latest
 
-# Makes what decides, of (settings, port, seed, now in us); it has the methods of `Balancer`.
+# Makes decision logic with the methods of `Balancer` from (settings, port, seed, now in us).
 Decider = Callable[..., Any]
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptLimit:
-    """How many attempts settings allow a request; `changed_at_us` is when they last changed."""
+    """The settings' limit of attempts per request; `changed_at_us` is when it last changed."""
 
     current: int
     changed_at_us: int
     previous: int
 
     def for_request(self, arrived_at_us: int) -> int:
-        """Return how many a request may have; the larger number while new settings come in."""
+        """Return the limit for a request; the larger one while new settings take effect."""
         if arrived_at_us > self.changed_at_us + SETTINGS_IN_FORCE_AFTER_US:
             return self.current
         if arrived_at_us > self.changed_at_us:
@@ -43,29 +43,29 @@
 
 
 class Environment(Protocol):
-    """The parts of a run, and what they ask about each other.
+    """The parts of a run, and the queries that they make about each other.
 
-    All times are in microseconds of the loop's clock. A balancer is known by its name.
+    All times are in microseconds of the loop's clock. Balancers are identified by name.
     """
 
     plan: Plan
     loop: Loop
     rng: Random
     invariant_checker: InvariantChecker
-    start: int  # when the first request may come
-    port_offset: int  # added to the ports, where several runs share a machine
+    start: int  # start of the load
+    port_offset: int  # added to all ports, so that several runs can share a machine
     network: Any  # VirtualNetwork or LoopbackNetwork
-    servers: dict[str, Any]  # stand-in hosts by id
-    discovery: Any  # the stand-in discovery
-    clients: Any  # the stand-in clients
-    ingress: Any  # the layer before the balancers, and the operators
-    cluster: Any  # which server owns which slots
+    servers: dict[str, Any]  # simulated hosts by id
+    discovery: Any  # the simulated discovery server
+    clients: Any  # the simulated clients
+    ingress: Any  # the layer that spreads clients over the balancers
+    cluster: Any  # the slots' owners
     attempt_limit: AttemptLimit
-    deduplication_scope: str  # of most of the requests with an idempotency key
-    # by scope: idempotency keys, and until when they count
+    deduplication_scope: str  # most common one of request classes with an idempotency key
+    # by scope: until when each idempotency key is remembered
     deduplication_records: dict[str, dict[bytes, int]]
-    misses: Any  # by request id: the caches that lacked its key
-    cold_misses: dict[bytes, None]  # requests that a cache lacked while it was warming up
+    misses: Any  # by request id: the caches that missed on its key
+    cold_misses: dict[bytes, None]  # ids of requests that missed at a cache during its slow start
 
     @property
     def balancers(self) -> Mapping[str, BalancerInstance]:
@@ -73,41 +73,41 @@
         ...
 
     def is_alive(self, balancer: str, incarnation: int = 0) -> bool:
-        """Return whether a balancer runs: this incarnation of it, or any for 0."""
+        """Return whether this incarnation of a balancer runs; 0 means any incarnation."""
         ...
 
     def incarnation_of(self, balancer: str) -> int:
-        """Return the number of the balancer's present or last process."""
+        """Return the balancer's current incarnation, or the last one if it does not run."""
         ...
 
     def address_of(self, balancer: str) -> Address:
-        """Return where clients connect."""
+        """Return the address that clients connect to."""
         ...
 
     def zone_of(self, balancer: str) -> int:
-        """Return the balancer's zone, 0 for a name that is none."""
+        """Return the balancer's zone, 0 for an unknown name."""
         ...
 
     def accepting_balancers(self, notice: int, now: int) -> list[str]:
-        """Return the balancers that clients are sent to; `notice` is how late a death is seen."""
+        """Return the balancers that the ingress uses, also dead ones for `notice` microseconds."""
         ...
 
     def process_end(self, balancer: str, incarnation: int) -> ProcessEnd:
-        """Return how an incarnation of a balancer has ended, if it has."""
+        """Return whether and how an incarnation of a balancer has ended."""
         ...
 
     def close_record(
         self, balancer: str, connection: int, dialled_at_us: int
     ) -> CloseRecord | None:
-        """Return what the balancer's process noted as it closed a client's connection."""
+        """Return the balancer's record of how it closed a client's connection, if there is one."""
         ...
 
     def last_pause_end_us(self, balancer: str) -> int:
-        """Return when the process last goes on after it was stopped, 0 for never."""
+        """Return when the balancer's last pause ends, 0 for none."""
         ...
 
     def link_faulty_until_us(self, balancer: str, host: str) -> int:
-        """Return until when a relay may have held back what a balancer sent a host, 0 for never."""
+        """Return until when a relay may have delayed a balancer's data to a host, 0 for never."""
         ...
 
     def one_way_us(self, zone: int, other: int) -> int:
@@ -118,8 +118,8 @@
         """Draw the latency of one message between a client and a balancer."""
         ...
 
-    def max_attempts_at(self, came: int) -> int:
-        """Return how many attempts a request may have that came then."""
+    def max_attempts_at(self, arrived_at_us: int) -> int:
+        """Return the limit of attempts for a request that arrived then."""
         ...
 
     def value_size_bytes(self, key: int) -> int:
@@ -127,25 +127,25 @@
         ...
 
     def key_of(self, number: int | None) -> int:
-        """Return the clients' number of a key, of the decisions' number of it."""
+        """Return the clients' number of the key that has this number in the decisions."""
         ...
 
     def record_miss(self, request_id: bytes, store: Any) -> None:
-        """Note that a cache lacked the key of the request `request_id`."""
+        """Record that a cache missed on the request's key."""
         ...
 
     def latest_endpoint_list(self, name: str) -> dict[str, Any]:
-        """Return the endpoint list as a balancer last had it."""
+        """Return the last endpoint list that a balancer received."""
         ...
 
     def balancer_settings(self, balancer: Any, known: dict[str, Any]) -> dict[str, Any]:
-        """Return a balancer's configuration, with the endpoint list that it starts with."""
+        """Return a balancer's configuration; `known` is its initial endpoint list."""
         ...
 
     def endpoint_list_for(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
-        """Return the endpoint list with the addresses by which that balancer reaches the hosts."""
+        """Return the list with the host addresses that this balancer connects to."""
         ...
 
     def send_datagram(self, address: Address, data: bytes) -> None:
-        """Carry a datagram from one balancer to another on the virtual network."""
+        """Deliver a datagram from one balancer to another on the virtual network."""
         ...
--- a/orchidgap/simulation/request_end.py
+++ b/orchidgap/simulation/request_end.py
@@ -1,13 +1,17 @@
-"""What became of a request whose connection ended before its answer was whole.
-
-A request is taken once its last byte is written to a connection that the balancer's machine
-accepted, and a taken request is owed its answer. What is excused is named by the protocol page:
-its process was killed outright, or its connection's end crossed a request that was never read.
-That is narrow: the balancer's own process had accepted the connection and began to close it before
-the request was written, by a clock that both read; it had read and answered no more than what was
-asked there before; and the kernel showed the client a reset or, at the write, the other side's end,
-or the process found the request unread behind its shutdown for sending.
-A request that was written first, or whose connection no process ever accepted, is lost.
+"""Classification of a request whose connection ended before its answer was complete.
+
+A request counts as accepted once its last byte is written to a connection that the balancer's
+machine accepted, and an accepted request must be answered. The protocol page names two excuses: the
+balancer's process was killed, or the connection was closed while the request was on its way and was
+never read (`RACED_CLOSE`). The second needs all of the following:
+
+* The balancer's process had accepted the connection and began to close it before the request was
+  written, by a clock that client and balancer share.
+* It had read and answered only the earlier requests of the connection.
+* The kernel reported to the client a reset or, at the write, that the balancer had closed its end;
+  or the process found the request unread after it had shut down its sending side.
+
+A request that was written before the close, or whose connection no process accepted, is lost.
 """
 
 from __future__ import annotations
@@ -17,35 +21,35 @@
 
 
 class ProcessEnd(Enum):
-    """How a balancer's process ended, if it has."""
+    """Whether and how a balancer's process ended."""
 
     RUNNING = auto()
-    EXITED = auto()  # by itself: what it had taken stays owed
-    KILLED = auto()  # by SIGKILL, as a crash: its clients ask again
-    KILLED_PAST_GRACE = auto()  # by SIGKILL, later after SIGTERM than it may need
+    EXITED = auto()  # by itself: accepted requests still have to be answered
+    KILLED = auto()  # by SIGKILL, as in a crash: its clients retry
+    KILLED_PAST_GRACE = auto()  # by SIGKILL, after the time that it may take to stop after SIGTERM
 
 
 class RequestEnd(Enum):
-    """What the end of a connection means for the request under way on it."""
+    """What the end of a connection means for the request in progress on it."""
 
     PROCESS_KILLED = auto()
-    NOT_TAKEN = auto()  # its last byte was never written
-    RACED_CLOSE = auto()  # written to a closed connection: its client sends it once more
-    TRUNCATED = auto()  # its client can tell that the answer is not whole
+    NOT_TAKEN = auto()  # its last byte was not written
+    RACED_CLOSE = auto()  # written to a closed connection: its client resends it
+    TRUNCATED = auto()  # its client can detect that the answer is incomplete
     LOST = auto()
 
 
 class CloseRecord(NamedTuple):
-    """What a balancer's process noted of a connection as it began to close it.
+    """What a balancer's process recorded when it began to close a connection.
 
     Attributes:
-        closed_at_us: When, by the clients' clock; it looked for unread bytes after that.
-        requests_read: Requests that it had read on it, in part at least.
-        requests_answered: Those of them that it had answered.
-        had_unread_bytes: Bytes had come that it had not read.
-        was_looked_at: It had read all that it found behind that time, and then found no more.
-        shut_unread_at_us: When it found bytes behind its shutdown for sending that it had not read;
-            0 where it found none.
+        closed_at_us: When, by the clients' clock; it checked for unread bytes after that.
+        requests_read: Requests that it had read, at least in part.
+        requests_answered: Requests that it had answered.
+        had_unread_bytes: Bytes had arrived that it had not read.
+        was_looked_at: After that time it read until no more bytes were available.
+        shut_unread_at_us: When it found unread bytes after it had shut down its sending side; 0 if
+            it found none.
     """
 
     closed_at_us: int
@@ -57,22 +61,22 @@
 
 
 class ConnectionEndFacts(NamedTuple):
-    """What a client knows when a connection ends under a request.
+    """What a client knows when a connection ends during a request.
 
     Attributes:
-        process_end: How the balancer's process ended.
+        process_end: Whether and how the balancer's process ended.
         was_written: The request's last byte was written.
         write_began_us: When its first byte was about to be written.
         written_at_us: By when its last byte was written, 0 if it was not.
-        earlier_requests: Requests that the connection had carried before this one.
-        was_reset: The kernel reported an error and no orderly close: the balancer's end was closed
-            over bytes that nobody had read.
-        was_closed_at_write: The balancer's end had been shut when the request was written.
-        close_record: What the balancer's process noted, None where it noted nothing.
-        was_seen_by_host: A host has got an attempt of it.
-        answer_begun: Some bytes of an answer came.
-        answer_is_malformed: They are no HTTP answer.
-        answer_has_no_end: The answer told no length, so its client takes what came for all.
+        earlier_requests: Requests that were sent on the connection before this one.
+        was_reset: The kernel reported an error instead of an orderly close: the balancer closed its
+            end with unread bytes.
+        was_closed_at_write: The balancer had closed its end when the request was written.
+        close_record: The balancer process's record of the close, None if there is none.
+        was_seen_by_host: A host has received an attempt of the request.
+        answer_begun: Some bytes of an answer arrived.
+        answer_is_malformed: They are not a valid HTTP answer.
+        answer_has_no_end: The answer has no length, so its client takes a part for the whole.
     """
 
     process_end: ProcessEnd
@@ -109,38 +113,41 @@
     return RequestEnd.RACED_CLOSE if raced_close(facts) else RequestEnd.LOST
 
 
-def awaits_shut_note(facts: ConnectionEndFacts) -> bool:
-    """Return whether the request is lost unless the balancer's process, which has shut the
-    connection for sending, notes yet that it found the request unread behind that.
+def awaits_unread_record(facts: ConnectionEndFacts) -> bool:
+    """Return whether a record of unread bytes may still turn a lost request into a raced close.
+
+    The balancer's process writes that record when it finds the request unread after it has shut
+    down its sending side.
     """
     ended_in_order = not (facts.was_reset or facts.was_closed_at_write or facts.answer_begun)
     return (
         ended_in_order
         and classify_request_end(facts) is RequestEnd.LOST
-        and was_written_after_last_look(facts)
+        and was_written_after_close(facts)
     )
 
 
 def raced_close(facts: ConnectionEndFacts) -> bool:
-    """Return whether a request was written to a connection that was closed, and never read."""
+    """Return whether a request was written to a closing connection and never read."""
     record = facts.close_record
-    if record is None or not was_written_after_last_look(facts):
+    if record is None or not was_written_after_close(facts):
         return False
     was_refused_by_kernel = facts.was_reset or facts.was_closed_at_write
     was_found_unread = facts.write_began_us <= record.shut_unread_at_us
     return was_refused_by_kernel or was_found_unread
 
 
-def was_written_after_last_look(facts: ConnectionEndFacts) -> bool:
-    """Return whether the balancer's process says that it had begun to close before the request was
-    written, had read no more than what was asked before, and had answered all that.
+def was_written_after_close(facts: ConnectionEndFacts) -> bool:
+    """Return whether the balancer had begun to close the connection before the request was written.
+
+    By its record it had also read only earlier requests and had answered all of them.
     """
     record = facts.close_record
     if record is None or facts.was_seen_by_host:
         return False
-    # a look within the write that found nothing: what was written came behind it
-    found_nothing = record.was_looked_at and record.closed_at_us <= facts.written_at_us
-    was_closed_first = record.closed_at_us <= facts.write_began_us or found_nothing
+    # a check during the write found no bytes, so the request's bytes arrived after it
+    was_checked_empty = record.was_looked_at and record.closed_at_us <= facts.written_at_us
+    was_closed_first = record.closed_at_us <= facts.write_began_us or was_checked_empty
     was_unread = record.requests_read <= facts.earlier_requests
-    owed_nothing = record.requests_answered == record.requests_read
-    return was_closed_first and not record.had_unread_bytes and was_unread and owed_nothing
+    all_answered = record.requests_answered == record.requests_read
+    return was_closed_first and not record.had_unread_bytes and was_unread and all_answered
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -1,8 +1,11 @@
-"""Stand-in slot servers and clients that speak the cluster dialect of RESP, from its public specification.
+"""Simulated slot servers and clients of RESP in cluster mode.
 
-Every command can be told from all others on the wire, so that the invariant checker judges commands as it does reqs:
-a read is `GETRANGE key 0 N` with N the number of the try, a write is `APPEND key "number;"`. A server answers
-what it served with a value that names key and try.
+They are written from the public specification of the protocol.
+
+Each command carries the number of its client attempt, so the invariant checker can check commands
+as it checks HTTP requests: a read is `GETRANGE key 0 N`, where N is `READ_NUMBER_OFFSET` plus the
+attempt's number; a write is `APPEND key "number;"`. The answer to a read holds the key, the attempt
+and the server.
 """
 
 from __future__ import annotations
@@ -15,7 +18,7 @@
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.attempt_failure import AttemptFailure
 from orchidgap.net.connection import Connection
-from orchidgap.resp.local_commands import slot_of_key as slot_at
+from orchidgap.resp.local_commands import slot_of_key as uncached_slot_of_key
 from orchidgap.resp.reader import RespReader
 from orchidgap.resp.writers import encode_array, encode_bulk, encode_command, encode_error
 from orchidgap.simulation.balancer_connection import CLOSED, OVERDUE_US
@@ -35,36 +38,50 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-SPACE = 1 << 14
-slot_of = lru_cache(maxsize=1 << 17)(slot_at)
-BASE = 1_000_000  # the number in a read, less the number of its try
-DEPTH = 16  # commands that a client has under way on one connection
-MOVE_WITHIN = 300_000  # microseconds that a slot takes to move, key by key
+SLOT_COUNT = 1 << 14
+slot_of = lru_cache(maxsize=1 << 17)(uncached_slot_of_key)
+READ_NUMBER_OFFSET = 1_000_000  # added to the attempt's number in a read
+MAX_UNANSWERED_COMMANDS = 16  # on one connection of a client
+SLOT_MIGRATION_US = 300_000  # how long the migration of a slot takes
 
 
 class Cluster:
-    """Who owns what, as the servers know it among themselves; each may know it late."""
+    """The owners of all slots; a server may work with an older version of them.
+
+    Attributes:
+        owner: The id of each slot's owner, by slot.
+        moving: The ids of source and destination of each slot that is being migrated.
+        moved: Slots that have been migrated so far.
+    """
 
     def __init__(self) -> None:
         self.owner: list[str] = []
-        self.moving: dict[int, tuple[str, str]] = {}  # from, to
+        self.moving: dict[int, tuple[str, str]] = {}
         self.moved = 0
 
-    def share(self, ids: list[str]) -> None:
-        self.owner = [ids[even_range_owner(slot, ids)[0]] for slot in range(SPACE)]
+    def assign_evenly(self, ids: list[str]) -> None:
+        """Divide the slots evenly among the servers."""
+        self.owner = [ids[even_range_owner(slot, ids)[0]] for slot in range(SLOT_COUNT)]
 
-    def ranges(self, view: list[str]) -> list[tuple[int, int, str]]:
-        found: list[tuple[int, int, str]] = []
-        for slot, id in enumerate(view):
-            if found and found[-1][2] == id:
-                found[-1] = (found[-1][0], slot, id)
+    def ranges(self, slot_owners: list[str]) -> list[tuple[int, int, str]]:
+        """Return the ranges of adjacent slots with one owner: first slot, last slot, owner."""
+        ranges: list[tuple[int, int, str]] = []
+        for slot, owner in enumerate(slot_owners):
+            if ranges and ranges[-1][2] == owner:
+                ranges[-1] = (ranges[-1][0], slot, owner)
             else:
-                found.append((slot, slot, id))
-        return found
+                ranges.append((slot, slot, owner))
+        return ranges
 
 
-class Place:
-    """One command in the order of answers."""
+class PendingAnswer:
+    """The answer to one command, kept in the order in which the connection received the commands.
+
+    Attributes:
+        job: The work of a read or write, None for other commands.
+        outcome: The job's outcome, as the invariant checker records it; empty for other commands.
+        text: The encoded answer, None until it is known.
+    """
 
     __slots__ = ("job", "outcome", "text")
 
@@ -73,77 +90,106 @@
         self.text: bytes | None = None
 
 
-class SlotLink:
-    """A server's end of a connection: commands in order, answers in the same."""
+class SlotServerConnection:
+    """A server's end of a connection; commands are answered in the order of their arrival.
 
-    is_beyond_limit = False  # it has room for all
+    Attributes:
+        store: The server.
+        balancer: The name of the balancer that opened the connection.
+        asking: The last command was `ASKING`, which permits the next one to use a slot that is
+            being migrated to this server.
+        jobs: Reads and writes without an answer.
+        pending_answers: Answers that are not scheduled yet, in the order of their commands.
+        last_arrival_us: When the latest command arrives; the next one arrives no earlier.
+        last_send_us: When the latest answer is sent; the next one is sent no earlier.
+        conn: The socket with its buffers.
+    """
 
-    def __init__(self, store: SlotStore, sock: socket.socket, who: str) -> None:
-        self.store, self.balancer, self.reader = store, who, RespReader()
+    is_beyond_limit = False  # the number of connections is not limited
+
+    def __init__(self, store: SlotServer, sock: socket.socket, balancer: str) -> None:
+        self.store, self.balancer, self.reader = store, balancer, RespReader()
         self.asking = False
         self.jobs: list[HostJob] = []
-        self.places: deque[Place] = deque()  # what was asked, in its order
-        self.come_at = self.put_at = store.loop.now
+        self.pending_answers: deque[PendingAnswer] = deque()
+        self.last_arrival_us = self.last_send_us = store.loop.now
         self.conn = Connection(store.loop, sock, self)
 
     def opened(self) -> None: ...
 
     def received(self, view: memoryview) -> None:
+        """Read commands."""
         self.reader.feed(view)
-        while self.conn.is_open and (words := self.reader.read_command()) is not None:
-            self.asked(words)
+        while self.conn.is_open and (arguments := self.reader.read_command()) is not None:
+            self.on_command(arguments)
 
-    def asked(self, words: list[bytes]) -> None:
+    def on_command(self, arguments: list[bytes]) -> None:
+        """Queue a command; it arrives after the latency of the network."""
         store, now = self.store, self.store.loop.now
-        self.come_at = max(self.come_at, now + store.one_way_us(self.balancer))
-        name = words[0].upper() if words else b""
+        self.last_arrival_us = max(self.last_arrival_us, now + store.one_way_us(self.balancer))
+        name = arguments[0].upper() if arguments else b""
         if name in (b"GETRANGE", b"APPEND"):
-            number = int(words[3]) - BASE if name == b"GETRANGE" else int(words[2][:-1])
-            arrival = store.environment.invariant_checker.on_host_attempt(
+            number = (
+                int(arguments[3]) - READ_NUMBER_OFFSET
+                if name == b"GETRANGE"
+                else int(arguments[2][:-1])
+            )
+            host_attempt = store.environment.invariant_checker.on_host_attempt(
                 b"q%x" % number, store.id, store.deduplication_group(), now, now
             )
-            if arrival is None:
+            if host_attempt is None:
                 return self.conn.close()
-            job = HostJob(self, arrival, words[1])  # type: ignore[arg-type]  # a link as a store needs it
+            job = HostJob(self, host_attempt, arguments[1])  # type: ignore[arg-type]  # has what Store uses
             job.asking = self.asking
             self.jobs.append(job)
-            self.places.append(Place(job))
-            store.loop.call_at(self.come_at, store.receive, job)
+            self.pending_answers.append(PendingAnswer(job))
+            store.loop.call_at(self.last_arrival_us, store.receive, job)
         else:
-            self.places.append(Place(None))
-            store.loop.call_at(self.come_at, self.local, name, self.places[-1])
+            self.pending_answers.append(PendingAnswer(None))
+            store.loop.call_at(
+                self.last_arrival_us, self.answer_keyless, name, self.pending_answers[-1]
+            )
         self.asking = name == b"ASKING"
 
-    def local(self, name: bytes, place: Place) -> None:
+    def answer_keyless(self, name: bytes, pending_answer: PendingAnswer) -> None:
+        """Answer a command that accesses no key."""
         if self.store.vanished or not self.store.alive:
             return
         if name == b"CLUSTER":
-            text = self.store.slots_told()
+            text = self.store.encode_slots()
         else:
             text = (
                 b"+OK\r\n"
                 if name in (b"ASKING", b"AUTH", b"READONLY")
                 else b"-ERR unknown command\r\n"
             )
-        place.text = text
-        self.flush()
-
-    def later(self, text: bytes, job: HostJob, outcome: str) -> None:
-        """The answer to a command is known; it goes out when all before it are out."""
-        for place in self.places:
-            if place.job is job:
-                place.text, place.outcome = text, outcome
-        self.flush()
-
-    def flush(self) -> None:
-        while self.places and self.places[0].text is not None:
-            place = self.places.popleft()
-            self.put_at = max(
-                self.put_at, self.store.loop.now + self.store.one_way_us(self.balancer)
+        pending_answer.text = text
+        self.schedule_answers()
+
+    def set_answer(self, text: bytes, job: HostJob, outcome: str) -> None:
+        """Record the answer to a read or write; it is sent after all earlier answers."""
+        for pending_answer in self.pending_answers:
+            if pending_answer.job is job:
+                pending_answer.text, pending_answer.outcome = text, outcome
+        self.schedule_answers()
+
+    def schedule_answers(self) -> None:
+        """Schedule all answers up to the first that is not known yet."""
+        while self.pending_answers and self.pending_answers[0].text is not None:
+            pending_answer = self.pending_answers.popleft()
+            self.last_send_us = max(
+                self.last_send_us, self.store.loop.now + self.store.one_way_us(self.balancer)
+            )
+            self.store.loop.call_at(
+                self.last_send_us,
+                self.send_answer,
+                pending_answer.text,
+                pending_answer.job,
+                pending_answer.outcome,
             )
-            self.store.loop.call_at(self.put_at, self.put, place.text, place.job, place.outcome)
 
-    def put(self, text: bytes, job: HostJob | None, outcome: str) -> None:
+    def send_answer(self, text: bytes, job: HostJob | None, outcome: str) -> None:
+        """Send an answer, unless the network is down, and report it to the invariant checker."""
         if (
             not self.conn.is_open
             or self.store.vanished
@@ -171,8 +217,15 @@
             self.ended("")
 
 
-class SlotStore(Store):
-    """One slot server: it has the keys of its slots, and sends on whoever asks for another's."""
+class SlotServer(Store):
+    """One slot server: it stores the keys of its slots and redirects commands for other slots.
+
+    Attributes:
+        data: The ids of the attempts that appended to each key, in order.
+        keys_by_slot: The keys that are stored, by slot.
+        known_owners: The owners of all slots as this server knows them, None while these are the
+            cluster's current ones.
+    """
 
     def __init__(
         self,
@@ -186,27 +239,30 @@
     ) -> None:
         super().__init__(environment, id, address, model, is_origin, zone, speed)
         self.data: dict[bytes, list[bytes]] = {}
-        self.by_slot: dict[int, dict[bytes, None]] = {}
-        self.view: list[str] | None = None  # where it has not heard of the latest owners
+        self.keys_by_slot: dict[int, dict[bytes, None]] = {}
+        self.known_owners: list[str] | None = None
 
-    def put_in(self, key: bytes, value: list[bytes]) -> None:
+    def store_value(self, key: bytes, value: list[bytes]) -> None:
+        """Store the value of a key."""
         self.data[key] = value
-        self.by_slot.setdefault(slot_of(key), {})[key] = None
+        self.keys_by_slot.setdefault(slot_of(key), {})[key] = None
 
-    def accept(self, sock: socket.socket, who: str) -> None:
+    def accept(self, sock: socket.socket, balancer: str) -> None:
         if not self.alive:
             return sock.close()
-        self.connections[SlotLink(self, sock, who)] = None  # type: ignore[index]
+        self.connections[SlotServerConnection(self, sock, balancer)] = None  # type: ignore[index]
 
     def sweep(self) -> None:
-        """It keeps idle connections."""
+        """Do nothing: slot servers do not close idle connections."""
 
-    def owners(self) -> list[str]:
-        return self.view or self.environment.cluster.owner
+    def slot_owners(self) -> list[str]:
+        """Return the owners of all slots as this server knows them."""
+        return self.known_owners or self.environment.cluster.owner
 
-    def slots_told(self) -> bytes:
+    def encode_slots(self) -> bytes:
+        """Return the answer to `CLUSTER SLOTS`."""
         rows = []
-        for first, last, id in self.environment.cluster.ranges(self.owners()):
+        for first, last, id in self.environment.cluster.ranges(self.slot_owners()):
             host, port = self.environment.servers[id].address
             node = encode_array(
                 [
@@ -219,20 +275,23 @@
         return encode_array(rows)
 
     def record_load(self, job: HostJob) -> None:
-        """Slot servers are not pushed over here: they are no caches."""
+        """Do nothing: only caches and origins go down from overload."""
 
     def begin(self, job: HostJob) -> None:
-        """Whether it serves the key is decided as its turn comes; a redirection takes no work."""
+        """Redirect the command or run it; a redirection takes no work.
+
+        This is decided here because the slot may have moved while the job was queued.
+        """
         slot = slot_of(job.idempotency_key)
-        text, outcome = self.verdict(slot, job)
+        text, outcome = self.redirection(slot, job)
         if text:
-            link: Any = job.connection
-            link.later(text, job, outcome)
+            connection: Any = job.connection
+            connection.set_answer(text, job, outcome)
             return self.loop.call_soon(self.start_waiting)
         job.outcome = "done"
         if job.attempt.client_attempt.operation.request_class.write:
             self.environment.invariant_checker.on_effect(job.attempt, self.loop.now)
-            self.put_in(
+            self.store_value(
                 job.idempotency_key,
                 [*self.data.get(job.idempotency_key, ()), job.attempt.client_attempt.id],
             )
@@ -241,9 +300,9 @@
         self.running[job] = None
         job.timer = self.loop.call_at(job.ends_at_us, self.finish, job)
 
-    def verdict(self, slot: int, job: HostJob) -> tuple[bytes, str]:
-        """An answer that sends it on, by the specification; empty where it is served here."""
-        owner, asking = self.owners()[slot], job.asking
+    def redirection(self, slot: int, job: HostJob) -> tuple[bytes, str]:
+        """Return the `ASK` or `MOVED` error and its outcome; empty where the key is served here."""
+        owner, asking = self.slot_owners()[slot], job.asking
         moving = self.environment.cluster.moving.get(slot)
         if owner == self.id:
             if moving and moving[0] == self.id and job.idempotency_key not in self.data:
@@ -258,242 +317,297 @@
         ), "moved"
 
     def finish(self, job: HostJob) -> None:
+        """Answer a job whose work is done."""
         del self.running[job]
-        ask = job.attempt.client_attempt
+        attempt = job.attempt.client_attempt
         self.environment.invariant_checker.on_work_done(job.attempt, job.duration_us, self.loop.now)
-        if ask.operation.request_class.write:
+        if attempt.operation.request_class.write:
             text = b":%d\r\n" % len(self.data[job.idempotency_key])
         else:
-            body = b"%b/%b/%b" % (job.idempotency_key, ask.id, self.id.encode())
+            body = b"%b/%b/%b" % (job.idempotency_key, attempt.id, self.id.encode())
             text = encode_bulk(
-                body.ljust(self.environment.value_size_bytes(ask.operation.key), b"v")
+                body.ljust(self.environment.value_size_bytes(attempt.operation.key), b"v")
             )
-        link: Any = job.connection
-        link.later(text, job, "done")
+        connection: Any = job.connection
+        connection.set_answer(text, job, "done")
         self.start_waiting()
 
     def answer_later(self, job: HostJob, outcome: str) -> None:
-        link: Any = job.connection
-        link.later(encode_error("TRYAGAIN busy"), job, "full")
+        """Reject a job because the queue is full."""
+        connection: Any = job.connection
+        connection.set_answer(encode_error("TRYAGAIN busy"), job, "full")
 
 
 class WrittenCommand(NamedTuple):
-    """A command that was written, and not answered yet.
+    """A command that was sent and has no answer yet.
 
     Attributes:
-        message: What was written.
-        write_began_us: When that began.
-        earlier_requests: Commands that its connection had carried before.
-        met_end: The other side's end had been shut when it was written.
+        message: The encoded command.
+        write_began_us: When its first byte was about to be written.
+        earlier_requests: Commands that were sent on the connection before it.
+        was_closed_at_write: Whether the balancer had closed its end when the command was written.
     """
 
     message: tuple[bytes, ...]
     write_began_us: int
     earlier_requests: int
-    met_end: bool = False
+    was_closed_at_write: bool = False
 
 
-class RespLink:
-    """A client's connection: several commands under way, answered in order."""
+class RespClientConnection:
+    """A client's connection; several commands can wait for their answers, which come in order.
 
-    def __init__(self, callers: RespClients, post: str, sock: socket.socket, opening: bool) -> None:
-        self.clients, self.post = callers, post
-        self.incarnation = callers.environment.incarnation_of(post)
+    Attributes:
+        clients: The clients that it belongs to.
+        balancer: The balancer's name.
+        incarnation: The balancer's incarnation when the connection was opened.
+        attempts: Attempts without an answer, in the order of sending.
+        written: The commands of these attempts, by attempt id.
+        request_count: Commands that were sent on the connection.
+        number: The network's number of the connection, the same at both ends.
+        dialled_at_us: Start of the loop turn in which it was opened.
+        conn: The socket with its buffers.
+    """
+
+    def __init__(
+        self, clients: RespClients, balancer: str, sock: socket.socket, opening: bool
+    ) -> None:
+        self.clients, self.balancer = clients, balancer
+        self.incarnation = clients.environment.incarnation_of(balancer)
         self.reader = RespReader()
-        self.asks: deque[ClientAttempt] = deque()
-        self.written: dict[bytes, WrittenCommand] = {}  # those of `asks`, by id
-        self.carried_count = 0
-        self.number = callers.environment.network.connection_number(sock)
-        self.dialled_at_us = callers.loop.now
-        self.conn = Connection(callers.loop, sock, self, opening=opening)
-
-    def carry(self, ask: ClientAttempt, message: tuple[bytes, ...]) -> None:
-        self.asks.append(ask)
-        command = WrittenCommand(message, self.clients.loop.clock(), self.carried_count)
-        self.written[ask.id] = command
-        self.carried_count += 1
-        ask.arrived_at_us = 0
+        self.attempts: deque[ClientAttempt] = deque()
+        self.written: dict[bytes, WrittenCommand] = {}
+        self.request_count = 0
+        self.number = clients.environment.network.connection_number(sock)
+        self.dialled_at_us = clients.loop.now
+        self.conn = Connection(clients.loop, sock, self, opening=opening)
+
+    def send_command(self, attempt: ClientAttempt, message: tuple[bytes, ...]) -> None:
+        """Send a command and start its timeout."""
+        self.attempts.append(attempt)
+        command = WrittenCommand(message, self.clients.loop.clock(), self.request_count)
+        self.written[attempt.id] = command
+        self.request_count += 1
+        attempt.arrived_at_us = 0
         self.conn.send(*message)
         if self.conn.is_open:
-            self.written[ask.id] = command._replace(met_end=self.conn.peer_has_closed())
+            self.written[attempt.id] = command._replace(
+                was_closed_at_write=self.conn.peer_has_closed()
+            )
             now = self.clients.loop.now
-            ask.arrived_at_us = now
-            if not ask.was_resent:  # its time goes on
-                timeout_us = milliseconds_to_us(ask.operation.request_class.client_timeout_ms)
-                ask.deadline_us = now + timeout_us
-            self.clients.environment.invariant_checker.on_client_attempt(ask)
+            attempt.arrived_at_us = now
+            if not attempt.was_resent:  # a resent command keeps its deadline
+                timeout_us = milliseconds_to_us(attempt.operation.request_class.client_timeout_ms)
+                attempt.deadline_us = now + timeout_us
+            self.clients.environment.invariant_checker.on_client_attempt(attempt)
             self.clients.loop.call_later(
-                ask.deadline_us - now + OVERDUE_US, self.clients.late, self, ask
+                attempt.deadline_us - now + OVERDUE_US,
+                self.clients.on_command_overdue,
+                self,
+                attempt,
             )
 
     def opened(self) -> None: ...
 
     def received(self, view: memoryview) -> None:
-        callers = self.clients
+        """Match answers with the attempts that wait for them."""
+        clients = self.clients
         self.reader.feed(view)
         while (text := self.reader.read_item()) is not None:
-            if not self.asks:
-                return callers.environment.invariant_checker.on_extra_bytes(None, callers.loop.now)
-            ask = self.asks.popleft()
-            del self.written[ask.id]
+            if not self.attempts:
+                return clients.environment.invariant_checker.on_extra_bytes(None, clients.loop.now)
+            attempt = self.attempts.popleft()
+            del self.written[attempt.id]
             status = 503 if text.startswith(b"-TRYAGAIN") else 500 if text[:1] == b"-" else 200
-            callers.environment.invariant_checker.on_answer(ask, status, text, callers.loop.now)
+            clients.environment.invariant_checker.on_answer(attempt, status, text, clients.loop.now)
             pause = text.rpartition(b"come back in ")[2].partition(b" ms")[0]
-            callers.loop.call_later(
-                callers.environment.client_one_way_us(),
-                callers.on_outcome,
-                ask,
+            clients.loop.call_later(
+                clients.environment.client_one_way_us(),
+                clients.on_outcome,
+                attempt,
                 status,
                 int(pause) * 1000 if pause.isdigit() else 0,
             )
 
     def ended(self, what: str) -> None:
-        callers = self.clients
-        callers.lanes[self.post] = [link for link in callers.lanes[self.post] if link is not self]
-        process_end = callers.environment.process_end(self.post, self.incarnation)
-        close_record = callers.environment.close_record(self.post, self.number, self.dialled_at_us)
-        asks = list(self.asks)
-        self.asks.clear()
-        for ask in asks:
-            if ask.status or ask.abandoned:
+        """Classify each command that has no answer; `what` is the reason of the end."""
+        clients = self.clients
+        clients.connections_by_balancer[self.balancer] = [
+            connection
+            for connection in clients.connections_by_balancer[self.balancer]
+            if connection is not self
+        ]
+        process_end = clients.environment.process_end(self.balancer, self.incarnation)
+        close_record = clients.environment.close_record(
+            self.balancer, self.number, self.dialled_at_us
+        )
+        attempts = list(self.attempts)
+        self.attempts.clear()
+        for attempt in attempts:
+            if attempt.status or attempt.abandoned:
                 continue
-            command = self.written[ask.id]
+            command = self.written[attempt.id]
             facts = ConnectionEndFacts(
                 process_end,
-                was_written=ask.arrived_at_us > 0,
+                was_written=attempt.arrived_at_us > 0,
                 write_began_us=command.write_began_us,
                 earlier_requests=command.earlier_requests,
                 was_reset=what != CLOSED,
-                was_closed_at_write=command.met_end,
+                was_closed_at_write=command.was_closed_at_write,
                 close_record=close_record,
-                was_seen_by_host=bool(ask.host_attempts),
+                was_seen_by_host=bool(attempt.host_attempts),
             )
-            self._on_end(ask, classify_request_end(facts), command.message)
+            self._on_end(attempt, classify_request_end(facts), command.message)
 
-    def _on_end(self, ask: ClientAttempt, end: RequestEnd, message: tuple[bytes, ...]) -> None:
-        """Send what crossed the end once more; what else was taken is owed."""
-        callers = self.clients
-        if end is RequestEnd.RACED_CLOSE and not ask.was_resent:
-            callers.resend(ask, message, self.post)
+    def _on_end(self, attempt: ClientAttempt, end: RequestEnd, message: tuple[bytes, ...]) -> None:
+        """Resend a command that raced the close; report a lost one to the invariant checker."""
+        clients = self.clients
+        if end is RequestEnd.RACED_CLOSE and not attempt.was_resent:
+            clients.resend(attempt, message, self.balancer)
             return
-        was_taken = ask.arrived_at_us > 0
+        was_taken = attempt.arrived_at_us > 0
         if end is RequestEnd.LOST or (end is RequestEnd.RACED_CLOSE and was_taken):
-            callers.environment.invariant_checker.on_connection_lost(ask, callers.loop.now)
-        elif ask.was_resent and end is not RequestEnd.PROCESS_KILLED:
-            callers.on_refused(ask, self.post)
+            clients.environment.invariant_checker.on_connection_lost(attempt, clients.loop.now)
+        elif attempt.was_resent and end is not RequestEnd.PROCESS_KILLED:
+            clients.on_refused(attempt, self.balancer)
             return
         else:
-            ask.abandoned = True
-        callers.on_outcome(ask, 0, 0)
+            attempt.abandoned = True
+        clients.on_outcome(attempt, 0, 0)
 
 
 class RespClients(Clients):
-    """Clients that speak RESP: the same reqs, tries and tenants."""
+    """Clients of RESP, with the same operations, attempts and tenants as over HTTP.
+
+    Attributes:
+        connections_by_balancer: Open connections, by balancer.
+    """
 
     def __init__(self, environment: Environment) -> None:
         super().__init__(environment)
-        self.lanes: dict[str, list[RespLink]] = {post: [] for post in environment.balancers}
-
-    def encode(self, ask: ClientAttempt, op: Operation) -> tuple[bytes, ...]:
-        number = int(ask.id[1:], 16)
-        if op.request_class.write:
-            return (encode_command(b"APPEND", b"k%d" % op.key, b"%d;" % number),)
-        return (encode_command(b"GETRANGE", b"k%d" % op.key, 0, BASE + number),)
+        self.connections_by_balancer: dict[str, list[RespClientConnection]] = {
+            balancer: [] for balancer in environment.balancers
+        }
+
+    def encode(self, attempt: ClientAttempt, operation: Operation) -> tuple[bytes, ...]:
+        """Return the encoded command, as the only part of the message."""
+        number = int(attempt.id[1:], 16)
+        if operation.request_class.write:
+            return (encode_command(b"APPEND", b"k%d" % operation.key, b"%d;" % number),)
+        return (
+            encode_command(b"GETRANGE", b"k%d" % operation.key, 0, READ_NUMBER_OFFSET + number),
+        )
 
     def send_attempt(
-        self, ask: ClientAttempt, message: tuple[bytes, ...], post: str, fresh: bool = False
+        self, attempt: ClientAttempt, message: tuple[bytes, ...], balancer: str, fresh: bool = False
     ) -> None:
-        ask.incarnation = self.environment.incarnation_of(post)
-        room = [
-            link
-            for link in self.lanes[post]
+        """Send a command on a connection with capacity or, with `fresh` always, on a new one."""
+        attempt.incarnation = self.environment.incarnation_of(balancer)
+        candidates = [
+            connection
+            for connection in self.connections_by_balancer[balancer]
             if not fresh
-            and len(link.asks) < DEPTH
-            and link.incarnation == ask.incarnation
-            and link.conn.is_open
+            and len(connection.attempts) < MAX_UNANSWERED_COMMANDS
+            and connection.incarnation == attempt.incarnation
+            and connection.conn.is_open
         ]
-        if not room:
-            came = self.environment.network.dial(self.environment.address_of(post))
-            if isinstance(came, AttemptFailure):
-                return self.on_refused(ask, post)
-            room = [RespLink(self, post, came, not self.environment.network.virtual)]
-            self.lanes[post] += room
-        room[0].carry(ask, message)
-
-    def late(self, link: RespLink, ask: ClientAttempt) -> None:
-        if ask.status or ask.abandoned:
+        if not candidates:
+            dialled = self.environment.network.dial(self.environment.address_of(balancer))
+            if isinstance(dialled, AttemptFailure):
+                return self.on_refused(attempt, balancer)
+            candidates = [
+                RespClientConnection(self, balancer, dialled, not self.environment.network.virtual)
+            ]
+            self.connections_by_balancer[balancer] += candidates
+        candidates[0].send_command(attempt, message)
+
+    def on_command_overdue(self, connection: RespClientConnection, attempt: ClientAttempt) -> None:
+        """Report a command without an answer, unless its balancer was paused or killed."""
+        if attempt.status or attempt.abandoned:
             return
-        resumed_us = self.environment.last_pause_end_us(link.post)
-        timeout_us = milliseconds_to_us(ask.operation.request_class.client_timeout_ms)
+        resumed_us = self.environment.last_pause_end_us(connection.balancer)
+        timeout_us = milliseconds_to_us(attempt.operation.request_class.client_timeout_ms)
         wait_us = resumed_us + timeout_us + OVERDUE_US - self.loop.now
-        if resumed_us > ask.arrived_at_us and wait_us > 0:
-            self.loop.call_later(min(wait_us, OVERDUE_US), self.late, link, ask)
-        elif self.environment.process_end(link.post, link.incarnation) is not ProcessEnd.KILLED:
-            self.environment.invariant_checker.on_no_answer(ask, self.loop.now)
+        if resumed_us > attempt.arrived_at_us and wait_us > 0:
+            self.loop.call_later(
+                min(wait_us, OVERDUE_US), self.on_command_overdue, connection, attempt
+            )
+        elif (
+            self.environment.process_end(connection.balancer, connection.incarnation)
+            is not ProcessEnd.KILLED
+        ):
+            self.environment.invariant_checker.on_no_answer(attempt, self.loop.now)
 
 
-def slot_stores(environment: Environment) -> list[SlotStore]:
+def running_slot_servers(environment: Environment) -> list[SlotServer]:
+    """Return the slot servers that are running."""
     return [
         store
         for store in environment.servers.values()
-        if isinstance(store, SlotStore) and store.alive
+        if isinstance(store, SlotServer) and store.alive
     ]
 
 
-def reshuffle(environment: Environment, trouble: Fault) -> None:
-    """Slots move from server to server, key by key, `size` of them (8) at a time, until the trouble ends."""
-    end, many = (
-        environment.loop.now + seconds_to_us(trouble.duration_s),
-        round(trouble.magnitude or 8),
+def reshuffle(environment: Environment, fault: Fault) -> None:
+    """Migrate slots between servers until the fault ends.
+
+    Every 50 ms a number of slots that the fault's `size` sets (8 by default) are drawn for it.
+    """
+    end, slot_count = (
+        environment.loop.now + seconds_to_us(fault.duration_s),
+        round(fault.magnitude or 8),
     )
 
-    def move() -> None:
+    def start_migrations() -> None:
         if environment.loop.now >= end:
             return
-        ids = [store.id for store in slot_stores(environment) if not store.draining]
-        for slot in environment.rng.sample(range(SPACE), many):
+        ids = [store.id for store in running_slot_servers(environment) if not store.draining]
+        for slot in environment.rng.sample(range(SLOT_COUNT), slot_count):
             owner = environment.cluster.owner[slot]
             others = [id for id in ids if id != owner]
             if slot not in environment.cluster.moving and others and owner in ids:
                 environment.cluster.moving[slot] = owner, environment.rng.choice(others)
-                environment.loop.call_later(MOVE_WITHIN, moved, slot)
-        environment.loop.call_later(50_000, move)
+                environment.loop.call_later(SLOT_MIGRATION_US, finish_migration, slot)
+        environment.loop.call_later(50_000, start_migrations)
 
-    def moved(slot: int) -> None:
+    def finish_migration(slot: int) -> None:
         source, to = environment.cluster.moving.pop(slot)
         old, new = environment.servers[source], environment.servers[to]
-        assert isinstance(old, SlotStore) and isinstance(new, SlotStore)
+        assert isinstance(old, SlotServer) and isinstance(new, SlotServer)
         environment.cluster.owner[slot] = to
         environment.cluster.moved += 1
-        for key in old.by_slot.pop(slot, ()):
-            new.put_in(key, old.data.pop(key, []) + new.data.get(key, []))
+        for key in old.keys_by_slot.pop(slot, ()):
+            new.store_value(key, old.data.pop(key, []) + new.data.get(key, []))
 
-    move()
+    start_migrations()
 
 
-def failover(environment: Environment, trouble: Fault) -> None:
-    """Another server takes all slots of one, which goes on answering for `for-s` all the same, then ends."""
-    stores = slot_stores(environment)
-    old = next((store for store in stores if store.id == trouble.target), stores[0])
+def failover(environment: Environment, fault: Fault) -> None:
+    """Make another server the owner of all slots of one server.
+
+    The former owner still serves them during the fault's `for-s` and then stops.
+    """
+    stores = running_slot_servers(environment)
+    old = next((store for store in stores if store.id == fault.target), stores[0])
     new = next(store for store in stores if store is not old)
-    old.view = list(environment.cluster.owner)
+    old.known_owners = list(environment.cluster.owner)
     environment.cluster.owner = [new.id if id == old.id else id for id in environment.cluster.owner]
     for key, value in old.data.items():
-        new.put_in(key, list(value))
+        new.store_value(key, list(value))
 
     def end() -> None:
         old.stop()
         environment.discovery.remove_later(old.id, environment.plan.discovery.removal_delay_s)
 
-    environment.loop.call_later(seconds_to_us(trouble.duration_s), end)
+    environment.loop.call_later(seconds_to_us(fault.duration_s), end)
 
 
-def pointing(environment: Environment, trouble: Fault) -> None:
-    """Two servers say of all slots that they are the other's, until the trouble ends."""
-    first, second = slot_stores(environment)[:2]
-    first.view, second.view = [second.id] * SPACE, [first.id] * SPACE
+def pointing(environment: Environment, fault: Fault) -> None:
+    """Make two servers redirect every command to each other until the fault ends."""
+    first, second = running_slot_servers(environment)[:2]
+    first.known_owners, second.known_owners = [second.id] * SLOT_COUNT, [first.id] * SLOT_COUNT
 
     def end() -> None:
-        first.view = second.view = None
+        first.known_owners = second.known_owners = None
 
-    environment.loop.call_later(seconds_to_us(trouble.duration_s), end)
+    environment.loop.call_later(seconds_to_us(fault.duration_s), end)
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""One simulation: the balancers under test and all stand-ins around them, on one network."""
+"""One simulation: the balancers under test and the simulated clients, hosts and discovery."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 from orchidgap.simulation.plan import Plan, RequestClassSpec, milliseconds_to_us, seconds_to_us
 from orchidgap.simulation.rejection_checker import excessive_rejections, is_calm
 from orchidgap.simulation.request_end import CloseRecord, ProcessEnd
-from orchidgap.simulation.resp_cluster import Cluster, RespClients, SlotStore
+from orchidgap.simulation.resp_cluster import Cluster, RespClients, SlotServer
 from orchidgap.simulation.servers import Store
 from orchidgap.simulation.verdict import verdict_line
 from orchidgap.simulation.virtual_network import VirtualNetwork
 
-LOOPBACK_SLACK_US = 50_000  # on real sockets each time limit is so much longer
-LOOPBACK_LEAD_US = 1_500_000  # until the first request, on real sockets
-LEAD_WHEN_ALL_ARE_UP_US = 100_000
+LOOPBACK_SLACK_US = 50_000  # added to each time limit on real sockets
+LOOPBACK_LEAD_US = 1_500_000  # before the first request on real sockets
+LEAD_AFTER_STARTUP_US = 100_000
 SAMPLE_INTERVAL_US = 500_000
 TICK_INTERVAL_US = 1_000_000
 LOOPBACK_MAX_WAIT_US = 100_000
@@ -54,7 +54,7 @@
 
 
 class Simulation:
-    """All that a simulation is made of; `play` runs it to its end."""
+    """All parts of a simulation; `play` runs it to its end."""
 
     port_offset = 0
 
@@ -67,14 +67,14 @@
         decider: Decider | None = None,
         disk: str | None = None,
     ) -> None:
-        """Make all parts; nothing runs yet.
+        """Make all parts without starting any.
 
         Args:
-            plan: what is played.
-            seed: of all chances that are drawn; the plan's own where it is None.
-            real: play on loopback with processes, not on the virtual clock.
-            policy: the name of what decides, of `baselines.POLICY_NAMES`.
-            decider: what decides, in place of that policy.
+            plan: the plan to play.
+            seed: seed of all random draws; None for the plan's own seed.
+            real: run balancer processes on loopback, instead of the virtual clock.
+            policy: name of the balancing policy, one of `baselines.POLICY_NAMES`.
+            decider: makes the balancers' decision logic, in place of that policy.
             disk: the folder for the processes' files; None for the system's temporary one.
         """
         self.plan = plan
@@ -97,7 +97,7 @@
         self.deduplication_records: dict[str, dict[bytes, int]] = {}
         self.misses: dict[bytes, list[Store]] = {}
         self.cold_misses: dict[bytes, None] = {}
-        self.client_keys: dict[int | None, int] = {}  # by the decisions' number of each
+        self.client_keys: dict[int | None, int] = {}  # by the key's number in the decisions
         self.zone_by_address: dict[Address, int] = {}
         self.discovery = DiscoveryServer(self)
         self.ingress = Ingress(self)
@@ -113,7 +113,7 @@
         }
         self.add_hosts()
         self.clients = self.make_clients()
-        self.stretches = PhaseRecorder(self, plan.evenness_bounds)
+        self.phase_recorder = PhaseRecorder(self, plan.evenness_bounds)
         if isinstance(self.network, VirtualNetwork):
             self.network.round_trip = self.round_trip_us
 
@@ -124,14 +124,14 @@
         return VirtualBalancer(self, name, number, zone, decider)
 
     def make_clients(self) -> Clients:
-        """Make the clients, of the protocol that the plan names."""
+        """Make clients of the plan's protocol."""
         return RespClients(self) if self.plan.protocol == "resp" else Clients(self)
 
     def add_hosts(self) -> None:
-        """Make caches, origins and discovery, and fill the caches as far as the plan says."""
+        """Make caches, origins and discovery agents, and fill the caches as the plan specifies."""
         plan = self.plan
         zones = plan.cache.zones
-        # ids have one length: ranges and the copies at the start go by the order of ids
+        # all ids have the same length: hosts are sorted by id to assign ranges and initial copies
         digits = max(2, len(str(plan.cache_count - 1)))
         for i in range(plan.cache_count):
             address = (f"127.2.0.{i + 1}", HOST_PORT + self.port_offset)
@@ -140,7 +140,7 @@
             address = (f"127.2.1.{i + 1}", HOST_PORT + self.port_offset)
             self.add_host(f"o{i}", address, True, i % zones)
         caches = [server for server in self.servers.values() if not server.is_origin]
-        self.cluster.share([server.id for server in caches])
+        self.cluster.assign_evenly([server.id for server in caches])
         if plan.protocol == "http":
             fill_caches(plan, self.rng, self.decider, caches)
         agents = self.discovery.agents
@@ -148,10 +148,10 @@
             agents[name] = DiscoveryAgent(self.discovery, name, balancer.discovery_address)
 
     def add_host(self, host_id: str, address: Address, is_origin: bool, zone: int) -> Store:
-        """Start a stand-in host and list it; its speed is drawn."""
+        """Start a simulated host with a random speed and list it in discovery."""
         model = self.plan.origin if is_origin else self.plan.cache
         speed = model.speed * (1.0 + model.speed_spread * self.rng.uniform(-1, 1))
-        kind = SlotStore if self.plan.protocol == "resp" else Store
+        kind = SlotServer if self.plan.protocol == "resp" else Store
         server = kind(self, host_id, address, model, is_origin, zone, speed)
         self.servers[host_id] = server
         self.zone_by_address[address] = zone
@@ -163,7 +163,7 @@
     def balancer_settings(
         self, balancer: BalancerInstance, known: dict[str, Any]
     ) -> dict[str, Any]:
-        """Return a balancer's configuration, with the endpoint list that it starts with."""
+        """Return a balancer's configuration; `known` is its initial endpoint list."""
         plan = self.plan
         document: dict[str, Any] = {}
         if plan.protocol == "resp":
@@ -175,68 +175,75 @@
         document |= balancer_settings.process_document(
             plan, balancer, self.seed, known, self.ingress.is_active
         )
-        works = [work for work in plan.request_classes() if self.is_rule_set_listed(work)]
+        listed_classes = [
+            request_class
+            for request_class in plan.request_classes()
+            if self.is_class_listed(request_class)
+        ]
         document["settings"] = balancer_settings.settings_document(
-            plan, self.attempt_limit.current, works
+            plan, self.attempt_limit.current, listed_classes
         )
         return document
 
     def gossip_settings(self, balancer: BalancerInstance) -> dict[str, Any]:
-        """Return what a balancer is told of the others."""
+        """Return a balancer's gossip settings, with the addresses of the other balancers."""
         others = [other for other in self.balancers.values() if other is not balancer]
         return balancer_settings.gossip_document(self.plan, balancer, others)
 
-    def is_rule_set_listed(self, work: RequestClassSpec) -> bool:
-        """Return whether settings that are written now have the rule set."""
-        return balancer_settings.is_listed_at(work, (self.loop.now - self.start) / 1e6)
+    def is_class_listed(self, request_class: RequestClassSpec) -> bool:
+        """Return whether settings that are written now include the request class."""
+        return balancer_settings.is_listed_at(request_class, (self.loop.now - self.start) / 1e6)
 
     def endpoint_list_for(self, name: str, known: dict[str, Any]) -> dict[str, Any]:
-        """Return the list with the addresses by which that balancer reaches the hosts."""
+        """Return the list with the host addresses that this balancer connects to."""
         return known
 
     def latest_endpoint_list(self, name: str) -> dict[str, Any]:
-        """Return the endpoint list as a balancer last had it."""
+        """Return the last endpoint list that a balancer received."""
         version, hosts = self.discovery.agents[name].latest
         hosts = hosts or self.discovery.changes_since(None, version)[1]
         return {"seq": version, "whole": True, "hosts": hosts}
 
-    def max_attempts_at(self, came: int) -> int:
-        """Return how many attempts a request may have; the larger while new settings come in."""
-        return self.attempt_limit.for_request(came)
+    def max_attempts_at(self, arrived_at_us: int) -> int:
+        """Return the limit of attempts for a request that arrived then.
+
+        While new settings take effect it is the larger of the old and the new limit.
+        """
+        return self.attempt_limit.for_request(arrived_at_us)
 
     def send_datagram(self, address: Address, data: bytes) -> None:
-        """Carry a datagram from one balancer to another, or lose it."""
+        """Deliver a datagram from one balancer to another after the latency, or lose it."""
         if self.rng.random() >= self.plan.network.datagram_loss_ratio:
             self.loop.call_later(self.one_way_us(0, 0), self.deliver_datagram, address, data)
 
     def deliver_datagram(self, address: Address, data: bytes) -> None:
-        """Give a datagram to the balancer at that address, where it runs."""
+        """Pass a datagram to the balancer at that address, if it runs."""
         balancer = self.balancer_by_gossip_address[address]
         if isinstance(balancer, VirtualBalancer) and balancer.alive:
             if balancer.loop and balancer.gossip:
                 balancer.loop.call_soon(balancer.gossip.receive, data)
 
-    # --- what the parts ask
+    # --- queries of the parts
 
     def is_alive(self, balancer: str, incarnation: int = 0) -> bool:
-        """Return whether a balancer runs: this incarnation of it, or any for 0."""
+        """Return whether this incarnation of a balancer runs; 0 means any incarnation."""
         instance = self.balancers[balancer]
         return instance.alive and incarnation in (0, instance.incarnation)
 
     def incarnation_of(self, balancer: str) -> int:
-        """Return the number of the balancer's present or last process."""
+        """Return the balancer's current incarnation, or the last one if it does not run."""
         return self.balancers[balancer].incarnation
 
     def address_of(self, balancer: str) -> Address:
-        """Return where clients connect."""
+        """Return the address that clients connect to."""
         return self.balancers[balancer].address
 
     def zone_of(self, balancer: str) -> int:
-        """Return the balancer's zone, 0 for a name that is none."""
+        """Return the balancer's zone, 0 for an unknown name."""
         return self.balancers[balancer].zone if balancer in self.balancers else 0
 
     def accepting_balancers(self, notice: int, now: int) -> list[str]:
-        """Return the balancers that clients are sent to: also for so long after they died."""
+        """Return the balancers that the ingress uses, also dead ones for `notice` microseconds."""
         return [
             name
             for name, instance in self.balancers.items()
@@ -244,21 +251,21 @@
         ]
 
     def process_end(self, balancer: str, incarnation: int) -> ProcessEnd:
-        """Return how an incarnation of a balancer has ended, if it has."""
+        """Return whether and how an incarnation of a balancer has ended."""
         return self.balancers[balancer].process_end(incarnation)
 
     def close_record(
         self, balancer: str, connection: int, dialled_at_us: int
     ) -> CloseRecord | None:
-        """Return what the balancer's process noted as it closed a client's connection."""
+        """Return the balancer's record of how it closed a client's connection, if there is one."""
         return self.balancers[balancer].close_records.find(connection, dialled_at_us)
 
     def last_pause_end_us(self, balancer: str) -> int:
-        """Return when it last goes on after it was stopped: till then it cannot answer."""
+        """Return when the balancer's last pause ends, 0 for none; it cannot answer until then."""
         return max((pause.end_us for pause in self.balancers[balancer].pauses), default=0)
 
     def link_faulty_until_us(self, balancer: str, host: str) -> int:
-        """Return 0: no relay stands between a balancer and a host here."""
+        """Return 0: a simulation has no relays between balancers and hosts."""
         return 0
 
     def one_way_us(self, zone: int, other: int) -> int:
@@ -272,11 +279,14 @@
         return self.one_way_us(0, 0)
 
     def round_trip_us(self, balancer: str, address: Address) -> int:
-        """Draw how long a connection from a balancer to a host takes to come up."""
+        """Draw how long a balancer takes to open a connection to a host."""
         return 2 * self.one_way_us(self.zone_of(balancer), self.zone_by_address.get(address, 0))
 
     def hosts_have_capacity(self) -> bool:
-        """Return whether caches and origins have a core to spare, of those that answer."""
+        """Return whether both a cache and an origin that answer have a free core.
+
+        The origin does not matter where there is none, as for RESP.
+        """
         has_capacity = {False: False, True: False}
         for server in self.servers.values():
             answers = server.alive and not server.vanished and not server.draining
@@ -290,13 +300,13 @@
         return value_size_bytes(self.plan, key)
 
     def key_of(self, number: int | None) -> int:
-        """Return the clients' number of a key, of the decisions' number of it."""
+        """Return the clients' number of the key that has this number in the decisions."""
         if number not in self.client_keys:
             self.client_keys[number] = client_key_of(number)
         return self.client_keys[number]
 
     def record_miss(self, request_id: bytes, store: Store) -> None:
-        """Note that a cache lacked the key of the request; the oldest are forgotten."""
+        """Record that a cache missed on the request's key; the oldest records are dropped."""
         self.misses.setdefault(request_id, []).append(store)
         if store.is_cold():
             self.cold_misses[request_id] = None
@@ -306,7 +316,7 @@
     # --- the run
 
     def sample(self) -> None:
-        """Keep what the report draws: hosts' load and the first balancer's ranges."""
+        """Record the series of the report: the hosts' load and the first balancer's ranges."""
         rows: dict[str, Any] = {
             "out": {
                 host.id: len(host.running) + len(host.waiting) for host in self.servers.values()
@@ -323,8 +333,8 @@
     def play(self, tick: Callable[[float], None] | None = None) -> dict[str, Any]:
         """Run to the end and return the verdict.
 
-        `tick` is called each second, with the seconds played. Raises RuntimeError where a
-        balancer process does not come up.
+        `tick` is called once per simulated second with the seconds since the start. Raises
+        RuntimeError if a balancer process does not start.
         """
         _, descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
@@ -333,20 +343,20 @@
             for balancer in self.balancers.values():
                 balancer.start({"seq": 1, "whole": True, "hosts": entries})
             if self.folder:
-                self.wait_until_up()
+                self.wait_until_ready()
             self.schedule()
             with rare_collections():
                 self.run(tick)
             self.report_rejecting_balancers()
             verdict = self.build_verdict()
             if self.plan.phases:
-                verdict |= self.check_stretches(verdict["verdict"])
+                verdict |= self.check_phases(verdict["verdict"])
             return verdict
         finally:
             self.close()
 
     def schedule(self) -> None:
-        """Set timers for the load, the faults and the stretches of the plan."""
+        """Set timers for the load, the faults and the phases of the plan."""
         from orchidgap.simulation.faults import start_fault
 
         self.loop.call_at(self.start, self.clients.on_arrival)
@@ -354,15 +364,15 @@
         self.loop.call_at(self.start, self.sample)
         for fault in self.plan.faults:
             self.loop.call_at(self.start + seconds_to_us(fault.start_s), start_fault, self, fault)
-        for stretch in self.plan.phases:
-            begins_at = self.start + seconds_to_us(stretch.start_s)
-            self.loop.call_at(begins_at, self.stretches.begin, stretch.name)
+        for phase in self.plan.phases:
+            starts_at_us = self.start + seconds_to_us(phase.start_s)
+            self.loop.call_at(starts_at_us, self.phase_recorder.begin, phase.name)
         self.loop.call_at(
-            self.start + seconds_to_us(self.plan.duration_s), self.stretches.begin, ""
+            self.start + seconds_to_us(self.plan.duration_s), self.phase_recorder.begin, ""
         )
 
     def run(self, tick: Callable[[float], None] | None) -> None:
-        """Run the loop for as long as the plan says."""
+        """Run the loop for the duration of the plan."""
         end = self.start + simulated_duration_us(self.plan)
         now = self.start
         while now < end:
@@ -375,34 +385,34 @@
             if tick:
                 tick((now - self.start) / 1e6)
 
-    def wait_until_up(self) -> None:
-        """Run until all processes serve; the first request comes after that."""
-        give_up_at_s = time.monotonic() + STARTUP_TIMEOUT_S
+    def wait_until_ready(self) -> None:
+        """Run until all processes serve, and set the start of the load to follow."""
+        deadline_s = time.monotonic() + STARTUP_TIMEOUT_S
         while not all(balancer.ready_at for balancer in self.balancers.values()):
-            if time.monotonic() > give_up_at_s:
-                raise RuntimeError("a balancer did not come up; see its log")
+            if time.monotonic() > deadline_s:
+                raise RuntimeError("a balancer did not start in time; see its log")
             self.loop.run_once(STARTUP_POLL_US)
-        self.start = self.loop.clock() + LEAD_WHEN_ALL_ARE_UP_US
+        self.start = self.loop.clock() + LEAD_AFTER_STARTUP_US
         self.invariant_checker.started_at_us = self.start
         self.clients.end = self.start + seconds_to_us(self.plan.duration_s)
 
-    def check_stretches(self, verdict: str) -> dict[str, Any]:
-        """Return what the stretches add to the verdict."""
-        found: list[tuple[str, float, str]] = []
-        figures = self.stretches.finish(
-            lambda rule, at, text: found.append((rule, (at - self.start) / 1e6, text))
+    def check_phases(self, verdict: str) -> dict[str, Any]:
+        """Return the verdict fields of the phases, and record breaches of their bounds."""
+        breaches: list[tuple[str, float, str]] = []
+        figures = self.phase_recorder.finish(
+            lambda rule, at, text: breaches.append((rule, (at - self.start) / 1e6, text))
         )
-        self.invariant_checker.breaches += found
-        verdict = "broken" if found else verdict
-        return {"verdict": verdict, "uneven": len(found), "stretches": figures}
+        self.invariant_checker.breaches += breaches
+        verdict = "broken" if breaches else verdict
+        return {"verdict": verdict, "uneven": len(breaches), "stretches": figures}
 
     def build_verdict(self) -> dict[str, Any]:
-        """Return the checker's verdict, with the balancers' faults and costs."""
+        """Return the invariant checker's verdict, with the balancers' errors and costs."""
         self.report_unanswered_requests()
         verdict = verdict_line(self.invariant_checker)
         balancers = self.balancers.values()
-        virtual = [one for one in balancers if isinstance(one, VirtualBalancer)]
-        processes = [one for one in balancers if isinstance(one, BalancerProcess)]
+        virtual = [balancer for balancer in balancers if isinstance(balancer, VirtualBalancer)]
+        processes = [balancer for balancer in balancers if isinstance(balancer, BalancerProcess)]
         faults = [fault for balancer in virtual for fault in balancer.log.faults]
         verdict["faults"] = len(faults)
         if faults:
@@ -413,17 +423,18 @@
         return verdict
 
     def report_rejecting_balancers(self) -> None:
-        """Report balancers that rejected all they got, where the day gave no reason to."""
+        """Report balancers that rejected all requests although the plan gave no reason to."""
         if not is_calm(self.plan):
             return
         attempts = self.invariant_checker.client_attempts.values()
-        for stretch in excessive_rejections(attempts, len(self.balancers)):
-            self.invariant_checker.record_breach("lost", stretch.since_us, stretch.describe())
+        for period in excessive_rejections(attempts, len(self.balancers)):
+            self.invariant_checker.record_breach("lost", period.since_us, period.describe())
 
     def report_unanswered_requests(self) -> None:
-        """Report what is still owed its answer at the end, though its time is long over.
+        """Report requests without an answer at the end whose timeout expired long ago.
 
-        Only what came before the last look at the sockets has been read: a turn may take long.
+        Time is counted up to the last poll of the sockets, as answers that arrived after it, during
+        a long turn of the loop, have not been read.
         """
         now_us = self.loop.last_poll_us
         for attempt in self.invariant_checker.unanswered(now_us):
@@ -453,8 +464,10 @@
 
 
 def most_common_scope(plan: Plan) -> str:
-    """Return the deduplication scope of most rule sets with an idempotency key."""
+    """Return the most common deduplication scope of request classes with an idempotency key."""
     scopes = Counter(
-        work.deduplication_scope for work in plan.request_classes() if work.effect == "uniqued"
+        request_class.deduplication_scope
+        for request_class in plan.request_classes()
+        if request_class.effect == "uniqued"
     )
     return scopes.most_common(1)[0][0] if scopes else "all"
--- a/tests/simulation/test_crossing.py
+++ b/tests/simulation/test_crossing.py
@@ -198,7 +198,7 @@
 
 
 def test_a_request_of_which_its_process_notes_nothing_behind_the_shutdown_is_lost(met, monkeypatch):
-    monkeypatch.setattr(balancer_connection, "SHUT_NOTE_TIMEOUT_US", 40_000)
+    monkeypatch.setattr(balancer_connection, "UNREAD_RECORD_TIMEOUT_US", 40_000)
     owner, connection, far = met
     attempt = written_before_shutdown(owner, connection, far)
     owner.run()
--- a/tests/simulation/test_request_end.py
+++ b/tests/simulation/test_request_end.py
@@ -7,7 +7,7 @@
     ConnectionEndFacts,
     ProcessEnd,
     RequestEnd,
-    awaits_shut_note,
+    awaits_unread_record,
     classify_request_end,
 )
 
@@ -97,10 +97,10 @@
 @pytest.mark.parametrize("facts", [FIRST, RESTING], ids=["first", "resting"])
 def test_an_end_in_order_crossed_what_the_process_found_unread_behind_its_shutdown(facts):
     assert classify_request_end(facts) is RequestEnd.LOST
-    assert awaits_shut_note(facts)
+    assert awaits_unread_record(facts)
     crossed = noted(facts, shut_unread_at_us=WRITE_BEGAN_US)
     assert classify_request_end(crossed) is RequestEnd.RACED_CLOSE
-    assert not awaits_shut_note(crossed)
+    assert not awaits_unread_record(crossed)
     read = crossed.earlier_requests
     not_excused = {
         "found before it was written": noted(facts, shut_unread_at_us=WRITE_BEGAN_US - 1),
@@ -112,7 +112,7 @@
     }
     found = {name: classify_request_end(case) for name, case in not_excused.items()}
     assert found == dict.fromkeys(not_excused, RequestEnd.LOST)
-    awaited = {name: awaits_shut_note(case) for name, case in not_excused.items()}
+    awaited = {name: awaits_unread_record(case) for name, case in not_excused.items()}
     assert awaited == dict.fromkeys(not_excused, False) | {"found before it was written": True}
 
 
