--- a/orchidgap/simulation/cache_contents.py
+++ b/orchidgap/simulation/cache_contents.py
@@ -1,4 +1,4 @@
-"""Keys and values of a simulation, and which caches have them at the start."""
+"""Keys and values of a simulation, and the initial contents of its caches."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 def value_size_bytes(plan: Plan, key: int) -> int:
     """Return the size of a key's value: most are small, one in sixteen is large."""
     keys = plan.keys
-    bulk = plan.large_bodies
-    if bulk.large_key_ratio and key * 40_503 % 1_000 < bulk.large_key_ratio * 1_000:
-        return bulk.body_bytes + key % 1_000
+    bodies = plan.large_bodies
+    if bodies.large_key_ratio and key * 40_503 % 1_000 < bodies.large_key_ratio * 1_000:
+        return bodies.body_bytes + key % 1_000
     return keys.max_value_bytes if key * 2_654_435_761 % 16 == 0 else keys.min_value_bytes
 
 
 def client_key_of(number: int | None) -> int:
-    """Return the clients' number of a key, of the decisions' number of it; -1 for none."""
+    """Return the clients' number of the key with this number in the decisions; -1 for none."""
     value = number or 0
     text = value.to_bytes((value.bit_length() + 7) // 8)
     return int(text[1:] or b"-1")
 
 
 def slot_of(key: bytes) -> int:
-    """Return the slot that the decisions find for a key of the path."""
+    """Return the slot that the decisions compute for a key of the path."""
     return crc_hqx(b"%d" % (key_number(key) or 0), 0) & (SLOT_COUNT - 1)
 
 
 def fill_caches(plan: Plan, rng: Random, decider: Decider, caches: list[Store]) -> None:
-    """Put the hottest keys where this decider would have had them cached."""
+    """Fill the caches with the hottest keys, as this decider would have spread them."""
     hot_count = min(plan.keys.count, plan.cache.capacity_keys * plan.cache_count)
     homes = getattr(decider, "homes", even_range_owner)
     ids = [cache.id for cache in caches]
-    for key in reversed(range(hot_count)):  # the hottest last: they stay longest
+    for key in reversed(range(hot_count)):  # the hottest last, as they are evicted last
         if rng.random() < plan.keys.warm_ratio:
             for i in homes(slot_of(b"k%d" % key), ids):
                 caches[i].store_copy(key)
--- a/orchidgap/simulation/host_job.py
+++ b/orchidgap/simulation/host_job.py
@@ -1,4 +1,4 @@
-"""One attempt of a balancer at a stand-in host: waiting there, then running."""
+"""One attempt of a balancer at a simulated host, queued or running there."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     """One attempt at its host. Times in microseconds.
 
     Attributes:
-        connection: Where it came, and where its answer goes.
-        attempt: The attempt as the invariant checker knows it.
-        idempotency_key: Of a write, empty for none; for a slot server the key of the value.
+        connection: The connection of its request and answer.
+        attempt: The attempt's record in the invariant checker.
+        idempotency_key: The key of a write, empty for none; for a slot server the value's key.
         work_us: Its work on a core of speed 1.
-        asking: It was sent here for this one time, where servers own slots.
-        missed_cold: Its request missed at a cold host before it came here.
-        outcome: What the host answers.
-        duration_us: How long it takes here.
-        ends_at_us: When it is done.
-        timer: Runs until then.
+        asking: Whether `ASKING` preceded it, where servers own slots.
+        missed_cold: Whether its request missed at a cold cache before it reached this host.
+        outcome: The outcome that the host answers.
+        duration_us: How long it occupies a core here.
+        ends_at_us: When its work is done.
+        timer: Fires at `ends_at_us`.
     """
 
     __slots__ = (
@@ -43,7 +43,7 @@
     def __init__(
         self, connection: ServerConnection, attempt: HostAttempt, idempotency_key: bytes
     ) -> None:
-        """Take an attempt that has come whole."""
+        """Start with an attempt whose request is complete."""
         self.connection = connection
         self.attempt = attempt
         self.idempotency_key = idempotency_key
--- a/orchidgap/simulation/plan.py
+++ b/orchidgap/simulation/plan.py
@@ -1,8 +1,8 @@
-"""The tables of a simulation's plan: each struct is a table of its TOML file.
+"""The tables of a simulation's plan; each struct is a table of the TOML file.
 
-A field's `name=` is its word in the file where that differs from the field. Times of the file end
-in `-ms` or `-s` and may have decimals; `seconds_to_us` and `milliseconds_to_us` make whole
-microseconds. `plan_file` reads, checks and writes plans.
+A field's `name=` is its key in the file if that differs from the field's name. Keys of times end in
+`-ms` or `-s`, and their values may be fractions; `seconds_to_us` and `milliseconds_to_us` convert
+them to whole microseconds. `plan_file` reads, checks and writes plans.
 """
 
 from __future__ import annotations
@@ -49,32 +49,32 @@
 )
 
 
-# what operators do
+# actions of operators
 OPERATOR_FAULT_KINDS = ("quiesce", "retune", "bad-settings", "upgrade", "silent-calls")
-# with slot servers only
+# only for slot servers
 RESP_FAULT_KINDS = ("reshuffle", "failover", "pointing")
 
 
 def seconds_to_us(seconds: float) -> int:
-    """Whole microseconds of seconds."""
+    """Convert seconds to whole microseconds."""
     return round(seconds * 1_000_000)
 
 
 def milliseconds_to_us(milliseconds: float) -> int:
-    """Whole microseconds of milliseconds."""
+    """Convert milliseconds to whole microseconds."""
     return round(milliseconds * 1_000)
 
 
 class PlanTable(Struct, forbid_unknown_fields=True, rename="kebab", frozen=True):
-    """Base of all tables of a plan: unknown keys are errors."""
+    """Base of all tables of a plan; unknown keys are errors."""
 
 
 class RequestClassSpec(PlanTable, frozen=True):
     """A request class as clients use it.
 
-    `share` is its part of all requests, relative to the other classes; `work_ms` is the mean time
-    on a core of speed 1. An answer within `latency_objective_ms` counts `priority_weight`, a later
-    one `late_value_ratio` of that.
+    `share` is its weight among all requests; `work_ms` is its mean time on a core of speed 1. An
+    answer within `latency_objective_ms` counts `priority_weight`, a later one `late_value_ratio` of
+    that.
     """
 
     name: Name
@@ -88,20 +88,21 @@
     write: bool = False
     deduplication_scope: Literal["all", "zone", "cell"] = field(name="group", default="all")
     deduplication_window_ms: NonNegative = field(name="window-ms", default=2_000.0)
-    # clients name it from then on; settings have it a little before
+    # clients use it from then on; the settings include it a little earlier
     from_s: NonNegative = 0.0
-    # and until then, where that is not 0
+    # clients use it until then; 0 for no end
     until_s: NonNegative = 0.0
 
 
 class LargeBodyModel(PlanTable, frozen=True):
-    """Large bodies: of reads by their key, of writes by chance. A slow side passes `slow_rate_kb` a
-    second.
+    """Large bodies, and sides that transfer them slowly, at `slow_rate_kb` per second.
+
+    Whether the value of a read is large depends on its key, for a write it is drawn at random.
     """
 
-    # of the keys have a large value
+    # ratio of keys with a large value
     large_key_ratio: Ratio = field(name="share", default=0.0)
-    # of the writes are large
+    # ratio of writes with a large body
     large_write_ratio: Ratio = field(name="uploads", default=0.0)
     body_bytes: Count = field(name="size", default=300_000)
     slow_reader_ratio: Ratio = field(name="slow-readers", default=0.0)
@@ -110,7 +111,7 @@
 
 
 class TenantSpec(PlanTable, frozen=True):
-    """A tenant: `quota` is what it was promised, `quota_usage` how much of that it asks for."""
+    """A tenant; `quota` is its promised share, `quota_usage` the ratio of that it requests."""
 
     name: Name
     quota: Positive = field(name="share")
@@ -118,19 +119,19 @@
 
 
 class HostModel(PlanTable, frozen=True):
-    """What a host can do.
+    """The capacity and behaviour of a host.
 
-    Requests that wait above `queue_per_core` are rejected. Above `crowding_threshold` requests a
-    core each further one slows all by `crowding_slowdown`. After a start a host has
-    `cold_speed_ratio` of its speed, rising for `warm_up_s`. A load over `overload_multiple` of its
-    capacity during `overload_window_s` pushes it over.
+    Requests beyond a queue of `queue_per_core` are rejected. Each request per core above
+    `crowding_threshold` slows all requests by `crowding_slowdown`. After a start a host has
+    `cold_speed_ratio` of its speed, which rises to full speed within `warm_up_s`. A load of more
+    than `overload_multiple` of its capacity during `overload_window_s` brings it down.
     """
 
     cores: Count = 2
     speed: Positive = 0.7
-    # speeds differ by up to this part, drawn by the seed
+    # each host's speed is drawn within this ratio around `speed`
     speed_spread: Ratio = field(name="uneven", default=0.3)
-    # waiting requests a core
+    # queued requests per core
     queue_per_core: Positive = field(name="queue", default=16.0)
     crowding_threshold: Positive = field(name="crowd-at", default=6.0)
     crowding_slowdown: NonNegative = field(name="crowd", default=0.05)
@@ -141,78 +142,76 @@
     warm_up_s: NonNegative = field(name="warm-s", default=8.0)
     overload_multiple: Positive = field(name="fall-multiple", default=3.0)
     overload_window_s: Positive = field(name="fall-s", default=3.0)
-    # kept at once, the longest unasked go first
+    # keys cached at once; the least recently used are evicted
     capacity_keys: Count = field(name="keys", default=2_500)
-    # 0: until void
+    # 0: until invalidated
     ttl_s: NonNegative = 0.0
     error_ratio: Ratio = field(name="errors", default=0.0)
-    # what waits and nobody waits for is dropped
+    # drops queued requests whose connection has been closed
     drops_expired: bool = field(name="forgets-expired", default=True)
-    # the origin, once pushed over, stops for so long
+    # how long an origin that overload brought down is stopped
     overload_stop_s: Positive = field(name="stop-s", default=4.0)
     zones: Count = 1
 
 
 class KeyModel(PlanTable, frozen=True):
-    """The keys that clients ask for, by a Zipf distribution, and the sizes of their values in
-    bytes.
-    """
+    """The keys that clients request, by a Zipf distribution, and the sizes of their values."""
 
     count: Count = 20_000
     zipf: NonNegative = 0.85
-    # of the hottest keys' copies are there at the start
+    # ratio of the hottest keys that are cached at the start
     warm_ratio: Ratio = field(name="warm", default=0.95)
-    # bytes of a value
+    # bytes of a value, most values have the smaller size
     min_value_bytes: Count = field(name="size", default=200)
     max_value_bytes: Count = field(name="most-size", default=4_000)
 
 
 class NetworkModel(PlanTable, frozen=True):
-    """One-way delays between zones in milliseconds, their jitter, and losses."""
+    """One-way latencies between zones, their jitter, and losses."""
 
-    # one way
+    # one-way latencies
     same_zone_ms: NonNegative = field(name="same-ms", default=0.2)
     cross_zone_ms: NonNegative = field(name="cross-ms", default=1.0)
     jitter: Ratio = 0.2
     connect_timeout_ms: Positive = 100.0
-    # of the datagrams between balancers
+    # ratio of datagrams between balancers that are lost
     datagram_loss_ratio: Ratio = field(name="lose", default=0.0)
 
 
 class ClientModel(PlanTable, frozen=True):
-    """How clients send requests, retry, and spread over the balancers."""
+    """How clients send requests, retry, and are spread over the balancers."""
 
     max_retries: Annotated[int, Meta(ge=0, le=5)] = field(name="retries", default=1)
     backoff_ms: NonNegative = 60.0
-    # of advice when to come back is followed
+    # ratio of Retry-After fields that clients comply with
     retry_after_compliance: Ratio = field(name="honour", default=0.9)
-    # of requests are given up by their client early
+    # ratio of requests that their client gives up early, keeping the connection open
     impatient_ratio: Ratio = field(name="impatient", default=0.0)
-    # of requests are ended early by a client that closes its connection
+    # ratio of requests whose client closes the connection early
     leaving_ratio: Ratio = field(name="leave", default=0.0)
-    # until the ingress layer passes a dead balancer by
+    # time until the ingress layer stops using a dead balancer
     failover_delay_s: NonNegative = field(name="notice-s", default=2.0)
     load_shape: Literal["steady", "ramp", "wave"] = field(name="shape", default="steady")
-    # how unlike the balancers' shares of the traffic are
+    # spread of the balancers' shares of the traffic
     balancer_skew: Ratio = field(name="skew", default=0.2)
-    # of the balancers see ten times the mean
+    # ratio of balancers with ten times the weight
     busy_balancer_ratio: Ratio = field(name="busy", default=0.0)
-    # of the requests come to a balancer in their key's own zone
+    # ratio of requests sent to a balancer in their key's zone
     own_zone_ratio: Ratio = field(name="apart", default=0.0)
 
 
 class DiscoveryModel(PlanTable, frozen=True):
-    """How long discovery takes, in seconds, to notice a change of hosts."""
+    """How long discovery takes to list a change of hosts."""
 
-    # until a host that ended by itself is taken off
+    # until a host whose process ended is removed
     removal_delay_s: NonNegative = field(name="notice-s", default=2.0)
-    # the same for one that went silent
+    # until a host that became unreachable is removed
     silent_removal_delay_s: NonNegative = field(name="silent-s", default=6.0)
     addition_delay_s: NonNegative = field(name="add-s", default=1.0)
 
 
 class BalancerLimits(PlanTable, frozen=True):
-    """What each balancer is told that it may do."""
+    """Limits and permissions in each balancer's settings."""
 
     max_attempts: Count = field(name="dispatches", default=4)
     may_cancel: bool = True
@@ -225,11 +224,11 @@
 
 
 class Fault(PlanTable, frozen=True):
-    """One fault, from `start_s` after the start of the simulation.
+    """One fault, which begins `start_s` after the start of the simulation.
 
-    It hits `target` by name, or `target_ratio` of all that it can hit. `magnitude` is how much: the
-    factor of a slow-down or of the load, a share of the traffic, or seconds of delay; 0 stands for
-    the fault's default.
+    It affects `target` by name, or `target_ratio` of all possible targets. `magnitude` is the
+    factor of a slow-down or of the load, a share of the traffic, or seconds of delay, depending on
+    the kind; 0 means the kind's default.
     """
 
     kind: Literal[FAULT_KINDS + OPERATOR_FAULT_KINDS + RESP_FAULT_KINDS]  # type: ignore[valid-type]
@@ -241,14 +240,14 @@
 
 
 class Phase(PlanTable, frozen=True):
-    """A stretch of the run that is measured by itself, until the next one or the end."""
+    """A part of the run that is measured separately, until the next phase or the end."""
 
     name: Name
     start_s: NonNegative = field(name="from-s", default=0.0)
 
 
 class EvennessBounds(PlanTable, frozen=True):
-    """Bounds on the figures of one phase. What is left out may be anything."""
+    """Bounds on the figures of one phase; a figure without a bound is not checked."""
 
     phase: str = field(name="stretch")
     max_load_ratio: Positive | None = field(name="most", default=None)
@@ -262,7 +261,7 @@
     max_p99_ms: Positive | None = field(name="p99-ms", default=None)
 
     def figures(self) -> dict[str, float]:
-        """The bounds that are set, by their words in the plan's file."""
+        """Return the bounds that are set, by their keys in the plan's file."""
         table: dict[str, Any] = msgspec.to_builtins(self)
         return {
             name: value for name, value in table.items() if name != "stretch" and value is not None
@@ -270,7 +269,7 @@
 
 
 class Plan(PlanTable, frozen=True):
-    """A whole simulation: its fleet, its load, its faults, and what is expected of it."""
+    """A whole simulation: its hosts and balancers, load, faults, and expected figures."""
 
     name: Name
     duration_s: Annotated[float, Meta(gt=0.0, le=7_200.0)] = field(name="seconds", default=30.0)
@@ -280,15 +279,15 @@
     )
     cache_count: Annotated[int, Meta(ge=1, le=200)] = field(name="caches", default=6)
     origin_count: Annotated[int, Meta(ge=1, le=4)] = field(name="origins", default=1)
-    # requests a second, over all balancers
+    # requests per second, over all balancers
     request_rate: Positive = field(name="rate", default=150.0)
     description: str = field(name="about", default="")
     protocol: Literal["http", "resp"] = field(name="dialect", default="http")
-    # balancers tell each other what they count
+    # balancers share their counts by gossip
     gossip: bool = field(name="pool", default=False)
-    # and draw one table by it, so far apart at least
+    # minimum interval between common tables of ranges that they compute from these counts
     rebalance_interval_s: Positive = field(name="pool-draw-s", default=60.0)
-    # service that is expected of the decisions, checked by the short plans
+    # minimum of the verdict's service, checked by the short plans
     min_service_ratio: Ratio = field(name="least", default=0.0)
     request_class_specs: tuple[RequestClassSpec, ...] = field(name="work", default=())
     tenant_specs: tuple[TenantSpec, ...] = field(name="tenant", default=())
@@ -313,13 +312,13 @@
     evenness_bounds: tuple[EvennessBounds, ...] = field(name="expect", default=())
 
     def request_classes(self) -> tuple[RequestClassSpec, ...]:
-        """The plan's request classes, or the default ones of its protocol."""
+        """Return the plan's request classes, or the default ones of its protocol."""
         return self.request_class_specs or (
             DEFAULT_COMMAND_CLASSES if self.protocol == "resp" else DEFAULT_REQUEST_CLASSES
         )
 
     def tenants(self) -> tuple[TenantSpec, ...]:
-        """The plan's tenants, or three default ones."""
+        """Return the plan's tenants, or three default ones."""
         return self.tenant_specs or DEFAULT_TENANTS
 
 
--- a/orchidgap/simulation/plan_file.py
+++ b/orchidgap/simulation/plan_file.py
@@ -1,6 +1,6 @@
 """Reading, checking and writing of a simulation's plan, a TOML file.
 
-Each error is a `ScenarioError` with one line; nothing has been started by then.
+Each error is a `ScenarioError` with one line, raised before anything is started.
 """
 
 from __future__ import annotations
@@ -69,13 +69,13 @@
 
 
 def validate_plan(table: Any) -> Plan:
-    """Make a plan of a decoded TOML document.
+    """Convert a decoded TOML document to a plan and check it.
 
     Args:
-        table: The document: strings, numbers, lists and dicts, with the words of the file.
+        table: The document as strings, numbers, lists and dicts, with the keys of the file.
 
     Raises:
-        ScenarioError: With one line that ends in the path of what is wrong.
+        ScenarioError: With one line that ends in the path of the invalid value.
     """
     try:
         plan = msgspec.convert(table, Plan)
@@ -91,46 +91,52 @@
 def _check_unique_names(plan: Plan) -> None:
     class_names = [request_class.name for request_class in plan.request_classes()]
     if len(set(class_names)) < len(class_names):
-        raise ScenarioError("two rule sets of one name - at `$.work`")
+        raise ScenarioError("two rule sets have the same name - at `$.work`")
     tenant_names = [tenant.name for tenant in plan.tenants()]
     if len(set(tenant_names)) < len(tenant_names):
-        raise ScenarioError("two tenants of one name - at `$.tenant`")
+        raise ScenarioError("two tenants have the same name - at `$.tenant`")
 
 
 def _check_request_classes(plan: Plan) -> None:
     classes = plan.request_classes()
     for i, request_class in enumerate(classes):
         if request_class.client_timeout_ms < request_class.latency_objective_ms:
-            raise ScenarioError(f"timeout-ms lies under target-ms - at `$.work[{i}]`")
+            raise ScenarioError(f"timeout-ms is less than target-ms - at `$.work[{i}]`")
         if request_class.effect != "replayable" and not request_class.write:
-            raise ScenarioError(f"what is not replayable must be a write - at `$.work[{i}]`")
+            raise ScenarioError(
+                f"only a write may have another effect than replayable - at `$.work[{i}]`"
+            )
     if plan.protocol == "resp" and plan.clients.leaving_ratio:
-        raise ScenarioError("with commands no client leaves - at `$.callers`")
+        raise ScenarioError(
+            'no client leaves with dialect = "resp": leave must be 0 - at `$.callers`'
+        )
     has_keyed = any(request_class.effect == "uniqued" for request_class in classes)
     if plan.protocol == "resp" and has_keyed:
-        raise ScenarioError("commands have no marks: no rule set can be uniqued - at `$.work`")
+        raise ScenarioError(
+            'dialect = "resp" has no idempotency keys: effect cannot be uniqued - at `$.work`'
+        )
 
 
 def _check_faults(plan: Plan) -> None:
     for i, fault in enumerate(plan.faults):
         if fault.kind in OPERATOR_FAULT_KINDS and plan.protocol != "http":
-            raise ScenarioError(f'{fault.kind} wants dialect = "http" - at `$.trouble[{i}]`')
+            raise ScenarioError(f'{fault.kind} requires dialect = "http" - at `$.trouble[{i}]`')
         if fault.kind in RESP_FAULT_KINDS and plan.protocol != "resp":
-            raise ScenarioError(f'{fault.kind} wants dialect = "resp" - at `$.trouble[{i}]`')
+            raise ScenarioError(f'{fault.kind} requires dialect = "resp" - at `$.trouble[{i}]`')
         if fault.start_s >= plan.duration_s:
             raise ScenarioError(
-                f"at-s lies behind the end ({plan.duration_s:g} s) - at `$.trouble[{i}]`"
+                f"at-s is not before the end ({plan.duration_s:g} s) - at `$.trouble[{i}]`"
             )
 
 
 def _check_phases(plan: Plan) -> None:
     starts = [phase.start_s for phase in plan.phases]
     if starts != sorted(starts):
-        raise ScenarioError("one begins before the one that stands above it - at `$.stretch`")
+        raise ScenarioError("a stretch starts before the previous one - at `$.stretch`")
 
 
 def format_plan(plan: Plan) -> str:
-    """The plan as TOML, only what differs from the defaults.
+    """Return the plan as TOML, without values that equal the defaults.
 
     >>> text = format_plan(parse_plan('name = "x"\\nrate = 9.5\\n[cache]\\ncores = 3'))
     >>> parse_plan(text).cache.cores
@@ -144,7 +150,7 @@
         if name != "name" and value == defaults[name]:
             continue
         if isinstance(value, dict):
-            # an origin's table that is there at all stands on the defaults of any host
+            # a given origin table starts from the defaults of HostModel, not from the default origin
             base = msgspec.to_builtins(HostModel()) if name == "origin" else defaults[name]
             changed = {key: entry for key, entry in value.items() if entry != base[key]}
             tables += ["", f"[{name}]", *_format_entries(changed)]
@@ -162,7 +168,7 @@
 
 
 def format_value(value: bool | int | float | str) -> str:
-    """A value as TOML writes it.
+    """Return a value in TOML syntax.
 
     >>> format_value(True), format_value(2), format_value(0.5), format_value('say "so"')
     ('true', '2', '0.5', '"say \\\\"so\\\\""')
--- a/orchidgap/simulation/server_connection.py
+++ b/orchidgap/simulation/server_connection.py
@@ -1,4 +1,4 @@
-"""A stand-in host's end of a connection from a balancer, over HTTP/1.1."""
+"""A simulated host's end of an HTTP/1.1 connection from a balancer."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.servers import Store
 
-PIECE_BYTES = 16_384  # of a large answer that are written at once
+PIECE_BYTES = 16_384  # size of the writes of a large answer
 PROBE_TARGETS = (b"/alive", b"/metrics/load")
 MISS = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nCache-Result: miss\r\n\r\n"
 INVALID = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
@@ -34,7 +34,7 @@
 
 
 def changed_parts(message: Message, sent: ClientAttempt) -> list[str]:
-    """Return the names of those parts of a request that are not as its client sent them."""
+    """Return the names of the parts of a request that differ from what its client sent."""
     idempotency_key = message.fields.get(b"idempotency-key", b"")
     is_changed = {
         "method or target": message.method + b" " + message.target != sent.start_line,
@@ -45,19 +45,19 @@
 
 
 class ServerConnection:
-    """One connection; it carries one request at a time.
+    """One connection, with at most one request at a time.
 
     Attributes:
         store: The host.
-        balancer: The name of who dialled it.
-        reader: Reads requests.
-        job: The request under way, None between requests.
-        first_byte_at_us: When the first byte of a request came.
-        idle_since_us: When it was last answered, or accepted.
+        balancer: The name of the balancer that opened the connection.
+        reader: Parses requests.
+        job: The request in progress, None between requests.
+        first_byte_at_us: When the first byte of a request arrived.
+        idle_since_us: When the connection was accepted or its last answer written.
         streaming: The attempt whose large answer is being written.
-        unsent_body: What is left of that answer.
-        body_form: How the end of that answer is told, of `BODY_HEADS`.
-        is_beyond_limit: The host has no room for this one: it says so once, and closes.
+        unsent_body: The part of that answer that is not written yet.
+        body_form: How the end of that answer is marked, a key of `BODY_HEADS`.
+        is_beyond_limit: The host's connections are at their limit: it rejects a request and closes.
         conn: The socket with its buffers.
     """
 
@@ -76,7 +76,7 @@
     )
 
     def __init__(self, store: Store, sock: socket.socket, balancer: str) -> None:
-        """Take an accepted socket."""
+        """Use an accepted socket."""
         self.store = store
         self.balancer = balancer
         self.reader = RequestReader()
@@ -92,24 +92,24 @@
     # --- requests
 
     def opened(self) -> None:
-        """Nothing: it was open when it was accepted."""
+        """Do nothing: the connection was open when it was accepted."""
 
     def received(self, view: memoryview) -> None:
-        """Take in a part of a request."""
+        """Process received bytes of a request."""
         reader = self.reader
         if not reader.started:
-            # the kernel's time: this process may have stood still before it read
+            # the kernel's receive time, as this process may have been stalled before the read
             self.first_byte_at_us = self.conn.received_at_us
         reader.feed(view)
         if self.job:
-            return  # more than one at a time: what it says next cannot be told apart
+            return  # a second request during the first is not processed
         if reader.message.error_status:
             self.store.loop.call_later(self.store.one_way_us(self.balancer), self.close)
         elif reader.message.complete:
             self._on_request()
 
     def _on_request(self) -> None:
-        """A request is whole: a probe, or an attempt that the checker is told of."""
+        """Process a complete request: answer a probe, or record an attempt and start its job."""
         store = self.store
         message = self.reader.message
         invariant_checker = store.environment.invariant_checker
@@ -127,7 +127,7 @@
         if message.body_size > LARGE_BODY_BYTES:
             invariant_checker.large_bodies += 1
         for part in changed_parts(message, attempt.client_attempt):
-            text = f"{request_id.decode()}: another {part} than its client sent"
+            text = f"{request_id.decode()}: {part} differs from what its client sent"
             invariant_checker.record_breach("lost", now_us, text)
         self._check_told_time(attempt, message)
         self._check_departure(attempt)
@@ -135,11 +135,12 @@
         store.loop.call_later(store.one_way_us(self.balancer), store.receive, self.job)
 
     def _check_told_time(self, attempt: HostAttempt, message: Message) -> None:
-        """Have the time that an attempt tells judged.
+        """Check the `Request-Timeout` of an attempt against its client's remaining time.
 
-        What was written in time comes late where the balancer was stopped meanwhile, or where a
-        relay held it back. A request that was sent once more told the balancer what was left as its
-        client dialled again, which may have been long before it wrote.
+        Attempts are not checked if the balancer was paused or a relay delayed its data since the
+        request arrived, as they then arrive later than they were written. Resent requests are not
+        checked either: their timeout is the remaining time when the client dialled again, which may
+        be long before it wrote the request.
         """
         sent = attempt.client_attempt
         sent_timeout_us = parse_seconds(message.fields.get(b"request-timeout", b""))
@@ -151,11 +152,11 @@
         if max(stopped_until_us, faulty_until_us) > sent.arrived_at_us:
             return
         who = f"{sent.id.decode()} from {sent.balancer} to {self.store.id}"
-        told = ToldTime(sent, attempt.first_byte_at_us, sent_timeout_us, who)
-        environment.invariant_checker.lateness.on_told_time(told)
+        told_time = ToldTime(sent, attempt.first_byte_at_us, sent_timeout_us, who)
+        environment.invariant_checker.lateness.on_told_time(told_time)
 
     def _check_departure(self, attempt: HostAttempt) -> None:
-        """Have an attempt judged whose client may have closed its connection before."""
+        """Check that an attempt was not sent after its client had closed its connection."""
         environment = self.store.environment
         sent = attempt.client_attempt
         pauses = environment.balancers[sent.balancer].pauses
@@ -165,16 +166,16 @@
     # --- answers
 
     def write_answer(self, *parts: bytes) -> None:
-        """Write the last bytes of an answer, if any are left, and await the next request."""
+        """Write the rest of an answer, if there is any, and wait for the next request."""
         self.reader.advance()
         self.idle_since_us = self.store.loop.now
         if parts:
             self.conn.send(*parts)
 
     def start_large_answer(self, attempt: HostAttempt, body: bytes, bytes_per_s: int) -> None:
-        """Write a large answer as fast as it is read or, with a pace, slowly.
+        """Write a large answer, limited to `bytes_per_s` unless that is 0.
 
-        In one of the ways that HTTP has to tell its end.
+        How its end is marked is drawn from the ways that HTTP has.
         """
         self.body_form = self.store.environment.rng.choice(tuple(BODY_HEADS))
         head = BODY_HEADS[self.body_form]
@@ -189,7 +190,7 @@
             self._write_more(bytes_per_s)
 
     def _write_more(self, bytes_per_s: int) -> None:
-        while self.unsent_body and self._has_capacity():
+        while self.unsent_body and self._can_write():
             piece = self.unsent_body[:PIECE_BYTES]
             self.unsent_body = self.unsent_body[PIECE_BYTES:]
             if self.body_form == "chunks":
@@ -202,10 +203,10 @@
                     self.streaming.writing_paused_us += delay_us
                 self.store.loop.call_later(delay_us, self._write_more, bytes_per_s)
                 return
-        if self.streaming and not self.unsent_body and self._has_capacity():
+        if self.streaming and not self.unsent_body and self._can_write():
             self._end_large_answer(self.streaming)
 
-    def _has_capacity(self) -> bool:
+    def _can_write(self) -> bool:
         return self.conn.is_open and not self.conn.write_buffer
 
     def _end_large_answer(self, attempt: HostAttempt) -> None:
@@ -222,14 +223,14 @@
     # --- its end
 
     def ended(self, what: str) -> None:
-        """The balancer has closed it, or it broke."""
+        """Record that an attempt in progress was dropped: the connection was closed or broke."""
         if self.job:
             invariant_checker = self.store.environment.invariant_checker
             invariant_checker.on_attempt_dropped(self.job.attempt, self.store.loop.now)
         self.store.connections.pop(self, None)
 
     def close(self) -> None:
-        """Close it from the host's side; an answer that is not whole is broken off."""
+        """Close the connection from the host's side; an unfinished answer is cut off."""
         if self.streaming:
             self.streaming.streaming = False
             self.streaming.was_broken_off = True
--- a/orchidgap/simulation/servers.py
+++ b/orchidgap/simulation/servers.py
@@ -1,4 +1,4 @@
-"""Stand-in cache hosts and origin: what they hold, how fast they are, what they do when crowded.
+"""Simulated cache hosts and origins: their contents, speed and behaviour under load.
 
 All times are in microseconds of the simulation's loop. The order of random draws is part of a
 simulation's trace.
@@ -20,9 +20,9 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-LOOKUP_WORK_US = 400  # that a miss, or a repeat that is dropped, takes
+LOOKUP_WORK_US = 400  # work of a miss, or of a dropped duplicate
 SWEEP_INTERVAL_US = 1_000_000
-CHANCE_WORK_US = 200_000  # that may come on top of what pushes a host over, by chance
+TOLERATED_EXCESS_US = 200_000  # tolerated above the overload limit, for chance bursts
 FOREVER_US = 1 << 62
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nNot-Started: 1\r\n\r\n"
 TOO_MANY_CONNECTIONS = FULL.replace(b"Not-Started", b"Connection: close\r\nNot-Started")
@@ -30,13 +30,13 @@
 
 
 class RecentLoad(NamedTuple):
-    """One attempt in the load that may push a host over.
+    """One attempt in the recent load of a host.
 
     Attributes:
-        at_us: When it came.
+        at_us: When it arrived.
         work_us: Its work.
-        counts: It came from a balancer that knew of the start or, at the origin, from a miss at a
-            cold host.
+        counts: Its balancer knew that the cache had started or, at an origin, the request had
+            missed at a cold cache.
     """
 
     at_us: int
@@ -45,33 +45,33 @@
 
 
 class Store:
-    """One host. The origin has every key; a cache has what it was given and did not lose.
+    """One host. An origin has every key; a cache has the keys stored in it since its start.
 
     Attributes:
-        copies: A cache's keys, and until when each is kept; the least recently used first.
-        waiting: Jobs that wait for a core.
-        running: Jobs that have one.
-        undelivered: Jobs and answers that a partition holds back.
-        connections: All that are open.
-        partitioned_from: Balancers that it cannot hear, by name.
-        slowdown: It takes so many times as long.
-        malformed_ratio: The part of its answers that is malformed.
-        error_ratio: The part that is an error.
-        started_at_us: When its process started, 0 for long ago.
-        frozen_until_us: It stands still until then.
+        copies: When each key of a cache expires, the least recently used key first.
+        waiting: Queued jobs.
+        running: Jobs that occupy a core.
+        undelivered: Jobs and answers that a partition or the host's silence delays.
+        connections: All open connections.
+        partitioned_from: Whether a partition separates it from a balancer, by name.
+        slowdown: Factor on the duration of all work.
+        malformed_ratio: Ratio of its answers that are malformed.
+        error_ratio: Ratio of its answers that are errors.
+        started_at_us: When its process started, 0 for long before the simulation.
+        frozen_until_us: It is stopped until then.
     """
 
     def __init__(
         self,
         environment: Environment,
-        id: str,  # noqa: A002  # the field of this name is read by all of the simulation
+        id: str,  # noqa: A002  # named as the attribute that all of the simulation reads
         address: Address,
         model: HostModel,
         is_origin: bool,
         zone: int,
         speed: float,
     ) -> None:
-        """Listen at the address; `speed` is that of one core."""
+        """Listen at the address; `speed` is the speed of one core."""
         self.environment = environment
         self.loop = environment.loop
         self.id = id
@@ -92,7 +92,7 @@
         self.draining = False
         self.frozen_until_us = 0
         self.started_at_us = 0
-        self.connection_work_us = 0  # of new connections, which the next job pays for
+        self.connection_work_us = 0  # of new connections; added to the next job's work
         self.answer_count = 0
         self.slowdown = 1.0
         self.malformed_ratio = 0.0
@@ -104,16 +104,16 @@
     # --- the network
 
     def deduplication_group(self) -> str:
-        """Return the group of hosts that drops repeats together."""
+        """Return the name of the group of hosts that share deduplication records."""
         groups = {"zone": f"z{self.zone}", "cell": self.id}
         return groups.get(self.environment.deduplication_scope, "all")
 
     def one_way_us(self, balancer: str) -> int:
-        """Draw the latency of one message from or to a balancer."""
+        """Draw the latency of one message between a balancer and this host."""
         return self.environment.one_way_us(self.environment.zone_of(balancer), self.zone)
 
     def accept(self, sock: socket.socket, balancer: str) -> None:
-        """Take a connection; one beyond the limit is told so by its first answer."""
+        """Accept a connection; its first answer rejects it if it exceeds the limit."""
         if not self.alive:
             sock.close()
             return
@@ -126,7 +126,7 @@
             self.connection_work_us += milliseconds_to_us(self.model.connection_work_ms)
 
     def sweep(self) -> None:
-        """Close connections that have stood idle for too long, again and again."""
+        """Close connections whose idle timeout has expired, periodically."""
         timeout_us = seconds_to_us(self.model.idle_timeout_s)
         for connection in list(self.connections):
             is_idle = not connection.job and not connection.reader.started
@@ -134,10 +134,10 @@
                 connection.close()
         self.loop.call_later(SWEEP_INTERVAL_US, self.sweep)
 
-    # --- its speed
+    # --- speed
 
     def warm_ratio(self) -> float:
-        """Return the part of its speed that it has reached since its start."""
+        """Return the ratio of its full speed that it has reached since its start."""
         if not self.started_at_us or self.is_origin:
             return 1.0
         age_us = self.loop.now - self.started_at_us
@@ -145,19 +145,19 @@
         return self.model.cold_speed_ratio + (1.0 - self.model.cold_speed_ratio) * progress
 
     def is_cold(self) -> bool:
-        """Return whether it has started so lately that it can be pushed over."""
+        """Return whether it is a cache in slow start, which overload can bring down."""
         if not self.started_at_us or self.is_origin:
             return False
         return self.loop.now - self.started_at_us < seconds_to_us(self.model.warm_up_s)
 
     def capacity_us(self) -> float:
-        """Return the work that it does in one second."""
+        """Return the work that it can do in one second, in microseconds."""
         return self.model.cores * self.speed * self.warm_ratio() * 1e6
 
-    # --- the work
+    # --- work
 
     def receive(self, job: HostJob) -> None:
-        """Queue a job, or say that there is no room."""
+        """Queue a job, or reject it if the queue is full."""
         if not self.alive:
             return
         if self.vanished or self.partitioned_from.get(job.connection.balancer):
@@ -175,27 +175,27 @@
         self.start_waiting()
 
     def record_load(self, job: HostJob) -> None:
-        """Count the work that was sent, and go down where that is too much.
+        """Add a job to the recent load, and go down if that is too much.
 
-        Pushed over is who is sent more, in any stretch of the stated length, than a multiple of
-        what it can do now. What is turned away counts too: it was sent.
+        A host goes down when the work sent to it within the plan's overload window exceeds a
+        multiple of its current capacity. Rejected jobs count too.
         """
         now_us = self.loop.now
         window_us = seconds_to_us(self.model.overload_window_s)
         attempt = job.attempt.client_attempt
         is_known_key = self.is_origin or attempt.operation.key in self.copies
         work_us = job.work_us if is_known_key else LOOKUP_WORK_US
-        self.recent_load.append(RecentLoad(now_us, work_us, self._counts_as_known(job)))
+        self.recent_load.append(RecentLoad(now_us, work_us, self._counts_as_avoidable(job)))
         self.recent_work_us += work_us
         while self.recent_load[0].at_us < now_us - window_us:
             self.recent_work_us -= self.recent_load.popleft().work_us
         model = self.model
-        bearable_us = model.overload_multiple * self.capacity_us() * model.overload_window_s
-        can_be_pushed_over = self.is_origin or self.is_cold()
-        if self.recent_work_us > bearable_us + CHANCE_WORK_US and can_be_pushed_over:
+        overload_limit_us = model.overload_multiple * self.capacity_us() * model.overload_window_s
+        can_go_down = self.is_origin or self.is_cold()
+        if self.recent_work_us > overload_limit_us + TOLERATED_EXCESS_US and can_go_down:
             self._go_down()
 
-    def _counts_as_known(self, job: HostJob) -> bool:
+    def _counts_as_avoidable(self, job: HostJob) -> bool:
         if self.is_origin:
             return job.missed_cold
         notified_starts = self.environment.invariant_checker.notified_starts
@@ -203,7 +203,7 @@
         return notified_starts.get((balancer, self.id), 0) >= self.started_at_us // 1000
 
     def _go_down(self) -> None:
-        """It was pushed over. An origin comes back, a cache stays away."""
+        """Stop because of overload. An origin restarts after a while, a cache does not."""
         counted_us = sum(load.work_us for load in self.recent_load if load.counts)
         ratio = counted_us / self.recent_work_us
         invariant_checker = self.environment.invariant_checker
@@ -216,27 +216,27 @@
             self.environment.discovery.remove_later(self.id, delay_s)
 
     def start_waiting(self) -> None:
-        """Give the cores that are free to jobs that wait."""
+        """Start queued jobs on free cores."""
         while self.waiting and self._has_free_core():
             job = self.waiting.popleft()
-            is_wanted = job.connection.conn.is_open or not self.model.drops_expired
-            if is_wanted:
+            is_awaited = job.connection.conn.is_open or not self.model.drops_expired
+            if is_awaited:
                 self.begin(job)
 
     def _has_free_core(self) -> bool:
         return len(self.running) < self.model.cores and self.loop.now >= self.frozen_until_us
 
     def begin(self, job: HostJob) -> None:
-        """Give a job a core, for as long as its work takes here now."""
+        """Run a job on a core, for as long as its work takes at the current speed."""
         work_us = self._outcome_and_work(job) + self.connection_work_us
         self.connection_work_us = 0
-        job.duration_us = max(1, round(work_us / self._pace()))
+        job.duration_us = max(1, round(work_us / self._core_speed()))
         job.ends_at_us = self.loop.now + job.duration_us
         self.running[job] = None
         job.timer = self.loop.call_at(job.ends_at_us, self.finish, job)
 
     def _outcome_and_work(self, job: HostJob) -> int:
-        """Set what comes of a job, and return its work."""
+        """Set the outcome of a job, and return its work in microseconds."""
         operation = job.attempt.client_attempt.operation
         work_us = job.work_us
         if operation.request_class.write:
@@ -250,19 +250,19 @@
             job.outcome = "error"
         return work_us
 
-    def _pace(self) -> float:
-        """Return the speed of a core now; it falls as requests crowd."""
+    def _core_speed(self) -> float:
+        """Return the current speed of a core; it falls as more requests are in progress."""
         model = self.model
         per_core = (len(self.waiting) + len(self.running) + 1) / model.cores
-        crowd = max(0.0, per_core - model.crowding_threshold)
-        full_pace = self.speed * self.warm_ratio()
-        return full_pace / (1.0 + model.crowding_slowdown * crowd) / self.slowdown
+        excess = max(0.0, per_core - model.crowding_threshold)
+        full_speed = self.speed * self.warm_ratio()
+        return full_speed / (1.0 + model.crowding_slowdown * excess) / self.slowdown
 
     def apply_write(self, job: HostJob) -> int:
-        """Let a write take effect as it begins, once for each key that is remembered.
+        """Let a write take effect at its start, once per remembered idempotency key.
 
         Returns:
-            The work that is left.
+            Its work in microseconds, which is less for a dropped duplicate.
         """
         attempt = job.attempt.client_attempt
         now_us = self.loop.now
@@ -282,7 +282,7 @@
         return job.work_us
 
     def finish(self, job: HostJob) -> None:
-        """A job is done: its value is stored where it was missed, and it is answered."""
+        """Answer a job whose work is done, and fill the caches that missed a fetched key."""
         del self.running[job]
         attempt = job.attempt.client_attempt
         if job.outcome != "miss":
@@ -300,10 +300,10 @@
             if store.alive:
                 store.store_copy(attempt.operation.key)
 
-    # --- a cache's copies
+    # --- cached keys
 
     def has_copy(self, key: int) -> bool:
-        """Return whether it has the key; that counts as a use."""
+        """Return whether the key is cached, and mark it as recently used."""
         until_us = self.copies.get(key)
         if until_us is None or until_us < self.loop.now:
             return False
@@ -311,7 +311,7 @@
         return True
 
     def store_copy(self, key: int) -> None:
-        """Keep a key, in the place of the least recently used where there is no room."""
+        """Cache a key; the least recently used one is evicted beyond the capacity."""
         ttl_s = self.model.ttl_s
         self.copies[key] = self.loop.now + seconds_to_us(ttl_s) if ttl_s else FOREVER_US
         self.copies.move_to_end(key)
@@ -319,7 +319,7 @@
             self.copies.popitem(last=False)
 
     def drop_copies(self, ratio: float) -> None:
-        """Lose a part of all keys."""
+        """Drop a random part of all cached keys."""
         for key in list(self.copies):
             if self.environment.rng.random() < ratio:
                 del self.copies[key]
@@ -327,12 +327,12 @@
     # --- answers
 
     def answer_later(self, job: HostJob, outcome: str) -> None:
-        """Answer one way later."""
+        """Send an answer after the latency of the network."""
         delay_us = self.one_way_us(job.connection.balancer)
         self.loop.call_later(delay_us, self.write_answer, job, outcome)
 
     def write_answer(self, job: HostJob, outcome: str) -> None:
-        """Write what was decided, unless nobody can hear it."""
+        """Write the answer of an outcome, unless the connection or the network is down."""
         connection = job.connection
         if not connection.conn.is_open or self.vanished:
             return
@@ -342,8 +342,8 @@
         environment = self.environment
         now_us = self.loop.clock()
         body = self._next_body(job) if outcome == "done" else b""
-        may_spoil = outcome == "done" and self.malformed_ratio
-        if may_spoil and environment.rng.random() < self.malformed_ratio:
+        may_be_malformed = outcome == "done" and self.malformed_ratio
+        if may_be_malformed and environment.rng.random() < self.malformed_ratio:
             self._write_malformed(job, body)
             return
         environment.invariant_checker.on_attempt_settled(job.attempt, outcome, now_us, body)
@@ -360,7 +360,7 @@
             self._write_failure(connection, outcome)
 
     def _next_body(self, job: HostJob) -> bytes:
-        """Return the value for a request; no two answers have the same."""
+        """Return the value for a request; each answer has a different one."""
         self.answer_count += 1
         attempt = job.attempt.client_attempt
         text = b"%b/%b/%d:" % (attempt.id, self.id.encode(), self.answer_count)
@@ -373,14 +373,14 @@
             connection.conn.close_gracefully()
 
     def _write_malformed(self, job: HostJob, body: bytes) -> None:
-        """The work has run, and what is written of it is spoilt."""
+        """Write a malformed answer to a job whose work is done."""
         environment = self.environment
         kind = environment.rng.choice(KINDS)
         is_whole = kind in WHOLE_KINDS
         outcome = "done" if is_whole else "spoilt"
-        told_body = body if is_whole else b""
+        recorded_body = body if is_whole else b""
         environment.invariant_checker.on_attempt_settled(
-            job.attempt, outcome, self.loop.clock(), told_body
+            job.attempt, outcome, self.loop.clock(), recorded_body
         )
         job.attempt.was_broken_off = not is_whole
         job.connection.job = None
@@ -389,7 +389,7 @@
     # --- faults
 
     def stop(self) -> None:
-        """The process ends: connections break, new ones are refused, copies are gone."""
+        """End the process: connections break, new ones are refused, cached keys are lost."""
         self.alive = False
         self.vanished = False
         self.draining = False
@@ -398,7 +398,7 @@
         self._reset_connections()
 
     def _abort_work(self) -> None:
-        """What is running or waiting comes to nothing."""
+        """Drop all running and queued jobs."""
         for job in self.running:
             if job.timer:
                 job.timer.cancel()
@@ -406,7 +406,7 @@
         self.running.clear()
 
     def _reset_connections(self) -> None:
-        """It knows nothing of its connections, what they brought, and its copies."""
+        """Reset all connections and drop their jobs, the recent load and all cached keys."""
         self.undelivered.clear()
         self.recent_load.clear()
         self.recent_work_us = 0
@@ -416,7 +416,7 @@
         self.copies.clear()
 
     def revive(self, cold: bool = True) -> None:
-        """Start again, unless it runs; a cold start is told by discovery."""
+        """Start again unless it runs; discovery lists a cold start."""
         if self.alive:
             return
         self.alive = True
@@ -432,13 +432,13 @@
         delay_s = self.environment.plan.discovery.addition_delay_s
         self.environment.discovery.set_health_later(self.id, "Ready", delay_s)
 
-    def vanish(self, gone: bool) -> None:
-        """The machine says nothing any more; back again, it knows nothing of its connections."""
-        if not self.alive or self.vanished == gone:
+    def vanish(self, unreachable: bool) -> None:
+        """Make the machine unreachable, or reachable again with its former state lost."""
+        if not self.alive or self.vanished == unreachable:
             return
-        self.vanished = gone
-        self.environment.network.set_silent(self.address, gone)
-        if gone:
+        self.vanished = unreachable
+        self.environment.network.set_silent(self.address, unreachable)
+        if unreachable:
             self._abort_work()
         else:
             self._reset_connections()
@@ -446,7 +446,7 @@
             self._list_as_ready()
 
     def set_partitioned(self, balancer: str, partitioned: bool) -> None:
-        """No byte passes between it and a balancer; what was under way comes once that ends."""
+        """Begin or end a partition from a balancer; delayed jobs and answers arrive at its end."""
         self.partitioned_from[balancer] = partitioned
         if partitioned:
             return
@@ -459,7 +459,7 @@
                 self.receive(job)
 
     def freeze(self, until_us: int) -> None:
-        """It stands still until then, and goes on where it was."""
+        """Stop all work until then; it continues afterwards."""
         now_us = self.loop.now
         if not self.alive or until_us <= now_us:
             return
