--- a/orchidgap/simulation/balancer_faults.py
+++ b/orchidgap/simulation/balancer_faults.py
@@ -1,4 +1,4 @@
-"""Faults of balancers: they are killed, or leave and start again."""
+"""Faults of balancers: kills and rolling restarts."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 def balancer_kill(environment: Environment, fault: Fault) -> None:
-    """Balancers are killed outright and start again at the end."""
+    """Kill balancers, and start them again at the end of the fault."""
     for name in pick_balancers(environment, fault):
         environment.balancers[name].kill()
         call_at_end(environment, fault, restart_balancer, environment, name)
 
 
 def restart_balancer(environment: Environment, name: str) -> None:
-    """It starts anew under its name, with nothing but the list it last had."""
-    post = environment.balancers[name]
-    if not post.alive:
-        post.start(environment.latest_endpoint_list(name))
+    """Start a balancer again under its name, with only its last endpoint list."""
+    balancer = environment.balancers[name]
+    if not balancer.alive:
+        balancer.start(environment.latest_endpoint_list(name))
 
 
 def balancer_roll(environment: Environment, fault: Fault) -> None:
-    """One after another gets SIGTERM and starts again."""
+    """Send SIGTERM to one balancer after another, and start each again."""
     names = pick_balancers(environment, fault)
     for i, name in enumerate(names):
         environment.loop.call_later(
@@ -38,16 +38,16 @@
 
 
 def _roll_balancer(environment: Environment, name: str) -> None:
-    """Asks one balancer to leave, and starts it again once it has."""
-    post = environment.balancers[name]
-    post.shut_down()
-    incarnation = post.incarnation
-
-    def restart_when_gone() -> None:
-        if post.incarnation == incarnation:
-            if post.alive:
-                environment.loop.call_later(ROLL_CHECK_INTERVAL_US, restart_when_gone)
+    """Shut one balancer down, and start it again once it has ended."""
+    balancer = environment.balancers[name]
+    balancer.shut_down()
+    incarnation = balancer.incarnation
+
+    def restart_when_ended() -> None:
+        if balancer.incarnation == incarnation:
+            if balancer.alive:
+                environment.loop.call_later(ROLL_CHECK_INTERVAL_US, restart_when_ended)
             else:
                 restart_balancer(environment, name)
 
-    environment.loop.call_later(ROLL_FIRST_CHECK_US, restart_when_gone)
+    environment.loop.call_later(ROLL_FIRST_CHECK_US, restart_when_ended)
--- a/orchidgap/simulation/balancer_instance.py
+++ b/orchidgap/simulation/balancer_instance.py
@@ -1,7 +1,8 @@
-"""A balancer under test, and its form on the virtual clock.
+"""A balancer under test, and its implementation on the virtual clock.
 
-An instance outlives its processes: a process may end and another one start under the same name and
-address. Each of them is one incarnation. All times are in microseconds of the simulation's loop.
+An instance outlives its processes: after a process has ended, another one may start under the same
+name and address. Each of them is one incarnation. All times are in microseconds of the simulation's
+loop.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 from orchidgap.simulation.virtual_network import VirtualNetwork, socket_number
 
 EXIT_POLL_INTERVAL_US = 10_000
-# beyond the longest client timeout: how long after SIGTERM a process is left alone
+# a process may be killed this long plus the longest client timeout after SIGTERM
 KILL_MARGIN_US = 700_000
 MAX_LOG_RECORDS = 20_000
 HOSTS_PER_SUBNET = 250
@@ -53,44 +54,44 @@
 
 
 class MemoryLog(EventLog):
-    """The log of a balancer on the virtual clock. Exceptions are kept apart, in `faults`."""
+    """The log of a balancer on the virtual clock; exceptions are also collected in `faults`."""
 
     def __init__(self, name: str, environment: Environment) -> None:
-        """Start empty; `name` is the balancer's."""
+        """Start empty; `name` is the balancer's name."""
         self.name = name
         self.environment = environment
         self.records: list[LogRecord] = []
         self.faults: list[str] = []
 
     def __call__(self, event: str, **facts: Any) -> None:
-        """Keep an event, unless there are `MAX_LOG_RECORDS` already."""
+        """Record an event, unless there are `MAX_LOG_RECORDS` already."""
         if len(self.records) < MAX_LOG_RECORDS:
             at_us = self.environment.loop.now - self.environment.start
             self.records.append(LogRecord(at_us / 1e6, event, facts))
 
     def exception(self, error: Exception) -> None:
-        """Keep an unexpected exception with the file and line that raised it."""
+        """Record an unexpected exception with the file and line that raised it."""
         traceback = error.__traceback__
         while traceback and traceback.tb_next:
             traceback = traceback.tb_next
-        place = "?"
+        location = "?"
         if traceback:
             file = Path(traceback.tb_frame.f_code.co_filename).name
-            place = f"{file}:{traceback.tb_lineno}"
-        fault = f"{type(error).__name__}: {error} ({place})"
+            location = f"{file}:{traceback.tb_lineno}"
+        fault = f"{type(error).__name__}: {error} ({location})"
         self.faults.append(fault)
         self("fault", what=fault)
 
 
 class Pause(NamedTuple):
-    """A stretch of time in which a process was stopped."""
+    """A period in which a process was stopped."""
 
     start_us: int
     end_us: int
 
 
 def address_suffix(number: int) -> str:
-    """Return the last two parts of the IPv4 address of one of many.
+    """Return the last two parts of the IPv4 address of the balancer with this number.
 
     >>> address_suffix(0), address_suffix(249), address_suffix(250)
     ('0.1', '0.250', '1.1')
@@ -99,14 +100,14 @@
 
 
 class BalancerInstance:
-    """A balancer's name and addresses, and the state of the process that serves there.
+    """A balancer's name and addresses, and the state of its current process.
 
-    `known` is, wherever it is a parameter, the endpoint list that a process starts with, in
-    the form of its configuration file.
+    Parameters named `known` are the initial endpoint list of a process, in the format of its
+    configuration file.
     """
 
     def __init__(self, environment: Environment, name: str, number: int, zone: int) -> None:
-        """Take the addresses of the balancer of that number; nothing runs yet."""
+        """Set the addresses of the balancer with this number; nothing runs yet."""
         suffix = address_suffix(number)
         offset = environment.port_offset
         self.environment = environment
@@ -123,12 +124,12 @@
         self.died_at = 0
         self.is_shutting_down = False
         self.shutdown_began_us = 0
-        self.may_kill_itself = False  # a planned fault of its disk ends it by SIGKILL
+        self.may_kill_itself = False  # a planned disk fault may end it by SIGKILL
         self.ends: dict[int, ProcessEnd] = {}  # by incarnation
         self.pauses: list[Pause] = []
 
     def start(self, known: dict[str, Any]) -> None:
-        """Start a process; there is none yet, or the one before has ended."""
+        """Start a process; the previous one, if any, has ended."""
         raise NotImplementedError
 
     def has_exited(self) -> bool:
@@ -140,7 +141,7 @@
         raise NotImplementedError
 
     def shut_down(self) -> None:
-        """Ask the process to end, as by SIGTERM."""
+        """Request the process to stop, as by SIGTERM."""
         raise NotImplementedError
 
     def pause(self, until_us: int) -> None:
@@ -148,11 +149,11 @@
         raise NotImplementedError
 
     def reload(self, text: bytes) -> None:
-        """Replace the configuration file by `text` and have it read, as by SIGHUP."""
+        """Replace the configuration file by `text` and make the process read it, as by SIGHUP."""
         raise NotImplementedError
 
     def start_successor(self, known: dict[str, Any]) -> None:
-        """Start a second process while the first one, from now on the predecessor, serves."""
+        """Start a second process while the first one, now the predecessor, still serves."""
         raise NotImplementedError
 
     def successor_is_ready(self) -> bool:
@@ -160,19 +161,19 @@
         raise NotImplementedError
 
     def shut_down_predecessor(self) -> None:
-        """Ask the predecessor to end."""
+        """Request the predecessor to stop."""
         raise NotImplementedError
 
     def kill_predecessor(self) -> None:
-        """End the predecessor at once, where there is one; its connections are cut."""
+        """End the predecessor at once, if there is one; its connections break."""
         raise NotImplementedError
 
     def release(self) -> None:
-        """Free all that is left at the end of a simulation, without a word to the checker."""
+        """Free all resources at the end of a simulation, without a report to the checker."""
         raise NotImplementedError
 
     def poll_exit(self) -> None:
-        """Look again and again whether a process that was asked to end has done so."""
+        """Poll until a process that is shutting down has ended."""
         if not self.alive:
             return
         if self.has_exited():
@@ -181,22 +182,22 @@
             self.environment.loop.call_later(EXIT_POLL_INTERVAL_US, self.poll_exit)
 
     def begin_shutdown(self) -> None:
-        """Note that the process has been asked to end: its grace runs from here."""
+        """Record the start of the process's shutdown and so of its grace period."""
         self.is_shutting_down = True
-        # the turn may have begun long before the signal
+        # not the loop's time, as the turn may have started long before the signal
         self.shutdown_began_us = self.environment.loop.clock()
 
     def kill_time_us(self) -> int:
-        """Return when a process that was asked to end may be killed, at the earliest."""
+        """Return the earliest time at which a process that is shutting down may be killed."""
         timeouts_ms = [spec.client_timeout_ms for spec in self.environment.plan.request_classes()]
         return self.shutdown_began_us + milliseconds_to_us(max(timeouts_ms)) + KILL_MARGIN_US
 
     def process_end(self, incarnation: int) -> ProcessEnd:
-        """Return how an incarnation has ended, if it has."""
+        """Return whether and how an incarnation has ended."""
         return self.ends.get(incarnation, ProcessEnd.RUNNING)
 
     def end_by_kill(self) -> ProcessEnd:
-        """Return what a SIGKILL now means for what the process has taken."""
+        """Return how the process counts as ended if it is killed now."""
         if self.has_exited():
             return ProcessEnd.EXITED
         if self.is_shutting_down and self.environment.loop.now >= self.kill_time_us():
@@ -204,7 +205,7 @@
         return ProcessEnd.KILLED
 
     def mark_ended(self, end: ProcessEnd) -> None:
-        """Note how the process has ended, and tell the invariant checker."""
+        """Record how the process has ended, and report it to the invariant checker."""
         now = self.environment.loop.now
         self.alive = False
         self.died_at = now
@@ -216,19 +217,19 @@
 
 
 class VirtualProcess(NamedTuple):
-    """A node and the loop that it has for itself."""
+    """A node and its own loop."""
 
     loop: BalancerLoop
     node: Node
 
 
 class VirtualBalancer(BalancerInstance):
-    """The real `Node` on a loop of its own, all of them on one virtual clock."""
+    """A real `Node` on a loop of its own; all these loops share one virtual clock."""
 
     def __init__(
         self, environment: Environment, name: str, number: int, zone: int, decider: Decider
     ) -> None:
-        """Take what decides; nothing runs yet."""
+        """Set what makes the decision logic; nothing runs yet."""
         super().__init__(environment, name, number, zone)
         self.decider = decider
         self.close_records = CloseRecords()
@@ -240,13 +241,13 @@
 
     @property
     def network(self) -> VirtualNetwork:
-        """The virtual network that the balancer is on."""
+        """The virtual network that the balancer uses."""
         network = self.environment.network
         assert isinstance(network, VirtualNetwork)
         return network
 
     def start(self, known: dict[str, Any]) -> None:
-        """Open the listener and start a node at it."""
+        """Open the listener and start a node that accepts from it."""
         self.incarnation += 1
         self.alive = True
         self.is_shutting_down = False
@@ -255,7 +256,7 @@
         self.ready_at = self.environment.loop.now
 
     def start_process(self, known: dict[str, Any]) -> Node:
-        """Make a node that shares the listener; it is not started yet."""
+        """Make a node that accepts from the listener, without starting it."""
         network = self.network
         loop = BalancerLoop(network.loop, self.log.exception)
         self.loop = loop
@@ -272,7 +273,7 @@
         listener = network.listeners[self.address]
         assert isinstance(listener, SharedListener)
         node.clients.on_closing = self.on_connection_closing
-        # a handle has all methods of a listening socket that a node calls
+        # the handle implements the methods of a listening socket that a node uses
         node.clients.use_listening_socket(cast("socket.socket", ListenerHandle(listener)))
         self.start_gossip(loop, node, settings)
         self.start_admin(loop, node)
@@ -281,13 +282,13 @@
     def on_connection_closing(
         self, client: ClientConnection, end: ConnectionEnd, read_up_to_us: int
     ) -> None:
-        """Keep what the process knows of a client's connection as it closes it."""
+        """Record the state of a client's connection as the process closes it."""
         number = socket_number(client.conn.sock)
         closed_at_us = read_up_to_us or self.environment.loop.clock()
         self.close_records.note(number, client, end, closed_at_us, read_up_to_us > 0)
 
     def start_gossip(self, loop: BalancerLoop, node: Node, settings: BalancerConfig) -> None:
-        """Connect the node to the other balancers, where its settings name them."""
+        """Start gossip with the other balancers, if the node's settings have it."""
         if settings.gossip:
             self.gossip = GossipTransport(
                 loop,
@@ -300,7 +301,7 @@
             )
 
     def start_admin(self, loop: BalancerLoop, node: Node) -> None:
-        """Open the admin address, where the plan has operators call it."""
+        """Listen at the admin address, if the plan has faults of operators."""
         if self.environment.ingress.is_active:
             commands = {
                 admin_protocol.HEALTH: node.health,
@@ -313,11 +314,11 @@
             )
 
     def has_exited(self) -> bool:
-        """Return whether the node has ended its loop."""
+        """Return whether the node has stopped its loop."""
         return self.loop is not None and not self.loop.running
 
     def kill(self) -> None:
-        """Close the listeners and all that the processes hold."""
+        """Close the listeners and all sockets of the processes."""
         if not self.alive:
             return
         self.mark_ended(self.end_by_kill())
@@ -326,7 +327,7 @@
         self.release()
 
     def release(self) -> None:
-        """Close all sockets and drop all timers of the processes."""
+        """Close all sockets and cancel all timers of the processes."""
         self.kill_predecessor()
         if self.loop:
             self.loop.kill()
@@ -339,19 +340,19 @@
             self.poll_exit()
 
     def pause(self, until_us: int) -> None:
-        """Run nothing of the process until then."""
+        """Stop the process until then."""
         if self.alive and self.loop:
             self.pauses.append(Pause(self.environment.loop.now, until_us))
             self.loop.pause(until_us)
 
     def reload(self, text: bytes) -> None:
-        """Have the node read a new configuration."""
+        """Make the node apply a new configuration."""
         if self.alive and self.node and self.loop:
             self.loop.call_soon(self.apply_config, self.node, text)
 
     @staticmethod
     def apply_config(node: Node, text: bytes) -> None:
-        """Give the node a new configuration, or log why it is not valid."""
+        """Apply a new configuration, or log why it is invalid."""
         try:
             node.apply_config(config.parse(text, "the file", node.config))
         except config.ConfigError as error:
@@ -371,9 +372,9 @@
         successor = self.start_process(known)
         successor_handover = Handover(self.loop, successor, None, shared=True)
         successor.handover = successor_handover
-        near, far = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        predecessor.loop.call_soon(handover.accept_successor, near)
-        self.loop.call_soon(successor_handover.join_predecessor, far)
+        predecessor_end, successor_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        predecessor.loop.call_soon(handover.accept_successor, predecessor_end)
+        self.loop.call_soon(successor_handover.join_predecessor, successor_end)
         self.loop.call_soon(successor.start)
 
     def successor_is_ready(self) -> bool:
@@ -387,7 +388,7 @@
             self.poll_predecessor_exit()
 
     def poll_predecessor_exit(self) -> None:
-        """Look again and again whether the predecessor has ended."""
+        """Poll until the predecessor has ended."""
         if not self.predecessor:
             return
         if self.predecessor.loop.running:
@@ -396,7 +397,7 @@
             self.kill_predecessor()
 
     def kill_predecessor(self) -> None:
-        """Close all that the predecessor holds."""
+        """Close all sockets of the predecessor."""
         if self.predecessor:
             loop = self.predecessor.loop
             self.predecessor = None
--- a/orchidgap/simulation/balancer_loop.py
+++ b/orchidgap/simulation/balancer_loop.py
@@ -16,8 +16,8 @@
     """A balancer's timer, which the shared loop fires.
 
     Attributes:
-        action: What it calls.
-        action_args: With which arguments.
+        action: The balancer's callback, None once it is cancelled or done.
+        action_args: The callback's arguments.
     """
 
     __slots__ = ("action", "action_args")
@@ -28,13 +28,13 @@
         action: Callable[..., None],
         action_args: tuple[Any, ...],
     ) -> None:
-        """`fire` is called with the timer when it is due."""
+        """Call `fire` with the timer when it is due."""
         super().__init__(fire, (self,))
         self.action: Callable[..., None] | None = action
         self.action_args = action_args
 
     def cancel(self) -> None:
-        """Call nothing, wake nobody, and hold on to nothing."""
+        """Cancel the timer and drop its references."""
         self.callback = None
         self.args = ()
         self.action = None
@@ -42,17 +42,17 @@
 
 
 class BalancerLoop(Loop):
-    """A balancer's own sockets and timers on the simulation's one loop.
+    """A balancer's sockets and timers on the simulation's shared loop.
 
-    They end together when the balancer is killed, and stand still together while it is paused.
-    `on_error` is called with an exception that a callback raised.
+    All of them are closed when the balancer is killed, and inactive while it is paused. `on_error`
+    is called with an exception that a callback raised.
     """
 
     def __init__(
         self, shared_loop: VirtualClockLoop, on_error: Callable[[Exception], None]
     ) -> None:
-        """Start on the shared loop, at its present time."""
-        # the base class would open a selector of its own: all that it sets is set here
+        """Start on the shared loop, at its current time."""
+        # the base class would open a selector of its own, so its attributes are set here instead
         self.shared_loop = shared_loop
         self.on_error = on_error
         self.clock = shared_loop.clock
@@ -60,10 +60,10 @@
         self.now = self.last_poll_us = self.ready_since_us = shared_loop.time
         self.running = True
         self.killed = False
-        self.longest_turn_us = 0  # on the virtual clock no turn takes any time
+        self.longest_turn_us = 0  # turns take no time on the virtual clock
         self.paused_until_us = 0
         self.watched: dict[Any, tuple[int, Callable[[int], None]]] = {}
-        # connections being dialled, and when each comes up; None for never
+        # when each connection being opened is established; None for never or already scheduled
         self.opening: dict[socket.socket, int | None] = {}
 
     @property
@@ -72,7 +72,7 @@
         return self.paused_until_us > self.shared_loop.time
 
     def enter(self, callback: Callable[..., None], *args: Any) -> None:
-        """Run a callback as this balancer: not once it is killed, and later while it is paused."""
+        """Run a callback of this balancer: after a pause if it is paused, not if it is killed."""
         if self.killed:
             return
         now = self.shared_loop.time
@@ -85,40 +85,40 @@
         self.ready_since_us = resumed_us or now
         try:
             callback(*args)
-        except Exception as error:  # as in `run_callback`, only this call ends
+        except Exception as error:  # as in `run_callback`, only this callback ends
             if self.on_error is None:
                 raise
             self.on_error(error)
 
     def fire(self, timer: BalancerTimer) -> None:
-        """Run a timer that is due; while the process is paused, once it goes on."""
+        """Run a timer that is due, after the pause if the process is paused."""
         if self.paused_until_us > self.shared_loop.time:
             self.shared_loop.schedule(self.paused_until_us, timer)
             return
         action = timer.action
         action_args = timer.action_args
-        timer.cancel()  # it is done, and must not hold on to itself
+        timer.cancel()  # drops its reference to itself
         if action:
             self.enter(action, *action_args)
 
     def call_at(self, when_us: int, callback: Callable[..., None], *args: Any) -> Timer:
-        """Call back at a time of the clock."""
+        """Schedule a callback at a time of the clock."""
         timer = BalancerTimer(self.fire, callback, args)
         self.shared_loop.schedule(when_us, timer)
         return timer
 
     def call_soon(self, callback: Callable[..., None], *args: Any) -> None:
-        """Call back in the next round."""
+        """Schedule a callback for the next round of the shared loop."""
         self.shared_loop.call_soon(self.enter, callback, *args)
 
     def call_next_turn(self, callback: Callable[[], None]) -> None:
-        """Call back in the next round: no turn takes any time on the virtual clock."""
+        """Schedule a callback for the next round, as turns take no time on the virtual clock."""
         self.call_soon(callback)
 
     def watch(
         self, sock: Any, mask: int, callback: Callable[[int], None], first: bool = False
     ) -> None:
-        """Watch a socket or a listening queue; one that is being dialled, once it is up."""
+        """Watch a socket or a listening queue; a connection only once it is established."""
         self.watched[sock] = (mask, callback)
         if isinstance(sock, ListeningQueue):
             sock.callback = lambda ready: self.enter(callback, ready)
@@ -135,7 +135,7 @@
             self.shared_loop.watch(sock, mask, lambda ready: self.enter(callback, ready))
 
     def finish_opening(self, sock: socket.socket) -> None:
-        """Begin to watch a connection that has come up, where it is still wanted."""
+        """Begin to watch a connection that is now established, unless it was unwatched."""
         if sock in self.opening and sock in self.watched:
             del self.opening[sock]
             mask, callback = self.watched[sock]
@@ -148,7 +148,7 @@
             self.shared_loop.rewatch(sock, mask, lambda ready: self.enter(callback, ready))
 
     def unwatch(self, sock: Any) -> None:
-        """Watch a socket no more; it stays open."""
+        """Stop watching a socket without closing it."""
         del self.watched[sock]
         if isinstance(sock, ListeningQueue):
             sock.callback = None
@@ -158,11 +158,11 @@
             self.shared_loop.unwatch(sock)
 
     def is_connection(self, sock: Any) -> bool:
-        """Return whether it is a connection that has come up."""
+        """Return whether it is an established connection."""
         return not isinstance(sock, ListeningQueue) and sock not in self.opening
 
     def pause(self, until_us: int) -> None:
-        """Run nothing until then, as a stopped process; its sockets stay open."""
+        """Run nothing until then, like a stopped process; its sockets stay open."""
         self.paused_until_us = until_us
         connections = [sock for sock in self.watched if self.is_connection(sock)]
         for sock in connections:
@@ -170,7 +170,7 @@
         self.shared_loop.call_at(until_us, self.resume, connections)
 
     def resume(self, connections: list[socket.socket]) -> None:
-        """Watch again what was watched when the pause began."""
+        """Watch the sockets again that were watched when the pause began."""
         if self.killed:
             return
         for sock in connections:
@@ -179,7 +179,7 @@
                 self.watch(sock, mask, callback)
 
     def kill(self) -> None:
-        """Close all sockets at once, as the system does when a process ends."""
+        """Close all sockets at once, as the kernel does when a process ends."""
         self.killed = True
         for sock in list(self.watched):
             if self.is_connection(sock) and sock.fileno() >= 0:
--- a/orchidgap/simulation/balancer_process.py
+++ b/orchidgap/simulation/balancer_process.py
@@ -1,4 +1,4 @@
-"""A balancer under test as a process of the operating system, on loopback."""
+"""A balancer under test that runs as an operating system process, on loopback."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 CONNECT_TIMEOUT_S = 0.05
 ANSWER_TIMEOUT_S = 0.2
 READINESS_REQUEST = b"GET /up HTTP/1.1\r\nConnection: close\r\n\r\n"
-PASSED_SOCKET_VARIABLE = "GW_PASSED_SOCKET"  # the operators' name for it
+PASSED_SOCKET_VARIABLE = "GW_PASSED_SOCKET"  # set by the operators' platform
 
 
 class BalancerProcess(BalancerInstance):
-    """The program itself. Its configuration, log and temporary files stand in `folder`."""
+    """A process of the program; its configuration, log and temporary files are in `folder`."""
 
     def __init__(
         self,
@@ -41,13 +41,13 @@
         policy: str,
         folder: str,
     ) -> None:
-        """Take the policy that decides and the folder for files; nothing runs yet."""
+        """Set the policy and the folder; nothing runs yet."""
         super().__init__(environment, name, number, zone)
         self.policy = policy
         self.folder = Path(folder)
         self.process: subprocess.Popen[bytes] | None = None
         self.predecessor: subprocess.Popen[bytes] | None = None
-        # the listener, where the platform holds it over an upgrade
+        # the listener, if the platform keeps it open across an upgrade
         self.passed_listener: socket.socket | None = None
         self.process_count = 0
         clock_offset_us = environment.loop.clock() - monotonic_us()
@@ -56,7 +56,7 @@
         self.peak_kb = 0
 
     def start(self, known: dict[str, Any]) -> None:
-        """Start the program, and poll until it serves."""
+        """Start the program, and poll until it is ready."""
         has_upgrades = any(fault.kind == "upgrade" for fault in self.environment.plan.faults)
         if has_upgrades and self.passed_listener is None:
             self.passed_listener = socket.create_server(self.address, backlog=LISTEN_BACKLOG)
@@ -68,7 +68,7 @@
         self.poll_readiness()
 
     def spawn(self, known: dict[str, Any]) -> None:
-        """Write the configuration and start a process; each has an admin port of its own."""
+        """Write the configuration and start a process, each with another admin port."""
         self.process_count += 1
         self.admin_address = (self.admin_address[0], ADMIN_PORT + self.process_count)
         path = self.folder / f"{self.name}.json"
@@ -91,20 +91,20 @@
             )
 
     def command(self) -> list[str]:
-        """Return the interpreter's arguments, but for the configuration file."""
+        """Return the interpreter's arguments without the configuration file."""
         if self.policy != "orchidgap":
             return ["-m", "orchidgap.simulation.process", self.policy]
         return ["-m", "orchidgap", "serve"]
 
     def poll_readiness(self) -> None:
-        """Ask again and again whether the process serves, and note when it does."""
+        """Poll until the process is ready, and record when it is."""
         if self.answers_readiness():
             self.ready_at = self.environment.loop.now
         elif self.alive:
             self.environment.loop.call_later(READINESS_POLL_INTERVAL_US, self.poll_readiness)
 
     def answers_readiness(self) -> bool:
-        """Ask once; a refused or slow connection is a no."""
+        """Probe once; a refused or slow connection counts as not ready."""
         try:
             with socket.create_connection(self.address, timeout=CONNECT_TIMEOUT_S) as sock:
                 sock.sendall(READINESS_REQUEST)
@@ -114,7 +114,7 @@
             return False
 
     def measure(self) -> None:
-        """Note CPU and peak memory so far, as the system counts them."""
+        """Record the CPU time and peak memory so far, as the system counts them."""
         if not self.process:
             return
         with suppress(OSError, ValueError, IndexError):
@@ -128,7 +128,7 @@
         return self.process is not None and self.process.poll() is not None
 
     def kill(self) -> None:
-        """Send SIGKILL to the processes, after their CPU and memory are noted."""
+        """Send SIGKILL to the processes, after their CPU time and memory are recorded."""
         if self.alive and self.process:
             self.measure()
             self.kill_predecessor()
@@ -138,25 +138,25 @@
             self.mark_ended(end)
 
     def process_end(self, incarnation: int) -> ProcessEnd:
-        """Return how an incarnation has ended; the present one is asked of the system."""
+        """Return whether and how an incarnation has ended; the current process is polled."""
         if not self.alive or incarnation != self.incarnation or incarnation in self.ends:
             return super().process_end(incarnation)
-        code = self.process.poll() if self.process else None
-        if code is None:
+        exit_code = self.process.poll() if self.process else None
+        if exit_code is None:
             return ProcessEnd.RUNNING
-        # one that the run has sent is in `ends`: any other SIGKILL nobody has asked for
-        is_planned = code == -signal.SIGKILL and self.may_kill_itself
+        # SIGKILL sent by the run is recorded in `ends`: any other is unexpected unless planned
+        is_planned = exit_code == -signal.SIGKILL and self.may_kill_itself
         return ProcessEnd.KILLED if is_planned else ProcessEnd.EXITED
 
     def mark_if_ended(self) -> None:
-        """Take note of an end that is not known yet; one that nobody asked for is a crash."""
-        code = self.process.poll() if self.process else None
-        if not self.alive or code is None:
+        """Record an end of the process that was not known yet; an unrequested end is a crash."""
+        exit_code = self.process.poll() if self.process else None
+        if not self.alive or exit_code is None:
             return
         end = self.process_end(self.incarnation)
         if end is ProcessEnd.EXITED and not self.is_shutting_down:
             now_us = self.environment.loop.now
-            self.environment.invariant_checker.on_balancer_crashed(self.name, code, now_us)
+            self.environment.invariant_checker.on_balancer_crashed(self.name, exit_code, now_us)
         self.mark_ended(end)
 
     def release(self) -> None:
@@ -190,13 +190,13 @@
             self.process.send_signal(signal.SIGHUP)
 
     def start_successor(self, known: dict[str, Any]) -> None:
-        """Start a second process beside the first."""
+        """Start a second process while the first still runs."""
         self.kill_predecessor()
         self.predecessor = self.process
         self.spawn(known)
 
     def successor_is_ready(self) -> bool:
-        """Ask the newest process at its admin address."""
+        """Query the newest process at its admin address."""
         try:
             return call_balancer(self.admin_address, admin_protocol.HEALTH).succeeded
         except OSError:
@@ -216,7 +216,7 @@
 
 
 def process_costs(processes: list[BalancerProcess], request_count: int) -> dict[str, float]:
-    """Return what the processes add to the verdict: CPU in us a request, peak memory in MiB."""
+    """Return the processes' verdict fields: CPU per request in us, peak memory in MiB."""
     for process in processes:
         process.measure()
     cpu_us = sum(process.cpu_seconds for process in processes) * 1e6
--- a/orchidgap/simulation/balancer_settings.py
+++ b/orchidgap/simulation/balancer_settings.py
@@ -1,6 +1,6 @@
 """The configuration of a balancer under test, as the operators' platform would write it.
 
-The words of the operators' files stand here and nowhere else in the simulation's core.
+The keys of the operators' files are used only here in the simulation's core.
 """
 
 from __future__ import annotations
@@ -13,19 +13,21 @@
 from orchidgap.simulation.balancer_instance import BalancerInstance
 from orchidgap.simulation.plan import Plan, RequestClassSpec, milliseconds_to_us, seconds_to_us
 
-RULE_SETS_LISTED_BEFORE_S = 1.5
-RULE_SETS_LISTED_AFTER_S = 3.0
+LISTED_BEFORE_USE_S = 1.5
+LISTED_AFTER_USE_S = 3.0
 GOSSIP_KEY = "a key of this run"
 EFFECTS = {"replayable": "retryable", "uniqued": "dedup", "non-replayable": "fragile"}
 
 
-def is_listed_at(work: RequestClassSpec, second: float) -> bool:
-    """Return whether settings written at this second of a run have the rule set.
+def is_listed_at(request_class: RequestClassSpec, second: float) -> bool:
+    """Return whether settings written at this second of a run include the request class.
 
-    They have it from a little before clients name it until a little after.
+    They include it from 1.5 s before until 3 s after clients use it.
     """
-    begun = work.from_s - RULE_SETS_LISTED_BEFORE_S <= max(0.0, second)
-    return begun and (not work.until_s or second < work.until_s + RULE_SETS_LISTED_AFTER_S)
+    has_begun = request_class.from_s - LISTED_BEFORE_USE_S <= max(0.0, second)
+    return has_begun and (
+        not request_class.until_s or second < request_class.until_s + LISTED_AFTER_USE_S
+    )
 
 
 def process_document(
@@ -35,7 +37,7 @@
     known: dict[str, Any],
     has_admin: bool,
 ) -> dict[str, Any]:
-    """Return the part that is the process's own: addresses, seed, limits, endpoint list."""
+    """Return the part that is specific to the process: addresses, seed, limits, endpoint list."""
     seed_text = f"{seed} {balancer.name} {balancer.incarnation}"
     document: dict[str, Any] = {
         "name": balancer.name,
@@ -55,9 +57,9 @@
 
 
 def settings_document(
-    plan: Plan, max_attempts: int, works: Iterable[RequestClassSpec]
+    plan: Plan, max_attempts: int, request_classes: Iterable[RequestClassSpec]
 ) -> dict[str, Any]:
-    """Return the settings that the decisions run under, with the rule sets of `works`."""
+    """Return the settings of the decisions, with rule sets for these request classes."""
     return {
         "instances": plan.balancer_count,
         "registry-mode": "subscribe",
@@ -72,12 +74,12 @@
             "warm-after": seconds_to_us(plan.cache.warm_up_s),
         },
         "customers": [{"name": tenant.name, "share": tenant.quota} for tenant in plan.tenants()],
-        "rule-sets": [rule_set_document(work) for work in works],
+        "rule-sets": [rule_set_document(request_class) for request_class in request_classes],
     }
 
 
 def ceilings_document(plan: Plan, max_attempts: int) -> dict[str, Any]:
-    """Return what the decisions may at most do."""
+    """Return the limits and permissions of the decisions."""
     ceilings = plan.limits
     return {
         "most-dispatches": max_attempts,
@@ -90,20 +92,20 @@
     }
 
 
-def rule_set_document(work: RequestClassSpec) -> dict[str, Any]:
-    """Return one rule set, with its times in microseconds."""
+def rule_set_document(request_class: RequestClassSpec) -> dict[str, Any]:
+    """Return the rule set of a request class, with times in microseconds."""
     return {
-        "name": work.name,
-        "effect": EFFECTS[work.effect],
-        "group": work.deduplication_scope,
-        "response-target": milliseconds_to_us(work.latency_objective_ms),
-        "client-timeout": milliseconds_to_us(work.client_timeout_ms),
-        "repeat-window": milliseconds_to_us(work.deduplication_window_ms),
+        "name": request_class.name,
+        "effect": EFFECTS[request_class.effect],
+        "group": request_class.deduplication_scope,
+        "response-target": milliseconds_to_us(request_class.latency_objective_ms),
+        "client-timeout": milliseconds_to_us(request_class.client_timeout_ms),
+        "repeat-window": milliseconds_to_us(request_class.deduplication_window_ms),
     }
 
 
 def resp_document(plan: Plan, seeds: list[str]) -> dict[str, Any]:
-    """Return the part for RESP: the addresses that the slot map is first asked from."""
+    """Return the part for RESP, with the servers that the slot map is first requested from."""
     return {
         "seeds": seeds,
         "timeout-ms": plan.request_classes()[0].client_timeout_ms,
@@ -114,7 +116,7 @@
 def gossip_document(
     plan: Plan, balancer: BalancerInstance, others: Iterable[BalancerInstance]
 ) -> dict[str, Any]:
-    """Return what a balancer is told of the others."""
+    """Return the gossip settings, with the addresses of the other balancers."""
     return {
         "listen": format_address(balancer.gossip_address),
         "key": GOSSIP_KEY,
--- a/orchidgap/simulation/balancer_weights.py
+++ b/orchidgap/simulation/balancer_weights.py
@@ -1,4 +1,4 @@
-"""How much of the clients' traffic each balancer gets."""
+"""The distribution of the clients' traffic over the balancers."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from orchidgap.simulation.plan import ClientModel
 
-BUSY_WEIGHT = 10.0  # of a balancer that gets more than others
-LEAST_REST_RATIO = 0.01
+BUSY_WEIGHT = 10.0  # factor on the weight of a busy balancer
+MIN_REST_RATIO = 0.01
 
 
 class BalancerWeights:
     """The weights by which clients choose among balancers.
 
     Attributes:
-        traffic_ratios: The part of all traffic that a balancer gets, where that is set.
+        traffic_ratios: The ratio of all traffic that a balancer gets, if a fault sets it.
     """
 
     def __init__(self, names: Sequence[str], settings: ClientModel, rng: Random) -> None:
-        """Draw which balancers get more than others.
+        """Draw the weights.
 
         Args:
-            names: Of all balancers.
-            settings: How uneven the traffic is.
-            rng: What the weights are drawn from.
+            names: Names of all balancers.
+            settings: The plan's settings for the spread of traffic.
+            rng: The random generator to draw from.
         """
         self.traffic_ratios: dict[str, float] = {}
         self._weights = {name: 1.0 + settings.balancer_skew * rng.uniform(-1, 1) for name in names}
@@ -39,7 +39,7 @@
     def running_sums(self, names: list[str]) -> list[float]:
         """Return the running sums of the weights of these balancers.
 
-        The last ones are remembered: mostly the same balancers accept.
+        The last result is cached, as the accepting balancers rarely change.
         """
         if self.traffic_ratios:
             return list(accumulate(self._with_traffic_ratios(names)))
@@ -54,5 +54,5 @@
             if name in self.traffic_ratios and len(names) > 1:
                 others = sum(weights) - weights[index]
                 ratio = self.traffic_ratios[name]
-                weights[index] = others * ratio / max(LEAST_REST_RATIO, 1 - ratio)
+                weights[index] = others * ratio / max(MIN_REST_RATIO, 1 - ratio)
         return weights
--- a/orchidgap/simulation/baselines.py
+++ b/orchidgap/simulation/baselines.py
@@ -1,8 +1,8 @@
-"""Textbook balancers on the decisions' port, to compare with: none of them is meant to serve.
+"""Textbook balancers on the decisions' port, for comparison; none is meant for production.
 
-They know the rules on retries (`decisions.retry_policy`), send a cache miss to the origin and try
-another host after a failure. They keep no limits, know nothing of hosts that warm up and reject
-only where no host is left.
+They follow the rules on retries (`decisions.retry_policy`), send a cache miss to the origin and try
+another host after a failure. They have no concurrency limits, ignore slow start, and reject a
+request only when no host is left.
 """
 
 from __future__ import annotations
@@ -27,24 +27,24 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Decider, Environment
 
-VIRTUAL_NODES_PER_HOST = 64  # on the ring
-LOAD_BOUND = 1.25  # attempts in flight at a host, over the mean of all
+VIRTUAL_NODES_PER_HOST = 64  # on the hash ring
+LOAD_BOUND = 1.25  # limit of a host's attempts in flight, as a multiple of the mean
 NEVER_US = 1 << 50
-ASSUMED_COST_US = 40_000  # of a read at a cache, for the balancer that knows all
-ORIGIN_COST_FACTOR = 2  # a fetch at an origin, in reads at a cache
-ORIGIN_FETCH_WEIGHT = 3  # of a fetch's time against the time at the cache
+ASSUMED_COST_US = 40_000  # the oracle's estimate of a read's work at a cache
+ORIGIN_COST_FACTOR = 2  # work of a fetch at an origin, as a multiple of a read's at a cache
+ORIGIN_FETCH_WEIGHT = 3  # weight of a fetch's time relative to the time at the cache
 
 
 def even_range_owner(slot: int, ids: Sequence[object]) -> list[int]:
-    """Return the index of the host that owns a slot while the ranges are even, as at the start."""
+    """Return the index of a slot's owner while the ranges are even, as they are initially."""
     return [slot * len(ids) // SLOT_COUNT]
 
 
 class BaselineBalancer(RequestTable):
-    """Picks a host and, where that failed, another."""
+    """Base of the policies: picks a host and, after a failure, another one."""
 
     def __init__(self, settings: ServiceSettings, port: Port, seed: int, now: int) -> None:
-        """Start with no hosts at the time `now`, in microseconds; `seed` is for its draws."""
+        """Start without hosts at the time `now`, in microseconds; `seed` is for random draws."""
         super().__init__(settings, port, now)
         self.rng = Random(seed)
         self.caches: list[HostState] = []
@@ -55,27 +55,27 @@
 
     @staticmethod
     def homes(slot: int, ids: list[str]) -> list[int]:
-        """Return the indexes of the caches that may hold a slot's keys at the start: here all."""
+        """Return the indexes of the caches that hold a slot's keys at the start: here all."""
         return list(range(len(ids)))
 
     def pick_host(self, request: Request, hosts: list[HostState]) -> HostState:
-        """Return one of the hosts, of which there is at least one."""
+        """Return one of the hosts; there is at least one."""
         raise NotImplementedError
 
     def on_hosts(self, scope: ListScope, entries: Iterable[HostEntry]) -> None:
-        """The list of hosts has come, or calling for it failed; see `Balancer.on_hosts`."""
+        """Apply a host list, or ignore a failure to get it; see `Balancer.on_hosts`."""
         if scope == ListScope.FAILED:
             return
-        gone = set() if scope == ListScope.CHANGES else set(self.hosts)
+        removed_ids = set() if scope == ListScope.CHANGES else set(self.hosts)
         for entry in entries:
             host_id, state = entry[:2]
             if state == HostStatus.GONE:
-                gone.add(host_id)
+                removed_ids.add(host_id)
             else:
-                gone.discard(host_id)
+                removed_ids.discard(host_id)
             self._update_host(entry)
         known = sorted(self.hosts.items())
-        self.hosts = {host_id: host for host_id, host in known if host_id not in gone}
+        self.hosts = {host_id: host for host_id, host in known if host_id not in removed_ids}
         ready = [host for host in self.hosts.values() if host.state == HostStatus.READY]
         self.caches = [host for host in ready if not host.is_origin]
         self.origins = [host for host in ready if host.is_origin]
@@ -94,13 +94,13 @@
         host.weight = weight
 
     def on_caches_changed(self) -> None:
-        """`caches` has been set anew."""
+        """Update what depends on `caches`, which has changed."""
 
     def on_response_truncated(self, host_id: str) -> None:
-        """An answer that had begun to reach its client broke off: it makes no difference here."""
+        """Do nothing: answers cut off in the middle do not matter to these policies."""
 
     def on_body_complete(self, request_id: int, time_remaining_us: int, waited_us: int = 0) -> None:
-        """The last byte of a streaming body has come: the request's time runs from now on."""
+        """Start the timeout of a request whose streaming body is complete."""
         request = self.requests.get(request_id)
         if request is None:
             return
@@ -121,9 +121,9 @@
         slot: int = -1,
         body_streaming: bool = False,
         waited_us: int = 0,
-        is_client_retry: bool = False,  # no policy here tells them apart
+        is_client_retry: bool = False,  # ignored by these policies
     ) -> None:
-        """A request has come; see `Balancer.on_request`. The key is always hashed here."""
+        """Send a new request to a host; see `Balancer.on_request`. The key is always hashed."""
         slot = self.rng.randrange(SLOT_COUNT) if key is None else slot_of_key(key)
         request = Request(
             request_id,
@@ -142,17 +142,17 @@
         self.send_attempt(request)
 
     def send_attempt(self, request: Request) -> None:
-        """Send the request to a host that it has not tried, or reject it where there is none."""
-        goes_to_origin = request.cache_missed or (
+        """Send the request to a host that it has not tried, or reject it if there is none."""
+        needs_origin = request.cache_missed or (
             request.is_write and bool(self.settings.origin_kind)
         )
-        hosts = self._untried_hosts(request, self.origins if goes_to_origin else self.caches)
+        hosts = self._untried_hosts(request, self.origins if needs_origin else self.caches)
         if not hosts or len(request.attempts) >= request.max_attempts:
             is_first = not request.attempts
             reason = RejectionReason.NO_CACHE if is_first else RejectionReason.NOT_REPEATABLE
             self.reject_if_idle(request, reason)
             return
-        if goes_to_origin:
+        if needs_origin:
             host = min(hosts, key=lambda origin: origin.in_flight)
         else:
             host = self.pick_host(request, hosts)
@@ -176,7 +176,7 @@
 
 
 class RetryAtAnotherHost:
-    """Decides what follows from an outcome.
+    """Retries or rejects a request after the outcome of an attempt.
 
     Attributes:
         balancer: Sends the retries.
@@ -187,7 +187,7 @@
         self.balancer = balancer
 
     def on_attempt_done(self, request: Request, attempt: Attempt) -> None:
-        """An attempt of the request has its outcome."""
+        """Handle the outcome of an attempt."""
         if request.answered:
             return
         missed = attempt.outcome == AttemptOutcome.CACHE_MISS and not attempt.host.is_origin
@@ -200,24 +200,24 @@
 
 
 class RandomChoice(BaselineBalancer):
-    """Any host, drawn evenly."""
+    """Picks a host at random, with equal probabilities."""
 
     def pick_host(self, request: Request, hosts: list[HostState]) -> HostState:
-        """Return one of the hosts by chance."""
+        """Return one of the hosts at random."""
         return self.rng.choice(hosts)
 
 
 class LeastInFlight(BaselineBalancer):
-    """The host with the fewest attempts of this balancer in flight."""
+    """Picks the host with the fewest attempts of this balancer in flight."""
 
     def pick_host(self, request: Request, hosts: list[HostState]) -> HostState:
-        """Return one of those with the fewest attempts in flight, by chance."""
-        least = min(host.in_flight for host in hosts)
-        return self.rng.choice([host for host in hosts if host.in_flight == least])
+        """Return one of the hosts with the fewest attempts in flight, at random."""
+        min_in_flight = min(host.in_flight for host in hosts)
+        return self.rng.choice([host for host in hosts if host.in_flight == min_in_flight])
 
 
 class RingPoint(NamedTuple):
-    """A virtual node of a host on the ring."""
+    """A virtual node of a host on the hash ring."""
 
     slot: int
     host_id: str
@@ -230,7 +230,7 @@
 
 @lru_cache(maxsize=64)
 def ring_points(ids: tuple[str, ...]) -> list[RingPoint]:
-    """Return the virtual nodes of all hosts, in the order of their slots."""
+    """Return the virtual nodes of all hosts, sorted by slot."""
     return sorted(
         RingPoint(_virtual_node_slot(host_id, number), host_id)
         for host_id in ids
@@ -239,27 +239,27 @@
 
 
 class ConsistentHashing(BaselineBalancer):
-    """Each host has many points on a ring; a key belongs to the host of the next point.
+    """Consistent hashing: a key belongs to the host of the next virtual node on the ring.
 
     Attributes:
-        points: The ring of the caches that are ready.
+        points: The virtual nodes of the ready caches.
     """
 
     points: list[RingPoint]
 
     @staticmethod
     def homes(slot: int, ids: list[str]) -> list[int]:
-        """Return the index of the cache that owns the slot on the ring of all caches."""
+        """Return the index of the slot's owner on the ring of all caches."""
         points = ring_points(tuple(ids))
         first = bisect_right(points, slot, key=lambda point: point.slot)
         return [ids.index(points[first % len(points)].host_id)]
 
     def on_caches_changed(self) -> None:
-        """Draw the ring anew."""
+        """Rebuild the ring."""
         self.points = ring_points(tuple(host.id for host in self.caches))
 
     def hosts_clockwise(self, request: Request, hosts: list[HostState]) -> Iterable[HostState]:
-        """Yield those of the hosts that follow the request's slot on the ring, once a point."""
+        """Yield the hosts in ring order from the request's slot, once per virtual node."""
         first = bisect_right(self.points, request.slot, key=lambda point: point.slot)
         for offset in range(len(self.points)):
             point = self.points[(first + offset) % len(self.points)]
@@ -268,18 +268,18 @@
                 yield host
 
     def pick_host(self, request: Request, hosts: list[HostState]) -> HostState:
-        """Return the first of the hosts that follows the slot."""
+        """Return the first of the hosts in ring order."""
         return next(iter(self.hosts_clockwise(request, hosts)))
 
 
 class BoundedLoadHashing(ConsistentHashing):
-    """Consistent hashing that passes over hosts with too much in flight.
+    """Consistent hashing that skips hosts with too many attempts in flight.
 
     Source: Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016.
     """
 
     def pick_host(self, request: Request, hosts: list[HostState]) -> HostState:
-        """Return the first that follows the slot and has room, or any where none has."""
+        """Return the first host in ring order below the bound, else the first of the list."""
         in_flight = sum(host.in_flight for host in self.caches)
         bound = LOAD_BOUND * (in_flight + 1) / len(self.caches)
         for host in self.hosts_clockwise(request, hosts):
@@ -288,11 +288,11 @@
         return hosts[0]
 
 
-class AllKnowing(BaselineBalancer):
-    """Sees the true state of all hosts: a bound that no balancer reaches which has to find out.
+class Oracle(BaselineBalancer):
+    """The oracle: it sees the true state of all hosts, so no real balancer reaches its figures.
 
     Attributes:
-        environment: Of the simulation that it plays in.
+        environment: The simulation that it runs in.
     """
 
     environment: Environment
@@ -300,7 +300,7 @@
     homes = staticmethod(even_range_owner)
 
     def completion_us(self, host_id: str, cost_us: int) -> float:
-        """Return the microseconds until work of that cost would be done at a host."""
+        """Return the microseconds until work of this cost would be done at a host."""
         server = self.environment.servers[host_id]
         if not server.alive or server.vanished or server.draining or server.malformed_ratio:
             return NEVER_US
@@ -310,24 +310,24 @@
         )
         queued_us = running_us + waiting_us
         frozen_us = max(0, server.frozen_until_us - self.now)
-        alone_us = cost_us * server.slowdown / (server.speed * server.warm_ratio())
-        return float(frozen_us + queued_us / server.model.cores + alone_us)
+        own_work_us = cost_us * server.slowdown / (server.speed * server.warm_ratio())
+        return float(frozen_us + queued_us / server.model.cores + own_work_us)
 
     def send_attempt(self, request: Request) -> None:
-        """Reject a read at once that no cache would answer within its latency objective."""
+        """Reject a read that no cache can answer within its latency objective."""
         is_first = not request.attempts and not request.cache_missed and not request.is_write
         if is_first and self.caches:
-            best = min(self.expected_cost_us(request, host) for host in self.caches)
-            if best > request.request_class.latency_objective_us:
+            lowest_cost_us = min(self.expected_cost_us(request, host) for host in self.caches)
+            if lowest_cost_us > request.request_class.latency_objective_us:
                 self.reject_if_idle(request, RejectionReason.LONG_QUEUE)
                 return
         super().send_attempt(request)
 
     def expected_cost_us(self, request: Request, host: HostState) -> float:
-        """Return what a read costs at a cache, with the fetch from an origin where it needs one.
+        """Return the cost of a read at a cache, including a fetch from an origin if it needs one.
 
-        A cache other than the slot's owner that does not hold the key is charged another read: the
-        key would be held twice.
+        A cache that neither owns the slot nor holds the key costs another read, because the key
+        would be cached twice.
         """
         cost_us = ASSUMED_COST_US
         key = self.environment.key_of(request.key)
@@ -340,13 +340,13 @@
         )
 
     def _fetch_us(self, cost_us: int) -> float:
-        at_origins = [
+        fetch_times_us = [
             self.completion_us(origin.id, ORIGIN_COST_FACTOR * cost_us) for origin in self.origins
         ]
-        return min(at_origins, default=NEVER_US)
+        return min(fetch_times_us, default=NEVER_US)
 
     def pick_host(self, request: Request, hosts: list[HostState]) -> HostState:
-        """Return the cheapest of the hosts for this request."""
+        """Return the host with the lowest cost for this request."""
         return min(hosts, key=lambda host: (self.expected_cost_us(request, host), host.id))
 
 
@@ -362,15 +362,15 @@
 
 
 def policy_class(name: str, environment: Environment | None = None) -> Decider:
-    """Return what makes the balancers of a policy.
+    """Return the factory of a policy's decision logic.
 
     Args:
         name: One of `POLICY_NAMES`.
-        environment: What the oracle may look into; the other policies ignore it.
+        environment: The simulation whose state the oracle reads; the other policies ignore it.
 
     Raises:
         KeyError: There is no policy of that name.
     """
     if name == ORACLE:
-        return cast("Decider", type("Oracle", (AllKnowing,), {"environment": environment}))
+        return cast("Decider", type("Oracle", (Oracle,), {"environment": environment}))
     return PROCESS_POLICIES[name]
--- a/orchidgap/simulation/discovery_server.py
+++ b/orchidgap/simulation/discovery_server.py
@@ -1,6 +1,6 @@
-"""Stand-in discovery: the endpoint list with its versions, and an agent for each balancer.
+"""Simulated discovery: the endpoint list with its versions, and an agent for each balancer.
 
-An agent answers polls at once and holds a watch until the list changes or its time is up.
+An agent answers polls at once, and a watch when the list changes or the watch's timeout expires.
 Times are in microseconds of the loop's clock, unless a name says otherwise.
 """
 
@@ -20,26 +20,27 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-MAX_CALLS_PER_SECOND = 40  # from one balancer: no list changes that often
-PRESUMED_KNOWN_AFTER_US = 6_000_000  # a change counts as known then, also to one that does not ask
-DELAY_SPREAD = (0.7, 1.3)  # of the delays before a change is listed
+MAX_CALLS_PER_SECOND = 40  # from one balancer; no list changes that often
+# a change counts as known to a balancer after this time, even if the balancer does not poll
+PRESUMED_KNOWN_AFTER_US = 6_000_000
+DELAY_SPREAD = (0.7, 1.3)  # range of factors on the delay before a change is listed
 
 READY = "Ready"
 GONE = "Gone"
 CHECKER_STATES = {READY: "up", "Terminating": "draining", GONE: "gone"}
 
-Entry = dict[str, Any]  # one host, with the keys of the operators' protocol
+Entry = dict[str, Any]  # one host, with the keys of the discovery protocol
 
 
 class EndpointList(NamedTuple):
-    """A version of the list and the hosts in it."""
+    """A version of the list and its entries."""
 
     version: int
     entries: list[Entry]
 
 
 class DiscoveryServer:
-    """An entry for each host, and in which version each last changed."""
+    """The endpoint list, with the version in which each entry last changed."""
 
     def __init__(self, environment: Environment) -> None:
         """Start with an empty list, of version 1."""
@@ -52,9 +53,9 @@
         self.version_times: list[tuple[int, int]] = [(1, 0)]
 
     def add(
-        self, host: str, address: Address, kind: str, zone: int, rating: float, born: int
+        self, host: str, address: Address, kind: str, zone: int, weight: float, started_at_us: int
     ) -> None:
-        """List a host that is ready; `rating` is its share of the load beside the others."""
+        """Add a ready host to the list; `weight` is its relative share of the load."""
         self.entries[host] = {
             "host": host,
             "dial": f"{address[0]}:{address[1]}",
@@ -62,13 +63,13 @@
             "class": kind,
             "block": host,
             "health": READY,
-            "share": round(rating, 3),
-            "born_ms": born // 1000,
+            "share": round(weight, 3),
+            "born_ms": started_at_us // 1000,
         }
         self.changed_in[host] = self.version
 
     def set_health(self, host: str, health: str) -> None:
-        """List a host with another health; one that ended again is not listed as ready."""
+        """Change a host's health in the list; a host that is down is not listed as ready."""
         entry = self.entries[host]
         server = self.environment.servers[host]
         born_ms = server.started_at_us // 1000
@@ -87,32 +88,32 @@
             self.loop.call_later(PRESUMED_KNOWN_AFTER_US, agent.presume_known, self.version)
 
     def draw_delay_us(self, seconds: float) -> int:
-        """Draw a delay around so many seconds."""
+        """Draw a delay around this number of seconds."""
         return seconds_to_us(seconds * self.environment.rng.uniform(*DELAY_SPREAD))
 
     def set_health_later(self, host: str, health: str, seconds: float) -> None:
-        """List a host with another health after about so many seconds."""
+        """Change a host's health in the list after about this number of seconds."""
         self.loop.call_later(self.draw_delay_us(seconds), self.set_health, host, health)
 
     def remove_later(self, host: str, seconds: float) -> None:
-        """Take a host off after about so many seconds, where it is not back by then."""
+        """Remove a host after about this number of seconds, unless it is running again by then."""
         self.loop.call_later(self.draw_delay_us(seconds), self.remove_if_down, host)
 
     def remove_if_down(self, host: str) -> None:
-        """Take a host off the list, where it does not run or cannot be reached."""
+        """Remove a host from the list if it does not run or cannot be reached."""
         server = self.environment.servers[host]
         if not server.alive or server.vanished:
             self.set_health(host, GONE)
 
     def version_before(self, lag_us: int) -> int:
-        """Return the version that an agent knows which is so far behind."""
+        """Return the version known to an agent that lags behind by this time."""
         if not lag_us:
             return self.version
         known_until = self.loop.now - lag_us
         return max(version for version, at in self.version_times if at <= known_until)
 
     def changes_since(self, after: int | None, up_to: int) -> tuple[bool, list[Entry]]:
-        """Return whether it is the whole list, and copies of its entries."""
+        """Return whether the result is the whole list, and copies of the entries."""
         if after is None or after > self.version:
             listed = [entry for entry in self.entries.values() if entry["health"] != GONE]
             return True, [dict(entry) for entry in listed]
@@ -125,18 +126,18 @@
 class DiscoveryAgent:
     """Discovery's agent on a balancer's machine.
 
-    `latest` is the list that the balancer would remember over a restart. `rejection_ratio` is
-    the part of connections that are closed at once.
+    `latest` is the last list that the balancer received, which it keeps across a restart.
+    `rejection_ratio` is the ratio of connections that are closed at once.
     """
 
     def __init__(self, server: DiscoveryServer, balancer: str, address: Address) -> None:
-        """Listen at the address that the balancer polls."""
+        """Listen at the address that the balancer connects to."""
         self.server = server
         self.balancer = balancer
         self.loop = server.loop
         self.silent = False
         self.lag_us = 0
-        self.frozen_version = 0  # 0 where it is not frozen
+        self.frozen_version = 0  # 0 if it is not frozen
         self.rejection_ratio = 0.0
         self.call_second = 0
         self.calls_in_second = 0
@@ -146,7 +147,7 @@
         server.environment.network.listen(address, self.accept)
 
     def accept(self, sock: socket.socket, name: str) -> None:
-        """Serve a connection, or close it where the agent is overloaded."""
+        """Serve a connection, or close it if the agent is overloaded."""
         rng = self.server.environment.rng
         if self.rejection_ratio and rng.random() < self.rejection_ratio:
             self.count_call()
@@ -155,7 +156,7 @@
         return None
 
     def count_call(self) -> None:
-        """Count a call; it is a breach where one balancer makes too many in a second."""
+        """Count a call; too many from one balancer in a second are a breach."""
         checker = self.server.environment.invariant_checker
         second = self.loop.now // 1_000_000
         checker.list_calls += 1
@@ -165,11 +166,11 @@
         self.calls_in_second += 1
         if self.calls_in_second == MAX_CALLS_PER_SECOND + 1:
             limit = f"more than {MAX_CALLS_PER_SECOND} times in a second"
-            why = f"discovery: {self.balancer} asked {limit}"
+            why = f"discovery: {self.balancer} called {limit}"
             checker.record_breach("cold", self.loop.now, why)
 
     def on_change(self) -> None:
-        """Answer watches once this agent hears of a change."""
+        """Answer watches when this agent is notified of a change."""
         if self.silent or self.frozen_version:
             return
         if self.lag_us:
@@ -178,12 +179,12 @@
             self.answer_watches()
 
     def answer_watches(self) -> None:
-        """Answer what waits, where there is something to tell."""
+        """Answer the pending calls for which there is a change."""
         for connection in list(self.connections):
             connection.answer_if_changed()
 
     def set_fault(self, silent: bool = False, lag_us: int = 0, frozen: bool = False) -> None:
-        """Have it answer nothing, answer late or from an old list; without arguments, heal it."""
+        """Answer nothing, late, or from an old list; without arguments the agent recovers."""
         self.silent = silent
         self.lag_us = lag_us
         self.frozen_version = self.server.version if frozen else 0
@@ -194,7 +195,7 @@
             self.loop.call_later(PRESUMED_KNOWN_AFTER_US, self.presume_known, version)
 
     def presume_known(self, version: int) -> None:
-        """Count a version as known: not asking must not be a way to keep the drain rule."""
+        """Count a version as known: not polling must not be a way to pass the drain rule."""
         is_faulty = self.silent or self.lag_us or self.frozen_version
         if is_faulty or self.notified_version >= version:
             return
@@ -203,9 +204,9 @@
             self.note_notified(version, whole, entries)
 
     def note_notified(self, version: int, whole: bool, entries: list[Entry]) -> None:
-        """Tell the invariant checker what the balancer knows from now on."""
+        """Record the entries that the balancer now knows, and report them to the checker."""
         checker = self.server.environment.invariant_checker
-        now = self.loop.clock()  # the turn may have begun long before the write
+        now = self.loop.clock()  # the turn may have started long before the write
         self.notified_version = max(self.notified_version, version)
         by_host = {entry["host"]: entry for entry in entries}
         for host, entry in by_host.items():
@@ -226,7 +227,7 @@
     """A balancer's connection to its agent, with one call at a time."""
 
     def __init__(self, agent: DiscoveryAgent, sock: socket.socket) -> None:
-        """Watch the connection; nothing is asked yet."""
+        """Watch the connection; no call is pending yet."""
         self.agent = agent
         self.reader = RequestReader()
         self.after: int | None = None
@@ -235,18 +236,18 @@
         self.conn = Connection(agent.loop, sock, self)
 
     def opened(self) -> None:
-        """Do nothing: the balancer speaks first."""
+        """Do nothing: the balancer sends first."""
 
     def received(self, view: memoryview) -> None:
-        """Take bytes from the balancer."""
+        """Process received bytes of a call."""
         self.reader.feed(view)
         if self.reader.message.error_status:
-            self.conn.fail("bad call")
+            self.conn.fail("invalid call")
         elif self.reader.message.complete and not self.pending:
             self.on_call()
 
     def on_call(self) -> None:
-        """Begin a call: `after` is the version that is known, `wait_ms` how long it may wait."""
+        """Begin a call: `after` is the balancer's version, `wait_ms` the timeout of a watch."""
         self.agent.count_call()
         parts = urlsplit(self.reader.message.target.decode())
         query = parse_qs(parts.query)
@@ -258,12 +259,12 @@
         self.answer_if_changed()
 
     def on_wait_over(self, until: int) -> None:
-        """Answer the call that was to wait until then, changed or not."""
+        """Answer the call whose timeout has expired, even without a change."""
         if self.pending and until == self.waits_until:
             self.answer_if_changed(True)
 
     def current_answer(self) -> tuple[int, bool, list[Entry]]:
-        """Return the version to tell, whether the list is whole, and its entries."""
+        """Return the version to send, whether the list is whole, and its entries."""
         agent = self.agent
         if agent.frozen_version and self.after is not None:
             return max(self.after, agent.frozen_version), False, []
@@ -274,7 +275,7 @@
         return version, whole, entries
 
     def answer_if_changed(self, due: bool = False) -> None:
-        """Answer the call, where there is news or its time is up."""
+        """Answer the call if there is a change or its timeout has expired."""
         agent = self.agent
         if not self.pending or agent.silent or not self.conn.is_open:
             return
--- a/orchidgap/simulation/ingress.py
+++ b/orchidgap/simulation/ingress.py
@@ -1,6 +1,6 @@
-"""The layer before the balancers.
+"""The layer that spreads clients over the balancers.
 
-It asks each whether it serves, and sends no new client to one that does not.
+It probes whether each balancer is ready, and opens no new connections to one that is not.
 """
 
 from __future__ import annotations
@@ -18,67 +18,67 @@
 
 PROBE_INTERVAL_US = 100_000
 PROBE_TIMEOUT_US = 1_000_000
-CLOSED_AFTER_US = 200_000  # new connections still come for so long after the first refusal
+CLOSED_AFTER_US = 200_000  # time from the first failed probe to the end of new connections
 PROBE_REQUEST = b"GET /up HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n"
 READY_STATUS = 200
 
 
 class HealthProbe:
-    """One question to a balancer whether it serves; tells the ingress the answer, once."""
+    """One readiness probe of a balancer; it reports one result to the ingress."""
 
     def __init__(self, ingress: Ingress, balancer: str, sock: socket.socket, opening: bool) -> None:
-        """Ask on a socket that is connected or, with `opening`, on its way."""
+        """Probe on a socket that is connected or, with `opening`, still connecting."""
         loop = ingress.environment.loop
         self.ingress = ingress
         self.balancer = balancer
         self.reader = ResponseReader()
-        self.settled = False
+        self.is_done = False
         self.conn = Connection(loop, sock, self, opening=opening)
         self.conn.send(PROBE_REQUEST)
         loop.call_later(PROBE_TIMEOUT_US, self._time_out)
 
     def opened(self) -> None:
-        """The connection has come up; the question goes out by itself."""
+        """Do nothing: the request is buffered and is sent automatically."""
 
     def received(self, view: memoryview) -> None:
-        """Take bytes of the answer."""
+        """Process received bytes of the answer."""
         self.reader.feed(view)
         message = self.reader.message
-        if message.complete and not self.settled:
-            self._settle(message.status == READY_STATUS)
+        if message.complete and not self.is_done:
+            self._report(message.status == READY_STATUS)
             self.conn.close_gracefully()
 
     def ended(self, what: str) -> None:
-        """The connection ended; without an answer that counts as a no."""
-        if not self.settled:
-            self._settle(is_ready=False)
+        """Report the balancer as not ready if the connection ended without an answer."""
+        if not self.is_done:
+            self._report(is_ready=False)
 
-    def _settle(self, is_ready: bool) -> None:
-        self.settled = True
+    def _report(self, is_ready: bool) -> None:
+        self.is_done = True
         self.ingress.on_probe_result(self.balancer, is_ready)
 
     def _time_out(self) -> None:
-        if not self.settled:
-            self.conn.fail("late")
+        if not self.is_done:
+            self.conn.fail("timeout")
 
 
 class Ingress:
-    """Deals out connections: none to a balancer that has said for a while that it does not serve.
+    """Probes balancers; those that are not ready for a while get no new connections.
 
     Attributes:
-        is_active: Whether it probes at all: only where a plan has operators.
-        not_ready_since_us: Since when each balancer that is not ready has said so.
+        is_active: Whether it probes: only if the plan has faults of operators.
+        not_ready_since_us: When each balancer that is not ready first failed a probe.
     """
 
     def __init__(self, environment: Environment) -> None:
-        """Probe in an environment whose plan has a fault of the operators."""
+        """Probe only if the environment's plan has a fault of operators."""
         faults = environment.plan.faults
         self.environment = environment
         self.is_active = any(fault.kind in OPERATOR_FAULT_KINDS for fault in faults)
         self.not_ready_since_us: dict[str, int] = {}
 
     def start(self) -> None:
-        """Begin to probe, where it probes at all."""
+        """Start probing, if the ingress is active."""
         if self.is_active:
             self._probe_all()
 
@@ -95,13 +95,13 @@
         environment.loop.call_later(PROBE_INTERVAL_US, self._probe_all)
 
     def on_probe_result(self, balancer: str, is_ready: bool) -> None:
-        """A balancer said whether it serves, or could not be asked."""
+        """Record the result of a probe; an unreachable balancer is not ready."""
         if is_ready:
             self.not_ready_since_us.pop(balancer, None)
         else:
             self.not_ready_since_us.setdefault(balancer, self.environment.loop.now)
 
     def is_closed(self, balancer: str) -> bool:
-        """Return whether no new connection goes to a balancer."""
+        """Return whether a balancer gets no new connections."""
         since_us = self.not_ready_since_us.get(balancer)
         return since_us is not None and self.environment.loop.now - since_us > CLOSED_AFTER_US
--- a/orchidgap/simulation/observations.py
+++ b/orchidgap/simulation/observations.py
@@ -1,6 +1,4 @@
-"""What clients and hosts saw of a simulation's requests: the records that the invariant checker
-judges.
-"""
+"""Records of requests by clients and hosts of a simulation, which the invariant checker checks."""
 
 from __future__ import annotations
 
@@ -9,18 +7,17 @@
 
 from orchidgap.simulation.plan import RequestClassSpec
 
-# bodies hold at most that on the operators' page; what is larger is streamed
+# limit of a body's size on the operators' page; larger bodies are streamed
 LARGE_BODY_BYTES = 1 << 16
-NO_PROCESS = 0  # an incarnation that none has
+NO_PROCESS = 0  # not the incarnation of any process
 
 
 @dataclass(slots=True, eq=False)
 class Operation:
     """What a client wants, over all its attempts. Times in microseconds.
 
-    `work_us` is its work on a core of speed 1. Only `counted` ones enter the figures.
-    `effect_count` tells how often a write took effect; `completed_at_us` is 0 until it was
-    answered.
+    `work_us` is its work on a core of speed 1. Only operations with `counted` enter the figures.
+    `effect_count` is how often a write took effect; `completed_at_us` is 0 until it is answered.
     """
 
     number: int
@@ -39,10 +36,10 @@
 class HostAttempt:
     """One attempt of a balancer at a host, as the host saw it. Times in microseconds.
 
-    `work_us` is what its work took. `outcome` is what the host answered, once that was written;
-    `streaming` tells that it still sends a large answer; `was_broken_off`, that it ended its own
-    answer before that was whole, or spoilt it; `writing_paused_us` is how long it paused between
-    the pieces of a large answer, as the plan has slow writers do.
+    `work_us` is how long its work took. `outcome` is the host's answer, set once it is written;
+    `streaming` is whether it is still sending a large answer; `was_broken_off` is whether its
+    answer was incomplete or malformed by itself; `writing_paused_us` is how long it paused between
+    the pieces of a large answer, as the plan's slow writers do.
     """
 
     client_attempt: ClientAttempt
@@ -62,13 +59,18 @@
 class ClientAttempt:
     """One attempt of a client at one balancer. Times in microseconds, 0 until they are known.
 
-    `incarnation` is which run of the balancer it met; `abandoned`: its client went away first;
-    `left_at_us`: when its client closed its connection before the answer had come;
-    `produced_bodies`: what hosts produced for it, by fingerprint; `max_attempts`: of the balancer,
-    where that is not the plan's; `start_line` (method and target), `idempotency_key` and `body`:
-    what its client sends, which goes on unchanged; `message`: the same with its head;
-    `was_resent`: once more, as the end of its first connection had crossed it;
-    `reading_paused_us`: how long its client read nothing, as the plan has slow readers do.
+    Attributes with a meaning beyond their name:
+
+    * `incarnation`: the balancer's incarnation that it was sent to.
+    * `abandoned`: its client gave up, or its balancer was killed, before it was answered.
+    * `left_at_us`: when its client closed the connection before the answer had arrived.
+    * `produced_bodies`: the bodies that hosts produced for it, by fingerprint.
+    * `max_attempts`: the balancer's limit when the request arrived, 0 for the plan's.
+    * `start_line` (method and target), `idempotency_key`, `body`: as the client sends them; they
+      must reach hosts unchanged.
+    * `message`: the encoded request.
+    * `was_resent`: it was sent again after it had raced the close of its first connection.
+    * `reading_paused_us`: how long its client paused reading, as the plan's slow readers do.
     """
 
     id: bytes
@@ -97,7 +99,7 @@
 
 
 def body_fingerprint(body: bytes) -> bytes:
-    """What stands for a body: itself, or its digest where it is large.
+    """Return a value that identifies a body: itself, or a digest if it is large.
 
     >>> body_fingerprint(b"small"), len(body_fingerprint(b"x" * 100_000))
     (b'small', 16)
--- a/orchidgap/simulation/plan_file.py
+++ b/orchidgap/simulation/plan_file.py
@@ -150,7 +150,7 @@
         if name != "name" and value == defaults[name]:
             continue
         if isinstance(value, dict):
-            # a given origin table starts from the defaults of HostModel, not from the default origin
+            # an origin table starts from the defaults of HostModel, not from the default origin
             base = msgspec.to_builtins(HostModel()) if name == "origin" else defaults[name]
             changed = {key: entry for key, entry in value.items() if entry != base[key]}
             tables += ["", f"[{name}]", *_format_entries(changed)]
--- a/orchidgap/simulation/process.py
+++ b/orchidgap/simulation/process.py
@@ -1,4 +1,4 @@
-"""A balancer process that decides by another policy.
+"""A balancer process with another policy.
 
 Usage: `python -m orchidgap.simulation.process POLICY --config=FILE`
 """
@@ -14,7 +14,7 @@
 
 
 def main() -> None:
-    """Serve until told to end; a configuration that is not valid ends it with one line."""
+    """Serve until stopped; exit with a one-line message if the configuration is invalid."""
     policy = sys.argv[1]
     config = sys.argv[2].partition("=")[2]
     try:
--- a/orchidgap/simulation/runner.py
+++ b/orchidgap/simulation/runner.py
@@ -1,4 +1,4 @@
-"""Plays a plan once and keeps what the report needs."""
+"""Runs a plan once and writes the data of its report."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 MAX_LOG_RECORDS_KEPT = 2_000
 
-# the plan of `orchidgap try`
+# plan of the command `orchidgap try`
 TRY = validate_plan(
     {
         "name": "try",
@@ -35,16 +35,16 @@
 def simulation_of(
     plan: Plan, seed: int | None = None, real: bool = False, policy: str = "orchidgap"
 ) -> Simulation:
-    """Return a simulation of a plan, not played yet; `real` is on loopback.
+    """Return a simulation of a plan without running it; with `real` it runs on loopback.
 
     Raises:
-        ScenarioError: there is no such policy, or it cannot be played on loopback.
+        ScenarioError: the policy is unknown, or cannot run on loopback.
     """
     if policy not in POLICY_NAMES:
         raise ScenarioError(f"no policy {policy!r}: one of {', '.join(POLICY_NAMES)}")
     if policy == "oracle" and real:
         raise ScenarioError(
-            "the oracle sees the stand-ins' state, which a process of its own cannot"
+            "the oracle reads the simulated hosts' state, which a separate process cannot"
         )
     return Simulation(plan, seed, real, policy)
 
@@ -56,16 +56,17 @@
     policy: str = "orchidgap",
     tick: Callable[[float], None] | None = None,
 ) -> tuple[dict[str, Any], Simulation]:
-    """Play a plan; return the verdict and what is left of the simulation to look at.
+    """Run a plan; return the verdict and the finished simulation.
 
-    `tick` is called each second, with the seconds played. Raises ScenarioError.
+    `tick` is called once per simulated second with the seconds since the start. Raises
+    ScenarioError.
     """
     simulation = simulation_of(plan, seed, real, policy)
     return simulation.play(tick), simulation
 
 
 def log_rows(simulation: Simulation) -> list[list[Any]]:
-    """Return the balancers' first log records: name, seconds, event, and what it says."""
+    """Return the balancers' first log records: name, seconds, event, and its `what` or fields."""
     rows = [
         [balancer.name, record.at_s, record.event, str(record.facts.get("what", record.facts))]
         for balancer in simulation.balancers.values()
@@ -76,7 +77,7 @@
 
 
 def report_document(simulation: Simulation, verdict: dict[str, Any]) -> dict[str, Any]:
-    """Return what a report is drawn from, as plain values; the keys are those of `trial.json`."""
+    """Return the data of a report as plain values; the keys are those of `trial.json`."""
     checker = simulation.invariant_checker
     return {
         "plan": format_plan(simulation.plan),
