--- a/orchidgap/simulation/balancer_connection.py
+++ b/orchidgap/simulation/balancer_connection.py
@@ -70,9 +70,9 @@
 def is_up(sock: socket.socket) -> bool:
     """Return whether the connection is already established.
 
-    >>> near, far = socket.socketpair()
-    >>> with near, far, socket.socket() as alone:
-    ...     is_up(near), is_up(alone)
+    >>> client_end, balancer_end = socket.socketpair()
+    >>> with client_end, balancer_end, socket.socket() as unconnected:
+    ...     is_up(client_end), is_up(unconnected)
     (True, False)
     """
     try:
@@ -348,14 +348,14 @@
         clients = self.clients
         end = classify_request_end(facts)
         if end is RequestEnd.RACED_CLOSE and attempt.was_resent:
-            end = RequestEnd.LOST if attempt.arrived_at_us else RequestEnd.NOT_TAKEN
+            end = RequestEnd.LOST if attempt.arrived_at_us else RequestEnd.NOT_ACCEPTED
         if end is RequestEnd.PROCESS_KILLED:
             attempt.abandoned = True
             clients.on_outcome(attempt, 0, 0)
         elif end is RequestEnd.RACED_CLOSE:
             clients.resend(attempt, self.message, self.balancer)
-        elif end is RequestEnd.NOT_TAKEN:
-            self._on_not_taken(attempt)
+        elif end is RequestEnd.NOT_ACCEPTED:
+            self._on_not_accepted(attempt)
         else:
             self._report_end(attempt, end)
             clients.on_outcome(attempt, STATUS_FAILED, 0)
@@ -390,7 +390,7 @@
         self.clients.environment.invariant_checker.failed_connections += 1
         self.clients.send_attempt(attempt, self.message, self.balancer, fresh=True)
 
-    def _on_not_taken(self, attempt: ClientAttempt) -> None:
+    def _on_not_accepted(self, attempt: ClientAttempt) -> None:
         """Handle a connection that failed or ended before the request was fully written."""
         if self.request_count > 1:
             self._send_on_new_connection(attempt)
--- a/orchidgap/simulation/balancer_settings.py
+++ b/orchidgap/simulation/balancer_settings.py
@@ -22,7 +22,8 @@
 def is_listed_at(request_class: RequestClassSpec, second: float) -> bool:
     """Return whether settings written at this second of a run include the request class.
 
-    They include it from 1.5 s before until 3 s after clients use it.
+    They include it from `LISTED_BEFORE_USE_S` before until `LISTED_AFTER_USE_S` after clients
+    use it.
     """
     has_begun = request_class.from_s - LISTED_BEFORE_USE_S <= max(0.0, second)
     return has_begun and (
--- a/orchidgap/simulation/baselines.py
+++ b/orchidgap/simulation/baselines.py
@@ -54,7 +54,7 @@
             self.call_later(0, port.subscribe)
 
     @staticmethod
-    def homes(slot: int, ids: list[str]) -> list[int]:
+    def initial_owners(slot: int, ids: list[str]) -> list[int]:
         """Return the indexes of the caches that hold a slot's keys at the start: here all."""
         return list(range(len(ids)))
 
@@ -248,7 +248,7 @@
     points: list[RingPoint]
 
     @staticmethod
-    def homes(slot: int, ids: list[str]) -> list[int]:
+    def initial_owners(slot: int, ids: list[str]) -> list[int]:
         """Return the index of the slot's owner on the ring of all caches."""
         points = ring_points(tuple(ids))
         first = bisect_right(points, slot, key=lambda point: point.slot)
@@ -297,7 +297,7 @@
 
     environment: Environment
 
-    homes = staticmethod(even_range_owner)
+    initial_owners = staticmethod(even_range_owner)
 
     def completion_us(self, host_id: str, cost_us: int) -> float:
         """Return the microseconds until work of this cost would be done at a host."""
--- a/orchidgap/simulation/cache_contents.py
+++ b/orchidgap/simulation/cache_contents.py
@@ -37,9 +37,9 @@
 def fill_caches(plan: Plan, rng: Random, decider: Decider, caches: list[Store]) -> None:
     """Fill the caches with the hottest keys, as this decider would have spread them."""
     hot_count = min(plan.keys.count, plan.cache.capacity_keys * plan.cache_count)
-    homes = getattr(decider, "homes", even_range_owner)
+    initial_owners = getattr(decider, "initial_owners", even_range_owner)
     ids = [cache.id for cache in caches]
     for key in reversed(range(hot_count)):  # the hottest last, as they are evicted last
         if rng.random() < plan.keys.warm_ratio:
-            for i in homes(slot_of(b"k%d" % key), ids):
+            for i in initial_owners(slot_of(b"k%d" % key), ids):
                 caches[i].store_copy(key)
--- a/orchidgap/simulation/clients.py
+++ b/orchidgap/simulation/clients.py
@@ -191,9 +191,9 @@
     def choose_balancer(self, excluded: str = "", key: int = 0) -> str | None:
         """Choose a balancer as the ingress does: by weight, without those known to be dead."""
         settings = self.plan.clients
-        notice_us = seconds_to_us(settings.failover_delay_s)
+        failover_delay_us = seconds_to_us(settings.failover_delay_s)
         ingress = self.environment.ingress
-        candidates = self.environment.accepting_balancers(notice_us, self.loop.now)
+        candidates = self.environment.accepting_balancers(failover_delay_us, self.loop.now)
         if excluded or ingress.not_ready_since_us:
             candidates = [
                 name
--- a/orchidgap/simulation/close_records.py
+++ b/orchidgap/simulation/close_records.py
@@ -40,7 +40,7 @@
         client: ClientConnection,
         end: ConnectionEnd,
         closed_at_us: int,
-        was_looked_at: bool = False,
+        had_read_all: bool = False,
     ) -> None:
         """Add the note of a connection that a process is about to close.
 
@@ -49,14 +49,14 @@
             client: The process's end of the connection.
             end: Why it is closed.
             closed_at_us: When the close began.
-            was_looked_at: No bytes were unread then.
+            had_read_all: No bytes were unread then.
         """
         record = CloseRecord(
             closed_at_us,
             client.requests_begun,
             client.requests_answered,
-            not was_looked_at and client.conn.has_unread_bytes(),
-            was_looked_at,
+            not had_read_all and client.conn.has_unread_bytes(),
+            had_read_all,
         )
         self.notes[connection].append(CloseNote(end, record))
 
--- a/orchidgap/simulation/environment.py
+++ b/orchidgap/simulation/environment.py
@@ -88,8 +88,8 @@
         """Return the balancer's zone, 0 for an unknown name."""
         ...
 
-    def accepting_balancers(self, notice: int, now: int) -> list[str]:
-        """Return the balancers that the ingress uses, also dead ones for `notice` microseconds."""
+    def accepting_balancers(self, failover_delay_us: int, now: int) -> list[str]:
+        """Return the balancers that get connections, also dead ones within the failover delay."""
         ...
 
     def process_end(self, balancer: str, incarnation: int) -> ProcessEnd:
--- a/orchidgap/simulation/host_faults.py
+++ b/orchidgap/simulation/host_faults.py
@@ -27,7 +27,7 @@
     for store in pick_hosts(environment, fault):
         store.stop()
         environment.discovery.remove_later(store.id, environment.plan.discovery.removal_delay_s)
-        call_at_end(environment, fault, store.revive)
+        call_at_end(environment, fault, store.restart)
 
 
 def vanish(environment: Environment, fault: Fault) -> None:
@@ -80,7 +80,7 @@
             store.stop()
             environment.discovery.set_health(store.id, "Gone")
             if restart_after_us is not None:
-                environment.loop.call_later(restart_after_us, store.revive)
+                environment.loop.call_later(restart_after_us, store.restart)
 
     def refuse() -> None:
         store.draining = store.alive
@@ -147,4 +147,4 @@
     """The origins stop and come back at the end."""
     for store in origins(environment):
         store.stop()
-        call_at_end(environment, fault, store.revive, False)
+        call_at_end(environment, fault, store.restart, False)
--- a/orchidgap/simulation/plan_file.py
+++ b/orchidgap/simulation/plan_file.py
@@ -125,7 +125,7 @@
             raise ScenarioError(f'{fault.kind} requires dialect = "resp" - at `$.trouble[{i}]`')
         if fault.start_s >= plan.duration_s:
             raise ScenarioError(
-                f"at-s is not before the end ({plan.duration_s:g} s) - at `$.trouble[{i}]`"
+                f"at-s lies behind the end ({plan.duration_s:g} s) - at `$.trouble[{i}]`"
             )
 
 
--- a/orchidgap/simulation/request_end.py
+++ b/orchidgap/simulation/request_end.py
@@ -33,7 +33,7 @@
     """What the end of a connection means for the request in progress on it."""
 
     PROCESS_KILLED = auto()
-    NOT_TAKEN = auto()  # its last byte was not written
+    NOT_ACCEPTED = auto()  # its last byte was not written
     RACED_CLOSE = auto()  # written to a closed connection: its client resends it
     TRUNCATED = auto()  # its client can detect that the answer is incomplete
     LOST = auto()
@@ -47,7 +47,7 @@
         requests_read: Requests that it had read, at least in part.
         requests_answered: Requests that it had answered.
         had_unread_bytes: Bytes had arrived that it had not read.
-        was_looked_at: After that time it read until no more bytes were available.
+        had_read_all: After that time it read until no more bytes were available.
         shut_unread_at_us: When it found unread bytes after it had shut down its sending side; 0 if
             it found none.
     """
@@ -56,7 +56,7 @@
     requests_read: int
     requests_answered: int
     had_unread_bytes: bool
-    was_looked_at: bool = False
+    had_read_all: bool = False
     shut_unread_at_us: int = 0
 
 
@@ -103,7 +103,7 @@
     if facts.process_end is ProcessEnd.KILLED:
         return RequestEnd.PROCESS_KILLED
     if not facts.was_written:
-        return RequestEnd.RACED_CLOSE if raced_close(facts) else RequestEnd.NOT_TAKEN
+        return RequestEnd.RACED_CLOSE if raced_close(facts) else RequestEnd.NOT_ACCEPTED
     if facts.process_end is ProcessEnd.KILLED_PAST_GRACE:
         return RequestEnd.LOST
     if facts.answer_is_malformed or facts.answer_has_no_end:
@@ -146,7 +146,7 @@
     if record is None or facts.was_seen_by_host:
         return False
     # a check during the write found no bytes, so the request's bytes arrived after it
-    was_checked_empty = record.was_looked_at and record.closed_at_us <= facts.written_at_us
+    was_checked_empty = record.had_read_all and record.closed_at_us <= facts.written_at_us
     was_closed_first = record.closed_at_us <= facts.write_began_us or was_checked_empty
     was_unread = record.requests_read <= facts.earlier_requests
     all_answered = record.requests_answered == record.requests_read
--- a/orchidgap/simulation/servers.py
+++ b/orchidgap/simulation/servers.py
@@ -210,7 +210,7 @@
         invariant_checker.on_host_overloaded(self.id, ratio, self.is_origin, self.loop.now)
         self.stop()
         if self.is_origin:
-            self.loop.call_later(seconds_to_us(self.model.overload_stop_s), self.revive, False)
+            self.loop.call_later(seconds_to_us(self.model.overload_stop_s), self.restart, False)
         else:
             delay_s = self.environment.plan.discovery.removal_delay_s
             self.environment.discovery.remove_later(self.id, delay_s)
@@ -415,7 +415,7 @@
             connection.close()
         self.copies.clear()
 
-    def revive(self, cold: bool = True) -> None:
+    def restart(self, cold: bool = True) -> None:
         """Start again unless it runs; discovery lists a cold start."""
         if self.alive:
             return
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -242,12 +242,16 @@
         """Return the balancer's zone, 0 for an unknown name."""
         return self.balancers[balancer].zone if balancer in self.balancers else 0
 
-    def accepting_balancers(self, notice: int, now: int) -> list[str]:
-        """Return the balancers that the ingress uses, also dead ones for `notice` microseconds."""
+    def accepting_balancers(self, failover_delay_us: int, now: int) -> list[str]:
+        """Return the balancers that get connections, also dead ones within the failover delay."""
         return [
             name
             for name, instance in self.balancers.items()
-            if (instance.ready_at > 0 if instance.alive else now - instance.died_at < notice)
+            if (
+                instance.ready_at > 0
+                if instance.alive
+                else now - instance.died_at < failover_delay_us
+            )
         ]
 
     def process_end(self, balancer: str, incarnation: int) -> ProcessEnd:
--- a/tests/simulation/test_close_records.py
+++ b/tests/simulation/test_close_records.py
@@ -54,7 +54,7 @@
     path.write_bytes(b"noise\n" + first + second + line(cut="connection c"))
     assert records.find(PORT, 0) == CloseRecord(1_000_010, 1, 1, had_unread_bytes=False)
     assert records.find(PORT, 1_000_011) == CloseRecord(
-        1_000_900, 2, 1, had_unread_bytes=False, was_looked_at=True
+        1_000_900, 2, 1, had_unread_bytes=False, had_read_all=True
     )
 
 
--- a/tests/simulation/test_request_end.py
+++ b/tests/simulation/test_request_end.py
@@ -40,8 +40,8 @@
         (TAKEN, RequestEnd.LOST),
         (TAKEN._replace(was_reset=True), RequestEnd.LOST),
         (TAKEN._replace(was_closed_at_write=True), RequestEnd.LOST),
-        (TAKEN._replace(was_written=False), RequestEnd.NOT_TAKEN),
-        (TAKEN._replace(was_written=False, earlier_requests=3), RequestEnd.NOT_TAKEN),
+        (TAKEN._replace(was_written=False), RequestEnd.NOT_ACCEPTED),
+        (TAKEN._replace(was_written=False, earlier_requests=3), RequestEnd.NOT_ACCEPTED),
         (RESTING, RequestEnd.LOST),
         (RESTING._replace(was_reset=True), RequestEnd.RACED_CLOSE),
         (RESTING._replace(was_closed_at_write=True), RequestEnd.RACED_CLOSE),
@@ -121,12 +121,12 @@
 @pytest.mark.parametrize("read_up_to_us", [WRITE_BEGAN_US + 1, WRITTEN_AT_US])
 def test_an_end_crossed_what_was_being_written_at_a_look_that_found_nothing(facts, read_up_to_us):
     reset = facts._replace(was_reset=True)
-    crossed = noted(reset, closed_at_us=read_up_to_us, was_looked_at=True)
+    crossed = noted(reset, closed_at_us=read_up_to_us, had_read_all=True)
     assert classify_request_end(crossed) is RequestEnd.RACED_CLOSE
     read = crossed.earlier_requests
     not_excused = {
         "written whole before the look": noted(crossed, closed_at_us=WRITTEN_AT_US + 1),
-        "nobody looked": noted(crossed, was_looked_at=False),
+        "nobody looked": noted(crossed, had_read_all=False),
         "found unread": noted(crossed, had_unread_bytes=True),
         "read in part": noted(crossed, requests_read=read + 1),
         "one before it was not answered": noted(crossed, requests_answered=read - 1),
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -338,7 +338,7 @@
         simulation.loop.run_until(simulation.loop.time + 2_100_000)
         assert not store.has_copy(3), "its time to live is over"
         store.stop()
-        store.revive()
+        store.restart()
         assert store.warm_ratio() == 0.25
         simulation.loop.run_until(simulation.loop.time + 4_000_000)
         assert 0.6 < store.warm_ratio() < 0.65 and not store.copies
