--- a/orchidgap/fault_tests/dial_stream.py
+++ b/orchidgap/fault_tests/dial_stream.py
@@ -115,7 +115,7 @@
     def opened(self) -> None:
         """Write the request; the process to account it to may have been started since the dial."""
         attempt, message = self.first_request
-        self.find_process(attempt)
+        self.update_incarnation(attempt)
         assert isinstance(self.clients, DialStream)
         self.clients.written_late += 1
         self.start(attempt, message)
@@ -164,7 +164,7 @@
         self.request_classes = [
             request_class
             for request_class in self.plan.request_classes()
-            if not request_class.write and cluster.clients.is_named(request_class)
+            if not request_class.write and cluster.clients.is_in_use(request_class)
         ]
         self.attempts: list[ClientAttempt] = []
         self.refused_ids: set[bytes] = set()
--- a/tests/simulation/test_close_records.py
+++ b/tests/simulation/test_close_records.py
@@ -56,7 +56,7 @@
     path.write_bytes(b"noise\n" + first + second + line(cut="connection c"))
     assert records.find(PORT, 0) == CloseRecord(1_000_010, 1, 1, had_unread_bytes=False)
     assert records.find(PORT, 1_000_011) == CloseRecord(
-        1_000_900, 2, 1, had_unread_bytes=False, was_looked_at=True
+        1_000_900, 2, 1, had_unread_bytes=False, had_read_all=True
     )
 
 
--- a/tests/simulation/test_raced_close.py
+++ b/tests/simulation/test_raced_close.py
@@ -200,7 +200,7 @@
 def test_a_request_without_a_record_of_unread_bytes_behind_the_shutdown_is_lost(
     connected, monkeypatch
 ):
-    monkeypatch.setattr(balancer_connection, "SHUT_NOTE_TIMEOUT_US", 40_000)
+    monkeypatch.setattr(balancer_connection, "UNREAD_RECORD_TIMEOUT_US", 40_000)
     owner, connection, far = connected
     attempt = written_before_shutdown(owner, connection, far)
     owner.run()
--- a/tests/simulation/test_request_end.py
+++ b/tests/simulation/test_request_end.py
@@ -7,7 +7,7 @@
     ConnectionEndFacts,
     ProcessEnd,
     RequestEnd,
-    awaits_shut_note,
+    awaits_unread_record,
     classify_request_end,
 )
 
@@ -40,8 +40,8 @@
         (ACCEPTED, RequestEnd.LOST),
         (ACCEPTED._replace(was_reset=True), RequestEnd.LOST),
         (ACCEPTED._replace(was_closed_at_write=True), RequestEnd.LOST),
-        (ACCEPTED._replace(was_written=False), RequestEnd.NOT_TAKEN),
-        (ACCEPTED._replace(was_written=False, earlier_requests=3), RequestEnd.NOT_TAKEN),
+        (ACCEPTED._replace(was_written=False), RequestEnd.NOT_ACCEPTED),
+        (ACCEPTED._replace(was_written=False, earlier_requests=3), RequestEnd.NOT_ACCEPTED),
         (LATER, RequestEnd.LOST),
         (LATER._replace(was_reset=True), RequestEnd.RACED_CLOSE),
         (LATER._replace(was_closed_at_write=True), RequestEnd.RACED_CLOSE),
@@ -98,10 +98,10 @@
 @pytest.mark.parametrize("facts", [FIRST, LATER], ids=["first", "later"])
 def test_an_orderly_end_raced_a_request_found_unread_behind_the_shutdown(facts):
     assert classify_request_end(facts) is RequestEnd.LOST
-    assert awaits_shut_note(facts)
+    assert awaits_unread_record(facts)
     raced = with_record(facts, shut_unread_at_us=WRITE_BEGAN_US)
     assert classify_request_end(raced) is RequestEnd.RACED_CLOSE
-    assert not awaits_shut_note(raced)
+    assert not awaits_unread_record(raced)
     read = raced.earlier_requests
     not_excused = {
         "found before it was written": with_record(facts, shut_unread_at_us=WRITE_BEGAN_US - 1),
@@ -113,7 +113,7 @@
     }
     found = {name: classify_request_end(case) for name, case in not_excused.items()}
     assert found == dict.fromkeys(not_excused, RequestEnd.LOST)
-    awaited = {name: awaits_shut_note(case) for name, case in not_excused.items()}
+    awaited = {name: awaits_unread_record(case) for name, case in not_excused.items()}
     assert awaited == dict.fromkeys(not_excused, False) | {"found before it was written": True}
 
 
@@ -125,12 +125,12 @@
     facts, read_up_to_us
 ):
     reset = facts._replace(was_reset=True)
-    raced = with_record(reset, closed_at_us=read_up_to_us, was_looked_at=True)
+    raced = with_record(reset, closed_at_us=read_up_to_us, had_read_all=True)
     assert classify_request_end(raced) is RequestEnd.RACED_CLOSE
     read = raced.earlier_requests
     not_excused = {
         "written completely before the poll": with_record(raced, closed_at_us=WRITTEN_AT_US + 1),
-        "not polled": with_record(raced, was_looked_at=False),
+        "not polled": with_record(raced, had_read_all=False),
         "found unread": with_record(raced, had_unread_bytes=True),
         "read in part": with_record(raced, requests_read=read + 1),
         "one before it was not answered": with_record(raced, requests_answered=read - 1),
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -343,7 +343,7 @@
         simulation.loop.run_until(simulation.loop.time + 2_100_000)
         assert not store.has_copy(3), "its time to live has expired"
         store.stop()
-        store.revive()
+        store.restart()
         assert store.warm_ratio() == 0.25
         simulation.loop.run_until(simulation.loop.time + 4_000_000)
         assert 0.6 < store.warm_ratio() < 0.65 and not store.copies
