--- a/orchidgap/admin/server.py
+++ b/orchidgap/admin/server.py
@@ -26,7 +26,7 @@
 from orchidgap.net.loop import READ, Loop
 
 MAX_CONNECTIONS = 12
-COMMAND_TIMEOUT_US = 10_000_000  # for a command to arrive completely
+COMMAND_TIMEOUT_US = 10_000_000  # time in which a command has to arrive completely
 LISTEN_BACKLOG = 512
 
 Command = Callable[[], tuple[bool, str]]  # returns whether it succeeded, and a short message
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -17,7 +17,7 @@
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
 SWEEP_INTERVAL_US = 1_000_000
-STREAM_STALL_TIMEOUT_US = 10_000_000  # without further data of a streamed response
+STREAM_STALL_TIMEOUT_US = 10_000_000  # longest time between two parts of a streamed response
 
 
 class HostConnectionPool(connection_pools.ConnectionPool[HostConnection]):
@@ -101,11 +101,11 @@
         """Records that the connection no longer streams a response."""
         self.pools.streaming_connections.pop(connection, None)
 
-    def forget(self, link: HostConnection) -> None:
+    def forget(self, connection: HostConnection) -> None:
         """Removes a closed connection."""
-        super().forget(link)
-        if link in self.idle:
-            self.idle.remove(link)
+        super().forget(connection)
+        if connection in self.idle:
+            self.idle.remove(connection)
 
     def close_unneeded(self) -> None:
         """Closes idle connections that exceed the demand.
--- a/orchidgap/http1/discovery.py
+++ b/orchidgap/http1/discovery.py
@@ -3,7 +3,7 @@
 All calls use one connection. A change of the list has to arrive within 6 s, whichever calls fail on
 the way. A watch without a response is detected within 4 s. After that, a lost call costs 1 s, each
 further lost call 2 s, and a call that fails at most 1 s. While discovery is down it does not
-respond, and it answers the calls that are open when it returns immediately. So a call without
+respond; as soon as it is up again, it answers the calls that are still open. So a call without
 response is followed by the next one within `MAX_RETRY_GAP_US`, while a call that fails or is
 refused is followed by a backoff.
 """
@@ -29,13 +29,14 @@
 LIST_PATH = "/discovery/hosts"
 WATCH_TIMEOUT_MS = 3_000  # how long the agent may wait for a change before it answers a watch
 RESPONSE_GRACE_US = 1_000_000  # a response that is overdue by this much counts as lost
-MAX_RESPONSE_US = WATCH_TIMEOUT_MS * 1000 + 2 * RESPONSE_GRACE_US  # for all pieces of a response
+# longest time for all pieces of a response, counted from its call
+MAX_RESPONSE_US = WATCH_TIMEOUT_MS * 1000 + 2 * RESPONSE_GRACE_US
 MIN_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 1_000_000
 MAX_BACKOFF_DOUBLINGS = 6
-MAX_RETRY_GAP_US = 100_000  # between a call without response and the next call
+MAX_RETRY_GAP_US = 100_000  # longest pause between a call without response and the next call
 MIN_WATCH_US = 20_000  # a watch that ends sooner without a change is not repeated immediately
-WATCH_PAUSE_US = 100_000  # after a watch that ended sooner than `MIN_WATCH_US`
+WATCH_PAUSE_US = 100_000  # pause after a watch that ended sooner than `MIN_WATCH_US`
 MAX_LIST_BYTES = 1 << 22
 MAX_REASON_LENGTH = 120
 LOGGED_FAILURES = (1, 10, 100)  # counts of consecutive failures that are logged
@@ -119,7 +120,7 @@
         self.set_timer(self.wait_ms * 1000 + grace_us, self.ended, NO_RESPONSE)
         self.conn.send(f"GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Calls another agent from now on.
 
         The current list still applies, but its version has no meaning for another agent.
--- a/orchidgap/http1/host_connection.py
+++ b/orchidgap/http1/host_connection.py
@@ -184,10 +184,10 @@
         failure = AttemptFailure(SendProgress.UNSENT, "cancelled")
         self.loop.call_soon(attempt.settle, failure.outcome)
 
-    def put(self, parts: list[bytes], last: bool) -> None:
-        """Writes parts of a streamed request body."""
+    def send_body(self, parts: list[bytes], is_last: bool) -> None:
+        """Writes parts of a streamed request body; `is_last` is whether it ends with them."""
         if self.chunked:
-            parts = encode_chunk(parts) + ([LAST_CHUNK] if last else [])
+            parts = encode_chunk(parts) + ([LAST_CHUNK] if is_last else [])
         if parts and self.conn.is_open:
             self.conn.send(*parts)
 
@@ -227,7 +227,7 @@
         if message.error_status:
             self.ended("malformed response")
         elif self.response_sink:
-            self.response_sink.give(message.take_body())
+            self.response_sink.send_body(message.take_body())
             if message.complete:
                 self.finish_attempt(AttemptOutcome.DONE)
         elif message.complete:
@@ -282,9 +282,9 @@
             return
         self.response_sink = sink
         self.pool.add_streaming(self)
-        sink.begin(self.reader.message.content_length, self.conn)
+        sink.begin_response(self.reader.message.content_length, self.conn)
         if self.response_sink:
-            sink.give(self.reader.message.take_body())
+            sink.send_body(self.reader.message.take_body())
 
     def finish_attempt(self, outcome: AttemptOutcome) -> None:
         """Settles the attempt: its response has arrived, or the part of it that matters."""
@@ -361,7 +361,7 @@
         """Finishes a response without a length, which ends with its connection."""
         message = self.reader.message
         if self.response_sink:
-            self.response_sink.give(message.take_body())
+            self.response_sink.send_body(message.take_body())
             self.finish_attempt(AttemptOutcome.DONE)
         else:
             self.finish_attempt(outcome_of_status(message.status, False))
--- a/orchidgap/http1/messages.py
+++ b/orchidgap/http1/messages.py
@@ -6,7 +6,7 @@
 
 MAX_HEAD_BYTES = 1 << 14
 MAX_BUFFERED_BODY_BYTES = 1 << 16  # a larger body is streamed
-MAX_BODY_BYTES = 40 << 20  # of a streamed body
+MAX_BODY_BYTES = 40 << 20  # a larger body is rejected, even if it is streamed
 
 
 class Message:
--- a/orchidgap/http1/migration_messages.py
+++ b/orchidgap/http1/migration_messages.py
@@ -71,7 +71,7 @@
 
     Attributes:
         request_id: id of the request.
-        time_remaining_us: how long the client waits, counted from the request's last byte.
+        timeout_us: how long the client waits, counted from the request's last byte.
         body_size: bytes of the body that have arrived.
         content_length: bytes of the whole body, None where this is unknown.
         chunked: the body is sent to the host in chunks.
@@ -82,7 +82,7 @@
     """
 
     request_id: bytes
-    time_remaining_us: int
+    timeout_us: int
     body_size: int
     content_length: int | None
     chunked: bool
@@ -95,7 +95,7 @@
         """Returns the message's content."""
         return {
             "name": self.request_id.decode(TEXT_ENCODING),
-            "left": self.time_remaining_us,
+            "left": self.timeout_us,
             "size": self.body_size,
             "length": self.content_length,
             "chunked": self.chunked,
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -1,7 +1,7 @@
 """Migration of requests in progress to another process of this balancer.
 
 Such a request is sent with its connections, a message that describes it (see `migration_messages`)
-and the bytes that have not been written yet.
+and raw bytes: those that have not been written yet or, of a partial request, those received.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from orchidgap.net.node import Node
 from orchidgap.net.upstream_attempt import UpstreamAttempt
 
-MAX_UNWRITTEN_BYTES = 120_000  # of a request that is migrated, as the size of a packet is limited
+MAX_RAW_BYTES = 120_000  # raw bytes of a migrated request, as the size of a packet is limited
 
 
 # --- requests that are sent to another process
@@ -41,7 +41,7 @@
     for client in list(node.clients.open_clients):
         assert isinstance(client, Http1ClientConnection)
         migrating = export_request(node, client)
-        if migrating and len(migrating.raw) <= MAX_UNWRITTEN_BYTES:
+        if migrating and len(migrating.raw) <= MAX_RAW_BYTES:
             yield migrating
 
 
@@ -124,7 +124,7 @@
         return None
     content = StreamingUpload(
         exchange.request_id,
-        exchange.time_remaining_us,
+        exchange.timeout_us,
         request.body_size,
         request.content_length,
         connection.chunked,
@@ -180,7 +180,7 @@
     Args:
         node: the node that continues the request.
         items: the message: its name and its content.
-        raw: the bytes that came with the message.
+        raw: the raw bytes that follow the message in its packet.
         socks: the client's connection, and the host's where there is one.
 
     Raises:
@@ -282,7 +282,7 @@
         client,
         b"",
         b"",
-        content.time_remaining_us,
+        content.timeout_us,
         upload,
     )
     exchange.fallback_status = content.fallback_status
@@ -320,7 +320,7 @@
         pool = HostConnectionPool(pools, address)
         pool.retired = True
     connection = HostConnection(pool, sock, None)
-    connection.bytes_written_at_start = -1  # so that it counts as written to, by the other process
+    connection.bytes_written_at_start = -1  # so that the attempt counts as written
     connection.received_at_us = node.loop.now
     pool.add(connection)
     return connection
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -30,7 +30,7 @@
 from orchidgap.net.request_handler import PendingRequest
 from orchidgap.net.traffic_counts import ConnectionEnd
 
-MIN_BODY_PROGRESS_BYTES = 1 << 14  # body bytes that have to arrive within the time for one request
+MIN_BODY_PROGRESS_BYTES = 1 << 14  # body bytes that have to arrive within `REQUEST_TIMEOUT_US`
 MAX_PIPELINED = 8  # requests that may be queued after the current one
 SERVICE_UNAVAILABLE = 503
 READINESS_TARGET = ("up", b"")  # `GET /up` is the readiness check
@@ -49,7 +49,8 @@
         closes_after_stream: the connection is closed after that response.
         chunked: the body of that response is chunked.
         stream_source: the host's connection that the response is read from.
-        turn_at_us: when the request after the last answer became the oldest one.
+        unblocked_at_us: when a request was last unblocked by the answer to the one before it; 0 if
+            none was.
     """
 
     is_transferable = True
@@ -61,7 +62,7 @@
         "reader",
         "stream_source",
         "streaming",
-        "turn_at_us",
+        "unblocked_at_us",
         "upload",
     )
 
@@ -75,7 +76,7 @@
         self.closes_after_stream = False
         self.chunked = False
         self.stream_source: Connection | None = None
-        self.turn_at_us = 0
+        self.unblocked_at_us = 0
         super().__init__(clients, sock)
 
     @property
@@ -89,7 +90,7 @@
         return self.reader.started
 
     @property
-    def requests_begun(self) -> int:
+    def begun_request_count(self) -> int:
         """How many requests were read at least in part."""
         return self.requests_read + len(self.reader.pipelined)
 
@@ -239,9 +240,9 @@
     def closes_after_answer(self) -> bool:
         """Whether the connection is closed after the answer to the oldest request.
 
-        Not while the next request has arrived completely: it would be lost with the connection.
+        It stays open while the next request has arrived completely, as that would be lost with it.
         """
-        if not self.listener.closes_after_response:
+        if not self.listener.closes_after_answer:
             return False
         pipelined = self.reader.pipelined
         if not pipelined:
@@ -267,7 +268,7 @@
         self.conn.send(head, b"" if message.method == b"HEAD" else body)
         self.on_answered(close)
 
-    def begin(self, length: int | None, source: Connection) -> None:
+    def begin_response(self, length: int | None, source: Connection) -> None:
         """Starts a streamed response; its length is None where it is unknown."""
         message = self.reader.message
         self.streaming = True
@@ -281,7 +282,7 @@
         self.conn.on_drained = self.resume_source
         self.conn.send(response_head(200, length, self.closes_after_stream, 0, message.version))
 
-    def give(self, parts: list[bytes]) -> None:
+    def send_body(self, parts: list[bytes]) -> None:
         """Sends parts of a streamed body; pauses the source while the client does not read."""
         if parts and self.conn.is_open:
             self.conn.send(*(encode_chunk(parts) if self.chunked else parts))
@@ -293,7 +294,7 @@
         if self.stream_source and self.stream_source.is_open:
             self.stream_source.pause_reading(False)
 
-    def end(self, whole: bool) -> None:
+    def end_response(self, whole: bool) -> None:
         """Ends a streamed response.
 
         Resets the connection where the response is incomplete, so that the client can detect this.
@@ -329,7 +330,7 @@
             self.conn.pause_reading(False)
         if reader.started:
             self.requests_read += 1
-            self.turn_at_us = self.listener.loop.now
+            self.unblocked_at_us = self.listener.loop.now
             self.listener.await_request(self)
             self.listener.loop.call_soon(self.process_next)
         else:
--- a/orchidgap/net/attempt_failure.py
+++ b/orchidgap/net/attempt_failure.py
@@ -10,7 +10,9 @@
 from orchidgap.decisions.records import AttemptOutcome
 
 REFUSED_TEXTS = frozenset(map(os.strerror, (errno.ECONNREFUSED, errno.ECONNRESET)))
+# causes for which the host is charged with an attempt that was not sent completely
 HOST_CAUSES = ("broken", "refused", "stale")
+# outcomes of attempts that were sent completely, by cause; other causes count as a reset
 OUTCOMES_WHEN_SENT = {
     "overdue": AttemptOutcome.TIMED_OUT,
     "cancelled": AttemptOutcome.CANCELLED,
--- a/orchidgap/net/body_stream.py
+++ b/orchidgap/net/body_stream.py
@@ -13,18 +13,22 @@
 
     conn: Connection
 
-    def put(self, parts: list[bytes], last: bool) -> None:
-        """Write these parts of the body, with the framing that its head declared."""
+    def send_body(self, parts: list[bytes], is_last: bool) -> None:
+        """Write these parts of the body, in the framing that its head declares.
+
+        `is_last` is whether the body ends with them.
+        """
 
 
 class Upload:
     """A request's body that is being streamed to a host.
 
-    The first part of the body is kept until more than `kept_bytes` have been sent on, so that a new
-    attempt can replace one that failed before that.
+    The body is kept until more than `kept_bytes_limit` of it have arrived and were passed to the
+    sink, so that a new attempt can replace one that failed before that.
 
     Attributes:
         length: The length that the head declares; None if it declares none.
+        kept_bytes_limit: The most bytes that are kept for another attempt.
         received_bytes: The number of bytes received.
         sent_parts: The number of kept parts that were passed to the sink.
         complete: Whether the whole body has arrived.
@@ -35,7 +39,7 @@
     __slots__ = (
         "complete",
         "discarded",
-        "kept_bytes",
+        "kept_bytes_limit",
         "length",
         "on_discarded",
         "parts",
@@ -45,11 +49,11 @@
         "source",
     )
 
-    def __init__(self, source: Connection, length: int | None, kept_bytes: int) -> None:
-        """Receive a body from a connection, and keep up to `kept_bytes` for another attempt."""
+    def __init__(self, source: Connection, length: int | None, kept_bytes_limit: int) -> None:
+        """Receive a body from a connection; keep up to `kept_bytes_limit` for another attempt."""
         self.source = source
         self.length = length
-        self.kept_bytes = kept_bytes
+        self.kept_bytes_limit = kept_bytes_limit
         self.on_discarded: Callable[[], None] | None = None
         self.parts: list[bytes] = []
         self.received_bytes = 0
@@ -58,11 +62,11 @@
         self.discarded = False
         self.sink: UploadSink | None = None
 
-    def add(self, parts: list[bytes], whole: bool) -> None:
-        """Add received parts of the body; `whole` is whether they are the last."""
+    def add(self, parts: list[bytes], is_last: bool) -> None:
+        """Add received parts of the body; `is_last` is whether the body ends with them."""
         self.parts += parts
         self.received_bytes += sum(map(len, parts))
-        self.complete = whole
+        self.complete = is_last
         self.push()
 
     def send_to(self, sink: UploadSink) -> None:
@@ -83,25 +87,25 @@
         if sink and (self.sent_parts < len(self.parts) or self.complete):
             parts = self.parts[self.sent_parts :]
             self.sent_parts = len(self.parts)
-            if self.received_bytes > self.kept_bytes and not self.discarded:
+            if self.received_bytes > self.kept_bytes_limit and not self.discarded:
                 self.discarded = True
                 if self.on_discarded:
                     self.on_discarded()
             if self.discarded:
                 self.parts = []
                 self.sent_parts = 0
-            sink.put(parts, self.complete)
+            sink.send_body(parts, self.complete)
         self.update_backpressure()
 
     def update_backpressure(self) -> None:
         """Pause reading from the client until the bytes that were read have been sent on.
 
-        Without a sink, reading pauses once `kept_bytes` have been received.
+        Without a sink, reading pauses once `kept_bytes_limit` have been received.
         """
         if not self.source.is_open:
             return
         if self.sink:
             must_wait = bool(self.sink.conn.write_buffer)
         else:
-            must_wait = not self.discarded and self.received_bytes >= self.kept_bytes
+            must_wait = not self.discarded and self.received_bytes >= self.kept_bytes_limit
         self.source.pause_reading(must_wait and not self.complete)
--- a/orchidgap/net/client_connection.py
+++ b/orchidgap/net/client_connection.py
@@ -22,10 +22,12 @@
     def __init__(self, listener: ClientListener, sock: socket.socket) -> None:
         """Start reading from a socket that was accepted."""
         self.listener = listener
-        # When the connection was accepted, began a request or was rejected, whichever came last.
-        # By the clock, as the turn may have begun long before.
+        # When the connection was accepted, began a request, made progress with a body or was sent
+        # its last answer, whichever was last. Read from the clock, as the turn may have begun long
+        # before.
         self.since_us = listener.loop.clock()
-        self.requests_read = 0  # requests read at least in part, without those queued behind one
+        # requests read so far; `begun_request_count` adds those that a protocol does not count here
+        self.requests_read = 0
         self.requests_answered = 0
         self.conn = Connection(listener.loop, sock, self, with_timestamps=True)
 
@@ -37,7 +39,7 @@
         raise NotImplementedError
 
     @property
-    def requests_begun(self) -> int:
+    def begun_request_count(self) -> int:
         """The number of requests that were read at least in part."""
         raise NotImplementedError
 
--- a/orchidgap/net/client_listener.py
+++ b/orchidgap/net/client_listener.py
@@ -22,14 +22,14 @@
 from orchidgap.net.request_handler import RequestHandler
 from orchidgap.net.traffic_counts import ConnectionEnd
 
-BACKLOG = 512
-CLOSING_BACKLOG = 4_096  # while shutting down, when connections are accepted more slowly
+BACKLOG = 512  # connections that may wait to be accepted
+CLOSING_BACKLOG = 4_096  # the same during shutdown, when connections are accepted more slowly
 MAX_ACCEPTS_PER_TURN = 64  # more are left to the next turn, so that other sockets are not delayed
 CLOSING_ADMISSIONS = 512  # most connections of the backlog that are served as the listener closes
 MAX_CLOSING_CLIENTS = 16  # connections above `max_clients` that may still read their last answer
 # Rounds of accepting as the process ends; a round ends early when descriptors run out.
 FINAL_ACCEPT_ROUNDS = 64
-HANDSHAKE_US = 2_000  # time for handshakes in progress to finish before the listener closes
+HANDSHAKE_US = 2_000  # time in which handshakes in progress may finish before the listener closes
 
 
 class ClientListener(ClientTable):
--- a/orchidgap/net/client_table.py
+++ b/orchidgap/net/client_table.py
@@ -8,13 +8,13 @@
 from orchidgap.net.request_handler import RequestHandler
 from orchidgap.net.traffic_counts import ConnectionEnd
 
-# time for a request to arrive completely, counted from its connection or its first byte
+# Time in which a request has to arrive completely, counted from when the client connected or from
+# the request's first byte.
 REQUEST_TIMEOUT_US = 2_500_000
 UNUSED_AFTER_US = 500_000  # a connection without a request for this long is evicted first
 SWEEP_INTERVAL_US = 250_000
-RECENT_CONNECTION_US = (
-    250_000  # a connection younger than this is expected to send its first request
-)
+# a connection younger than this is expected to send its first request
+RECENT_CONNECTION_US = 250_000
 IDLE_RESERVE_DIVISOR = 8  # an eighth of `max_clients` may always be idle
 
 
@@ -176,6 +176,6 @@
         ]
 
     @property
-    def closes_after_response(self) -> bool:
+    def closes_after_answer(self) -> bool:
         """Whether each answer is the last one on its connection."""
         return self.handler.lifecycle.closes_after_answer
--- a/orchidgap/net/config/optional_parts.py
+++ b/orchidgap/net/config/optional_parts.py
@@ -115,7 +115,7 @@
     if not IPv4Address(listen[0]).is_loopback and part.get("beyond-loopback") is not True:
         raise SettingError(
             f"pool.listen is {part['listen']}: set pool.beyond-loopback to true for that, as "
-            "whoever has the key is believed"
+            "anyone who has the key is trusted"
         )
     interval_us = rebalance_interval_ms(part) * 1000
     return GossipConfig(listen, peers, part["key"], interval_us)
--- a/orchidgap/net/connection.py
+++ b/orchidgap/net/connection.py
@@ -22,7 +22,7 @@
 MAX_LINGER_US = 8_000_000  # total time for that while the peer still sends (bytes are discarded)
 MAX_DISCARDED_BYTES = 1 << 26  # most bytes discarded while closing
 UNREAD_TIMEOUT_US = 10_000_000  # time in which the peer has to read some of what is buffered
-MAX_WRITE_BUFFER_BYTES = 1 << 21  # the largest answer, and what is written after it
+MAX_WRITE_BUFFER_BYTES = 1 << 21  # enough for the largest answer and what is written after it
 # Additional reads of an urgent connection in one turn, before other connections: enough for the
 # longest host list.
 MAX_URGENT_READS = 64
--- a/orchidgap/net/connection_log.py
+++ b/orchidgap/net/connection_log.py
@@ -49,7 +49,7 @@
             closed_us -= client.listener.loop.clock() - read_up_to_us
         facts = {
             "end": end.value,
-            "read": client.requests_begun,
+            "read": client.begun_request_count,
             "answered": client.requests_answered,
             "looked": read_up_to_us > 0,
             "unread": not read_up_to_us and client.conn.has_unread_bytes(),
--- a/orchidgap/net/connection_pools.py
+++ b/orchidgap/net/connection_pools.py
@@ -113,10 +113,10 @@
         self.sweep()
         self.loop.call_later(self.sweep_interval_us, self.run_sweep)
 
-    def apply_endpoints(self, whole: bool, found: Iterable[Endpoint]) -> None:
+    def apply_endpoints(self, whole: bool, endpoints: Iterable[Endpoint]) -> None:
         """Apply the host list, or changes to it if `whole` is false."""
         absent = set(self.by_host) if whole else set()
-        for host, state, address in found:
+        for host, state, address in endpoints:
             absent.discard(host)
             pool = self.by_host.get(host)
             if pool and (state == "gone" or pool.address != address):
@@ -136,8 +136,8 @@
     def send(self, host: str, attempt: UpstreamAttempt) -> None:
         """Send an attempt to a host; in the next turn if this one is stalled.
 
-        The host may be draining by now, and a list that says so may have arrived while the process
-        was stalled.
+        The host may be draining by now, and a list with that state may have arrived while the
+        process was stalled.
         """
         if self.loop.is_stalled:
             PostponedSend(self.loop, attempt, partial(self.send_now, host))
--- a/orchidgap/net/decisions_port.py
+++ b/orchidgap/net/decisions_port.py
@@ -41,12 +41,12 @@
         exchange = self.exchanges[request]
         # The last byte of a streamed body has not arrived yet, so the deadline of the exchange is
         # only a placeholder; no host should wait for longer than the client does.
-        deadline_us = min(exchange.deadline_us, self.loop.now + exchange.time_remaining_us)
+        deadline_us = min(exchange.deadline_us, self.loop.now + exchange.timeout_us)
         attempts = exchange.attempts
         attempt = UpstreamAttempt(
             exchange.head, exchange.body, deadline_us, exchange, len(attempts), host
         )
-        attempt.client_timeout_us = exchange.time_remaining_us
+        attempt.client_timeout_us = exchange.timeout_us
         attempt.upload = exchange.upload
         attempt.response_hold_us = self.response_hold_us
         if attempts:
--- a/orchidgap/net/descriptor_budget.py
+++ b/orchidgap/net/descriptor_budget.py
@@ -4,15 +4,13 @@
 
 from typing import NamedTuple
 
-RESERVED_DESCRIPTORS = (
-    48  # for everything except clients and hosts, and for clients that are being rejected
-)
-RESERVED_MEMORY_MB = 16  # for the program itself
-CLIENT_MEMORY_KB = (
-    128  # for a client's request and its answer; most are smaller, and few answers are larger
-)
-MIN_CONNECTIONS = 8
-MIN_SHARED_DESCRIPTORS = 16
+# descriptors for everything except clients and hosts, and for clients that are being rejected
+RESERVED_DESCRIPTORS = 48
+RESERVED_MEMORY_MB = 16  # memory of the program itself
+# memory for a client's request and its answer; most are smaller, and few answers are larger
+CLIENT_MEMORY_KB = 128
+MIN_CONNECTIONS = 8  # connections that each side may always open
+MIN_SHARED_DESCRIPTORS = 16  # descriptors that both sides together may always use
 
 
 class DescriptorBudget(NamedTuple):
--- a/orchidgap/net/dialing.py
+++ b/orchidgap/net/dialing.py
@@ -86,7 +86,7 @@
 
 
 def backlog_length(listener: socket.socket) -> int:
-    """Return the number of connections that wait to be accepted; 0 if the system does not know.
+    """Return the number of connections that wait to be accepted; 0 if not known.
 
     >>> with socket.create_server(("127.0.0.1", 0)) as listener:
     ...     with socket.create_connection(listener.getsockname()):
@@ -94,8 +94,8 @@
     1
     """
     try:
-        facts = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_WAITING.size)
-        (waiting,) = TCP_INFO_WAITING.unpack(facts)
+        tcp_info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_WAITING.size)
+        (waiting,) = TCP_INFO_WAITING.unpack(tcp_info)
     except (OSError, struct.error):
         return 0
     return int(waiting)
--- a/orchidgap/net/discovery.py
+++ b/orchidgap/net/discovery.py
@@ -18,5 +18,5 @@
     def fetch(self) -> None:
         """Fetch the list, unless a fetch is in progress."""
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Use another address from now on."""
--- a/orchidgap/net/endpoints.py
+++ b/orchidgap/net/endpoints.py
@@ -11,15 +11,25 @@
 
 
 class EndpointEntry(NamedTuple):
-    """A host as the decisions receive it; its state is up, draining or gone."""
+    """A host as the decisions receive it; a `HostEntry` of theirs.
+
+    Attributes:
+        host: The host's id.
+        state: One of up, draining and gone.
+        started_at_us: When the host's process started, in Unix time; 0 if not known.
+        zone: The zone that the host is in.
+        kind: The kind of the host, such as cache or origin.
+        cell: The cell that the host is in.
+        weight: The relative capacity of the host.
+    """
 
     host: str
     state: str
-    born_us: int
-    site: str
-    host_class: str
-    block: str
-    share: float
+    started_at_us: int
+    zone: str
+    kind: str
+    cell: str
+    weight: float
 
 
 class Endpoint(NamedTuple):
@@ -31,7 +41,7 @@
 
 
 class HostList(NamedTuple):
-    """The list, or changes to it; entries and endpoints are in the same order."""
+    """The whole list, or changes to it; entries and endpoints are in the same order."""
 
     version: int
     whole: bool
@@ -78,14 +88,14 @@
 
 def decode_entry(host: Any, endpoint: Endpoint) -> EndpointEntry:
     """Decode the entry of a host for the decisions."""
-    share = host.get("share")
-    born_us = int(host.get("born_ms") or 0) * 1000
+    weight = host.get("share")
+    started_at_us = int(host.get("born_ms") or 0) * 1000
     return EndpointEntry(
         endpoint.host,
         endpoint.state,
-        born_us,
+        started_at_us,
         str(host.get("site")),
         str(host.get("class")),
         str(host.get("block")),
-        1.0 if share is None else float(share),
+        1.0 if weight is None else float(weight),
     )
--- a/orchidgap/net/exchange.py
+++ b/orchidgap/net/exchange.py
@@ -73,7 +73,7 @@
         "number",
         "request_id",
         "streaming_attempt",
-        "time_remaining_us",
+        "timeout_us",
         "upload",
     )
 
@@ -85,7 +85,7 @@
         client: Responder,
         head: bytes,
         body: bytes,
-        time_remaining_us: int,
+        timeout_us: int,
         upload: Upload | None,
         timed: bool = True,
     ) -> None:
@@ -93,12 +93,12 @@
 
         Args:
             node: The node that the request was sent to.
-            number: The node's own number of the request.
+            number: The number by which the node and the decisions identify the request.
             request_id: The client's id of the request.
             client: Receives the answer.
             head: The head that is sent to hosts.
             body: The body, empty if it is streamed.
-            time_remaining_us: The client's timeout, counted from the request's last byte.
+            timeout_us: The client's timeout, counted from the request's last byte.
             upload: The body while it is still arriving.
             timed: False for an exchange that only finishes an answer which is already streaming.
         """
@@ -108,7 +108,7 @@
         self.client = client
         self.head = head
         self.body = body
-        self.time_remaining_us = time_remaining_us  # counted from the arrival of the last byte
+        self.timeout_us = timeout_us  # the client's timeout, counted from the request's last byte
         self.upload = upload
         self.closed = False
         # the attempt whose answer is being streamed to the client
@@ -130,8 +130,8 @@
 
         The client counts from its send, and a stalled loop reads that byte late.
         """
-        margin_us = min(ANSWER_MARGIN_US, self.time_remaining_us // 4)
-        self.deadline_us = self.client.received_at_us + self.time_remaining_us - margin_us
+        margin_us = min(ANSWER_MARGIN_US, self.timeout_us // 4)
+        self.deadline_us = self.client.received_at_us + self.timeout_us - margin_us
         if not self.closed:
             self.deadline_timer = self.node.loop.call_at(self.deadline_us, self.on_deadline)
 
@@ -148,7 +148,7 @@
         """
         if self.upload and not self.upload.complete:
             return 0
-        since_us = max(self.client.received_at_us, self.client.turn_at_us)
+        since_us = max(self.client.received_at_us, self.client.unblocked_at_us)
         return max(0, now_us - since_us)
 
     @property
@@ -232,7 +232,7 @@
         attempt = self.streaming_attempt
         self.streaming_attempt = None
         self.node.open_request_ids.discard(self.request_id)
-        cast(ResponseSink, self.client).end(whole)
+        cast(ResponseSink, self.client).end_response(whole)
         if not whole and attempt:
             self.node.call_decisions(self.node.balancer.on_response_truncated, attempt.host)
 
--- a/orchidgap/net/handover/coordinator.py
+++ b/orchidgap/net/handover/coordinator.py
@@ -8,7 +8,7 @@
 from orchidgap.net.handover.ports import HandoverNode
 from orchidgap.net.handover.predecessor import Predecessor
 from orchidgap.net.handover.rendezvous import Rendezvous
-from orchidgap.net.handover.sibling import MIN_DESCRIPTORS, SiblingProcess, Snapshot
+from orchidgap.net.handover.sibling import MIN_DESCRIPTORS, InFlightState, SiblingProcess
 from orchidgap.net.handover.successor import Successor
 from orchidgap.net.loop import Loop
 
@@ -113,22 +113,24 @@
         """Send the other processes what is in flight here; repeats itself while there are any."""
         if not self.siblings():
             return
-        snapshot = self.take_snapshot()
+        state = self.in_flight_state()
         if self.successor:
             self.successor.limit_own_descriptors()
         if self.predecessor:
-            self.predecessor.notify(snapshot, 0)
+            self.predecessor.notify(state, 0)
         if self.successor:
-            self.successor.notify(snapshot, self.successor.remaining_descriptors())
+            self.successor.notify(state, self.successor.remaining_descriptors())
         if self.successor and self.node.lifecycle.migrates_connections:
             self.successor.hand_over_connections()
         self.loop.call_later(NOTIFY_INTERVAL_US, self.notify_siblings)
 
-    def take_snapshot(self) -> Snapshot:
-        """The requests and attempts that this process has in flight."""
+    def in_flight_state(self) -> InFlightState:
+        """Return the requests and attempts that this process has in flight."""
         request_ids = {request_id.decode("latin-1") for request_id in self.node.open_request_ids}
         hosts = self.node.balancer.hosts.values()
-        return Snapshot(request_ids, {host.id: host.in_flight for host in hosts if host.in_flight})
+        return InFlightState(
+            request_ids, {host.id: host.in_flight for host in hosts if host.in_flight}
+        )
 
     def on_counts_changed(self) -> None:
         """Pass on to the decisions how many attempts the other processes have at each host."""
@@ -147,7 +149,7 @@
             self.node.check_ready()
 
     def on_predecessor_disconnect(self, why: str) -> None:
-        """Go on alone: the predecessor, or the channel to it, has ended."""
+        """Continue without the predecessor: it, or the channel to it, has ended."""
         open_requests = len(self.predecessor.open_request_ids) if self.predecessor else 0
         self.node.event_log("predecessor gone", why=why, reqs=open_requests)
         self.predecessor = None
--- a/orchidgap/net/handover/messages.py
+++ b/orchidgap/net/handover/messages.py
@@ -108,7 +108,8 @@
 MESSAGE_TYPES = {wire_name: message_type for message_type, wire_name in WIRE_NAMES.items()}
 EXACT_TYPES = (Hello, Counts)  # surplus items of other messages are ignored
 MIGRATED_REQUEST_NAMES = frozenset(("begun", "answer", "upload"))
-ENTRY_TYPES = [str, str, int, str, str, str]  # fields of an `EndpointEntry` before its share
+# types of the fields of an `EndpointEntry` before its weight
+ENTRY_TYPES = [str, str, int, str, str, str]
 
 
 def to_wire(message: Message) -> list[Any]:
--- a/orchidgap/net/handover/packet_channel.py
+++ b/orchidgap/net/handover/packet_channel.py
@@ -20,7 +20,7 @@
 MAX_QUEUED_PACKETS = 256  # beyond this the other process counts as not reading
 MAX_PACKETS_PER_TURN = 24  # so that other sockets are also served in this turn
 MAX_REASON_LENGTH = 120
-# The packet cannot be sent now, and perhaps never; the channel stays open.
+# Errors after which a packet cannot be sent now, and perhaps never, but the channel stays open.
 TRANSIENT_ERRNOS = OUT_OF_RESOURCES_ERRNOS | {errno.ETOOMANYREFS, errno.EMSGSIZE}
 
 
--- a/orchidgap/net/handover/ports.py
+++ b/orchidgap/net/handover/ports.py
@@ -79,7 +79,7 @@
     def descriptors_needed(self) -> int:
         """How many descriptors the node uses or needs immediately."""
 
-    def on_list(self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]) -> None:
+    def on_list(self, whole: bool, entries: list[EndpointEntry], endpoints: list[Endpoint]) -> None:
         """Apply the host list, or changes to it."""
 
     def check_ready(self) -> None:
--- a/orchidgap/net/handover/predecessor.py
+++ b/orchidgap/net/handover/predecessor.py
@@ -92,8 +92,8 @@
         Its host list is newer than the one that this process was started with.
         """
         if self.endpoints:
-            entries, found = zip(*self.endpoints.values())
-            self.node.on_list(True, list(entries), list(found))
+            entries, endpoints = zip(*self.endpoints.values())
+            self.node.on_list(True, list(entries), list(endpoints))
         restored = 0
         if self.node.has_warm_state:
             self.node.balancer.now = self.loop.now
--- a/orchidgap/net/handover/sibling.py
+++ b/orchidgap/net/handover/sibling.py
@@ -1,4 +1,4 @@
-"""The other process of this balancer: the counts that each has sent to the other."""
+"""The other process of this balancer, and what each has reported to the other as in flight."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from orchidgap.net.handover.ports import HandoverNode
 from orchidgap.net.loop import Loop
 
-MIN_DESCRIPTORS = 64  # always left to the successor
+MIN_DESCRIPTORS = 64  # descriptors that a successor may always use
 
 
-class Snapshot(NamedTuple):
+class InFlightState(NamedTuple):
     """The open requests and the attempts in flight of this process at one moment."""
 
     request_ids: set[str]
@@ -35,7 +35,7 @@
         owner: Notified of changes and of the end of the channel.
         open_request_ids: Ids of the other process's open requests, as last received.
         in_flight: The other process's attempts in flight by host id, as last received.
-        last_sent: The snapshot of this process that was sent last.
+        last_sent: The state of this process that was sent last.
         granted_descriptors: How many descriptors the other process was last allowed to use.
         channel: The connection to the other process.
     """
@@ -48,7 +48,7 @@
         self.owner = owner
         self.open_request_ids: set[str] = set()
         self.in_flight: dict[str, int] = {}
-        self.last_sent = Snapshot(set(), {})
+        self.last_sent = InFlightState(set(), {})
         self.granted_descriptors = 0
         self.channel = PacketChannel(loop, sock, self.on_message, self.on_end)
 
@@ -71,14 +71,14 @@
             self.in_flight = {str(host): int(count) for host, count in counts.in_flight.items()}
             self.owner.on_counts_changed()
 
-    def notify(self, snapshot: Snapshot, descriptors: int) -> None:
+    def notify(self, state: InFlightState, descriptors: int) -> None:
         """Send the changes since the last call, and how many descriptors the process may use."""
-        if snapshot == self.last_sent and descriptors == self.granted_descriptors:
+        if state == self.last_sent and descriptors == self.granted_descriptors:
             return
         if descriptors != self.granted_descriptors:
             self.channel.send(DescriptorGrant(descriptors))
-        opened = sorted(snapshot.request_ids - self.last_sent.request_ids)
-        closed = sorted(self.last_sent.request_ids - snapshot.request_ids)
-        self.channel.send(Counts(opened, closed, snapshot.in_flight))
-        self.last_sent = snapshot
+        opened = sorted(state.request_ids - self.last_sent.request_ids)
+        closed = sorted(self.last_sent.request_ids - state.request_ids)
+        self.channel.send(Counts(opened, closed, state.in_flight))
+        self.last_sent = state
         self.granted_descriptors = descriptors
--- a/orchidgap/net/loop.py
+++ b/orchidgap/net/loop.py
@@ -90,7 +90,8 @@
     """Calls back for sockets that are ready and for timers that are due.
 
     Attributes:
-        now: The time of the current turn, in microseconds of the loop's clock.
+        now: The time of the current turn, in microseconds of the loop's clock. It is read before
+            the socket callbacks of a turn, and again after them.
         ready_since_us: The earliest time at which a socket that is ready in this turn can have
             become ready.
         buffer: The read buffer that all connections share; its content is valid until the next
@@ -161,7 +162,7 @@
         self.priority_callbacks.discard(key.data)
 
     def call_later(self, delay_us: int, callback: Callable[..., None], *args: Any) -> Timer:
-        """Call after a delay in microseconds, counted from the start of the turn."""
+        """Call after a delay in microseconds, counted from `now`."""
         return self.call_at(self.now + delay_us, callback, *args)
 
     def call_at(self, when_us: int, callback: Callable[..., None], *args: Any) -> Timer:
--- a/orchidgap/net/node.py
+++ b/orchidgap/net/node.py
@@ -63,7 +63,7 @@
         """Return the requests that can continue in another process, each in its current state."""
 
     def accept_migrated(
-        self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
+        self, node: Node, items: list[Any], raw: bytes, socks: list[socket.socket]
     ) -> None:
         """Accept a request from another process.
 
@@ -75,7 +75,8 @@
 class Node(NodeLifecycle, DecisionsPort):
     """One balancer on the network."""
 
-    settings: Mapping[str, Any] | None = None  # used in place of the file's settings
+    # settings that control decided, used in place of those of the file; None without control
+    settings: Mapping[str, Any] | None = None
 
     def __init__(
         self,
@@ -122,8 +123,8 @@
 
     def start(self) -> None:
         """Start with the host list of the configuration, and request a newer one."""
-        _, _, entries, found = self.config.initial_endpoints
-        self.apply_endpoints(True, entries, found)
+        _, _, entries, endpoints = self.config.initial_endpoints
+        self.apply_endpoints(True, entries, endpoints)
         self.call_decisions(self.balancer.on_hosts, ListScope.RECALLED, entries)
         self.check_ready()
         # The configuration's list may be outdated, and the process is expected to follow
@@ -184,7 +185,7 @@
         responder: Responder,
         request_id: bytes,
         request_class: str,
-        time_remaining_us: int,
+        timeout_us: int,
         is_write: bool,
         key: bytes,
         tenant: str,
@@ -198,9 +199,7 @@
         self.last_request_number += 1
         self.traffic_counts.requests_arrived += 1
         number = self.last_request_number
-        exchange = Exchange(
-            self, number, request_id, responder, head, body, time_remaining_us, upload
-        )
+        exchange = Exchange(self, number, request_id, responder, head, body, timeout_us, upload)
         responder.pending_request = self.exchanges[number] = exchange
         self.call_decisions(
             self.decide_request,
@@ -241,28 +240,29 @@
 
     # --- calls of discovery
 
-    def on_list(self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]) -> None:
+    def on_list(self, whole: bool, entries: list[EndpointEntry], endpoints: list[Endpoint]) -> None:
         """Apply the list of hosts, or changes to it."""
-        self.apply_endpoints(whole, entries, found)
+        self.apply_endpoints(whole, entries, endpoints)
         scope = ListScope.WHOLE if whole else ListScope.CHANGES
         self.call_decisions(self.balancer.on_hosts, scope, entries)
         self.end_list_wait()
 
     def end_list_wait(self) -> None:
-        """Stop waiting for discovery's list: it has arrived or, after the timeout, the
-        configuration's list is used.
+        """Stop waiting for discovery's list, which has arrived or is overdue.
+
+        If it is overdue, the configuration's list is used.
         """
         self.list_received = True
         self.check_ready()
 
     def apply_endpoints(
-        self, whole: bool, entries: list[EndpointEntry], found: list[Endpoint]
+        self, whole: bool, entries: list[EndpointEntry], endpoints: list[Endpoint]
     ) -> None:
         """Store the list for a successor process, and apply it to the connection pools."""
-        self.pools.apply_endpoints(whole, found)
+        self.pools.apply_endpoints(whole, endpoints)
         if whole:
             self.endpoints.clear()
-        for entry, endpoint in zip(entries, found):
+        for entry, endpoint in zip(entries, endpoints):
             host, state = entry[:2]
             self.endpoints[host] = entry, endpoint
             if state == "gone":
@@ -330,9 +330,9 @@
         """Return the requests that can continue in another process."""
         return self.protocol.migrating_requests(self)
 
-    def accept_migrated(self, words: list[Any], raw: bytes, sockets: list[socket.socket]) -> None:
+    def accept_migrated(self, items: list[Any], raw: bytes, sockets: list[socket.socket]) -> None:
         """Accept a request from another process."""
-        self.protocol.accept_migrated(self, words, raw, sockets)
+        self.protocol.accept_migrated(self, items, raw, sockets)
 
     # --- commands of operators
 
@@ -341,7 +341,7 @@
 
         The counts include the reasons for which the decisions rejected requests.
         """
-        return True, orjson.dumps(self.traffic_facts()).decode()
+        return True, orjson.dumps(self.traffic_log_fields()).decode()
 
     def shadow_report(self) -> tuple[bool, str]:
         """Return how many decisions would differ with the shadow settings, by kind."""
@@ -370,7 +370,7 @@
             dispatches=settings.max_attempts,
             **({"at_next_start": waiting} if waiting else {}),
         )
-        self.discovery.move(config.discovery)
+        self.discovery.set_address(config.discovery)
 
     def set_response_hold(self) -> None:
         """Set how long an answer of unknown length may be held: a quarter of the objective."""
--- a/orchidgap/net/node_lifecycle.py
+++ b/orchidgap/net/node_lifecycle.py
@@ -89,14 +89,14 @@
         if self.lifecycle.rules.closes_after_answer:
             self.drain_step(self.lifecycle.transition_count)
 
-    def drain_step(self, change: int) -> None:
+    def drain_step(self, transition_number: int) -> None:
         """Close the listener and clients when their times are due; repeat until the state changes.
 
-        `change` is the number of the state's transition.
+        `transition_number` is the number of the transition that led to the current state.
         """
         lifecycle = self.lifecycle
         now = self.loop.now
-        if lifecycle.transition_count != change:
+        if lifecycle.transition_count != transition_number:
             return
         if not lifecycle.accepts_connections(now):
             self.clients.close_listener()
@@ -114,11 +114,11 @@
         if lifecycle.is_finished(now, client_count, is_streaming):
             self.stop()
         else:
-            self.loop.call_later(DRAIN_STEP_US, self.drain_step, change)
+            self.loop.call_later(DRAIN_STEP_US, self.drain_step, transition_number)
 
-    def traffic_facts(self) -> dict[str, dict[str, int]]:
+    def traffic_log_fields(self) -> dict[str, dict[str, int]]:
         """Return the counts of connections and requests since the start, for a log line."""
-        return self.traffic_counts.facts() | self.rejection_log.facts()
+        return self.traffic_counts.log_fields() | self.rejection_log.log_fields()
 
     def stop(self) -> None:
         """Close the listener, log the final counts, and end the loop."""
@@ -128,7 +128,7 @@
             reqs=sum(not exchange.closed for exchange in self.exchanges.values()),
             longest_turn_ms=self.loop.longest_turn_us // 1000,
         )
-        self.event_log("traffic", **self.traffic_facts())
+        self.event_log("traffic", **self.traffic_log_fields())
         if isinstance(self.balancer, ShadowBalancer):
             self.event_log("shadow report", what=self.balancer.summary())
         self.handover.close()
--- a/orchidgap/net/rejection_log.py
+++ b/orchidgap/net/rejection_log.py
@@ -7,7 +7,7 @@
 from orchidgap.decisions.rejections import RejectionReason
 from orchidgap.net.event_log import EventLog
 
-LOG_INTERVAL_US = 1_000_000  # between two lines
+LOG_INTERVAL_US = 1_000_000  # the shortest time between two lines
 
 
 class RejectionLog:
@@ -39,7 +39,7 @@
         self._logged_at_us = now_us
         self.event_log("rejections", reasons=reasons)
 
-    def facts(self) -> dict[str, dict[str, int]]:
+    def log_fields(self) -> dict[str, dict[str, int]]:
         """Return all counts since the start, for a log line; empty if there are none."""
         counts = {reason.value: count for reason, count in sorted(self.rejections.items())}
         return {"reasons": counts} if counts else {}
--- a/orchidgap/net/request_handler.py
+++ b/orchidgap/net/request_handler.py
@@ -33,7 +33,7 @@
         """When the request's last byte arrived, by the loop's clock."""
 
     @property
-    def turn_at_us(self) -> int:
+    def unblocked_at_us(self) -> int:
         """When earlier requests of its client stopped blocking it, by the loop's clock.
 
         It is 0 if the request was not blocked.
@@ -84,7 +84,7 @@
         responder: Responder,
         request_id: bytes,
         request_class: str,
-        time_remaining_us: int,
+        timeout_us: int,
         is_write: bool,
         key: bytes,
         tenant: str,
@@ -98,6 +98,7 @@
 
         Sets `responder.pending_request`; `responder.answer` is called once.
 
-        `time_remaining_us` is how long the client waits; a slot below 0 is derived from the key. A
-        streamed body is not in `body`; `pending_request.on_body_complete` is called at its end.
+        `timeout_us` is how long the client waits, counted from the request's last byte. A slot
+        below 0 is derived from the key. A streamed body is not in `body`, and
+        `pending_request.on_body_complete` is called at its end.
         """
--- a/orchidgap/net/request_key.py
+++ b/orchidgap/net/request_key.py
@@ -4,9 +4,8 @@
 
 from hashlib import blake2b
 
-MAX_KEY_BYTES = (
-    32  # longer keys are hashed: the decisions format the number, and Python limits its digits
-)
+# longer keys are hashed: the decisions format the number, and Python limits its digits
+MAX_KEY_BYTES = 32
 DIGEST_BYTES = 16
 
 
--- a/orchidgap/net/run_delay.py
+++ b/orchidgap/net/run_delay.py
@@ -12,7 +12,7 @@
 OWN_THREAD = Path("/proc/thread-self/schedstat")
 STAT = Path("/proc/stat")
 STEAL_FIELD = 8  # the index of the steal time in the first line of /proc/stat
-MAX_BYTES = 128
+MAX_SCHEDSTAT_BYTES = 128
 
 
 def schedstat_of(process_id: int) -> Path:
@@ -34,7 +34,7 @@
     except OSError:
         return 0
     try:
-        return int(os.read(descriptor, MAX_BYTES).split()[1]) // 1000
+        return int(os.read(descriptor, MAX_SCHEDSTAT_BYTES).split()[1]) // 1000
     except (OSError, IndexError, ValueError):
         return 0
     finally:
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -32,8 +32,8 @@
 class LeaseHolder(Protocol):
     """Obtains the permission to serve clients."""
 
-    def begin(self, opens: Callable[[], None]) -> None:
-        """Call back once the permission is granted."""
+    def begin(self, on_first_lease: Callable[[], None]) -> None:
+        """Request the permission, and call back once it is first granted."""
 
     def close(self) -> None:
         """Release the resources at the end of the process."""
--- a/orchidgap/net/traffic_counts.py
+++ b/orchidgap/net/traffic_counts.py
@@ -67,7 +67,7 @@
     >>> counts = TrafficCounts()
     >>> counts.connections_accepted += 2
     >>> counts.on_connection_end(ConnectionEnd.SILENT)
-    >>> counts.connections_open, counts.connection_facts()
+    >>> counts.connections_open, counts.connection_counts()
     (1, {'accepted': 2, 'silent': 1, 'open': 1})
     """
 
@@ -107,7 +107,7 @@
         """The number of requests that have not ended."""
         return self.requests_arrived + self.requests_adopted - self.request_ends.total()
 
-    def connection_facts(self) -> dict[str, int]:
+    def connection_counts(self) -> dict[str, int]:
         """Return the counts of connections that are not 0, for a log line."""
         return _without_zeros(
             {
@@ -120,7 +120,7 @@
             }
         )
 
-    def request_facts(self) -> dict[str, int]:
+    def request_counts(self) -> dict[str, int]:
         """Return the counts of requests that are not 0, for a log line."""
         return _without_zeros(
             {
@@ -131,15 +131,15 @@
             }
         )
 
-    def facts(self) -> dict[str, dict[str, int]]:
+    def log_fields(self) -> dict[str, dict[str, int]]:
         """Return all counts, for a log line."""
         rejected = {str(status): count for status, count in sorted(self.rejections.items())}
         return {
-            "connections": self.connection_facts(),
-            "requests": self.request_facts(),
+            "connections": self.connection_counts(),
+            "requests": self.request_counts(),
             "rejected": rejected,
         }
 
 
-def _without_zeros(facts: dict[str, int]) -> dict[str, int]:
-    return {name: count for name, count in facts.items() if count}
+def _without_zeros(counts: dict[str, int]) -> dict[str, int]:
+    return {name: count for name, count in counts.items() if count}
--- a/orchidgap/net/upstream_attempt.py
+++ b/orchidgap/net/upstream_attempt.py
@@ -10,7 +10,7 @@
 from orchidgap.net.connection import Connection
 
 MAX_LOAD_REPORT_BYTES = 256  # longer reports are truncated
-MAX_LOAD_VALUE = 1e9  # values from here on are ignored
+MAX_LOAD_VALUE = 1e9  # larger and equal values are ignored
 
 
 def parse_load_report(text: bytes) -> dict[str, float]:
@@ -41,15 +41,15 @@
 
 
 class ResponseSink(Protocol):
-    """Receives a streamed answer."""
+    """Passes a streamed answer on to its client."""
 
-    def begin(self, length: int | None, source: Connection) -> None:
-        """Begin the answer: its status is 200, and `length` is that of its body, if known."""
+    def begin_response(self, length: int | None, source: Connection) -> None:
+        """Begin the answer, whose status is 200; `length` is that of its body, None if unknown."""
 
-    def give(self, parts: list[bytes]) -> None:
-        """Receive more of the body; reading from the source is paused until it has been sent on."""
+    def send_body(self, parts: list[bytes]) -> None:
+        """Send more of the body; reading from the source is paused until it has been written."""
 
-    def end(self, whole: bool) -> None:
+    def end_response(self, whole: bool) -> None:
         """End the answer; if `whole` is false, the client must be able to detect the truncation."""
 
 
@@ -79,7 +79,7 @@
         upload: The body, if it is streamed.
         response_hold_us: How long an answer of unknown length may be held.
         load_report: The load report that the host sent with the answer.
-        length: The body length that an answer without a body declares.
+        length: The body length that the answer to a HEAD request declares; None for other answers.
         carrier: The connection that carries the attempt.
         asking: Whether an ASK reply of another host redirected it to this host (RESP).
         redirect_host: The host that its own host redirected it to (RESP).
--- a/orchidgap/resp/__init__.py
+++ b/orchidgap/resp/__init__.py
@@ -25,7 +25,7 @@
 
 
 class Resp:
-    """The parts of a node that speaks RESP to clients and hosts.
+    """Creates the parts of a node that uses RESP for clients and hosts.
 
     Attributes:
         config: the RESP part of the configuration.
@@ -65,7 +65,7 @@
         return []
 
     def accept_migrated(
-        self, node: Node, words: list[Any], raw: bytes, socks: list[socket.socket]
+        self, node: Node, items: list[Any], raw: bytes, socks: list[socket.socket]
     ) -> None:
         """Raises ValueError, as RESP requests do not migrate."""
         raise ValueError("RESP connections do not support migration")
--- a/orchidgap/resp/client.py
+++ b/orchidgap/resp/client.py
@@ -53,7 +53,7 @@
 
         A new connection is opened while all connections are busy and the server's limit allows it.
         """
-        connection = min(self.connections, key=lambda link: link.load, default=None)
+        connection = min(self.connections, key=lambda each: each.load, default=None)
         is_busy = connection is not None and connection.load > 0
         may_dial = len(self.connections) < MAX_CONNECTIONS_PER_SERVER
         if connection is None or (is_busy and may_dial):
@@ -124,6 +124,6 @@
         for pool in list(self.by_host.values()):
             for connection in list(pool.connections):
                 silent_us = self.loop.now - connection.received_at_us
-                is_up = not connection.conn.connecting
-                if connection.expected and is_up and silent_us > ANSWER_TIMEOUT_US:
+                is_connected = not connection.conn.connecting
+                if connection.expected and is_connected and silent_us > ANSWER_TIMEOUT_US:
                     connection.ended("answer timeout")
--- a/orchidgap/resp/commands.py
+++ b/orchidgap/resp/commands.py
@@ -55,7 +55,7 @@
     Command(b"MSET", 3, 1, LAST_WORD, 2, True),
     Command(b"MSETNX", 3, 1, LAST_WORD, 2, True),
 )
-# Known commands that the balancer does not support; they get an error of their own.
+# Known commands that the balancer does not support; their error differs from that of unknown ones.
 UNSUPPORTED = frozenset(
     b"""MULTI EXEC DISCARD WATCH UNWATCH SUBSCRIBE PSUBSCRIBE SSUBSCRIBE UNSUBSCRIBE PUNSUBSCRIBE
 PUBLISH SPUBLISH MONITOR BLPOP BRPOP BLMOVE BLMPOP BZPOPMIN BZPOPMAX BZMPOP BRPOPLPUSH XREAD
--- a/orchidgap/resp/config.py
+++ b/orchidgap/resp/config.py
@@ -33,7 +33,7 @@
 
 
 class RespConfig(NamedTuple):
-    """How a balancer speaks RESP.
+    """The RESP settings of a balancer.
 
     Attributes:
         seeds: addresses of the slot servers that are contacted first.
--- a/orchidgap/resp/framing.py
+++ b/orchidgap/resp/framing.py
@@ -28,10 +28,10 @@
     """The bytes are not RESP, or exceed a limit.
 
     Attributes:
-        what: the reason, as sent to the client in the error reply.
+        reason: the reason, as sent to the client in the error reply.
     """
 
-    what: str
+    reason: str
 
 
 class Incomplete(NamedTuple):
--- a/orchidgap/resp/reader.py
+++ b/orchidgap/resp/reader.py
@@ -63,7 +63,7 @@
             return 0
         end = item_end(self.buffer, self.position, self.max_item_bytes)
         if isinstance(end, ProtocolViolation):
-            self.error = end.what
+            self.error = end.reason
             return 0
         if isinstance(end, Incomplete):
             self.bytes_needed = end.bytes_needed
--- a/orchidgap/resp/replies.py
+++ b/orchidgap/resp/replies.py
@@ -48,7 +48,7 @@
         pending_request: the request while the node handles it.
         received_at_us: when the command arrived.
         is_delayed: the command is delayed while an earlier one waits for the same server.
-        turn_at_us: when earlier commands last stopped blocking this one.
+        unblocked_at_us: when earlier commands last stopped blocking this one.
         encoded: the encoded answer; None until the command is answered.
         slot: slot of the key; -1 if the command needs no host.
         is_write: whether the command modifies data.
@@ -65,7 +65,7 @@
         "queue",
         "received_at_us",
         "slot",
-        "turn_at_us",
+        "unblocked_at_us",
     )
 
     def __init__(self, queue: ReplyQueue, joined: JoinedReply | None = None) -> None:
@@ -75,7 +75,7 @@
         self.pending_request: PendingRequest | None = None
         self.encoded: bytes | None = None
         self.received_at_us = queue.received_at_us
-        self.turn_at_us = queue.capacity_freed_at_us
+        self.unblocked_at_us = queue.capacity_freed_at_us
         self.slot = -1
         self.is_write = False
         self.is_delayed = False
--- a/orchidgap/resp/server.py
+++ b/orchidgap/resp/server.py
@@ -21,12 +21,13 @@
 from orchidgap.resp.session import Session
 from orchidgap.resp.writers import encode_bulk, encode_command, encode_error
 
-MAX_QUEUED_REPLIES = 1_024  # commands of one connection without a written reply
-MAX_QUEUED_BYTES = 1 << 20  # of one connection: write buffer, expected outstanding replies
+MAX_QUEUED_REPLIES = 1_024  # most commands of one connection whose replies are not written yet
+# Limit of one connection for its write buffer, and for the expected size of outstanding replies.
+MAX_QUEUED_BYTES = 1 << 20
 # Initial estimate of a reply's size: few commands are accepted until replies have been measured.
 FIRST_REPLY_BYTES = MAX_QUEUED_BYTES // 16
-REPLY_SIZE_SMOOTHING = 8
-WRITE_CHECK_INTERVAL_US = 20_000  # while a client does not read its replies
+REPLY_SIZE_SMOOTHING = 8  # a new reply's share in the average size is 1 / this
+WRITE_CHECK_INTERVAL_US = 20_000  # between checks whether a client reads its replies again
 MAX_SHOWN_BYTES = 60  # length limit of a command name in an error reply
 COMMANDS_BEFORE_LOGIN = (b"AUTH", b"HELLO", b"QUIT", b"RESET")
 REJECTIONS = {
@@ -90,7 +91,7 @@
         return self.reader.unread_bytes() > 0 or bool(self.replies)
 
     @property
-    def requests_begun(self) -> int:
+    def begun_request_count(self) -> int:
         """The number of commands that were read, including a partly received one."""
         return self.requests_read + (self.reader.unread_bytes() > 0)
 
@@ -202,7 +203,7 @@
             self.finish()
         elif self.replies:
             return
-        elif self.listener.closes_after_response and not self.has_input():
+        elif self.listener.closes_after_answer and not self.has_input():
             self.finish()
         elif self.reader.unread_bytes():
             if self not in self.listener.awaiting_request:
@@ -341,7 +342,7 @@
                     break
                 reply = delayed.popleft()
                 reply.is_delayed = False
-                reply.turn_at_us = self.listener.loop.now
+                reply.unblocked_at_us = self.listener.loop.now
                 self.forward_or_delay(reply)
                 if delayed:
                     self.delayed_by_owner.setdefault(owner, deque()).extend(delayed)
@@ -351,7 +352,7 @@
         now_us = self.listener.loop.now
         for reply in self.in_flight_by_slot.get(slot, ()):
             if reply.forward:
-                reply.turn_at_us = now_us
+                reply.unblocked_at_us = now_us
         for reply in list(self.in_flight_by_slot.get(slot, ())):
             if self.conn.is_open and reply in self.in_flight_by_slot.get(slot, ()):
                 self.forward_if_allowed(self.in_flight_by_slot[slot], reply)
--- a/orchidgap/resp/slot_discovery.py
+++ b/orchidgap/resp/slot_discovery.py
@@ -126,7 +126,7 @@
                 node.event_log,
                 dial,
             )
-        self.loop.call_later(CHECK_INTERVAL_US, self.check)
+        self.loop.call_later(CHECK_INTERVAL_US, self.run_periodic_refresh)
 
     # --- servers
 
@@ -137,10 +137,10 @@
         self.report_servers()
         self.refresh_map()
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Switches to another discovery address."""
         if self.discovery:
-            self.discovery.move(address)
+            self.discovery.set_address(address)
 
     def on_list(
         self, is_whole: bool, entries: list[EndpointEntry], endpoints: list[Endpoint]
@@ -216,10 +216,10 @@
 
     # --- slot map
 
-    def check(self) -> None:
+    def run_periodic_refresh(self) -> None:
         """Refreshes the slot map if that is due; called at intervals."""
         self.refresh_map()
-        self.loop.call_later(CHECK_INTERVAL_US, self.check)
+        self.loop.call_later(CHECK_INTERVAL_US, self.run_periodic_refresh)
 
     def refresh_map(self) -> None:
         """Requests the slot map from one server if a refresh is due and none is in progress."""
--- a/orchidgap/simulation/close_records.py
+++ b/orchidgap/simulation/close_records.py
@@ -53,7 +53,7 @@
         """
         record = CloseRecord(
             closed_at_us,
-            client.requests_begun,
+            client.begun_request_count,
             client.requests_answered,
             not was_looked_at and client.conn.has_unread_bytes(),
             was_looked_at,
--- a/tests/http1/test_connections.py
+++ b/tests/http1/test_connections.py
@@ -80,7 +80,7 @@
     )
     net.now += HOST_LATENCY_US // 2  # sooner than this host can answer
     net.answer_from_host(old_host, body="not mine")
-    assert received_or_reset(client) is None and net.verdicts[-1] == "stale"
+    assert received_or_reset(client) is None and net.outcomes[-1] == "stale"
     text, new_host = net.next_host_request()
     assert "/read/second" in text and new_host is not old_host, "a read may be resent"
     net.advance(HOST_LATENCY_US)
@@ -118,7 +118,7 @@
     wait_until_readable(node_sock)
     net.turn()
     text, new_host = net.next_host_request()
-    assert net.verdicts[-1] == "stale" and "/read/second" in text
+    assert net.outcomes[-1] == "stale" and "/read/second" in text
     net.answer_from_host(new_host, body="mine")
     assert received_or_reset(client).endswith("mine")
 
@@ -198,7 +198,7 @@
     old_host.sendall(malformed)
     net.turn()
     text, new_host = net.next_host_request()
-    assert net.verdicts == ["reset"] and "/read/k1" in text and new_host is not old_host
+    assert net.outcomes == ["reset"] and "/read/k1" in text and new_host is not old_host
     net.answer_from_host(new_host, body="mine")
     assert received_or_reset(client).endswith("mine")
     assert received_text(old_host) == "", "the connection is closed"
--- a/tests/http1/test_discovery.py
+++ b/tests/http1/test_discovery.py
@@ -279,7 +279,7 @@
         3,
         net.now,
     )  # the new agent's versions start lower; one host drains
-    net.node.discovery.move(("127.0.0.1", 8501))
+    net.node.discovery.set_address(("127.0.0.1", 8501))
     for _ in range(400):
         net.advance(STEP_US)
         net.dialled = [(8500 if port == 8501 else port, sock) for port, sock in net.dialled]
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -109,7 +109,7 @@
     with contextlib.suppress(OSError):
         net.send_and_turn(client, REQUEST_HEAD + b"\r\n")  # too late
     assert net.node.clients.open_clients, "closing with unread bytes would lose the answer"
-    assert received_text(client) == "" and not net.verdicts and not net.node.exchanges
+    assert received_text(client) == "" and not net.outcomes and not net.node.exchanges
     net.advance(1_100_000)
     assert not net.node.clients.open_clients, (
         "it stays open only until the answer can have been read"
--- a/tests/loopback_harness.py
+++ b/tests/loopback_harness.py
@@ -111,9 +111,9 @@
         """Return the node's socket of this client's connection."""
         name = client.getsockname()
         return next(
-            caller.conn.sock
-            for caller in self.node.clients.open_clients
-            if caller.conn.sock.getpeername() == name
+            connection.conn.sock
+            for connection in self.node.clients.open_clients
+            if connection.conn.sock.getpeername() == name
         )
 
     def send_more(self, client, text):
@@ -121,10 +121,10 @@
         client.sendall(text)
         wait_until_readable(self.accepted_socket(client))
 
-    def wait_for_end(self, caller):
+    def wait_for_fin(self, connection):
         """Wait until the kernel has received the client's FIN, even if unread bytes precede it."""
         poll = select.poll()
-        poll.register(caller.conn.sock, select.POLLRDHUP)
+        poll.register(connection.conn.sock, select.POLLRDHUP)
         assert poll.poll(SOCKET_TIMEOUT_S * 1000), "the kernel delivered no FIN"
 
     def close_client(self, client):
--- a/tests/net/test_attempts.py
+++ b/tests/net/test_attempts.py
@@ -56,7 +56,7 @@
     net.close_client(client)
     net.turn()
     complete_connection(net, far)
-    assert b"GET" not in written_text(far) and not net.node.exchanges and net.verdicts == ["moot"]
+    assert b"GET" not in written_text(far) and not net.node.exchanges and net.outcomes == ["moot"]
 
 
 @pytest.mark.parametrize("settings", [{}, NO_CANCELLATION])
@@ -87,7 +87,7 @@
     assert "/read/k0" in text
     net.send_more(client, request_text("k20"))
     client.close()
-    net.wait_for_end(client_connection)
+    net.wait_for_fin(client_connection)
     net.answer_from_host(far)
     net.advance(10_000)
     assert (
@@ -145,7 +145,7 @@
     origin.close()  # the request may have been executed
     wait_until_readable(next(iter(net.node.pools.by_host["o"].connections)).conn.sock)
     net.turn()
-    assert net.verdicts == ["reset"] and len(net.node.exchanges) == 1, "a resend is in progress"
+    assert net.outcomes == ["reset"] and len(net.node.exchanges) == 1, "a resend is in progress"
     net.node.pools.connect_timeout_us = 10_000_000
     for connection in net.node.pools.by_host["o"].connections:
         connection.cancel_timer()
@@ -184,7 +184,7 @@
     net.turn()
     assert len(net.node.exchanges) == 1, "the attempt continues"
     net.advance(1_000_000)
-    assert not net.node.exchanges and not net.node.balancer.requests and net.verdicts == ["timeout"]
+    assert not net.node.exchanges and not net.node.balancer.requests and net.outcomes == ["timeout"]
     assert sum(len(pool.connections) for pool in net.node.pools.by_host.values()) == 0
 
 
--- a/tests/net/test_backlog.py
+++ b/tests/net/test_backlog.py
@@ -508,7 +508,7 @@
     return True
 
 
-# --- found by review: other ways to lose a request while capacity is freed
+# --- other ways to lose a request while capacity is freed
 
 
 def slow_reader(net, address, size=60_000):
--- a/tests/net/test_connection_pools.py
+++ b/tests/net/test_connection_pools.py
@@ -18,15 +18,15 @@
     net = NodeHarness(1)
     net.refused.add(100)
     client = net.send_request()
-    assert net.verdicts == ["unconnected"] and "503" in received_text(client)
+    assert net.outcomes == ["unconnected"] and "503" in received_text(client)
     net = NodeHarness(1)
     near, _far = unwritable_pair()
     net.node.pools.dial_address = lambda address: near
     client = net.send_request()
     net.advance(99_000)
-    assert net.verdicts == [] and received_text(client) is None
+    assert net.outcomes == [] and received_text(client) is None
     net.advance(2_000)
-    assert net.verdicts == ["unconnected"] and "503" in received_text(client)
+    assert net.outcomes == ["unconnected"] and "503" in received_text(client)
 
 
 def test_all_but_one_connection_of_a_burst_are_closed_soon():
@@ -88,20 +88,20 @@
     assert (
         len(net.dialled) == 3
         and received_text(net.host_socket()).startswith("GET")
-        and net.verdicts == ["done"]
+        and net.outcomes == ["done"]
     )
 
 
-@pytest.mark.parametrize(("written", "verdict"), [(True, "stale"), (False, "unconnected")])
+@pytest.mark.parametrize(("written", "outcome"), [(True, "stale"), (False, "unconnected")])
 def test_a_stale_connection_counts_as_unconnected_only_if_nothing_was_sent(
-    written, verdict, monkeypatch
+    written, outcome, monkeypatch
 ):
     """A reused connection breaks under its next request. Whether the request may have been
     executed depends on whether any byte was written.
     """
     net = NodeHarness(1)
     [connection] = open_idle_connections(net, 1)
-    net.verdicts.clear()
+    net.outcomes.clear()
     monkeypatch.setattr("orchidgap.net.connection.Connection.is_stale", lambda conn: False)
     near, client = socket.socketpair()
     client.sendall(REQUEST_HEAD + b"\r\n")
@@ -110,7 +110,7 @@
     net.node.clients.admit(near)
     connection.close()
     net.turn()
-    assert net.verdicts == [verdict] and len(net.dialled) == 2 + written, (
+    assert net.outcomes == [outcome] and len(net.dialled) == 2 + written, (
         "no resend without a decision"
     )
 
@@ -133,7 +133,7 @@
         and len(net.host_sockets()) == 3
     )
     net.answer_from_host(net.host_socket())
-    assert received_text(client).startswith("HTTP/1.1 200") and net.verdicts[-2:] == [
+    assert received_text(client).startswith("HTTP/1.1 200") and net.outcomes[-2:] == [
         "stale",
         "done",
     ]
@@ -141,7 +141,7 @@
     net.send_and_turn(net.host_socket(), "HTTP/1.1 200 OK\r\nContent")
     net.host_socket().close()
     net.turn()
-    assert net.verdicts[-1] == "reset", "the host had begun to answer"
+    assert net.outcomes[-1] == "reset", "the host had begun to answer"
 
 
 def test_a_recently_used_connection_that_breaks_does_not_close_idle_ones():
@@ -172,7 +172,7 @@
         near, far = unwritable_pair()
         net.node.pools.dial_address = lambda address, near=near: near
         net.send_request()
-        assert net.verdicts == []
+        assert net.outcomes == []
         net.node.pools.dial_address = net.dial
         owner = next(id for id, pool in net.node.pools.by_host.items() if pool.connections)
         changes = decode_list(
@@ -180,7 +180,7 @@
         )
         net.node.on_list(False, *changes[2:])
         net.turn()
-        assert net.verdicts == ["unconnected"] and received_text(net.host_socket()).startswith(
+        assert net.outcomes == ["unconnected"] and received_text(net.host_socket()).startswith(
             "GET"
         ), "the other host serves it"
         assert b"GET" not in far.recv(1 << 20)
@@ -189,7 +189,7 @@
     net.node.pools.dial_address = lambda address, near=near: near
     net.send_request().close()
     net.turn()
-    assert net.verdicts == ["moot"] and b"GET" not in far.recv(1 << 20)
+    assert net.outcomes == ["moot"] and b"GET" not in far.recv(1 << 20)
 
 
 def test_idle_connections_are_closed_when_descriptors_run_short():
@@ -207,18 +207,18 @@
     assert answered == 30 and net.node.pools.connection_count <= 8
     net.node.clients.max_clients = 9
     clients = [net.send_request(f"b{key}") for key in range(9)]
-    assert net.node.pools.connection_count == 8 and net.verdicts[-1] == "moot", (
+    assert net.node.pools.connection_count == 8 and net.outcomes[-1] == "moot", (
         "not charged to the host"
     )
     assert "503" in received_text(clients[-1])
 
 
 class AbandonedRequest:
+    """The owner of an attempt whose outcome is ignored."""
+
     def may_send(self, number):
         return True
 
-    """The owner of an attempt whose outcome is ignored."""
-
     def on_settled(self, number, outcome, body):
         pass
 
--- a/tests/net/test_exchange.py
+++ b/tests/net/test_exchange.py
@@ -72,7 +72,7 @@
     net.answer_from_host(net.host_socket())
     assert (
         "200" in received_text(client)
-        and net.verdicts == ["cancelled", "done"]
+        and net.outcomes == ["cancelled", "done"]
         and not net.node.exchanges
     )
 
@@ -86,13 +86,13 @@
         attempt.carrier.bytes_written_at_start
     )  # as if nothing had been written yet
     net.advance(600_000)
-    assert net.verdicts[0] == "moot" and net.dialled[-1][0] == 109
+    assert net.outcomes[0] == "moot" and net.dialled[-1][0] == 109
     net.answer_from_host(net.host_socket())
     assert "200" in received_text(client)
 
 
 @pytest.mark.parametrize(
-    ("behave", "verdict"),
+    ("behave", "outcome"),
     [
         (lambda net, far: far.close(), "reset"),
         (
@@ -132,7 +132,7 @@
         (lambda net, far: net.advance(2_000_000), "timeout"),
     ],
 )
-def test_each_behaviour_of_a_host_is_reported_as_its_outcome(behave, verdict):
+def test_each_behaviour_of_a_host_is_reported_as_its_outcome(behave, outcome):
     """A host answers correctly, malformed, late, in part or not at all. The decisions get exactly
     the matching outcome.
     """
@@ -140,7 +140,7 @@
     net.send_request()
     behave(net, net.host_socket())
     net.turn()
-    assert net.verdicts == [verdict]
+    assert net.outcomes == [outcome]
 
 
 def test_a_client_that_disconnects_ends_its_attempt():
@@ -154,7 +154,7 @@
     net.turn()
     assert (
         received_text(net.host_socket()) == ""
-        and net.verdicts == ["cancelled"]
+        and net.outcomes == ["cancelled"]
         and not net.node.exchanges
     )
 
@@ -168,7 +168,7 @@
     net.advance(479_000)
     assert received_text(client) is None
     net.advance(2_000)
-    assert received_text(client).startswith("HTTP/1.1 503") and net.verdicts == ["timeout"]
+    assert received_text(client).startswith("HTTP/1.1 503") and net.outcomes == ["timeout"]
     net.advance(5_000_000)
     assert received_text(client) is None
 
@@ -226,7 +226,7 @@
     net.answer_from_host(net.host_socket(), 400, "")
     assert (
         received_text(client).startswith("HTTP/1.1 400")
-        and net.verdicts == ["unfit"]
+        and net.outcomes == ["unfit"]
         and len(net.host_sockets()) == 1
     )
     assert not net.node.exchanges and not net.node.balancer.requests
--- a/tests/net/test_floods.py
+++ b/tests/net/test_floods.py
@@ -26,7 +26,7 @@
         "no more than one read is buffered"
     )
     client.close()
-    net.wait_for_end(client_connection)
+    net.wait_for_fin(client_connection)
     assert "/read/k0" in net.next_host_request()[0]
     net.answer_from_host(net.host_socket())
     net.advance(20_000)
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("memory", "sockets", "most"),
+    ("memory", "sockets", "max_clients"),
     [
         (32, 256, 104),
         (32, 1024, 128),
@@ -54,9 +54,11 @@
         (10, 256, 8),
     ],
 )
-def test_clients_may_use_a_third_of_the_descriptors_if_memory_allows(memory, sockets, most):
+def test_clients_may_use_half_of_the_shared_descriptors_if_memory_allows(
+    memory, sockets, max_clients
+):
     net = NodeHarness(1, memory=memory, sockets=sockets)
     assert (
-        net.node.clients.max_clients == most
-        and net.node.pools.max_connections + most <= sockets - 48
+        net.node.clients.max_clients == max_clients
+        and net.node.pools.max_connections + max_clients <= sockets - 48
     )
--- a/tests/net/test_rejection_log.py
+++ b/tests/net/test_rejection_log.py
@@ -25,7 +25,7 @@
     assert lines == [("rejections", {"origin_wait": 1})]
     reject(RejectionReason.SLOW_START, LOG_INTERVAL_US)
     assert lines[1:] == [("rejections", {"origin_wait": 1, "slow_start": 2})]
-    assert log.facts() == {"reasons": {"origin_wait": 2, "slow_start": 2}}
+    assert log.log_fields() == {"reasons": {"origin_wait": 2, "slow_start": 2}}
 
 
 def test_the_count_report_includes_the_reasons():
--- a/tests/net/test_response_streaming.py
+++ b/tests/net/test_response_streaming.py
@@ -46,7 +46,7 @@
         rest += b"0\r\n\r\n"
     else:
         rest += BODY
-    received, max_held, verdicts_at_first_byte = b"", 0, None
+    received, max_held, outcomes_at_first_byte = b"", 0, None
     for _ in range(5_000):
         rest = send_some(net, far, rest) if rest else rest
         if not rest and framing == "close" and far.fileno() >= 0:
@@ -55,8 +55,8 @@
         net.turn(1)
         max_held = max(max_held, held_bytes(net))
         part = received_bytes(client, 4_000)
-        if part and verdicts_at_first_byte is None:
-            verdicts_at_first_byte = net.verdicts
+        if part and outcomes_at_first_byte is None:
+            outcomes_at_first_byte = net.outcomes
         if part is None:
             break
         received += part
@@ -75,7 +75,7 @@
         body = decode_chunked(body)
     assert (
         body == BODY
-        and net.verdicts == ["done"]
+        and net.outcomes == ["done"]
         and not net.node.exchanges
         and not net.node.open_request_ids
     )
@@ -99,7 +99,7 @@
     far = net.host_socket()
     far.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst")
     net.turn()
-    assert received_text(client).endswith("\r\n\r\nfirst") and net.verdicts == ["done"], (
+    assert received_text(client).endswith("\r\n\r\nfirst") and net.outcomes == ["done"], (
         "reported at once, although the body is incomplete"
     )
     net.advance(3_000_000)
@@ -306,9 +306,9 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "verdict"), [(204, "error"), (304, "error"), (500, "error"), (404, "miss")]
+    ("status", "outcome"), [(204, "error"), (304, "error"), (500, "error"), (404, "miss")]
 )
-def test_answers_without_a_body_keep_the_connection(status, verdict):
+def test_answers_without_a_body_keep_the_connection(status, outcome):
     net = NodeHarness(1)
     net.send_request("k")
     net.send_and_turn(
@@ -317,7 +317,7 @@
         + ("" if status in (204, 304) else "Content-Length: 0\r\n")
         + "\r\n",
     )
-    assert net.verdicts[0] == verdict and list(net.node.pools.by_host["c0"].idle)
+    assert net.outcomes[0] == outcome and list(net.node.pools.by_host["c0"].idle)
 
 
 def test_a_large_error_is_reported_at_once_and_not_read_to_its_end():
@@ -329,4 +329,4 @@
     net.send_and_turn(
         net.host_socket(), b"HTTP/1.1 500 No\r\nContent-Length: 30000000\r\n\r\n" + b"x" * 1_000
     )
-    assert net.verdicts[:1] == ["error"] and not net.node.pools.by_host["c0"].idle
+    assert net.outcomes[:1] == ["error"] and not net.node.pools.by_host["c0"].idle
--- a/tests/net/test_stalled_timers.py
+++ b/tests/net/test_stalled_timers.py
@@ -28,7 +28,7 @@
 from orchidgap.net.exchange import ANSWER_MARGIN_US
 
 MOMENTS = (SELECTOR_ANSWERED, BEFORE_CALLBACKS, BEFORE_TIMERS)
-OVERDUE_READ_US = 490_000  # a read is overdue at its cache
+OVERDUE_READ_US = 490_000  # time after which a read is overdue at its cache
 DEDUPLICATION_WINDOW_US = 1_000_000  # how long hosts keep deduplication records
 ELAPSED_US = 500_000
 ORIGIN_PORT = 109
--- a/tests/net/test_stalled_turns.py
+++ b/tests/net/test_stalled_turns.py
@@ -30,9 +30,9 @@
 
 CACHE_PORT, ORIGIN_PORT = 100, 109
 ORIGIN = 9
-LATE_US = 490_000  # a read is overdue at its cache
+LATE_US = 490_000  # time after which a read is overdue at its cache
 SLACK_US = 1_000  # timeouts are sent in milliseconds
-WAITING = 40  # requests, more than one cache is sent at the same time
+WAITING = 40  # number of queued requests; more than one cache is sent at the same time
 BEFORE_OPENED = (SELECTOR_ANSWERED, BEFORE_CALLBACKS)
 BEFORE_SENT = (*BEFORE_OPENED, BEFORE_DECISION, BEFORE_WRITE)
 
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -80,8 +80,8 @@
 
 
 # A process that got SIGHUP during startup ended and served no request.
-@pytest.mark.parametrize("first_ms", [0, 10, 30, 100])
-def test_sighup_during_startup_of_the_deployed_command_does_not_end_it(tmp_path, first_ms):
+@pytest.mark.parametrize("delay_ms", [0, 10, 30, 100])
+def test_sighup_during_startup_of_the_deployed_command_does_not_end_it(tmp_path, delay_ms):
     root = Path(__file__).parents[2]
     command = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
     with socket.create_server(("127.0.0.1", 0)) as free:
@@ -92,7 +92,7 @@
     process = subprocess.Popen(["sh", "-c", command], cwd=root, env=environment)
     try:
         await_program(process.pid)
-        time.sleep(first_ms / 1e3)
+        time.sleep(delay_ms / 1e3)
         for _ in range(100):
             process.send_signal(signal.SIGHUP)
             time.sleep(0.004)
@@ -119,7 +119,7 @@
     return False
 
 
-# --- settings of another customer
+# --- unusual values of settings
 
 FULL_CONFIG = {
     "name": "n",
--- a/tests/net/test_upload_streaming.py
+++ b/tests/net/test_upload_streaming.py
@@ -61,7 +61,7 @@
     net.answer_from_host(far, body="stored")
     assert (
         received_text(client).endswith("stored")
-        and net.verdicts == ["done"]
+        and net.outcomes == ["done"]
         and not net.node.exchanges
     )
     assert net.node.balancer.hosts["o"].in_flight == 0
@@ -126,9 +126,9 @@
             pass
     net.turn(30)
     net.advance(970_000)
-    assert received_text(client) is None and net.verdicts == []
+    assert received_text(client) is None and net.outcomes == []
     net.advance(20_000)
-    assert net.verdicts == ["timeout"] and received_text(client).startswith("HTTP/1.1 503"), (
+    assert net.outcomes == ["timeout"] and received_text(client).startswith("HTTP/1.1 503"), (
         "the request may have run and is deduplicated by all hosts: denied"
     )
 
@@ -142,7 +142,7 @@
     received_bytes(net.host_socket())
     net.host_socket().close()
     net.turn()
-    assert net.verdicts == ["unconnected"], "never complete, so never executed"
+    assert net.outcomes == ["unconnected"], "never complete, so never executed"
     assert received_text(client).startswith("HTTP/1.1 503") and len(net.host_sockets()) == 1
 
 
@@ -155,7 +155,7 @@
     client = net.client(
         put(framing="Transfer-Encoding: chunked") + b"8000\r\n" + b"x" * 32_768 + b"\r\n"
     )
-    assert net.verdicts == [] and received_text(client) is None and not net.host_sockets(), (
+    assert net.outcomes == [] and received_text(client) is None and not net.host_sockets(), (
         "a small body is forwarded only when complete"
     )
     first = net.node.pools.dial_address
@@ -165,7 +165,7 @@
     )
     net.send_and_turn(client, b"ffff\r\n" + b"y" * 65_535 + b"\r\n")
     net.advance(600_000)
-    assert net.verdicts[:1] == ["unconnected"] and len(tries) >= 2
+    assert net.outcomes[:1] == ["unconnected"] and len(tries) >= 2
     assert "PUT /mark/k1" in received_text(net.host_socket()) and received_text(client) is None
 
 
@@ -188,7 +188,7 @@
     received_bytes(far)
     how(net, client)
     assert received_text(client).startswith(f"HTTP/1.1 {status}") and received_bytes(far) is None
-    assert net.verdicts == ["moot"] or net.verdicts == ["cancelled"]
+    assert net.outcomes == ["moot"] or net.outcomes == ["cancelled"]
     assert (
         not net.node.exchanges and not net.node.open_request_ids and not net.node.balancer.requests
     )
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -81,14 +81,14 @@
             self.dial,
             decider,
         )
-        self.verdicts = []
-        outcome = self.node.balancer.on_outcome
-        self.node.balancer.on_outcome = lambda id, number, verdict, over: (
-            self.verdicts.append(verdict),
-            outcome(id, number, verdict, over),
+        self.outcomes = []  # of attempts, as reported to the decisions
+        on_outcome = self.node.balancer.on_outcome
+        self.node.balancer.on_outcome = lambda id, number, outcome, answered: (
+            self.outcomes.append(outcome),
+            on_outcome(id, number, outcome, answered),
         )
         self.node.list_received = (
-            listed  # if False, serves after the first list, or after a long silence of discovery
+            listed  # if False, the node serves after the first list, or once the wait for it ends
         )
         if start:
             self.node.start()
--- a/tests/resp/test_stalled_commands.py
+++ b/tests/resp/test_stalled_commands.py
@@ -30,7 +30,7 @@
 
 FIRST_PORT, SECOND_PORT = 100, 101
 SLOTS = 16_384
-WAITING = 40  # number of commands; more than a server is sent at once
+WAITING = 40  # number of queued commands; more than a server is sent at once
 SHORT_TIMEOUT_MS = STALL_US // 1000 - 50  # expires before the stalled turn resumes
 LONG_TIMEOUT_MS = 2_000
 BEFORE_OPENED = (SELECTOR_ANSWERED, BEFORE_CALLBACKS)
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -212,11 +212,11 @@
     def __getattr__(self, name):
         return getattr(self.client, name)
 
-    def give(self, parts):
-        self.loop.call_later(STREAM_DELAY_US, self.client.give, parts)
+    def send_body(self, parts):
+        self.loop.call_later(STREAM_DELAY_US, self.client.send_body, parts)
 
-    def end(self, whole):
-        self.loop.call_later(STREAM_DELAY_US, self.client.end, whole)
+    def end_response(self, whole):
+        self.loop.call_later(STREAM_DELAY_US, self.client.end_response, whole)
 
 
 class HoldsStreams(Defect):
--- a/tests/simulation/test_close_records.py
+++ b/tests/simulation/test_close_records.py
@@ -13,7 +13,7 @@
 
 def client(read, answered, unread=False):
     return SimpleNamespace(
-        requests_begun=read,
+        begun_request_count=read,
         requests_answered=answered,
         conn=SimpleNamespace(has_unread_bytes=lambda: unread),
     )
--- a/tests/streaming_scenarios.py
+++ b/tests/streaming_scenarios.py
@@ -5,7 +5,7 @@
 import contextlib
 import socket
 
-MAX_READ_BYTES = 1 << 16  # by the node, at once
+MAX_READ_BYTES = 1 << 16  # the most bytes that the node reads at once
 
 
 BODY_SIZE = 2_000_000
@@ -40,9 +40,9 @@
         for pool in net.node.pools.by_host.values()
         for connection in pool.connections
     ]
-    flows = [client.upload for client in net.node.clients.open_clients if client.upload]
+    uploads = [client.upload for client in net.node.clients.open_clients if client.upload]
     return sum(len(conn.write_buffer) for conn in conns) + sum(
-        sum(map(len, flow.parts)) for flow in flows
+        sum(map(len, upload.parts)) for upload in uploads
     )
 
 
