--- a/orchidgap/fault_tests/actions.py
+++ b/orchidgap/fault_tests/actions.py
@@ -73,7 +73,7 @@
             ActionKind.RELOAD: self.reload,
             ActionKind.SET_HOST_HEALTH: cluster.discovery.set_health,
             ActionKind.ROLL_OUT_BY_SIGNAL: self.roll_out_by_signal,
-            ActionKind.MEASURE: cluster.phase_recorder.begin,
+            ActionKind.MEASURE: cluster.phase_recorder.begin_phase,
             ActionKind.SIMULATION_FAULT: self.simulation_fault,
             ActionKind.LOSE_DATAGRAMS: self.lose_datagrams,
             ActionKind.SEND_NOISE: self.send_noise,
@@ -282,7 +282,7 @@
         """Dial a balancer continuously, within limits of time, slots and total connections."""
         duration_us = seconds_to_us(float(duration_s))
         limits = DialLimits(int(slots), int(max_dials), duration_us, when == WRITES_LATER)
-        self.dial_streams.begin(name, limits)
+        self.dial_streams.start_stream(name, limits)
 
     # --- faults of the simulation
 
--- a/orchidgap/fault_tests/breach_report.py
+++ b/orchidgap/fault_tests/breach_report.py
@@ -14,7 +14,7 @@
 
 WINDOW_S = 2.0  # length of the window before a breach, and of the one after it
 MAX_DETAILED_BREACHES = 3
-MAX_LINES = 60  # for one breach: the lines nearest to it in time
+MAX_LINES = 60  # limit for one breach; the lines nearest to it in time are shown
 
 
 class LogLine(NamedTuple):
--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -48,6 +48,7 @@
 CALL_ROUNDS = 10
 CALL_PAUSE_US = 200_000
 LONG_PAUSE_US = 2_000_000  # ending all faults resumes balancers that stay paused for longer
+# number of the latest proposals, and of the latest decisions, that may be in effect
 RECENT_COUNT = 2
 # how long a balancer may deny after it reaches control: some leases and one change may pass
 GRACE_LEASES = 3
@@ -71,6 +72,7 @@
         checker: The outcomes of proposals and the check of rollouts.
         proposers: The running commands that propose changes to control.
         last_proposal: The highest number of a proposal so far.
+        configured_version: The version whose settings are being written; 0 at all other times.
     """
 
     def __init__(
--- a/orchidgap/fault_tests/costs.py
+++ b/orchidgap/fault_tests/costs.py
@@ -46,12 +46,12 @@
         """Begin without samples."""
         self.cluster = cluster
         self.samples: list[CostSample] = []
-        self.start_s = 0.0
+        self.startup_s = 0.0
         self.memory_kb = 0
 
-    def on_started(self, start_s: float) -> None:
+    def on_started(self, startup_s: float) -> None:
         """Record how long it took until all balancers were ready, and measure memory."""
-        self.start_s = start_s
+        self.startup_s = startup_s
         names = self.cluster.process_names()
         self.memory_kb = sum(
             proportional_memory_kb(self.cluster.process_of(name).pid) for name in names
@@ -76,7 +76,7 @@
         the number of balancers is the same.
         """
         costs: dict[str, Any] = {
-            "started_s": round(self.start_s, 1),
+            "started_s": round(self.startup_s, 1),
             "memory_mb": round(self.memory_kb / 1e3),
         }
         stretches = [
--- a/orchidgap/fault_tests/dial_stream.py
+++ b/orchidgap/fault_tests/dial_stream.py
@@ -23,7 +23,7 @@
 # few enough that all are in the hosts' caches: a stream is meant to load only the balancer
 KEY_COUNT = 16
 WORK_US = 5_000
-STATUS_DENIED = (429, 503)
+DENIED_STATUSES = (429, 503)
 
 
 class DialLimits(NamedTuple):
@@ -226,7 +226,7 @@
             return "open"
         if attempt.status < 0:
             return "failed" if attempt.first_answer_byte_us else "lost"
-        if attempt.status in STATUS_DENIED:
+        if attempt.status in DENIED_STATUSES:
             return "denied"
         return "served" if attempt.status == 200 else "failed"
 
@@ -283,7 +283,7 @@
         self.rng = Random(f"{cluster.seed} dials")
         self.streams: list[DialStream] = []
 
-    def begin(self, balancer: str, limits: DialLimits) -> None:
+    def start_stream(self, balancer: str, limits: DialLimits) -> None:
         """Start a stream of connections to a balancer."""
         stream = DialStream(self.cluster, balancer, limits, self.rng)
         self.streams.append(stream)
--- a/orchidgap/fault_tests/disk_faults.py
+++ b/orchidgap/fault_tests/disk_faults.py
@@ -46,7 +46,7 @@
 
 
 def fail_operation(faults_path: Path, operation: str, number: str, failure: str) -> None:
-    """Make the Nth operation from now fail; module `process` describes the words."""
+    """Make the Nth operation from now fail; module `process` describes the file's format."""
     temporary_path = faults_path.with_suffix(".beside")
     temporary_path.write_text(f"{operation} {number} {failure}\n")
     temporary_path.replace(faults_path)
--- a/orchidgap/fault_tests/majority_watch.py
+++ b/orchidgap/fault_tests/majority_watch.py
@@ -49,7 +49,7 @@
     without_majority_us: int = 0
     intervals: dict[str, list[Interval]] = field(default_factory=dict)
     _updated_at_us: int = 0
-    _reaching: frozenset[str] | None = None  # as of the last update
+    _reaching: frozenset[str] | None = None  # balancers that reached one at the last update
 
     def update(self, reaching: Iterable[str], now_us: int) -> None:
         """Record which balancers reach a majority now; called periodically."""
--- a/orchidgap/fault_tests/readiness_watch.py
+++ b/orchidgap/fault_tests/readiness_watch.py
@@ -13,9 +13,10 @@
 from typing import NamedTuple
 
 READY_WITHIN_US = 10_000_000
-READY_WITHIN_SHORT_RUN_US = 6_000_000  # if the run ends within the longer time
+# time limit if the run ends within `READY_WITHIN_US` of the start
+READY_WITHIN_SHORT_RUN_US = 6_000_000
 MAX_READY_US = 30_000_000
-MAX_LATE_RATIO = 0.1  # as a fraction of all restarted balancers
+MAX_LATE_RATIO = 0.1  # fraction of all restarts that may be late
 
 
 @dataclass(slots=True)
--- a/orchidgap/fault_tests/relay.py
+++ b/orchidgap/fault_tests/relay.py
@@ -16,7 +16,7 @@
 from orchidgap.net.dialing import dial, open_listener
 from orchidgap.net.loop import READ, Loop
 
-MAX_STALLED_BYTES = 1 << 22  # for one direction of a connection
+MAX_STALLED_BYTES = 1 << 22  # queued in one direction of a connection; above, it is reset
 RETRANSMIT_US = 200_000  # delay of the first retransmission; doubled for each further one
 LISTEN_BACKLOG = 512
 MAX_ACCEPTS_PER_TURN = 64
--- a/orchidgap/fault_tests/rollout_checker.py
+++ b/orchidgap/fault_tests/rollout_checker.py
@@ -8,7 +8,7 @@
     version.
 `untrue`: a proposer received a different outcome of a change than another proposer, or than
     control's history contains.
-`uneven`: load was less even during a stretch than the plan expects.
+`uneven`: load was less even during a phase than the plan expects.
 `stuck`: after all faults had ended, a balancer did not serve under the decided version, or a
     proposal had no outcome; or a condition was not met in time, or restarts took too long.
 """
--- a/orchidgap/fault_tests/runner.py
+++ b/orchidgap/fault_tests/runner.py
@@ -21,8 +21,9 @@
 START_TIMEOUT_S = 30.0
 TERMINATION_TIMEOUT_S = 6
 MAX_DURATION_S = 3_600
-NO_STRETCH = ""
-PREPARED_STEPS = 2  # the step whose condition is awaited, and the next one
+NO_PHASE = ""
+# steps whose commands are prestarted: the one whose condition is awaited, and the next one
+PREPARED_STEPS = 2
 
 
 class FaultTestRunner:
@@ -63,7 +64,7 @@
         cluster.start = cluster.loop.clock()
         cluster.invariant_checker.started_at_us = cluster.start
         cluster.loop.call_later(PROCESS_POLL_INTERVAL_US, self.costs.sample)
-        cluster.clients.end = cluster.start + seconds_to_us(MAX_DURATION_S)
+        cluster.clients.arrivals_end_us = cluster.start + seconds_to_us(MAX_DURATION_S)
         cluster.loop.call_soon(cluster.clients.on_arrival)
         cluster.loop.call_soon(self.decision_watch.poll)
 
@@ -98,7 +99,7 @@
 
     def _heal(self) -> None:
         cluster = self.cluster
-        cluster.phase_recorder.begin(NO_STRETCH)
+        cluster.phase_recorder.begin_phase(NO_PHASE)
         cluster.end_faults()
         leaving = [instance for instance in cluster.balancers.values() if instance.is_shutting_down]
         cluster.wait_until(
--- a/orchidgap/fault_tests/scheduling_watch.py
+++ b/orchidgap/fault_tests/scheduling_watch.py
@@ -43,8 +43,9 @@
 
     def __init__(self) -> None:
         """Begin with no samples."""
+        # by name: the id and the samples of each process that ran under it, the oldest first
         self.samples: dict[str, list[tuple[int, DelaySamples]]] = {}
-        self.steal = DelaySamples()
+        self.steal = DelaySamples()  # time in which the hypervisor ran other machines
 
     def sample(self, process_ids: Mapping[str, int], now_us: int) -> None:
         """Sample the processes with these ids, by their names."""
--- a/orchidgap/fault_tests/soak_faults.py
+++ b/orchidgap/fault_tests/soak_faults.py
@@ -25,7 +25,7 @@
 from orchidgap.simulation.request_end import ProcessEnd
 
 EXIT_POLL_US = 10_000
-# after the end of a process, for what it had written to be read
+# time after the end of a process in which the clients read what it had written
 LAST_ANSWERS_US = 400_000
 MAX_RESTART_DELAY_US = 500_000
 SECOND_SIGNAL_US = (20_000, 400_000)
@@ -96,7 +96,7 @@
     def terminate(self, name: str) -> None:
         """Send SIGTERM during new connections, perhaps more signals; SIGKILL once allowed."""
         instance = self.cluster.balancers[name]
-        self.dial_streams.begin(name, SHUTDOWN_DIALS)
+        self.dial_streams.start_stream(name, SHUTDOWN_DIALS)
         self.send_signal(self.cluster.process_of(name), name, signal.SIGTERM)
         instance.begin_shutdown()
         for number in (signal.SIGTERM, signal.SIGHUP):
--- a/orchidgap/fault_tests/version_clients.py
+++ b/orchidgap/fault_tests/version_clients.py
@@ -11,7 +11,7 @@
 from orchidgap.simulation.observations import ClientAttempt, Operation
 
 RECENT_VERSION_RATIO = 0.8  # fraction of requests whose version is drawn from the recent ones
-COMMON_CLASS_RATIO = 0.3  # fraction of all requests
+COMMON_CLASS_RATIO = 0.3  # fraction of all requests that are of the common class
 
 
 class VersionClients(Clients):
--- a/orchidgap/simulation/bad_clients.py
+++ b/orchidgap/simulation/bad_clients.py
@@ -13,8 +13,9 @@
     from orchidgap.simulation.clients import Clients
 
 ERROR_TIMEOUT_US = 3_000_000
-CHUNK_BYTES = 4_096  # written at once
-EARLY_CLOSE_RATIO = 0.2  # of these clients that close soon after they have sent
+CHUNK_BYTES = 4_096  # size of each write
+# ratio of these clients that close their connection soon after they have sent the request
+EARLY_CLOSE_RATIO = 0.2
 EARLY_CLOSE_DELAY_US = 20_000
 FIRST_ERROR_STATUS = 400
 
--- a/orchidgap/simulation/balancer_instance.py
+++ b/orchidgap/simulation/balancer_instance.py
@@ -125,7 +125,7 @@
         self.is_shutting_down = False
         self.shutdown_began_us = 0
         self.may_kill_itself = False  # a planned disk fault may end it by SIGKILL
-        self.ends: dict[int, ProcessEnd] = {}  # by incarnation
+        self.ends: dict[int, ProcessEnd] = {}  # how each ended process ended, by incarnation
         self.pauses: list[Pause] = []
 
     def start(self, known: dict[str, Any]) -> None:
--- a/orchidgap/simulation/balancer_loop.py
+++ b/orchidgap/simulation/balancer_loop.py
@@ -62,6 +62,7 @@
         self.killed = False
         self.longest_turn_us = 0  # turns take no time on the virtual clock
         self.paused_until_us = 0
+        # the event mask and the callback of each watched socket or listening queue
         self.watched: dict[Any, tuple[int, Callable[[int], None]]] = {}
         # when each connection being opened is established; None for never or already scheduled
         self.opening: dict[socket.socket, int | None] = {}
--- a/orchidgap/simulation/clients.py
+++ b/orchidgap/simulation/clients.py
@@ -31,7 +31,8 @@
 RETRY_AFTER_JITTER = (1.0, 1.2)
 HARMLESS_STATUSES = (0, 429, 503)  # any request can be retried after these; 0 is no answer
 STATUS_OK = 200
-REFUSED_RETRY_DELAY_US = 20_000  # before a request that raced a close is sent to the next balancer
+# delay before a request that raced a close, and was then refused, is sent to another balancer
+REFUSED_RETRY_DELAY_US = 20_000
 MIN_REMAINING_US = 1_000
 REQUEST_TIMEOUT = re.compile(rb"Request-Timeout: [0-9.]+")
 
@@ -65,7 +66,7 @@
         scan_ratio: Ratio of reads that are for keys not requested before.
         demand_factors: Factors on tenants' requests, by tenant; 1 for a tenant without an entry.
         weights: Weights of the balancers in the clients' choice.
-        end: When arrivals end, in microseconds.
+        arrivals_end_us: When arrivals end.
         departures: Decides which clients leave before their answer has arrived.
     """
 
@@ -95,14 +96,14 @@
         self.hot_keys = HotKeys(0.0, [])
         self.scan_ratio = 0.0
         self.demand_factors: dict[str, float] = {}
-        self.end = environment.start + seconds_to_us(self.plan.duration_s)
+        self.arrivals_end_us = environment.start + seconds_to_us(self.plan.duration_s)
         self.departures = ClientDepartures(self.loop, self.rng, self.plan.clients)
 
     # --- operations
 
     def request_rate(self) -> float:
         """Return the current rate of requests per second."""
-        duration_us = max(1, self.end - self.environment.start)
+        duration_us = max(1, self.arrivals_end_us - self.environment.start)
         progress = (self.loop.now - self.environment.start) / duration_us
         shape = self._shape_factor(progress)
         if not self.demand_factors:
@@ -126,7 +127,7 @@
 
     def on_arrival(self) -> None:
         """Start an operation and schedule the next arrival."""
-        if self.loop.now >= self.end:
+        if self.loop.now >= self.arrivals_end_us:
             return
         delay_us = max(1, round(self.rng.expovariate(self.request_rate()) * 1e6))
         self.loop.call_later(delay_us, self.on_arrival)
--- a/orchidgap/simulation/commands.py
+++ b/orchidgap/simulation/commands.py
@@ -19,7 +19,7 @@
 from orchidgap.simulation.invariant_checker import RULES, simulated_duration_us
 from orchidgap.simulation.plan import Plan
 from orchidgap.simulation.plan_file import format_plan, read_plan
-from orchidgap.simulation.runner import TRY, keep, simulation_of
+from orchidgap.simulation.runner import TRY_PLAN, simulation_of, write_recording
 
 MAX_SHOWN_BREACHES = 12
 
@@ -32,7 +32,7 @@
     console = Console(stderr=True, highlight=False)
     try:
         if arguments["try"]:
-            return trial(console, TRY, arguments, Path(arguments["--out"] or "trial-out"))
+            return trial(console, TRY_PLAN, arguments, Path(arguments["--out"] or "trial-out"))
         if arguments["report"]:
             from orchidgap.simulation.report import write_report
 
@@ -56,6 +56,7 @@
 
 
 def whole_number(arguments: Mapping[str, Any], name: str, default: int) -> int:
+    """Return the value of an option, or the default; raise ScenarioError if it is invalid."""
     try:
         number = int(arguments[name] or default)
         if number < 0:
@@ -66,6 +67,7 @@
 
 
 def trial(console: Console, plan: Plan, arguments: Mapping[str, Any], out: Path | None) -> int:
+    """Simulate a plan, print its verdict and, with `out`, write its report; return the exit code."""
     seed = whole_number(arguments, "--seed", plan.seed)
     simulation = simulation_of(
         plan, seed, bool(arguments["--real"]), arguments["--policy"] or "orchidgap"
@@ -97,7 +99,7 @@
     for rule, at, text in simulation.invariant_checker.breaches[:MAX_SHOWN_BREACHES]:
         console.print(f"{rule} at {at:.3f} s: {text}", markup=False, soft_wrap=True)
     if out:
-        keep(out, simulation, verdict)
+        write_recording(out, simulation, verdict)
         from orchidgap.simulation.report import write_report
 
         console.print(f"report: {write_report(out)}", markup=False, soft_wrap=True)
@@ -106,6 +108,7 @@
 
 
 def summary_table(plan: Plan, simulation: Any, verdict: dict[str, Any]) -> Table:
+    """Return a table with the main figures of a verdict."""
     table = Table(
         title=f"{plan.name}: {plan.description}" if plan.description else plan.name,
         title_justify="left",
@@ -188,6 +191,7 @@
 
 
 def hunt(console: Console, plan: Plan, arguments: Mapping[str, Any]) -> int:
+    """Simulate random variants of a plan, and save shrunk plans of the findings."""
     runs, first = whole_number(arguments, "--runs", 100), whole_number(arguments, "--first", 0)
     jobs = whole_number(arguments, "--jobs", 0) or os.cpu_count() or 1
     out = Path(arguments["--out"] or "found")
@@ -254,6 +258,7 @@
 
 
 def column_names(table: Table) -> list[str]:
+    """Return the headers of a table."""
     return [str(column.header) for column in table.columns]
 
 
@@ -266,6 +271,7 @@
     out: Path,
     arguments: Mapping[str, Any],
 ) -> None:
+    """Write a plan to `out`, shrunk as long as it `still_shows` the finding, unless `--whole`."""
     plays = 0
     if not arguments["--whole"]:
         plan, plays = hunts.shrink_plan(plan, still_shows)
--- a/orchidgap/simulation/departure_checker.py
+++ b/orchidgap/simulation/departure_checker.py
@@ -15,7 +15,8 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.balancer_instance import Pause
 
-MAX_START_AFTER_CLOSE_US = 100_000  # of an attempt, by requirement
+# latest start of an attempt after its client's close, by requirement
+MAX_START_AFTER_CLOSE_US = 100_000
 LOST = "lost"
 
 
--- a/orchidgap/simulation/discovery_server.py
+++ b/orchidgap/simulation/discovery_server.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-MAX_CALLS_PER_SECOND = 40  # from one balancer; no list changes that often
+MAX_CALLS_PER_SECOND = 40  # limit for one balancer; no list changes that often
 # a change counts as known to a balancer after this time, even if the balancer does not poll
 PRESUMED_KNOWN_AFTER_US = 6_000_000
 DELAY_SPREAD = (0.7, 1.3)  # range of factors on the delay before a change is listed
@@ -127,6 +127,7 @@
     """Discovery's agent on a balancer's machine.
 
     `latest` is the last list that the balancer received, which it keeps across a restart.
+    `notified_version` is the highest list version that was sent to it or is presumed known to it.
     `rejection_ratio` is the ratio of connections that are closed at once.
     """
 
@@ -224,7 +225,13 @@
 
 
 class AgentConnection:
-    """A balancer's connection to its agent, with one call at a time."""
+    """A balancer's connection to its agent, with one call at a time.
+
+    Attributes:
+        after: The list version that the balancer has, None if it requests the whole list.
+        waits_until: When the timeout of the pending call expires.
+        pending: A call has no answer yet.
+    """
 
     def __init__(self, agent: DiscoveryAgent, sock: socket.socket) -> None:
         """Watch the connection; no call is pending yet."""
--- a/orchidgap/simulation/host_faults.py
+++ b/orchidgap/simulation/host_faults.py
@@ -18,7 +18,8 @@
 
 DRAIN_LINGER_S = 2.5  # time in which a draining host continues with its requests
 DEPLOY_RESTART_US = 500_000
-REFUSAL_DELAY_US = 200_000  # after the drain grace, until a draining host refuses connections
+# time after the drain grace until a draining host rejects new requests
+REFUSAL_DELAY_US = 200_000
 DEFAULT_STALL_S = 0.4
 
 
@@ -121,7 +122,7 @@
 
 
 def flush(environment: Environment, fault: Fault) -> None:
-    """Hosts lose a part of their cached copies (0.9)."""
+    """All hosts lose a random part `target_ratio` of their cached keys (0.9)."""
     for store in environment.servers.values():
         store.drop_copies(fault.target_ratio or 0.9)
 
--- a/orchidgap/simulation/hunt.py
+++ b/orchidgap/simulation/hunt.py
@@ -18,7 +18,8 @@
 from orchidgap.simulation.runner import play
 
 BASELINES = ("random", "ring", "bounded-ring", "least-out")
-BASELINE_RUNS = 8  # of the runs with the lowest service, which the baselines play too
+# number of runs, those with the lowest service, that the baselines play too
+BASELINE_RUNS = 8
 KEPT_LOSS_RATIO = 0.6  # part of a loss that a smaller plan must still show
 MAX_SHRINK_PLAYS = 60  # simulations per plan that is shrunk
 MAGNITUDE_RANGES = {
--- a/orchidgap/simulation/invariant_checker.py
+++ b/orchidgap/simulation/invariant_checker.py
@@ -33,7 +33,7 @@
 from orchidgap.simulation.repeat_checker import RepeatChecker
 
 RULES = ("lost", "twice", "late", "drain", "cold")
-MAX_DESCRIBED_BREACHES = 50  # of each rule; further ones are only counted
+MAX_DESCRIBED_BREACHES = 50  # limit for each rule; further breaches are only counted
 # a request without an answer is lost this long after its client timeout
 LOST_AFTER_US = 500_000
 # overload of a cold host is a breach if balancers that had been notified of its start sent at least
@@ -64,14 +64,14 @@
         plan: The plan that is simulated.
         start: When the run began, in microseconds of the run's clock, as are all times passed to
             the methods.
-        slack: The tolerance in microseconds by which each limit is extended; used on real sockets.
+        tolerance_us: An extension of each limit, used on real sockets; 0 on the virtual clock.
     """
 
-    def __init__(self, plan: Plan, start: int, slack: int = 0) -> None:
+    def __init__(self, plan: Plan, start: int, tolerance_us: int = 0) -> None:
         """Start without observations."""
         self.plan = plan
         self.started_at_us = start
-        self.tolerance_us = slack
+        self.tolerance_us = tolerance_us
         self.drain_grace_us = milliseconds_to_us(plan.limits.drain_grace_ms)
 
         self.client_attempts: dict[bytes, ClientAttempt] = {}
@@ -83,35 +83,37 @@
         self.notified_starts: dict[tuple[str, str], int] = {}
 
         self.breach_counts = dict.fromkeys(RULES, 0)
-        self.breaches: list[tuple[str, float, str]] = []  # rule, seconds, description
-        self.lateness = LatenessChecker(plan, slack, self.record_breach)
-        self.repeats = RepeatChecker(plan.limits, slack, self.record_breach)
-        self.departures = DepartureChecker(slack, self.lateness, self.record_breach)
+        # (rule, seconds since the start, description)
+        self.breaches: list[tuple[str, float, str]] = []
+        self.lateness = LatenessChecker(plan, tolerance_us, self.record_breach)
+        self.repeats = RepeatChecker(plan.limits, tolerance_us, self.record_breach)
+        self.departures = DepartureChecker(tolerance_us, self.lateness, self.record_breach)
         self.digest = blake2b(digest_size=8)
         self.latency = HdrHistogram(1, 60_000_000, 3)
         self.useful_work_us = 0
         self.spent_work_us = 0
         self.origin_fetches = 0
         self.client_duplicates = 0  # keyed writes that a client's own retry executed twice
-        self.bad_requests = 0
-        self.bad_served = 0
-        self.bad_ignored = 0
+        self.bad_requests = 0  # invalid requests that clients sent
+        self.bad_served = 0  # of these, answered with a status below 400
+        self.bad_ignored = 0  # of these, neither answered nor closed in time
         self.rejected = 0
         # rejections while hosts of each kind had an idle core
         self.rejected_with_capacity = 0
         self.rejections: list[Rejection] = []
         self.hosts_have_capacity: Callable[[], bool] = lambda: False
-        self.answered_failed = 0  # with neither 200 nor a rejection
+        self.answered_failed = 0  # requests answered with neither 200 nor a rejection
         self.truncated = 0  # incomplete answers that their clients could recognize as such
         self.cut_while_written = 0  # requests whose connection ended during their write
-        self.connections_dialled = 0  # to hosts
-        self.list_calls = 0
-        self.large_bodies = 0  # transferred completely, in either direction
-        self.operator_calls = 0
+        self.connections_dialled = 0  # HTTP connections that hosts accepted from balancers
+        self.list_calls = 0  # calls of balancers to discovery
+        self.large_bodies = 0  # large bodies that were received completely, by hosts or clients
+        self.operator_calls = 0  # connections dialled to admin addresses
         self.failed_connections = 0  # requests whose connection was refused, reset or closed unread
-        self.sent_once_more = 0  # of these, resent because the connection was already closed
+        self.sent_once_more = 0  # of these, resent as they raced the close of their connection
 
-        # for the report, by second since the start
+        # for the report: host loads and ranges, by microseconds since the start; events, by seconds
+        # since the start; and figures, by whole second since the start
         self.series: list[tuple[int, dict[str, Any]]] = []
         self.events: list[tuple[float, str]] = []
         self.value_by_second: dict[int, list[float]] = {}
--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -31,10 +31,11 @@
         self.environment = environment
         self.bounds = expect
         self.figures_by_phase: dict[str, dict[str, float]] = {}
-        self.intervals: dict[str, tuple[int, int]] = {}  # begin and end in microseconds
+        # begin and end of each ended phase, in microseconds
+        self.intervals: dict[str, tuple[int, int]] = {}
         self.current: tuple[str, int] = "", 0  # the current phase and its start in microseconds
 
-    def begin(self, name: str) -> None:
+    def begin_phase(self, name: str) -> None:
         """End and measure the previous phase while its caches are unchanged, and begin another."""
         previous, since = self.current
         self.current = name, self.environment.loop.now
@@ -52,7 +53,7 @@
         Args:
             breach: Called with the rule, the time in microseconds, and a description.
         """
-        self.begin("")
+        self.begin_phase("")
         for name, (since, until) in self.intervals.items():
             self.figures_by_phase[name]["served"] = round(
                 service_between(self.environment, since, until), 3
--- a/orchidgap/simulation/network_faults.py
+++ b/orchidgap/simulation/network_faults.py
@@ -49,7 +49,7 @@
 
 
 def partition(environment: Environment, fault: Fault) -> None:
-    """Cut some balancers off from a part of the caches."""
+    """Cut the target, or else half of the balancers, off from a part of the caches (0.4)."""
     names = (
         [fault.target]
         if fault.target
--- a/orchidgap/simulation/observations.py
+++ b/orchidgap/simulation/observations.py
@@ -36,10 +36,11 @@
 class HostAttempt:
     """One attempt of a balancer at a host, as the host saw it. Times in microseconds.
 
-    `work_us` is how long its work took. `outcome` is the host's answer, set once it is written;
-    `streaming` is whether it is still sending a large answer; `was_broken_off` is whether the
-    host itself cut off or malformed its answer; `writing_paused_us` is how long it paused between
-    the pieces of a large answer, as the plan's slow writers do.
+    `group` is the host's deduplication group. `work_us` is how long its work took. `outcome` is the
+    host's answer, set once it is written; `streaming` is whether it is still sending a large
+    answer; `was_broken_off` is whether the host itself cut off or malformed its answer;
+    `writing_paused_us` is how long it paused between the pieces of a large answer, as the plan's
+    slow writers do.
     """
 
     client_attempt: ClientAttempt
--- a/orchidgap/simulation/operator_faults.py
+++ b/orchidgap/simulation/operator_faults.py
@@ -19,17 +19,19 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-HEALTH_CALL_DELAY_US = 500_000  # after the call to drain
-DRAIN_TIMEOUT_US = 4_000_000  # after the call to drain
-OPEN_REQUEST_MIN_AGE_US = 2_000_000  # of a request that may be open when the drain is checked
+HEALTH_CALL_DELAY_US = 500_000  # counted from the call to drain
+DRAIN_TIMEOUT_US = 4_000_000  # counted from the call to drain
+# a request that is still open when the drain is checked must be at least this old
+OPEN_REQUEST_MIN_AGE_US = 2_000_000
 RESUME_DELAY_US = 100_000
-RESUME_TIMEOUT_US = 2_000_000  # after the call that ends a drain
+RESUME_TIMEOUT_US = 2_000_000  # counted from the call that ends a drain
 SILENT_CALLERS = 100
 CONCURRENT_CALL_DELAYS_US = (50_000, 1_050_000, 3_050_000)
 UNUSABLE_FILE_INTERVAL_US = 150_000
 SUCCESSOR_TIMEOUT_US = 6_000_000
 SUCCESSOR_POLL_INTERVAL_US = 20_000
-PREDECESSOR_GRACE_US = 700_000  # past the longest client timeout
+# a predecessor is killed this long plus the longest client timeout after its SIGTERM
+PREDECESSOR_GRACE_US = 700_000
 
 
 def drain(environment: Environment, fault: Fault, names: list[str]) -> None:
@@ -81,7 +83,7 @@
 
 
 def silent_calls(environment: Environment, fault: Fault, names: list[str]) -> None:
-    """Open `magnitude` admin calls that send nothing; concurrent calls must be answered."""
+    """Open `magnitude` admin calls that send nothing (100); other calls must be answered."""
     callers = round(fault.magnitude or SILENT_CALLERS)
     for name in names:
         for _ in range(callers):
--- a/orchidgap/simulation/plan.py
+++ b/orchidgap/simulation/plan.py
@@ -88,9 +88,9 @@
     write: bool = False
     deduplication_scope: Literal["all", "zone", "cell"] = field(name="group", default="all")
     deduplication_window_ms: NonNegative = field(name="window-ms", default=2_000.0)
-    # clients use it from then on; the settings include it a little earlier
+    # second of the run from which clients use it; the settings include it a little earlier
     from_s: NonNegative = 0.0
-    # clients use it until then; 0 for no end
+    # second of the run until which clients use it; 0 for no end
     until_s: NonNegative = 0.0
 
 
@@ -144,10 +144,10 @@
     overload_window_s: Positive = field(name="fall-s", default=3.0)
     # keys cached at once; the least recently used are evicted
     capacity_keys: Count = field(name="keys", default=2_500)
-    # 0: until invalidated
+    # how long a key stays cached unless it is invalidated or evicted; 0 for no limit
     ttl_s: NonNegative = 0.0
     error_ratio: Ratio = field(name="errors", default=0.0)
-    # drops queued requests whose connection has been closed
+    # whether queued requests whose connection has been closed are dropped
     drops_expired: bool = field(name="forgets-expired", default=True)
     # how long an origin that overload brought down is stopped
     overload_stop_s: Positive = field(name="stop-s", default=4.0)
@@ -161,7 +161,7 @@
     zipf: NonNegative = 0.85
     # ratio of the hottest keys that are cached at the start
     warm_ratio: Ratio = field(name="warm", default=0.95)
-    # bytes of a value, most values have the smaller size
+    # sizes of values: most have the smaller one
     min_value_bytes: Count = field(name="size", default=200)
     max_value_bytes: Count = field(name="most-size", default=4_000)
 
@@ -203,10 +203,11 @@
 class DiscoveryModel(PlanTable, frozen=True):
     """How long discovery takes to list a change of hosts."""
 
-    # until a host whose process ended is removed
+    # time until a host whose process ended is removed
     removal_delay_s: NonNegative = field(name="notice-s", default=2.0)
-    # until a host that became unreachable is removed
+    # time until a host that became unreachable is removed
     silent_removal_delay_s: NonNegative = field(name="silent-s", default=6.0)
+    # time until a host that was started is listed as ready
     addition_delay_s: NonNegative = field(name="add-s", default=1.0)
 
 
@@ -283,7 +284,7 @@
     request_rate: Positive = field(name="rate", default=150.0)
     description: str = field(name="about", default="")
     protocol: Literal["http", "resp"] = field(name="dialect", default="http")
-    # balancers share their counts by gossip
+    # whether balancers share their request counts by gossip
     gossip: bool = field(name="pool", default=False)
     # minimum interval between common tables of ranges that they compute from these counts
     rebalance_interval_s: Positive = field(name="pool-draw-s", default=60.0)
--- a/orchidgap/simulation/rejection_checker.py
+++ b/orchidgap/simulation/rejection_checker.py
@@ -16,9 +16,9 @@
 # faults of plans that the rule applies to: any other may leave a balancer without usable hosts
 CALM_FAULT_KINDS = frozenset(("balancer-roll", "deploy", "retune"))
 REJECTION_STATUSES = (429, 503)
-MIN_REJECTIONS = 15  # in a stretch that counts
+MIN_REJECTIONS = 15  # shorter runs of rejections do not count as a stretch
 MIN_STRETCH_US = 4_000_000
-MAX_REJECTING_RATIO = 0.1  # of all balancers
+MAX_REJECTING_RATIO = 0.1  # ratio of all balancers that may have such a stretch
 
 
 class Process(NamedTuple):
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -205,6 +205,7 @@
         self.conn.send(text)
 
     def ended(self, what: str) -> None:
+        """Record that the attempts without an answer were dropped."""
         for job in self.jobs:
             self.store.environment.invariant_checker.on_attempt_dropped(
                 job.attempt, self.store.loop.now
@@ -212,6 +213,7 @@
         self.store.connections.pop(self, None)  # type: ignore[call-overload]
 
     def close(self) -> None:
+        """Close the connection from the server's side."""
         if self.conn.is_open:
             self.conn.close()
             self.ended("")
@@ -248,6 +250,7 @@
         self.keys_by_slot.setdefault(slot_of(key), {})[key] = None
 
     def accept(self, sock: socket.socket, balancer: str) -> None:
+        """Accept a connection, or close it if the server does not run."""
         if not self.alive:
             return sock.close()
         self.connections[SlotServerConnection(self, sock, balancer)] = None  # type: ignore[index]
@@ -277,7 +280,7 @@
     def record_load(self, job: HostJob) -> None:
         """Do nothing: only caches and origins go down from overload."""
 
-    def begin(self, job: HostJob) -> None:
+    def run_job(self, job: HostJob) -> None:
         """Redirect the command or run it; a redirection takes no work.
 
         This is decided here because the slot may have moved while the job was queued.
--- a/orchidgap/simulation/runner.py
+++ b/orchidgap/simulation/runner.py
@@ -19,7 +19,7 @@
 MAX_LOG_RECORDS_KEPT = 2_000
 
 # plan of the command `orchidgap try`
-TRY = validate_plan(
+TRY_PLAN = validate_plan(
     {
         "name": "try",
         "about": "Three caches, one of which dies half way.",
@@ -100,7 +100,7 @@
     }
 
 
-def keep(folder: Path, simulation: Simulation, verdict: dict[str, Any]) -> None:
+def write_recording(folder: Path, simulation: Simulation, verdict: dict[str, Any]) -> None:
     """Write `trial.json` and `plan.toml` into a folder. Raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     document = msgspec.json.encode(report_document(simulation, verdict))
--- a/orchidgap/simulation/saturate.py
+++ b/orchidgap/simulation/saturate.py
@@ -44,6 +44,7 @@
 
 
 def host_address(number: int) -> Address:
+    """Return the address of the host with this number."""
     return f"127.2.9.{number + 1}", 7071
 
 
@@ -51,12 +52,14 @@
     """Has the interface of `Balancer` but makes no decisions: a key's hash selects its host."""
 
     def __init__(self, settings: Any, port: Any, seed: int, now: int) -> None:
+        """Start without hosts."""
         from random import Random
 
         self.port, self.rng, self.now = port, Random(seed), now
         self.ids: list[str] = []
 
     def on_hosts(self, scope: str, entries: Any) -> None:
+        """Use the caches of a whole list; ignore changes."""
         if scope in ("whole", "recalled"):
             self.ids = sorted(entry[0] for entry in entries if entry[4] != "origin")
 
@@ -70,9 +73,11 @@
         tenant: str,
         *rest: Any,
     ) -> None:
+        """Send the request to the host that its key's hash selects."""
         self.port.dispatch(request_id, self.ids[crc_hqx(b"%d" % (key or 0), 0) % len(self.ids)])
 
     def on_outcome(self, request_id: int, number: int, outcome: str, is_final: bool) -> None:
+        """Abort a request whose attempt brought no final answer."""
         if not is_final:
             self.port.abort(request_id)
 
@@ -113,6 +118,7 @@
             self.loop.call_later(1_000_000 if watch else 0, self.send_list, not watch)
 
     def send_list(self, whole: bool) -> None:
+        """Send the whole list, or a list without changes."""
         body = orjson.dumps(
             {"seq": 1, "whole": whole, "hosts": endpoint_list()["hosts"] if whole else []}
         )
@@ -159,6 +165,7 @@
         self.send_request()
 
     def send_request(self) -> None:
+        """Send a read of the next key."""
         self.count += 1
         key = (self.number * 7919 + self.count * 104_729) % 5_000
         self.conn.send(
@@ -178,6 +185,7 @@
 
 
 def endpoint_list() -> dict[str, Any]:
+    """Return the host list: `HOSTS` caches and one origin."""
     hosts = [
         {
             "host": f"c{i}",
@@ -195,6 +203,7 @@
 
 
 def configuration() -> dict[str, Any]:
+    """Return the configuration of the measured balancer."""
     return {
         "name": "b0",
         "listen": format_address(LISTEN_ADDRESS),
@@ -224,6 +233,7 @@
 
 
 def run_hosts() -> None:
+    """Run the hosts and the discovery service until the process is killed."""
     network = LoopbackNetwork()
     for i in range(HOSTS + 1):
         network.listen(
@@ -236,6 +246,7 @@
 
 
 def run_measured(kind: str, path: str) -> None:
+    """Run the measured program; `path` is its configuration file."""
     if kind == "balancer":
         return serve(path, protocol_for)
     if kind == "relay":
@@ -272,10 +283,12 @@
 
 
 def start_process(*args: str, **more: Any) -> subprocess.Popen[bytes]:
+    """Start this module as a process with these arguments."""
     return subprocess.Popen([sys.executable, "-m", "orchidgap.simulation.saturate", *args], **more)
 
 
 def wait_for_listener(address: Address) -> None:
+    """Wait up to 10 s until a process listens; raise RuntimeError if none does."""
     until = time.monotonic() + 10
     while time.monotonic() < until:
         try:
@@ -311,6 +324,7 @@
 
 
 def main(console: Console, seconds: int) -> int:
+    """Measure all kinds of programs for `seconds` each, print the results and return 0."""
     rows: dict[str, dict[str, float]] = {}
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "balancer.json"
--- a/orchidgap/simulation/server_connection.py
+++ b/orchidgap/simulation/server_connection.py
@@ -129,12 +129,12 @@
         for part in changed_parts(message, attempt.client_attempt):
             text = f"{request_id.decode()}: {part} differs from what its client sent"
             invariant_checker.record_breach("lost", now_us, text)
-        self._check_told_time(attempt, message)
+        self._check_sent_timeout(attempt, message)
         self._check_departure(attempt)
         self.job = HostJob(self, attempt, message.fields.get(b"idempotency-key", b""))
         store.loop.call_later(store.one_way_us(self.balancer), store.receive, self.job)
 
-    def _check_told_time(self, attempt: HostAttempt, message: Message) -> None:
+    def _check_sent_timeout(self, attempt: HostAttempt, message: Message) -> None:
         """Check the `Request-Timeout` of an attempt against its client's remaining time.
 
         Attempts are not checked if the balancer was paused or a relay delayed its data since the
@@ -152,8 +152,8 @@
         if max(stopped_until_us, faulty_until_us) > sent.arrived_at_us:
             return
         who = f"{sent.id.decode()} from {sent.balancer} to {self.store.id}"
-        told = SentTimeout(sent, attempt.first_byte_at_us, sent_timeout_us, who)
-        environment.invariant_checker.lateness.on_sent_timeout(told)
+        sent_timeout = SentTimeout(sent, attempt.first_byte_at_us, sent_timeout_us, who)
+        environment.invariant_checker.lateness.on_sent_timeout(sent_timeout)
 
     def _check_departure(self, attempt: HostAttempt) -> None:
         """Check that an attempt was not sent after its client had closed its connection."""
--- a/orchidgap/simulation/servers.py
+++ b/orchidgap/simulation/servers.py
@@ -35,13 +35,13 @@
     Attributes:
         at_us: When it arrived.
         work_us: Its work.
-        counts: Its balancer knew that the cache had started or, at an origin, the request had
-            missed at a cold cache.
+        is_avoidable: Its balancer had been notified of the cache's start or, at an origin, the
+            request had missed at a cold cache.
     """
 
     at_us: int
     work_us: int
-    counts: bool
+    is_avoidable: bool
 
 
 class Store:
@@ -92,7 +92,7 @@
         self.draining = False
         self.frozen_until_us = 0
         self.started_at_us = 0
-        self.connection_work_us = 0  # of new connections; added to the next job's work
+        self.connection_work_us = 0  # work of accepting connections; added to the next job's work
         self.answer_count = 0
         self.slowdown = 1.0
         self.malformed_ratio = 0.0
@@ -185,7 +185,7 @@
         attempt = job.attempt.client_attempt
         is_known_key = self.is_origin or attempt.operation.key in self.copies
         work_us = job.work_us if is_known_key else LOOKUP_WORK_US
-        self.recent_load.append(RecentLoad(now_us, work_us, self._counts_as_avoidable(job)))
+        self.recent_load.append(RecentLoad(now_us, work_us, self._is_avoidable(job)))
         self.recent_work_us += work_us
         while self.recent_load[0].at_us < now_us - window_us:
             self.recent_work_us -= self.recent_load.popleft().work_us
@@ -195,7 +195,8 @@
         if self.recent_work_us > overload_limit_us + TOLERATED_EXCESS_US and can_go_down:
             self._go_down()
 
-    def _counts_as_avoidable(self, job: HostJob) -> bool:
+    def _is_avoidable(self, job: HostJob) -> bool:
+        """Return whether a job counts towards a breach if the host goes down; see `RecentLoad`."""
         if self.is_origin:
             return job.missed_cold
         notified_starts = self.environment.invariant_checker.notified_starts
@@ -204,8 +205,8 @@
 
     def _go_down(self) -> None:
         """Stop because of overload. An origin restarts after a while, a cache does not."""
-        counted_us = sum(load.work_us for load in self.recent_load if load.counts)
-        ratio = counted_us / self.recent_work_us
+        avoidable_us = sum(load.work_us for load in self.recent_load if load.is_avoidable)
+        ratio = avoidable_us / self.recent_work_us
         invariant_checker = self.environment.invariant_checker
         invariant_checker.on_host_overloaded(self.id, ratio, self.is_origin, self.loop.now)
         self.stop()
@@ -221,12 +222,12 @@
             job = self.waiting.popleft()
             is_awaited = job.connection.conn.is_open or not self.model.drops_expired
             if is_awaited:
-                self.begin(job)
+                self.run_job(job)
 
     def _has_free_core(self) -> bool:
         return len(self.running) < self.model.cores and self.loop.now >= self.frozen_until_us
 
-    def begin(self, job: HostJob) -> None:
+    def run_job(self, job: HostJob) -> None:
         """Run a job on a core, for as long as its work takes at the current speed."""
         work_us = self._outcome_and_work(job) + self.connection_work_us
         self.connection_work_us = 0
@@ -416,7 +417,11 @@
         self.copies.clear()
 
     def restart(self, cold: bool = True) -> None:
-        """Start again unless it runs; discovery lists a cold start."""
+        """Start again unless it runs.
+
+        After a cold start discovery lists it as ready with a new start time; a start that is not
+        cold is not reported to discovery.
+        """
         if self.alive:
             return
         self.alive = True
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -39,8 +39,10 @@
 from orchidgap.simulation.verdict import verdict_line
 from orchidgap.simulation.virtual_network import VirtualNetwork
 
-LOOPBACK_SLACK_US = 50_000  # added to each time limit on real sockets
-LOOPBACK_LEAD_US = 1_500_000  # before the first request on real sockets
+LOOPBACK_TOLERANCE_US = 50_000  # added to each time limit on real sockets
+# provisional start of the load on real sockets, until all balancer processes are ready
+LOOPBACK_LEAD_US = 1_500_000
+# delay of the first request once all balancer processes are ready
 LEAD_AFTER_STARTUP_US = 100_000
 SAMPLE_INTERVAL_US = 500_000
 TICK_INTERVAL_US = 1_000_000
@@ -88,7 +90,7 @@
         self.folder = tempfile.TemporaryDirectory(dir=disk) if real else None
         self.start = self.loop.now + (LOOPBACK_LEAD_US if real else 0)
         self.invariant_checker = InvariantChecker(
-            plan, self.start, LOOPBACK_SLACK_US if real else 0
+            plan, self.start, LOOPBACK_TOLERANCE_US if real else 0
         )
         self.invariant_checker.hosts_have_capacity = self.hosts_have_capacity
         self.deduplication_scope = most_common_scope(plan)
@@ -97,7 +99,8 @@
         self.deduplication_records: dict[str, dict[bytes, int]] = {}
         self.misses: dict[bytes, list[Store]] = {}
         self.cold_misses: dict[bytes, None] = {}
-        self.client_keys: dict[int | None, int] = {}  # by the key's number in the decisions
+        # the clients' number of each key, by the key's number in the decisions
+        self.client_keys: dict[int | None, int] = {}
         self.zone_by_address: dict[Address, int] = {}
         self.discovery = DiscoveryServer(self)
         self.ingress = Ingress(self)
@@ -370,9 +373,9 @@
             self.loop.call_at(self.start + seconds_to_us(fault.start_s), start_fault, self, fault)
         for phase in self.plan.phases:
             starts_at_us = self.start + seconds_to_us(phase.start_s)
-            self.loop.call_at(starts_at_us, self.phase_recorder.begin, phase.name)
+            self.loop.call_at(starts_at_us, self.phase_recorder.begin_phase, phase.name)
         self.loop.call_at(
-            self.start + seconds_to_us(self.plan.duration_s), self.phase_recorder.begin, ""
+            self.start + seconds_to_us(self.plan.duration_s), self.phase_recorder.begin_phase, ""
         )
 
     def run(self, tick: Callable[[float], None] | None) -> None:
@@ -398,7 +401,7 @@
             self.loop.run_once(STARTUP_POLL_US)
         self.start = self.loop.clock() + LEAD_AFTER_STARTUP_US
         self.invariant_checker.started_at_us = self.start
-        self.clients.end = self.start + seconds_to_us(self.plan.duration_s)
+        self.clients.arrivals_end_us = self.start + seconds_to_us(self.plan.duration_s)
 
     def check_phases(self, verdict: str) -> dict[str, Any]:
         """Return the verdict fields of the phases, and record breaches of their bounds."""
--- a/orchidgap/simulation/timed_connection.py
+++ b/orchidgap/simulation/timed_connection.py
@@ -1,9 +1,9 @@
 """A simulated part's connection, whose received data has the kernel's times.
 
-So the time of data does not depend on when this process reads it. The kernel stamps data with the
-time of the last segment in it. A FIN of the other side is a segment too: it is merged with unread
-data, which then has the time of the FIN. `TCP_INFO` gives the age of the last segment with data,
-which is used to correct that.
+The arrival time of data then does not depend on when this process reads it. The kernel stamps data
+with the time of the last segment in it. A FIN of the other side is a segment too: it is merged with
+unread data, which then has the time of the FIN. `TCP_INFO` gives the age of the last segment with
+data, which is used to correct that.
 """
 
 from __future__ import annotations
--- a/orchidgap/simulation/traffic_faults.py
+++ b/orchidgap/simulation/traffic_faults.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
 
-MAX_BALANCER_RATIO = 0.95  # of all traffic, sent to one balancer
+MAX_BALANCER_RATIO = 0.95  # largest part of all traffic that one balancer receives
 
 
 def scan(environment: Environment, fault: Fault) -> None:
@@ -23,7 +23,7 @@
 
 
 def hot_key(environment: Environment, fault: Fault) -> None:
-    """A part `magnitude` of all requests (0.2) goes to one to three keys."""
+    """A part `magnitude` of all requests (0.2) is for one to three keys, or for the target key."""
     keys = environment.rng.sample(
         range(environment.plan.keys.count // 4, environment.plan.keys.count),
         environment.rng.randrange(1, 4),
--- a/tests/fault_tests/test_majority_watch.py
+++ b/tests/fault_tests/test_majority_watch.py
@@ -12,23 +12,23 @@
 
 from orchidgap.fault_tests.majority_watch import MajorityWatch, process_state
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 def request_at(second, status, balancer="b0"):
-    return SimpleNamespace(balancer=balancer, arrived_at_us=second * S, status=status)
+    return SimpleNamespace(balancer=balancer, arrived_at_us=second * SECOND_US, status=status)
 
 
 def updated_watch(*updates):
-    watch = MajorityWatch(grace_us=8 * S)
+    watch = MajorityWatch(grace_us=8 * SECOND_US)
     for second, reaching in updates:
-        watch.update(reaching.split(), second * S)
+        watch.update(reaching.split(), second * SECOND_US)
     return watch
 
 
 def test_only_the_time_in_which_no_balancer_reached_a_majority_counts():
     watch = updated_watch((1, "b0 b1"), (2, "b1"), (3, ""), (4, ""), (6, "b0"), (9, "b0"))
-    assert watch.without_majority_us == 3 * S
+    assert watch.without_majority_us == 3 * SECOND_US
 
 
 def test_a_balancer_that_denies_all_though_it_reaches_control_is_reported():
--- a/tests/fault_tests/test_readiness_watch.py
+++ b/tests/fault_tests/test_readiness_watch.py
@@ -4,8 +4,8 @@
 
 from orchidgap.fault_tests.readiness_watch import ProcessStart, check_starts
 
-S = 1_000_000
-END_US = 100 * S
+SECOND_US = 1_000_000
+END_US = 100 * SECOND_US
 
 
 def all_of_it(balancer, since_us, until_us):
@@ -13,7 +13,13 @@
 
 
 def restart(ready_s=0.0, ended_s=0.0, began_s=0.0):
-    return ProcessStart("b0", round(began_s * S), round(ready_s * S), round(ended_s * S), True)
+    return ProcessStart(
+        "b0",
+        round(began_s * SECOND_US),
+        round(ready_s * SECOND_US),
+        round(ended_s * SECOND_US),
+        True,
+    )
 
 
 def check(*starts, end_us=END_US, tolerance_us=0, usable_us=all_of_it):
@@ -48,12 +54,12 @@
 
 def test_no_balancer_takes_over_thirty_seconds():
     """The limit also applies to the first start, which is not a restart."""
-    first = ProcessStart("b0", 0, 31 * S)
+    first = ProcessStart("b0", 0, 31 * SECOND_US)
     assert check(first) == (0, 0, ["b0 ready after 31.0 s, more than 30 s"])
-    assert check(ProcessStart("b0", 0, 30 * S)).breaches == []
+    assert check(ProcessStart("b0", 0, 30 * SECOND_US)).breaches == []
 
 
 def test_only_time_that_the_balancer_could_use_counts():
     """Time without control or without a core does not make a start slow."""
-    assert check(restart(12), usable_us=lambda *times: 9 * S).late == 0
-    assert check(restart(10.1), tolerance_us=S // 4).late == 0
+    assert check(restart(12), usable_us=lambda *times: 9 * SECOND_US).late == 0
+    assert check(restart(10.1), tolerance_us=SECOND_US // 4).late == 0
--- a/tests/fault_tests/test_scheduling_watch.py
+++ b/tests/fault_tests/test_scheduling_watch.py
@@ -32,7 +32,7 @@
 
 def checker_of_answer(delay_us, status, at_us):
     plan = validate_plan({"name": "j"})
-    checker = InvariantChecker(plan, 0, slack=50_000)
+    checker = InvariantChecker(plan, 0, tolerance_us=50_000)
     checker.lateness.run_delay_us = lambda balancer, since, until: delay_us
     operation = Operation(0, plan.request_classes()[0], "north", 1, 1, 0)
     attempt = ClientAttempt(b"q1", operation, "b0", 1, 0, 1_500_000)
@@ -47,6 +47,6 @@
     [(0, 2, 0), (140_000, 2, 0), (150_000, 1, 1), (2_000_000, 0, 2)],
 )
 def test_lateness_is_excused_up_to_the_run_delay_that_the_kernel_counts(delay_us, late, excused):
-    # the answer is 150 ms too late beyond the slack, and the failure was withheld for longer than that
+    # the answer is 150 ms too late beyond the tolerance, and the failure was withheld for longer than that
     checker = checker_of_answer(delay_us, 500, 1_700_000)
     assert (checker.breach_counts["late"], checker.lateness.excused_by_run_delay) == (late, excused)
--- a/tests/fault_tests/test_soak_faults.py
+++ b/tests/fault_tests/test_soak_faults.py
@@ -45,7 +45,7 @@
     def dial(name, limits):
         clock.us += DIALING_US
 
-    streams = SimpleNamespace(begin=dial)
+    streams = SimpleNamespace(start_stream=dial)
     return SimpleNamespace(
         faults=SoakFaults(cluster, streams), clock=clock, loop=loop, plan=plan, signals=signals
     )
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -27,13 +27,15 @@
 
 
 class ResendsAnything(Defect):
-    """Retries whatever the request class allows."""
+    """Retries requests whether or not their class permits a repeat."""
 
     def may_retry(self, request, host):
         return not request.answered and len(request.attempts) < self.settings.max_attempts
 
 
 class AnswersTwice(Defect):
+    """Answers some requests twice."""
+
     def on_request(
         self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
     ):
@@ -56,6 +58,8 @@
 
 
 class DoubleAnsweringClient:
+    """A client that receives an empty second answer after each answer."""
+
     def __init__(self, client):
         self.client = client
 
@@ -65,6 +69,8 @@
 
 
 class NeverAnswers(Defect):
+    """Drops requests instead of rejecting them, and disables their deadline timer."""
+
     def reject(self, request, reason):
         self.exchange(request).deadline_timer.cancel()
         self.close_request(request)
@@ -93,6 +99,8 @@
 
 
 class IgnoresDrains(Defect):
+    """Treats draining hosts as ready."""
+
     def __init__(self, settings, port, seed, now):
         super().__init__(settings, port, seed, now)
         apply_endpoints = port.pools.apply_endpoints
@@ -115,12 +123,16 @@
 
 
 class NeverAsksForTheList(Defect):
+    """Stops calling discovery after its first host list."""
+
     def on_hosts(self, scope, entries):
         self.port.discovery.fetch = lambda: None
         super().on_hosts(scope, entries)
 
 
 class UnlimitedConcurrency(ConcurrencyLimiter):
+    """Does not limit the concurrency of a host."""
+
     def has_capacity(self, host):
         return True
 
@@ -132,6 +144,8 @@
 
 
 class NeverCancels(Dispatch):
+    """Cancels no attempt."""
+
     def should_cancel(self, attempt, settings):
         return False
 
@@ -144,6 +158,8 @@
 
 
 class FloodsCold(Defect):
+    """Sends a cold host all requests of its range, without slow start, limits and cancellation."""
+
     def __init__(self, settings, port, seed, now):
         super().__init__(settings, port, seed, now)
         self.placement.__class__, self.dispatch.__class__ = NoSlowStart, NeverCancels
@@ -151,6 +167,8 @@
 
 
 class UnlimitedOrigin(Origin):
+    """Always chooses the origin with the fewest attempts in flight, however many these are."""
+
     def choose_host(self, request):
         return min(self.hosts, key=lambda host: host.in_flight) if self.hosts else None
 
@@ -280,6 +298,8 @@
 
 
 class DeniesWhatMayHaveRun(Defect):
+    """Rejects with a denial also requests that a host may have executed."""
+
     def reject(self, request, reason):
         self.port.deny(request.id, 0)
         self.close_request(request)
@@ -318,6 +338,8 @@
 
 
 class TriesForEver(Defect):
+    """Makes more attempts of a request than its settings allow."""
+
     def __init__(self, settings, port, seed, now):
         super().__init__(settings._replace(max_attempts=50), port, seed, now)
 
@@ -336,6 +358,8 @@
 
 
 class SendsAfterTheAnswer(Defect):
+    """Sends one more attempt of some requests 50 ms before their deadline, after their answer."""
+
     def on_request(
         self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
     ):
@@ -410,6 +434,8 @@
 
 
 class SendsRawAnswer(Defect):
+    """Answers some requests with `RAW_ANSWER`, and may then reset the connection."""
+
     RAW_ANSWER = b""
     RESETS_CONNECTION = False
 
@@ -508,6 +534,8 @@
 
 
 class MakesUpIds(Defect):
+    """Sends some requests to hosts with an id that no client sent."""
+
     def on_request(
         self, request_id, time_remaining_us, is_write, request_class, key, tenant, *rest
     ):
@@ -551,27 +579,37 @@
 
 
 class ChangesTheMethod(ChangesTheHead):
+    """Forwards requests with another method."""
+
     def change(self, head):
         return head.replace(b"GET ", b"POST ", 1).replace(b"PUT ", b"POST ", 1)
 
 
 class ChangesThePath(ChangesTheHead):
+    """Forwards requests with another key in their path."""
+
     def change(self, head):
         return head.replace(b"/k", b"/j", 1)
 
 
 class DropsTheQuery(ChangesTheHead):
+    """Forwards requests without their query string."""
+
     def change(self, head):
         target = head.split(b" ")[1]
         return head.replace(target, target.partition(b"?")[0], 1)
 
 
 class ChangesTheIdempotencyKey(ChangesTheHead):
+    """Forwards keyed writes with another idempotency key."""
+
     def change(self, head):
         return head.replace(b"Idempotency-Key: op", b"Idempotency-Key: po", 1)
 
 
 class TruncatingClient:
+    """A client that receives answers without their last byte."""
+
     def __init__(self, client):
         self.client = client
 
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -13,7 +13,7 @@
 from orchidgap.simulation.plan import Fault
 from orchidgap.simulation.plan_file import parse_plan, read_plan, validate_plan
 from orchidgap.simulation.report import write_report
-from orchidgap.simulation.runner import keep, play
+from orchidgap.simulation.runner import play, write_recording
 from orchidgap.simulation.simulation import Simulation
 
 ROOT = Path(__file__).parents[2]
@@ -178,7 +178,7 @@
 
 def test_a_report_draws_ranges_only_where_they_are_known(tmp_path):
     verdict, simulation = play(parse_plan(TINY), policy="ring")
-    keep(tmp_path, simulation, verdict)
+    write_recording(tmp_path, simulation, verdict)
     assert "none are drawn" in write_report(tmp_path).read_text()
 
 
--- a/tests/simulation/test_kernel_times.py
+++ b/tests/simulation/test_kernel_times.py
@@ -17,7 +17,7 @@
 from orchidgap.simulation.plan import Plan, RequestClassSpec
 from orchidgap.simulation.request_end import ProcessEnd
 from orchidgap.simulation.server_connection import ServerConnection
-from orchidgap.simulation.simulation import LOOPBACK_SLACK_US, Simulation
+from orchidgap.simulation.simulation import LOOPBACK_TOLERANCE_US, Simulation
 
 DENIED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 REQUEST = b"GET /read/k1 HTTP/1.1\r\nHost: cache\r\nRequest-Id: q1\r\n\r\n"
@@ -32,7 +32,7 @@
     """A client's request at a balancer's listener, with both ends in this process."""
     loop = Loop()
     plan = Plan(name="pause")
-    invariant_checker = InvariantChecker(plan, loop.now, LOOPBACK_SLACK_US)
+    invariant_checker = InvariantChecker(plan, loop.now, LOOPBACK_TOLERANCE_US)
     environment = SimpleNamespace(
         invariant_checker=invariant_checker,
         network=LoopbackNetwork,
@@ -149,7 +149,7 @@
 def host_attempt():
     """A balancer's connection to a draining host, with both ends in this process."""
     loop = Loop()
-    invariant_checker = InvariantChecker(Plan(name="drain"), loop.now, LOOPBACK_SLACK_US)
+    invariant_checker = InvariantChecker(Plan(name="drain"), loop.now, LOOPBACK_TOLERANCE_US)
     operation = Operation(0, READ, "", 0, 1, loop.now)
     attempt = ClientAttempt(b"q1", operation, "b0", 1, loop.now, loop.now + 2_000_000)
     attempt.start_line = b"GET /read/k1"
--- a/tests/simulation/test_plans.py
+++ b/tests/simulation/test_plans.py
@@ -9,7 +9,7 @@
 from orchidgap.simulation.faults import FAULTS
 from orchidgap.simulation.plan import FAULT_KINDS, RESP_FAULT_KINDS
 from orchidgap.simulation.plan_file import format_plan, parse_plan, read_plan, validate_plan
-from orchidgap.simulation.runner import TRY, play
+from orchidgap.simulation.runner import TRY_PLAN, play
 
 SHIPPED = sorted((Path(__file__).parents[2] / "trials").glob("*.toml"))
 
@@ -53,7 +53,7 @@
 
 
 def test_the_same_plan_and_seed_give_the_same_trace_and_another_seed_another():
-    plan = msgspec.structs.replace(TRY, duration_s=4.0, faults=())
+    plan = msgspec.structs.replace(TRY_PLAN, duration_s=4.0, faults=())
     first, second, other = (play(plan, seed)[0]["trace"] for seed in (1, 1, 2))
     assert first == second != other
 
--- a/tests/simulation/test_rejection_checker.py
+++ b/tests/simulation/test_rejection_checker.py
@@ -11,12 +11,12 @@
     rejecting_stretches,
 )
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 def request_at(second, status=503, balancer="b0", sent_at=None, incarnation=1):
-    attempts = [SimpleNamespace(first_byte_at_us=round(sent_at * S))] if sent_at else []
-    at_us = round(second * S)
+    attempts = [SimpleNamespace(first_byte_at_us=round(sent_at * SECOND_US))] if sent_at else []
+    at_us = round(second * SECOND_US)
     return SimpleNamespace(
         balancer=balancer,
         incarnation=incarnation,
@@ -34,7 +34,7 @@
 def test_fifteen_rejections_over_four_seconds_count_and_fewer_or_shorter_ones_do_not():
     """Both bounds are the required ones."""
     (stretch,) = rejecting_stretches(rejected())
-    assert stretch == ("b0", S, 5 * S, 15)
+    assert stretch == ("b0", SECOND_US, 5 * SECOND_US, 15)
     assert rejecting_stretches(rejected(count=14)) == []
     assert rejecting_stretches(rejected(seconds=3.9)) == []
 
--- a/tests/simulation/test_spread_plans.py
+++ b/tests/simulation/test_spread_plans.py
@@ -84,7 +84,7 @@
     )
     phases = PhaseRecorder(simulation, (EvennessBounds("calm", min_service_ratio=0.9),))
     phases.current = "calm", 0
-    phases.begin("")
+    phases.begin_phase("")
     for completed_at_us, served in ((0, 0.5), (1_010_000, 1.0)):
         operations[1].completed_at_us, simulation.loop.now = completed_at_us, 3_000_000
         breaches = []
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -266,7 +266,7 @@
 def test_an_attempt_within_the_tolerance_after_the_grace_is_no_breach_on_real_sockets():
     """The peers take the times of both the list and the attempt, which race within the tolerance."""
     plan = validate_plan({"name": "j"})
-    invariant_checker = InvariantChecker(plan, 0, slack=50_000)
+    invariant_checker = InvariantChecker(plan, 0, tolerance_us=50_000)
     attempt = ClientAttempt(
         b"q1", Operation(0, plan.request_classes()[0], "north", 1, 1, 0), "b0", 1, 0, 1_500_000
     )
