--- a/orchidgap/fault_tests/actions.py
+++ b/orchidgap/fault_tests/actions.py
@@ -40,7 +40,7 @@
 MAX_NOISE_BYTES = 1_400
 EARLIEST_END_US = 200_000  # minimum duration of a random fault
 LATEST_END_US = 2_000_000
-END_PROBABILITY = 0.5
+END_PROBABILITY = 0.5  # probability that a random fault ends by itself
 
 
 class StepActions:
--- a/orchidgap/simulation/departures.py
+++ b/orchidgap/simulation/departures.py
@@ -9,7 +9,7 @@
 from orchidgap.simulation.observations import ClientAttempt
 from orchidgap.simulation.plan import ClientModel, milliseconds_to_us
 
-MIN_WAIT_MS = 1.0
+MIN_WAIT_MS = 1.0  # shortest time after which a client closes its connection
 
 
 class ClientDepartures:
--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -21,15 +21,15 @@
 class PhaseRecorder:
     """Records the consecutive phases of one run and their figures."""
 
-    def __init__(self, environment: Environment, expect: tuple[EvennessBounds, ...]) -> None:
+    def __init__(self, environment: Environment, bounds: tuple[EvennessBounds, ...]) -> None:
         """Start without a phase.
 
         Args:
             environment: The run that is measured.
-            expect: The bounds that its plan sets for phases.
+            bounds: The bounds that its plan sets for phases.
         """
         self.environment = environment
-        self.bounds = expect
+        self.bounds = bounds
         self.figures_by_phase: dict[str, dict[str, float]] = {}
         # begin and end of each ended phase, in microseconds
         self.intervals: dict[str, tuple[int, int]] = {}
@@ -45,13 +45,13 @@
                 self.environment, *self.intervals[previous]
             )
 
-    def finish(self, breach: Callable[[str, int, str], None]) -> dict[str, dict[str, float]]:
+    def finish(self, record_breach: Callable[[str, int, str], None]) -> dict[str, dict[str, float]]:
         """Compare all phases with their bounds at the end of the run.
 
         Requests in flight at the end of a phase count by their eventual outcome.
 
         Args:
-            breach: Called with the rule, the time in microseconds, and a description.
+            record_breach: Called with the rule, the time in microseconds, and a description.
         """
         self.begin_phase("")
         for name, (since, until) in self.intervals.items():
@@ -61,7 +61,7 @@
             for bounds in self.bounds:
                 if bounds.phase == name:
                     for text in describe_deviations(self.figures_by_phase[name], bounds.figures()):
-                        breach("uneven", until, f"{name}: {text}")
+                        record_breach("uneven", until, f"{name}: {text}")
         return self.figures_by_phase
 
 
--- a/orchidgap/simulation/report.py
+++ b/orchidgap/simulation/report.py
@@ -213,16 +213,18 @@
     return f"<tr>{escaped}</tr>"
 
 
-def evenness_table(stretches: dict[str, dict[str, float]]) -> str:
+def evenness_table(figures_by_phase: dict[str, dict[str, float]]) -> str:
     """Return a table of the evenness figures of each phase, or "" if there are none.
 
     >>> evenness_table({}), evenness_table({"calm": {"most": 1.2}}).count("<td>")
     ('', 2)
     """
-    if not stretches:
+    if not figures_by_phase:
         return ""
-    names = tuple(next(iter(stretches.values())))
-    rows: list[tuple[object, ...]] = [(name, *row.values()) for name, row in stretches.items()]
+    names = tuple(next(iter(figures_by_phase.values())))
+    rows: list[tuple[object, ...]] = [
+        (name, *row.values()) for name, row in figures_by_phase.items()
+    ]
     return html_table(rows, ("phase", *names))
 
 
--- a/orchidgap/simulation/saturate.py
+++ b/orchidgap/simulation/saturate.py
@@ -76,9 +76,9 @@
         """Send the request to the host that its key's hash selects."""
         self.port.dispatch(request_id, self.ids[crc_hqx(b"%d" % (key or 0), 0) % len(self.ids)])
 
-    def on_outcome(self, request_id: int, number: int, outcome: str, is_final: bool) -> None:
-        """Abort a request whose attempt brought no final answer."""
-        if not is_final:
+    def on_outcome(self, request_id: int, number: int, outcome: str, answered: bool) -> None:
+        """Abort a request whose attempt did not give the client its final answer."""
+        if not answered:
             self.port.abort(request_id)
 
     def on_client_disconnect(self, request_id: int) -> None: ...
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -208,11 +208,11 @@
 class CutsFlows(Defect):
     """Truncates a large answer that is still streaming 200 ms after its attempt's outcome."""
 
-    def on_outcome(self, request_id, number, outcome, is_final):
+    def on_outcome(self, request_id, number, outcome, answered):
         exchange = self.port.exchanges.get(request_id)
         if exchange and exchange.streaming_attempt:
             self.port.loop.call_later(200_000, self.cut, exchange)
-        super().on_outcome(request_id, number, outcome, is_final)
+        super().on_outcome(request_id, number, outcome, answered)
 
     def cut(self, exchange):
         if exchange.streaming_attempt:
