--- a/orchidgap/simulation/report.py
+++ b/orchidgap/simulation/report.py
@@ -24,7 +24,7 @@
 HOST_COLOURS = "tab20"
 HOST_COLOUR_COUNT = 20
 FAULT_COLOUR = "#a00"
-REJECTION_BAR_HEIGHT = 0.3  # of the second with the most rejections
+REJECTION_BAR_HEIGHT = 0.3  # height of the bar of the second with the most rejections
 PLOTTED_PERCENTILES = (0.5, 0.99)
 MAX_EVENNESS_RATIO = 3.0  # upper end of the heat map's scale
 MAX_LABELLED_CACHES = 12
@@ -213,16 +213,18 @@
     return f"<tr>{escaped}</tr>"
 
 
-def evenness_table(stretches: dict[str, dict[str, float]]) -> str:
+def evenness_table(figures_by_phase: dict[str, dict[str, float]]) -> str:
     """Return a table of the evenness figures of each phase, or "" if there are none.
 
     >>> evenness_table({}), evenness_table({"calm": {"most": 1.2}}).count("<td>")
     ('', 2)
     """
-    if not stretches:
+    if not figures_by_phase:
         return ""
-    names = tuple(next(iter(stretches.values())))
-    rows: list[tuple[object, ...]] = [(name, *row.values()) for name, row in stretches.items()]
+    names = tuple(next(iter(figures_by_phase.values())))
+    rows: list[tuple[object, ...]] = [
+        (name, *row.values()) for name, row in figures_by_phase.items()
+    ]
     return html_table(rows, ("phase", *names))
 
 
