--- a/orchidgap/control/lease_keeper.py
+++ b/orchidgap/control/lease_keeper.py
@@ -73,7 +73,7 @@
 
     Attributes:
         lease: The lease, the promises and the version in force.
-        node: The node whose requests it permits; must be set before `begin`.
+        node: The node whose requests it permits; must be set before `request_permission`.
         incarnation: The unique identifier of this process, drawn at random.
         clients: One client for each control process.
     """
@@ -88,7 +88,7 @@
         rng: Random,
         clock: Callable[[], int] = boot_clock,
     ) -> None:
-        """Create a lease keeper; it sends nothing before `begin`.
+        """Create a lease keeper; it sends nothing before `request_permission`.
 
         Args:
             config_path: The balancer's configuration file, which is reloaded for each policy.
@@ -135,7 +135,7 @@
 
     # --- start and shutdown
 
-    def begin(self, on_first_lease: Callable[[], None]) -> None:
+    def request_permission(self, on_first_lease: Callable[[], None]) -> None:
         """Send the first heartbeat; `on_first_lease` opens the listener."""
         self.on_first_lease = on_first_lease
         self._log_stored_policy()
--- a/orchidgap/fault_tests/planted_defects.py
+++ b/orchidgap/fault_tests/planted_defects.py
@@ -58,13 +58,13 @@
 
 def serves_before_first_lease() -> None:
     """The balancer serves before it has received the decided version."""
-    begin = LeaseKeeper.begin
+    request_permission = LeaseKeeper.request_permission
 
     def open_at_once(self: LeaseKeeper, on_first_lease: Callable[[], None]) -> None:
-        begin(self, lambda: None)
+        request_permission(self, lambda: None)
         on_first_lease()
 
-    LeaseKeeper.begin = open_at_once
+    LeaseKeeper.request_permission = open_at_once
     LeaseKeeper.may_serve = lambda self: True
 
 
@@ -136,7 +136,7 @@
 
     A clock that counts turns of the event loop would behave like this.
     """
-    begin = LeaseKeeper.begin
+    request_permission = LeaseKeeper.request_permission
 
     def count(self: LeaseKeeper, on_first_lease: Callable[[], None]) -> None:
         real_clock = self.clock
@@ -151,9 +151,9 @@
             return own_time
 
         self.clock = clock
-        begin(self, on_first_lease)
+        request_permission(self, on_first_lease)
 
-    LeaseKeeper.begin = count
+    LeaseKeeper.request_permission = count
 
 
 def decides_without_promises() -> None:
@@ -203,54 +203,54 @@
 
 def closes_first_request() -> None:
     """The balancer closes each connection after reading the first request on it."""
-    hand_over = Http1ClientConnection.hand_over
+    pass_to_handler = Http1ClientConnection.pass_to_handler
 
     def close(self: Http1ClientConnection, *request: Any) -> None:
         if self.conn.bytes_written:
-            hand_over(self, *request)
+            pass_to_handler(self, *request)
         else:
             self.conn.fail("closed")
 
-    Http1ClientConnection.hand_over = close
+    Http1ClientConnection.pass_to_handler = close
 
 
 def closes_later_request() -> None:
     """The balancer closes a connection 1 ms after reading a later request than the first on it."""
-    hand_over = Http1ClientConnection.hand_over
+    pass_to_handler = Http1ClientConnection.pass_to_handler
 
     def close_soon(self: Http1ClientConnection, *request: Any) -> None:
         if self.conn.bytes_written:
             self.listener.loop.call_later(READ_BEFORE_CLOSE_US, self.conn.fail, "closed")
         else:
-            hand_over(self, *request)
+            pass_to_handler(self, *request)
 
-    Http1ClientConnection.hand_over = close_soon
+    Http1ClientConnection.pass_to_handler = close_soon
 
 
 def resets_first_request() -> None:
     """The balancer reads the first request of a connection and resets it without an answer."""
-    hand_over = Http1ClientConnection.hand_over
+    pass_to_handler = Http1ClientConnection.pass_to_handler
 
     def reset(self: Http1ClientConnection, *request: Any) -> None:
         if self.conn.bytes_written:
-            hand_over(self, *request)
+            pass_to_handler(self, *request)
         else:
             reset_unanswered(self)
 
-    Http1ClientConnection.hand_over = reset
+    Http1ClientConnection.pass_to_handler = reset
 
 
 def resets_later_request() -> None:
     """The balancer reads a later request of a connection and resets it without an answer."""
-    hand_over = Http1ClientConnection.hand_over
+    pass_to_handler = Http1ClientConnection.pass_to_handler
 
     def reset(self: Http1ClientConnection, *request: Any) -> None:
         if self.conn.bytes_written:
             reset_unanswered(self)
         else:
-            hand_over(self, *request)
+            pass_to_handler(self, *request)
 
-    Http1ClientConnection.hand_over = reset
+    Http1ClientConnection.pass_to_handler = reset
 
 
 def reset_unanswered(client: Http1ClientConnection) -> None:
@@ -299,7 +299,7 @@
     """On SIGTERM the balancer does not exit, and answers no requests from then on."""
 
     def begin_shutdown(self: NodeLifecycle) -> None:
-        Http1ClientConnection.hand_over = lambda *request: None
+        Http1ClientConnection.pass_to_handler = lambda *request: None
 
     NodeLifecycle.begin_shutdown = begin_shutdown
 
@@ -331,7 +331,7 @@
 
 def end_after_requests(end: Callable[[], None]) -> None:
     """Call `end`, which does not return, after `REQUESTS_BEFORE_EXIT` requests."""
-    hand_over = Http1ClientConnection.hand_over
+    pass_to_handler = Http1ClientConnection.pass_to_handler
     requests_left = REQUESTS_BEFORE_EXIT
 
     def count_and_end(self: Http1ClientConnection, *request: Any) -> None:
@@ -339,9 +339,9 @@
         requests_left -= 1
         if requests_left < 0:
             end()
-        hand_over(self, *request)
+        pass_to_handler(self, *request)
 
-    Http1ClientConnection.hand_over = count_and_end
+    Http1ClientConnection.pass_to_handler = count_and_end
 
 
 def exits_by_itself() -> None:
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -202,16 +202,16 @@
             return
         if message.complete:
             body = b"".join(message.take_body())
-            self.hand_over(message, fields, len(body), body, None)
+            self.pass_to_handler(message, fields, len(body), body, None)
             return
         self.send_continue(message)
         self.upload = Upload(self.conn, message.content_length, MAX_BUFFERED_BODY_BYTES)
         self.upload.add(message.take_body(), False)
         self.body_size_at_progress = max(1, message.body_size)
         self.listener.await_request(self)
-        self.hand_over(message, fields, message.content_length, b"", self.upload)
+        self.pass_to_handler(message, fields, message.content_length, b"", self.upload)
 
-    def hand_over(
+    def pass_to_handler(
         self,
         message: Message,
         fields: RequestFields,
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -32,7 +32,7 @@
 class LeaseHolder(Protocol):
     """Obtains the permission to serve clients."""
 
-    def begin(self, on_first_lease: Callable[[], None]) -> None:
+    def request_permission(self, on_first_lease: Callable[[], None]) -> None:
         """Request the permission, and call back once it is first granted."""
 
     def close(self) -> None:
@@ -95,7 +95,7 @@
     if balancer_config.gossip and make_gossip:
         gossip = make_gossip(loop, node, log, balancer_config)
     if lease_holder:
-        lease_holder.begin(partial(open_to_clients, loop, node, balancer_config, log))
+        lease_holder.request_permission(partial(open_to_clients, loop, node, balancer_config, log))
     else:
         open_to_clients(loop, node, balancer_config, log)
     loop.run()
--- a/tests/compatibility/program.py
+++ b/tests/compatibility/program.py
@@ -154,7 +154,7 @@
         node.guard, self.keeper.node = self.keeper, node
 
     def begin(self) -> None:
-        self.keeper.begin(lambda: None)
+        self.keeper.request_permission(lambda: None)
 
     def is_busy(self) -> bool:
         return self.keeper.writer.busy or any(map(has_call_in_progress, self.keeper.clients))
--- a/tests/control/test_lease_keeper.py
+++ b/tests/control/test_lease_keeper.py
@@ -90,7 +90,7 @@
 def test_a_balancer_without_answers_calls_less_and_less_often(tmp_path):
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
-    keeper.begin(lambda: None)
+    keeper.request_permission(lambda: None)
     loop.run_until(loop.now + 20_000_000)
     assert 6 <= keeper.clients[0].count <= 20 and not keeper.may_serve()
 
@@ -101,7 +101,7 @@
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop)
     keeper.clients[0].answer = NOTHING_DECIDED
-    keeper.begin(lambda: None)
+    keeper.request_permission(lambda: None)
     assert keeper.may_serve() and keeper.lease.version == 0
     seen = []
     keeper.adopt = lambda document: seen.append("adopted")
@@ -140,7 +140,7 @@
     loop = VirtualClockLoop()
     keeper = make_keeper(tmp_path, loop, alone="stay")
     keeper.clients[0].answer = NOTHING_DECIDED | {"stay": {"b": keeper.incarnation}}
-    keeper.begin(lambda: None)
+    keeper.request_permission(lambda: None)
     keeper.clients[0].answer = None
     loop.run_until(loop.now + 2 * LEASE_US)
     assert keeper.lease.permission(loop.now) is ServingPermission.WITHOUT_QUORUM
@@ -170,7 +170,7 @@
     store.write("policy", {"n": 4, "id": "x", "doc": DOCUMENT})
     for _ in range(2):
         keeper = make_keeper(tmp_path, VirtualClockLoop())
-        keeper.begin(lambda: None)
+        keeper.request_permission(lambda: None)
         events += keeper.events
         (tmp_path / "policy").write_text("torn")
     assert ("stored policy found", {"version": 4}) in events
@@ -184,7 +184,7 @@
     keeper = make_keeper(folder, loop, count=3)
     for client in keeper.clients:
         client.answers_immediately = False
-    keeper.begin(lambda: None)
+    keeper.request_permission(lambda: None)
     return keeper
 
 
@@ -310,7 +310,7 @@
     keeper = make_keeper(tmp_path, loop, alone=alone)
     client = keeper.clients[0]
     client.answer = NOTHING_DECIDED | {"stay": {"b": "an earlier process"}}
-    keeper.begin(lambda: None)
+    keeper.request_permission(lambda: None)
     assert bool(client.requests(REGISTER)) is registers
     assert all(one.incarnation == keeper.incarnation for one in client.requests(REGISTER))
     client.answer = NOTHING_DECIDED | {"stay": {"b": keeper.incarnation}}
@@ -331,7 +331,7 @@
 
     keeper.adopt = refuse
     keeper.clients[0].answer = NOTHING_DECIDED | {"n": 1, "id": "x", "try": 1, "doc": DOCUMENT}
-    keeper.begin(lambda: None)
+    keeper.request_permission(lambda: None)
     loop.run_until(loop.now + 4 * LEASE_US)
     assert not keeper.may_serve() and not keeper.clients[0].requests(REGISTER)
     fields = events_of(keeper, "version invalid")
@@ -342,7 +342,7 @@
     keeper = make_keeper(tmp_path, VirtualClockLoop())
     keeper.adopt = pytest.fail
     keeper.clients[0].answer = NOTHING_DECIDED | {"n": 1, "id": "x", "try": 1}
-    keeper.begin(lambda: None)
+    keeper.request_permission(lambda: None)
     fields = events_of(keeper, "version invalid")
     assert fields == [{"version": 1, "why": "the answer did not contain its policy"}]
 
@@ -459,7 +459,7 @@
     keeper = make_keeper(tmp_path, loop)
     opened = []
     keeper.clients[0].answer = NOTHING_DECIDED
-    keeper.begin(lambda: opened.append(loop.now))
+    keeper.request_permission(lambda: opened.append(loop.now))
     loop.run_until(loop.now + 3 * LEASE_US)
     keeper.clients[0].answer = None
     loop.run_until(loop.now + 3 * LEASE_US)
@@ -479,7 +479,7 @@
         raise ConfigError("cannot listen on 127.0.0.1:1")
 
     loop.running = True
-    keeper.begin(fail)
+    keeper.request_permission(fail)
     assert loop.running is False
     assert events_of(keeper, "ends") == [{"why": "cannot listen on 127.0.0.1:1"}]
 
