--- a/orchidgap/net/connection_log.py
+++ b/orchidgap/net/connection_log.py
@@ -23,7 +23,7 @@
 
 CONNECTION_LOG_VARIABLE = "ORCHIDGAP_CONNECTION_LOG"  # any non-empty value enables the lines
 CONNECTION_CLOSED = "connection closed"
-CONNECTION_SHUT_UNREAD = "connection shut unread"
+CONNECTION_HALF_CLOSED_UNREAD = "connection shut unread"
 
 
 def monotonic_us() -> int:
@@ -65,7 +65,7 @@
         """
         with suppress(OSError):
             peer = client.conn.sock.getpeername()
-            self.event_log(CONNECTION_SHUT_UNREAD, peer=peer, shut_us=monotonic_us())
+            self.event_log(CONNECTION_HALF_CLOSED_UNREAD, peer=peer, shut_us=monotonic_us())
 
 
 def log_connections_if_enabled(listener: ClientListener, event_log: EventLog) -> None:
--- a/orchidgap/simulation/close_records.py
+++ b/orchidgap/simulation/close_records.py
@@ -10,7 +10,7 @@
 import orjson
 
 from orchidgap.net.client_connection import ClientConnection
-from orchidgap.net.connection_log import CONNECTION_CLOSED, CONNECTION_SHUT_UNREAD
+from orchidgap.net.connection_log import CONNECTION_CLOSED, CONNECTION_HALF_CLOSED_UNREAD
 from orchidgap.net.traffic_counts import ConnectionEnd
 from orchidgap.simulation.request_end import CloseRecord
 
@@ -60,7 +60,7 @@
         )
         self.notes[connection].append(CloseNote(end, record))
 
-    def note_shut_unread(self, connection: int, at_us: int) -> None:
+    def record_half_closed_unread(self, connection: int, at_us: int) -> None:
         """Record that unread bytes were found after the sending side had been shut down.
 
         Args:
@@ -69,7 +69,7 @@
         """
         notes = self.notes.get(connection)
         if notes and notes[-1].end is ConnectionEnd.FINISHED:
-            record = notes[-1].record._replace(shut_unread_at_us=at_us)
+            record = notes[-1].record._replace(half_closed_unread_at_us=at_us)
             notes[-1] = CloseNote(ConnectionEnd.FINISHED, record)
 
     def find(self, connection: int, opened_at_us: int) -> CloseRecord | None:
@@ -114,14 +114,14 @@
             for line in complete.splitlines():
                 if CONNECTION_CLOSED.encode() in line:
                     self._read_close(line)
-                elif CONNECTION_SHUT_UNREAD.encode() in line:
+                elif CONNECTION_HALF_CLOSED_UNREAD.encode() in line:
                     self._read_shut_unread(line)
 
     def _read_shut_unread(self, line: bytes) -> None:
         with suppress(ValueError, KeyError):
             facts = orjson.loads(line)
             _, port = facts["peer"]
-            self.note_shut_unread(port, facts["shut_us"] + self.clock_offset_us)
+            self.record_half_closed_unread(port, facts["shut_us"] + self.clock_offset_us)
 
     def _read_close(self, line: bytes) -> None:
         """Add the note of a log line; a truncated line or one without a peer is ignored."""
--- a/orchidgap/simulation/request_end.py
+++ b/orchidgap/simulation/request_end.py
@@ -48,8 +48,8 @@
         requests_answered: Requests that it had answered.
         had_unread_bytes: Bytes had arrived that it had not read.
         had_read_all: After that time it read until no more bytes were available.
-        shut_unread_at_us: When it found unread bytes after it had shut down its sending side; 0 if
-            it found none.
+        half_closed_unread_at_us: When it found unread bytes after it had shut down its sending
+            side; 0 if it found none.
     """
 
     closed_at_us: int
@@ -57,7 +57,7 @@
     requests_answered: int
     had_unread_bytes: bool
     had_read_all: bool = False
-    shut_unread_at_us: int = 0
+    half_closed_unread_at_us: int = 0
 
 
 class ConnectionEndFacts(NamedTuple):
@@ -133,7 +133,7 @@
     if record is None or not was_written_after_close(facts):
         return False
     was_refused_by_kernel = facts.was_reset or facts.was_closed_at_write
-    was_found_unread = facts.write_began_us <= record.shut_unread_at_us
+    was_found_unread = facts.write_began_us <= record.half_closed_unread_at_us
     return was_refused_by_kernel or was_found_unread
 
 
--- a/tests/simulation/test_close_records.py
+++ b/tests/simulation/test_close_records.py
@@ -65,14 +65,14 @@
     records = LoggedCloseRecords(path, clock_offset_us=1_000_000)
     shut = {"event": "connection shut unread", "peer": ["127.0.0.1", PORT], "shut_us": 20}
     path.write_bytes(orjson.dumps(shut) + b"\n" + line(closed_us=10, end="finished"))
-    assert records.find(PORT, 0).shut_unread_at_us == 0, (
+    assert records.find(PORT, 0).half_closed_unread_at_us == 0, (
         "the event belongs to an earlier connection"
     )
     with path.open("ab") as file:
         file.write(orjson.dumps(shut) + b"\n")
-    assert records.find(PORT, 0).shut_unread_at_us == 1_000_020
+    assert records.find(PORT, 0).half_closed_unread_at_us == 1_000_020
     with path.open("ab") as file:
         file.write(line(closed_us=30) + orjson.dumps(shut | {"shut_us": 40}) + b"\n")
-    assert records.find(PORT, 1_000_030).shut_unread_at_us == 0, (
+    assert records.find(PORT, 1_000_030).half_closed_unread_at_us == 0, (
         "the connection was closed, not shut down"
     )
--- a/tests/simulation/test_raced_close.py
+++ b/tests/simulation/test_raced_close.py
@@ -183,8 +183,8 @@
     return attempt
 
 
-def note_shut_unread(owner):
-    owner.record = owner.record._replace(shut_unread_at_us=owner.loop.clock())
+def record_half_closed_unread(owner):
+    owner.record = owner.record._replace(half_closed_unread_at_us=owner.loop.clock())
 
 
 def test_a_request_that_was_found_unread_behind_the_shutdown_is_resent(connected):
@@ -192,7 +192,7 @@
     owner, connection, far = connected
     attempt = written_before_shutdown(owner, connection, far)
     assert not owner.lost and not owner.resent
-    note_shut_unread(owner)
+    record_half_closed_unread(owner)
     owner.run()
     assert owner.resent == [attempt] and not owner.lost
 
@@ -213,7 +213,7 @@
     assert attempt.incarnation == NO_PROCESS
     owner.environment.process_end = lambda balancer, incarnation: ProcessEnd.KILLED
     attempt.host_attempts.append(None)
-    note_shut_unread(owner)
+    record_half_closed_unread(owner)
     owner.run()
     assert owner.lost == [attempt] and not owner.resent
 
--- a/tests/simulation/test_request_end.py
+++ b/tests/simulation/test_request_end.py
@@ -99,12 +99,14 @@
 def test_an_orderly_end_raced_a_request_found_unread_behind_the_shutdown(facts):
     assert classify_request_end(facts) is RequestEnd.LOST
     assert awaits_unread_record(facts)
-    raced = with_record(facts, shut_unread_at_us=WRITE_BEGAN_US)
+    raced = with_record(facts, half_closed_unread_at_us=WRITE_BEGAN_US)
     assert classify_request_end(raced) is RequestEnd.RACED_CLOSE
     assert not awaits_unread_record(raced)
     read = raced.earlier_requests
     not_excused = {
-        "found before it was written": with_record(facts, shut_unread_at_us=WRITE_BEGAN_US - 1),
+        "found before it was written": with_record(
+            facts, half_closed_unread_at_us=WRITE_BEGAN_US - 1
+        ),
         "written first": with_record(raced, closed_at_us=WRITE_BEGAN_US + 1),
         "unread at the last poll": with_record(raced, had_unread_bytes=True),
         "read and not answered": with_record(raced, requests_read=read + 1),
