--- a/orchidgap/admin/server.py
+++ b/orchidgap/admin/server.py
@@ -47,10 +47,10 @@
         self._received = b""
         self.connection = Connection(server.loop, sock, self)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: accepted connections are established already."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Collect received bytes, and run the command once it is complete."""
         self._received += bytes(view[: MAX_COMMAND_BYTES + 1])
         line, line_end, _ = self._received.partition(LINE_END)
@@ -65,7 +65,7 @@
         self.connection.send(encode_result(result))
         self.connection.close_gracefully()
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Forget the connection, as it has ended."""
         self._server.waiting.pop(self, None)
         self._server.connections.pop(self, None)
@@ -73,7 +73,7 @@
     def close(self) -> None:
         """Close without an answer."""
         self.connection.close()
-        self.ended("closed")
+        self.on_closed("closed")
 
 
 class AdminServer:
--- a/orchidgap/control/rpc_client.py
+++ b/orchidgap/control/rpc_client.py
@@ -39,25 +39,25 @@
         """Send a call; `on_body` is called once."""
         self.on_body = on_body
         self.reader.reset()
-        self.timer = self.client.loop.call_later(self.client.timeout_us, self.ended, "timeout")
+        self.timer = self.client.loop.call_later(self.client.timeout_us, self.on_closed, "timeout")
         self.conn.send(
             b"%b %b HTTP/1.1\r\nHost: control\r\nContent-Length: %d\r\n\r\n%b"
             % (verb.encode(), path.encode(), len(body), body)
         )
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: the connection buffers bytes that are sent before it is open."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Process received bytes of an answer."""
         self.reader.feed(view)
         message = self.reader.message
         if message.error_status or self.on_body is None:
-            self.ended("malformed or unexpected answer")
+            self.on_closed("malformed or unexpected answer")
         elif message.complete:
             self._end_call(message.body if message.status == 200 else None, message.keep_alive)
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Abandon the connection and the call in progress."""
         if self in self.client.idle:
             self.client.idle.remove(self)
--- a/orchidgap/control/rpc_server.py
+++ b/orchidgap/control/rpc_server.py
@@ -59,10 +59,10 @@
         self.answering = False  # whether a call is in progress
         self.conn = Connection(server.loop, sock, self)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: an accepted socket is already connected."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Process received bytes of a request."""
         self.last_active_us = self.server.loop.now
         self.reader.feed(view)
@@ -71,7 +71,7 @@
             return
         self._begin_call()
 
-    def ended(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Remove the connection, which has ended."""
         self.server.connections.pop(self, None)
 
--- a/orchidgap/fault_tests/dial_stream.py
+++ b/orchidgap/fault_tests/dial_stream.py
@@ -112,7 +112,7 @@
         if self.writes_immediately:
             self.start(*self.first_request)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Write the request; the process to account it to may have been started since the dial."""
         attempt, message = self.first_request
         self.update_incarnation(attempt)
@@ -120,7 +120,7 @@
         self.clients.written_late += 1
         self.start(attempt, message)
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Handle a refused connection, or one that ended during its request."""
         attempt, _ = self.first_request
         if not self.request_count:
@@ -129,7 +129,7 @@
             return
         # if the end of the process was detected first, nothing else notifies the stream
         was_abandoned = attempt.abandoned and self.attempt is attempt
-        super().ended(what)
+        super().on_closed(reason)
         if was_abandoned:
             self.clients.on_outcome(attempt, 0, 0)
 
--- a/orchidgap/fault_tests/relay.py
+++ b/orchidgap/fault_tests/relay.py
@@ -59,10 +59,10 @@
         self.sender_closed = False
         self.conn = Connection(pair.relay.loop, sock, self, opening=opening)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing when a dialled connection is established."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Forward bytes: immediately, after a delay, or when the stall ends."""
         relay = self.pair.relay
         data = bytes(view)
@@ -86,7 +86,7 @@
         elif self.peer.conn.is_open:
             self.peer.conn.send(data)
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Close the other side once all delayed data has arrived."""
         self.sender_closed = True
         if not self.stalled_pieces:
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -126,7 +126,7 @@
         self.retired = True
         for connection in list(self.connections):
             if connection.is_unused:
-                connection.ended("host drains")
+                connection.on_closed("host drains")
 
 
 class HostConnectionPools(connection_pools.ConnectionPools[HostConnectionPool]):
@@ -202,4 +202,4 @@
             if connection.conn.read_paused:  # the client is slow, not the host
                 connection.received_at_us = now
             elif now - connection.received_at_us > STREAM_STALL_TIMEOUT_US:
-                connection.ended("response stalled")
+                connection.on_closed("response stalled")
--- a/orchidgap/http1/discovery.py
+++ b/orchidgap/http1/discovery.py
@@ -99,7 +99,7 @@
         if self.conn is None or not self.conn.is_open:
             sock = self.dialer(self.address)
             if isinstance(sock, AttemptFailure):
-                self.ended(sock.detail)
+                self.on_closed(sock.detail)
                 return
             self.reader = ResponseReader(MAX_LIST_BYTES)
             # Urgent: a change of the list is handled before requests that are read in the same
@@ -117,7 +117,7 @@
         if self.list_version is not None:
             target = f"{LIST_PATH}?after={self.list_version}&wait_ms={self.wait_ms}"
         grace_us = RESPONSE_GRACE_US if self.failures < 2 else 2 * RESPONSE_GRACE_US
-        self.set_timer(self.wait_ms * 1000 + grace_us, self.ended, NO_RESPONSE)
+        self.set_timer(self.wait_ms * 1000 + grace_us, self.on_closed, NO_RESPONSE)
         self.conn.send(f"GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
     def set_address(self, address: Address) -> None:
@@ -133,20 +133,20 @@
         self.failures = 0
         self.fetch()
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Does nothing: the call is already queued on the connection."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Handles bytes from the agent."""
         self.reader.feed(view)
         message = self.reader.message
         if message.error_status or not self.call_pending:
-            self.ended("malformed or unexpected response")
+            self.on_closed("malformed or unexpected response")
         elif message.complete:
             self.call_pending = False
             self.on_response(message)
         elif self.loop.now < self.polled_at_us + MAX_RESPONSE_US:  # the rest is still to arrive
-            self.set_timer(RESPONSE_GRACE_US, self.ended, NO_RESPONSE)
+            self.set_timer(RESPONSE_GRACE_US, self.on_closed, NO_RESPONSE)
 
     def on_response(self, message: Message) -> None:
         """Applies the list, or a change to it, and schedules the next call."""
@@ -155,7 +155,7 @@
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             if message.status == 200:
                 self.list_version = None  # the same changes would be invalid again: fetch the list
-            self.ended(f"invalid response: {error!r}"[:MAX_REASON_LENGTH])
+            self.on_closed(f"invalid response: {error!r}"[:MAX_REASON_LENGTH])
             return
         if self.failures:
             self.log("list back", failures=self.failures)
@@ -187,13 +187,13 @@
             raise ValueError("changes to a list that was not fetched")
         return host_list
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Handles a failed call: keeps the current list, and schedules the next call."""
         self.close_connection()
         self.failures += 1
         if self.failures in LOGGED_FAILURES:
-            self.log("list lost", why=what, failures=self.failures)
-        if what == NO_RESPONSE:
+            self.log("list lost", why=reason, failures=self.failures)
+        if reason == NO_RESPONSE:
             pause_us = self.rng.randrange(MAX_RETRY_GAP_US // 10, MAX_RETRY_GAP_US)
         else:
             doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
--- a/orchidgap/http1/host_connection.py
+++ b/orchidgap/http1/host_connection.py
@@ -120,11 +120,11 @@
         if attempt:
             attempt.carrier = self
             timeout_us = pool.connect_timeout_us
-            self.timer = self.loop.call_later(timeout_us, self.ended, "connect timeout")
+            self.timer = self.loop.call_later(timeout_us, self.on_closed, "connect timeout")
 
     # --- requests
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Starts the attempt, as the connection is established."""
         self.cancel_timer()
         if self.attempt and self.loop.is_stalled:
@@ -212,20 +212,20 @@
 
     # --- responses
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Handles bytes from the host."""
         if self.attempt is None or self.start_is_postponed:
             # The next response on this connection could belong to another request.
-            self.ended("data without a request")
+            self.on_closed("data without a request")
             return
         self.received_at_us = self.loop.now
         if not self.reader.started and self.precedes_request():
-            self.ended("data too early to answer the request")
+            self.on_closed("data too early to answer the request")
             return
         self.reader.feed(view)
         message = self.reader.message
         if message.error_status:
-            self.ended("malformed response")
+            self.on_closed("malformed response")
         elif self.response_sink:
             self.response_sink.send_body(message.take_body())
             if message.complete:
@@ -278,7 +278,7 @@
         self.cancel_timer()
         sink = attempt.owner.start_streaming(attempt.number)
         if sink is None:
-            self.ended("response no longer needed")
+            self.on_closed("response no longer needed")
             return
         self.response_sink = sink
         self.pool.add_streaming(self)
@@ -332,11 +332,11 @@
 
     # --- the end of the connection
 
-    def ended(self, what: str) -> None:
-        """Closes a connection that has failed or was closed by the host; `what` is the reason."""
+    def on_closed(self, reason: str) -> None:
+        """Closes a connection that has failed or was closed by the host, for this `reason`."""
         attempt = self.attempt
         response_started = self.reader.started
-        closed_in_order = what == "closed"
+        closed_in_order = reason == "closed"
         if attempt and closed_in_order and response_started and self.reader.on_connection_closed():
             self.finish_with_connection()
             return
@@ -346,8 +346,8 @@
         if stale:
             cause = "stale"
         elif self.conn.connecting:
-            cause = connect_failure_cause(what)
-        failure = AttemptFailure(self.send_progress(), cause, what)
+            cause = connect_failure_cause(reason)
+        failure = AttemptFailure(self.send_progress(), cause, reason)
         self.close()
         if stale and self.idle_before_us > SHORT_IDLE_US:
             # Connections that have been idle for longer are probably closed as well, and the next
--- a/orchidgap/http1/request_migration.py
+++ b/orchidgap/http1/request_migration.py
@@ -193,7 +193,7 @@
         closers.append(client.detach)
         if items[0] == PARTIAL_REQUEST:
             node.clients.await_request(client)
-            client.received(memoryview(bytearray(raw)))
+            client.on_data(memoryview(bytearray(raw)))
         elif items[0] == STREAMING_RESPONSE:
             response = StreamingResponse.from_wire(items[1])
             connection = add_host_connection(node, response.host, response.address, socks[1])
--- a/orchidgap/http1/server.py
+++ b/orchidgap/http1/server.py
@@ -96,7 +96,7 @@
 
     # --- requests
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Handles bytes from the client."""
         reader = self.reader
         if not reader.started and self in self.listener.idle:
--- a/orchidgap/net/client_connection.py
+++ b/orchidgap/net/client_connection.py
@@ -43,7 +43,7 @@
         """The number of requests that were read at least in part."""
         raise NotImplementedError
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Handle bytes that were read; the view is valid during the call only."""
         raise NotImplementedError
 
@@ -57,7 +57,7 @@
 
     # --- the same for all protocols
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: an accepted connection is established already."""
 
     def on_stalled(self) -> None:
@@ -103,12 +103,12 @@
         """Whether no bytes are waiting to be sent or read, and the client has not closed."""
         return not self.conn.write_buffer and not self.conn.is_stale()
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Handle the end of the connection: count it and release its requests."""
         if self.conn.closing:
             end = ConnectionEnd.FINISHED
         else:
-            end = ConnectionEnd.CLIENT_CLOSED if what == "closed" else ConnectionEnd.BROKEN
+            end = ConnectionEnd.CLIENT_CLOSED if reason == "closed" else ConnectionEnd.BROKEN
         self.close(end)
         self.on_disconnect()
 
--- a/orchidgap/net/connection.py
+++ b/orchidgap/net/connection.py
@@ -32,14 +32,14 @@
 class ConnectionOwner(Protocol):
     """Receives the events of a connection."""
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Called when a connection that was dialled is established."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Called with bytes that were read; the view is valid during the call only."""
 
-    def ended(self, what: str) -> None:
-        """Called when the connection has ended, with the system's reason as `what`.
+    def on_closed(self, reason: str) -> None:
+        """Called when the connection has ended, with the system's reason as `reason`.
 
         Called at most once, and never after `Connection.close`.
         """
@@ -129,7 +129,7 @@
                     return self.fail(os.strerror(error))
                 self.connecting = False
                 self.update_watch()
-                self.owner.opened()
+                self.owner.on_connected()
             if mask & WRITE and self.write_buffer and self.is_open:
                 self.flush()
             if mask & READ and self.is_open:
@@ -154,7 +154,7 @@
         if not count:
             self.fail("closed")
         elif not self.closing:
-            self.owner.received(self.loop.buffer[:count])
+            self.owner.on_data(self.loop.buffer[:count])
         else:
             self.last_progress_us = self.loop.now
             self.discarded_bytes += count
@@ -349,7 +349,7 @@
         """Close, and notify the owner of the reason."""
         if self.is_open:
             self.close()
-            self.owner.ended(what)
+            self.owner.on_closed(what)
 
     def reset(self) -> None:
         """Close with a reset, so that the peer can detect that the answer is truncated."""
--- a/orchidgap/resp/client.py
+++ b/orchidgap/resp/client.py
@@ -71,7 +71,7 @@
         self.retired = True
         for connection in list(self.connections):
             if not connection.load or not connection.is_up:
-                connection.ended("host is draining")
+                connection.on_closed("host is draining")
 
 
 class SlotServerConnectionPools(connection_pools.ConnectionPools[SlotServerConnectionPool]):
@@ -126,4 +126,4 @@
                 silent_us = self.loop.now - connection.received_at_us
                 is_connected = not connection.conn.connecting
                 if connection.expected and is_connected and silent_us > ANSWER_TIMEOUT_US:
-                    connection.ended("answer timeout")
+                    connection.on_closed("answer timeout")
--- a/orchidgap/resp/server.py
+++ b/orchidgap/resp/server.py
@@ -158,7 +158,7 @@
 
     # --- commands
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Parses the client's bytes and handles the commands in them."""
         self.listener.idle.pop(self, None)
         self.reader.feed(view)
--- a/orchidgap/resp/slot_discovery.py
+++ b/orchidgap/resp/slot_discovery.py
@@ -236,15 +236,15 @@
             return
         self.reader = RespReader(MAX_MAP_BYTES)
         self.conn = Connection(self.loop, sock, self, opening=True)
-        self.timer = self.loop.call_later(ANSWER_TIMEOUT_US, self.ended, "answer timeout")
+        self.timer = self.loop.call_later(ANSWER_TIMEOUT_US, self.on_closed, "answer timeout")
         if self.secret:
             self.conn.send(encode_command(b"AUTH", *self.secret))
         self.conn.send(CLUSTER_SLOTS)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Does nothing when the connection is established: the request is already buffered."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Reads answers from the server's bytes."""
         self.reader.feed(view)
         while self.conn and (item := self.reader.read_item()) is not None:
@@ -252,7 +252,7 @@
             if not is_answer_to_auth:
                 self.on_map(item)
         if self.conn and self.reader.error:
-            self.ended("malformed answer")
+            self.on_closed("malformed answer")
 
     def on_map(self, item: bytes) -> None:
         """Replaces the slot map and the list of servers by an answer to CLUSTER SLOTS."""
@@ -261,7 +261,7 @@
         except (ValueError, IndexError, RecursionError):
             ranges = []
         if not ranges:
-            self.ended("no slot map in the answer")
+            self.on_closed("no slot map in the answer")
             return
         unknown_before = self.slots.unknown_slot_count()
         failures_before = self.slots.refresh_failures
@@ -285,7 +285,7 @@
         conflicts = self.slots.conflicting_slot_count
         self.node.event_log("slots", owners=owners, holes=unknown_slots, clashes=conflicts)
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Handles a failed request; the current slot map stays in use."""
         self.close_connection()
         self.slots.on_refresh_failed(self.loop.now)
--- a/orchidgap/resp/slot_server_connection.py
+++ b/orchidgap/resp/slot_server_connection.py
@@ -114,7 +114,7 @@
         self.received_at_us = self.loop.now
         self.conn = Connection(self.loop, sock, self, opening=True)
         self.timer: Timer | None = self.loop.call_later(
-            pool.connect_timeout_us, self.ended, "connect timeout"
+            pool.connect_timeout_us, self.on_closed, "connect timeout"
         )
         if pool.secret:
             self.write(None, encode_command(b"AUTH", *pool.secret))
@@ -184,7 +184,7 @@
             return SendProgress.PARTIAL
         return SendProgress.UNSENT
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Starts writing once the connection is established."""
         self.cancel_timer()
         if self.loop.is_stalled:
@@ -209,7 +209,7 @@
 
     # --- answers
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Reads answers from the server's bytes and settles their attempts."""
         self.reader.feed(view)
         self.received_at_us = self.loop.now
@@ -218,7 +218,7 @@
                 continue
             if not self.expected:
                 # Later answers could no longer be matched to their commands.
-                self.ended("unexpected answer")
+                self.on_closed("unexpected answer")
                 return
             answer = self.expected.popleft()
             if answer.attempt:
@@ -226,7 +226,7 @@
             if not self.conn.is_open:
                 return
         if self.reader.error:
-            self.ended("malformed answer")
+            self.on_closed("malformed answer")
 
     def settle(self, attempt: UpstreamAttempt, item: bytes) -> None:
         """Passes an answer to its attempt; reports redirections and refusals to the pool."""
@@ -243,18 +243,18 @@
 
     # --- closing
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Closes the connection and fails its attempts.
 
         A command that was written in full may have executed; any other did not execute.
         """
-        cause = connect_failure_cause(what) if self.conn.connecting else "broken"
+        cause = connect_failure_cause(reason) if self.conn.connecting else "broken"
         failures = [
-            (answer.attempt, AttemptFailure(self.send_progress(answer), cause, what))
+            (answer.attempt, AttemptFailure(self.send_progress(answer), cause, reason))
             for answer in self.expected
         ]
         failures += [
-            (attempt, AttemptFailure(SendProgress.UNSENT, cause, what))
+            (attempt, AttemptFailure(SendProgress.UNSENT, cause, reason))
             for attempt in self.unstarted
         ]
         self.expected.clear()
--- a/orchidgap/simulation/admin_calls.py
+++ b/orchidgap/simulation/admin_calls.py
@@ -59,10 +59,10 @@
         self.conn.send(protocol.encode_command(command))
         loop.call_later(ANSWER_TIMEOUT_US, self._time_out)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: the connection sends the queued command when it is established."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Read bytes of the line."""
         self.line += bytes(view)
         if self.is_finished or not self.line.endswith(protocol.LINE_END):
@@ -72,7 +72,7 @@
         self.environment.loop.call_soon(self.on_reply, reply)
         self.conn.close_gracefully()
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Record a breach if the connection ended without an answer."""
         if not self.is_finished:
             self._fail("its connection ended")
@@ -96,13 +96,13 @@
         self.conn = Connection(loop, sock, self, opening=not environment.network.virtual)
         loop.call_later(SILENT_CALL_DURATION_US, self.conn.close)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: nothing is sent."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Ignore what the balancer sends."""
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Do nothing: the balancer may close the connection."""
 
 
--- a/orchidgap/simulation/bad_clients.py
+++ b/orchidgap/simulation/bad_clients.py
@@ -63,10 +63,10 @@
             clients.loop.call_later(EARLY_CLOSE_DELAY_US, self.conn.close)
         clients.loop.call_later(ERROR_TIMEOUT_US, self.check_timeout)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: the connection sends the queued bytes when it is established."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Read the answer, which must be an error."""
         self.reader.feed(view)
         message = self.reader.message
@@ -85,7 +85,7 @@
             self.clients.environment.invariant_checker.bad_ignored += 1
         self.conn.close()
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Note that the connection was closed."""
         self.is_finished = True
 
--- a/orchidgap/simulation/balancer_connection.py
+++ b/orchidgap/simulation/balancer_connection.py
@@ -201,7 +201,7 @@
     def _can_write(self) -> bool:
         return self.conn.is_open and not self.conn.write_buffer and self.attempt is not None
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Use the established connection, unless that took longer than `MAX_UNUSED_US`.
 
         That happens when this process was stalled: the balancer may have closed the idle connection
@@ -254,7 +254,7 @@
 
     # --- reading an answer
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Process received bytes of an answer."""
         reader = self.reader
         # the kernel's receive time, as this process may have been stalled before the read
@@ -313,15 +313,15 @@
 
     # --- its end
 
-    def ended(self, what: str) -> None:
-        """Classify the request in progress when the connection ends; `what` is the reason."""
+    def on_closed(self, reason: str) -> None:
+        """Classify the request in progress when the connection ends for this `reason`."""
         clients = self.clients
         attempt = self.attempt
         self.attempt = None
         self._forget()
         if attempt is None or attempt.status or attempt.abandoned:
             return
-        facts = self._facts_of_end(attempt, what)
+        facts = self._facts_of_end(attempt, reason)
         if awaits_unread_record(facts):
             attempt.incarnation = NO_PROCESS  # a later end of the process is no excuse
             self._await_unread_record(attempt, facts, clients.loop.now + UNREAD_RECORD_TIMEOUT_US)
--- a/orchidgap/simulation/discovery_server.py
+++ b/orchidgap/simulation/discovery_server.py
@@ -235,10 +235,10 @@
         self.pending = False
         self.conn = Connection(agent.loop, sock, self)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: the balancer sends first."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Process received bytes of a call."""
         self.reader.feed(view)
         if self.reader.message.error_status:
@@ -293,6 +293,6 @@
         if whole or entries:
             agent.note_notified(version, whole, entries)
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Forget the connection."""
         self.agent.connections.pop(self, None)
--- a/orchidgap/simulation/ingress.py
+++ b/orchidgap/simulation/ingress.py
@@ -37,10 +37,10 @@
         self.conn.send(PROBE_REQUEST)
         loop.call_later(PROBE_TIMEOUT_US, self._time_out)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: the request is buffered and is sent automatically."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Process received bytes of the answer."""
         self.reader.feed(view)
         message = self.reader.message
@@ -48,7 +48,7 @@
             self._report(message.status == READY_STATUS)
             self.conn.close_gracefully()
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Report the balancer as not ready if the connection ended without an answer."""
         if not self.is_done:
             self._report(is_ready=False)
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -115,9 +115,9 @@
         self.last_arrival_us = self.last_send_us = store.loop.now
         self.conn = Connection(store.loop, sock, self)
 
-    def opened(self) -> None: ...
+    def on_connected(self) -> None: ...
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Read commands."""
         self.reader.feed(view)
         while self.conn.is_open and (arguments := self.reader.read_command()) is not None:
@@ -204,7 +204,7 @@
             )
         self.conn.send(text)
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         for job in self.jobs:
             self.store.environment.invariant_checker.on_attempt_dropped(
                 job.attempt, self.store.loop.now
@@ -214,7 +214,7 @@
     def close(self) -> None:
         if self.conn.is_open:
             self.conn.close()
-            self.ended("")
+            self.on_closed("")
 
 
 class SlotServer(Store):
@@ -407,9 +407,9 @@
                 attempt,
             )
 
-    def opened(self) -> None: ...
+    def on_connected(self) -> None: ...
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Match answers with the attempts that wait for them."""
         clients = self.clients
         self.reader.feed(view)
@@ -429,8 +429,8 @@
                 int(pause) * 1000 if pause.isdigit() else 0,
             )
 
-    def ended(self, what: str) -> None:
-        """Classify each command that has no answer; `what` is the reason of the end."""
+    def on_closed(self, reason: str) -> None:
+        """Classify each command that has no answer when the connection ends for this `reason`."""
         clients = self.clients
         clients.connections_by_balancer[self.balancer] = [
             connection
@@ -452,7 +452,7 @@
                 was_written=attempt.arrived_at_us > 0,
                 write_began_us=command.write_began_us,
                 earlier_requests=command.earlier_requests,
-                was_reset=what != CLOSED,
+                was_reset=reason != CLOSED,
                 was_closed_at_write=command.was_closed_at_write,
                 close_record=close_record,
                 was_seen_by_host=bool(attempt.host_attempts),
--- a/orchidgap/simulation/saturate.py
+++ b/orchidgap/simulation/saturate.py
@@ -87,13 +87,13 @@
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         self.conn = Connection(loop, sock, self)
 
-    def opened(self) -> None: ...
+    def on_connected(self) -> None: ...
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         if bytes(view[-4:]) == b"\r\n\r\n":
             self.conn.send(ANSWER)
 
-    def ended(self, what: str) -> None: ...
+    def on_closed(self, reason: str) -> None: ...
 
 
 class StaticDiscovery:
@@ -103,9 +103,9 @@
         self.loop, self.reader = loop, RequestReader()
         self.conn = Connection(loop, sock, self)
 
-    def opened(self) -> None: ...
+    def on_connected(self) -> None: ...
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.reader.feed(view)
         if self.reader.message.complete:
             watch = b"after=" in self.reader.message.target
@@ -119,7 +119,7 @@
         if self.conn.is_open:
             self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body)
 
-    def ended(self, what: str) -> None: ...
+    def on_closed(self, reason: str) -> None: ...
 
 
 class ForwardingConnection:
@@ -137,12 +137,12 @@
             other = ForwardingConnection(loop, dialled, self)
         self.other = other
 
-    def opened(self) -> None: ...
+    def on_connected(self) -> None: ...
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.other.conn.send(bytes(view))
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.other.conn.close()
 
 
@@ -155,7 +155,7 @@
         self.count = 0
         self.conn = Connection(loop, sock, self, opening=True)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         self.send_request()
 
     def send_request(self) -> None:
@@ -166,14 +166,14 @@
             b"Tenant: north\r\nRequest-Timeout: 1.500\r\n\r\n" % (key, self.number, self.count)
         )
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.reader.feed(view)
         if self.reader.message.complete:
             self.counts[0 if self.reader.message.status == 200 else 1] += 1
             self.reader.reset()
             self.send_request()
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.counts[1] += 1
 
 
--- a/orchidgap/simulation/server_connection.py
+++ b/orchidgap/simulation/server_connection.py
@@ -91,10 +91,10 @@
 
     # --- requests
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         """Do nothing: the connection was open when it was accepted."""
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         """Process received bytes of a request."""
         reader = self.reader
         if not reader.started:
@@ -222,7 +222,7 @@
 
     # --- its end
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Record that an attempt in progress was dropped: the connection was closed or broke."""
         if self.job:
             invariant_checker = self.store.environment.invariant_checker
@@ -236,4 +236,4 @@
             self.streaming.was_broken_off = True
         if self.conn.is_open:
             self.conn.close()
-            self.ended("")
+            self.on_closed("")
--- a/tests/resp/resp_harness.py
+++ b/tests/resp/resp_harness.py
@@ -74,9 +74,9 @@
         self.server, self.reader = server, RespReader()
         self.conn = Connection(server.cluster.network.loop, sock, self)
 
-    def opened(self): ...
+    def on_connected(self): ...
 
-    def received(self, view):
+    def on_data(self, view):
         self.reader.feed(view)
         while self.conn.is_open and (words := self.reader.read_command()) is not None:
             reply = self.server.answer(words)
@@ -85,7 +85,7 @@
             elif reply is not None:
                 self.conn.send(reply)
 
-    def ended(self, what): ...
+    def on_closed(self, reason): ...
 
 
 class Client:
@@ -93,13 +93,13 @@
         self.cluster, self.received_bytes, self.end_reason = cluster, bytearray(), ""
         self.conn = Connection(cluster.network.loop, cluster.network.dial(cluster.address), self)
 
-    def opened(self): ...
+    def on_connected(self): ...
 
-    def received(self, view):
+    def on_data(self, view):
         self.received_bytes += view
 
-    def ended(self, what):
-        self.end_reason = what
+    def on_closed(self, reason):
+        self.end_reason = reason
 
     def send(self, text, wait_us=50_000):
         self.conn.send(text)
--- a/tests/resp/test_pipelines.py
+++ b/tests/resp/test_pipelines.py
@@ -48,7 +48,7 @@
 
 
 def run_pipelines(monkeypatch, delay_us, client_count, commands, keys):
-    monkeypatch.setattr(ServerConnection, "received", answer_later)
+    monkeypatch.setattr(ServerConnection, "on_data", answer_later)
     cluster = SlowRespCluster(delay_us)
     clients = [Client(cluster) for _ in range(client_count)]
     for client in clients:
--- a/tests/resp/test_stalled_commands.py
+++ b/tests/resp/test_stalled_commands.py
@@ -254,7 +254,7 @@
 def test_a_command_is_settled_if_its_connection_cannot_be_established():
     # Guards against leaving the command unsettled until its client times out.
     scenario, connection, exchange = connecting_attempt()
-    connection.ended("refused")
+    connection.on_closed("refused")
     scenario.net.loop.run_once(0)
     assert exchange.attempts[0].settled
 
--- a/tests/simulation/planted.py
+++ b/tests/simulation/planted.py
@@ -238,7 +238,7 @@
     def on_hosts(self, scope, entries):
         registry = getattr(self.port, "discovery", None)
         if registry:
-            registry.ended = lambda what: (
+            registry.on_closed = lambda reason: (
                 registry.close_connection(),
                 registry.set_timer(1_000, registry.fetch),
             )
--- a/tests/simulation/test_late_connection.py
+++ b/tests/simulation/test_late_connection.py
@@ -32,7 +32,7 @@
     with far, near, socket.socket() as unconnected:
         environment, connection = make_connection(near if is_established else unconnected)
         environment.incarnation = 2
-        connection.opened()
+        connection.on_connected()
         assert connection.incarnation == incarnation
 
 
--- a/tests/simulation/test_listening_queue.py
+++ b/tests/simulation/test_listening_queue.py
@@ -30,15 +30,15 @@
         self.text, self.end, self.answer = "", "", answer
         self.conn = Connection(network.loop, sock, self)
 
-    def opened(self): ...
+    def on_connected(self): ...
 
-    def received(self, view):
+    def on_data(self, view):
         self.text += bytes(view).decode()
         if self.answer:
             self.conn.send(self.answer)
 
-    def ended(self, what):
-        self.end = what
+    def on_closed(self, reason):
+        self.end = reason
 
     def result(self):
         return self.text.split()[1] if self.text else self.end or "no end"
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -30,14 +30,14 @@
     def __init__(self):
         self.received_bytes, self.ends = bytearray(), []
 
-    def opened(self):
+    def on_connected(self):
         self.received_bytes += b"^"
 
-    def received(self, view):
+    def on_data(self, view):
         self.received_bytes += view
 
-    def ended(self, what):
-        self.ends.append(what)
+    def on_closed(self, reason):
+        self.ends.append(reason)
 
 
 @pytest.fixture
