--- a/orchidgap/fault_tests/cluster.py
+++ b/orchidgap/fault_tests/cluster.py
@@ -33,7 +33,7 @@
 from orchidgap.net.loop import LateTurn
 from orchidgap.simulation.balancer_instance import BalancerInstance, Pause
 from orchidgap.simulation.clients import Clients
-from orchidgap.simulation.environment import Decider
+from orchidgap.simulation.environment import PolicyFactory
 from orchidgap.simulation.loopback_network import LoopbackNetwork
 from orchidgap.simulation.observations import ClientAttempt
 from orchidgap.simulation.plan import RequestClassSpec, milliseconds_to_us
@@ -164,7 +164,9 @@
 
     # --- overridden methods of the simulation
 
-    def make_balancer(self, name: str, number: int, zone: int, decider: Decider) -> Balancer:
+    def make_balancer(
+        self, name: str, number: int, zone: int, policy_factory: PolicyFactory
+    ) -> Balancer:
         """Create a balancer instance, whose process may be restarted."""
         return ClusterBalancer(self, name, number, zone, self.policy, self.launcher)
 
--- a/orchidgap/simulation/balancer_instance.py
+++ b/orchidgap/simulation/balancer_instance.py
@@ -26,7 +26,7 @@
 from orchidgap.peers.gossip_transport import GossipTransport
 from orchidgap.simulation.balancer_loop import BalancerLoop
 from orchidgap.simulation.close_records import CloseRecords
-from orchidgap.simulation.environment import Decider, Environment
+from orchidgap.simulation.environment import Environment, PolicyFactory
 from orchidgap.simulation.listening_queue import ListenerHandle, SharedListener
 from orchidgap.simulation.plan import milliseconds_to_us
 from orchidgap.simulation.request_end import ProcessEnd
@@ -227,11 +227,16 @@
     """A real `Node` on a loop of its own; all these loops share one virtual clock."""
 
     def __init__(
-        self, environment: Environment, name: str, number: int, zone: int, decider: Decider
+        self,
+        environment: Environment,
+        name: str,
+        number: int,
+        zone: int,
+        policy_factory: PolicyFactory,
     ) -> None:
         """Set what makes the decision logic; nothing runs yet."""
         super().__init__(environment, name, number, zone)
-        self.decider = decider
+        self.policy_factory = policy_factory
         self.close_records = CloseRecords()
         self.log = MemoryLog(name, environment)
         self.node: Node | None = None
@@ -267,7 +272,7 @@
             self.log,
             protocol_for(settings),
             lambda address: network.dial_from(loop, self.name, address),
-            self.decider,
+            self.policy_factory,
         )
         self.node = node
         listener = network.listeners[self.address]
--- a/orchidgap/simulation/baselines.py
+++ b/orchidgap/simulation/baselines.py
@@ -25,7 +25,7 @@
 from orchidgap.decisions.settings import ServiceSettings
 
 if TYPE_CHECKING:
-    from orchidgap.simulation.environment import Decider, Environment
+    from orchidgap.simulation.environment import Environment, PolicyFactory
 
 VIRTUAL_NODES_PER_HOST = 64  # on the hash ring
 LOAD_BOUND = 1.25  # limit of a host's attempts in flight, as a multiple of the mean
@@ -361,7 +361,7 @@
 POLICY_NAMES = (*PROCESS_POLICIES, ORACLE)
 
 
-def policy_class(name: str, environment: Environment | None = None) -> Decider:
+def policy_class(name: str, environment: Environment | None = None) -> PolicyFactory:
     """Return the factory of a policy's decision logic.
 
     Args:
@@ -372,5 +372,5 @@
         KeyError: There is no policy of that name.
     """
     if name == ORACLE:
-        return cast("Decider", type("Oracle", (Oracle,), {"environment": environment}))
+        return cast("PolicyFactory", type("Oracle", (Oracle,), {"environment": environment}))
     return PROCESS_POLICIES[name]
--- a/orchidgap/simulation/cache_contents.py
+++ b/orchidgap/simulation/cache_contents.py
@@ -8,9 +8,9 @@
 from orchidgap.decisions.hash_ranges import SLOT_COUNT
 from orchidgap.net.request_key import key_number
 from orchidgap.simulation.baselines import even_range_owner
-from orchidgap.simulation.environment import Decider
+from orchidgap.simulation.environment import PolicyFactory
 from orchidgap.simulation.plan import Plan
-from orchidgap.simulation.servers import Store
+from orchidgap.simulation.servers import SimulatedHost
 
 
 def value_size_bytes(plan: Plan, key: int) -> int:
@@ -34,10 +34,12 @@
     return crc_hqx(b"%d" % (key_number(key) or 0), 0) & (SLOT_COUNT - 1)
 
 
-def fill_caches(plan: Plan, rng: Random, decider: Decider, caches: list[Store]) -> None:
-    """Fill the caches with the hottest keys, as this decider would have spread them."""
+def fill_caches(
+    plan: Plan, rng: Random, policy_factory: PolicyFactory, caches: list[SimulatedHost]
+) -> None:
+    """Fill the caches with the hottest keys, as its policies would have spread them."""
     hot_count = min(plan.keys.count, plan.cache.capacity_keys * plan.cache_count)
-    initial_owners = getattr(decider, "initial_owners", even_range_owner)
+    initial_owners = getattr(policy_factory, "initial_owners", even_range_owner)
     ids = [cache.id for cache in caches]
     for key in reversed(range(hot_count)):  # the hottest last, as they are evicted last
         if rng.random() < plan.keys.warm_ratio:
--- a/orchidgap/simulation/commands.py
+++ b/orchidgap/simulation/commands.py
@@ -82,7 +82,7 @@
 
         def show_second(second: float) -> None:
             invariant_checker = simulation.invariant_checker
-            up = sum(store.alive and not store.vanished for store in simulation.servers.values())
+            up = sum(host.alive and not host.vanished for host in simulation.servers.values())
             progress.update(
                 task,
                 completed=second,
--- a/orchidgap/simulation/environment.py
+++ b/orchidgap/simulation/environment.py
@@ -22,7 +22,7 @@
 SETTINGS_IN_FORCE_AFTER_US = 1_200_000  # new settings apply this long after SIGHUP at the latest
 
 # Makes decision logic with the methods of `Balancer` from (settings, port, seed, now in us).
-Decider = Callable[..., Any]
+PolicyFactory = Callable[..., Any]
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
         """Return the clients' number of the key that has this number in the decisions."""
         ...
 
-    def record_miss(self, request_id: bytes, store: Any) -> None:
+    def record_miss(self, request_id: bytes, host: Any) -> None:
         """Record that a cache missed on the request's key."""
         ...
 
--- a/orchidgap/simulation/fault_targets.py
+++ b/orchidgap/simulation/fault_targets.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any, TypeVar
 
 from orchidgap.simulation.plan import Fault, seconds_to_us
-from orchidgap.simulation.servers import Store
+from orchidgap.simulation.servers import SimulatedHost
 
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
@@ -24,16 +24,16 @@
     return environment.rng.sample(candidates, min(count, len(candidates)))
 
 
-def pick_hosts(environment: Environment, fault: Fault) -> list[Store]:
+def pick_hosts(environment: Environment, fault: Fault) -> list[SimulatedHost]:
     """Return a running host by name (cache or origin), or a sample of the running caches."""
-    running = [store for store in environment.servers.values() if store.alive]
+    running = [host for host in environment.servers.values() if host.alive]
     if fault.target:
-        return [store for store in running if store.id == fault.target]
+        return [host for host in running if host.id == fault.target]
     return pick_targets(
         environment,
         fault,
-        [store for store in running if not store.is_origin],
-        lambda store: store.id,
+        [host for host in running if not host.is_origin],
+        lambda host: host.id,
     )
 
 
@@ -42,9 +42,9 @@
     return pick_targets(environment, fault, list(environment.balancers), str)
 
 
-def origins(environment: Environment) -> list[Store]:
+def origins(environment: Environment) -> list[SimulatedHost]:
     """Return all origin hosts."""
-    return [store for store in environment.servers.values() if store.is_origin]
+    return [host for host in environment.servers.values() if host.is_origin]
 
 
 def call_at_end(
--- a/orchidgap/simulation/host_faults.py
+++ b/orchidgap/simulation/host_faults.py
@@ -11,7 +11,7 @@
     set_attribute_until_end,
 )
 from orchidgap.simulation.plan import Fault, seconds_to_us
-from orchidgap.simulation.servers import Store
+from orchidgap.simulation.servers import SimulatedHost
 
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
@@ -24,20 +24,20 @@
 
 def crash(environment: Environment, fault: Fault) -> None:
     """Hosts crash and restart at the end; discovery removes them after its delay."""
-    for store in pick_hosts(environment, fault):
-        store.stop()
-        environment.discovery.remove_later(store.id, environment.plan.discovery.removal_delay_s)
-        call_at_end(environment, fault, store.restart)
+    for host in pick_hosts(environment, fault):
+        host.stop()
+        environment.discovery.remove_later(host.id, environment.plan.discovery.removal_delay_s)
+        call_at_end(environment, fault, host.restart)
 
 
 def vanish(environment: Environment, fault: Fault) -> None:
     """Hosts stop responding until the end; discovery removes them after its delay."""
-    for store in pick_hosts(environment, fault):
-        store.vanish(True)
+    for host in pick_hosts(environment, fault):
+        host.vanish(True)
         environment.discovery.remove_later(
-            store.id, environment.plan.discovery.silent_removal_delay_s
+            host.id, environment.plan.discovery.silent_removal_delay_s
         )
-        call_at_end(environment, fault, store.vanish, False)
+        call_at_end(environment, fault, host.vanish, False)
 
 
 def stall(environment: Environment, fault: Fault) -> None:
@@ -48,8 +48,8 @@
 
     def stall_once() -> None:
         if environment.loop.now < end:
-            for store in hosts:
-                store.freeze(environment.loop.now + length)
+            for host in hosts:
+                host.freeze(environment.loop.now + length)
             environment.loop.call_later(
                 length + environment.rng.randrange(length, 4 * length), stall_once
             )
@@ -66,24 +66,24 @@
 
 def drain_host(
     environment: Environment,
-    store: Store,
+    host: SimulatedHost,
     restart_after_us: int | None,
     linger_s: float = DRAIN_LINGER_S,
 ) -> None:
     """List a host as draining at once; it stops after `linger_s` and may restart cold."""
-    if not store.alive:
+    if not host.alive:
         return
-    environment.discovery.set_health(store.id, "Terminating")
+    environment.discovery.set_health(host.id, "Terminating")
 
     def end() -> None:
-        if store.alive:
-            store.stop()
-            environment.discovery.set_health(store.id, "Gone")
+        if host.alive:
+            host.stop()
+            environment.discovery.set_health(host.id, "Gone")
             if restart_after_us is not None:
-                environment.loop.call_later(restart_after_us, store.restart)
+                environment.loop.call_later(restart_after_us, host.restart)
 
     def refuse() -> None:
-        store.draining = store.alive
+        host.draining = host.alive
 
     environment.loop.call_later(
         seconds_to_us(environment.plan.limits.drain_grace_ms / 1e3) + REFUSAL_DELAY_US, refuse
@@ -97,33 +97,33 @@
     They continue with their requests for `magnitude` seconds (2.5), and restart the fault's
     duration after they have stopped.
     """
-    for store in pick_hosts(environment, fault):
+    for host in pick_hosts(environment, fault):
         drain_host(
-            environment, store, seconds_to_us(fault.duration_s), fault.magnitude or DRAIN_LINGER_S
+            environment, host, seconds_to_us(fault.duration_s), fault.magnitude or DRAIN_LINGER_S
         )
 
 
 def deploy(environment: Environment, fault: Fault) -> None:
     """Hosts are replaced one after another, spread over the duration; successors start cold."""
     hosts = pick_hosts(environment, fault)
-    for i, store in enumerate(hosts):
+    for i, host in enumerate(hosts):
         at = seconds_to_us(fault.duration_s) * i // len(hosts)
-        environment.loop.call_later(at, drain_host, environment, store, DEPLOY_RESTART_US)
+        environment.loop.call_later(at, drain_host, environment, host, DEPLOY_RESTART_US)
 
 
 def shrink(environment: Environment, fault: Fault) -> None:
     """Hosts shut down gracefully one after another, spread over the duration, permanently."""
     hosts = pick_hosts(environment, fault)
-    for i, store in enumerate(hosts):
+    for i, host in enumerate(hosts):
         environment.loop.call_later(
-            seconds_to_us(fault.duration_s) * i // len(hosts), drain_host, environment, store, None
+            seconds_to_us(fault.duration_s) * i // len(hosts), drain_host, environment, host, None
         )
 
 
 def flush(environment: Environment, fault: Fault) -> None:
     """Hosts lose a part of their cached copies (0.9)."""
-    for store in environment.servers.values():
-        store.drop_copies(fault.target_ratio or 0.9)
+    for host in environment.servers.values():
+        host.drop_copies(fault.target_ratio or 0.9)
 
 
 def spoilt(environment: Environment, fault: Fault) -> None:
@@ -147,6 +147,6 @@
 
 def stopped_origin(environment: Environment, fault: Fault) -> None:
     """The origins stop and restart at the end."""
-    for store in origins(environment):
-        store.stop()
-        call_at_end(environment, fault, store.restart, False)
+    for host in origins(environment):
+        host.stop()
+        call_at_end(environment, fault, host.restart, False)
--- a/orchidgap/simulation/load_evenness.py
+++ b/orchidgap/simulation/load_evenness.py
@@ -115,7 +115,7 @@
     latency of the slowest cache.
     """
     servers = environment.servers
-    caches = {id_: store for id_, store in servers.items() if not store.is_origin and store.alive}
+    caches = {id_: host for id_, host in servers.items() if not host.is_origin and host.alive}
     reads: list[load_skew.CacheRead] = []
     latencies_us: dict[str, list[int]] = {host_id: [] for host_id in caches}
     fetches = 0
@@ -148,7 +148,7 @@
         )
         / 1e6,
         "copies": load_skew.mean_replica_count(
-            (store.copies for store in caches.values()), {key for _, _, key in reads}
+            (host.copies for host in caches.values()), {key for _, _, key in reads}
         ),
         "moved": load_skew.moved_read_ratio(reads),
         "fetches": fetches / read_count if read_count else 0.0,
@@ -159,7 +159,7 @@
 
 def reads_by_second(environment: Environment) -> dict[str, list[int]]:
     """Return the reads sent to each cache, by second since the start, for the heat map."""
-    caches = [host_id for host_id, store in environment.servers.items() if not store.is_origin]
+    caches = [host_id for host_id, host in environment.servers.items() if not host.is_origin]
     seconds = max(
         1,
         min(
--- a/orchidgap/simulation/network_faults.py
+++ b/orchidgap/simulation/network_faults.py
@@ -6,7 +6,7 @@
 
 from orchidgap.simulation.fault_targets import call_at_end
 from orchidgap.simulation.plan import Fault
-from orchidgap.simulation.servers import Store
+from orchidgap.simulation.servers import SimulatedHost
 from orchidgap.simulation.virtual_network import VirtualNetwork
 
 if TYPE_CHECKING:
@@ -14,26 +14,26 @@
 
 
 def _cut_links(
-    environment: Environment, fault: Fault, hosts: list[Store], names: list[str]
+    environment: Environment, fault: Fault, hosts: list[SimulatedHost], names: list[str]
 ) -> None:
     """Cut the connections between some hosts and balancers until the end of the fault."""
     if not isinstance(environment.network, VirtualNetwork):
         # links between two real processes cannot be cut, so the host is silent to all
-        for store in hosts:
-            store.vanish(True)
-            call_at_end(environment, fault, store.vanish, False)
+        for host in hosts:
+            host.vanish(True)
+            call_at_end(environment, fault, host.vanish, False)
         return
     for name in names:
-        for store in hosts:
-            environment.network.cut[name, store.address] = True
-            store.set_partitioned(name, True)
+        for host in hosts:
+            environment.network.cut[name, host.address] = True
+            host.set_partitioned(name, True)
 
     def end() -> None:
         assert isinstance(environment.network, VirtualNetwork)
         for name in names:
-            for store in hosts:
-                environment.network.cut.pop((name, store.address), None)
-                store.set_partitioned(name, False)
+            for host in hosts:
+                environment.network.cut.pop((name, host.address), None)
+                host.set_partitioned(name, False)
 
     call_at_end(environment, fault, end)
 
@@ -41,11 +41,11 @@
 def link_loss(environment: Environment, fault: Fault) -> None:
     """Cut a part (0.2) of the links between balancers and caches, each drawn independently."""
     ratio = fault.target_ratio or 0.2
-    for store in environment.servers.values():
-        if not store.is_origin:
+    for host in environment.servers.values():
+        if not host.is_origin:
             names = [name for name in environment.balancers if environment.rng.random() < ratio]
             if names:
-                _cut_links(environment, fault, [store], names)
+                _cut_links(environment, fault, [host], names)
 
 
 def partition(environment: Environment, fault: Fault) -> None:
@@ -57,6 +57,6 @@
             list(environment.balancers), max(1, len(environment.balancers) // 2)
         )
     )
-    hosts = [store for store in environment.servers.values() if not store.is_origin]
+    hosts = [host for host in environment.servers.values() if not host.is_origin]
     count = max(1, round((fault.target_ratio or 0.4) * len(hosts)))
     _cut_links(environment, fault, environment.rng.sample(hosts, count), names)
--- a/orchidgap/simulation/resp_cluster.py
+++ b/orchidgap/simulation/resp_cluster.py
@@ -33,7 +33,7 @@
     RequestEnd,
     classify_request_end,
 )
-from orchidgap.simulation.servers import Store
+from orchidgap.simulation.servers import SimulatedHost
 
 if TYPE_CHECKING:
     from orchidgap.simulation.environment import Environment
@@ -94,7 +94,7 @@
     """A server's end of a connection; commands are answered in the order of their arrival.
 
     Attributes:
-        store: The server.
+        host: The server.
         balancer: The name of the balancer that opened the connection.
         asking: The last command was `ASKING`, which permits the next one to use a slot that is
             being migrated to this server.
@@ -107,13 +107,13 @@
 
     is_beyond_limit = False  # the number of connections is not limited
 
-    def __init__(self, store: SlotServer, sock: socket.socket, balancer: str) -> None:
-        self.store, self.balancer, self.reader = store, balancer, RespReader()
+    def __init__(self, host: SlotServer, sock: socket.socket, balancer: str) -> None:
+        self.host, self.balancer, self.reader = host, balancer, RespReader()
         self.asking = False
         self.jobs: list[HostJob] = []
         self.pending_answers: deque[PendingAnswer] = deque()
-        self.last_arrival_us = self.last_send_us = store.loop.now
-        self.conn = Connection(store.loop, sock, self)
+        self.last_arrival_us = self.last_send_us = host.loop.now
+        self.conn = Connection(host.loop, sock, self)
 
     def on_connected(self) -> None: ...
 
@@ -125,8 +125,8 @@
 
     def on_command(self, arguments: list[bytes]) -> None:
         """Queue a command; it arrives after the latency of the network."""
-        store, now = self.store, self.store.loop.now
-        self.last_arrival_us = max(self.last_arrival_us, now + store.one_way_us(self.balancer))
+        host, now = self.host, self.host.loop.now
+        self.last_arrival_us = max(self.last_arrival_us, now + host.one_way_us(self.balancer))
         name = arguments[0].upper() if arguments else b""
         if name in (b"GETRANGE", b"APPEND"):
             number = (
@@ -134,29 +134,29 @@
                 if name == b"GETRANGE"
                 else int(arguments[2][:-1])
             )
-            host_attempt = store.environment.invariant_checker.on_host_attempt(
-                b"q%x" % number, store.id, store.deduplication_group(), now, now
+            host_attempt = host.environment.invariant_checker.on_host_attempt(
+                b"q%x" % number, host.id, host.deduplication_group(), now, now
             )
             if host_attempt is None:
                 return self.conn.close()
-            job = HostJob(self, host_attempt, arguments[1])  # type: ignore[arg-type]  # has what Store uses
+            job = HostJob(self, host_attempt, arguments[1])  # type: ignore[arg-type]  # has what SimulatedHost uses
             job.asking = self.asking
             self.jobs.append(job)
             self.pending_answers.append(PendingAnswer(job))
-            store.loop.call_at(self.last_arrival_us, store.receive, job)
+            host.loop.call_at(self.last_arrival_us, host.receive, job)
         else:
             self.pending_answers.append(PendingAnswer(None))
-            store.loop.call_at(
+            host.loop.call_at(
                 self.last_arrival_us, self.answer_keyless, name, self.pending_answers[-1]
             )
         self.asking = name == b"ASKING"
 
     def answer_keyless(self, name: bytes, pending_answer: PendingAnswer) -> None:
         """Answer a command that accesses no key."""
-        if self.store.vanished or not self.store.alive:
+        if self.host.vanished or not self.host.alive:
             return
         if name == b"CLUSTER":
-            text = self.store.encode_slots()
+            text = self.host.encode_slots()
         else:
             text = (
                 b"+OK\r\n"
@@ -178,9 +178,9 @@
         while self.pending_answers and self.pending_answers[0].text is not None:
             pending_answer = self.pending_answers.popleft()
             self.last_send_us = max(
-                self.last_send_us, self.store.loop.now + self.store.one_way_us(self.balancer)
+                self.last_send_us, self.host.loop.now + self.host.one_way_us(self.balancer)
             )
-            self.store.loop.call_at(
+            self.host.loop.call_at(
                 self.last_send_us,
                 self.send_answer,
                 pending_answer.text,
@@ -192,24 +192,24 @@
         """Send an answer, unless the network is down, and report it to the invariant checker."""
         if (
             not self.conn.is_open
-            or self.store.vanished
-            or self.store.partitioned_from.get(self.balancer)
+            or self.host.vanished
+            or self.host.partitioned_from.get(self.balancer)
         ):
             return
         if job:
             self.jobs.remove(job)
             body = text if outcome == "done" else b""
-            self.store.environment.invariant_checker.on_attempt_settled(
-                job.attempt, outcome, self.store.loop.now, body
+            self.host.environment.invariant_checker.on_attempt_settled(
+                job.attempt, outcome, self.host.loop.now, body
             )
         self.conn.send(text)
 
     def on_closed(self, reason: str) -> None:
         for job in self.jobs:
-            self.store.environment.invariant_checker.on_attempt_dropped(
-                job.attempt, self.store.loop.now
+            self.host.environment.invariant_checker.on_attempt_dropped(
+                job.attempt, self.host.loop.now
             )
-        self.store.connections.pop(self, None)  # type: ignore[call-overload]
+        self.host.connections.pop(self, None)  # type: ignore[call-overload]
 
     def close(self) -> None:
         if self.conn.is_open:
@@ -217,7 +217,7 @@
             self.on_closed("")
 
 
-class SlotServer(Store):
+class SlotServer(SimulatedHost):
     """One slot server: it stores the keys of its slots and redirects commands for other slots.
 
     Attributes:
@@ -542,9 +542,7 @@
 def running_slot_servers(environment: Environment) -> list[SlotServer]:
     """Return the slot servers that are running."""
     return [
-        store
-        for store in environment.servers.values()
-        if isinstance(store, SlotServer) and store.alive
+        host for host in environment.servers.values() if isinstance(host, SlotServer) and host.alive
     ]
 
 
@@ -561,7 +559,7 @@
     def start_migrations() -> None:
         if environment.loop.now >= end:
             return
-        ids = [store.id for store in running_slot_servers(environment) if not store.draining]
+        ids = [host.id for host in running_slot_servers(environment) if not host.draining]
         for slot in environment.rng.sample(range(SLOT_COUNT), slot_count):
             owner = environment.cluster.owner[slot]
             others = [id for id in ids if id != owner]
@@ -588,8 +586,8 @@
     The former owner still serves them during the fault's `for-s` and then stops.
     """
     stores = running_slot_servers(environment)
-    old = next((store for store in stores if store.id == fault.target), stores[0])
-    new = next(store for store in stores if store is not old)
+    old = next((host for host in stores if host.id == fault.target), stores[0])
+    new = next(host for host in stores if host is not old)
     old.known_owners = list(environment.cluster.owner)
     environment.cluster.owner = [new.id if id == old.id else id for id in environment.cluster.owner]
     for key, value in old.data.items():
--- a/orchidgap/simulation/server_connection.py
+++ b/orchidgap/simulation/server_connection.py
@@ -19,7 +19,7 @@
 from orchidgap.simulation.timed_connection import TimedConnection
 
 if TYPE_CHECKING:
-    from orchidgap.simulation.servers import Store
+    from orchidgap.simulation.servers import SimulatedHost
 
 PIECE_BYTES = 16_384  # size of the writes of a large answer
 PROBE_TARGETS = (b"/alive", b"/metrics/load")
@@ -48,7 +48,7 @@
     """One connection, with at most one request at a time.
 
     Attributes:
-        store: The host.
+        host: The host.
         balancer: The name of the balancer that opened the connection.
         reader: Parses requests.
         job: The request in progress, None between requests.
@@ -66,28 +66,28 @@
         "body_form",
         "conn",
         "first_byte_at_us",
+        "host",
         "idle_since_us",
         "is_beyond_limit",
         "job",
         "reader",
-        "store",
         "streaming",
         "unsent_body",
     )
 
-    def __init__(self, store: Store, sock: socket.socket, balancer: str) -> None:
+    def __init__(self, host: SimulatedHost, sock: socket.socket, balancer: str) -> None:
         """Use an accepted socket."""
-        self.store = store
+        self.host = host
         self.balancer = balancer
         self.reader = RequestReader()
         self.job: HostJob | None = None
         self.first_byte_at_us = 0
-        self.idle_since_us = store.loop.now
+        self.idle_since_us = host.loop.now
         self.streaming: HostAttempt | None = None
         self.unsent_body = b""
         self.body_form = ""
         self.is_beyond_limit = False
-        self.conn = TimedConnection(store.loop, sock, self, with_timestamps=True)
+        self.conn = TimedConnection(host.loop, sock, self, with_timestamps=True)
 
     # --- requests
 
@@ -104,22 +104,22 @@
         if self.job:
             return  # a second request during the first is not processed
         if reader.message.error_status:
-            self.store.loop.call_later(self.store.one_way_us(self.balancer), self.close)
+            self.host.loop.call_later(self.host.one_way_us(self.balancer), self.close)
         elif reader.message.complete:
             self._on_request()
 
     def _on_request(self) -> None:
         """Process a complete request: answer a probe, or record an attempt and start its job."""
-        store = self.store
+        host = self.host
         message = self.reader.message
-        invariant_checker = store.environment.invariant_checker
+        invariant_checker = host.environment.invariant_checker
         now_us = self.conn.received_at_us
         request_id = message.fields.get(b"request-id", b"")
         if message.target in PROBE_TARGETS or not request_id:
             self.write_answer(MISS)
             return
         attempt = invariant_checker.on_host_attempt(
-            request_id, store.id, store.deduplication_group(), self.first_byte_at_us, now_us
+            request_id, host.id, host.deduplication_group(), self.first_byte_at_us, now_us
         )
         if attempt is None:
             self.write_answer(INVALID)
@@ -132,7 +132,7 @@
         self._check_told_time(attempt, message)
         self._check_departure(attempt)
         self.job = HostJob(self, attempt, message.fields.get(b"idempotency-key", b""))
-        store.loop.call_later(store.one_way_us(self.balancer), store.receive, self.job)
+        host.loop.call_later(host.one_way_us(self.balancer), host.receive, self.job)
 
     def _check_told_time(self, attempt: HostAttempt, message: Message) -> None:
         """Check the `Request-Timeout` of an attempt against its client's remaining time.
@@ -146,21 +146,21 @@
         sent_timeout_us = parse_seconds(message.fields.get(b"request-timeout", b""))
         if sent_timeout_us is None or sent.was_resent:
             return
-        environment = self.store.environment
+        environment = self.host.environment
         stopped_until_us = environment.last_pause_end_us(sent.balancer)
-        faulty_until_us = environment.link_faulty_until_us(sent.balancer, self.store.id)
+        faulty_until_us = environment.link_faulty_until_us(sent.balancer, self.host.id)
         if max(stopped_until_us, faulty_until_us) > sent.arrived_at_us:
             return
-        who = f"{sent.id.decode()} from {sent.balancer} to {self.store.id}"
+        who = f"{sent.id.decode()} from {sent.balancer} to {self.host.id}"
         told = SentTimeout(sent, attempt.first_byte_at_us, sent_timeout_us, who)
         environment.invariant_checker.lateness.on_sent_timeout(told)
 
     def _check_departure(self, attempt: HostAttempt) -> None:
         """Check that an attempt was not sent after its client had closed its connection."""
-        environment = self.store.environment
+        environment = self.host.environment
         sent = attempt.client_attempt
         pauses = environment.balancers[sent.balancer].pauses
-        who = f"{sent.id.decode()} from {sent.balancer} to {self.store.id}"
+        who = f"{sent.id.decode()} from {sent.balancer} to {self.host.id}"
         environment.invariant_checker.departures.on_host_attempt(attempt, pauses, who)
 
     # --- answers
@@ -168,7 +168,7 @@
     def write_answer(self, *parts: bytes) -> None:
         """Write the rest of an answer, if there is any, and wait for the next request."""
         self.reader.advance()
-        self.idle_since_us = self.store.loop.now
+        self.idle_since_us = self.host.loop.now
         if parts:
             self.conn.send(*parts)
 
@@ -177,7 +177,7 @@
 
         How its end is marked is drawn from the ways that HTTP has.
         """
-        self.body_form = self.store.environment.rng.choice(tuple(BODY_HEADS))
+        self.body_form = self.host.environment.rng.choice(tuple(BODY_HEADS))
         head = BODY_HEADS[self.body_form]
         if self.body_form == "length":
             head = head % len(body)
@@ -201,7 +201,7 @@
                 delay_us = len(piece) * 1_000_000 // bytes_per_s
                 if self.streaming:
                     self.streaming.writing_paused_us += delay_us
-                self.store.loop.call_later(delay_us, self._write_more, bytes_per_s)
+                self.host.loop.call_later(delay_us, self._write_more, bytes_per_s)
                 return
         if self.streaming and not self.unsent_body and self._can_write():
             self._end_large_answer(self.streaming)
@@ -225,9 +225,9 @@
     def on_closed(self, reason: str) -> None:
         """Record that an attempt in progress was dropped: the connection was closed or broke."""
         if self.job:
-            invariant_checker = self.store.environment.invariant_checker
-            invariant_checker.on_attempt_dropped(self.job.attempt, self.store.loop.now)
-        self.store.connections.pop(self, None)
+            invariant_checker = self.host.environment.invariant_checker
+            invariant_checker.on_attempt_dropped(self.job.attempt, self.host.loop.now)
+        self.host.connections.pop(self, None)
 
     def close(self) -> None:
         """Close the connection from the host's side; an unfinished answer is cut off."""
--- a/orchidgap/simulation/servers.py
+++ b/orchidgap/simulation/servers.py
@@ -44,7 +44,7 @@
     counts: bool
 
 
-class Store:
+class SimulatedHost:
     """One host. An origin has every key; a cache has the keys stored in it since its start.
 
     Attributes:
@@ -276,9 +276,9 @@
             window_us = milliseconds_to_us(request_class.deduplication_window_ms)
             deduplication_records[job.idempotency_key] = now_us + window_us
         self.environment.invariant_checker.on_effect(job.attempt, now_us)
-        for store in self.environment.servers.values():
-            if not store.is_origin:
-                store.copies.pop(attempt.operation.key, None)
+        for host in self.environment.servers.values():
+            if not host.is_origin:
+                host.copies.pop(attempt.operation.key, None)
         return job.work_us
 
     def finish(self, job: HostJob) -> None:
@@ -296,9 +296,9 @@
 
     def _store_where_missed(self, attempt: ClientAttempt) -> None:
         self.environment.invariant_checker.origin_fetches += 1
-        for store in self.environment.misses.pop(attempt.id, ()):
-            if store.alive:
-                store.store_copy(attempt.operation.key)
+        for host in self.environment.misses.pop(attempt.id, ()):
+            if host.alive:
+                host.store_copy(attempt.operation.key)
 
     # --- cached keys
 
--- a/orchidgap/simulation/simulation.py
+++ b/orchidgap/simulation/simulation.py
@@ -21,7 +21,7 @@
 from orchidgap.simulation.cache_contents import client_key_of, fill_caches, value_size_bytes
 from orchidgap.simulation.clients import Clients
 from orchidgap.simulation.discovery_server import DiscoveryAgent, DiscoveryServer
-from orchidgap.simulation.environment import AttemptLimit, Decider
+from orchidgap.simulation.environment import AttemptLimit, PolicyFactory
 from orchidgap.simulation.garbage_collection import rare_collections
 from orchidgap.simulation.ingress import Ingress
 from orchidgap.simulation.invariant_checker import (
@@ -35,7 +35,7 @@
 from orchidgap.simulation.rejection_checker import excessive_rejections, is_calm
 from orchidgap.simulation.request_end import CloseRecord, ProcessEnd
 from orchidgap.simulation.resp_cluster import Cluster, RespClients, SlotServer
-from orchidgap.simulation.servers import Store
+from orchidgap.simulation.servers import SimulatedHost
 from orchidgap.simulation.verdict import verdict_line
 from orchidgap.simulation.virtual_network import VirtualNetwork
 
@@ -64,7 +64,7 @@
         seed: int | None = None,
         real: bool = False,
         policy: str = "orchidgap",
-        decider: Decider | None = None,
+        policy_factory: PolicyFactory | None = None,
         disk: str | None = None,
     ) -> None:
         """Make all parts without starting any.
@@ -74,12 +74,12 @@
             seed: seed of all random draws; None for the plan's own seed.
             real: run balancer processes on loopback, instead of the virtual clock.
             policy: name of the balancing policy, one of `baselines.POLICY_NAMES`.
-            decider: makes the balancers' decision logic, in place of that policy.
+            policy_factory: makes the balancers' decision logic, in place of that policy.
             disk: the folder for the processes' files; None for the system's temporary one.
         """
         self.plan = plan
         self.policy = policy
-        self.decider = decider or policy_class(policy, self)
+        self.policy_factory = policy_factory or policy_class(policy, self)
         self.seed = plan.seed if seed is None else seed
         self.rng = Random(self.seed)
         self.network: VirtualNetwork | LoopbackNetwork
@@ -92,10 +92,10 @@
         )
         self.invariant_checker.hosts_have_capacity = self.hosts_have_capacity
         self.deduplication_scope = most_common_scope(plan)
-        self.servers: dict[str, Store] = {}
+        self.servers: dict[str, SimulatedHost] = {}
         self.cluster = Cluster()
         self.deduplication_records: dict[str, dict[bytes, int]] = {}
-        self.misses: dict[bytes, list[Store]] = {}
+        self.misses: dict[bytes, list[SimulatedHost]] = {}
         self.cold_misses: dict[bytes, None] = {}
         self.client_keys: dict[int | None, int] = {}  # by the key's number in the decisions
         self.zone_by_address: dict[Address, int] = {}
@@ -107,7 +107,7 @@
         for i in range(plan.balancer_count):
             name = f"b{i}"
             zone = i % plan.cache.zones
-            self.balancers[name] = self.make_balancer(name, i, zone, self.decider)
+            self.balancers[name] = self.make_balancer(name, i, zone, self.policy_factory)
         self.balancer_by_gossip_address = {
             balancer.gossip_address: balancer for balancer in self.balancers.values()
         }
@@ -117,11 +117,13 @@
         if isinstance(self.network, VirtualNetwork):
             self.network.round_trip = self.round_trip_us
 
-    def make_balancer(self, name: str, number: int, zone: int, decider: Decider) -> Balancer:
+    def make_balancer(
+        self, name: str, number: int, zone: int, policy_factory: PolicyFactory
+    ) -> Balancer:
         """Make a balancer that is not started yet."""
         if self.folder:
             return BalancerProcess(self, name, number, zone, self.policy, self.folder.name)
-        return VirtualBalancer(self, name, number, zone, decider)
+        return VirtualBalancer(self, name, number, zone, policy_factory)
 
     def make_clients(self) -> Clients:
         """Make clients of the plan's protocol."""
@@ -142,16 +144,16 @@
         caches = [server for server in self.servers.values() if not server.is_origin]
         self.cluster.assign_evenly([server.id for server in caches])
         if plan.protocol == "http":
-            fill_caches(plan, self.rng, self.decider, caches)
+            fill_caches(plan, self.rng, self.policy_factory, caches)
         agents = self.discovery.agents
         for name, balancer in self.balancers.items():
             agents[name] = DiscoveryAgent(self.discovery, name, balancer.discovery_address)
 
-    def add_host(self, host_id: str, address: Address, is_origin: bool, zone: int) -> Store:
+    def add_host(self, host_id: str, address: Address, is_origin: bool, zone: int) -> SimulatedHost:
         """Start a simulated host with a random speed and list it in discovery."""
         model = self.plan.origin if is_origin else self.plan.cache
         speed = model.speed * (1.0 + model.speed_spread * self.rng.uniform(-1, 1))
-        kind = SlotServer if self.plan.protocol == "resp" else Store
+        kind = SlotServer if self.plan.protocol == "resp" else SimulatedHost
         server = kind(self, host_id, address, model, is_origin, zone, speed)
         self.servers[host_id] = server
         self.zone_by_address[address] = zone
@@ -309,10 +311,10 @@
             self.client_keys[number] = client_key_of(number)
         return self.client_keys[number]
 
-    def record_miss(self, request_id: bytes, store: Store) -> None:
+    def record_miss(self, request_id: bytes, host: SimulatedHost) -> None:
         """Record that a cache missed on the request's key; the oldest records are dropped."""
-        self.misses.setdefault(request_id, []).append(store)
-        if store.is_cold():
+        self.misses.setdefault(request_id, []).append(host)
+        if host.is_cold():
             self.cold_misses[request_id] = None
         if len(self.misses) > MAX_MISSES_REMEMBERED:
             del self.misses[next(iter(self.misses))]
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -151,7 +151,7 @@
     )
 
     def still_shows(candidate):
-        return bool(Simulation(candidate, decider=LeavesTheGroup).play()["twice"])
+        return bool(Simulation(candidate, policy_factory=LeavesTheGroup).play()["twice"])
 
     assert still_shows(plan)
     small, plays = hunt.shrink_plan(plan, still_shows, max_plays=25)
--- a/tests/simulation/test_invariant_checker.py
+++ b/tests/simulation/test_invariant_checker.py
@@ -13,7 +13,7 @@
     ("defect", "plan", "rule"), PLANTED, ids=lambda what: getattr(what, "__name__", "")
 )
 def test_each_planted_defect_is_caught_under_its_rule(defect, plan, rule):
-    simulation = Simulation(validate_plan(plan), decider=defect)
+    simulation = Simulation(validate_plan(plan), policy_factory=defect)
     verdict = simulation.play()
     assert verdict["verdict"] == "broken" and verdict[rule], (
         verdict,
@@ -31,7 +31,7 @@
     ids=lambda plan: "",
 )
 def test_the_balancer_without_defects_keeps_the_rules_with_the_same_plans(plan):
-    simulation = Simulation(validate_plan(plan), decider=Balancer)
+    simulation = Simulation(validate_plan(plan), policy_factory=Balancer)
     verdict = simulation.play()
     assert not any(verdict[rule] for rule in RULES) and not verdict["faults"], (
         simulation.invariant_checker.breaches[:3]
--- a/tests/simulation/test_virtual_network.py
+++ b/tests/simulation/test_virtual_network.py
@@ -335,18 +335,18 @@
         validate_plan(SMALL | {"cache": {"keys": 3, "cold-from": 0.25, "warm-s": 8, "ttl-s": 2}})
     )
     try:
-        store = simulation.servers["c00"]
-        store.copies.clear()
+        host = simulation.servers["c00"]
+        host.copies.clear()
         for key in (1, 2, 3, 1, 4):
-            store.store_copy(key)
-        assert list(store.copies) == [3, 1, 4] and store.has_copy(3) and not store.has_copy(2)
+            host.store_copy(key)
+        assert list(host.copies) == [3, 1, 4] and host.has_copy(3) and not host.has_copy(2)
         simulation.loop.run_until(simulation.loop.time + 2_100_000)
-        assert not store.has_copy(3), "its time to live has expired"
-        store.stop()
-        store.restart()
-        assert store.warm_ratio() == 0.25
+        assert not host.has_copy(3), "its time to live has expired"
+        host.stop()
+        host.restart()
+        assert host.warm_ratio() == 0.25
         simulation.loop.run_until(simulation.loop.time + 4_000_000)
-        assert 0.6 < store.warm_ratio() < 0.65 and not store.copies
+        assert 0.6 < host.warm_ratio() < 0.65 and not host.copies
     finally:
         simulation.close()
 
