--- a/orchidgap/commands.py
+++ b/orchidgap/commands.py
@@ -72,7 +72,7 @@
 
         serve(
             path,
-            composition.protocol_for,
+            composition.create_protocol,
             make_guarded_node=composition.make_guarded_node,
             make_gossip=composition.make_gossip,
         )
@@ -82,12 +82,12 @@
 
 def check(path: str | None) -> ExitStatus:
     """Print a summary of the configuration. Raises ConfigError if it is not valid."""
-    from orchidgap.composition import protocol_for
+    from orchidgap.composition import create_protocol
     from orchidgap.net import config
     from orchidgap.net.addresses import format_address
 
     balancer_config = config.read(path)
-    protocol_for(balancer_config)
+    create_protocol(balancer_config)
     _, _, entries, _ = balancer_config.initial_endpoints
     print(
         f"balancer {balancer_config.name} on {format_address(balancer_config.listen)}, list from "
--- a/orchidgap/composition.py
+++ b/orchidgap/composition.py
@@ -16,7 +16,7 @@
 from orchidgap.net.server import Gossip, LeaseHolder
 
 
-def protocol_for(config: BalancerConfig) -> ProtocolParts:
+def create_protocol(config: BalancerConfig) -> ProtocolParts:
     """Create the client protocol: RESP if the configuration has a section for it, otherwise HTTP.
 
     Raises:
--- a/orchidgap/fault_tests/process.py
+++ b/orchidgap/fault_tests/process.py
@@ -20,7 +20,7 @@
 from mmap import mmap
 from pathlib import Path
 
-from orchidgap.composition import make_gossip, protocol_for
+from orchidgap.composition import create_protocol, make_gossip
 from orchidgap.control import lease_keeper, process
 from orchidgap.fault_tests.disk_faults import KILL
 from orchidgap.fault_tests.planted_defects import DEFECTS
@@ -133,7 +133,7 @@
             process.run(config, "--new" in sys.argv, make_store=FailingStore)
             return
         make_guarded_node = partial(lease_keeper.create_guarded_node, make_store=FailingStore)
-        serve(config, protocol_for, make_guarded_node=make_guarded_node, make_gossip=make_gossip)
+        serve(config, create_protocol, make_guarded_node=make_guarded_node, make_gossip=make_gossip)
     except ConfigError as error:
         sys.exit(f"orchidgap: {error}")
 
--- a/orchidgap/net/server.py
+++ b/orchidgap/net/server.py
@@ -52,7 +52,7 @@
 
 def serve(
     path: str | None,
-    protocol_for: Callable[[BalancerConfig], ProtocolParts],
+    create_protocol: Callable[[BalancerConfig], ProtocolParts],
     make_balancer: Callable[..., Any] = Balancer,
     make_guarded_node: GuardedNodeFactory | None = None,
     make_gossip: GossipFactory | None = None,
@@ -61,7 +61,7 @@
 
     Args:
         path: The configuration file.
-        protocol_for: Returns the protocol for a configuration.
+        create_protocol: Returns the protocol for a configuration.
         make_balancer: Creates the decisions; the result has the methods of a `Balancer`.
         make_guarded_node: Creates a node that serves under leases of control, if configured.
         make_gossip: Creates the exchange of counts with other balancers, if configured.
@@ -78,7 +78,7 @@
     loop.on_late_turn = log.late_turn
     if balancer_config.shadow_settings:
         make_balancer = partial(ShadowBalancer, balancer_config.shadow_settings)
-    protocol = protocol_for(balancer_config)
+    protocol = create_protocol(balancer_config)
     lease_holder: LeaseHolder | None = None
     if balancer_config.control and make_guarded_node:
         node, lease_holder = make_guarded_node(
--- a/orchidgap/simulation/balancer_instance.py
+++ b/orchidgap/simulation/balancer_instance.py
@@ -14,7 +14,7 @@
 
 from orchidgap.admin import protocol as admin_protocol
 from orchidgap.admin.server import AdminServer
-from orchidgap.composition import protocol_for
+from orchidgap.composition import create_protocol
 from orchidgap.net import config
 from orchidgap.net.addresses import Address
 from orchidgap.net.client_connection import ClientConnection
@@ -270,7 +270,7 @@
             loop,
             settings,
             self.log,
-            protocol_for(settings),
+            create_protocol(settings),
             lambda address: network.dial_from(loop, self.name, address),
             self.policy_factory,
         )
--- a/orchidgap/simulation/process.py
+++ b/orchidgap/simulation/process.py
@@ -7,7 +7,7 @@
 
 import sys
 
-from orchidgap.composition import protocol_for
+from orchidgap.composition import create_protocol
 from orchidgap.net.config import ConfigError
 from orchidgap.net.server import serve
 from orchidgap.simulation.baselines import PROCESS_POLICIES
@@ -18,7 +18,7 @@
     policy = sys.argv[1]
     config = sys.argv[2].partition("=")[2]
     try:
-        serve(config, protocol_for, PROCESS_POLICIES[policy])
+        serve(config, create_protocol, PROCESS_POLICIES[policy])
     except ConfigError as error:
         sys.exit(f"orchidgap: {error}")
 
--- a/orchidgap/simulation/saturate.py
+++ b/orchidgap/simulation/saturate.py
@@ -24,7 +24,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from orchidgap.composition import protocol_for
+from orchidgap.composition import create_protocol
 from orchidgap.http1.readers import RequestReader, ResponseReader
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.attempt_failure import AttemptFailure
@@ -237,9 +237,9 @@
 
 def run_measured(kind: str, path: str) -> None:
     if kind == "balancer":
-        return serve(path, protocol_for)
+        return serve(path, create_protocol)
     if kind == "relay":
-        return serve(path, protocol_for, Relay)
+        return serve(path, create_protocol, Relay)
     network = LoopbackNetwork()
     network.listen(
         LISTEN_ADDRESS, lambda sock, who: discard(ForwardingConnection(network.loop, sock))
--- a/tests/backlog_harness.py
+++ b/tests/backlog_harness.py
@@ -141,24 +141,24 @@
     return str(path)
 
 
-def tally(seen):
+def count_outcomes(seen):
     """Count the clients by outcome."""
     return {what: seen.count(what) for what in sorted(set(seen))}
 
 
 def unanswered(seen):
     """Count the clients with an outcome other than an answer, by outcome."""
-    return tally([what for what in seen if what not in ANSWERS])
+    return count_outcomes([what for what in seen if what not in ANSWERS])
 
 
 __all__ = [
     "RESET",
     "QueuedClient",
     "ScriptedListener",
+    "count_outcomes",
     "free_address",
     "queue_clients",
     "run_until_exit",
-    "tally",
     "unanswered",
     "write_config",
 ]
--- a/tests/net/test_backlog.py
+++ b/tests/net/test_backlog.py
@@ -17,10 +17,10 @@
     RESET,
     QueuedClient,
     ScriptedListener,
+    count_outcomes,
     free_address,
     queue_clients,
     run_until_exit,
-    tally,
     unanswered,
     write_config,
 )
@@ -68,7 +68,7 @@
     with signal_handlers(net, None):
         advance_to_listener_close(net)
         seen = run_until_exit(net, queue_clients(address, MORE_THAN_CAPACITY, stays_open))
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
 
 
 def test_a_client_rejected_at_shutdown_is_sent_retry_after():
@@ -83,7 +83,7 @@
     refused = [client for client in clients if client.outcome() == "503"]
     without_retry_after = [client for client in refused if "Retry-After: " not in client.text]
     assert refused and not without_retry_after, (
-        f"{len(without_retry_after)} of {len(refused)} lack Retry-After; {tally(seen)}"
+        f"{len(without_retry_after)} of {len(refused)} lack Retry-After; {count_outcomes(seen)}"
     )
 
 
@@ -100,7 +100,7 @@
     with signal_handlers(net, None):
         advance_to_listener_close(net)
         seen = run_until_exit(net, queue_clients(address, 20))
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
 
 
 def test_aborted_connections_do_not_hide_the_clients_behind_them():
@@ -113,7 +113,7 @@
     with signal_handlers(net, None):
         advance_to_listener_close(net)
         seen = run_until_exit(net, queue_clients(address, 20))
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
 
 
 def test_aborted_connections_that_use_up_a_whole_pass_hide_no_client():
@@ -126,7 +126,7 @@
     with signal_handlers(net, None):
         advance_to_listener_close(net)
         seen = run_until_exit(net, queue_clients(address, 20))
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
 
 
 def test_clients_that_reset_in_the_queue_do_not_hide_those_behind_them():
@@ -139,7 +139,7 @@
             reset_client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             reset_client.sock.close()
         seen = run_until_exit(net, clients[1::2])
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
 
 
 def test_with_another_accepting_process_none_are_accepted_and_none_reset():
@@ -153,7 +153,7 @@
         advance_to_listener_close(net)
         clients = queue_clients(address, MORE_THAN_CAPACITY)
         seen = run_until_exit(net, clients)
-    assert tally(seen) == {"no end": MORE_THAN_CAPACITY}
+    assert count_outcomes(seen) == {"no end": MORE_THAN_CAPACITY}
     assert net.node.traffic_counts.connections_accepted == 0
     for _ in clients:
         other.accept()[0].close()
@@ -196,7 +196,7 @@
     with signal_handlers(pair.old, None):
         signal.raise_signal(signal.SIGTERM)
         seen = run_until_exit(pair.old, clients)
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
 
 
 def test_a_process_that_ends_before_its_successor_serves_leaves_it_the_queue(monkeypatch):
@@ -212,7 +212,7 @@
     pair.new.now = pair.old.now
     seen = run_pair(pair, clients)
     pair.end()
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
 
 
 def pair_on_one_listener(monkeypatch, serves=True):
@@ -363,7 +363,7 @@
         signal.raise_signal(signal.SIGTERM)
         net.node.start()
         seen = run_until_exit(net, clients)
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
 
 
 # --- between the last accept and the close
@@ -380,7 +380,7 @@
         listener = net.node.clients.listening_socket
         listener.on_empty = lambda: late.extend(queue_clients(address, 1))
         seen = run_until_exit(net, late)
-    assert late and not unanswered(seen), tally(seen)
+    assert late and not unanswered(seen), count_outcomes(seen)
 
 
 def test_a_client_that_connects_after_every_accept_is_not_reset():
@@ -403,7 +403,7 @@
         listener = net.node.clients.listening_socket
         listener.on_empty = connect_again
         seen = run_until_exit(net, late)
-    assert late and not unanswered(seen), tally(seen)
+    assert late and not unanswered(seen), count_outcomes(seen)
 
 
 class HandshakeInProgress(ScriptedListener):
@@ -440,7 +440,7 @@
     with signal_handlers(net, None):
         advance_to_listener_close(net)
         seen = run_until_exit(net, listener.late)
-    assert listener.late and not unanswered(seen), tally(seen)
+    assert listener.late and not unanswered(seen), count_outcomes(seen)
 
 
 def test_a_drain_by_an_operator_keeps_the_listener():
@@ -458,7 +458,7 @@
         for client in clients:
             client.read_available()
     seen = [client.outcome() for client in clients]
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
     assert net.node.clients.listening_socket
 
 
@@ -490,7 +490,7 @@
         if not late:
             signal.raise_signal(signal.SIGTERM)
         seen = run_until_exit(net, clients)
-    assert not unanswered(seen), tally(seen)
+    assert not unanswered(seen), count_outcomes(seen)
 
 
 def dial_without_waiting(address):
--- a/tests/net/test_starting.py
+++ b/tests/net/test_starting.py
@@ -13,7 +13,7 @@
 import pytest
 from node_harness import NodeHarness
 
-from orchidgap.composition import protocol_for
+from orchidgap.composition import create_protocol
 from orchidgap.net import config, server
 from orchidgap.net.loop import Loop
 
@@ -70,7 +70,7 @@
     monkeypatch.setattr(server, "Loop", FourTurnLoop)
     monkeypatch.setattr(server, "Node", RecordedNode)
     try:
-        server.serve(str(path), protocol_for)
+        server.serve(str(path), create_protocol)
     finally:
         signal.set_wakeup_fd(-1)
         for number, handler in previous_handlers.items():
--- a/tests/resp/test_resp_backlog.py
+++ b/tests/resp/test_resp_backlog.py
@@ -3,7 +3,7 @@
 import errno
 
 import pytest
-from backlog_harness import QueuedClient, ScriptedListener, run_until_exit, tally
+from backlog_harness import QueuedClient, ScriptedListener, count_outcomes, run_until_exit
 from loopback_harness import LoopbackHarness
 from node_harness import EventRecorder, NodeHarness
 from resp_harness import RULES, Client, RespCluster
@@ -17,7 +17,7 @@
 from orchidgap.resp.writers import encode_command
 
 FEW_DESCRIPTORS = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
-LARGER_THAN_SOCKET_BUFFERS = 100
+MORE_CLIENTS_THAN_LIMIT = 100
 PING = encode_command(b"PING")
 REPLIES = {"+PON", "-ERR"}
 
@@ -72,8 +72,8 @@
     command gets a reply.
     """
     net, address = node_in_shutdown()
-    outcomes = run_until_exit(net, ping_clients(address, LARGER_THAN_SOCKET_BUFFERS, stays))
-    assert set(outcomes) <= REPLIES, tally(outcomes)
+    outcomes = run_until_exit(net, ping_clients(address, MORE_CLIENTS_THAN_LIMIT, stays))
+    assert set(outcomes) <= REPLIES, count_outcomes(outcomes)
 
 
 def test_a_descriptor_shortage_resets_no_client_at_shutdown():
@@ -86,7 +86,7 @@
         OSError(errno.EMFILE, "") if net.now < works_at_us else None
     )
     outcomes = run_until_exit(net, ping_clients(address, 8))
-    assert set(outcomes) <= REPLIES, tally(outcomes)
+    assert set(outcomes) <= REPLIES, count_outcomes(outcomes)
 
 
 def test_a_connection_between_the_last_accept_and_the_close_is_not_reset():
@@ -97,7 +97,7 @@
     net, address = node_in_shutdown()
     net.node.clients.listening_socket.on_empty = lambda: late.extend(ping_clients(address, 1))
     outcomes = run_until_exit(net, late)
-    assert late and set(outcomes) <= REPLIES, tally(outcomes)
+    assert late and set(outcomes) <= REPLIES, count_outcomes(outcomes)
 
 
 def test_a_queue_longer_than_the_limit_is_answered_on_the_virtual_network():
@@ -105,11 +105,11 @@
     cluster = RespCluster(limits=FEW_DESCRIPTORS)
     cluster.node_loop.call_soon(cluster.node.begin_shutdown)
     cluster.advance(SHUTDOWN_ACCEPT_US - 1)
-    clients = [Client(cluster) for _ in range(LARGER_THAN_SOCKET_BUFFERS)]
+    clients = [Client(cluster) for _ in range(MORE_CLIENTS_THAN_LIMIT)]
     for client in clients:
         client.conn.send(PING)
     cluster.advance(5_000_000)
     outcomes = [
         bytes(client.received_bytes[:4]).decode() or client.end_reason for client in clients
     ]
-    assert set(outcomes) <= REPLIES, tally(outcomes)
+    assert set(outcomes) <= REPLIES, count_outcomes(outcomes)
--- a/tests/simulation/test_listening_queue.py
+++ b/tests/simulation/test_listening_queue.py
@@ -1,7 +1,7 @@
 """The accept queue on the virtual clock: what clients in the queue see when a node ends."""
 
 import pytest
-from backlog_harness import tally
+from backlog_harness import count_outcomes
 from balancer_harness import SETTINGS
 from node_harness import EventRecorder, NodeHarness
 
@@ -19,7 +19,7 @@
 ADDRESS = ("127.1.0.1", 7070)
 HOST = ("127.0.0.1", 100)
 FEW_DESCRIPTORS = 64
-LARGER_THAN_SOCKET_BUFFERS = 100
+MORE_CLIENTS_THAN_LIMIT = 100
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv"
 
 
@@ -85,7 +85,7 @@
     return client
 
 
-@pytest.mark.parametrize("client_count", [20, LARGER_THAN_SOCKET_BUFFERS])
+@pytest.mark.parametrize("client_count", [20, MORE_CLIENTS_THAN_LIMIT])
 def test_a_shutdown_does_not_reset_queued_connections(client_count):
     """Clients wait when the listener is closed, more than the descriptors allow or fewer. Each
     request is answered.
@@ -97,7 +97,7 @@
     clients = [dial_with_request(network, number) for number in range(client_count)]
     run(network, 5_000_000)
     results = [client.result() for client in clients]
-    assert set(results) <= {"200", "503"}, tally(results)
+    assert set(results) <= {"200", "503"}, count_outcomes(results)
 
 
 def test_a_kill_resets_queued_connections():
@@ -108,7 +108,9 @@
     loop.kill()
     network.unlisten(ADDRESS)
     run(network, 1_000)
-    assert tally([client.result() for client in clients]) == {"Connection reset by peer": 5}
+    assert count_outcomes([client.result() for client in clients]) == {
+        "Connection reset by peer": 5
+    }
 
 
 def test_the_close_of_one_handle_of_two_resets_nobody():
