--- a/orchidgap/decisions/config_compatibility.py
+++ b/orchidgap/decisions/config_compatibility.py
@@ -24,9 +24,9 @@
 OPTIONAL_KEYS = frozenset(("known", "seed", "watch"))
 """Top-level keys that may be left out, because their values are specific to one point in time."""
 
-KINDS = {str: "a text", type(None): "nothing", list: "a list"}
+KINDS = {str: "a string", type(None): "null", list: "a list"}
 NUMBER_KIND = "a number"
-BOOLEAN_KIND = "a yes or no"
+BOOLEAN_KIND = "a boolean"
 OBJECT_KIND = "an object"
 
 
@@ -34,7 +34,7 @@
     """Return the kind of a JSON value, as named in messages to operators.
 
     >>> [kind_of(value) for value in (True, 1, 1.5, "x", None, [], {})]
-    ['a yes or no', 'a number', 'a number', 'a text', 'nothing', 'a list', 'an object']
+    ['a boolean', 'a number', 'a number', 'a string', 'null', 'a list', 'an object']
     """
     if isinstance(value, bool):
         return BOOLEAN_KIND
@@ -53,7 +53,7 @@
         path: The path of the part, with a dot at its end; empty for a whole configuration.
 
     >>> shape_of({"a": {"b": 1}, "c": [{"d": "x", "e": 2}, {"d": "y"}], "known": {"seq": 1}})
-    {'a': 'an object', 'a.b': 'a number', 'c': 'a list', 'c.*.d': 'a text'}
+    {'a': 'an object', 'a.b': 'a number', 'c': 'a list', 'c.*.d': 'a string'}
     """
     shape: dict[str, str] = {}
     for name, value in tree.items():
@@ -95,7 +95,7 @@
     >>> find_incompatibility(old, shape_of({"a": {}, "c": []}))
     'a.b is missing'
     >>> find_incompatibility(old, shape_of({"a": {"b": "1"}, "c": [{"d": "x"}]}))
-    'a.b is a text, where a number was'
+    'a.b is a string, but was a number'
     >>> find_incompatibility(old, shape_of({"a": {"b": 1}, "c": []}))
     'c.*.d is missing'
     >>> find_incompatibility(old, shape_of({"a": {"b": 1}, "c": []}), ["c"])
@@ -108,7 +108,7 @@
         if path not in new:
             return f"{path} is missing"
         if new[path] != kind:
-            return f"{path} is {new[path]}, where {kind} was"
+            return f"{path} is {new[path]}, but was {kind}"
     return ""
 
 
--- a/orchidgap/http1/client.py
+++ b/orchidgap/http1/client.py
@@ -126,7 +126,7 @@
         self.retired = True
         for connection in list(self.connections):
             if connection.is_unused:
-                connection.on_closed("host drains")
+                connection.on_closed("host is draining")
 
 
 class HostConnectionPools(connection_pools.ConnectionPools[HostConnectionPool]):
--- a/tests/decisions/test_config_compatibility.py
+++ b/tests/decisions/test_config_compatibility.py
@@ -48,7 +48,7 @@
 def test_a_value_must_keep_its_kind(tree, number, text):
     """A number becomes a string, for example by mistaken quotes."""
     reason = find_incompatibility(shape_of({"new": number}), shape_of(tree | {"new": text}))
-    assert reason == "new is a text, where a number was"
+    assert reason == "new is a string, but was a number"
 
 
 @settings(deadline=None, suppress_health_check=[HealthCheck.too_slow])
--- a/tests/net/test_reload.py
+++ b/tests/net/test_reload.py
@@ -97,7 +97,7 @@
         ),
         (
             lambda file: file["settings"]["ceilings"].update({"may-cancel": "yes"}),
-            "is a text, where a yes or no was",
+            "is a string, but was a boolean",
         ),
         (
             lambda file: file["settings"]["rule-sets"][1].update({"client-timeout": 0}),
@@ -125,7 +125,7 @@
         ),
         (
             lambda file: file["settings"]["ceilings"].update({"most-dispatches": "many"}),
-            "is a text, where a number was",
+            "is a string, but was a number",
         ),
         (lambda file: file["settings"]["ceilings"].update({"conn-idle": 0}), "must be over 0"),
         (
@@ -133,7 +133,7 @@
             "must not be under 0",
         ),
         (lambda file: file.update({"discovery": "nowhere"}), "not an address"),
-        (lambda file: file.update({"listen": 7}), "is a number, where a text was"),
+        (lambda file: file.update({"listen": 7}), "is a number, but was a string"),
     ],
 )
 def test_a_malformed_file_changes_nothing(tmp_path, malformed, why):
