--- a/orchidgap/simulation/saturate.py
+++ b/orchidgap/simulation/saturate.py
@@ -24,7 +24,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from orchidgap.composition import protocol_for
+from orchidgap.composition import create_protocol
 from orchidgap.http1.readers import RequestReader, ResponseReader
 from orchidgap.net.addresses import Address, format_address
 from orchidgap.net.attempt_failure import AttemptFailure
@@ -92,13 +92,13 @@
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         self.conn = Connection(loop, sock, self)
 
-    def opened(self) -> None: ...
+    def on_connected(self) -> None: ...
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         if bytes(view[-4:]) == b"\r\n\r\n":
             self.conn.send(ANSWER)
 
-    def ended(self, what: str) -> None: ...
+    def on_closed(self, reason: str) -> None: ...
 
 
 class StaticDiscovery:
@@ -108,9 +108,9 @@
         self.loop, self.reader = loop, RequestReader()
         self.conn = Connection(loop, sock, self)
 
-    def opened(self) -> None: ...
+    def on_connected(self) -> None: ...
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.reader.feed(view)
         if self.reader.message.complete:
             watch = b"after=" in self.reader.message.target
@@ -125,7 +125,7 @@
         if self.conn.is_open:
             self.conn.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body)
 
-    def ended(self, what: str) -> None: ...
+    def on_closed(self, reason: str) -> None: ...
 
 
 class ForwardingConnection:
@@ -143,12 +143,12 @@
             other = ForwardingConnection(loop, dialled, self)
         self.other = other
 
-    def opened(self) -> None: ...
+    def on_connected(self) -> None: ...
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.other.conn.send(bytes(view))
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.other.conn.close()
 
 
@@ -161,7 +161,7 @@
         self.count = 0
         self.conn = Connection(loop, sock, self, opening=True)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         self.send_request()
 
     def send_request(self) -> None:
@@ -173,14 +173,14 @@
             b"Tenant: north\r\nRequest-Timeout: 1.500\r\n\r\n" % (key, self.number, self.count)
         )
 
-    def received(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.reader.feed(view)
         if self.reader.message.complete:
             self.counts[0 if self.reader.message.status == 200 else 1] += 1
             self.reader.reset()
             self.send_request()
 
-    def ended(self, what: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.counts[1] += 1
 
 
@@ -248,9 +248,9 @@
 def run_measured(kind: str, path: str) -> None:
     """Run the measured program; `path` is its configuration file."""
     if kind == "balancer":
-        return serve(path, protocol_for)
+        return serve(path, create_protocol)
     if kind == "relay":
-        return serve(path, protocol_for, Relay)
+        return serve(path, create_protocol, Relay)
     network = LoopbackNetwork()
     network.listen(
         LISTEN_ADDRESS, lambda sock, who: discard(ForwardingConnection(network.loop, sock))
